--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,6 +1,6 @@
-"""What `build` does: a virtual environment, and a copy of the package in `.compiled` whose hot modules are
-compiled with mypyc. Where that can't be done (no compiler, say) the copy is left as plain Python, and says
-so.
+"""What `build` does: a virtual environment, and a copy of the package in `.compiled` whose hot
+modules are compiled with mypyc. Where that can't be done (no compiler, say) the copy is left as
+plain Python, and says so.
 
 It does again only what is needed: the copy bears the checksum of all it was made from.
 """
@@ -18,7 +18,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 PYTHON = ROOT / ".venv/bin/python"
 COMPILED = ROOT / ".compiled"
-HOT = ("lanelift/decide/*.py", "lanelift/interface.py", "lanelift/rules.py", "lanelift/net/parse.py")
+HOT = (
+    "lanelift/decide/*.py",
+    "lanelift/interface.py",
+    "lanelift/rules.py",
+    "lanelift/net/parse.py",
+)
 # What the platform's `run` and `sim` need; the operators' larger program is installed by pip.
 PACKAGE = ("lanelift/*.py", "lanelift/decide/*.py", "lanelift/net/*.py")
 LONGEST_S = 600
@@ -39,7 +44,9 @@
     if PYTHON.exists() and stamp.exists() and stamp.read_text() == wanted:
         return
     venv.create(ROOT / ".venv", with_pip=True)
-    subprocess.run([PYTHON, "-m", "pip", "-q", "install", "-r", ROOT / "requirements.txt"], check=True)
+    subprocess.run(
+        [PYTHON, "-m", "pip", "-q", "install", "-r", ROOT / "requirements.txt"], check=True
+    )
     stamp.write_text(wanted)
 
 
@@ -63,11 +70,19 @@
 def tried(folder: Path) -> list[str]:
     """Why the compiled modules do not run, in one line; empty: they do."""
     environ = {**os.environ, "PYTHONPATH": str(folder)}
-    done = subprocess.run([PYTHON, "-P", "-c", TRIAL], cwd=folder, env=environ,
-                          timeout=LONGEST_S, capture_output=True, text=True)
+    done = subprocess.run(
+        [PYTHON, "-P", "-c", TRIAL],
+        cwd=folder,
+        env=environ,
+        timeout=LONGEST_S,
+        capture_output=True,
+        text=True,
+    )
     if not done.returncode:
         return []
-    return (done.stderr.strip().splitlines() or [f"the compiled modules end with {done.returncode}"])[-1:]
+    return (
+        done.stderr.strip().splitlines() or [f"the compiled modules end with {done.returncode}"]
+    )[-1:]
 
 
 def package(wanted: str) -> None:
@@ -81,9 +96,14 @@
         copy.parent.mkdir(parents=True, exist_ok=True)
         shutil.copyfile(path, copy)
     try:
-        done = subprocess.run([PYTHON, "-m", "mypyc", "--follow-imports=silent", *hot(fresh)], cwd=fresh,
-                              timeout=LONGEST_S, env={**os.environ, "MYPYC_OPT_LEVEL": "3"},
-                              capture_output=True, text=True)
+        done = subprocess.run(
+            [PYTHON, "-m", "mypyc", "--follow-imports=silent", *hot(fresh)],
+            cwd=fresh,
+            timeout=LONGEST_S,
+            env={**os.environ, "MYPYC_OPT_LEVEL": "3"},
+            capture_output=True,
+            text=True,
+        )
         failed = (done.stderr or done.stdout).strip().splitlines()[-1:] if done.returncode else []
         failed = failed or tried(fresh)
     except (OSError, subprocess.SubprocessError) as error:
--- a/lanelift/__main__.py
+++ b/lanelift/__main__.py
@@ -1,4 +1,6 @@
-"""The real balancer: `python -m lanelift`, told what to do by the file that BALANCER_CONFIG names."""
+"""The real balancer: `python -m lanelift`, told what to do by the file that BALANCER_CONFIG
+names.
+"""
 
 from __future__ import annotations
 
@@ -36,8 +38,8 @@
 SOCKETS, MEMORY_MB = 1024, 256  # where no limit is told
 DOOR = CONNECTIONS + TURN + 1  # descriptors kept for the operators' door
 LEAVE_S = 0.1  # over the time of the last answer, for its way out
-# A process that takes over waits so long for the first list, and for the other one to make room: it is owed
-# within 6 s that it takes clients.
+# A process that takes over waits so long for the first list, and for the other one to make room: it
+# is owed within 6 s that it takes clients.
 TAKE_OVER_S = 2.0
 
 
@@ -93,21 +95,36 @@
     if sockets < 2 * RESERVE:
         raise Malformed(f"limits.sockets must be {2 * RESERVE} at least")
     folder = environ.get("TMPDIR")
-    return Config(listen, discovery, seed, sockets, read_settings(need(raw, "settings", dict)), known,
-                  address("peer_listen"), peers, address("peers_all"), mgmt,
-                  maybe(raw, "name", str, environ.get("BALANCER_NAME", "")),
-                  int(maybe(limits, "memory_mb", float, MEMORY_MB)), Path(folder) if folder else None)
+    return Config(
+        listen,
+        discovery,
+        seed,
+        sockets,
+        read_settings(need(raw, "settings", dict)),
+        known,
+        address("peer_listen"),
+        peers,
+        address("peers_all"),
+        mgmt,
+        maybe(raw, "name", str, environ.get("BALANCER_NAME", "")),
+        int(maybe(limits, "memory_mb", float, MEMORY_MB)),
+        Path(folder) if folder else None,
+    )
 
 
 class Reloader:
-    """SIGHUP: the file is read again, off the loop, and what may change in a running balancer is applied.
-    A file that can't be used leaves everything as it was."""
+    """SIGHUP: the file is read again, off the loop, and what may change in a running balancer is
+    applied. A file that can't be used leaves everything as it was.
+    """
 
     APPLIED = frozenset({"discovery", "fixed"})
-    AT_START = frozenset({"seed", "known"})  # they matter to a start only, and may differ at each reading
+    AT_START = frozenset(
+        {"seed", "known"}
+    )  # they matter to a start only, and may differ at each reading
 
-    def __init__(self, config: Config, discovery: Discovery | FixedList,
-                 read: Callable[[], Config]) -> None:
+    def __init__(
+        self, config: Config, discovery: Discovery | FixedList, read: Callable[[], Config]
+    ) -> None:
         self.config = config
         self.discovery = discovery
         self.read = read
@@ -128,8 +145,11 @@
                 logging.error("configuration not reloaded: %s", error)
 
     def _apply(self, new: Config) -> None:
-        changed = {f.name for f in dataclasses.fields(Config)
-                   if getattr(new, f.name) != getattr(self.config, f.name)} - self.AT_START
+        changed = {
+            f.name
+            for f in dataclasses.fields(Config)
+            if getattr(new, f.name) != getattr(self.config, f.name)
+        } - self.AT_START
         left = sorted(changed - self.APPLIED)
         if left:
             logging.warning("reload: a change of %s needs a restart", ", ".join(left))
@@ -166,10 +186,16 @@
     async def close(self) -> None: ...
 
 
-async def serve(config: Config, listener: socket.socket, door: socket.socket | None = None,
-                read: Callable[[], Config] = lambda: read_config(os.environ),
-                companion: Callable[[Parts], Companion] | None = None) -> None:
-    """Run a balancer until it is told to leave. `read`: the configuration as it is now, for a reload."""
+async def serve(
+    config: Config,
+    listener: socket.socket,
+    door: socket.socket | None = None,
+    read: Callable[[], Config] = lambda: read_config(os.environ),
+    companion: Callable[[Parts], Companion] | None = None,
+) -> None:
+    """Run a balancer until it is told to leave. `read`: the configuration as it is now, for a
+    reload.
+    """
     loop = asyncio.get_running_loop()
     settings = config.settings
     siblings = Siblings(config.folder)
@@ -179,7 +205,8 @@
     driver = Driver(settings, config.seed, upstreams)
     if config.peer_listen is not None and settings.limits.peers:
         _, driver.peers = await loop.create_datagram_endpoint(
-            lambda: Peers(driver, config.peers, config.peers_all), local_addr=config.peer_listen)
+            lambda: Peers(driver, config.peers, config.peers_all), local_addr=config.peer_listen
+        )
     disabled = DisabledUpstreams(config.folder, config.name, siblings, driver)
     disabled.start()  # ahead of the first list
     discovery: Discovery | FixedList
@@ -200,12 +227,16 @@
     reloader = Reloader(config, discovery, read)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    beside = companion(Parts(config, driver, disabled, reloader.reload)) if companion is not None else None
+    beside = (
+        companion(Parts(config, driver, disabled, reloader.reload))
+        if companion is not None
+        else None
+    )
     if beside is not None:
         beside.start()
     if not siblings.alone:
-        # Clients are dealt to this process from its first turn on: it begins once it can serve, and once the
-        # other one leaves it its part of the descriptors.
+        # Clients are dealt to this process from its first turn on: it begins once it can serve, and
+        # once the other one leaves it its part of the descriptors.
         await siblings.agreed(lambda note: note.shares, TAKE_OVER_S)
         await driver.can_serve(TAKE_OVER_S)
     frontend.start()
@@ -213,8 +244,8 @@
     gc.freeze()  # what is there now stays: no collection need look at it again
     try:
         await frontend.drained.wait()
-        # One after the other, not by two timers: where the loop is late these would come due together, and
-        # the last answers be dropped.
+        # One after the other, not by two timers: where the loop is late these would come due
+        # together, and the last answers be dropped.
         if not await frontend.has_left(frontend.last_answer_ns):
             frontend.end_open()
             if not await frontend.has_left(time.monotonic_ns() + int(LEAVE_S * 1e9)):
@@ -232,7 +263,8 @@
 def run(read: Callable[[], Config], companion: Callable[[Parts], Companion] | None = None) -> int:
     """A balancer in this process, from its configuration to its end. Returns the exit status."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(levelname)s %(message)s")
-    # A reload that is asked for before the loop runs waits until then: by itself the signal ends the process.
+    # A reload that is asked for before the loop runs waits until then: by itself the signal ends
+    # the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         config = read()
@@ -240,7 +272,8 @@
         door = None
         if config.mgmt is not None:
             door = listening_socket(config.mgmt)
-            door.listen()  # only now an address that is taken shows for certain; callers wait meanwhile
+            # only now an address that is taken shows for certain; callers wait meanwhile
+            door.listen()
     except (Malformed, OSError) as error:
         print(f"lanelift: {error}", file=sys.stderr)
         return 2
--- a/lanelift/cli/feed.py
+++ b/lanelift/cli/feed.py
@@ -21,13 +21,26 @@
 
 app = typer.Typer(no_args_is_help=True, help="The feed: on which balancers a revision is in force.")
 T = TypeVar("T")
-Despite = Annotated[bool, typer.Option("--despite-refusals", help="Rows that are refused are no failure.")]
-Balancers = Annotated[int, typer.Option("--balancers", min=0, help="So many must have it; members that do not"
-                                                                    " answer are then no failure.")]
-
-
-def asking(at: str, certificate: Path | None, key: Path | None, authority: Path | None,
-           work: Callable[[Members], Awaitable[T]]) -> T:
+Despite = Annotated[
+    bool, typer.Option("--despite-refusals", help="Rows that are refused are no failure.")
+]
+Balancers = Annotated[
+    int,
+    typer.Option(
+        "--balancers",
+        min=0,
+        help="So many must have it; members that do not answer are then no failure.",
+    ),
+]
+
+
+def asking(
+    at: str,
+    certificate: Path | None,
+    key: Path | None,
+    authority: Path | None,
+    work: Callable[[Members], Awaitable[T]],
+) -> T:
     """Raises Malformed."""
     members = Members(addresses(at), lambda address: client(address, certificate, key, authority))
 
@@ -36,6 +49,7 @@
             return await work(members)
         finally:
             await members.close()
+
     return uvloop.run(go())
 
 
@@ -51,62 +65,130 @@
 
 
 @app.command()
-def status(at: At, certificate: Cert = None, key: Key = None, authority: Authority = None,
-           revision: Annotated[int, typer.Option(help="0: the newest that a member has applied.")] = 0,
-           as_json: Annotated[bool, typer.Option("--json", help="All of it, for programs.")] = False) -> None:
-    """On how many balancers a revision is in force, who lags and by how much, and what is refused."""
+def status(
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+    revision: Annotated[int, typer.Option(help="0: the newest that a member has applied.")] = 0,
+    as_json: Annotated[bool, typer.Option("--json", help="All of it, for programs.")] = False,
+) -> None:
+    """On how many balancers a revision is in force, who lags and by how much, and what is
+    refused.
+    """
     found = asking(at, certificate, key, authority, Members.statuses)
     if all("trouble" in s for s in found):
         raise NotInForce("; ".join(f"{s['address']}: {s['trouble']}" for s in found))
     total = rollout.add_up(found, revision)
     if as_json:
-        print(msgspec.json.format(msgspec.json.encode({"rollout": total, "members": [
-            {name: s.get(name) for name in ("node", "address", "applied", "feed", "trouble")} for s in found
-        ]}), indent=1).decode())
+        print(
+            msgspec.json.format(
+                msgspec.json.encode(
+                    {
+                        "rollout": total,
+                        "members": [
+                            {
+                                name: s.get(name)
+                                for name in ("node", "address", "applied", "feed", "trouble")
+                            }
+                            for s in found
+                        ],
+                    }
+                ),
+                indent=1,
+            ).decode()
+        )
     else:
         show(found, total)
 
 
 def show(found: list[dict[str, Any]], total: Rollout) -> None:
     table = Table()
-    for column in ("node", "address", "revision", "balancers", "furthest behind", "parked", "waiting",
-                   "snapshots", "resumes", "later", "sent MB", "refusals", "trouble"):
-        table.add_column(column, justify="left" if column in ("node", "address", "trouble") else "right")
+    for column in (
+        "node",
+        "address",
+        "revision",
+        "balancers",
+        "furthest behind",
+        "parked",
+        "waiting",
+        "snapshots",
+        "resumes",
+        "later",
+        "sent MB",
+        "refusals",
+        "trouble",
+    ):
+        table.add_column(
+            column, justify="left" if column in ("node", "address", "trouble") else "right"
+        )
     for s in found:
         if "trouble" in s:
             table.add_row("?", s["address"], *[""] * 10, s["trouble"])
             continue
         feed, here = s["feed"], next((m["address"] for m in s["members"] if m["here"]), "")
         if feed is None:
-            table.add_row(s["node"], here, str(s["applied"]), "0", *[""] * 8, "no rows, and nobody asked")
+            table.add_row(
+                s["node"], here, str(s["applied"]), "0", *[""] * 8, "no rows, and nobody asked"
+            )
             continue
-        table.add_row(s["node"], here, str(feed["revision"]), str(feed["subscribers"]),
-                      str(feed["reached"][0][0]) if feed["reached"] else "",
-                      *(str(feed[name]) for name in ("parked", "waiting", "snapshots", "resumes", "later")),
-                      f"{feed['sent_bytes'] / 1e6:.1f}", str(feed["refusals"]), "")
+        table.add_row(
+            s["node"],
+            here,
+            str(feed["revision"]),
+            str(feed["subscribers"]),
+            str(feed["reached"][0][0]) if feed["reached"] else "",
+            *(str(feed[name]) for name in ("parked", "waiting", "snapshots", "resumes", "later")),
+            f"{feed['sent_bytes'] / 1e6:.1f}",
+            str(feed["refusals"]),
+            "",
+        )
     out.print(table)
-    out.print(f"revision {total.revision} is in force on {total.reached} of {total.balancers} balancers",
-              soft_wrap=True)
+    out.print(
+        f"revision {total.revision} is in force on {total.reached} of {total.balancers} balancers",
+        soft_wrap=True,
+    )
     for one in total.late:
-        out.print(f"  {one.name} at {one.node}: revision {one.revision}, {one.since_ms / 1000:.1f} s behind",
-                  soft_wrap=True)
+        out.print(
+            f"  {one.name} at {one.node}: revision {one.revision}, {one.since_ms / 1000:.1f} s "
+            f"behind",
+            soft_wrap=True,
+        )
     for line in (*total.trailing, *total.silent):
         out.print(f"  {line}", soft_wrap=True)
     if total.refusals:
-        out.print(f"{total.refusals} rows are refused, and what was good before stands:", soft_wrap=True)
+        out.print(
+            f"{total.refusals} rows are refused, and what was good before stands:", soft_wrap=True
+        )
     for row in total.refused:
-        out.print(f"  {row.name}: {row.refusal.scope} {row.refusal.key} at version {row.refusal.version}:"
-                  f" {row.refusal.why}", soft_wrap=True)
+        out.print(
+            f"  {row.name}: {row.refusal.scope} {row.refusal.key} at version {row.refusal.version}:"
+            f" {row.refusal.why}",
+            soft_wrap=True,
+        )
 
 
 @app.command()
-def wait(revision: Annotated[int, typer.Argument(help="As the write told it.", min=1)], at: At,
-         within: Annotated[str, typer.Option("--within", help="Then it has failed: 4s, 500ms.")] = "4s",
-         balancers: Balancers = 0, despite_refusals: Despite = False, certificate: Cert = None,
-         key: Key = None, authority: Authority = None) -> None:
+def wait(
+    revision: Annotated[int, typer.Argument(help="As the write told it.", min=1)],
+    at: At,
+    within: Annotated[str, typer.Option("--within", help="Then it has failed: 4s, 500ms.")] = "4s",
+    balancers: Balancers = 0,
+    despite_refusals: Despite = False,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """Until a revision is in force on all balancers; fails in one line that names who lags."""
     within_s = seconds(within)
-    done, took_s = asking(at, certificate, key, authority, lambda members: rollout.wait(
-        members, revision, within_s, balancers, despite_refusals))
-    out.print(f"revision {revision} is in force on {done.reached} balancers, after {took_s:.2f} s",
-              soft_wrap=True)
+    done, took_s = asking(
+        at,
+        certificate,
+        key,
+        authority,
+        lambda members: rollout.wait(members, revision, within_s, balancers, despite_refusals),
+    )
+    out.print(
+        f"revision {revision} is in force on {done.reached} balancers, after {took_s:.2f} s",
+        soft_wrap=True,
+    )
--- a/lanelift/cli/feedsim.py
+++ b/lanelift/cli/feedsim.py
@@ -13,22 +13,31 @@
 from lanelift.lab.topology import Unusable
 
 
-def feed_sim(seeds: Annotated[int, typer.Option(min=1, help="How many.")] = 100,
-             first: Annotated[int, typer.Option(help="The first seed.")] = 1,
-             nodes: Annotated[int, typer.Option(min=1, help="Of the store.")] = Options().nodes,
-             balancers: Annotated[int, typer.Option(min=1)] = Options().balancers,
-             seconds: Annotated[int, typer.Option(min=1, help="Of storms, in virtual time.")] =
-             Options().seconds,
-             spoil: Annotated[bool, typer.Option(help="Rows are lost from balancers' tables.")] = False,
-             planted: Annotated[str, typer.Option(help="A bug to plant; all: a seed that shows each.")] = "",
-             ) -> None:
+def feed_sim(
+    seeds: Annotated[int, typer.Option(min=1, help="How many.")] = 100,
+    first: Annotated[int, typer.Option(help="The first seed.")] = 1,
+    nodes: Annotated[int, typer.Option(min=1, help="Of the store.")] = Options().nodes,
+    balancers: Annotated[int, typer.Option(min=1)] = Options().balancers,
+    seconds: Annotated[
+        int, typer.Option(min=1, help="Of storms, in virtual time.")
+    ] = Options().seconds,
+    spoil: Annotated[bool, typer.Option(help="Rows are lost from balancers' tables.")] = False,
+    planted: Annotated[str, typer.Option(help="A bug to plant; all: a seed that shows each.")] = "",
+) -> None:
     """Nodes, balancers and lossy links in virtual time; one seed decides a run."""
     options = Options(nodes, balancers, seconds, spoil)
     if planted == "all":
         found = {name: catch(name, seeds, options) for name in PLANTS}
         for name, outcome in found.items():
-            out.print(f"{name}: " + (f"seed {outcome.seed}, {outcome.broken}" if outcome else
-                                     f"not found in {seeds} seeds"), soft_wrap=True)
+            out.print(
+                f"{name}: "
+                + (
+                    f"seed {outcome.seed}, {outcome.broken}"
+                    if outcome
+                    else f"not found in {seeds} seeds"
+                ),
+                soft_wrap=True,
+            )
         raise typer.Exit(not all(found.values()))
     if planted and planted not in PLANTS:
         raise Unusable(f"--planted: {planted!r} is none of {', '.join(PLANTS)}")
@@ -40,8 +49,11 @@
         if outcome.broken:
             broken += 1
             out.print(f"[red]seed {seed}, {outcome.broken}[/red]", soft_wrap=True)
-    out.print(f"{seeds} seeds, {broken} broken; "
-              + ", ".join(f"{count} {what}" for what, count in sorted(counts.items())), soft_wrap=True)
+    out.print(
+        f"{seeds} seeds, {broken} broken; "
+        + ", ".join(f"{count} {what}" for what, count in sorted(counts.items())),
+        soft_wrap=True,
+    )
     raise typer.Exit(bool(broken))
 
 
--- a/lanelift/cli/hollow.py
+++ b/lanelift/cli/hollow.py
@@ -1,6 +1,7 @@
 """A process of hollow balancers: `python -m lanelift.cli.hollow`, under `lanelift lab size fleet`.
 
-It is here because what the daemon writes into the store and the lab's balancers meet on this floor alone.
+It is here because what the daemon writes into the store and the lab's balancers meet on this floor
+alone.
 """
 
 from __future__ import annotations
@@ -39,7 +40,9 @@
         return rows.endpoint_of(rows.unpack_upstream(value))
 
     def document(self, endpoints: Sequence[Endpoint]) -> bytes:
-        return msgspec.json.encode(SavedList(round(unix_s(), 3), save_list(list(endpoints)), 1, 1, 1))
+        return msgspec.json.encode(
+            SavedList(round(unix_s(), 3), save_list(list(endpoints)), 1, 1, 1)
+        )
 
     def endpoints(self, row: StoreRow) -> list[Endpoint]:
         saved = decoded(row, SavedList)
--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -50,50 +50,79 @@
         rows.add_column(column)
     for row in found.rows:
         lease = _lease(row)
-        rows.add_row(lease.name, _holder(lease), table.written(lease.token), _when(lease.since_ms),
-                     f"{lease.ttl_ms / 1000:g} s", str(len(lease.waiting)), str(lease.refused))
+        rows.add_row(
+            lease.name,
+            _holder(lease),
+            table.written(lease.token),
+            _when(lease.since_ms),
+            f"{lease.ttl_ms / 1000:g} s",
+            str(len(lease.waiting)),
+            str(lease.refused),
+        )
     out.print(rows)
 
 
 @app.command()
-def show(name: Name, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None) -> None:
+def show(
+    name: Name, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None
+) -> None:
     """One lease, with its candidates in their order."""
     row = using(client(at, certificate, key, authority), lambda c: c.get(LEASES + name)).rows[0]
     if row.value is None:
         raise Malformed(f"{name}: nobody ever asked for it")
     lease = _lease(row)
-    out.print(f"{name}: {_holder(lease)}{f', {lease.note}' if lease.note else ''}\n"
-              f"token {table.written(lease.token)}, since {_when(lease.since_ms)}, renewed within"
-              f" {lease.ttl_ms / 1000:g} s; {lease.refused} writes refused that bore another token",
-              soft_wrap=True)
+    out.print(
+        f"{name}: {_holder(lease)}{f', {lease.note}' if lease.note else ''}\n"
+        f"token {table.written(lease.token)}, since {_when(lease.since_ms)}, renewed within"
+        f" {lease.ttl_ms / 1000:g} s; {lease.refused} writes refused that bore another token",
+        soft_wrap=True,
+    )
     for place, who in enumerate(lease.waiting, 1):
         out.print(f"  {place}. {who.holder}, rank {who.rank}, {who.note}", soft_wrap=True)
 
 
 @app.command()
-def release(name: Name, at: At, within: Within = 5.0, certificate: Cert = None, key: Key = None,
-            authority: Authority = None) -> None:
-    """Take a lease from its owner. It stops at its next look at the store, within the lease's time at the
-    latest; what it still writes is refused at once."""
+def release(
+    name: Name,
+    at: At,
+    within: Within = 5.0,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
+    """Take a lease from its owner. It stops at its next look at the store, within the lease's time
+    at the latest; what it still writes is refused at once.
+    """
+
     async def work(c: Client) -> str:
         row = (await c.get(LEASES + name)).rows[0]
         lease = _lease(row) if row.value is not None else Lease(name)
         if not lease.holder:
             return f"{name}: nobody holds it"
         done = await c.release(Release(name, lease.claim, lease.token, unix_ms()), within)
-        return f"{name}: {done.text or f'taken from {lease.holder}, token {table.written(lease.token)}'}"
+        taken = f"taken from {lease.holder}, token {table.written(lease.token)}"
+        return f"{name}: {done.text or taken}"
 
     out.print(using(client(at, certificate, key, authority, within_s=within), work), soft_wrap=True)
 
 
 @app.command()
-def history(name: Name, at: At, most: int = 20, certificate: Cert = None, key: Key = None,
-            authority: Authority = None) -> None:
+def history(
+    name: Name,
+    at: At,
+    most: int = 20,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """Who had it, newest first."""
     found = using(client(at, certificate, key, authority), lambda c: c.history(LEASES + name, most))
     for row in found.rows:
         if row.value is None:
             continue
         lease = _lease(row)
-        out.print(f"{_when(row.time_ms) or 'its time was over'}  token {table.written(lease.token)}"
-                  f"  {_holder(lease)}, {len(lease.waiting)} waiting", soft_wrap=True)
+        out.print(
+            f"{_when(row.time_ms) or 'its time was over'}  token {table.written(lease.token)}"
+            f"  {_holder(lease)}, {len(lease.waiting)} waiting",
+            soft_wrap=True,
+        )
--- a/lanelift/cli/main.py
+++ b/lanelift/cli/main.py
@@ -1,4 +1,6 @@
-"""`lanelift`: where the groups of verbs come together, and how a wrong use ends: one line, exit status 2."""
+"""`lanelift`: where the groups of verbs come together, and how a wrong use ends: one line, exit
+status 2.
+"""
 
 from __future__ import annotations
 
@@ -24,10 +26,17 @@
 
 
 def application(words: Sequence[str]) -> typer.Typer:
-    """The commands; the lab, whose libraries take half a second to load, only where it may be meant."""
+    """The commands; the lab, whose libraries take half a second to load, only where it may be
+    meant.
+    """
     from lanelift.cli import config, feed, lease, roll, serve, site, store
-    app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False,
-                      help="A load balancer that keeps its rules, and the lab that shows it under failure.")
+
+    app = typer.Typer(
+        no_args_is_help=True,
+        add_completion=False,
+        pretty_exceptions_enable=False,
+        help="A load balancer that keeps its rules, and the lab that shows it under failure.",
+    )
     app.command("serve")(serve.serve)
     app.add_typer(store.app, name="store")
     app.add_typer(config.app, name="config")
@@ -37,6 +46,7 @@
     app.add_typer(site.app, name="site")
     if not words or words[0] not in DAEMONS:
         from lanelift.cli import clusters, feedsim, lab, rig, sitelab, sizelab, sizestore
+
         clusters.add_to(lab.app)
         feedsim.add_to(lab.app)
         rig.add_to(lab.app)
--- a/lanelift/cli/roll.py
+++ b/lanelift/cli/roll.py
@@ -1,4 +1,6 @@
-"""`lanelift roll ...`: boxes taken out for a restart, a few at a time, by one owner for all balancers."""
+"""`lanelift roll ...`: boxes taken out for a restart, a few at a time, by one owner for all
+balancers.
+"""
 
 from __future__ import annotations
 
@@ -25,28 +27,51 @@
 from lanelift.wallclock import unix_ms
 
 app = typer.Typer(no_args_is_help=True, help="Take boxes out for a restart, a few at a time.")
-Service = Annotated[str, typer.Option(envvar="LANELIFT_SERVICE", help="As in the balancers' [store].")]
+Service = Annotated[
+    str, typer.Option(envvar="LANELIFT_SERVICE", help="As in the balancers' [store].")
+]
 
 
 @app.command()
-def start(service: Service, at: At,
-          pick: Annotated[list[str], typer.Option(help="Names of boxes, with commas between.")],
-          at_once: Annotated[int, typer.Option(help="Boxes out of use at once, at most.")] = 1,
-          per_site: Annotated[int, typer.Option(help="Of one site, at most; 0: no bound of its own.")] = 0,
-          least: Annotated[float, typer.Option(help="Part of all boxes that stays in use.")] = 0.7,
-          warm: Annotated[float, typer.Option(help="Seconds until a box that is back is warm.")] = 30.0,
-          wait: Annotated[float, typer.Option(help="Seconds that a restart may take.")] = 900.0,
-          door: Annotated[str, typer.Option(help="Path at which a quiet box is asked to restart; empty:"
-                                                 " operators restart it.")] = "",
-          certificate: Cert = None, key: Key = None, authority: Authority = None) -> None:
+def start(
+    service: Service,
+    at: At,
+    pick: Annotated[list[str], typer.Option(help="Names of boxes, with commas between.")],
+    at_once: Annotated[int, typer.Option(help="Boxes out of use at once, at most.")] = 1,
+    per_site: Annotated[
+        int, typer.Option(help="Of one site, at most; 0: no bound of its own.")
+    ] = 0,
+    least: Annotated[float, typer.Option(help="Part of all boxes that stays in use.")] = 0.7,
+    warm: Annotated[float, typer.Option(help="Seconds until a box that is back is warm.")] = 30.0,
+    wait: Annotated[float, typer.Option(help="Seconds that a restart may take.")] = 900.0,
+    door: Annotated[
+        str,
+        typer.Option(
+            help="Path at which a quiet box is asked to restart; empty: operators restart it."
+        ),
+    ] = "",
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """Begin a roll; it goes on whatever becomes of this command."""
     names = [name.strip() for part in pick for name in part.split(",") if name.strip()]
     boxes = tuple(Box(name, number_of(name)) for name in names)
     by = "unknown"
     with suppress(KeyError, OSError):
         by = getpass.getuser()
-    roll = Roll(uuid.uuid4().hex[:8], boxes, at_once, per_site, least, warm, wait, by=by,
-                began_ms=unix_ms(), door=door)
+    roll = Roll(
+        uuid.uuid4().hex[:8],
+        boxes,
+        at_once,
+        per_site,
+        least,
+        warm,
+        wait,
+        by=by,
+        began_ms=unix_ms(),
+        door=door,
+    )
     why = wrong(roll)
     if why:
         raise Malformed(why)
@@ -55,33 +80,44 @@
         row = (await c.get(Keys(service).roll)).rows[0]
         old = decoded(row, Roll)
         if old is not None and old.state is not State.ENDED:
-            raise Malformed(f"roll {old.id} of {old.by} is not over: `lanelift roll status` shows it")
-        await c.put(Keys(service).roll, msgspec.json.encode(roll), row.version, note=f"begun by {by}")
+            raise Malformed(
+                f"roll {old.id} of {old.by} is not over: `lanelift roll status` shows it"
+            )
+        await c.put(
+            Keys(service).roll, msgspec.json.encode(roll), row.version, note=f"begun by {by}"
+        )
         return f"roll {roll.id} of {len(boxes)} boxes has begun"
 
     out.print(using(client(at, certificate, key, authority), work), soft_wrap=True)
 
 
 @app.command()
-def status(service: Service, at: At, certificate: Cert = None, key: Key = None,
-           authority: Authority = None) -> None:
+def status(
+    service: Service, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None
+) -> None:
     """Where it stands, and what holds it up."""
+
     async def work(c: Client) -> None:
         _, _, roll, view = await look(c, Keys(service), Ages(), StoredList(c, service))
         if roll is None:
             out.print("there never was a roll")
             return
         state = roll.state.value + (f": {roll.why}" if roll.why else "")
-        out.print(f"roll {roll.id} by {roll.by}: {state}; {roll.at_once} at once, step {roll.steps}",
-                  soft_wrap=True)
+        out.print(
+            f"roll {roll.id} by {roll.by}: {state}; {roll.at_once} at once, step {roll.steps}",
+            soft_wrap=True,
+        )
         rows = Table()
         for column in ("box", "phase", "for", "listed"):
             rows.add_column(column)
         for box in roll.boxes:
             listed = view.boxes.get(box.number)
-            rows.add_row(box.name, box.phase.value,
-                         f"{(view.now_ms - box.since_ms) / 1000:.0f} s" if box.since_ms else "",
-                         "no" if listed is None else "ready" if listed.ready else "draining")
+            rows.add_row(
+                box.name,
+                box.phase.value,
+                f"{(view.now_ms - box.since_ms) / 1000:.0f} s" if box.since_ms else "",
+                "no" if listed is None else "ready" if listed.ready else "draining",
+            )
         out.print(rows)
         why = held_up(roll, view)
         if why and roll.state is State.RUNNING:
@@ -92,6 +128,7 @@
 
 def _change(service: str, made: Client, change: Callable[[Roll], Roll], note: str) -> None:
     """An operator's word, merged into what the owner does meanwhile. Raises Malformed."""
+
     async def work(c: Client) -> str:
         while True:
             row = (await c.get(Keys(service).roll)).rows[0]
@@ -99,7 +136,9 @@
             if roll is None or roll.state is State.ENDED:
                 raise Malformed("there is no roll under way")
             with suppress(Conflict):
-                await c.put(Keys(service).roll, msgspec.json.encode(change(roll)), row.version, note=note)
+                await c.put(
+                    Keys(service).roll, msgspec.json.encode(change(roll)), row.version, note=note
+                )
                 return f"roll {roll.id}: {note}"
 
     told: Callable[[Client], Awaitable[str]] = work
@@ -107,35 +146,61 @@
 
 
 @app.command()
-def pause(service: Service, at: At, certificate: Cert = None, key: Key = None,
-          authority: Authority = None) -> None:
+def pause(
+    service: Service, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None
+) -> None:
     """Take nothing more out; what is out goes on to its end."""
-    _change(service, client(at, certificate, key, authority), lambda r: msgspec.structs.replace(
-        r, state=State.PAUSED if r.state is State.RUNNING else r.state,
-        why="an operator paused it"), "paused")
+    _change(
+        service,
+        client(at, certificate, key, authority),
+        lambda r: msgspec.structs.replace(
+            r,
+            state=State.PAUSED if r.state is State.RUNNING else r.state,
+            why="an operator paused it",
+        ),
+        "paused",
+    )
 
 
 @app.command()
-def resume(service: Service, at: At, certificate: Cert = None, key: Key = None,
-           authority: Authority = None) -> None:
+def resume(
+    service: Service, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None
+) -> None:
     """Go on after a pause, by an operator or by itself."""
-    _change(service, client(at, certificate, key, authority), lambda r: msgspec.structs.replace(
-        r, state=State.RUNNING if r.state is State.PAUSED else r.state, why="", served=-1.0), "goes on")
+    _change(
+        service,
+        client(at, certificate, key, authority),
+        lambda r: msgspec.structs.replace(
+            r, state=State.RUNNING if r.state is State.PAUSED else r.state, why="", served=-1.0
+        ),
+        "goes on",
+    )
 
 
 @app.command()
-def abort(service: Service, at: At, certificate: Cert = None, key: Key = None,
-          authority: Authority = None) -> None:
+def abort(
+    service: Service, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None
+) -> None:
     """Put back what it took out, and end it."""
-    _change(service, client(at, certificate, key, authority), lambda r: msgspec.structs.replace(
-        r, state=State.ABORTING, why="an operator aborted it"), "aborting")
+    _change(
+        service,
+        client(at, certificate, key, authority),
+        lambda r: msgspec.structs.replace(r, state=State.ABORTING, why="an operator aborted it"),
+        "aborting",
+    )
 
 
 @app.command()
-def forget(balancer: Annotated[str, typer.Argument(help="A balancer that is gone for good.")],
-           service: Service, at: At, certificate: Cert = None, key: Key = None,
-           authority: Authority = None) -> None:
+def forget(
+    balancer: Annotated[str, typer.Argument(help="A balancer that is gone for good.")],
+    service: Service,
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """Say that a balancer which is silent will not come back, and has nothing under way."""
+
     async def work(c: Client) -> str:
         keys = Keys(service)
         report, name = (await c.get(keys.reports + balancer, keys.names + balancer)).rows
@@ -150,12 +215,24 @@
 
 
 @app.command()
-def restarted(box: Annotated[str, typer.Argument(help="Its name.")], service: Service, at: At,
-              certificate: Cert = None, key: Key = None, authority: Authority = None) -> None:
+def restarted(
+    box: Annotated[str, typer.Argument(help="Its name.")],
+    service: Service,
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """Say that a box which is quiet was restarted, where no discovery tells it."""
+
     def change(roll: Roll) -> Roll:
         if not any(b.name == box and b.phase is Phase.QUIET for b in roll.boxes):
             raise Malformed(f"{box}: it is not quiet in this roll")
-        return msgspec.structs.replace(roll, boxes=tuple(
-            msgspec.structs.replace(b, word=True) if b.name == box else b for b in roll.boxes))
+        return msgspec.structs.replace(
+            roll,
+            boxes=tuple(
+                msgspec.structs.replace(b, word=True) if b.name == box else b for b in roll.boxes
+            ),
+        )
+
     _change(service, client(at, certificate, key, authority), change, f"{box} is restarted")
--- a/lanelift/cli/serve.py
+++ b/lanelift/cli/serve.py
@@ -11,10 +11,13 @@
 from lanelift.daemon.settings import read_file
 
 
-def serve(settings: Annotated[Path, typer.Option(help="The operators' settings, a TOML file.")],
-          check: Annotated[bool, typer.Option("--check", help="Read the file and stop.")] = False) -> None:
+def serve(
+    settings: Annotated[Path, typer.Option(help="The operators' settings, a TOML file.")],
+    check: Annotated[bool, typer.Option("--check", help="Read the file and stop.")] = False,
+) -> None:
     """Run a balancer until SIGTERM. SIGHUP reads the file again."""
     from lanelift.daemon.boot import read_boot  # the store's libraries only where one is named
+
     boot = read_boot(settings)
     if check:
         if boot is None:
--- a/lanelift/cli/site.py
+++ b/lanelift/cli/site.py
@@ -1,5 +1,6 @@
-"""`lanelift site ...`: what the fleet does about its sites, what a loss would come to, and operators'
-words."""
+"""`lanelift site ...`: what the fleet does about its sites, what a loss would come to, and
+operators' words.
+"""
 
 from __future__ import annotations
 
@@ -29,8 +30,12 @@
 from lanelift.units import duration
 from lanelift.wallclock import StartTimes
 
-app = typer.Typer(no_args_is_help=True, help="Sites: what is lost, where its load goes, how it comes back.")
-Service = Annotated[str, typer.Option(envvar="LANELIFT_SERVICE", help="As in the balancers' [store].")]
+app = typer.Typer(
+    no_args_is_help=True, help="Sites: what is lost, where its load goes, how it comes back."
+)
+Service = Annotated[
+    str, typer.Option(envvar="LANELIFT_SERVICE", help="As in the balancers' [store].")
+]
 Name = Annotated[str, typer.Argument(help="Of a site, as in the document of sites.")]
 RUNGS = ("nothing", "excess over shares", "repeats", "copies")
 
@@ -46,7 +51,9 @@
 def _rung(fleet: Fleet, a: Admission) -> str:
     if not a.rung:
         return RUNGS[0]
-    name = RUNGS[a.rung] if a.rung < CLASSES else f"class {', '.join(fleet.rungs[a.rung - CLASSES])}"
+    name = (
+        RUNGS[a.rung] if a.rung < CLASSES else f"class {', '.join(fleet.rungs[a.rung - CLASSES])}"
+    )
     return f"{a.part:.0%} of {name}" + (" and all before it" if a.rung > EXCESS else "")
 
 
@@ -56,67 +63,107 @@
 
 
 @app.command()
-def status(service: Service, at: At, certificate: Cert = None, key: Key = None,
-           authority: Authority = None) -> None:
+def status(
+    service: Service, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None
+) -> None:
     """Each site: what the fleet takes it to be and why, and what it gets."""
+
     async def work(c: Client) -> None:
         seen = await _looked(c, service)
         owner = (await c.get(f"{LEASES}work/site/{service}")).rows[0]
         held = leases.unpack(owner.value) if owner.value is not None else None
-        who = f"{held.holder.split('@')[0]}, token {leases.written(held.token)}" if (
-            held is not None and held.held) else "nobody"
+        who = (
+            f"{held.holder.split('@')[0]}, token {leases.written(held.token)}"
+            if (held is not None and held.held)
+            else "nobody"
+        )
         blind = seen.look.blind
-        out.print(f"owner: {who}; {len(seen.look.rows)} balancers tell"
-                  + (f"; the work rests: {blind}" if blind else ""), soft_wrap=True)
+        out.print(
+            f"owner: {who}; {len(seen.look.rows)} balancers tell"
+            + (f"; the work rests: {blind}" if blind else ""),
+            soft_wrap=True,
+        )
         what = heard(seen.look.rows)
-        verdicts = {n: verdict(n, what, seen.look.listed.get(n, 0), seen.look.usual.get(n, 0))
-                    for n in seen.sites}
+        verdicts = {
+            n: verdict(n, what, seen.look.listed.get(n, 0), seen.look.usual.get(n, 0))
+            for n in seen.sites
+        }
         rows = Rows()
         for column in ("site", "seen as", "aim", "stage", "gets", "since it failed", "why"):
             rows.add_column(column)
         for name in seen.sites:
             course, v = course_of(seen.doc, name), verdicts[name]
-            rows.add_row(name, v.state.value, course.aim.value + (f" by {course.by}" if course.by else ""),
-                         "apart" if course.apart else course.stage.value, f"{course.part:.0%}",
-                         str(course.fails), course.why or v.why)
+            rows.add_row(
+                name,
+                v.state.value,
+                course.aim.value + (f" by {course.by}" if course.by else ""),
+                "apart" if course.apart else course.stage.value,
+                f"{course.part:.0%}",
+                str(course.fails),
+                course.why or v.why,
+            )
         out.print(rows)
         o = seen.doc.orders
         if o.excess or o.repeats or o.classes or not o.copies:
             classes = ", ".join(f"{part:.0%} of {k}" for k, part in o.classes.items())
-            out.print(f"refused: {o.excess:.0%} beyond shares, {o.repeats:.0%} of repeats, "
-                      f"{'no copies' if not o.copies else 'copies as usual'}"
-                      + (f", {classes}" if classes else ""), soft_wrap=True)
+            out.print(
+                f"refused: {o.excess:.0%} beyond shares, {o.repeats:.0%} of repeats, "
+                f"{'no copies' if not o.copies else 'copies as usual'}"
+                + (f", {classes}" if classes else ""),
+                soft_wrap=True,
+            )
 
     using(client(at, certificate, key, authority), work)
 
 
 @app.command()
-def metrics(service: Service, at: At, certificate: Cert = None, key: Key = None,
-            authority: Authority = None) -> None:
+def metrics(
+    service: Service, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None
+) -> None:
     """The same as text for Prometheus (for a collector that reads files, say)."""
     from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
     async def work(c: Client) -> bytes:
         seen = await _looked(c, service)
         registry = CollectorRegistry()
-        part = Gauge("lanelift_site_part", "of its usual load that a site gets", ["site"], registry=registry)
-        state = Gauge("lanelift_site_state", "1: what the fleet takes it to be", ["site", "state"],
-                      registry=registry)
-        refused = Gauge("lanelift_refused_part", "refused while there is too little room", ["what"],
-                        registry=registry)
-        left = Gauge("lanelift_site_loss_worth", "part of the worth that would be left without it", ["site"],
-                     registry=registry)
+        part = Gauge(
+            "lanelift_site_part", "of its usual load that a site gets", ["site"], registry=registry
+        )
+        state = Gauge(
+            "lanelift_site_state",
+            "1: what the fleet takes it to be",
+            ["site", "state"],
+            registry=registry,
+        )
+        refused = Gauge(
+            "lanelift_refused_part",
+            "refused while there is too little room",
+            ["what"],
+            registry=registry,
+        )
+        left = Gauge(
+            "lanelift_site_loss_worth",
+            "part of the worth that would be left without it",
+            ["site"],
+            registry=registry,
+        )
         what, fleet = heard(seen.look.rows), seen.fleet
         for name in seen.sites:
             part.labels(name).set(course_of(seen.doc, name).part)
-            now = verdict(name, what, seen.look.listed.get(name, 0), seen.look.usual.get(name, 0)).state
+            now = verdict(
+                name, what, seen.look.listed.get(name, 0), seen.look.usual.get(name, 0)
+            ).state
             state.labels(name, now.value).set(1)
             if fleet.loads and len(seen.sites) > 1:
                 t = table(fleet, [name])
                 left.labels(name).set(t.worth / max(1e-9, t.usual))
         o = seen.doc.orders
-        for rung, value in (("excess", o.excess), ("repeats", o.repeats), ("copies", float(not o.copies)),
-                            *((f"class {k}", v) for k, v in o.classes.items())):
+        for rung, value in (
+            ("excess", o.excess),
+            ("repeats", o.repeats),
+            ("copies", float(not o.copies)),
+            *((f"class {k}", v) for k, v in o.classes.items()),
+        ):
             refused.labels(rung).set(value)
         return generate_latest(registry)
 
@@ -127,18 +174,31 @@
 def _row(fleet: Fleet, t: Table) -> tuple[str, ...]:
     worst_tenant = min(t.by_tenant.items(), key=lambda it: it[1], default=("-", 1.0))
     worst_class = min(t.by_class.items(), key=lambda it: it[1], default=("-", 1.0))
-    return (" and ".join(sorted(t.lost)) or "none", f"{t.worth / max(1e-9, t.usual):.1%}",
-            _rung(fleet, t.admission), f"{worst_class[0]} {worst_class[1]:.0%}",
-            f"{worst_tenant[0]} {worst_tenant[1]:.0%}",
-            ", ".join(f"{n} {fill:.0%}" for n, fill in sorted(t.fill.items())))
+    return (
+        " and ".join(sorted(t.lost)) or "none",
+        f"{t.worth / max(1e-9, t.usual):.1%}",
+        _rung(fleet, t.admission),
+        f"{worst_class[0]} {worst_class[1]:.0%}",
+        f"{worst_tenant[0]} {worst_tenant[1]:.0%}",
+        ", ".join(f"{n} {fill:.0%}" for n, fill in sorted(t.fill.items())),
+    )
 
 
 @app.command()
-def plan(service: Service, at: At,
-         lose: Annotated[str, typer.Option(help="Sites, with commas between; empty: each and each two.")] =
-         "", certificate: Cert = None, key: Key = None, authority: Authority = None) -> None:
-    """What a loss now would come to: worth that is left, what is refused, how full the others are. Exit
-    status 1 where the loss of one site is more than the others bear."""
+def plan(
+    service: Service,
+    at: At,
+    lose: Annotated[
+        str, typer.Option(help="Sites, with commas between; empty: each and each two.")
+    ] = "",
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
+    """What a loss now would come to: worth that is left, what is refused, how full the others are.
+    Exit status 1 where the loss of one site is more than the others bear.
+    """
+
     async def work(c: Client) -> bool:
         seen = await _looked(c, service)
         fleet = seen.fleet
@@ -149,7 +209,9 @@
         names = [n.strip() for n in lose.split(",") if n.strip()]
         unknown = [n for n in names if n not in seen.sites]
         if unknown or len(names) >= len(seen.sites):
-            raise Malformed(f"{unknown[0]}: there is no such site" if unknown else "all sites can't be lost")
+            raise Malformed(
+                f"{unknown[0]}: there is no such site" if unknown else "all sites can't be lost"
+            )
         found = {frozenset(names): table(fleet, names)} if names else tables(fleet)
         rows = Rows()
         for column in ("lost", "worth left", "refused", "worst class", "worst tenant", "filled to"):
@@ -163,8 +225,10 @@
                 out.print(f"what comes in at {origin} goes to {goes}", soft_wrap=True)
         short = bearable(found)
         for gone in short:
-            out.print(f"[red]the others do not bear the loss of {' and '.join(sorted(gone))}[/red]",
-                      soft_wrap=True)
+            out.print(
+                f"[red]the others do not bear the loss of {' and '.join(sorted(gone))}[/red]",
+                soft_wrap=True,
+            )
         return bool(short)
 
     told: Callable[[Client], Awaitable[bool]] = work
@@ -172,8 +236,15 @@
         raise typer.Exit(1)
 
 
-def _order(service: str, made: Client, name: str, aim: Aim, over_s: float = 0.0, hold_s: float = 0.0,
-           force: bool = False) -> None:
+def _order(
+    service: str,
+    made: Client,
+    name: str,
+    aim: Aim,
+    over_s: float = 0.0,
+    hold_s: float = 0.0,
+    force: bool = False,
+) -> None:
     """An operator's word, merged into what the owner does meanwhile. Raises Malformed."""
     by = "an operator"
     with suppress(KeyError, OSError):
@@ -183,17 +254,22 @@
         seen = await _looked(c, service)
         fleet = seen.fleet
         if name not in seen.sites:
-            raise Malformed(f"{name}: there is no such site in the document of sites" if seen.sites
-                            else seen.look.blind)
+            raise Malformed(
+                f"{name}: there is no such site in the document of sites"
+                if seen.sites
+                else seen.look.blind
+            )
         if aim is not Aim.IN and not force and fleet.loads:
             out_ = {x.site for x in seen.doc.courses if x.part < 1} | {name}
             if out_ >= set(seen.sites):
                 raise Malformed("all sites would be out")
             t = table(fleet, out_)
             if t.admission.rung > EXCESS:
-                raise Malformed(f"the others do not bear it: {_rung(fleet, t.admission)} would be"
-                                f" refused, {t.worth / max(1e-9, t.usual):.0%} of the worth be left; --force"
-                                " does it all the same")
+                raise Malformed(
+                    f"the others do not bear it: {_rung(fleet, t.admission)} would be"
+                    f" refused, {t.worth / max(1e-9, t.usual):.0%} of the worth be left; --force"
+                    " does it all the same"
+                )
         while True:
             row = (await c.get(SiteKeys(service).plan)).rows[0]
             doc = decoded(row, PlanDoc) or PlanDoc()
@@ -214,34 +290,68 @@
 
 
 @app.command()
-def drain(name: Name, service: Service, at: At,
-          over: Annotated[str, typer.Option(help="In which it is emptied, with a unit.")] = "5m",
-          force: Force = False, certificate: Cert = None, key: Key = None,
-          authority: Authority = None) -> None:
+def drain(
+    name: Name,
+    service: Service,
+    at: At,
+    over: Annotated[str, typer.Option(help="In which it is emptied, with a unit.")] = "5m",
+    force: Force = False,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """Empty a site, without one failure; it stays so until `return`."""
-    _order(service, client(at, certificate, key, authority), name, Aim.OUT, _seconds(over), force=force)
+    _order(
+        service, client(at, certificate, key, authority), name, Aim.OUT, _seconds(over), force=force
+    )
 
 
 @app.command()
-def hold(name: Name, service: Service, at: At, force: Force = False, certificate: Cert = None,
-         key: Key = None, authority: Authority = None) -> None:
+def hold(
+    name: Name,
+    service: Service,
+    at: At,
+    force: Force = False,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """Take a site out at once, and keep it out."""
     _order(service, client(at, certificate, key, authority), name, Aim.OUT, 0.0, force=force)
 
 
 @app.command("return")
-def return_(name: Name, service: Service, at: At, certificate: Cert = None, key: Key = None,
-            authority: Authority = None) -> None:
+def return_(
+    name: Name,
+    service: Service,
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """Let a site that is held, drained or drilled come back, in stages."""
     _order(service, client(at, certificate, key, authority), name, Aim.IN)
 
 
 @app.command()
-def drill(name: Name, service: Service, at: At,
-          over: Annotated[str, typer.Option(help="In which it is emptied.")] = "5m",
-          empty: Annotated[str, typer.Option("--for", help="How long it stays so.")] = "1m",
-          force: Force = False, certificate: Cert = None, key: Key = None,
-          authority: Authority = None) -> None:
+def drill(
+    name: Name,
+    service: Service,
+    at: At,
+    over: Annotated[str, typer.Option(help="In which it is emptied.")] = "5m",
+    empty: Annotated[str, typer.Option("--for", help="How long it stays so.")] = "1m",
+    force: Force = False,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+) -> None:
     """A drain that ends itself: when its time is over, or at once when service falls."""
-    _order(service, client(at, certificate, key, authority), name, Aim.DRILL, _seconds(over), _seconds(empty),
-           force)
+    _order(
+        service,
+        client(at, certificate, key, authority),
+        name,
+        Aim.DRILL,
+        _seconds(over),
+        _seconds(empty),
+        force,
+    )
--- a/lanelift/cli/sizelab.py
+++ b/lanelift/cli/sizelab.py
@@ -34,21 +34,35 @@
 HERE = Path(lanelift.__file__).parent.parent
 MOST_LISTENERS = 1000  # upstreams that are played on sockets
 # The size to design for, by what a slope counts: its last column, and how far a plot's line goes.
-SIZES: Mapping[str, float] = {"upstreams": 44_000, "tenants": 73_000, "routes": 9_900, "classes": 9_900,
-                              "services": 2_900, "balancers": 2_900, "subscribers": 2_900,
-                              "watchers": 2_900, "names": 2_900, "rows": 127_000}
+SIZES: Mapping[str, float] = {
+    "upstreams": 44_000,
+    "tenants": 73_000,
+    "routes": 9_900,
+    "classes": 9_900,
+    "services": 2_900,
+    "balancers": 2_900,
+    "subscribers": 2_900,
+    "watchers": 2_900,
+    "names": 2_900,
+    "rows": 127_000,
+}
 
 Json_ = Annotated[Path | None, typer.Option("--json", help="All that was found, as JSON.")]
 Plot = Annotated[Path | None, typer.Option("--plot", help="A picture of the slopes, PNG.")]
-Record = Annotated[Path | None, typer.Option("--record",
-    help="Slopes go into this file, in place of those of the same names.")]
+Record = Annotated[
+    Path | None,
+    typer.Option("--record", help="Slopes go into this file, in place of those of the same names."),
+]
 
 
 def command(words: Sequence[str] = ()) -> str:
     """The command as it was given, but for where its results go."""
     words = words or sys.argv[1:]
-    kept = [word for i, word in enumerate(words) if word.partition("=")[0] not in FILES
-            and (i == 0 or words[i - 1] not in FILES)]
+    kept = [
+        word
+        for i, word in enumerate(words)
+        if word.partition("=")[0] not in FILES and (i == 0 or words[i - 1] not in FILES)
+    ]
     return shlex.join(["lanelift", *kept])
 
 
@@ -56,10 +70,17 @@
     return datetime.date.today().isoformat()
 
 
-def give(title: str, slopes: Sequence[Slope], json_: Path | None, plot: Path | None, record: Path | None,
-         figures: Mapping[str, float] | None = None) -> None:
-    """A table of slopes, and of what else was measured (`figures`: with their units in their names); then
-    what was asked for as files."""
+def give(
+    title: str,
+    slopes: Sequence[Slope],
+    json_: Path | None,
+    plot: Path | None,
+    record: Path | None,
+    figures: Mapping[str, float] | None = None,
+) -> None:
+    """A table of slopes, and of what else was measured (`figures`: with their units in their
+    names); then what was asked for as files.
+    """
     table = Table(title=title)
     for column in ("slope", "each", "at none", "unit", "per", "to", "off", "at the size"):
         words = column in ("slope", "unit", "per")
@@ -67,19 +88,37 @@
     for s in slopes:
         size = SIZES.get(s.per, s.measured_to)
         value, extrapolated = s.at(size)
-        table.add_row(s.name, f"{s.slope:.3g}", f"{s.intercept:.3g}", s.unit, s.per,
-                      f"{s.measured_to:.0f}", f"{s.residue:.0%}",
-                      f"{value:.4g} at {size:.0f}{'*' if extrapolated else ''}")
+        table.add_row(
+            s.name,
+            f"{s.slope:.3g}",
+            f"{s.intercept:.3g}",
+            s.unit,
+            s.per,
+            f"{s.measured_to:.0f}",
+            f"{s.residue:.0%}",
+            f"{value:.4g} at {size:.0f}{'*' if extrapolated else ''}",
+        )
     out.print(table)
-    out.print("each: in the unit, for one more; to: the largest size measured; off: of the line at its worst"
-              " size; at the size: as measured, or * extrapolated", soft_wrap=True)
+    out.print(
+        "each: in the unit, for one more; to: the largest size measured; off: of the line at "
+        "its worst"
+        " size; at the size: as measured, or * extrapolated",
+        soft_wrap=True,
+    )
     for name, value in (figures or {}).items():
         out.print(f"{name}: {value:.4g}", soft_wrap=True, highlight=False)
     if json_ is not None:
-        results.write(json_, msgspec.json.format(msgspec.json.encode(
-            {"title": title, "slopes": slopes, "figures": figures or {}}), indent=1) + b"\n")
+        results.write(
+            json_,
+            msgspec.json.format(
+                msgspec.json.encode({"title": title, "slopes": slopes, "figures": figures or {}}),
+                indent=1,
+            )
+            + b"\n",
+        )
     if plot is not None:
         from lanelift.lab.size.plot import picture
+
         results.write(plot, picture(slopes, SIZES))
     if record is not None:
         fit.record(record, slopes)
@@ -97,7 +136,9 @@
         raise Unusable(f"--sizes: {text!r} are no whole numbers") from None
     if counts[0] < 1:
         raise Unusable("--sizes: they begin at 1")
-    return Sizes(counts, counts, counts, counts, [min(count, 20) for count in counts], repeats, seconds)
+    return Sizes(
+        counts, counts, counts, counts, [min(count, 20) for count in counts], repeats, seconds
+    )
 
 
 def _encoded(endpoints: list[Endpoint]) -> bytes:
@@ -111,17 +152,26 @@
 @app.command()
 def balancer(
     parts: Annotated[str, typer.Option(help="With commas between.")] = ",".join(PARTS[:-3]),
-    program: Annotated[Path, typer.Option(
-        help="Where the measured program stands, as .compiled; settings are read by this one.")] = HERE,
-    sizes: Annotated[str, typer.Option(help="In place of the usual ones, with commas between.")] = "",
+    program: Annotated[
+        Path,
+        typer.Option(
+            help="Where the measured program stands, as .compiled; settings are read by this one."
+        ),
+    ] = HERE,
+    sizes: Annotated[
+        str, typer.Option(help="In place of the usual ones, with commas between.")
+    ] = "",
     repeats: int = 3,
     seconds: Annotated[float, typer.Option(help="Of played or real requests, each time.")] = 10.0,
     rates: Annotated[str, typer.Option(help="Requests a second, on sockets.")] = "86,430",
-    json_: Json_ = None, plot: Plot = None, record: Record = None,
+    json_: Json_ = None,
+    plot: Plot = None,
+    record: Record = None,
 ) -> None:
-    """What one balancer needs by upstreams, tenants, classes and services. Parts besides the usual: fleets
-    (by upstreams, for one of 1, 5, 40 and 200 balancers), sockets (the 99th percentile that it adds to a
-    request) and rest (a process that is asked nothing)."""
+    """What one balancer needs by upstreams, tenants, classes and services. Parts besides the usual:
+    fleets (by upstreams, for one of 1, 5, 40 and 200 balancers), sockets (the 99th percentile that
+    it adds to a request) and rest (a process that is asked nothing).
+    """
     chosen = [part.strip() for part in parts.split(",")]
     if unknown := [part for part in chosen if part not in PARTS]:
         raise Unusable(f"--parts: {unknown[0]!r} is none of {', '.join(PARTS)}")
@@ -153,8 +203,9 @@
             case "fleets":
                 slopes += measure.fleets(program, given, told, heard)
             case "settings":
-                reading = measure.Reading(lambda text: parsed("size", text),
-                                          lambda raw: read_raw(raw, "size"))
+                reading = measure.Reading(
+                    lambda text: parsed("size", text), lambda raw: read_raw(raw, "size")
+                )
                 slopes += measure.settings(reading, given, told._replace(suffix=""), heard)
             case "stored":
                 storing = measure.Storing(_encoded, _decoded)
@@ -165,12 +216,24 @@
                 slopes += found
             case "rest":
                 slopes += beside.at_rest(run, given.upstreams, given.tenants, seconds, told, heard)
-    give(f"one balancer, {'compiled' if compiled else 'plain Python'}", slopes, json_, plot, record, figures)
+    give(
+        f"one balancer, {'compiled' if compiled else 'plain Python'}",
+        slopes,
+        json_,
+        plot,
+        record,
+        figures,
+    )
 
 
 @app.command()
-def show(path: Annotated[Path, typer.Argument(help="Recorded slopes.")] = Path("docs/capacity/slopes.json"),
-         json_: Json_ = None, plot: Plot = None) -> None:
+def show(
+    path: Annotated[Path, typer.Argument(help="Recorded slopes.")] = Path(
+        "docs/capacity/slopes.json"
+    ),
+    json_: Json_ = None,
+    plot: Plot = None,
+) -> None:
     """Slopes as they were recorded."""
     if not (slopes := fit.read(path)):
         raise Unusable(f"{path}: no slopes are recorded there")
@@ -178,10 +241,15 @@
 
 
 @app.command()
-def feed(parts: Annotated[str, typer.Option(help="With commas between; empty: all.")] = "",
-         json_: Json_ = None, plot: Plot = None, record: Record = None) -> None:
+def feed(
+    parts: Annotated[str, typer.Option(help="With commas between; empty: all.")] = "",
+    json_: Json_ = None,
+    plot: Plot = None,
+    record: Record = None,
+) -> None:
     """What the feed's cores need, without sockets: CPU time and memory by subscribers and rows."""
     from lanelift.lab.feed import measure as cores
+
     chosen = [part.strip() for part in parts.split(",")] if parts else list(cores.SERIES)
     if unknown := [part for part in chosen if part not in cores.SERIES]:
         raise Unusable(f"--parts: {unknown[0]!r} is none of {', '.join(cores.SERIES)}")
@@ -191,15 +259,21 @@
 
 
 @app.command()
-def page(docs: Annotated[Path, typer.Argument(help="The folder of CAPACITY.md.")] = Path("docs"),
-         write: Annotated[bool, typer.Option("--write", help="Put the page right.")] = False) -> None:
-    """Work docs/CAPACITY.md out anew from its formulas and the recorded slopes; exit status 1 where it stood
-    otherwise."""
+def page(
+    docs: Annotated[Path, typer.Argument(help="The folder of CAPACITY.md.")] = Path("docs"),
+    write: Annotated[bool, typer.Option("--write", help="Put the page right.")] = False,
+) -> None:
+    """Work docs/CAPACITY.md out anew from its formulas and the recorded slopes; exit status 1 where
+    it stood otherwise.
+    """
     from lanelift.lab.size.capacity import recompute
+
     if recompute(docs, write):
         out.print("the page stands as its slopes give it")
         return
-    out.print("the page was put right" if write else "the page stands otherwise: --write puts it right")
+    out.print(
+        "the page was put right" if write else "the page stands otherwise: --write puts it right"
+    )
     raise typer.Exit(0 if write else 1)
 
 
--- a/lanelift/cli/sizestore.py
+++ b/lanelift/cli/sizestore.py
@@ -51,9 +51,28 @@
     scopes: tuple[int, ...] = (10, 30, 100, 300)
 
 
-SMALL = Sizes((2, 4, 6, 8), 2, 0.2, (1, 2, 3, 4), (100, 200, 300, 400), (1, 2, 3, 4), (2, 4, 6, 8), 0.1,
-              (1, 2, 3, 4), 0.5, 1.0, (100, 200, 300, 400), (10, 20, 30, 40), (5, 10, 15, 20),
-              (5, 10, 15, 20), (2, 4, 6, 8), 0.2, 200, (2, 4, 6, 8), (2, 4, 6, 8))
+SMALL = Sizes(
+    (2, 4, 6, 8),
+    2,
+    0.2,
+    (1, 2, 3, 4),
+    (100, 200, 300, 400),
+    (1, 2, 3, 4),
+    (2, 4, 6, 8),
+    0.1,
+    (1, 2, 3, 4),
+    0.5,
+    1.0,
+    (100, 200, 300, 400),
+    (10, 20, 30, 40),
+    (5, 10, 15, 20),
+    (5, 10, 15, 20),
+    (2, 4, 6, 8),
+    0.2,
+    200,
+    (2, 4, 6, 8),
+    (2, 4, 6, 8),
+)
 
 Measure = Callable[[Path, Sizes, storenode.Heard], Awaitable[list[Series]]]
 
@@ -63,8 +82,13 @@
 
 
 async def _rest(where: Path, s: Sizes, heard: storenode.Heard) -> list[Series]:
-    return [series for apart in (False, True) for series in await keepers.at_rest(
-        where, keeper, s.balancers, apart, s.watched_s, heard, s.settle_s)]
+    return [
+        series
+        for apart in (False, True)
+        for series in await keepers.at_rest(
+            where, keeper, s.balancers, apart, s.watched_s, heard, s.settle_s
+        )
+    ]
 
 
 async def _sessions(where: Path, s: Sizes, heard: storenode.Heard) -> list[Series]:
@@ -73,39 +97,56 @@
 
 PARTS: dict[str, Measure] = {
     "watch": lambda where, s, heard: storenode.watch(where, s.watchers, s.changes, s.rest_s, heard),
-    "elsewhere": lambda where, s, heard: storenode.elsewhere(where, s.watchers, 10 * s.changes, heard),
+    "elsewhere": lambda where, s, heard: storenode.elsewhere(
+        where, s.watchers, 10 * s.changes, heard
+    ),
     "rows": lambda where, s, heard: storenode.rows(where, s.rows, heard),
-    "commits": lambda where, s, heard: storecommits.commits(where, s.operations, s.bytes, s.writers,
-                                                           s.driven_s, heard),
+    "commits": lambda where, s, heard: storecommits.commits(
+        where, s.operations, s.bytes, s.writers, s.driven_s, heard
+    ),
     "claims": lambda where, s, heard: storecommits.claims(where, s.names, s.driven_s, heard),
     "catchup": lambda where, s, heard: storecommits.catch_up(where, s.held, s.missed, heard),
     "rest": _rest,
     "sessions": _sessions,
-    "feed": lambda where, s, heard: storefeed.hearing(where, s.subscribers, s.changes, s.bookmarks_s,
-                                                     s.rest_s, s.upstreams, heard),
+    "feed": lambda where, s, heard: storefeed.hearing(
+        where, s.subscribers, s.changes, s.bookmarks_s, s.rest_s, s.upstreams, heard
+    ),
     "feed-rows": lambda where, s, heard: storefeed.held_rows(where, s.rows, heard),
-    "feed-return": lambda where, s, heard: storefeed.returning(where, s.returning, s.scopes, s.upstreams,
-                                                              heard),
+    "feed-return": lambda where, s, heard: storefeed.returning(
+        where, s.returning, s.scopes, s.upstreams, heard
+    ),
 }
 
 
 def figures(found: list[Series]) -> dict[str, float]:
-    """What no line is looked for; and how long the changes that are kept for watchers last where as many
-    balancers as designed for are at rest."""
+    """What no line is looked for; and how long the changes that are kept for watchers last where as
+    many balancers as designed for are at rest.
+    """
     told = {name: y for s in found if not s.line for name, y in s.figures().items()}
     for s in found:
         if s.name.startswith("store.rest.") and s.name.endswith("_changes"):
-            told[f"{s.name}, seconds of changes kept at {DESIGNED_FOR} balancers"] = (
-                EVENTS / max(1e-9, s.slope("", "").at(DESIGNED_FOR).value))
+            told[f"{s.name}, seconds of changes kept at {DESIGNED_FOR} balancers"] = EVENTS / max(
+                1e-9, s.slope("", "").at(DESIGNED_FOR).value
+            )
     return told
 
 
-def store(parts: Annotated[str, typer.Option(help="With commas between.")] = ",".join(PARTS),
-          small: Annotated[bool, typer.Option(
-              "--small", help="Sizes of some seconds, that show that it runs; nothing to record.")] = False,
-          keep: Keep = None, json_: Json_ = None, plot: Plot = None, record: Record = None) -> None:
-    """What one node of the store needs by watchers, rows, writes, names and balancers: real nodes, CPU time
-    of their own."""
+def store(
+    parts: Annotated[str, typer.Option(help="With commas between.")] = ",".join(PARTS),
+    small: Annotated[
+        bool,
+        typer.Option(
+            "--small", help="Sizes of some seconds, that show that it runs; nothing to record."
+        ),
+    ] = False,
+    keep: Keep = None,
+    json_: Json_ = None,
+    plot: Plot = None,
+    record: Record = None,
+) -> None:
+    """What one node of the store needs by watchers, rows, writes, names and balancers: real nodes,
+    CPU time of their own.
+    """
     chosen = [part.strip() for part in parts.split(",")]
     if unknown := [part for part in chosen if part not in PARTS]:
         raise Unusable(f"--parts: {unknown[0]!r} is none of {', '.join(PARTS)}")
@@ -127,8 +168,14 @@
     # What goes where on this machine tells nobody how to measure it again.
     said, day = f"lanelift lab size store --parts {','.join(chosen)}", today()
     loads["the machine's load average, at the end"] = os.getloadavg()[0]
-    give("one node of the store", [s.slope(said, day) for s in found if s.line], json_, plot, record,
-         {**figures(found), **loads})
+    give(
+        "one node of the store",
+        [s.slope(said, day) for s in found if s.line],
+        json_,
+        plot,
+        record,
+        {**figures(found), **loads},
+    )
 
 
 def add_to(app: typer.Typer) -> None:
--- a/lanelift/cli/store.py
+++ b/lanelift/cli/store.py
@@ -27,10 +27,18 @@
 T = TypeVar("T")
 
 Settings = Annotated[Path, typer.Option("--settings", help="The node's settings, a TOML file.")]
-At = Annotated[str, typer.Option("--at", envvar="LANELIFT_STORE", help="Addresses of members, HOST:PORT, with"
-                                                                        " commas between.")]
-Cert = Annotated[Path | None, typer.Option("--certificate", envvar="LANELIFT_STORE_CERTIFICATE",
-                                           help="Of this client, PEM.")]
+At = Annotated[
+    str,
+    typer.Option(
+        "--at",
+        envvar="LANELIFT_STORE",
+        help="Addresses of members, HOST:PORT, with commas between.",
+    ),
+]
+Cert = Annotated[
+    Path | None,
+    typer.Option("--certificate", envvar="LANELIFT_STORE_CERTIFICATE", help="Of this client, PEM."),
+]
 Key = Annotated[Path | None, typer.Option("--key", envvar="LANELIFT_STORE_KEY")]
 Authority = Annotated[Path | None, typer.Option("--authority", envvar="LANELIFT_STORE_AUTHORITY")]
 Within = Annotated[float, typer.Option("--within", help="Seconds until it is given up.")]
@@ -45,8 +53,14 @@
     return found
 
 
-def client(at: str, certificate: Path | None, key: Path | None, authority: Path | None,
-           name: str = "lanelift command", within_s: float = 5.0) -> Client:
+def client(
+    at: str,
+    certificate: Path | None,
+    key: Path | None,
+    authority: Path | None,
+    name: str = "lanelift command",
+    within_s: float = 5.0,
+) -> Client:
     """Raises Malformed."""
     known = addresses(at)
     if not certificate:
@@ -63,6 +77,7 @@
             return await work(made)
         finally:
             await made.close()
+
     return uvloop.run(go())
 
 
@@ -70,16 +85,24 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise Malformed(f"{text!r} is no node's number: `lanelift store status` shows them") from None
+        raise Malformed(
+            f"{text!r} is no node's number: `lanelift store status` shows them"
+        ) from None
 
 
 @app.command()
-def init(settings: Settings, name: NAME = "",
-         cluster: Annotated[str, typer.Option(help="Its name; drawn where it is not told.")] = "") -> None:
+def init(
+    settings: Settings,
+    name: NAME = "",
+    cluster: Annotated[str, typer.Option(help="Its name; drawn where it is not told.")] = "",
+) -> None:
     """Make a new cluster of one node, in an empty folder."""
     made = running.init(read_store(settings), cluster, name)
-    out.print(f"cluster {made.cluster}, node {made.node:x}: run it with"
-              f" lanelift store run --settings {settings}", soft_wrap=True)
+    out.print(
+        f"cluster {made.cluster}, node {made.node:x}: run it with"
+        f" lanelift store run --settings {settings}",
+        soft_wrap=True,
+    )
 
 
 @app.command()
@@ -87,18 +110,30 @@
     """Run a node until SIGTERM."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     read = read_store(settings)
-    sys.setswitchinterval(0.0005)  # the disk's thread must not wait long for the loop's, when it is done
-    why = uvloop.run(running.serve(read, lambda r: print(f"listening on port {r.server.port}", flush=True)))
+    sys.setswitchinterval(
+        0.0005
+    )  # the disk's thread must not wait long for the loop's, when it is done
+    why = uvloop.run(
+        running.serve(read, lambda r: print(f"listening on port {r.server.port}", flush=True))
+    )
     if why:
         print(f"lanelift: {why}", file=sys.stderr)
         raise typer.Exit(1)
 
 
 @app.command()
-def join(settings: Settings, at: At, name: NAME = "", certificate: Cert = None, key: Key = None,
-         authority: Authority = None, within: Within = 10.0) -> None:
-    """Make a node's folder and have the cluster take it in as a learner; run it, and promote it when it has
-    caught up."""
+def join(
+    settings: Settings,
+    at: At,
+    name: NAME = "",
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+    within: Within = 10.0,
+) -> None:
+    """Make a node's folder and have the cluster take it in as a learner; run it, and promote it
+    when it has caught up.
+    """
     read = read_store(settings)
 
     async def work(c: Client) -> None:
@@ -107,53 +142,95 @@
         try:
             await c.manage("learn", made.node, read.advertise)
         except BaseException:
-            out.print(f"the folder {read.folder} is made, the cluster has not taken the node in: remove it"
-                      " and try again", soft_wrap=True)
+            out.print(
+                f"the folder {read.folder} is made, the cluster has not taken the node in: "
+                f"remove it"
+                " and try again",
+                soft_wrap=True,
+            )
             raise
-        out.print(f"cluster {made.cluster}, node {made.node:x}, a learner: run it with lanelift store run"
-                  f" --settings {settings}, then lanelift store promote {made.node:x}", soft_wrap=True)
+        out.print(
+            f"cluster {made.cluster}, node {made.node:x}, a learner: run it with lanelift store run"
+            f" --settings {settings}, then lanelift store promote {made.node:x}",
+            soft_wrap=True,
+        )
 
     using(client(at, certificate, key, authority, within_s=within), work)
 
 
-def _manage(what: str, node: str, at: str, certificate: Path | None, key: Path | None, authority: Path | None,
-            within: float) -> None:
+def _manage(
+    what: str,
+    node: str,
+    at: str,
+    certificate: Path | None,
+    key: Path | None,
+    authority: Path | None,
+    within: float,
+) -> None:
     made = client(at, certificate, key, authority, within_s=within)
     out.print(using(made, lambda c: c.manage(what, number(node) if node else 0)))
 
 
 @app.command()
-def promote(node: str, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None,
-            within: Within = 10.0) -> None:
+def promote(
+    node: str,
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+    within: Within = 10.0,
+) -> None:
     """Give a learner a vote."""
     _manage("promote", node, at, certificate, key, authority, within)
 
 
 @app.command()
-def remove(node: str, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None,
-           within: Within = 10.0) -> None:
+def remove(
+    node: str,
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+    within: Within = 10.0,
+) -> None:
     """Remove a member for good. Its number never returns."""
     _manage("remove", node, at, certificate, key, authority, within)
 
 
 @app.command()
-def transfer(node: str, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None,
-             within: Within = 10.0) -> None:
+def transfer(
+    node: str,
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+    within: Within = 10.0,
+) -> None:
     """Hand leadership to this voter."""
     _manage("transfer", node, at, certificate, key, authority, within)
 
 
 @app.command()
-def snapshot(at: At, certificate: Cert = None, key: Key = None, authority: Authority = None,
-             within: Within = 60.0) -> None:
+def snapshot(
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+    within: Within = 60.0,
+) -> None:
     """Have the node make the snapshot that it sends to members far behind, now."""
     _manage("snapshot", "", at, certificate, key, authority, within)
 
 
 @app.command()
-def status(at: At, certificate: Cert = None, key: Key = None, authority: Authority = None,
-           within: Within = 5.0,
-           as_json: Annotated[bool, typer.Option("--json", help="All of it, for programs.")] = False) -> None:
+def status(
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+    within: Within = 5.0,
+    as_json: Annotated[bool, typer.Option("--json", help="All of it, for programs.")] = False,
+) -> None:
     """What each member says of itself, and who leads."""
     members = Members(addresses(at), lambda address: client(address, certificate, key, authority))
 
@@ -175,38 +252,77 @@
 def show(found: list[dict[str, Any]]) -> None:
     clusters = sorted({s["cluster"] for s in found if "cluster" in s})
     table = Table(title=f"cluster {', '.join(clusters) or 'unknown'}")
-    for column in ("node", "name", "address", "role", "term", "last", "commit", "applied", "lag",
-                   "sync p50 ms", "sync p99 ms", "trouble"):
-        table.add_column(column, justify="left" if column in ("node", "name", "trouble") else "right",
-                         no_wrap=column in ("node", "address"))
-    lags = {m["node"]: m["lag"] for s in found for m in s.get("members", ()) if m["lag"] is not None}
+    for column in (
+        "node",
+        "name",
+        "address",
+        "role",
+        "term",
+        "last",
+        "commit",
+        "applied",
+        "lag",
+        "sync p50 ms",
+        "sync p99 ms",
+        "trouble",
+    ):
+        table.add_column(
+            column,
+            justify="left" if column in ("node", "name", "trouble") else "right",
+            no_wrap=column in ("node", "address"),
+        )
+    lags = {
+        m["node"]: m["lag"] for s in found for m in s.get("members", ()) if m["lag"] is not None
+    }
     for s in found:
         if "trouble" in s:
             table.add_row("?", "", s["address"], *[""] * 8, s["trouble"])
             continue
         me = next((m for m in s["members"] if m["here"]), None)
-        troubles = [t for t in (
-            "removed" if s["removed"] else "",
-            f"no leader for {s['leaderless_ms']} ms" if not s["leader"] else "",
-            f"disk full for {s['disk_full_s']} s" if s["disk_full_s"] else "") if t]
+        troubles = [
+            t
+            for t in (
+                "removed" if s["removed"] else "",
+                f"no leader for {s['leaderless_ms']} ms" if not s["leader"] else "",
+                f"disk full for {s['disk_full_s']} s" if s["disk_full_s"] else "",
+            )
+            if t
+        ]
         role = s["role"] if me is None or me["voter"] else "learner"
         lag = lags.get(s["node"])
-        table.add_row(s["node"], s["name"], me["address"] if me else "", role, str(s["term"]), str(s["last"]),
-                      str(s["commit"]), str(s["applied"]), "" if lag is None else str(lag),
-                      str(s["sync_p50_ms"]), str(s["sync_p99_ms"]), "; ".join(troubles))
+        table.add_row(
+            s["node"],
+            s["name"],
+            me["address"] if me else "",
+            role,
+            str(s["term"]),
+            str(s["last"]),
+            str(s["commit"]),
+            str(s["applied"]),
+            "" if lag is None else str(lag),
+            str(s["sync_p50_ms"]),
+            str(s["sync_p99_ms"]),
+            "; ".join(troubles),
+        )
     out.print(table)
 
 
 @app.command()
-def backup(copy: Annotated[Path, typer.Argument(help="Where the copy goes.")], at: At,
-           certificate: Cert = None, key: Key = None, authority: Authority = None,
-           within: Within = 60.0) -> None:
+def backup(
+    copy: Annotated[Path, typer.Argument(help="Where the copy goes.")],
+    at: At,
+    certificate: Cert = None,
+    key: Key = None,
+    authority: Authority = None,
+    within: Within = 60.0,
+) -> None:
     """Copy the state as of one entry, checked, while everything goes on."""
     fresh = copy.with_name(copy.name + ".new")
     try:
         with open(fresh, "wb") as file:
-            index, _, size, checksum = using(client(at, certificate, key, authority),
-                                             lambda c: c.copy(file.write, within))
+            index, _, size, checksum = using(
+                client(at, certificate, key, authority), lambda c: c.copy(file.write, within)
+            )
         if fresh.stat().st_size != size or states.checksum(fresh) != checksum:
             raise Malformed(f"{copy}: it did not come whole: try again")
         fresh.rename(copy)
@@ -216,19 +332,28 @@
 
 
 @app.command()
-def restore(copy: Annotated[Path, typer.Argument(help="A copy, or the state.db of a stopped node.")],
-            settings: Settings, name: NAME = "",
-            cluster: Annotated[str, typer.Option(help="The new cluster's name; drawn where not told.")] = "",
-            ) -> None:
+def restore(
+    copy: Annotated[Path, typer.Argument(help="A copy, or the state.db of a stopped node.")],
+    settings: Settings,
+    name: NAME = "",
+    cluster: Annotated[
+        str, typer.Option(help="The new cluster's name; drawn where not told.")
+    ] = "",
+) -> None:
     """Make a new cluster of one node with what a copy holds."""
     made = running.restore(read_store(settings), copy, cluster, name)
-    out.print(f"cluster {made.cluster}, node {made.node:x}: run it with"
-              f" lanelift store run --settings {settings}; other nodes join it anew", soft_wrap=True)
+    out.print(
+        f"cluster {made.cluster}, node {made.node:x}: run it with"
+        f" lanelift store run --settings {settings}; other nodes join it anew",
+        soft_wrap=True,
+    )
 
 
 @app.command()
-def verify(settings: Annotated[Path | None, typer.Option("--settings", help="Of a stopped node.")] = None,
-           copy: Annotated[Path | None, typer.Option("--copy", help="A copy.")] = None) -> None:
+def verify(
+    settings: Annotated[Path | None, typer.Option("--settings", help="Of a stopped node.")] = None,
+    copy: Annotated[Path | None, typer.Option("--copy", help="A copy.")] = None,
+) -> None:
     """Read all of a folder or a copy, and say what is wrong with it."""
     wrong: list[str] = []
     if settings is not None:
--- a/lanelift/daemon/doors.py
+++ b/lanelift/daemon/doors.py
@@ -1,4 +1,6 @@
-"""A box's own door: `POST PATH` with an `Idempotency-Key`, the name of a restart, which a box does once."""
+"""A box's own door: `POST PATH` with an `Idempotency-Key`, the name of a restart, which a box does
+once.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +16,10 @@
 
 
 async def ask(address: tuple[str, int], path: str, name: str, may: Callable[[], bool]) -> str:
-    """What was wrong, in one line; empty: it was taken. `may` is asked after all waiting, just before the
-    first byte leaves: an owner that was stopped meanwhile asks nothing. Raises OSError, TimeoutError."""
+    """What was wrong, in one line; empty: it was taken. `may` is asked after all waiting, just
+    before the first byte leaves: an owner that was stopped meanwhile asks nothing. Raises OSError,
+    TimeoutError.
+    """
     connection = Connection(lambda c: None, lambda c: None)
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(ASK_S):
@@ -27,8 +31,10 @@
             ended.set_result((result, response))
 
     host = f"{address[0]}:{address[1]}".encode()
-    request = message(b"POST %b HTTP/1.1" % path.encode(), [
-        (b"Host", host), (b"Idempotency-Key", b'"%b"' % name.encode()), (b"Content-Length", b"0")])
+    request = message(
+        b"POST %b HTTP/1.1" % path.encode(),
+        [(b"Host", host), (b"Idempotency-Key", b'"%b"' % name.encode()), (b"Content-Length", b"0")],
+    )
     exchange = Exchange(request, done, MOST)
     exchange.expire_in(ASK_S)
     if not may():
--- a/lanelift/daemon/follow.py
+++ b/lanelift/daemon/follow.py
@@ -1,8 +1,8 @@
 """By whose word a balancer knows the list of upstreams, and when it asks discovery itself. Pure.
 
-One owner watches discovery and puts the list into the store; the others go by that. Where the owner's word
-is missing or old, each asks by itself, at times drawn so that all of them together make no more calls than
-`CALLS_S` a second: nobody can count the others when the store is away.
+One owner watches discovery and puts the list into the store; the others go by that. Where the
+owner's word is missing or old, each asks by itself, at times drawn so that all of them together
+make no more calls than `CALLS_S` a second: nobody can count the others when the store is away.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 SECOND = 1_000_000_000
 OLD_NS = 12 * SECOND  # three times what the owner's watch of discovery may be silent
-# A balancer that knows of no upstream waits no longer for the first word, and its first call is spread over
-# the second at most: a restart routes within two seconds, store or no store.
+# A balancer that knows of no upstream waits no longer for the first word, and its first call is
+# spread over the second at most: a restart routes within two seconds, store or no store.
 FIRST_NS, FIRST_SPREAD_NS = SECOND // 4, SECOND // 2
 CALLS_S = 10.0  # of all balancers together, where the owner is silent
 LEAST_NS = SECOND  # between two calls of one
@@ -66,7 +66,8 @@
         if now < old:
             return False
         if not self.ask_ns:
-            # All learn at once that the owner is silent: spread over the first round as over the others.
+            # All learn at once that the owner is silent: spread over the first round as over the
+            # others.
             first = min(self.every_ns, FIRST_SPREAD_NS) if self.empty else self.every_ns
             self.ask_ns = now + int(self.rng.random() * first)
         if now < self.ask_ns:
--- a/lanelift/daemon/keeper.py
+++ b/lanelift/daemon/keeper.py
@@ -1,6 +1,6 @@
-"""What a balancer keeps in the store, and takes from it: its settings, the upstreams that operators took out,
-the last box list, and what the module learnt. It never holds up the balancer: without a store, or one without
-a leader, the balancer goes on with what it has, and the log says since when.
+"""What a balancer keeps in the store, and takes from it: its settings, the upstreams that operators
+took out, the last box list, and what the module learnt. It never holds up the balancer: without a
+store, or one without a leader, the balancer goes on with what it has, and the log says since when.
 
     config/DOCUMENT            the operators' settings, TOML
     disabled/SERVICE           names, JSON
@@ -65,11 +65,24 @@
 
 
 class Keeper:
-    def __init__(self, client: Client, service: str, balancer: str, document: str, cache: Path | None,
-                 parts: Parts, lease_s: float = LEASE_S, rank: int = 0,
-                 reach: Mapping[str, str] | None = None, sites: bool = False, rows: bool = False,
-                 documents: bool = False) -> None:
-        """`rows`: the box list is rows of the feed; `documents`: beside them it is a document, too."""
+    def __init__(
+        self,
+        client: Client,
+        service: str,
+        balancer: str,
+        document: str,
+        cache: Path | None,
+        parts: Parts,
+        lease_s: float = LEASE_S,
+        rank: int = 0,
+        reach: Mapping[str, str] | None = None,
+        sites: bool = False,
+        rows: bool = False,
+        documents: bool = False,
+    ) -> None:
+        """`rows`: the box list is rows of the feed; `documents`: beside them it is a document,
+        too.
+        """
         self.client = client
         self.balancer = balancer
         self.document = document
@@ -77,7 +90,9 @@
         self.reach = Reach(reach or {})
         self.parts = parts
         self.keys = f"disabled/{service}", f"list/{service}", f"learnt/{service}/{balancer}"
-        self.asked: list[tuple[str, bool]] = []  # what operators changed here and the store has not yet
+        self.asked: list[
+            tuple[str, bool]
+        ] = []  # what operators changed here and the store has not yet
         self.more = asyncio.Event()
         self.saved: list[SavedEndpoint] = []  # as this owner put it, where the list is a fixed one
         self.lost_s = 0.0  # since when the store does not answer
@@ -101,23 +116,46 @@
         discovery = parts.driver.discovery
         if isinstance(discovery, Discovery):
             writer = RowWriter(client, self.lister, service) if rows else None
-            self.list = FleetList(parts.driver, discovery, client, self.lister, service, self.reach, writer,
-                                  documents or not rows)
+            self.list = FleetList(
+                parts.driver,
+                discovery,
+                client,
+                self.lister,
+                service,
+                self.reach,
+                writer,
+                documents or not rows,
+            )
             self.lister.began, self.lister.ended = self.list.began, self.list.ended
             discovery.subscribe(False)
             parts.driver.discovery = self.list
         elif rows:
-            log.warning("store.rows: the list of upstreams is written down in the settings: there are no rows"
-                        " of it")
+            log.warning(
+                "store.rows: the list of upstreams is written down in the settings: there are "
+                "no rows"
+                " of it"
+            )
         if self.list is not None and self.list.table is not None:
-            self.feed = FeedClient(client.addresses, client.tls, balancer,
-                                   [self.list.table.keys.scope, GLOBAL], self.list.check, self.list.apply,
-                                   reach=client.reach)
+            self.feed = FeedClient(
+                client.addresses,
+                client.tls,
+                balancer,
+                [self.list.table.keys.scope, GLOBAL],
+                self.list.check,
+                self.list.apply,
+                reach=client.reach,
+            )
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
-        works = [self._begin, self._watch_disabled, self._tell_disabled, self._save, self.reporter.run,
-                 self._watch_roll]
+        works = [
+            self._begin,
+            self._watch_disabled,
+            self._tell_disabled,
+            self._save,
+            self.reporter.run,
+            self._watch_roll,
+        ]
         if self.list is not None:
             works += [self.list.follow, self.list.look]
         if self.list is not None and self.feed is not None:
@@ -139,8 +177,11 @@
             return
         if self.parts.disabled.siblings.alone:
             self.named_s = time.monotonic()
-            log.warning("the name %s belongs to %s: what is learnt here is not kept while it does",
-                        self.balancer, lease.note)
+            log.warning(
+                "the name %s belongs to %s: what is learnt here is not kept while it does",
+                self.balancer,
+                lease.note,
+            )
 
     async def _kept(self, work: Callable[[], Awaitable[None]]) -> None:
         """Whatever goes wrong here is told, tried again, and does the balancer no harm."""
@@ -165,8 +206,9 @@
             self.lost_s = 0.0
 
     async def _follow(self, key: str, take: Callable[[bytes | None, int], Awaitable[None]]) -> None:
-        """Hand over what a key is, as the nearest node knows it, and each value and version that it gets;
-        None where it is not there, at version 0 where it never changed while this looked."""
+        """Hand over what a key is, as the nearest node knows it, and each value and version that it
+        gets; None where it is not there, at version 0 where it never changed while this looked.
+        """
         while True:
             found = await self.client.get(key, stale=True)
             self._found()
@@ -178,11 +220,12 @@
                         if change.key == key:
                             await take(change.value, change.version)
 
-    # ---- at the start ------------------------------------------------------------------------------------
+    # ---- at the start ----------------------------------------------------------------------------
 
     async def _begin(self) -> None:
-        """The last list, where discovery has not told one, and what was learnt; from whichever node is
-        there."""
+        """The last list, where discovery has not told one, and what was learnt; from whichever node
+        is there.
+        """
         driver = self.parts.driver
         if self.list is not None and self.list.table is not None:
             with suppress(TimeoutError):  # the list first: what was learnt is of its upstreams
@@ -204,10 +247,13 @@
             recalled = load_learnt(past, endpoints_of(driver))
             if recalled is not None:
                 driver.post(recalled)
-            log.info("store: what was learnt is %s old%s", shown_age(age_s(past.at)),
-                     "" if recalled is not None else ", and left aside")
+            log.info(
+                "store: what was learnt is %s old%s",
+                shown_age(age_s(past.at)),
+                "" if recalled is not None else ", and left aside",
+            )
 
-    # ---- what operators took out -------------------------------------------------------------------------
+    # ---- what operators took out -----------------------------------------------------------------
 
     def _heard(self, name: str, on: bool) -> None:
         self.asked.append((name, on))
@@ -253,13 +299,17 @@
     async def _watch_roll(self) -> None:
         await self._follow(self.reporter.keys.roll, self.reporter.rolled)
 
-    # ---- settings ----------------------------------------------------------------------------------------
+    # ---- settings --------------------------------------------------------------------------------
 
     async def _watch_document(self) -> None:
         await self._follow(PREFIX + self.document, self._take_document)
 
     async def _take_document(self, value: bytes | None, version: int) -> None:
-        if value is None or self.cache is None or (self.cache.exists() and self.cache.read_bytes() == value):
+        if (
+            value is None
+            or self.cache is None
+            or (self.cache.exists() and self.cache.read_bytes() == value)
+        ):
             return
         await self._cached(self.cache, value)
         log.info("store: %s is at version %d", self.document, version)
@@ -277,7 +327,7 @@
             await asyncio.sleep(pause_s)
             pause_s = min(2 * pause_s, CACHE_MOST_S)
 
-    # ---- saving ------------------------------------------------------------------------------------------
+    # ---- saving ----------------------------------------------------------------------------------
 
     async def _save(self) -> None:
         while True:
@@ -289,11 +339,15 @@
         driver = self.parts.driver
         _, listed, learnt = self.keys
         if self.list is None and self.lister.token():
-            servers = save_list(self.reach.as_known(t.endpoint for t in driver.upstreams.targets.values()))
+            servers = save_list(
+                self.reach.as_known(t.endpoint for t in driver.upstreams.targets.values())
+            )
             if servers and servers != self.saved:
                 saved = SavedList(unix_s(), servers, self.lister.token())
                 with suppress(NotOwner):
-                    await self.lister.write([Op(listed, msgspec.json.encode(saved))], within_s=within_s)
+                    await self.lister.write(
+                        [Op(listed, msgspec.json.encode(saved))], within_s=within_s
+                    )
                     self.saved = servers
         known = driver.balancer.learnt()
         if known.taken and self.name.token():
@@ -317,8 +371,17 @@
             await self.reporter.leave()
             if self.sites is not None:
                 await self.sites.leave()
-        await asyncio.gather(*(owner.close() for owner in (
-            self.name, self.lister, self.roller, *([self.site_owner] if self.sites is not None else []))))
+        await asyncio.gather(
+            *(
+                owner.close()
+                for owner in (
+                    self.name,
+                    self.lister,
+                    self.roller,
+                    *([self.site_owner] if self.sites is not None else []),
+                )
+            )
+        )
         await self.client.close()
 
 
--- a/lanelift/daemon/listing.py
+++ b/lanelift/daemon/listing.py
@@ -1,12 +1,12 @@
-"""The list of upstreams as the fleet's work: its owner watches discovery and puts the list into the store,
-under its token; the others follow the store.
+"""The list of upstreams as the fleet's work: its owner watches discovery and puts the list into the
+store, under its token; the others follow the store.
 
     list/SERVICE      the list, with the owner's token and its count of lists
     listed/SERVICE    that it still stands, some times a minute
 
-With `rows` the list is rows of the feed (`rowlist`) in place of that document, which then stands only beside
-them where `documents` says so. Whoever knows rows goes by both, by the later owner's word: so rows may be
-switched on one balancer after the other.
+With `rows` the list is rows of the feed (`rowlist`) in place of that document, which then stands
+only beside them where `documents` says so. Whoever knows rows goes by both, by the later owner's
+word: so rows may be switched on one balancer after the other.
 """
 
 from __future__ import annotations
@@ -45,7 +45,8 @@
 
 TOGETHER_S = 0.1  # changes that come so close are one list
 BEAT_S = 3.5  # that the list stands is not said more often
-# A stored list of a later version than discovery tells is left in place so long: then discovery began anew.
+# A stored list of a later version than discovery tells is left in place so long: then discovery
+# began anew.
 ANEW_S = 30.0
 RETRY_S = 0.5
 REFUSALS_S = 10.0  # rows that this program can't take are told no more often
@@ -63,8 +64,17 @@
 class FleetList:
     """Takes the place of discovery beside a driver."""
 
-    def __init__(self, driver: Driver, discovery: Discovery, client: Client, owner: Owner,
-                 service: str, reach: Reach, writer: RowWriter | None = None, documents: bool = True) -> None:
+    def __init__(
+        self,
+        driver: Driver,
+        discovery: Discovery,
+        client: Client,
+        owner: Owner,
+        service: str,
+        reach: Reach,
+        writer: RowWriter | None = None,
+        documents: bool = True,
+    ) -> None:
         """`writer`: of rows; None: the list is a document alone. `documents`: there is one, too."""
         self.driver = driver
         self.discovery = discovery
@@ -74,12 +84,16 @@
         self.keys = f"list/{service}", f"listed/{service}"
         self.writer = writer
         self.table = RowTable(service) if writer is not None else None
-        self.mirrors = False  # does the module have the table's rows, so that a change of them suffices?
+        self.mirrors = (
+            False  # does the module have the table's rows, so that a change of them suffices?
+        )
         self.documents = documents
         self.document_due = False  # beside rows: it is to be put, or taken away
         self.refused_s = -REFUSALS_S
         self.bad = ""  # why the list can't be put, as last said
-        self.follower = Follower(driver.settings.replicas_of_me, random.Random(os.urandom(8)), clock_ns())
+        self.follower = Follower(
+            driver.settings.replicas_of_me, random.Random(os.urandom(8)), clock_ns()
+        )
         self.changed = asyncio.Event()
         self.number = self.beat = 0  # of this owner's lists, and of its words that they stand
         # What was put last: the token, discovery's version, the list.
@@ -96,7 +110,7 @@
     def source(self) -> str:
         return "{}:{}".format(*self.discovery.address)
 
-    # ---- beside the driver -------------------------------------------------------------------------------
+    # ---- beside the driver -----------------------------------------------------------------------
 
     def subscribe(self, on: bool) -> None:
         """The module wants to be told of changes: it is, by the owner's list or by discovery."""
@@ -118,11 +132,13 @@
         if kind is not api.ListKind.FAILED:
             self.mirrors = False
             if self.writer is not None:
-                self.writer.touch(None if kind is not api.ListKind.DELTA else [e.entry.id for e in endpoints])
+                self.writer.touch(
+                    None if kind is not api.ListKind.DELTA else [e.entry.id for e in endpoints]
+                )
         self.driver.learn(kind, self.reach.from_here(endpoints))
         self.changed.set()
 
-    # ---- as the owner ------------------------------------------------------------------------------------
+    # ---- as the owner ----------------------------------------------------------------------------
 
     def began(self, token: int) -> None:
         self.follower.owns(True, clock_ns())
@@ -177,8 +193,9 @@
                 await asyncio.sleep(RETRY_S)
 
     async def _floor(self) -> None:
-        """What the owner before this one knew of discovery: read after the token was granted, so nothing that
-        it still may say comes behind it."""
+        """What the owner before this one knew of discovery: read after the token was granted, so
+        nothing that it still may say comes behind it.
+        """
         row = (await self.client.get(self.keys[0])).rows[0]
         saved = decoded(row, SavedList)
         known = (saved.token, saved.source, saved.version) if saved is not None else (0, "", -1)
@@ -192,22 +209,29 @@
 
     def _older(self) -> bool:
         """Does discovery tell less than its owner of before knew, and that not for long?"""
-        return (bool(self.owner.working) and self.discovery.version < self.floor
-                and time.monotonic() - self.floor_s < ANEW_S)
+        return (
+            bool(self.owner.working)
+            and self.discovery.version < self.floor
+            and time.monotonic() - self.floor_s < ANEW_S
+        )
 
     async def _say(self) -> None:
         heard = self.heard_s
         if self.writer is not None:
-            # That nothing changed is a word, too: without it the others count the owner as silent after 12 s
-            # of a quiet day, and ask by themselves, each for a whole list. (Documents keep to changes.)
+            # That nothing changed is a word, too: without it the others count the owner as silent
+            # after 12 s of a quiet day, and ask by themselves, each for a whole list. (Documents
+            # keep to changes.)
             heard = max(heard, self.discovery.answered_s)
         if self.discovery.version < 0 or (heard <= self.put_s and not self.overwritten):
             return  # discovery said nothing since
         if self._older():
             return
         if self.discovery.version < self.floor:
-            log.warning("discovery tells version %d, and version %d is stored: it began anew",
-                        self.discovery.version, self.floor)
+            log.warning(
+                "discovery tells version %d, and version %d is stored: it began anew",
+                self.discovery.version,
+                self.floor,
+            )
             self.floor = -1
         token = self.owner.token()
         if not self.driver.upstreams.targets or not token:
@@ -224,7 +248,9 @@
     def _known(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
         """What is listed of these, or all of it, with the addresses that all know."""
         targets = self.driver.upstreams.targets
-        found = targets.values() if numbers is None else [targets[n] for n in numbers if n in targets]
+        found = (
+            targets.values() if numbers is None else [targets[n] for n in numbers if n in targets]
+        )
         return self.reach.as_known(t.endpoint for t in found)
 
     async def _put_document(self, token: int) -> bool:
@@ -242,10 +268,16 @@
         self.number, self.put = number, (token, saved.version, list(servers))
 
     async def _put_rows(self, token: int) -> bool:
-        """Those that differ, and the document where there is to be one beside them; was anything to do?"""
+        """Those that differ, and the document where there is to be one beside them; was anything to
+        do?
+        """
         assert self.writer is not None
         wrote = await self.writer.put(self._known, token, self.discovery.version, self.source)
-        self.number, self.put, self.bad = self.writer.number, (token, self.discovery.version, []), ""
+        self.number, self.put, self.bad = (
+            self.writer.number,
+            (token, self.discovery.version, []),
+            "",
+        )
         self.document_due = self.document_due or self.overwritten or (wrote and self.documents)
         if self.document_due:
             if self.documents:
@@ -256,7 +288,7 @@
             return True
         return wrote
 
-    # ---- as one of the others ----------------------------------------------------------------------------
+    # ---- as one of the others --------------------------------------------------------------------
 
     async def follow(self) -> None:
         """Hear the owner's word: first what a majority holds, then each change behind that. Raises
@@ -273,7 +305,8 @@
         self._list(found.rows[0])
         if self.table is not None:
             self._settle(None)
-        # With rows, of this service alone: what all services say together is too much for each balancer.
+        # With rows, of this service alone: what all services say together is too much for each
+        # balancer.
         await self._hear("list" if self.table is None else self.keys[0], found.revision)
 
     async def follow_beat(self) -> None:
@@ -296,8 +329,8 @@
         if self.owner.working:
             foreign = saved is None or not saved.token
             if foreign and row.version and (self.documents or row.value is not None):
-                # A program without owners put its list over this one's, and who starts now would find no
-                # owner's word: it is said again.
+                # A program without owners put its list over this one's, and who starts now would
+                # find no owner's word: it is said again.
                 self.overwritten = True
                 self.changed.set()
             return
@@ -312,18 +345,29 @@
     def _heeds(self, key: str, word: Word) -> bool:
         if self.follower.listed(word, clock_ns()):
             return True
-        log.info("%s: the word of token %s is not heeded: token %s was heard", key,
-                 written(word.token), written(self.follower.receiver.highest.token))
+        log.info(
+            "%s: the word of token %s is not heeded: token %s was heard",
+            key,
+            written(word.token),
+            written(self.follower.receiver.highest.token),
+        )
         return False
 
     def check(self, scope: str, row: FeedRow) -> str:
-        """For the feed: why this program can't go by a row; empty: it can. The feed tells the node."""
+        """For the feed: why this program can't go by a row; empty: it can. The feed tells the
+        node.
+        """
         why = rows.check(scope, row)
         now = time.monotonic()
         if why and now - self.refused_s >= REFUSALS_S:
             self.refused_s = now
-            log.warning("feed: %s of %s at version %d is refused: %s; what was taken before stands",
-                        row.key, scope, row.version, why)
+            log.warning(
+                "feed: %s of %s at version %d is refused: %s; what was taken before stands",
+                row.key,
+                scope,
+                row.version,
+                why,
+            )
         return why
 
     def apply(self, told: Apply) -> None:
@@ -339,7 +383,9 @@
         if table is None or self.owner.working:
             return
         if table.word is None or not table.endpoints:
-            self.mirrors = False  # a list without an upstream is not believed; nor does its owner put one
+            self.mirrors = (
+                False  # a list without an upstream is not believed; nor does its owner put one
+            )
             return
         if not self.follower.receiver.learnt:
             # No majority was heard yet: good enough to begin with, where there is nothing else.
@@ -347,7 +393,9 @@
             young = age is None or age < OLDEST_S
             if young and not self.driver.told.is_set() and not self.driver.upstreams.targets:
                 self.driver.learn(api.ListKind.CACHED, self.reach.from_here(table.all()))
-                log.info("store: %d upstreams from rows %s old", len(table.endpoints), shown_age(age))
+                log.info(
+                    "store: %d upstreams from rows %s old", len(table.endpoints), shown_age(age)
+                )
             return
         if not self._heeds(table.keys.list, table.said):
             self.mirrors = False
@@ -371,8 +419,10 @@
                 self.discovery.fetch()
             if self.follower.alone is not said:
                 said = self.follower.alone
-                log.info("the list's owner is %s", "silent: discovery is asked from here now and then" if said
-                         else "heard again")
+                log.info(
+                    "the list's owner is %s",
+                    "silent: discovery is asked from here now and then" if said else "heard again",
+                )
             wait = (self.follower.wake_ns - clock_ns()) / 1e9
             await asyncio.sleep(min(1.0, max(0.05, wait)))
 
--- a/lanelift/daemon/owned.py
+++ b/lanelift/daemon/owned.py
@@ -1,4 +1,6 @@
-"""A work of the fleet as its owner does it: one turn after the other for as long as the lease is held."""
+"""A work of the fleet as its owner does it: one turn after the other for as long as the lease is
+held.
+"""
 
 from __future__ import annotations
 
--- a/lanelift/daemon/places.py
+++ b/lanelift/daemon/places.py
@@ -1,10 +1,10 @@
 """What operators say of their sites, as a document of the store: `config/sites/SERVICE`.
 
-    [[site]]
-    name = "tema"
-    bears = "400/s"        # requests of the usual mix that its boxes serve in time, warm
-    burst = 0.2            # by so much more than usual may come at a time
-    prices = {kasoa = 0.03}   # part of its worth that a request costs which comes from there
+[[site]]
+name = "tema"
+bears = "400/s"        # requests of the usual mix that its boxes serve in time, warm
+burst = 0.2            # by so much more than usual may come at a time
+prices = {kasoa = 0.03}   # part of its worth that a request costs which comes from there
 """
 
 from __future__ import annotations
@@ -25,7 +25,9 @@
     bears: PerSecond
     burst: float = 0.2
     prices: dict[str, float] = {}
-    connections: PerSecond = PerSecond(0.0)  # requests a second that its free connections allow; 0: enough
+    connections: PerSecond = PerSecond(
+        0.0
+    )  # requests a second that its free connections allow; 0: enough
 
 
 class Sites(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -48,6 +50,10 @@
             raise ValueError(f"site {s.name!r}: needs a name, bears over 0/s and a burst of 0 to 5")
         for other, price in s.prices.items():
             if other not in names or price < 0:
-                raise ValueError(f"site {s.name}: prices: {other} is no site, or its price is negative")
-    return {s.name: Place(s.name, float(s.bears), s.burst, s.prices, float(s.connections))
-            for s in found.sites}
+                raise ValueError(
+                    f"site {s.name}: prices: {other} is no site, or its price is negative"
+                )
+    return {
+        s.name: Place(s.name, float(s.bears), s.burst, s.prices, float(s.connections))
+        for s in found.sites
+    }
--- a/lanelift/daemon/reach.py
+++ b/lanelift/daemon/reach.py
@@ -1,4 +1,5 @@
-"""Upstreams behind address translation: at which address all know one, and at which it is dialled from here.
+"""Upstreams behind address translation: at which address all know one, and at which it is dialled
+from here.
 
 The list that balancers share says the first; each dials by its own `[store.reach]`. Pure.
 """
@@ -14,7 +15,9 @@
 
 class Reach:
     def __init__(self, reach: Mapping[str, str]) -> None:
-        """`reach`: HOST:PORT as all know it -> as dialled from here; what is not named is dialled so."""
+        """`reach`: HOST:PORT as all know it -> as dialled from here; what is not named is dialled
+        so.
+        """
         pairs = [(split_address(known), split_address(here)) for known, here in reach.items()]
         self._here = dict(pairs)
         self._known = {here: known for known, here in pairs}
--- a/lanelift/daemon/roller.py
+++ b/lanelift/daemon/roller.py
@@ -1,7 +1,8 @@
-"""A roll as a work of the fleet: its owner reads, decides with `rolling` and writes, one step at a time;
-every balancer reports what it has under way while there is a roll.
+"""A roll as a work of the fleet: its owner reads, decides with `rolling` and writes, one step at a
+time; every balancer reports what it has under way while there is a roll.
 
-    roll/SERVICE               the roll's document; operators begin, pause and abort it, its owner goes on
+    roll/SERVICE               the roll's document; operators begin, pause and abort it, its owner
+    goes on
     report/SERVICE/BALANCER    what a balancer has under way; gone when it leaves as it should
 """
 
@@ -51,11 +52,17 @@
 LOOK_S = 0.5  # between two looks of the owner, and two reports of a balancer that changed nothing
 ASK_AGAIN_S = 5.0  # a box that was asked to restart and is not seen to
 IDLE_S = 2.0  # while there is no roll
-REPORT_S, REPORT_EACH_S, REPORT_MOST_S = 2.0, 0.025, 5.0  # of one among many, longer: half of what is old
+REPORT_S, REPORT_EACH_S, REPORT_MOST_S = (
+    2.0,
+    0.025,
+    5.0,
+)  # of one among many, longer: half of what is old
 
 
 class Ages:
-    """For how long each thing has stood as it is, by this process's own clock: no other clock is believed."""
+    """For how long each thing has stood as it is, by this process's own clock: no other clock is
+    believed.
+    """
 
     def __init__(self) -> None:
         self.seen: dict[str, tuple[int, float]] = {}
@@ -82,12 +89,14 @@
         self.names = f"{LEASES}name/{service}/"
 
 
-async def look(client: Client, keys: Keys, ages: Ages, stored: StoredList,
-               linear: bool = True) -> tuple[Row, Row, Roll | None, View]:
+async def look(
+    client: Client, keys: Keys, ages: Ages, stored: StoredList, linear: bool = True
+) -> tuple[Row, Row, Roll | None, View]:
     """The roll's row, the set's, the roll and what is seen. Raises StoreError."""
     stale = not linear
-    found = await client.get(keys.roll, keys.disabled, keys.list, keys.standing, stored.keys.list,
-                             stale=stale)
+    found = await client.get(
+        keys.roll, keys.disabled, keys.list, keys.standing, stored.keys.list, stale=stale
+    )
     roll_row, disabled_row, list_row, standing, word = found.rows
     roll = decoded(roll_row, Roll)
     reports = await client.scan(keys.reports, stale=stale)
@@ -105,21 +114,44 @@
     for name in live - seen.keys():  # it holds its name and says nothing yet
         seen[name] = Seen(Report(0, (), 0.0, 0.0, 0), ages.age_s(keys.reports + name, 0), True)
     saved = await stored.of(list_row, word, stale)
-    boxes = {s.id: Listed(s.zone, s.started, not s.draining, (s.host, s.port))
-             for s in saved.servers} if saved else {}
-    # A list is as old as the last word that it stands; one that operators wrote down stands by itself.
+    boxes = (
+        {s.id: Listed(s.zone, s.started, not s.draining, (s.host, s.port)) for s in saved.servers}
+        if saved
+        else {}
+    )
+    # A list is as old as the last word that it stands; one that operators wrote down stands by
+    # itself.
     fixed = saved is not None and not saved.source
-    list_age = ages.age_s(keys.standing, standing.version + list_row.version + word.version) if saved else 1e9
+    list_age = (
+        ages.age_s(keys.standing, standing.version + list_row.version + word.version)
+        if saved
+        else 1e9
+    )
     list_age = 0.0 if fixed else list_age
-    names_out = frozenset(msgspec.json.decode(disabled_row.value, type=list[str])
-                          if disabled_row.value is not None else [])
+    names_out = frozenset(
+        msgspec.json.decode(disabled_row.value, type=list[str])
+        if disabled_row.value is not None
+        else []
+    )
     phases = {b.name: f"phase/{roll.id}/{b.name}" for b in roll.boxes} if roll is not None else {}
-    phase_ages = {b.name: ages.age_s(phases[b.name], PHASES.index(b.phase))
-                  for b in (roll.boxes if roll is not None else ())}
-    ages.keep({keys.standing, *(keys.reports + n for n in seen), *(r.key for r in reports.rows),
-               *phases.values()})
-    return roll_row, disabled_row, roll, View(unix_ms(), names_out, disabled_row.version, seen, boxes,
-                                              list_age, phase_ages)
+    phase_ages = {
+        b.name: ages.age_s(phases[b.name], PHASES.index(b.phase))
+        for b in (roll.boxes if roll is not None else ())
+    }
+    ages.keep(
+        {
+            keys.standing,
+            *(keys.reports + n for n in seen),
+            *(r.key for r in reports.rows),
+            *phases.values(),
+        }
+    )
+    return (
+        roll_row,
+        disabled_row,
+        roll,
+        View(unix_ms(), names_out, disabled_row.version, seen, boxes, list_age, phase_ages),
+    )
 
 
 class Roller(OwnedWork):
@@ -136,11 +168,15 @@
         self.stored = StoredList(self.client, self.service)
         self.blind_s = 0.0  # since when nothing could be seen
         self.owned_s = time.monotonic()  # since when it is owned
-        self.asked: dict[str, float] = {}  # restarts by name, and when this owner last asked for them
+        self.asked: dict[
+            str, float
+        ] = {}  # restarts by name, and when this owner last asked for them
 
     async def turn(self) -> float:
         """One look and at most one step; seconds until the next. Raises StoreError."""
-        roll_row, disabled_row, roll, view = await look(self.client, self.keys, self.ages, self.stored)
+        roll_row, disabled_row, roll, view = await look(
+            self.client, self.keys, self.ages, self.stored
+        )
         if roll is None or roll.state is State.ENDED:
             return IDLE_S
         if blind(view):
@@ -160,19 +196,28 @@
         return 0.0
 
     async def _ask(self, roll: Roll, box: Box, view: View) -> None:
-        """Its own door, which checks no token: at once after a look at the clock, and under a name that makes
-        a second time the same as the first."""
+        """Its own door, which checks no token: at once after a look at the clock, and under a name
+        that makes a second time the same as the first.
+        """
         name, listed = name_of(roll, box), view.boxes.get(box.number)
         now = time.monotonic()
         if listed is None or now - self.asked.get(name, -ASK_AGAIN_S) < ASK_AGAIN_S:
             return
         self.asked[name] = now
         try:
-            said = await doors.ask(self.reach.dialled(listed.address), roll.door, name,
-                                   lambda: self.owner.token() == box.asked)
+            said = await doors.ask(
+                self.reach.dialled(listed.address),
+                roll.door,
+                name,
+                lambda: self.owner.token() == box.asked,
+            )
         except (OSError, TimeoutError) as error:
-            log.warning("roll %s: %s was not reached at its door: %s", roll.id, box.name,
-                        error or "no answer in time")
+            log.warning(
+                "roll %s: %s was not reached at its door: %s",
+                roll.id,
+                box.name,
+                error or "no answer in time",
+            )
             return
         if said:
             log.warning("roll %s: %s was asked to restart: %s", roll.id, box.name, said)
@@ -191,8 +236,15 @@
 class Reporter:
     """A balancer's reports, while there is a roll that is not over."""
 
-    def __init__(self, driver: Driver, disabled: DisabledUpstreams, client: Client, name: Owner, service: str,
-                 balancer: str) -> None:
+    def __init__(
+        self,
+        driver: Driver,
+        disabled: DisabledUpstreams,
+        client: Client,
+        name: Owner,
+        service: str,
+        balancer: str,
+    ) -> None:
         self.driver = driver
         self.disabled = disabled
         self.client = client
@@ -221,8 +273,12 @@
     def busy(self) -> tuple[str, ...]:
         """Disabled upstreams that still have attempts of this balancer."""
         numbers = {number_of(name): name for name in self.disabled.names}
-        found = {numbers[a.server.id] for r in self.driver.balancer.requests.values() for a in r.attempts
-                 if a.result is None and a.server.id in numbers}
+        found = {
+            numbers[a.server.id]
+            for r in self.driver.balancer.requests.values()
+            for a in r.attempts
+            if a.result is None and a.server.id in numbers
+        }
         return tuple(sorted(found))
 
     async def run(self) -> None:
@@ -235,7 +291,9 @@
             if self.active and due and self.name.token():
                 self.count += 1
                 rate = self.driver.balancer.rate
-                report = Report(*now, round(rate.sent, 2), round(min(rate.served, rate.sent), 2), self.count)
+                report = Report(
+                    *now, round(rate.sent, 2), round(min(rate.served, rate.sent), 2), self.count
+                )
                 with suppress(NotOwner):
                     await self.name.write([Op(self.key, msgspec.json.encode(report))])
                     said, at, self.there = now, time.monotonic(), True
--- a/lanelift/daemon/rolling.py
+++ b/lanelift/daemon/rolling.py
@@ -1,9 +1,10 @@
-"""A roll: boxes taken out of use for a restart, a few at a time, and put back. Pure: from the roll as it
-stands and what is seen comes the next step, which is one write of the store or nothing.
+"""A roll: boxes taken out of use for a restart, a few at a time, and put back. Pure: from the roll
+as it stands and what is seen comes the next step, which is one write of the store or nothing.
 
-The state is the roll's document and the set of disabled upstreams; both change in the same write, under the
-owner's token and at the versions that were read. So an owner may die before, during or after any step, and
-the next one goes on from what stands: no box is out twice, none forgotten, never more than `at_once` out.
+The state is the roll's document and the set of disabled upstreams; both change in the same write,
+under the owner's token and at the versions that were read. So an owner may die before, during or
+after any step, and the next one goes on from what stands: no box is out twice, none forgotten,
+never more than `at_once` out.
 
     waiting -> out -> quiet -> back -> done        (each box)
     out:   in the set; balancers may still have attempts there
@@ -46,9 +47,10 @@
 
 
 class Box(msgspec.Struct, frozen=True):
-    """`since_ms`: when it came into this phase; `before`: its start as listed when it was taken out, Unix
-    time; `word`: an operator said that it is restarted; `asked`: the owner's token under which it was last
-    meant to be asked to restart, 0: never."""
+    """`since_ms`: when it came into this phase; `before`: its start as listed when it was taken
+    out, Unix time; `word`: an operator said that it is restarted; `asked`: the owner's token under
+    which it was last meant to be asked to restart, 0: never.
+    """
 
     name: str
     number: int
@@ -60,8 +62,10 @@
 
 
 class Roll(msgspec.Struct, frozen=True):
-    """The document. `least`: part of the listed boxes that stays in use; `served`: what part of the attempts
-    was served when it began; `door`: the path at which a box is asked to restart, empty: operators do it."""
+    """The document. `least`: part of the listed boxes that stays in use; `served`: what part of the
+    attempts was served when it began; `door`: the path at which a box is asked to restart, empty:
+    operators do it.
+    """
 
     id: str
     boxes: tuple[Box, ...]
@@ -80,8 +84,10 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What a balancer says: the set's version that it goes by, which of the boxes in it still have attempts
-    of its own, and attempts a second that it sent and that were served. `count` grows with each report."""
+    """What a balancer says: the set's version that it goes by, which of the boxes in it still have
+    attempts of its own, and attempts a second that it sent and that were served. `count` grows with
+    each report.
+    """
 
     version: int
     busy: tuple[str, ...]
@@ -92,7 +98,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """A report and for how long it has stood, by the reader's clock. `live`: the balancer holds its name."""
+    """A report and for how long it has stood, by the reader's clock. `live`: the balancer holds its
+    name.
+    """
 
     report: Report
     age_s: float
@@ -109,9 +117,10 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """All that is seen at one time. `now_ms`: Unix time, noted for people. `version`: of the set of disabled
-    names. `ages_s`: by name, how long each box has been in its phase, by this owner's own clock: one that
-    took over counts from then on."""
+    """All that is seen at one time. `now_ms`: Unix time, noted for people. `version`: of the set of
+    disabled names. `ages_s`: by name, how long each box has been in its phase, by this owner's own
+    clock: one that took over counts from then on.
+    """
 
     now_ms: int
     disabled: frozenset[str]
@@ -184,8 +193,10 @@
 
 def quiet(box: Box, view: View) -> bool:
     """Did every balancer hear that it is out, and has none an attempt there?"""
-    return all(s.report.version >= view.version and box.name not in s.report.busy
-               for s in view.balancers.values())
+    return all(
+        s.report.version >= view.version and box.name not in s.report.busy
+        for s in view.balancers.values()
+    )
 
 
 def unusable(view: View, roll: Roll) -> int:
@@ -221,7 +232,9 @@
     if stop:
         return _pause(roll, stop)
     if roll.served < 0 and (now := served(view)) >= 0:
-        return Step(msgspec.structs.replace(roll, served=now), None, f"{now:.1%} of attempts are served")
+        return Step(
+            msgspec.structs.replace(roll, served=now), None, f"{now:.1%} of attempts are served"
+        )
     following = _next(roll, view)
     if following is not None:
         disabled.add(following.name)
@@ -241,11 +254,18 @@
         if box.phase is Phase.OUT and quiet(box, view):
             draft.set(box, Phase.QUIET, view.now_ms)
         elif box.phase is Phase.QUIET:
-            restarted = listed is not None and listed.ready and listed.started > box.before + APART_S
+            restarted = (
+                listed is not None and listed.ready and listed.started > box.before + APART_S
+            )
             if restarted or (box.word and listed is not None and listed.ready):
                 disabled.discard(box.name)
                 draft.set(box, Phase.BACK, view.now_ms)
-        elif box.phase is Phase.BACK and age_s >= draft.roll.warm_s and listed is not None and listed.ready:
+        elif (
+            box.phase is Phase.BACK
+            and age_s >= draft.roll.warm_s
+            and listed is not None
+            and listed.ready
+        ):
             draft.set(box, Phase.DONE, view.now_ms)
 
 
@@ -260,7 +280,11 @@
             return f"{box.name} still has attempts under way after {age_s:.0f} s"
         if box.phase is Phase.QUIET and age_s > roll.wait_s:
             return f"{box.name} was not restarted in {roll.wait_s:.0f} s"
-        if box.phase is Phase.BACK and box.number not in view.boxes and age_s > roll.warm_s + PATIENCE_S:
+        if (
+            box.phase is Phase.BACK
+            and box.number not in view.boxes
+            and age_s > roll.warm_s + PATIENCE_S
+        ):
             return f"{box.name} is not listed any more, {age_s:.0f} s after it was put back"
         if box.phase in (Phase.OUT, Phase.QUIET) and box.name not in view.disabled:
             return f"somebody put {box.name} back while it was out for this roll"
@@ -281,7 +305,12 @@
         sites[site] = sites.get(site, 0) + 1
     for box in roll.boxes:
         listed = view.boxes.get(box.number)
-        if box.phase is not Phase.WAITING or listed is None or not listed.ready or box.name in view.disabled:
+        if (
+            box.phase is not Phase.WAITING
+            or listed is None
+            or not listed.ready
+            or box.name in view.disabled
+        ):
             continue
         if not roll.per_site or sites.get(listed.site, 0) < roll.per_site:
             return box
@@ -300,25 +329,34 @@
     if out >= roll.at_once:
         return f"{out} of {len(view.boxes)} boxes are out of use, and {roll.at_once} at once may be"
     if len(view.boxes) - out - 1 < roll.least * len(view.boxes):
-        return f"{out} of {len(view.boxes)} boxes are out of use, and {roll.least:.0%} must stay in it"
+        return (
+            f"{out} of {len(view.boxes)} boxes are out of use, and {roll.least:.0%} must stay in it"
+        )
     return "no box that waits is listed as ready, enabled, and free by its site"
 
 
 def meant(roll: Roll, token: int, owned_s: float, lease_s: float) -> Step | None:
-    """The write that says which boxes are about to be asked to restart, and by whom: it stands before the
-    act, so that whoever comes next knows that one may be on its way. A box that an owner of before meant to
-    ask is asked again only when a lease's time has gone by since: what that one still sends is late."""
+    """The write that says which boxes are about to be asked to restart, and by whom: it stands
+    before the act, so that whoever comes next knows that one may be on its way. A box that an owner
+    of before meant to ask is asked again only when a lease's time has gone by since: what that one
+    still sends is late.
+    """
     draft = Draft(roll)
     for box in roll.boxes if roll.door and roll.state is not State.ABORTING else ():
-        if box.phase is Phase.QUIET and box.asked != token and (not box.asked or owned_s >= lease_s):
+        if (
+            box.phase is Phase.QUIET
+            and box.asked != token
+            and (not box.asked or owned_s >= lease_s)
+        ):
             draft.set(box, Phase.QUIET, box.since_ms, asked=token)
             draft.say[-1] = f"{box.name} is to be asked to restart"
     return Step(_counted(draft.roll), None, "; ".join(draft.say)) if draft.say else None
 
 
 def to_ask(roll: Roll, token: int) -> list[Box]:
-    """Boxes that this owner said it would ask to restart, and that are not seen to have done so. Asked under
-    one name however often, so that a box does it once."""
+    """Boxes that this owner said it would ask to restart, and that are not seen to have done so.
+    Asked under one name however often, so that a box does it once.
+    """
     if not roll.door or roll.state in (State.ABORTING, State.ENDED):
         return []
     return [b for b in roll.boxes if b.phase is Phase.QUIET and b.asked == token]
--- a/lanelift/daemon/rowlist.py
+++ b/lanelift/daemon/rowlist.py
@@ -1,8 +1,9 @@
-"""The list of upstreams as rows of the feed: its owner writes those that differ, the others keep a table.
+"""The list of upstreams as rows of the feed: its owner writes those that differ, the others keep a
+table.
 
-The store refuses a write that bears an old token, and the feed never goes back: so of two rows the later one
-is the word of the later owner. What a deposed owner had not yet written is written by the next one, which
-compares with what stands.
+The store refuses a write that bears an old token, and the feed never goes back: so of two rows the
+later one is the word of the later owner. What a deposed owner had not yet written is written by the
+next one, which compares with what stands.
 """
 
 from __future__ import annotations
@@ -40,7 +41,9 @@
         self.versions: dict[str, int] = {}  # of the service's row and the list's; 0: not there
         self.word: ListRow | None = None
         self.read_there = False  # is what stands known?
-        self.touched: set[int] | None = None  # upstreams that may differ from what stands; None: any
+        self.touched: set[int] | None = (
+            None  # upstreams that may differ from what stands; None: any
+        )
         self.number = 0  # of this owner's writes
 
     def began(self) -> None:
@@ -54,23 +57,33 @@
             self.touched.update(numbers)
 
     async def read(self) -> ListRow | None:
-        """What stands, and the last owner's word. Read after the token was granted: nobody before can change
-        it any more. Raises StoreError."""
+        """What stands, and the last owner's word. Read after the token was granted: nobody before
+        can change it any more. Raises StoreError.
+        """
         found = await self.client.get(self.keys.service, self.keys.list)
         scanned = await self.client.scan(self.keys.upstreams)
         self.versions = {row.key: row.version if row.value is not None else 0 for row in found.rows}
-        self.stored = {row.key: (row.version, row.value) for row in scanned.rows if row.value is not None}
+        self.stored = {
+            row.key: (row.version, row.value) for row in scanned.rows if row.value is not None
+        }
         self.word = _word(found.rows[1])
         if self.word is not None and self.word.token == self.owner.working:
             self.number = max(self.number, self.word.number)
         self.touched, self.read_there = None, True
         return self.word
 
-    async def put(self, known: Callable[[Iterable[int] | None], Iterable[Endpoint]], token: int, version: int,
-                  source: str) -> bool:
-        """Make the rows those of the list, as discovery at `source` told it at its `version`; was there
-        anything to write? `known`: what is listed of some upstreams, None: of all, with the addresses that
-        all know. Raises StoreError, and Malformed where one can't be a row: then nothing is written."""
+    async def put(
+        self,
+        known: Callable[[Iterable[int] | None], Iterable[Endpoint]],
+        token: int,
+        version: int,
+        source: str,
+    ) -> bool:
+        """Make the rows those of the list, as discovery at `source` told it at its `version`; was
+        there anything to write? `known`: what is listed of some upstreams, None: of all, with the
+        addresses that all know. Raises StoreError, and Malformed where one can't be a row: then
+        nothing is written.
+        """
         if not self.read_there:
             await self.read()
         wanted = {self.keys.upstream(e.entry.id): rows.packed(e) for e in known(self.touched)}
@@ -84,7 +97,9 @@
         self.touched = set()
         self.read_there = False  # until all is written
         for batch in batches:
-            await self._write(batch, ListRow(token, self.number + 1, version, source, int(unix_s())))
+            await self._write(
+                batch, ListRow(token, self.number + 1, version, source, int(unix_s()))
+            )
         self.read_there = True
         return bool(batches)
 
@@ -120,7 +135,9 @@
         return _order(self.word)
 
     def take(self, whole: bool, changed: Iterable[Row]) -> list[Endpoint]:
-        """The upstreams that changed, those that went as gone; rows are such as `rows.check` let through."""
+        """The upstreams that changed, those that went as gone; rows are such as `rows.check` let
+        through.
+        """
         if whole:
             self.endpoints, self.word = {}, None
         told: list[Endpoint] = []
@@ -141,8 +158,9 @@
 
 
 class StoredList:
-    """The list as the store has it, for who only looks at it now and then: rows or document, whichever is the
-    later owner's. Rows are read anew only where the owner has written since."""
+    """The list as the store has it, for who only looks at it now and then: rows or document,
+    whichever is the later owner's. Rows are read anew only where the owner has written since.
+    """
 
     def __init__(self, client: Client, service: str) -> None:
         self.client = client
@@ -150,8 +168,12 @@
         self.version = 0
         self.saved: SavedList | None = None
 
-    async def of(self, document: protocol.Row, word: protocol.Row, stale: bool = False) -> SavedList | None:
-        """`document` and `word`: the rows of `list/SERVICE` and of the owner's word. Raises StoreError."""
+    async def of(
+        self, document: protocol.Row, word: protocol.Row, stale: bool = False
+    ) -> SavedList | None:
+        """`document` and `word`: the rows of `list/SERVICE` and of the owner's word. Raises
+        StoreError.
+        """
         saved: SavedList | None = decoded(document, SavedList)
         said = _word(word)
         if said is None or (saved is not None and saved.token > said.token):
@@ -159,8 +181,9 @@
         if self.saved is None or self.version != word.version:
             found = await self.client.scan(self.keys.upstreams, stale=stale)
             endpoints = [e for e in map(_endpoint, found.rows) if e is not None]
-            self.saved = SavedList(said.at, save_list(endpoints), said.token, said.number, said.version,
-                                   said.source)
+            self.saved = SavedList(
+                said.at, save_list(endpoints), said.token, said.number, said.version, said.source
+            )
             self.version = word.version
         return self.saved
 
--- a/lanelift/daemon/rows.py
+++ b/lanelift/daemon/rows.py
@@ -1,10 +1,13 @@
-"""What stands in the rows of the feed that a balancer goes by, and which rows have to be written. Pure.
+"""What stands in the rows of the feed that a balancer goes by, and which rows have to be written.
+Pure.
 
     feed/service:SERVICE/service/SERVICE     the service; every other row of its scope names it
     feed/service:SERVICE/list/SERVICE        the list owner's last word: each of its writes has one
-    feed/service:SERVICE/upstream/ID         an upstream; ID is its number in lower-case hex, 16 digits
+    feed/service:SERVICE/upstream/ID         an upstream; ID is its number in lower-case hex, 16
+    digits
 
-Values are msgpack arrays. Fields are only ever added at the end: what knows fewer reads the ones it knows.
+Values are msgpack arrays. Fields are only ever added at the end: what knows fewer reads the ones it
+knows.
 """
 
 from __future__ import annotations
@@ -41,8 +44,9 @@
 
 
 class ListRow(msgspec.Struct, frozen=True, array_like=True):
-    """The list's owner has written under `token` so often (`number`), the last time at `at` (Unix seconds),
-    as discovery at `source` told it at its `version`."""
+    """The list's owner has written under `token` so often (`number`), the last time at `at` (Unix
+    seconds), as discovery at `source` told it at its `version`.
+    """
 
     token: int
     number: int
@@ -71,16 +75,28 @@
         return f"{self.upstreams}{number:016x}"
 
 
-# ---- an upstream's row -------------------------------------------------------------------------------------
+# ---- an upstream's row ---------------------------------------------------------------------------
 
 
 def row_of(endpoint: Endpoint) -> UpstreamRow:
-    """An upstream with the address that all know. Equal in every process that heard the same of it. Raises
-    Malformed where no balancer would take the row."""
+    """An upstream with the address that all know. Equal in every process that heard the same of it.
+    Raises Malformed where no balancer would take the row.
+    """
     e = endpoint.entry
-    weight = int(e.weight) if e.weight == int(e.weight) else e.weight  # a whole one takes a byte, not nine
-    row = UpstreamRow(e.id, endpoint.host, endpoint.port, e.zone, e.kind, e.cell, weight, endpoint.started_ms,
-                      e.state is api.State.DRAINING)
+    weight = (
+        int(e.weight) if e.weight == int(e.weight) else e.weight
+    )  # a whole one takes a byte, not nine
+    row = UpstreamRow(
+        e.id,
+        endpoint.host,
+        endpoint.port,
+        e.zone,
+        e.kind,
+        e.cell,
+        weight,
+        endpoint.started_ms,
+        e.state is api.State.DRAINING,
+    )
     wrong = _wrong(row)
     if wrong:
         raise Malformed(wrong)
@@ -94,8 +110,10 @@
     except (Malformed, ValueError, OverflowError) as error:
         raise Malformed(f"upstream {endpoint.entry.id:016x}: {error}") from None
     if len(value) > MOST_ROW:
-        raise Malformed(f"upstream {endpoint.entry.id:016x}: a row has {MOST_ROW} bytes at most,"
-                        f" not {len(value)}")
+        raise Malformed(
+            f"upstream {endpoint.entry.id:016x}: a row has {MOST_ROW} bytes at most,"
+            f" not {len(value)}"
+        )
     return value
 
 
@@ -120,7 +138,7 @@
     return Endpoint(api.Upstream(number, api.State.GONE), "", 0)
 
 
-# ---- what a balancer takes --------------------------------------------------------------------------------
+# ---- what a balancer takes -----------------------------------------------------------------------
 
 
 def check(scope: str, row: Row) -> str:
@@ -132,7 +150,9 @@
     try:
         if kind == "upstream" and service:
             found = unpack_upstream(row.value)
-            return _wrong(found) or ("" if name == f"{found.id:016x}" else f"its id is {found.id:016x}")
+            return _wrong(found) or (
+                "" if name == f"{found.id:016x}" else f"its id is {found.id:016x}"
+            )
         if kind == "service" and service:
             named = _services.decode(row.value).name
             return "" if name == named == service else f"it says {named[:80]!r}"
@@ -158,15 +178,21 @@
     return ""
 
 
-# ---- what is to be written --------------------------------------------------------------------------------
+# ---- what is to be written -----------------------------------------------------------------------
 
 
-def differences(stored: Mapping[str, tuple[int, bytes]], wanted: Mapping[str, bytes],
-                most: int = MOST_OPS) -> list[Batch]:
-    """The writes that turn what stands, version and value by key, into what is wanted: only what differs, in
-    the order of keys, so that equal work is equal writes; what goes is deleted after all else is there. Each
-    operation is bound to the version that stands, none has more than `most`."""
-    ops = [Op(key, value, stored[key][0] if key in stored else 0)
-           for key, value in sorted(wanted.items()) if key not in stored or stored[key][1] != value]
+def differences(
+    stored: Mapping[str, tuple[int, bytes]], wanted: Mapping[str, bytes], most: int = MOST_OPS
+) -> list[Batch]:
+    """The writes that turn what stands, version and value by key, into what is wanted: only what
+    differs, in the order of keys, so that equal work is equal writes; what goes is deleted after
+    all else is there. Each operation is bound to the version that stands, none has more than
+    `most`.
+    """
+    ops = [
+        Op(key, value, stored[key][0] if key in stored else 0)
+        for key, value in sorted(wanted.items())
+        if key not in stored or stored[key][1] != value
+    ]
     ops += [Op(key, None, stored[key][0]) for key in sorted(stored.keys() - wanted.keys())]
-    return [tuple(ops[at:at + most]) for at in range(0, len(ops), most)]
+    return [tuple(ops[at : at + most]) for at in range(0, len(ops), most)]
--- a/lanelift/daemon/saved.py
+++ b/lanelift/daemon/saved.py
@@ -1,4 +1,6 @@
-"""Lists and learnt state as they stand in the store: with clock time in place of a process's own."""
+"""Lists and learnt state as they stand in the store: with clock time in place of a process's
+own.
+"""
 
 from __future__ import annotations
 
@@ -38,8 +40,9 @@
 
 
 class SavedList(msgspec.Struct, frozen=True):
-    """`token`: of the owner that put it, and its count of lists; 0 where a program without owners did.
-    `version`: discovery's own, which counts for itself at each `source`."""
+    """`token`: of the owner that put it, and its count of lists; 0 where a program without owners
+    did. `version`: discovery's own, which counts for itself at each `source`.
+    """
 
     at: float
     servers: list[SavedEndpoint]
@@ -64,40 +67,92 @@
 
 def save_list(endpoints: list[Endpoint]) -> list[SavedEndpoint]:
     """In a fixed order, so that equal lists are equal bytes."""
-    return sorted((SavedEndpoint(e.entry.id, e.host, e.port, e.entry.zone, e.entry.kind, e.entry.cell,
-                                 e.entry.weight, e.started_ms / 1000, e.entry.state is api.State.DRAINING)
-                   for e in endpoints), key=lambda s: s.id)
+    return sorted(
+        (
+            SavedEndpoint(
+                e.entry.id,
+                e.host,
+                e.port,
+                e.entry.zone,
+                e.entry.kind,
+                e.entry.cell,
+                e.entry.weight,
+                e.started_ms / 1000,
+                e.entry.state is api.State.DRAINING,
+            )
+            for e in endpoints
+        ),
+        key=lambda s: s.id,
+    )
 
 
 def load_list(saved: SavedList) -> list[Endpoint]:
     """The endpoints as they were listed."""
-    return [Endpoint(api.Upstream(s.id, api.State.DRAINING if s.draining else api.State.READY, s.zone, s.cell,
-                                  s.weight, kind=s.kind), s.host, s.port, round(s.started * 1000))
-            for s in saved.servers]
+    return [
+        Endpoint(
+            api.Upstream(
+                s.id,
+                api.State.DRAINING if s.draining else api.State.READY,
+                s.zone,
+                s.cell,
+                s.weight,
+                kind=s.kind,
+            ),
+            s.host,
+            s.port,
+            round(s.started * 1000),
+        )
+        for s in saved.servers
+    ]
 
 
 def save_learnt(learnt: api.Learnt, listed: Mapping[int, Endpoint]) -> SavedLearnt:
     """`listed`: the upstreams as they are listed; what was learnt of others is not kept."""
-    paces = {n: (round(pace, 4), listed[n].started_ms / 1000)
-             for n, (pace, _) in learnt.paces.items() if n in listed}
-    return SavedLearnt(unix_s(), learnt.rate, dict(learnt.demands), dict(learnt.taken), learnt.each_ns,
-                       learnt.calm, learnt.window, paces)
+    paces = {
+        n: (round(pace, 4), listed[n].started_ms / 1000)
+        for n, (pace, _) in learnt.paces.items()
+        if n in listed
+    }
+    return SavedLearnt(
+        unix_s(),
+        learnt.rate,
+        dict(learnt.demands),
+        dict(learnt.taken),
+        learnt.each_ns,
+        learnt.calm,
+        learnt.window,
+        paces,
+    )
 
 
 def load_learnt(saved: SavedLearnt, listed: Mapping[int, Endpoint]) -> api.Learnt | None:
-    """`listed`: upstreams as they are listed now; what was learnt of an earlier start is left out. None where
-    nobody can tell how old it is: the clock was stepped."""
+    """`listed`: upstreams as they are listed now; what was learnt of an earlier start is left out.
+    None where nobody can tell how old it is: the clock was stepped.
+    """
     age = age_s(saved.at)
     if age is None:
         return None
-    paces = {n: (pace, listed[n].entry.started_ns) for n, (pace, started) in saved.paces.items()
-             if n in listed and abs(listed[n].started_ms / 1000 - started) < SAME_START_S}
-    return api.Learnt(int(age * 1e9), saved.rate, saved.demands, saved.taken, saved.each_ns, saved.calm,
-                      saved.window, paces)
+    paces = {
+        n: (pace, listed[n].entry.started_ns)
+        for n, (pace, started) in saved.paces.items()
+        if n in listed and abs(listed[n].started_ms / 1000 - started) < SAME_START_S
+    }
+    return api.Learnt(
+        int(age * 1e9),
+        saved.rate,
+        saved.demands,
+        saved.taken,
+        saved.each_ns,
+        saved.calm,
+        saved.window,
+        paces,
+    )
 
 
 def decoded(row: Row, kind: type[Any]) -> Any:
-    """None where there is none, or it does not read: another version of the program may have written it."""
+    """None where there is none, or it does not read: another version of the program may have
+    written it.
+    """
     if row.value is None:
         return None
     try:
--- a/lanelift/daemon/settings.py
+++ b/lanelift/daemon/settings.py
@@ -1,5 +1,6 @@
-"""The operators' settings: a TOML file that stands in for the platform's JSON. Unknown keys, missing units
-and contradictions are one-line errors that name the file and the key."""
+"""The operators' settings: a TOML file that stands in for the platform's JSON. Unknown keys,
+missing units and contradictions are one-line errors that name the file and the key.
+"""
 
 from __future__ import annotations
 
@@ -95,8 +96,11 @@
         return "discovery and [[server]]: exactly one of the two tells which upstreams there are"
     if not f.classes:
         return "class: at least one is needed"
-    for what, names in (("class", [c.name for c in f.classes]), ("tenant", [t.name for t in f.tenants]),
-                        ("server", [s.id for s in f.servers])):
+    for what, names in (
+        ("class", [c.name for c in f.classes]),
+        ("tenant", [t.name for t in f.tenants]),
+        ("server", [s.id for s in f.servers]),
+    ):
         twice = repeated(names)
         if twice:
             return f"{what}: {twice} stands there twice"
@@ -135,8 +139,9 @@
 
 
 def read_raw(raw: Json, where: str) -> Config:
-    """The configuration from the operators' settings, parsed TOML; `where` they stand is told in errors.
-    Raises Malformed."""
+    """The configuration from the operators' settings, parsed TOML; `where` they stand is told in
+    errors. Raises Malformed.
+    """
     try:
         file = convert(raw, File)
         wrong = contradictions(file)
@@ -150,32 +155,72 @@
 def config(f: File) -> Config:
     fixed: Json | None = None
     if f.servers:
-        fixed = {"version": 1, "full": True, "servers": [
-            {"id": s.id, "addr": s.address, "zone": s.zone, "kind": s.kind, "cell": s.cell, "state": "Ready"}
-            for s in f.servers]}
+        fixed = {
+            "version": 1,
+            "full": True,
+            "servers": [
+                {
+                    "id": s.id,
+                    "addr": s.address,
+                    "zone": s.zone,
+                    "kind": s.kind,
+                    "cell": s.cell,
+                    "state": "Ready",
+                }
+                for s in f.servers
+            ],
+        }
         for server in f.servers:
             split_address(server.address)
         if len(read_list(fixed)[2]) != len(f.servers):
             raise Malformed("server: an address must be IP:PORT")
     listen = split_address(f.listen)
     discovery = split_address(f.discovery) if f.discovery else ("", 0)
-    return Config(listen, discovery, f.seed, f.limits.descriptors, read_settings(settings(f)), None, None, [],
-                  None, split_address(f.operators) if f.operators else None, f.name,
-                  f.limits.memory >> 20, Path(f.state) if f.state else None, fixed)
+    return Config(
+        listen,
+        discovery,
+        f.seed,
+        f.limits.descriptors,
+        read_settings(settings(f)),
+        None,
+        None,
+        [],
+        None,
+        split_address(f.operators) if f.operators else None,
+        f.name,
+        f.limits.memory >> 20,
+        Path(f.state) if f.state else None,
+        fixed,
+    )
 
 
 def settings(f: File) -> Json:
     """The settings object in the platform's form."""
     return {
-        "me": f.number, "replicas_of_me": f.of, "locality": f.zone,
+        "me": f.number,
+        "replicas_of_me": f.of,
+        "locality": f.zone,
         "registry_mode": "ask" if f.discovery and f.ask else "push",
-        "profiles": [write_class(c.name, c.effect == "safe", c.aim, c.deadline, c.worth) for c in f.classes],
-        "realms": [{"name": t.name, "share": t.share, "quota_per_s": float(t.quota)} for t in f.tenants],
-        "limits": {"send_cap": f.retries.attempts, "second_copies": f.retries.second_copies,
-                   "may_cancel": True, "probes": f.probes, "retry_after": f.retries.tell_when_to_return,
-                   "max_retry_after_ns": int(f.retries.longest_told), "max_open": f.limits.open_requests,
-                   "connect_timeout_ns": int(f.limits.connect),
-                   "conn_idle_ns": int(f.limits.idle_connections)},
-        "rules": {"stop_sending_within_ns": int(f.drains.grace), "cold_from": f.drains.cold_from,
-                  "cold_ns": int(f.drains.cold)},
+        "profiles": [
+            write_class(c.name, c.effect == "safe", c.aim, c.deadline, c.worth) for c in f.classes
+        ],
+        "realms": [
+            {"name": t.name, "share": t.share, "quota_per_s": float(t.quota)} for t in f.tenants
+        ],
+        "limits": {
+            "send_cap": f.retries.attempts,
+            "second_copies": f.retries.second_copies,
+            "may_cancel": True,
+            "probes": f.probes,
+            "retry_after": f.retries.tell_when_to_return,
+            "max_retry_after_ns": int(f.retries.longest_told),
+            "max_open": f.limits.open_requests,
+            "connect_timeout_ns": int(f.limits.connect),
+            "conn_idle_ns": int(f.limits.idle_connections),
+        },
+        "rules": {
+            "stop_sending_within_ns": int(f.drains.grace),
+            "cold_from": f.drains.cold_from,
+            "cold_ns": int(f.drains.cold),
+        },
     }
--- a/lanelift/daemon/sitewatch.py
+++ b/lanelift/daemon/sitewatch.py
@@ -1,10 +1,12 @@
-"""A balancer's part in what the fleet does about its sites, on the store and the wire: the decisions are
-`lanelift.sites.member`'s.
+"""A balancer's part in what the fleet does about its sites, on the store and the wire: the
+decisions are `lanelift.sites.member`'s.
 
     site/SERVICE/row/BALANCER    what this balancer sees, some times a minute
-    site/SERVICE/plan            courses and orders; their one owner puts them, and operators change courses
+    site/SERVICE/plan            courses and orders; their one owner puts them, and operators change
+    courses
     site/SERVICE/stands          that the plan still stands
-    site/SERVICE/tables          for each loss of a site, and of two, where the load goes: worked out
+    site/SERVICE/tables          for each loss of a site, and of two, where the load goes: worked
+    out
     beforehand
 """
 
@@ -43,8 +45,9 @@
 
 
 class PlanDoc(msgspec.Struct, frozen=True):
-    """As it stands in the store. `number` counts the owner's words under its token; `sites`: those that it is
-    for; what operators change of `courses` leaves both as they are."""
+    """As it stands in the store. `number` counts the owner's words under its token; `sites`: those
+    that it is for; what operators change of `courses` leaves both as they are.
+    """
 
     token: int = 0
     number: int = 0
@@ -95,15 +98,24 @@
 class SiteWatch:
     """Beside a driver; nothing of it holds the balancer up."""
 
-    def __init__(self, driver: Driver, client: Client, name: Owner, service: str, balancer: str,
-                 rng: random.Random) -> None:
+    def __init__(
+        self,
+        driver: Driver,
+        client: Client,
+        name: Owner,
+        service: str,
+        balancer: str,
+        rng: random.Random,
+    ) -> None:
         self.driver = driver
         self.client = client
         self.name = name
         self.balancer = balancer
         self.keys = SiteKeys(service)
         self.key = self.keys.rows + balancer
-        self.member = Member(driver.settings.zone, balancer, driver.settings.replicas_of_me, rng, clock_ns())
+        self.member = Member(
+            driver.settings.zone, balancer, driver.settings.replicas_of_me, rng, clock_ns()
+        )
         self.receiver = Receiver(Word())
         self.doc = PlanDoc()
         self.beat = 0
@@ -111,7 +123,7 @@
         self.there = False  # a row of this process stands in the store
         driver.tap = self._tap
 
-    # ---- what is seen ------------------------------------------------------------------------------------
+    # ---- what is seen ----------------------------------------------------------------------------
 
     def _tap(self, now: int, events: Sequence[api.Event]) -> None:
         """Beside the module, after each turn. Never raises: the balancer goes on without it."""
@@ -136,8 +148,11 @@
 
     def _turn(self) -> None:
         now = clock_ns()
-        boxes = {n: t.endpoint.entry.zone for n, t in self.driver.upstreams.targets.items()
-                 if t.endpoint.entry.state is api.State.READY and t.endpoint.entry.zone}
+        boxes = {
+            n: t.endpoint.entry.zone
+            for n, t in self.driver.upstreams.targets.items()
+            if t.endpoint.entry.state is api.State.READY and t.endpoint.entry.zone
+        }
         if boxes.keys() != self.member.evidence.boxes.keys():
             self.member.evidence.listed(boxes, now)
         turn = self.member.turn(now, self.name.holder.failures < SILENT)
@@ -149,8 +164,10 @@
             self.driver.post(turn.plan)
         owned = self.member.owned(now)
         if owned is not self.fresh and self.member.heard_ns:
-            log.info("sites: the owner's plan is %s", "followed" if owned else
-                     "old, or for other sites: going by what is seen here")
+            log.info(
+                "sites: the owner's plan is %s",
+                "followed" if owned else "old, or for other sites: going by what is seen here",
+            )
         self.fresh = owned
 
     def _sounded(self, number: int, result: api.Result, report: Report) -> None:
@@ -172,7 +189,7 @@
             with suppress(NotOwner):
                 await self.name.write([Op(self.key, None)], within_s=0.3)
 
-    # ---- the plan ----------------------------------------------------------------------------------------
+    # ---- the plan --------------------------------------------------------------------------------
 
     async def follow(self) -> None:
         """First what a majority has, then each change behind it. Raises StoreError."""
@@ -198,14 +215,23 @@
         if doc is None:
             return
         if not self.receiver.heed(Word(doc.token, doc.number)):
-            log.info("%s: the word of token %s is not heeded: token %s was heard", row.key,
-                     written(doc.token), written(self.receiver.highest.token))
+            log.info(
+                "%s: the word of token %s is not heeded: token %s was heard",
+                row.key,
+                written(doc.token),
+                written(self.receiver.highest.token),
+            )
             return
         for course in doc.courses:
             was = course_of(self.doc, course.site)
             if was.count != course.count:
-                log.info("site %s: %s at %.0f%%: %s", course.site, course.stage.value, 100 * course.part,
-                         course.why)
+                log.info(
+                    "site %s: %s at %.0f%%: %s",
+                    course.site,
+                    course.stage.value,
+                    100 * course.part,
+                    course.why,
+                )
         self.doc = doc
         held = {c.site: c.by for c in doc.courses if c.aim is not Aim.IN and c.part <= 0}
         self.member.ordered(doc.orders, frozenset(doc.sites), held, clock_ns())
@@ -213,14 +239,19 @@
     def _stands(self, row: Row) -> None:
         stands = decoded(row, Stands)
         if stands is not None:
-            if Word(stands.token, stands.number) == self.receiver.highest and stands.beat != self.beat:
+            if (
+                Word(stands.token, stands.number) == self.receiver.highest
+                and stands.beat != self.beat
+            ):
                 self.member.stands(clock_ns())
             self.beat = stands.beat
 
     def _tabled(self, row: Row) -> None:
         doc = decoded(row, TablesDoc)
         if doc is not None and not Word(doc.token).before(Word(self.receiver.highest.token)):
-            self.member.tables = {frozenset(t.lost): replace(t.orders, shares=doc.shares) for t in doc.tables}
+            self.member.tables = {
+                frozenset(t.lost): replace(t.orders, shares=doc.shares) for t in doc.tables
+            }
             self.member.tabled = frozenset(doc.sites)
 
     def _others(self, row: Row) -> None:
@@ -230,7 +261,9 @@
         if own is None or name == self.balancer or own.alone:
             evidence.said.pop(name, None)
             return
-        evidence.heard(name, Said(own.site, frozenset(own.answers), frozenset(own.silent)), 0, clock_ns())
+        evidence.heard(
+            name, Said(own.site, frozenset(own.answers), frozenset(own.silent)), 0, clock_ns()
+        )
 
 
 def with_course(doc: PlanDoc, course: Course) -> PlanDoc:
--- a/lanelift/daemon/siteworks.py
+++ b/lanelift/daemon/siteworks.py
@@ -1,5 +1,5 @@
-"""What the fleet does about its sites, as the work of one owner: it reads, has `lanelift.sites.planner`
-decide, and writes one step at a time, under its token.
+"""What the fleet does about its sites, as the work of one owner: it reads, has
+`lanelift.sites.planner` decide, and writes one step at a time, under its token.
 """
 
 from __future__ import annotations
@@ -40,7 +40,10 @@
 LOOK_S, CALM_S = 0.3, 0.6  # between two looks: while a site is not as usual, and while all are
 BEAT_S = 3.5
 AGAIN_S = 1.5  # orders that changed by figures alone are put no more often
-TABLES_PART, TABLES_S = 0.1, 5.0  # tables are put anew where the load changed by so much, and no more often
+TABLES_PART, TABLES_S = (
+    0.1,
+    5.0,
+)  # tables are put anew where the load changed by so much, and no more often
 LIST_OLD_S = 12.0
 CALM = Orders()
 
@@ -61,17 +64,28 @@
         return fleet_of(self.look.places.values(), self.look.worths, self.look.quotas, rows)
 
 
-async def look(client: Client, service: str, settings: api.Settings | None, ages: Ages,
-               usual: dict[str, int], stored: StoredList, starts: StartTimes) -> Looked:
+async def look(
+    client: Client,
+    service: str,
+    settings: api.Settings | None,
+    ages: Ages,
+    usual: dict[str, int],
+    stored: StoredList,
+    starts: StartTimes,
+) -> Looked:
     """Raises StoreError, Malformed where the operators' document does not read."""
     keys = SiteKeys(service)
     document = f"{places.DOCUMENT}/{service}"
-    found = await client.get(keys.plan, document_key(document), f"list/{service}", f"listed/{service}",
-                             stored.keys.list)
+    found = await client.get(
+        keys.plan, document_key(document), f"list/{service}", f"listed/{service}", stored.keys.list
+    )
     plan_row, place_row, list_row, standing, word = found.rows
     scanned, names = await client.scan(keys.rows), await client.scan(keys.names)
-    live = {row.key.removeprefix(keys.names) for row in names.rows
-            if row.value is not None and leases.unpack(row.value).held}
+    live = {
+        row.key.removeprefix(keys.names)
+        for row in names.rows
+        if row.value is not None and leases.unpack(row.value).held
+    }
     rows: dict[str, Told] = {}
     for row in scanned.rows:
         own = decoded(row, Own)
@@ -83,7 +97,9 @@
         described = documents.sites(document, place_row.value.decode())
     saved = await stored.of(list_row, word)
     fixed = saved is not None and not saved.source
-    list_age = 0.0 if fixed else ages.age_s("list", standing.version + list_row.version + word.version)
+    list_age = (
+        0.0 if fixed else ages.age_s("list", standing.version + list_row.version + word.version)
+    )
     ages.keep({"list", *(r.key for r in scanned.rows)})
     listed: dict[str, int] = {}
     cold = []
@@ -98,21 +114,43 @@
     for name, count in listed.items():
         usual[name] = max(usual.get(name, 0), count)
     fresh = [t for t in rows.values() if t.fresh]
-    blind = (f"there is no document {document}" if not described else
-             "no balancer tells what it sees" if not fresh else
-             f"the list of boxes is {list_age:.0f} s old" if list_age > LIST_OLD_S else "")
-    told = [(t.row.served, sum(load[2] for load in t.row.loads)) for t in fresh if t.row.served >= 0]
+    blind = (
+        f"there is no document {document}"
+        if not described
+        else "no balancer tells what it sees"
+        if not fresh
+        else f"the list of boxes is {list_age:.0f} s old"
+        if list_age > LIST_OLD_S
+        else ""
+    )
+    told = [
+        (t.row.served, sum(load[2] for load in t.row.loads)) for t in fresh if t.row.served >= 0
+    ]
     weight = sum(w for _, w in told)
     served = sum(s * w for s, w in told) / weight if weight > 0 else -1.0
-    worths = {k: c.worth for k, c in settings.classes.items()} if settings is not None else {
-        kind: 1.0 for t in rows.values() for kind, *_ in t.row.loads}
-    seen = Look(described, rows, worths, _quotas(settings, described), listed, dict(usual), tuple(cold),
-                served, blind)
+    worths = (
+        {k: c.worth for k, c in settings.classes.items()}
+        if settings is not None
+        else {kind: 1.0 for t in rows.values() for kind, *_ in t.row.loads}
+    )
+    seen = Look(
+        described,
+        rows,
+        worths,
+        _quotas(settings, described),
+        listed,
+        dict(usual),
+        tuple(cold),
+        served,
+        blind,
+    )
     return Looked(plan_row, decoded(plan_row, PlanDoc) or PlanDoc(), seen, tuple(sorted(described)))
 
 
 def _quotas(settings: api.Settings | None, described: Mapping[str, Place]) -> dict[str, float]:
-    """Each tenant's share in requests a second over all: as it is told, or of what all sites bear."""
+    """Each tenant's share in requests a second over all: as it is told, or of what all sites
+    bear.
+    """
     if settings is None or not settings.tenants:
         return {}
     whole = sum(t.share for t in settings.tenants.values()) or 1.0
@@ -135,8 +173,9 @@
         self.ages = Ages()
         self.stored = StoredList(self.client, self.service)
         self.starts = StartTimes()
-        self.planner = Planner(Rules(rules.cold_ns / 1e9, rules.cold_from, rules.fall_multiple),
-                               time.monotonic_ns())
+        self.planner = Planner(
+            Rules(rules.cold_ns / 1e9, rules.cold_from, rules.fall_multiple), time.monotonic_ns()
+        )
         self.number = self.beat = 0
         self.put_s = 0.0
         self.said = ""
@@ -150,12 +189,19 @@
             log.warning("sites: the work rests: %s", why)
         self.said = why
 
-    # ---- one look and one step ---------------------------------------------------------------------------
+    # ---- one look and one step -------------------------------------------------------------------
 
     async def turn(self) -> float:
         try:
-            seen = await look(self.client, self.service, self.settings, self.ages, self.usual,
-                              self.stored, self.starts)
+            seen = await look(
+                self.client,
+                self.service,
+                self.settings,
+                self.ages,
+                self.usual,
+                self.stored,
+                self.starts,
+            )
         except Malformed as error:
             self._say(str(error))
             return CALM_S
@@ -170,8 +216,15 @@
         planned = self.planner.plan(courses, seen.look, time.monotonic_ns())
         for was, now in zip(courses, planned.courses, strict=True):
             if was != now:
-                log.info("site %s: %s %.0f%% -> %s %.0f%%: %s", now.site, was.stage.value, 100 * was.part,
-                         now.stage.value, 100 * now.part, now.why)
+                log.info(
+                    "site %s: %s %.0f%% -> %s %.0f%%: %s",
+                    now.site,
+                    was.stage.value,
+                    100 * was.part,
+                    now.stage.value,
+                    100 * now.part,
+                    now.why,
+                )
         await self._put(seen, planned.courses, planned.orders)
         await self._tables(seen, planned.fleet)
         return CALM_S if all(c.well for c in planned.courses) else LOOK_S
@@ -188,7 +241,9 @@
         if steps or figures:
             self.number += 1
             fresh = PlanDoc(token, self.number, seen.sites, moved, made, unix_s())
-            await self.owner.write([Op(self.keys.plan, msgspec.json.encode(fresh), seen.plan.version)])
+            await self.owner.write(
+                [Op(self.keys.plan, msgspec.json.encode(fresh), seen.plan.version)]
+            )
             self.put_s = now
             self._tell_refused(made)
         elif now - self.put_s >= BEAT_S:
@@ -199,8 +254,11 @@
 
     def _tell_refused(self, made: Orders) -> None:
         classes = ", ".join(f"{part:.0%} of {k}" for k, part in made.classes.items())
-        now = (f"{made.excess:.0%} beyond shares, {made.repeats:.0%} of repeats"
-               + (", no copies" if not made.copies else "") + (f", {classes}" if classes else ""))
+        now = (
+            f"{made.excess:.0%} beyond shares, {made.repeats:.0%} of repeats"
+            + (", no copies" if not made.copies else "")
+            + (f", {classes}" if classes else "")
+        )
         if made.excess or self.refusing:
             log.info("sites: refused: %s", now if made.excess else "nothing more")
         self.refusing = bool(made.excess)
@@ -215,11 +273,15 @@
         found = await asyncio.to_thread(tables, fleet)  # it takes too long for a turn of the loop
         short = set(bearable(found))
         for gone in sorted(short - self.warned, key=sorted):
-            log.warning("sites: the others do not bear the loss of %s: %.0f%% of the worth would be left",
-                        " and ".join(sorted(gone)), 100 * found[gone].worth / max(1e-9, found[gone].usual))
+            log.warning(
+                "sites: the others do not bear the loss of %s: %.0f%% of the worth would be left",
+                " and ".join(sorted(gone)),
+                100 * found[gone].worth / max(1e-9, found[gone].usual),
+            )
         self.warned = short
-        rows = await asyncio.to_thread(lambda: tuple(saved(fleet, t, seen.look.rows)
-                                                     for t in found.values() if t.lost))
+        rows = await asyncio.to_thread(
+            lambda: tuple(saved(fleet, t, seen.look.rows) for t in found.values() if t.lost)
+        )
         shares = quotas(seen.look.rows, fleet)
         doc = TablesDoc(self.owner.token(), self.number, unix_s(), seen.sites, rows, shares)
         await self.owner.write([Op(self.keys.tables, msgspec.json.encode(doc))])
@@ -228,9 +290,18 @@
 
 def saved(fleet: Fleet, t: Table, rows: Mapping[str, Told]) -> TableRow:
     """A table as it stands in the store, with what would follow for each balancer."""
-    courses = [Course(n, stage=Stage.OUT, part=0.0) if n in t.lost else Course(n)
-               for n in sorted(fleet.places)]
+    courses = [
+        Course(n, stage=Stage.OUT, part=0.0) if n in t.lost else Course(n)
+        for n in sorted(fleet.places)
+    ]
     made = orders(fleet, courses, Ladder(0), rows, {}, 0)
-    return TableRow(tuple(sorted(t.lost)), {o: dict(to) for o, to in t.shares.items()}, t.admission.rung,
-                    round(t.admission.part, 4), {n: round(f, 4) for n, f in t.fill.items()},
-                    round(t.worth, 3), round(t.usual, 3), replace(made, shares={}))
+    return TableRow(
+        tuple(sorted(t.lost)),
+        {o: dict(to) for o, to in t.shares.items()},
+        t.admission.rung,
+        round(t.admission.part, 4),
+        {n: round(f, 4) for n, f in t.fill.items()},
+        round(t.worth, 3),
+        round(t.usual, 3),
+        replace(made, shares={}),
+    )
--- a/lanelift/decide/__init__.py
+++ b/lanelift/decide/__init__.py
@@ -1,5 +1,5 @@
-"""Every decision of lanelift, in modules of one job each. Pure: the types that they take and give are in
-`lanelift/interface.py`, what may be done at all is in `lanelift/rules.py`.
+"""Every decision of lanelift, in modules of one job each. Pure: the types that they take and give
+are in `lanelift/interface.py`, what may be done at all is in `lanelift/rules.py`.
 """
 
 from lanelift.decide.balancer import Balancer
