--- a/lanelift/decide/balancer.py
+++ b/lanelift/decide/balancer.py
@@ -1,6 +1,7 @@
 """The proxy: events in, actions out. Its types are in `lanelift/interface.py`.
 
-A request passes its tenant's Throttle, may wait in its pool's queue, and goes to the lightest upstream drawn.
+A request passes its tenant's Throttle, may wait in its pool's queue, and goes to the lightest
+upstream drawn.
 """
 
 from __future__ import annotations
@@ -21,9 +22,12 @@
 from lanelift.decide.throttle import Throttle
 from lanelift.decide.upstream import ERROR_FADE, FAULTY, Server
 
-ASK_NS = SECOND // 20, 5 * SECOND // 2  # over which first calls for a list are spread: none known, or one
-# The longest pause behind a call for a list that failed: a change counts as told 6 s after discovery had it
-# and could be reached, and two calls take time as well.
+ASK_NS = (
+    SECOND // 20,
+    5 * SECOND // 2,
+)  # over which first calls for a list are spread: none known, or one
+# The longest pause behind a call for a list that failed: a change counts as told 6 s after
+# discovery had it and could be reached, and two calls take time as well.
 ASK_AGAIN_NS = 2 * SECOND
 STUCK_PART: Final = 0.25  # of the window that overdue attempts may leave free, or one
 LOOK_NS = (SECOND // 333, SECOND // 100)  # of the aim: an answer that takes longer is late
@@ -43,7 +47,9 @@
         self.settings = settings
         self.rng = random.Random(seed)
         tenants = settings.tenants or {"": api.Tenant("")}
-        self.throttles = {name: Throttle(max(1e-6, t.share), self.rng, now) for name, t in tenants.items()}
+        self.throttles = {
+            name: Throttle(max(1e-6, t.share), self.rng, now) for name, t in tenants.items()
+        }
         self.rate = Rate(list(self.throttles.values()), now)
         self.crowding = Crowding()
         self.fleet = Fleet(settings, self.crowding, self.rng)
@@ -65,9 +71,13 @@
         self.failures = 0
         self.subscribed = settings.discovery_push
         if not self.subscribed:
-            # Proxies must not all ask together; but one that knows of no upstream serves nobody until it has.
-            self._later(now + int(self.rng.random() * min(ASK_NS[1], settings.rules.ask_within_ns / 4)),
-                        "subscribe", None)
+            # Proxies must not all ask together; but one that knows of no upstream serves nobody
+            # until it has.
+            self._later(
+                now + int(self.rng.random() * min(ASK_NS[1], settings.rules.ask_within_ns / 4)),
+                "subscribe",
+                None,
+            )
             self._later(now + int(self.rng.random() * ASK_NS[0]), "first", None)
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
@@ -103,8 +113,9 @@
         while self.due and self.due[0][0] <= now:
             at, _, what, about, extra = heapq.heappop(self.due)
             if what == "overdue" and now - at > LATE_NS:
-                # A proxy that is late itself can't say so of an upstream: the answer may lie here unread. It
-                # covers any want of time here, and hurts where a standstill of both is seen that much later.
+                # A proxy that is late itself can't say so of an upstream: the answer may lie here
+                # unread. It covers any want of time here, and hurts where a standstill of both is
+                # seen that much later.
                 self._later(2 * now - at, what, about, extra)
             else:
                 self._look(what, about, extra, now)
@@ -121,18 +132,26 @@
         """What it has learnt so far, for its successor."""
         return memory.learnt(self.throttles, self.rate, self.crowding, self.fleet)
 
-    def _later(self, at: int, what: str, about: Request | Throttle | Turn | None, extra: int = 0) -> None:
+    def _later(
+        self, at: int, what: str, about: Request | Throttle | Turn | None, extra: int = 0
+    ) -> None:
         self.count += 1
         heapq.heappush(self.due, (at, self.count, what, about, extra))
 
     def _arrival(self, e: api.Arrival, now: int) -> None:
         throttle = self.throttles.get(e.tenant) or next(iter(self.throttles.values()))
-        cls = self.settings.classes.get(e.class_name) or api.RequestClass(e.class_name, api.Effect.UNSAFE)
+        cls = self.settings.classes.get(e.class_name) or api.RequestClass(
+            e.class_name, api.Effect.UNSAFE
+        )
         asked = e.asked_ns or now
         aim = min(asked + cls.aim_ns, e.deadline_ns)
         pool = self.fleet.pool(cls)
-        hint = min(e.cost_hint_ns, cls.deadline_ns)  # a wild guess must not keep its timers for years
-        r = Request(e.request, cls, throttle, pool, e.deadline_ns, aim, hint, e.retry, e.whole, key=e.key)
+        hint = min(
+            e.cost_hint_ns, cls.deadline_ns
+        )  # a wild guess must not keep its timers for years
+        r = Request(
+            e.request, cls, throttle, pool, e.deadline_ns, aim, hint, e.retry, e.whole, key=e.key
+        )
         self.requests[r.id] = r
         expected = self.crowding.expected(r)
         waited = now - asked
@@ -140,13 +159,16 @@
             self._refuse(r, now)
             return
         if expected < cls.aim_ns < waited + expected and not (cls.late_worth or cls.stream):
-            # It waited unseen for so long, the proxy being late itself, that its answer would come too late.
-            # Served in turn, all would: work on those makes the ones behind them late as well. This covers
-            # any stretch in which the proxy had no time. It hurts where `expected` is far too high.
+            # It waited unseen for so long, the proxy being late itself, that its answer would come
+            # too late. Served in turn, all would: work on those makes the ones behind them late as
+            # well. This covers any stretch in which the proxy had no time. It hurts where
+            # `expected` is far too high.
             self._refuse(r, now)
             return
         self._set_give_up(r, expected, now)
-        self._later(r.give_up_ns, "give up", r)  # whatever comes, a request that waits is looked at then
+        self._later(
+            r.give_up_ns, "give up", r
+        )  # whatever comes, a request that waits is looked at then
         if cls.in_order and e.key:
             r.turn = self.turns.setdefault(e.key, Turn(e.key))
             r.turn.waiting.append(r)
@@ -154,15 +176,25 @@
         if r.has_turn(now):
             self._offer(r, now)
         else:
-            r.place = "turn"  # it holds no token meanwhile, and nobody waits behind it but its own key
+            r.place = (
+                "turn"  # it holds no token meanwhile, and nobody waits behind it but its own key
+            )
             self._later(r.turn_ns, "turn", r.turn)
 
     def _turned_away(self, r: Request, now: int) -> bool:
-        """Is it what the fleet refuses first while it has too little? Nothing that has begun is touched."""
+        """Is it what the fleet refuses first while it has too little? Nothing that has begun is
+        touched.
+        """
         plan, draw = self.plan, self.rng.random
         beyond = r.tenant.beyond(now) if plan.excess else False
-        return bool(beyond and draw() < plan.excess or r.retry and draw() < plan.repeats
-                    or plan.classes and draw() < plan.classes.get(r.cls.name, 0.0))
+        return bool(
+            beyond
+            and draw() < plan.excess
+            or r.retry
+            and draw() < plan.repeats
+            or plan.classes
+            and draw() < plan.classes.get(r.cls.name, 0.0)
+        )
 
     def _set_give_up(self, r: Request, expected: float, now: int) -> None:
         need = expected * (1 + self.crowding.spread)
@@ -225,11 +257,15 @@
     def _look_around(self, r: Request, now: int) -> None:
         r.place = "line"
         if self.fleet.looks:
-            # Own counts say little where proxies are many: the drawn upstreams are asked, the request waits.
-            # One question at a time is out at each: its answer serves all who wait for it. Where requests
-            # come faster than answers, each would need a connection. Who owes one for long is passed over.
+            # Own counts say little where proxies are many: the drawn upstreams are asked, the
+            # request waits. One question at a time is out at each: its answer serves all who wait
+            # for it. Where requests come faster than answers, each would need a connection. Who
+            # owes one for long is passed over.
             drawn = dict.fromkeys(r.pool.draw(LOOKS, now))
-            r.asked, r.asked_ns = [s for s in drawn if not s.asked_ns or now < s.asked_ns + self.look_ns], now
+            r.asked, r.asked_ns = (
+                [s for s in drawn if not s.asked_ns or now < s.asked_ns + self.look_ns],
+                now,
+            )
             for s in r.asked:
                 if not s.asked_ns:
                     s.asked_ns, s.unseen = now, 0
@@ -261,7 +297,9 @@
             self.crowding.note(r, a, e.took_ns)
             self.crowding.feel(e.took_ns / r.cls.aim_ns, bool(r.pool.blocked_ns), r.pool.width, now)
             if not server.own:
-                self.guest += 0.2 * (min(5.0, e.took_ns / max(1.0, self.crowding.expected(r))) - self.guest)
+                self.guest += 0.2 * (
+                    min(5.0, e.took_ns / max(1.0, self.crowding.expected(r))) - self.guest
+                )
             late = a.sent_ns + e.took_ns > r.aim_ns
             self.rate.good += not late
             self.rate.bad += late  # what a crowded fleet shows first
@@ -270,7 +308,12 @@
             server.breaks = 0
             if server.strikes and server.errors < FAULTY[0]:
                 server.strikes = server.barred_ns = 0
-        elif result in (api.Result.FULL, api.Result.TIMEOUT, api.Result.CONNECT_FAILED, api.Result.RESET):
+        elif result in (
+            api.Result.FULL,
+            api.Result.TIMEOUT,
+            api.Result.CONNECT_FAILED,
+            api.Result.RESET,
+        ):
             if result is api.Result.FULL or self.crowding.crowded():
                 self.crowding.feel(1.0, False, r.pool.width, now)
             self.rate.bad += 1
@@ -305,8 +348,14 @@
 
     def _again(self, r: Request, now: int) -> None:
         """Nothing is out and nothing was served: another attempt, or the final answer."""
-        if r.attempts and any(r.may_send(s, now, self.settings.limits)
-                              for s in self._choices(r) or r.pool.order[:1]) and now < r.give_up_ns:
+        if (
+            r.attempts
+            and any(
+                r.may_send(s, now, self.settings.limits)
+                for s in self._choices(r) or r.pool.order[:1]
+            )
+            and now < r.give_up_ns
+        ):
             r.pool.line.appendleft(r)
             self._look_around(r, now)
         else:
@@ -320,7 +369,9 @@
         return [s for s in r.pool.all() if r._same_group(s, first.server)]
 
     def _refuse(self, r: Request, now: int) -> None:
-        """The final answer of a request that is not served: refused if that is true, else failed."""
+        """The final answer of a request that is not served: refused if that is true, else
+        failed.
+        """
         if r.may_refuse():
             limits, (first, last) = self.settings.limits, self.plan.back_ns
             back = self.rng.uniform(0.25, 1.0) * min(limits.max_retry_after_ns, SECOND)
@@ -350,12 +401,16 @@
             self.subscribed = False
             self.failures += 1
             wait = ASK_AGAIN_NS * min(1.0, 2.0 ** (self.failures - 3)) * self.rng.uniform(0.4, 1.0)
-            self._later(now + int(min(wait, self.settings.rules.ask_within_ns * 0.8)), "subscribe", None)
+            self._later(
+                now + int(min(wait, self.settings.rules.ask_within_ns * 0.8)), "subscribe", None
+            )
         else:
             self.failures = self.failures if e.kind is api.ListKind.CACHED else 0
             self.fleet.learn(e, now)
 
-    def _look(self, what: str, about: Request | Throttle | Turn | None, extra: int, now: int) -> None:
+    def _look(
+        self, what: str, about: Request | Throttle | Turn | None, extra: int, now: int
+    ) -> None:
         if isinstance(about, Turn):
             self._turn_due(about, now)
         elif isinstance(about, Request):
@@ -366,7 +421,9 @@
                 self._overdue(about, extra, now)
             elif what == "late":
                 self._late(about, extra, now)
-        elif (what == "subscribe" or what == "first" and not self.fleet.ready) and not self.subscribed:
+        elif (
+            what == "subscribe" or what == "first" and not self.fleet.ready
+        ) and not self.subscribed:
             self.subscribed = True
             self.actions.append(api.Subscribe(True))
         elif isinstance(about, Throttle):
@@ -389,15 +446,24 @@
         self.stuck += 1
         self.fleet.bar(a, now, a.expected)
         self._later(a.server.barred_ns, "pump", None)
-        if r.pool.line or now + a.expected > r.aim_ns or a.server.strikes < 2 or not self.plan.copies:
-            return  # one late answer tells of long work, which a copy doubles; two in a row, of the upstream
+        if (
+            r.pool.line
+            or now + a.expected > r.aim_ns
+            or a.server.strikes < 2
+            or not self.plan.copies
+        ):
+            # one late answer tells of long work, which a copy doubles; two in a row, of the
+            # upstream
+            return
         server = r.pool.pick(now, self._choices(r))
         if server and r.may_send(server, now, self.settings.limits) and r.tenant.spare(now):
             self._send(r, server, now)
 
     def _late(self, r: Request, number: int, now: int) -> None:
-        """Its answer would be late, and worth nothing. While nobody waits for its place it may still come:
-        the work is done, and the client has an answer. Else its place goes to another."""
+        """Its answer would be late, and worth nothing. While nobody waits for its place it may
+        still come: the work is done, and the client has an answer. Else its place goes to
+        another.
+        """
         a = r.attempts[number]
         if a.result is not None or r.over:
             return
@@ -420,14 +486,20 @@
         able = pool.able(now) if pool.line else 0
         while pool.line:
             if not fleet.trusted:
-                jammed = True  # nowhere may be sent to: who waits may still be sent once the list is known
+                # nowhere may be sent to: who waits may still be sent once the list is known
+                jammed = True
                 break
             r = pool.line[0]
-            if r.asked and now < r.asked_ns + self.look_ns and any(s.load_ns < r.asked_ns for s in r.asked):
+            if (
+                r.asked
+                and now < r.asked_ns + self.look_ns
+                and any(s.load_ns < r.asked_ns for s in r.asked)
+            ):
                 break  # who waits for an answer to a question is not held up by a want of room
             pool.blocked_ns = pool.blocked_ns or now
-            # What stands still must not fill the window while other answers are quick; but where they are
-            # slow too, upstreams are crowded, and work whose answer is late still runs there.
+            # What stands still must not fill the window while other answers are quick; but where
+            # they are slow too, upstreams are crowded, and work whose answer is late still runs
+            # there.
             window = max(1.0, self.crowding.window * able)
             freed = max(1.0, STUCK_PART * window) * (1 if self.crowding.crowded() else 2)
             if self.out - min(self.stuck, freed) >= window:
@@ -435,12 +507,16 @@
                 break
             choices = self._choices(r) if r.attempts else None
             fresh = [s for s in r.asked if s.load_ns >= r.asked_ns and fleet.fit(s, now)]
-            failed = {a.server for a in r.attempts}  # it may fail there again: elsewhere, where that can be
+            failed = {
+                a.server for a in r.attempts
+            }  # it may fail there again: elsewhere, where that can be
             fresh = [s for s in fresh if s not in failed] or fresh
             r.asked = []
             server = pool.pick(now, fresh or choices, r.cls.effect is not api.Effect.SAFE, r.key)
             left = (r.aim_ns - now) / self.crowding.each
-            full = fresh and server and server.load >= 1 and (server.load + 1.5) * server.pace > left
+            full = (
+                fresh and server and server.load >= 1 and (server.load + 1.5) * server.pace > left
+            )
             if full or (server is None and choices is not None):
                 # All that it may go to are busy, or would answer late: it must not stop the line.
                 self.rate.unplaced += 1
@@ -500,7 +576,7 @@
                 pool.widen()
             elif (not pool.blocked_ns or self.guest > 1.5) and pool.width > pool.reach:
                 pool.width -= 1
-        for s in fleet.main.order[:min(fleet.main.width, SCAN)]:
+        for s in fleet.main.order[: min(fleet.main.width, SCAN)]:
             s.errors *= ERROR_FADE
         self.rate.adjust(now, self.crowding.stress - self.crowding.ease)
         fleet.borne += 0.2 * (self.rate.sent / max(1, fleet.main.width) - fleet.borne)
--- a/lanelift/decide/concurrency.py
+++ b/lanelift/decide/concurrency.py
@@ -10,22 +10,25 @@
 if TYPE_CHECKING:
     from lanelift.decide.requests import Attempt, Request
 
-# Requests of all proxies together in flight at each upstream: about one for each core, and half as many again
-# while others wait. What stands there beyond that wins nothing, and a crowd of it makes an upstream slow for
-# long. Requests do not come evenly: a proxy begins with the root of its part on top, and may come to WIDE.
+# Requests of all proxies together in flight at each upstream: about one for each core, and half as
+# many again while others wait. What stands there beyond that wins nothing, and a crowd of it makes
+# an upstream slow for long. Requests do not come evenly: a proxy begins with the root of its part
+# on top, and may come to WIDE.
 START_WINDOW: Final = 2
 WIDEST: Final = 1.5
 WIDE: Final = 10.0
 EASE = (0.35, 0.8)  # part of its aim that an attempt may take; times what it takes in good times
 CROWD: Final = 3.0
-# So long it takes to feel a crowd, and to take it for good times. Where answers are many this must not go by
-# their number: a crowd would pass for normal within a second, and one slow answer for a crowd.
+# So long it takes to feel a crowd, and to take it for good times. Where answers are many this must
+# not go by their number: a crowd would pass for normal within a second, and one slow answer for a
+# crowd.
 FELT_NS = SECOND // 4
 GROWN_USED_NS = 60 * SECOND
 STRESS_MAX: Final = 1.5  # worse than that counts no more
 STEP: Final = 0.5  # of the window for each outcome
-# Of an upstream that is met each second or so an answer moves the belief by the first part; the rarer it is
-# met, the more, to the second: in a large home one that turned slow must not take ten answers to be found.
+# Of an upstream that is met each second or so an answer moves the belief by the first part; the
+# rarer it is met, the more, to the second: in a large home one that turned slow must not take ten
+# answers to be found.
 PACE_FELT = (0.2, 0.5)
 PACE_FELT_NS = 4 * SECOND
 
@@ -33,16 +36,22 @@
 class Crowding:
     """Learns what requests take, and how many of this proxy's own may be in flight.
 
-    Extension: among hundreds of proxies own counts say little of an upstream, but all feel it when it is
-    crowded. Each keeps a window over all it has in flight; beyond it requests wait in the line.
+    Extension: among hundreds of proxies own counts say little of an upstream, but all feel it when
+    it is crowded. Each keeps a window over all it has in flight; beyond it requests wait in the
+    line.
     """
 
     def __init__(self) -> None:
-        self.start = self.window = 0.5  # own requests that may be in flight, for each upstream within reach
+        self.start = self.window = (
+            0.5  # own requests that may be in flight, for each upstream within reach
+        )
         self.widest = WIDEST * self.window
         self.stress = 0.0  # part of its aim that an answer took lately
         self.calm = EASE[0] / CROWD  # and takes in good times
-        self.gap, self.felt_ns = float(SECOND), 0  # time from one answer to the next, and the last one's
+        self.gap, self.felt_ns = (
+            float(SECOND),
+            0,
+        )  # time from one answer to the next, and the last one's
         self.ease = EASE[0]  # above this, upstreams are crowded
         self.seen = 0
         self.each = SECOND / 50  # time for each request that an upstream holds
@@ -63,7 +72,9 @@
         server = a.server
         name, base = ("", float(r.hint)) if r.hint else (r.cls.name, 1.0)
         was = self.taken.get(name)
-        self.taken[name] = took / base if was is None else was + 0.05 * (min(took / base, 8 * was) - was)
+        self.taken[name] = (
+            took / base if was is None else was + 0.05 * (min(took / base, 8 * was) - was)
+        )
         self.crowd(a, took)
         ratio = took / max(1.0, self.expected(r))
         self.spread += 0.05 * (min(3.0, abs(ratio / server.pace - 1)) - self.spread)
@@ -74,13 +85,17 @@
 
     def crowd(self, a: Attempt, took: int) -> None:
         if a.opens:
-            return  # it tells what opening a connection takes, and would pass for a crowd at each start
-        self.seen += 1  # the first ones count more: a proxy with little traffic can't wait for twenty
+            # it tells what opening a connection takes, and would pass for a crowd at each start
+            return
+        self.seen += (
+            1  # the first ones count more: a proxy with little traffic can't wait for twenty
+        )
         self.each += max(0.05, 1 / self.seen) * (max(1, took) / a.load - self.each)
 
     def begin(self, start: float, widest: float) -> None:
-        """A list came: what this proxy may have in flight before it knows better, and comes back to, and what
-        it may at most."""
+        """A list came: what this proxy may have in flight before it knows better, and comes back
+        to, and what it may at most.
+        """
         self.start, self.widest = start, widest
         if not self.seen:
             self.window = start
@@ -89,7 +104,9 @@
         return self.stress > self.ease
 
     def feel(self, stress: float, waiting: bool, width: int, now: int) -> None:
-        """An attempt took this part of its aim: widen the window while others wait, or narrow it."""
+        """An attempt took this part of its aim: widen the window while others wait, or narrow
+        it.
+        """
         stress = min(stress, STRESS_MAX)
         self.gap += 0.05 * (min(SECOND, now - self.felt_ns) - self.gap)
         self.felt_ns = now
--- a/lanelift/decide/fleet.py
+++ b/lanelift/decide/fleet.py
@@ -18,16 +18,20 @@
     from lanelift.decide.requests import Attempt
 
 # An upstream that lately met a key may do less work for it, and remembers few. So each key has some
-# upstreams of a home that are drawn for it and seem so much lighter. A home is such a part of the fleet at
-# least, or what all proxies send of one key falls on too many. So many keys are kept together with their
-# upstreams. While one upstream in so many is new, that is, started within so many times what it is cold, most
-# keys are met by nobody, and large homes only make each known the later: then homes are small.
+# upstreams of a home that are drawn for it and seem so much lighter. A home is such a part of the
+# fleet at least, or what all proxies send of one key falls on too many. So many keys are kept
+# together with their upstreams. While one upstream in so many is new, that is, started within so
+# many times what it is cold, most keys are met by nobody, and large homes only make each known the
+# later: then homes are small.
 NEW = 5, 3
 LOOKS: Final = 3  # upstreams asked for their load before a send, where that is cheap
 LOOK_PRICE: Final = 0.01  # most that the looks of a request may cost
 COLD_PART: Final = 0.7  # part of a cold upstream's budget that is used
 BAR_MAX = 3 * SECOND  # longest time for which an upstream is left alone
-BROKEN = (0.05, 3)  # part of all attempts whose breaks say nothing of an upstream, short of so many in a row
+BROKEN = (
+    0.05,
+    3,
+)  # part of all attempts whose breaks say nothing of an upstream, short of so many in a row
 
 
 class Fleet:
@@ -38,9 +42,14 @@
         self.crowding = crowding
         self.rng = rng
         self.servers: dict[int, Server] = {}
-        self.past: dict[int, tuple[float, int]] = {}  # learnt before a restart, of what is not listed yet
-        self.looks = (settings.limits.probes and "inflight" in settings.report_columns
-                      and settings.prices.probe * (LOOKS + 1) <= LOOK_PRICE)
+        self.past: dict[
+            int, tuple[float, int]
+        ] = {}  # learnt before a restart, of what is not listed yet
+        self.looks = (
+            settings.limits.probes
+            and "inflight" in settings.report_columns
+            and settings.prices.probe * (LOOKS + 1) <= LOOK_PRICE
+        )
         self.borne = 0.0  # own attempts a second that a warm upstream is seen to bear
         self.breaks = 0.0  # the part of all attempts whose connections broke lately
         self.keyed = True  # homes are large, for the keys that upstreams remember
@@ -101,9 +110,12 @@
         return s
 
     def recall(self, paces: Mapping[int, tuple[float, int]], trust: float) -> None:
-        """How fast upstreams were before a restart of this proxy; those not yet listed take it when they
-        are."""
-        self.past = {n: (1.0 + trust * (pace - 1.0), started) for n, (pace, started) in paces.items()}
+        """How fast upstreams were before a restart of this proxy; those not yet listed take it when
+        they are.
+        """
+        self.past = {
+            n: (1.0 + trust * (pace - 1.0), started) for n, (pace, started) in paces.items()
+        }
         for number in [n for n in self.past if n in self.servers]:
             self.remember(self.servers[number])
 
@@ -119,9 +131,14 @@
         self.alone[s.id] = s
 
     def ban(self, e: api.Ban, now: int) -> None:
-        """It holds whatever the lists say, until it is taken back. Then the upstream counts as cold."""
-        self.back = {number: at for number, at in self.back.items()
-                     if now - at < self.settings.rules.cold_ns and number != e.upstream}
+        """It holds whatever the lists say, until it is taken back. Then the upstream counts as
+        cold.
+        """
+        self.back = {
+            number: at
+            for number, at in self.back.items()
+            if now - at < self.settings.rules.cold_ns and number != e.upstream
+        }
         s = self.servers.get(e.upstream)
         if e.on:
             self.banned.add(e.upstream)
@@ -153,7 +170,7 @@
         lately = now - NEW[1] * self.settings.rules.cold_ns
         self.keyed = NEW[0] * self.ring.started_since(lately) <= len(ready)
         for pool in self.pools.values():
-            for s in pool.order[:pool.home]:
+            for s in pool.order[: pool.home]:
                 s.own = False
         for pool in self.pools.values():
             pool.arrange(self.ring, proxies)
@@ -166,19 +183,22 @@
         self.crowding.begin(own / max(1, self.main.home), widest / max(1, self.main.home))
 
     def forget(self, s: Server) -> None:
-        """What has gone and holds no attempt of ours any more is of no use: in time ids are ever new."""
+        """What has gone and holds no attempt of ours any more is of no use: in time ids are ever
+        new.
+        """
         if s.entry.state is api.State.GONE and not s.inflight:
             self.servers.pop(s.id, None)
             self.alone.pop(s.id, None)
 
     def judge(self, s: Server, error: bool) -> bool:
-        """Note an answer. Is it one error too many? An upstream that fails, and at once, seems the lightest
-        of all, and draws what may not be repeated. Where many fail alike, for a fault of the requests or on
-        the way, none is left alone for it."""
+        """Note an answer. Is it one error too many? An upstream that fails, and at once, seems the
+        lightest of all, and draws what may not be repeated. Where many fail alike, for a fault of
+        the requests or on the way, none is left alone for it.
+        """
         s.errors += ERROR_FELT[not error] * (error - s.errors)
         if not error or s.errors <= FAULTY[0]:
             return False
-        reach = self.main.order[:min(self.main.width, SCAN)]
+        reach = self.main.order[: min(self.main.width, SCAN)]
         alike = [o for o in reach if o.errors > FAULTY[0]]
         if len(alike) <= FAULTY[1] * len(reach):
             return True
@@ -187,19 +207,24 @@
         return False
 
     def broken(self, s: Server) -> bool:
-        """A connection broke. Has its upstream failed? Where connections break all the time, the way there or
-        what stands on it is at fault: with half the upstreams left alone for it, the others are crowded."""
+        """A connection broke. Has its upstream failed? Where connections break all the time, the
+        way there or what stands on it is at fault: with half the upstreams left alone for it, the
+        others are crowded.
+        """
         self.breaks += 0.02 * (1.0 - self.breaks)
         s.breaks += 1
         return self.breaks < BROKEN[0] or s.breaks >= BROKEN[1]
 
     def cold(self, s: Server, now: int) -> bool:
-        # A start may lie in the future, where clocks differ; it is cold all the same, if anything ever is.
+        # A start may lie in the future, where clocks differ; it is cold all the same, if anything
+        # ever is.
         return bool(s.started_ns) and now - s.started_ns < self.settings.rules.cold_ns > 0
 
     def cold_gap_ns(self, s: Server, now: int) -> int:
-        """Rule 4: the least time between sends to a cold upstream, so that all whose home it is in stay,
-        together, inside what it can bear now. A warm one bears what it is seen to bear, or one in `each`."""
+        """Rule 4: the least time between sends to a cold upstream, so that all whose home it is in
+        stay, together, inside what it can bear now. A warm one bears what it is seen to bear, or
+        one in `each`.
+        """
         rules = self.settings.rules
         dealt = self.plan.cold.get(s.id)
         if dealt is not None:
@@ -222,9 +247,11 @@
     def bar(self, a: Attempt, now: int, base: float) -> None:
         """Leave a failing upstream alone, longer each time, unless that would leave hardly any.
 
-        What was out there when it stood still fails together, though not at once: one strike for all that was
-        sent before it. Else a crowd of eight is seven strikes, one that is idle by then is left alone for
-        seconds, and what it had crowds the next. A stall that lasts is seen by the next attempt."""
+        What was out there when it stood still fails together, though not at once: one strike for
+        all that was sent before it. Else a crowd of eight is seven strikes, one that is idle by
+        then is left alone for seconds, and what it had crowds the next. A stall that lasts is seen
+        by the next attempt.
+        """
         s = a.server
         if s.barred_ns > now or a.sent_ns < s.struck_ns:
             return
--- a/lanelift/decide/memory.py
+++ b/lanelift/decide/memory.py
@@ -12,24 +12,41 @@
 from lanelift.decide.rate import EVIDENCE, Rate
 from lanelift.decide.throttle import START_RATE, Throttle
 
-# What was learnt before a restart is believed by half after so long, and not at all below a part; it counts
-# as so many outcomes. R comes back with room on top, more the older it is: too low a start starves tenants.
+# What was learnt before a restart is believed by half after so long, and not at all below a part;
+# it counts as so many outcomes. R comes back with room on top, more the older it is: too low a
+# start starves tenants.
 HALF_LIFE_NS = 60 * SECOND
 LEAST_BELIEF: Final = 0.05
 RECALLED: Final = 20
 HEADROOM: Final = 1.3
 
 
-def learnt(throttles: Mapping[str, Throttle], rate: Rate, crowding: Crowding, fleet: Fleet) -> api.Learnt:
+def learnt(
+    throttles: Mapping[str, Throttle], rate: Rate, crowding: Crowding, fleet: Fleet
+) -> api.Learnt:
     """What it has learnt so far."""
     demands = {name: t.demand for name, t in throttles.items()}
     paces = {s.id: (s.pace, s.started_ns) for s in fleet.ready}
-    return api.Learnt(0, rate.value if rate.value < START_RATE else 0.0, demands, dict(crowding.taken),
-                      crowding.each, crowding.calm, crowding.window, paces)
+    return api.Learnt(
+        0,
+        rate.value if rate.value < START_RATE else 0.0,
+        demands,
+        dict(crowding.taken),
+        crowding.each,
+        crowding.calm,
+        crowding.window,
+        paces,
+    )
 
 
-def recall(e: api.Learnt, now: int, throttles: Mapping[str, Throttle], rate: Rate, crowding: Crowding,
-           fleet: Fleet) -> None:
+def recall(
+    e: api.Learnt,
+    now: int,
+    throttles: Mapping[str, Throttle],
+    rate: Rate,
+    crowding: Crowding,
+    fleet: Fleet,
+) -> None:
     """Begin with what was learnt before a restart. What this proxy has seen by itself stands."""
     trust = 0.5 ** (max(0, e.age_ns) / HALF_LIFE_NS)
     c = crowding
--- a/lanelift/decide/rate.py
+++ b/lanelift/decide/rate.py
@@ -13,7 +13,9 @@
 BY_RATIO = attrgetter("ratio")
 BY_RATIO_AND_PLACE = attrgetter("ratio", "place")
 FEEDBACK_NS = SECOND // 2
-SLACK: Final = 0.2  # R comes down only when answers take this much more of their aim than is crowded
+SLACK: Final = (
+    0.2  # R comes down only when answers take this much more of their aim than is crowded
+)
 CLIMB = 1.1, 2.0  # of R in one interval: the second while nothing is crowded
 FEW_ASK: Final = 64  # tenants in one interval that are put into their order one by one
 CALM = -0.1  # stress is so far below crowded, and not one attempt in so many failed or was late
@@ -53,16 +55,19 @@
         self.sent = (self.good + self.bad) * SECOND / elapsed
         self.best = max(self.served, self.best * BEST_FADE)
         quick = excess < CALM
-        # Judged by what lately ended, not by this interval: of eight outcomes one is late on any good day.
+        # Judged by what lately ended, not by this interval: of eight outcomes one is late on any
+        # good day.
         excess += self.unplaced / max(1, total) - SLACK
         if excess > 0:
-            # After a shrink R stands far above what is served: come down to that first. But where what is
-            # sent is answered quickly, little was sent as little was let through, as in the rush of a start.
+            # After a shrink R stands far above what is served: come down to that first. But where
+            # what is sent is answered quickly, little was sent as little was let through, as in the
+            # rush of a start.
             top = self.value if quick else min(self.value, 1.2 * self.sent + 1)
             cut = top * (1 - min(DEEPEST_CUT, excess))
             self.value = max(LEAST * self.best, 0.9 * self.served, cut)
         elif total and any(t.short for t in self.throttles):
-            # Where nothing is crowded, what is short is R itself: it must not starve a fleet for seconds.
+            # Where nothing is crowded, what is short is R itself: it must not starve a fleet for
+            # seconds.
             calm = excess < CALM - SLACK and FEW * self.bad <= self.good
             climb = CLIMB[1] if calm else CLIMB[0]
             self.value = min(START_RATE, self.value * climb + 0.5)
@@ -80,7 +85,9 @@
         self._share(now)
 
     def _learn(self, elapsed: int) -> None:
-        """What each wants. Those that did not ask keep their order, as all want half as much as before."""
+        """What each wants. Those that did not ask keep their order, as all want half as much as
+        before.
+        """
         asked = [t for t in self.throttles if t.asked]
         order: list[Throttle] = []
         sort, ratio, place = len(asked) > FEW_ASK, 0.0, -1
@@ -88,7 +95,9 @@
             if not t.asked:
                 t.demand += 0.5 * (0.0 - t.demand)
                 t.ratio = t.demand / t.weight
-                sort = sort or t.ratio < ratio or t.ratio == ratio and t.place < place  # rounded near nothing
+                sort = (
+                    sort or t.ratio < ratio or t.ratio == ratio and t.place < place
+                )  # rounded near nothing
                 ratio, place = t.ratio, t.place
                 order.append(t)
         for t in asked:
@@ -115,11 +124,13 @@
             lent, fair = max(0.0, lent - t.lent), max(0.0, fair - t.fair)
             if t.ratio:
                 weights = max(1e-9, weights - t.weight)
-        # Each has its own phase of ticks, rounded at each step, which no sum of steps gives: so all take each
-        # step, also those that ask for nothing, and a step must be cheap.
+        # Each has its own phase of ticks, rounded at each step, which no sum of steps gives: so all
+        # take each step, also those that ask for nothing, and a step must be cheap.
         last = None
         for t in self.throttles:
             rate = max(max(0.05, self.value * t.weight / self.whole), t.lent + lent)
             t.set_rate(rate, now, last if last is not None and last.rate == rate else None)
             last = t  # those of one weight that ask for nothing have the same
-            t.over = t.demand > 1.1 * (t.fair + fair)  # it asks more than its share of what is served
+            t.over = t.demand > 1.1 * (
+                t.fair + fair
+            )  # it asks more than its share of what is served
--- a/lanelift/decide/requests.py
+++ b/lanelift/decide/requests.py
@@ -34,7 +34,9 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """What one request may still do: each send and refusal is proved legal here (rules 1 to 3, 5 and 6)."""
+    """What one request may still do: each send and refusal is proved legal here (rules 1 to 3, 5
+    and 6).
+    """
 
     id: str
     cls: api.RequestClass
@@ -66,8 +68,15 @@
 
     def verdict(self, server: Server, now: int, limits: api.Limits) -> rules.Verdict:
         """May it be sent to this upstream now?"""
-        attempt = rules.Attempt(now, self.deadline_ns, len(self.attempts), self.out, self.over,
-                                stream_begun=self.begun, body_at_hand=self.again or not self.attempts)
+        attempt = rules.Attempt(
+            now,
+            self.deadline_ns,
+            len(self.attempts),
+            self.out,
+            self.over,
+            stream_begun=self.begun,
+            body_at_hand=self.again or not self.attempts,
+        )
         verdict = rules.may_attempt(attempt, limits, rules.most_out(limits))
         if isinstance(verdict, Denied):
             return verdict
@@ -85,7 +94,11 @@
 
     def repeat_ns(self, now: int) -> int:
         """Rule 2: how long a repeat may yet begin, where that has an end; else 0."""
-        risky = [a for a in self.attempts if a.may_have_run] if self.cls.effect is api.Effect.KEYED else []
+        risky = (
+            [a for a in self.attempts if a.may_have_run]
+            if self.cls.effect is api.Effect.KEYED
+            else []
+        )
         return max(1, risky[0].sent_ns + self.cls.window_ns - now) if risky else 0
 
     def has_turn(self, now: int) -> bool:
@@ -105,7 +118,9 @@
 
 @dataclass(slots=True, eq=False)
 class Turn:
-    """Rule 5: the requests of one key, in the order taken; the first is the one whose turn it is."""
+    """Rule 5: the requests of one key, in the order taken; the first is the one whose turn it
+    is.
+    """
 
     key: str
     waiting: deque[Request] = field(default_factory=deque)
--- a/lanelift/decide/ring.py
+++ b/lanelift/decide/ring.py
@@ -1,6 +1,8 @@
-"""The upstreams that may be used, in the orders that decisions need, kept by each change of the list.
+"""The upstreams that may be used, in the orders that decisions need, kept by each change of the
+list.
 
-Nothing here looks at all of them but where a list is whole, or a class may go to a part of them only.
+Nothing here looks at all of them but where a list is whole, or a class may go to a part of them
+only.
 """
 
 from __future__ import annotations
@@ -13,9 +15,10 @@
 
 
 class Ring:
-    """`ready`: by their spots on the ring that all proxies compute alike; `near`: those of them whose way is
-    not farther than any; `mine`: in an order of this proxy's own; `starts`: the times of their last starts,
-    where known."""
+    """`ready`: by their spots on the ring that all proxies compute alike; `near`: those of them
+    whose way is not farther than any; `mine`: in an order of this proxy's own; `starts`: the times
+    of their last starts, where known.
+    """
 
     def __init__(self) -> None:
         self.ready: list[Server] = []
@@ -45,7 +48,9 @@
 
     def place(self, s: Server) -> None:
         """Whatever has changed of it."""
-        as_it_stands = s.placed and s.placed_near is (s.way == 1.0) and s.placed_start == s.started_ns
+        as_it_stands = (
+            s.placed and s.placed_near is (s.way == 1.0) and s.placed_start == s.started_ns
+        )
         if s.usable is s.placed and (as_it_stands or not s.placed):
             return
         if s.placed:
@@ -66,8 +71,9 @@
         return part
 
     def stretch(self, first: int, even: int, count: int) -> list[Server]:
-        """So many: from this place on the ring as it stands, up to `even`, then the near ones behind that,
-        then the others."""
+        """So many: from this place on the ring as it stands, up to `even`, then the near ones
+        behind that, then the others.
+        """
         ready, n = self.ready, len(self.ready)
         found = [ready[(first + i) % n] for i in range(min(even, count))]
         if len(found) < count:
@@ -94,8 +100,12 @@
                         break
         return found
 
-    def further(self, first: int, even: int, home: list[Server], some: list[Server]) -> list[Server]:
-        """Those of some that stand here and not in the home, in the order in which its stretch goes on."""
+    def further(
+        self, first: int, even: int, home: list[Server], some: list[Server]
+    ) -> list[Server]:
+        """Those of some that stand here and not in the home, in the order in which its stretch goes
+        on.
+        """
         n = len(self.ready)
         at_home = {s.id for s in home}
         found = []
--- a/lanelift/decide/throttle.py
+++ b/lanelift/decide/throttle.py
@@ -25,23 +25,32 @@
         self.hold = self.least = round(self.bank * HOLD_PART)  # C_J; and where none is held
         self.u = self.bank + self.hold  # starts full
         self.rate = START_RATE
-        self.credit = rng.random()  # phase of the ticks: proxies must not release their holds in step
+        self.credit = (
+            rng.random()
+        )  # phase of the ticks: proxies must not release their holds in step
         self.at = now
-        self.held: list[Request] = []  # an empty deque takes ten times the memory, and most hold none
+        self.held: list[
+            Request
+        ] = []  # an empty deque takes ten times the memory, and most hold none
         self.asked = 0
         self.demand = 0.0  # requests a second, learned
         self.waking = False  # a timer for the next token is set
         self.over = False
         self.short = False  # a request found no token since R was last set
-        self.share = 0.0  # requests a second within its share here, where the fleet's plan tells; else 0
+        self.share = (
+            0.0  # requests a second within its share here, where the fleet's plan tells; else 0
+        )
         self.share_left, self.share_ns = 0.0, now  # of a second's worth
         self.place = 0  # among all, as the settings list them
-        self.ratio = 0.0  # what it wants by its weight; of that it is given by R, and by what is served
+        self.ratio = (
+            0.0  # what it wants by its weight; of that it is given by R, and by what is served
+        )
         self.lent = self.fair = 0.0
 
     def set_rate(self, rate: float, now: int, like: Throttle | None = None) -> None:
-        """Change the rate and with it the capacities; tokens in the bank and requests held stay. `like`: one
-        that has this rate already."""
+        """Change the rate and with it the capacities; tokens in the bank and requests held stay.
+        `like`: one that has this rate already.
+        """
         self.accrue(now)
         balance = self.u - self.hold  # T - J
         self.rate = rate
@@ -52,7 +61,9 @@
 
     def beyond(self, now: int) -> bool:
         """Is this request more than its share, where that is told?"""
-        self.share_left = min(self.share, self.share_left + self.share * (now - self.share_ns) / SECOND)
+        self.share_left = min(
+            self.share, self.share_left + self.share * (now - self.share_ns) / SECOND
+        )
         self.share_ns = now
         if self.share_left < 1.0:
             return self.share > 0
@@ -80,7 +91,9 @@
         return None
 
     def spare(self, now: int) -> bool:
-        """Take a token for a copy or a client's retry, if fresh work leaves part of the bank unused."""
+        """Take a token for a copy or a client's retry, if fresh work leaves part of the bank
+        unused.
+        """
         self.accrue(now)
         if self.u - self.hold <= self.bank // 4:
             return False
--- a/lanelift/decide/upstream.py
+++ b/lanelift/decide/upstream.py
@@ -11,11 +11,12 @@
 BY_SPOT = attrgetter("spot")
 BY_TURN = attrgetter("turn")
 BY_WAY = attrgetter("way")
-# Part of errors above which an upstream is left alone, where no more than the second part of those within
-# reach are as bad; above the third, what may not be repeated goes elsewhere. One that fails in part still
-# does its share of the work: left alone sooner, it crowds the rest on a full day. A proxy among many meets
-# each upstream a few times a second: an error, of which a healthy one gives three in a thousand, counts for
-# more than the answers after it, or the trouble is over before it is believed. Unmet, a belief halves in 7 s.
+# Part of errors above which an upstream is left alone, where no more than the second part of those
+# within reach are as bad; above the third, what may not be repeated goes elsewhere. One that fails
+# in part still does its share of the work: left alone sooner, it crowds the rest on a full day. A
+# proxy among many meets each upstream a few times a second: an error, of which a healthy one gives
+# three in a thousand, counts for more than the answers after it, or the trouble is over before it
+# is believed. Unmet, a belief halves in 7 s.
 FAULTY = (0.9, 0.5, 0.1)
 ERROR_FELT = (0.3, 0.1)
 ERROR_FADE: Final = 0.95
@@ -24,7 +25,9 @@
 
 def mixed(number: int, salt: int) -> int:
     """A fixed scramble of an id: the same on every proxy, whatever the hash seed."""
-    x = (number * 0x9E3779B97F4A7C15 + salt * 0xD1B54A32D192ED03 + 0x632BE59BD9B4E019) & 0xFFFFFFFFFFFFFFFF
+    x = (
+        number * 0x9E3779B97F4A7C15 + salt * 0xD1B54A32D192ED03 + 0x632BE59BD9B4E019
+    ) & 0xFFFFFFFFFFFFFFFF
     x = ((x ^ (x >> 29)) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
     return x ^ (x >> 32)
 
@@ -65,11 +68,15 @@
 
     @property
     def started_ns(self) -> int:
-        """What was out is restarted meanwhile, and the list tells it late: back, it counts as new."""
+        """What was out is restarted meanwhile, and the list tells it late: back, it counts as
+        new.
+        """
         return max(self.entry.started_ns, self.back_ns)
 
 
 def weight(s: Server) -> float:
-    """How busy an upstream seems, by own requests there or its report, and by what it learned of it."""
+    """How busy an upstream seems, by own requests there or its report, and by what it learned of
+    it.
+    """
     # One that fails is free at once, and would seem the lightest of all.
     return (max(s.inflight, s.load) + 1) * s.pace * s.way / (1.0 - 0.9 * s.errors)
--- a/lanelift/errnos.py
+++ b/lanelift/errnos.py
@@ -1,7 +1,8 @@
-"""What a failed system call says: whose trouble it is, and so what follows. One table for all calls.
+"""What a failed system call says: whose trouble it is, and so what follows. One table for all
+calls.
 
-Source: the manual pages accept(2), socket(2), connect(2), recv(2), send(2), epoll_wait(2) and fsync(2) of
-Linux. What is not in a call's row is `REST` for it.
+Source: the manual pages accept(2), socket(2), connect(2), recv(2), send(2), epoll_wait(2) and
+fsync(2) of Linux. What is not in a call's row is `REST` for it.
 """
 
 from __future__ import annotations
@@ -32,21 +33,52 @@
 _EXHAUSTED = dict.fromkeys((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), Cause.HERE)
 TABLE: Mapping[Operation, Mapping[int, Cause]] = {
     # Linux passes errors of the new connection on as errors of accept: its client has gone.
-    Operation.ACCEPT: _EXHAUSTED | dict.fromkeys(
-        (errno.EINTR, errno.EAGAIN, errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT,
-         errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH,
-         errno.ECONNRESET, errno.ETIMEDOUT), Cause.TRANSIENT),
-    # No port is free here (EADDRNOTAVAIL, EADDRINUSE, EAGAIN), no way leads out (ENETUNREACH, ENETDOWN), a
-    # filter of this machine says no (EACCES, EPERM).
-    Operation.CONNECT: _EXHAUSTED | dict.fromkeys(
-        (errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.ENETUNREACH, errno.ENETDOWN,
-         errno.EACCES, errno.EPERM), Cause.HERE) | {errno.EINTR: Cause.TRANSIENT},
+    Operation.ACCEPT: _EXHAUSTED
+    | dict.fromkeys(
+        (
+            errno.EINTR,
+            errno.EAGAIN,
+            errno.ECONNABORTED,
+            errno.EPROTO,
+            errno.ENETDOWN,
+            errno.ENOPROTOOPT,
+            errno.EHOSTDOWN,
+            errno.ENONET,
+            errno.EHOSTUNREACH,
+            errno.EOPNOTSUPP,
+            errno.ENETUNREACH,
+            errno.ECONNRESET,
+            errno.ETIMEDOUT,
+        ),
+        Cause.TRANSIENT,
+    ),
+    # No port is free here (EADDRNOTAVAIL, EADDRINUSE, EAGAIN), no way leads out (ENETUNREACH,
+    # ENETDOWN), a filter of this machine says no (EACCES, EPERM).
+    Operation.CONNECT: _EXHAUSTED
+    | dict.fromkeys(
+        (
+            errno.EADDRNOTAVAIL,
+            errno.EADDRINUSE,
+            errno.EAGAIN,
+            errno.ENETUNREACH,
+            errno.ENETDOWN,
+            errno.EACCES,
+            errno.EPERM,
+        ),
+        Cause.HERE,
+    )
+    | {errno.EINTR: Cause.TRANSIENT},
     Operation.TRANSFER: _EXHAUSTED | {errno.EINTR: Cause.TRANSIENT, errno.EAGAIN: Cause.TRANSIENT},
     Operation.WAIT: {errno.EINTR: Cause.TRANSIENT},
     Operation.SYNC: {errno.EINTR: Cause.TRANSIENT},
 }
-REST = {Operation.ACCEPT: Cause.HERE, Operation.CONNECT: Cause.PEER, Operation.TRANSFER: Cause.PEER,
-        Operation.WAIT: Cause.HERE, Operation.SYNC: Cause.HERE}
+REST = {
+    Operation.ACCEPT: Cause.HERE,
+    Operation.CONNECT: Cause.PEER,
+    Operation.TRANSFER: Cause.PEER,
+    Operation.WAIT: Cause.HERE,
+    Operation.SYNC: Cause.HERE,
+}
 
 
 def cause(operation: Operation, error: BaseException) -> Cause:
--- a/lanelift/feed/cache.py
+++ b/lanelift/feed/cache.py
@@ -18,7 +18,9 @@
 
 
 class WatchCache:
-    """`changes`, `size`: most in the logs of all scopes together, and bytes; `scope_changes`: in one's."""
+    """`changes`, `size`: most in the logs of all scopes together, and bytes; `scope_changes`: in
+    one's.
+    """
 
     def __init__(self, changes: int, size: int, scope_changes: int) -> None:
         self.scopes: dict[str, Scope] = {}
@@ -35,14 +37,21 @@
         return scope
 
     def needs(self, name: str, cursor: int) -> int:
-        """Bytes of a snapshot for who stands there, one at least; 0 where the log goes on from it."""
+        """Bytes of a snapshot for who stands there, one at least; 0 where the log goes on from
+        it.
+        """
         scope = self.scopes.get(name)
         if scope is None:
             return 0 if cursor and cursor >= self._base else 1
         return 0 if cursor and scope.covers(cursor) else scope.bytes + 1
 
-    def load(self, revision: int, rows: Iterable[tuple[str, int, bytes]], base: int,
-             events: Iterable[FeedChange]) -> dict[str, Scope]:
+    def load(
+        self,
+        revision: int,
+        rows: Iterable[tuple[str, int, bytes]],
+        base: int,
+        events: Iterable[FeedChange],
+    ) -> dict[str, Scope]:
         """Everything anew; the scopes that were there, whose watchers are still to be moved."""
         old, stood = self.scopes, self.revision
         self.scopes, self._base, self.revision = {}, base, revision
@@ -54,7 +63,9 @@
         for change in events:
             if base < change.revision <= revision:
                 name, short = split(change.key)
-                self._note(self.scope(name), change.revision, Row(short, change.version, change.value))
+                self._note(
+                    self.scope(name), change.revision, Row(short, change.version, change.value)
+                )
         for name, before in old.items():
             scope = self.scope(name)
             if stood and not scope.log and before.digest == scope.digest:
@@ -62,7 +73,9 @@
         return old
 
     def apply(self, revision: int, changes: Sequence[FeedChange]) -> dict[Scope, Changed]:
-        """Whole revisions; the scopes changed. `trim` is due once those who stood there were told."""
+        """Whole revisions; the scopes changed. `trim` is due once those who stood there were
+        told.
+        """
         self.revision = revision
         touched: dict[Scope, Changed] = {}
         for change in changes:
@@ -94,7 +107,9 @@
             self.tidy(scope)
 
     def tidy(self, scope: Scope) -> None:
-        """Away with what nobody asks for; what its log no longer told is remembered for all such."""
+        """Away with what nobody asks for; what its log no longer told is remembered for all
+        such.
+        """
         if scope.idle and self.scopes.get(scope.name) is scope:
             del self.scopes[scope.name]
             self._base = max(self._base, scope.base)
--- a/lanelift/feed/digest.py
+++ b/lanelift/feed/digest.py
@@ -1,6 +1,7 @@
-"""A digest of a scope's rows: the sum, modulo 2**64, of a hash of each. Free of order, so it is kept up by
-adding and taking away; a sum and no exclusive or, so a row that counts twice shows. It finds faults, not
-malice."""
+"""A digest of a scope's rows: the sum, modulo 2**64, of a hash of each. Free of order, so it is
+kept up by adding and taking away; a sum and no exclusive or, so a row that counts twice shows. It
+finds faults, not malice.
+"""
 
 from __future__ import annotations
 
--- a/lanelift/feed/fanout.py
+++ b/lanelift/feed/fanout.py
@@ -1,10 +1,12 @@
-"""A node's side of the feed: the rows it knows, who is subscribed to which scopes, what each is to be told.
-
-Pure: the store's changes and subscribers' words go in with the clock, words for subscribers come out. A
-change costs one encoding a scope and one `Send` for each who watches it; who is idle costs nothing but a
-bookmark now and then. A subscriber that can't take more has its scopes marked and is told their last state
-when it can: in each scope it sees whole revisions only, in order, some of them drawn together; *across*
-scopes no order is promised. Deltas go out at once; snapshots wait in a queue, paced in bytes a second.
+"""A node's side of the feed: the rows it knows, who is subscribed to which scopes, what each is to
+be told.
+
+Pure: the store's changes and subscribers' words go in with the clock, words for subscribers come
+out. A change costs one encoding a scope and one `Send` for each who watches it; who is idle costs
+nothing but a bookmark now and then. A subscriber that can't take more has its scopes marked and is
+told their last state when it can: in each scope it sees whole revisions only, in order, some of
+them drawn together; *across* scopes no order is promised. Deltas go out at once; snapshots wait in
+a queue, paced in bytes a second.
 """
 
 from __future__ import annotations
@@ -53,10 +55,12 @@
 
 
 class FanoutLimits(msgspec.Struct, frozen=True):
-    """`snapshot_bytes_s`, `snapshot_burst`: of all snapshots together. `waiting_most`: subscribers in the
-    queue for them, beyond which newcomers that need one are asked to come later, after `later_least_ms` to
-    `later_most_ms`. `log_changes`, `log_bytes`: of all scopes; `scope_changes`: of one. `window_bytes`: sent
-    to one subscriber and not acknowledged. `bookmark_scopes`: digests in a bookmark, in turn."""
+    """`snapshot_bytes_s`, `snapshot_burst`: of all snapshots together. `waiting_most`: subscribers
+    in the queue for them, beyond which newcomers that need one are asked to come later, after
+    `later_least_ms` to `later_most_ms`. `log_changes`, `log_bytes`: of all scopes; `scope_changes`:
+    of one. `window_bytes`: sent to one subscriber and not acknowledged. `bookmark_scopes`: digests
+    in a bookmark, in turn.
+    """
 
     snapshot_bytes_s: int = 8 << 20
     snapshot_burst: int = 1 << 20
@@ -90,8 +94,14 @@
         self.subscribers: dict[int, Subscriber] = {}
         self.patches = Patches(limits.cache_bytes, limits.part_bytes)
         self._bookmarks: OrderedDict[Subscriber, int] = OrderedDict()  # when the next is due
-        self._waiting = Waiting(limits.waiting_most, limits.snapshot_bytes_s, limits.snapshot_burst,
-                                limits.later_least_ms, limits.later_most_ms, now)
+        self._waiting = Waiting(
+            limits.waiting_most,
+            limits.snapshot_bytes_s,
+            limits.snapshot_burst,
+            limits.later_least_ms,
+            limits.later_most_ms,
+            now,
+        )
         self._parked: list[tuple[int, int, Subscriber]] = []  # heap: revision that it takes, turn
         self._parks = 0
         self._refusing: dict[Subscriber, None] = {}
@@ -102,18 +112,29 @@
 
     # The store
 
-    def load(self, revision: int, rows: Iterable[tuple[str, int, bytes]], base: int,
-             events: Iterable[FeedChange], now: int) -> None:
-        """All rows as of `revision`, and the changes in (base, revision]: at the start, and when a snapshot
-        of the store was installed. Subscribers stay. Where the changes go on from what is known, they are
-        all that is taken. Raises ValueError where it goes back."""
+    def load(
+        self,
+        revision: int,
+        rows: Iterable[tuple[str, int, bytes]],
+        base: int,
+        events: Iterable[FeedChange],
+        now: int,
+    ) -> None:
+        """All rows as of `revision`, and the changes in (base, revision]: at the start, and when a
+        snapshot of the store was installed. Subscribers stay. Where the changes go on from what is
+        known, they are all that is taken. Raises ValueError where it goes back.
+        """
         if revision < self.revision or not 0 <= base <= revision:
-            raise ValueError(f"rows of revision {revision} on a base of {base}, after {self.revision}")
+            raise ValueError(
+                f"rows of revision {revision} on a base of {base}, after {self.revision}"
+            )
         self._now = now
         stood = self.revision
         if stood > 0 and base <= stood:
             if revision > stood:
-                self.applied(revision, [one for one in events if stood < one.revision <= revision], now)
+                self.applied(
+                    revision, [one for one in events if stood < one.revision <= revision], now
+                )
             return
         self.patches.clear()
         old = self.cache.load(revision, rows, base, events)
@@ -127,8 +148,10 @@
         self._pump(now)
 
     def applied(self, revision: int, changes: Sequence[FeedChange], now: int) -> None:
-        """What the store changed up to `revision`, whole revisions, in order; said also where none of it were
-        rows, for who comes from a node that is further is parked until this one is. Raises ValueError."""
+        """What the store changed up to `revision`, whole revisions, in order; said also where none
+        of it were rows, for who comes from a node that is further is parked until this one is.
+        Raises ValueError.
+        """
         if revision <= self.revision:
             raise ValueError(f"revision {revision} comes after {self.revision}")
         self._now = now
@@ -226,7 +249,10 @@
         """Those whom the node has caught up with."""
         while self._parked and self._parked[0][0] <= self.revision:
             subscriber = heapq.heappop(self._parked)[2]
-            if subscriber.parked is not None and max(subscriber.parked.values(), default=0) <= self.revision:
+            if (
+                subscriber.parked is not None
+                and max(subscriber.parked.values(), default=0) <= self.revision
+            ):
                 cursors, subscriber.parked = subscriber.parked, None
                 self._begin(subscriber, cursors, now)
 
@@ -236,10 +262,12 @@
         subscriber.announce = True
         self._serve(subscriber, now)
 
-    def _place(self, subscriber: Subscriber, name: str, cursor: int, now: int,
-               late: Late | None = None) -> None:
-        """Among the watchers of a scope, from this cursor; 0: nothing is known. `late`: since when it was
-        behind there already."""
+    def _place(
+        self, subscriber: Subscriber, name: str, cursor: int, now: int, late: Late | None = None
+    ) -> None:
+        """Among the watchers of a scope, from this cursor; 0: nothing is known. `late`: since when
+        it was behind there already.
+        """
         scope = self.cache.scope(name)
         scope.watchers[subscriber] = None
         subscriber.scopes[name] = scope
@@ -274,7 +302,9 @@
         self.cache.tidy(scope)
 
     def _move(self, subscriber: Subscriber, stood: int, now: int) -> None:
-        """Over to the scopes as they were loaded anew; where it was up to date, it was so at `stood`."""
+        """Over to the scopes as they were loaded anew; where it was up to date, it was so at
+        `stood`.
+        """
         self._waiting.leave(subscriber)
         for name in list(subscriber.scopes):
             late = self._lift(subscriber, name)
@@ -318,10 +348,15 @@
 
     def _reached(self, subscriber: Subscriber, ask: Reached, now: int) -> None:
         if not subscriber.acknowledged <= ask.sequence <= subscriber.sequence:
-            raise BadWord(f"reached {ask.sequence} of {subscriber.sequence}, after {subscriber.acknowledged}")
+            raise BadWord(
+                f"reached {ask.sequence} of {subscriber.sequence}, after {subscriber.acknowledged}"
+            )
         if len(ask.refused) > MOST_REFUSALS or any(
-                len(one.scope) + len(one.key) + len(one.why) > MOST_REFUSAL for one in ask.refused):
-            raise BadWord(f"over {MOST_REFUSALS} refusals, or one of over {MOST_REFUSAL} characters")
+            len(one.scope) + len(one.key) + len(one.why) > MOST_REFUSAL for one in ask.refused
+        ):
+            raise BadWord(
+                f"over {MOST_REFUSALS} refusals, or one of over {MOST_REFUSAL} characters"
+            )
         subscriber.acknowledged = ask.sequence
         under_way = subscriber.unacknowledged
         while under_way and under_way[0].sequence <= ask.sequence:
@@ -366,7 +401,9 @@
 
     def _send(self, subscriber: Subscriber, word: bytes, floor: int, name: str, now: int) -> None:
         subscriber.sequence += 1
-        subscriber.unacknowledged.append(Unacknowledged(subscriber.sequence, len(word), floor, now, name))
+        subscriber.unacknowledged.append(
+            Unacknowledged(subscriber.sequence, len(word), floor, now, name)
+        )
         subscriber.unacknowledged_bytes += len(word)
         self._post(subscriber, subscriber.sequence, word)
 
@@ -386,7 +423,12 @@
         self._flush(subscriber, now)
         if subscriber.pending and subscriber.writable:
             self._waiting.join(subscriber)
-        if subscriber.announce and subscriber.writable and not subscriber.dirty and not subscriber.pending:
+        if (
+            subscriber.announce
+            and subscriber.writable
+            and not subscriber.dirty
+            and not subscriber.pending
+        ):
             self._mark(subscriber)
 
     def _flush(self, subscriber: Subscriber, now: int) -> None:
@@ -416,7 +458,9 @@
             subscriber.dirty[scope.name] = Late(revision, (first or revision + 1) - 1, now)
 
     def _pump(self, now: int) -> None:
-        """Snapshots, as fast as they may go. Who can't take more leaves the queue and comes back to it."""
+        """Snapshots, as fast as they may go. Who can't take more leaves the queue and comes back to
+        it.
+        """
         while self._waiting:
             subscriber = self._waiting.first
             if not subscriber.pending or not subscriber.writable:
@@ -501,19 +545,32 @@
             else:
                 reached[lag[0]] += 1
                 lagging.append((lag[0], lag[1], subscriber.name))
-        laggards = tuple(Laggard(name, revision, (self._now - since) // MS)
-                         for revision, since, name in heapq.nsmallest(MOST_LAGGARDS, lagging))
-        refused = [Refused(subscriber.name, refusal)
-                   for subscriber in self._refusing for refusal in subscriber.refused]
+        laggards = tuple(
+            Laggard(name, revision, (self._now - since) // MS)
+            for revision, since, name in heapq.nsmallest(MOST_LAGGARDS, lagging)
+        )
+        refused = [
+            Refused(subscriber.name, refusal)
+            for subscriber in self._refusing
+            for refusal in subscriber.refused
+        ]
         return FeedStatus(
-            epoch=self.epoch, revision=self.revision, subscribers=len(self.subscribers),
-            reached=tuple(sorted(reached.items())[:MOST_REACHED]), laggards=laggards,
-            refusals=len(refused), refused=tuple(refused[:MOST_REFUSED]),
+            epoch=self.epoch,
+            revision=self.revision,
+            subscribers=len(self.subscribers),
+            reached=tuple(sorted(reached.items())[:MOST_REACHED]),
+            laggards=laggards,
+            refusals=len(refused),
+            refused=tuple(refused[:MOST_REFUSED]),
             parked=sum(subscriber.parked is not None for subscriber in self.subscribers.values()),
             waiting=sum(bool(subscriber.pending) for subscriber in self.subscribers.values()),
-            sent_bytes=self._sent_bytes, sent_words=self._sent_words,
-            encoded=self.patches.encoded, resumes=self._resumes, snapshots=self._snapshots,
-            later=self._later)
+            sent_bytes=self._sent_bytes,
+            sent_words=self._sent_words,
+            encoded=self.patches.encoded,
+            resumes=self._resumes,
+            snapshots=self._snapshots,
+            later=self._later,
+        )
 
 
 def _cursors(pairs: tuple[tuple[str, int], ...]) -> dict[str, int]:
--- a/lanelift/feed/pacing.py
+++ b/lanelift/feed/pacing.py
@@ -1,15 +1,20 @@
-"""How fast a node gives out snapshots, and when it asks those to come back for whom it has no room."""
+"""How fast a node gives out snapshots, and when it asks those to come back for whom it has no
+room.
+"""
 
 from __future__ import annotations
 
 NS = 1_000_000_000
 MS = 1_000_000
-GOLDEN = 0.6180339887498949  # successive multiples, modulo 1, are spread evenly however many there are
+GOLDEN = (
+    0.6180339887498949  # successive multiples, modulo 1, are spread evenly however many there are
+)
 
 
 class TokenBucket:
-    """Bytes, by the clock that is handed in. What is asked for is given as long as anything is left, so a
-    piece larger than the burst passes too, and is paid for afterwards."""
+    """Bytes, by the clock that is handed in. What is asked for is given as long as anything is
+    left, so a piece larger than the burst passes too, and is paid for afterwards.
+    """
 
     def __init__(self, bytes_s: int, burst: int, now: int) -> None:
         self._rate, self._burst, self._left, self._at = bytes_s, burst, float(burst), now
@@ -34,8 +39,9 @@
 
 
 class Slots:
-    """Moments at which those come back who found the queue full: one after another, as far apart as serving
-    each takes. Past `most_ms` they are spread over its later half."""
+    """Moments at which those come back who found the queue full: one after another, as far apart as
+    serving each takes. Past `most_ms` they are spread over its later half.
+    """
 
     def __init__(self, bytes_s: int, least_ms: int, most_ms: int) -> None:
         self._rate, self._least_ms, self._most_ms = bytes_s, least_ms, most_ms
--- a/lanelift/feed/scope.py
+++ b/lanelift/feed/scope.py
@@ -1,5 +1,6 @@
-"""One scope as a node keeps it: its rows, its last changes and their digest (Kubernetes' watch cache), and
-the patches made of them, each encoded once for all who stand at the same place."""
+"""One scope as a node keeps it: its rows, its last changes and their digest (Kubernetes' watch
+cache), and the patches made of them, each encoded once for all who stand at the same place.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,9 @@
 
 
 class FeedChange(NamedTuple):
-    """One change of a row by the store's log. `key` is whole; `value` is None where it was deleted."""
+    """One change of a row by the store's log. `key` is whole; `value` is None where it was
+    deleted.
+    """
 
     revision: int
     key: str
@@ -45,11 +48,23 @@
 
 
 class Scope:
-    """`revision`: of the last change, or one after which there was none. The log covers (base, revision]; who
-    stands at or past `base` goes on from it. So does who stands within `bridge`, two revisions between which
-    and `base` nothing changed, though the log does not tell."""
-
-    __slots__ = ("name", "rows", "digest", "bytes", "revision", "base", "bridge", "log", "logged", "watchers")
+    """`revision`: of the last change, or one after which there was none. The log covers (base,
+    revision]; who stands at or past `base` goes on from it. So does who stands within `bridge`, two
+    revisions between which and `base` nothing changed, though the log does not tell.
+    """
+
+    __slots__ = (
+        "name",
+        "rows",
+        "digest",
+        "bytes",
+        "revision",
+        "base",
+        "bridge",
+        "log",
+        "logged",
+        "watchers",
+    )
 
     def __init__(self, name: str, base: int) -> None:
         self.name = name
@@ -95,7 +110,9 @@
         return cursor >= self.base or self.bridge[0] <= cursor <= self.bridge[1]
 
     def place(self, cursor: int) -> int:
-        """The last revision up to `cursor` that the log knows: who stand between two changes stand alike."""
+        """The last revision up to `cursor` that the log knows: who stand between two changes stand
+        alike.
+        """
         if cursor < self.base:
             return self.bridge[0]
         for entry in reversed(self.log):
@@ -147,14 +164,19 @@
     rows = scope.rows.values() if whole else scope.since(after)
     cut = list(_cut(rows, part_bytes))
     since = 0 if whole else after
-    return Encoded(revision, tuple(
-        pack(Patch(scope.name, since, revision, whole, at == len(cut) - 1, scope.digest, part))
-        for at, part in enumerate(cut)))
+    return Encoded(
+        revision,
+        tuple(
+            pack(Patch(scope.name, since, revision, whole, at == len(cut) - 1, scope.digest, part))
+            for at, part in enumerate(cut)
+        ),
+    )
 
 
 class Patches:
-    """The encoded patches, kept while they may be asked for again, the last used longest, within `most`
-    bytes. `encoded` counts those that were made."""
+    """The encoded patches, kept while they may be asked for again, the last used longest, within
+    `most` bytes. `encoded` counts those that were made.
+    """
 
     def __init__(self, most: int, part_bytes: int) -> None:
         self._most, self._part_bytes = most, part_bytes
@@ -171,8 +193,9 @@
         return self._make(scope, after, scope.revision)
 
     def whole(self, scope: Scope, asked: int, revision: int) -> Encoded:
-        """All rows, as of `revision`, where the store stands now, or of an earlier one that is not before
-        `asked` and since which the scope did not change."""
+        """All rows, as of `revision`, where the store stands now, or of an earlier one that is not
+        before `asked` and since which the scope did not change.
+        """
         found = self._kept.get((scope.name, UNKNOWN))
         if found is not None and found.revision >= max(asked, scope.revision):
             self._kept.move_to_end((scope.name, UNKNOWN))
--- a/lanelift/feed/status.py
+++ b/lanelift/feed/status.py
@@ -10,8 +10,9 @@
 
 
 class Laggard(msgspec.Struct, frozen=True):
-    """`revision`: everything up to it is in force there. `since_ms`: for so long it has not been where the
-    node is."""
+    """`revision`: everything up to it is in force there. `since_ms`: for so long it has not been
+    where the node is.
+    """
 
     name: str
     revision: int
@@ -24,11 +25,12 @@
 
 
 class FeedStatus(msgspec.Struct, frozen=True):
-    """`reached`: revisions and on how many subscribers each is the last in force, the lowest first, 100 at
-    most: those that are not counted there have come further. A row that was refused counts as reached and
-    stands in `refusals`. `parked`: know more than the node; `waiting`: for snapshots. The rest are sums since
-    the start; `encoded`: patches made; `resumes`, `snapshots`: scopes that went on from the log, or whole;
-    `later`: subscriptions put off."""
+    """`reached`: revisions and on how many subscribers each is the last in force, the lowest first,
+    100 at most: those that are not counted there have come further. A row that was refused counts
+    as reached and stands in `refusals`. `parked`: know more than the node; `waiting`: for
+    snapshots. The rest are sums since the start; `encoded`: patches made; `resumes`, `snapshots`:
+    scopes that went on from the log, or whole; `later`: subscriptions put off.
+    """
 
     epoch: str
     revision: int
--- a/lanelift/feed/subscription.py
+++ b/lanelift/feed/subscription.py
@@ -1,10 +1,12 @@
-"""A balancer's side of the feed: what it knows of its scopes, and what it says to a node to hear the rest.
-
-Pure: words of the node and the clock go in, words for it, dials and rows to apply come out. Promised: a
-scope's rows are those of one revision of the store, but for rows refused, of which the last that was taken
-stands; that revision never falls while the store's epoch stays. Not promised: that two scopes stand at one
-revision, even where one write changed both; and that the node which says that there is nothing newer knows
-itself of all that there is: `age` counts from the last word of a node, not from the store's last write.
+"""A balancer's side of the feed: what it knows of its scopes, and what it says to a node to hear
+the rest.
+
+Pure: words of the node and the clock go in, words for it, dials and rows to apply come out.
+Promised: a scope's rows are those of one revision of the store, but for rows refused, of which the
+last that was taken stands; that revision never falls while the store's epoch stays. Not promised:
+that two scopes stand at one revision, even where one write changed both; and that the node which
+says that there is nothing newer knows itself of all that there is: `age` counts from the last word
+of a node, not from the store's last write.
 """
 
 from __future__ import annotations
@@ -36,19 +38,31 @@
 )
 from lanelift.feed.table import Check, ScopeTable, Stage
 
-__all__ = ["Action", "Apply", "Check", "Dial", "HangUp", "Say", "ScopeTable", "State", "Subscription",
-           "SubscriptionLimits"]
+__all__ = [
+    "Action",
+    "Apply",
+    "Check",
+    "Dial",
+    "HangUp",
+    "Say",
+    "ScopeTable",
+    "State",
+    "Subscription",
+    "SubscriptionLimits",
+]
 MS = 1_000_000
 NS = 1_000_000_000
 
 
 class SubscriptionLimits(msgspec.Struct, frozen=True):
-    """`dial_ns`: a connection takes so long at most. `silent_ns`: a node that says nothing for so long is
-    left; several of its bookmarks. `behind_ns`: so long a node that is behind is waited for. `backoff_ns`
-    doubles to `backoff_most_ns`, and any part of it is drawn. `later_most`: so often in a row a node may put
-    it off, each time for `later_ns` at most. `ack_ns`, `ack_bytes`: an acknowledgement waits so long, or for
-    so many bytes. `audit_rows`: so many rows are hashed at one look, every `audit_ns`; a scope of more is
-    looked through in pieces, at a bookmark that tells its digest."""
+    """`dial_ns`: a connection takes so long at most. `silent_ns`: a node that says nothing for so
+    long is left; several of its bookmarks. `behind_ns`: so long a node that is behind is waited
+    for. `backoff_ns` doubles to `backoff_most_ns`, and any part of it is drawn. `later_most`: so
+    often in a row a node may put it off, each time for `later_ns` at most. `ack_ns`, `ack_bytes`:
+    an acknowledgement waits so long, or for so many bytes. `audit_rows`: so many rows are hashed at
+    one look, every `audit_ns`; a scope of more is looked through in pieces, at a bookmark that
+    tells its digest.
+    """
 
     dial_ns: int = 5 * NS
     silent_ns: int = 16 * NS
@@ -88,8 +102,10 @@
 
 
 class Apply(msgspec.Struct, frozen=True):
-    """Rows that came into force. `whole`: they are all of the scope; else the last of each that changed,
-    deleted ones with None. Rows refused are not among them; in a whole scope the last that was taken is."""
+    """Rows that came into force. `whole`: they are all of the scope; else the last of each that
+    changed, deleted ones with None. Rows refused are not among them; in a whole scope the last that
+    was taken is.
+    """
 
     scope: str
     whole: bool
@@ -111,10 +127,19 @@
 
 
 class Subscription:
-    """It dials as soon as it is there, and again after each loss, as long as it is asked (`tick`)."""
-
-    def __init__(self, name: str, scopes: Collection[str], check: Check, limits: SubscriptionLimits,
-                 rng: Random, now: int) -> None:
+    """It dials as soon as it is there, and again after each loss, as long as it is asked
+    (`tick`).
+    """
+
+    def __init__(
+        self,
+        name: str,
+        scopes: Collection[str],
+        check: Check,
+        limits: SubscriptionLimits,
+        rng: Random,
+        now: int,
+    ) -> None:
         self.name, self.limits = name, limits
         self.state = State.RESTING
         self.epoch = ""
@@ -145,7 +170,9 @@
     # What is wanted, and how it stands
 
     def want(self, add: Collection[str], drop: Collection[str], now: int) -> None:
-        """Other scopes: all in one word. Those that are there, or not, stay so. Raises ValueError."""
+        """Other scopes: all in one word. Those that are there, or not, stay so. Raises
+        ValueError.
+        """
         new = [scope for scope in dict.fromkeys(add) if scope not in self.scopes or scope in drop]
         old = [scope for scope in dict.fromkeys(drop) if scope in self.scopes]
         wrong = [scope for scope in new if not is_scope(scope)]
@@ -177,7 +204,9 @@
         return all(table.known for table in self.scopes.values())
 
     def age(self, now: int) -> int:
-        """ns since a node last showed that it had nothing else to tell; since the start where none did."""
+        """ns since a node last showed that it had nothing else to tell; since the start where none
+        did.
+        """
         return now - self._current_at
 
     @property
@@ -203,8 +232,13 @@
         for table in self.scopes.values():
             table.generation = 1
             table.unstage()
-        self._say(Subscribe(self.name, epoch, tuple((scope, table.ask_from())
-                                                    for scope, table in self.scopes.items())))
+        self._say(
+            Subscribe(
+                self.name,
+                epoch,
+                tuple((scope, table.ask_from()) for scope, table in self.scopes.items()),
+            )
+        )
         self._refusals(now)
 
     def lost(self, why: str, now: int) -> None:
@@ -295,11 +329,17 @@
         if self._laters > self.limits.later_most:
             self._laters = 0
             self._turn += 1
-        self._wait("the node asks to come later", now + min(max(after_ms, 1) * MS, self.limits.later_ns))
+        self._wait(
+            "the node asks to come later", now + min(max(after_ms, 1) * MS, self.limits.later_ns)
+        )
 
     def _bookmark(self, generation: int, told: Bookmark, now: int) -> None:
         self._tries = self._laters = 0
-        mine = [table for table in self.scopes.values() if table.generation <= generation and table.known]
+        mine = [
+            table
+            for table in self.scopes.values()
+            if table.generation <= generation and table.known
+        ]
         for table in mine:
             table.cursor = max(table.cursor, told.revision)
         for scope, expected in told.digests:
@@ -329,7 +369,9 @@
         """A patch that is there whole."""
         if patch.whole:
             if patch.revision < table.cursor:
-                self._hang_up(f"{table.scope} went back from {table.cursor} to {patch.revision}", now)
+                self._hang_up(
+                    f"{table.scope} went back from {table.cursor} to {patch.revision}", now
+                )
                 return
             taken = table.whole(stage, patch.digest)
             if taken is None:  # made so: another node is to be asked
@@ -363,7 +405,7 @@
     def _refused(self) -> tuple[Refusal, ...]:
         found: list[Refusal] = []
         for table in self._refusing.values():
-            found += list(table.refused.values())[:MOST_REFUSALS - len(found)]
+            found += list(table.refused.values())[: MOST_REFUSALS - len(found)]
         return tuple(found)
 
     def _acknowledge(self) -> None:
@@ -378,7 +420,9 @@
     # What is wrong
 
     def _anew(self, table: ScopeTable, now: int) -> None:
-        """Rows of a scope are not what the node has: all of them anew; what is there stands meanwhile."""
+        """Rows of a scope are not what the node has: all of them anew; what is there stands
+        meanwhile.
+        """
         self.mended += 1
         if self._connected:
             self.generation += 1
@@ -403,7 +447,11 @@
         self._audit_at = now + self.limits.audit_ns
         audit = self._audits[0]
         table = audit.table
-        if self.scopes.get(table.scope) is not table or not table.known or audit.changes != table.changes:
+        if (
+            self.scopes.get(table.scope) is not table
+            or not table.known
+            or audit.changes != table.changes
+        ):
             self._audits.popleft()  # the next bookmark begins it again
             return
         for _ in range(self.limits.audit_rows):
--- a/lanelift/feed/table.py
+++ b/lanelift/feed/table.py
@@ -1,5 +1,6 @@
-"""One scope as a balancer keeps it: rows as they were told, and for those that it can't take the last that it
-could."""
+"""One scope as a balancer keeps it: rows as they were told, and for those that it can't take the
+last that it could.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +13,9 @@
 
 
 class Stage:
-    """The parts of one patch, until its last is there. What each row of a whole scope costs is spent as its
-    part comes, so that the last has not to do it for all."""
+    """The parts of one patch, until its last is there. What each row of a whole scope costs is
+    spent as its part comes, so that the last has not to do it for all.
+    """
 
     __slots__ = ("after", "revision", "whole", "rows", "sum", "refused")
 
@@ -38,9 +40,11 @@
 
 
 class ScopeTable:
-    """`rows`: as told, refused ones among them. `cursor`: the revision up to which they are known; it never
-    falls within an epoch. `known`: they were told whole and their digest was right; else the scope is asked
-    for anew, and the rows stand meanwhile. `generation`: words of an earlier one are not about this table."""
+    """`rows`: as told, refused ones among them. `cursor`: the revision up to which they are known;
+    it never falls within an epoch. `known`: they were told whole and their digest was right; else
+    the scope is asked for anew, and the rows stand meanwhile. `generation`: words of an earlier one
+    are not about this table.
+    """
 
     def __init__(self, scope: str, generation: int) -> None:
         self.scope = scope
@@ -50,7 +54,9 @@
         self.rows: dict[str, Row] = {}
         self.digest = 0
         self.refused: dict[str, Refusal] = {}
-        self._good: dict[str, Row] = {}  # what stands in the place of a refused row, where anything does
+        self._good: dict[
+            str, Row
+        ] = {}  # what stands in the place of a refused row, where anything does
         self._stage: Stage | None = None
         self.changes = 0  # of the rows, so that who looks through them in pieces notices
 
@@ -73,7 +79,9 @@
         return stage
 
     def delta(self, stage: Stage, expected: int) -> list[Row] | None:
-        """What is to be applied; None, and nothing changed, where the digest comes out otherwise."""
+        """What is to be applied; None, and nothing changed, where the digest comes out
+        otherwise.
+        """
         after = self.digest
         for row in stage.rows.values():
             after = digest.moved(after, self.rows.get(row.key), row)
--- a/lanelift/feed/waiting.py
+++ b/lanelift/feed/waiting.py
@@ -1,4 +1,6 @@
-"""The queue of those who wait for snapshots: bounded for newcomers, served as fast as bytes may go."""
+"""The queue of those who wait for snapshots: bounded for newcomers, served as fast as bytes may
+go.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +11,14 @@
 
 
 class Waiting:
-    """None in it is blocked by its own connection: who is, leaves, and joins again when it can go on.
-    `most`: from so many on it is full, for who is not subscribed yet; the others are bounded by how many
-    they are."""
-
-    def __init__(self, most: int, bytes_s: int, burst: int, least_ms: int, most_ms: int, now: int) -> None:
+    """None in it is blocked by its own connection: who is, leaves, and joins again when it can go
+    on. `most`: from so many on it is full, for who is not subscribed yet; the others are bounded by
+    how many they are.
+    """
+
+    def __init__(
+        self, most: int, bytes_s: int, burst: int, least_ms: int, most_ms: int, now: int
+    ) -> None:
         self._most = most
         self._queue: deque[Subscriber] = deque()
         self._backlog = 0  # bytes of all in it
--- a/lanelift/interface.py
+++ b/lanelift/interface.py
@@ -1,7 +1,8 @@
 """The interface of the decision module: its settings, the events it takes, the actions it gives.
 
-One `Balancer` (see `decide/`) is one proxy. It is handed the clock and a seed; it opens no socket, reads
-no clock and keeps no thread. All times are whole nanoseconds on the caller's clock. Nothing here decides.
+One `Balancer` (see `decide/`) is one proxy. It is handed the clock and a seed; it opens no socket,
+reads no clock and keeps no thread. All times are whole nanoseconds on the caller's clock. Nothing
+here decides.
 """
 
 from __future__ import annotations
@@ -94,7 +95,9 @@
     retry_after: bool = False
     max_retry_after_ns: int = 1_000_000_000
     connect_timeout_ns: int = 250_000_000
-    conn_idle_ns: int = 15_000_000_000  # an upstream closes a connection that has stood idle for this long
+    conn_idle_ns: int = (
+        15_000_000_000  # an upstream closes a connection that has stood idle for this long
+    )
     max_open: int = 20_000  # requests that a proxy may have open
 
 
@@ -146,7 +149,7 @@
     kind: str = ""  # the kind of machine
 
 
-# ---- events --------------------------------------------------------------------------------------------
+# ---- events --------------------------------------------------------------------------------------
 
 
 class ListUpdate(NamedTuple):
@@ -155,7 +158,9 @@
 
 
 class ListTrust(NamedTuple):
-    """May the list be gone by? Not where it is older than a change may go unknown: any upstream may drain."""
+    """May the list be gone by? Not where it is older than a change may go unknown: any upstream may
+    drain.
+    """
 
     trusted: bool
 
@@ -175,7 +180,9 @@
 
 
 class BodyWhole(NamedTuple):
-    """The last byte of a request that was taken before has come: an upstream starts to work only now."""
+    """The last byte of a request that was taken before has come: an upstream starts to work only
+    now.
+    """
 
     request: str
     deadline_ns: int
@@ -227,15 +234,18 @@
 
 
 class Ban(NamedTuple):
-    """Operators took an upstream out, or put it back. What discovery says of it is another matter."""
+    """Operators took an upstream out, or put it back. What discovery says of it is another
+    matter.
+    """
 
     upstream: int
     on: bool = True
 
 
 class Learnt(NamedTuple):
-    """What a proxy had learnt when it was asked (`Balancer.learnt`), told to it, or to its successor, after a
-    restart. The older it is, the less of it is believed."""
+    """What a proxy had learnt when it was asked (`Balancer.learnt`), told to it, or to its
+    successor, after a restart. The older it is, the less of it is believed.
+    """
 
     age_ns: int = 0
     rate: float = 0.0  # requests a second that it let through at most; 0: not told
@@ -244,13 +254,15 @@
     each_ns: float = 0.0  # for each request that an upstream holds
     calm: float = 0.0  # part of its aim that an answer takes in good times
     window: float = 0.0  # own requests in flight for each upstream
-    # Upstream -> its time for a request against the fleet's, and the start of which that was learnt.
+    # Upstream -> its time for a request against the fleet's, and the start of which that was
+    # learnt.
     paces: Mapping[int, tuple[float, int]] = {}
 
 
 class Plan(NamedTuple):
-    """What the fleet does while a site is lost, emptied or coming back; it stands until the next one. The
-    empty one is that of a fleet that is well."""
+    """What the fleet does while a site is lost, emptied or coming back; it stands until the next
+    one. The empty one is that of a fleet that is well.
+    """
 
     # part of what its upstreams would be given; 0: none; not named: all of it
     zones: Mapping[str, float] = {}
@@ -259,14 +271,30 @@
     repeats: float = 0.0  # part refused of clients' repeats
     copies: bool = True  # second copies and late looks
     classes: Mapping[str, float] = {}  # class -> part refused of it, evenly over tenants
-    back_ns: tuple[int, int] = (0, 0)  # from when to when the refused shall try again; (0, 0): as usual
+    back_ns: tuple[int, int] = (
+        0,
+        0,
+    )  # from when to when the refused shall try again; (0, 0): as usual
     cold: Mapping[int, float] = {}  # cold upstream -> requests a second that this proxy may send it
 
 
-Event = (ListUpdate | ListTrust | Arrival | BodyWhole | Outcome | AnswerBegun | ClientGone | ProbeResult
-         | PeerMessage | Wake | Ban | Learnt | Plan)
+Event = (
+    ListUpdate
+    | ListTrust
+    | Arrival
+    | BodyWhole
+    | Outcome
+    | AnswerBegun
+    | ClientGone
+    | ProbeResult
+    | PeerMessage
+    | Wake
+    | Ban
+    | Learnt
+    | Plan
+)
 
-# ---- actions -------------------------------------------------------------------------------------------
+# ---- actions -------------------------------------------------------------------------------------
 
 
 class Send(NamedTuple):
@@ -275,7 +303,9 @@
     request: str
     upstream: int
     timeout_ns: int = 0  # 0: until the client gives up. It runs from the request's last byte
-    begin_ns: int = 0  # it may not begin later than this, as where a connection comes up late; 0: any time
+    begin_ns: int = (
+        0  # it may not begin later than this, as where a connection comes up late; 0: any time
+    )
 
 
 class Refuse(NamedTuple):
--- a/lanelift/lab/capacity/__init__.py
+++ b/lanelift/lab/capacity/__init__.py
@@ -1,1 +1,3 @@
-"""What one balancer process bears on one core, beside a bare relay on the same core in the same run."""
+"""What one balancer process bears on one core, beside a bare relay on the same core in the same
+run.
+"""
--- a/lanelift/lab/cluster/clients.py
+++ b/lanelift/lab/cluster/clients.py
@@ -1,5 +1,6 @@
-"""Clients of a simulated cluster: each does one thing at a time, tries again where no answer comes, and
-writes down what it saw."""
+"""Clients of a simulated cluster: each does one thing at a time, tries again where no answer comes,
+and writes down what it saw.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +52,10 @@
         self.began = self.cluster.now
         self.tries += 1
         if not self.session:
-            self.op, self.command = None, OpenSession(self.rng.getrandbits(48) | 1, f"client {self.number}")
+            self.op, self.command = (
+                None,
+                OpenSession(self.rng.getrandbits(48) | 1, f"client {self.number}"),
+            )
         elif self.rng.random() < 0.4:
             self.command = None
             self.op = Operation(self.number, self.rng.randrange(GROUPS), (), self.cluster.now)
@@ -91,8 +95,9 @@
         def answer(how: str, what: Any) -> None:
             # It comes back over a network that may lose it.
             if self.rng.random() >= self.cluster.network.loss:
-                self.cluster.at(self.rng.randint(MS // 2, 3 * MS),
-                                lambda: self._answer(attempt, to, how, what))
+                self.cluster.at(
+                    self.rng.randint(MS // 2, 3 * MS), lambda: self._answer(attempt, to, how, what)
+                )
 
         def arrive() -> None:
             if self.command is not None:
--- a/lanelift/lab/cluster/planted.py
+++ b/lanelift/lab/cluster/planted.py
@@ -6,7 +6,14 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from lanelift.lab.cluster.plans import Outcome, disturbed, early_read, figure_8, play, two_majorities
+from lanelift.lab.cluster.plans import (
+    Outcome,
+    disturbed,
+    early_read,
+    figure_8,
+    play,
+    two_majorities,
+)
 from lanelift.lab.cluster.sim import CONFIG, Cluster, Node
 from lanelift.store.raft.core import Batch, Config, Core
 from lanelift.store.raft.messages import Entry, VoteAsk
@@ -109,8 +116,10 @@
 
 def lying_disks(cluster: Cluster) -> None:
     """Syncs that return before anything is durable, now and then."""
+
     def lie(node: Node) -> Callable[[], bool]:
         return lambda: node.rng.random() < 0.3
+
     for node in cluster.nodes.values():
         node.disk.lying = lie(node)
 
@@ -129,7 +138,9 @@
 
 STEERED = {"figure 8": figure_8, "two majorities": two_majorities, "early read": early_read}
 PLANTS: dict[str, Plant] = {
-    "vote-without-sync": Plant(NoSyncBeforeVote, kinds=("power", "fuse", "all", "part", "slowdisk"), size=3),
+    "vote-without-sync": Plant(
+        NoSyncBeforeVote, kinds=("power", "fuse", "all", "part", "slowdisk"), size=3
+    ),
     "ack-without-sync": Plant(AckBeforeSync, kinds=("power", "all", "fuse", "slowdisk")),
     "lying-disk": Plant(Core, kinds=("power", "all", "kill"), prepare=lying_disks),
     "old-term-by-count": Plant(OldTermByCount, "figure 8", config=ONE_BY_ONE),
--- a/lanelift/lab/cluster/planted_owners.py
+++ b/lanelift/lab/cluster/planted_owners.py
@@ -1,4 +1,6 @@
-"""Owners, and the store under them, with one bug each, planted to see that the books of `owners` catch it."""
+"""Owners, and the store under them, with one bug each, planted to see that the books of `owners`
+catch it.
+"""
 
 from __future__ import annotations
 
@@ -38,6 +40,7 @@
 
     def begun(expiry: Expiry, running: Iterable[Running], now: int) -> None:
         real(expiry, [one._replace(ttl_ms=1) for one in running], now)
+
     with patch.object(Expiry, "__init__", begun):
         yield
 
@@ -49,6 +52,7 @@
 
     def claimed(lease: table.Lease, who: table.Claimant, token: int, time_ms: int) -> table.Outcome:
         return real(lease, who, time_ms // 500, time_ms)
+
     with patch.object(table, "claim", claimed):
         yield
 
@@ -65,8 +69,11 @@
     """A release is taken, whoever says it."""
     real = table.release
 
-    def released(lease: table.Lease, number: int, token: int, next_token: int, time_ms: int) -> table.Outcome:
+    def released(
+        lease: table.Lease, number: int, token: int, next_token: int, time_ms: int
+    ) -> table.Outcome:
         return real(lease, lease.claim or number, 0, next_token, time_ms)
+
     with patch.object(table, "release", released):
         yield
 
