--- a/lanelift/lab/feed/planted.py
+++ b/lanelift/lab/feed/planted.py
@@ -19,7 +19,9 @@
 _since, _keep, _serve = Scope.since, Scope.keep, Fanout._serve
 
 
-def _cursor_before_last_part(self: Subscription, generation: int, patch: Patch, size: int, now: int) -> None:
+def _cursor_before_last_part(
+    self: Subscription, generation: int, patch: Patch, size: int, now: int
+) -> None:
     """A scope's cursor moves on with the first part of a patch."""
     table = self.scopes.get(patch.scope)
     if table is not None and table.generation <= generation and not patch.last:
@@ -33,7 +35,9 @@
     _rescope(self, new, old, now)
 
 
-def _applies_dropped(self: Subscription, generation: int, patch: Patch, size: int, now: int) -> None:
+def _applies_dropped(
+    self: Subscription, generation: int, patch: Patch, size: int, now: int
+) -> None:
     """What is under way of a dropped scope is applied."""
     dropped = self.__dict__.get("dropped", {}).get(patch.scope)
     if patch.scope in self.scopes or dropped is None:
@@ -118,8 +122,10 @@
 BLIND = Plant(ScopeTable, "delta", _blind), Plant(Subscription, "_sound", lambda self, table: True)
 PLANTS: dict[str, tuple[Plant, ...]] = {
     "cursor-before-last-part": (Plant(Subscription, "_patch", _cursor_before_last_part),),
-    "dropped-scope-applied": (Plant(Subscription, "_rescope", _keeps_dropped),
-                              Plant(Subscription, "_patch", _applies_dropped)),
+    "dropped-scope-applied": (
+        Plant(Subscription, "_rescope", _keeps_dropped),
+        Plant(Subscription, "_patch", _applies_dropped),
+    ),
     "stale-coalescing": (Plant(Scope, "since", _first_of_each),),
     "lost-delete": (Plant(Scope, "since", _without_deletes),),
     "stale-coalescing-unseen-by-digests": (Plant(Scope, "since", _first_of_each), *BLIND),
--- a/lanelift/lab/hosts.py
+++ b/lanelift/lab/hosts.py
@@ -1,6 +1,8 @@
-"""Where the decision module's instances of a virtual run live: in this process, or spread over several.
+"""Where the decision module's instances of a virtual run live: in this process, or spread over
+several.
 
-An instance is handed its own events and the clock and nothing else, so where it lives changes no answer.
+An instance is handed its own events and the clock and nothing else, so where it lives changes no
+answer.
 """
 
 from __future__ import annotations
@@ -79,8 +81,10 @@
                 answers[number] = self.instances[number].handle(now, events)
             except Exception as error:
                 where = traceback.extract_tb(error.__traceback__)[-1]
-                raise Crashed(f"balancer {number}: {type(error).__name__}: {error} "
-                              f"at {where.name}:{where.lineno}") from error
+                raise Crashed(
+                    f"balancer {number}: {type(error).__name__}: {error} "
+                    f"at {where.name}:{where.lineno}"
+                ) from error
         self._spent_ns += time.perf_counter_ns() - began
         return answers
 
--- a/lanelift/lab/model/fleet.py
+++ b/lanelift/lab/model/fleet.py
@@ -18,8 +18,15 @@
 def entry_of(t: Topology, box: Box, number: int, state: State = State.READY) -> Entry:
     """A box as the list has it, under the id that balancers know it by."""
     zone = t.network.zones[box.number % len(t.network.zones)]
-    return Entry(box.number, number, zone, box.nature.machine, box.number // t.fleet.cell, state,
-                 box.started_ns)
+    return Entry(
+        box.number,
+        number,
+        zone,
+        box.nature.machine,
+        box.number // t.fleet.cell,
+        state,
+        box.started_ns,
+    )
 
 
 def build_fleet(t: Topology, seed: int, now: int) -> list[Box]:
@@ -35,7 +42,7 @@
             nature = draw_nature(t.fleet, m, draw)
             nature.speed = speeds[m.name] * (1.0 + 0.1 * (2 * rng.random() - 1))
             natures.append(nature)
-    natures = natures[:t.fleet.boxes]
+    natures = natures[: t.fleet.boxes]
     rng.shuffle(natures)
     lasts = draw.ns(t.fleet.key_memory)
     keys = draw.of(t.fleet.keys_per_core)
@@ -43,7 +50,7 @@
     memory = KeyMemory(lasts, 1)
     for i, nature in enumerate(natures):
         if i % t.fleet.cell == 0:
-            cores = sum(n.cores for n in natures[i:i + t.fleet.cell])
+            cores = sum(n.cores for n in natures[i : i + t.fleet.cell])
             memory = KeyMemory(lasts, max(1, round(keys * cores)))
         boxes.append(Box(i, nature, t.rules, memory, random.Random(f"{seed}/box/{i}"), now))
     return boxes
--- a/lanelift/lab/rig/books.py
+++ b/lanelift/lab/rig/books.py
@@ -1,6 +1,6 @@
-"""What a run is judged by. Nothing here is taken from the program's own account of itself but where the
-timeline says so: the store's changes are read past all relays, boxes write down what they begin, clients what
-they were told.
+"""What a run is judged by. Nothing here is taken from the program's own account of itself but where
+the timeline says so: the store's changes are read past all relays, boxes write down what they
+begin, clients what they were told.
 """
 
 from __future__ import annotations
@@ -44,9 +44,15 @@
     owned: list[Owned] = field(default_factory=list)
     leases: dict[str, Lease] = field(default_factory=dict)
     granted: dict[int, str] = field(default_factory=dict)  # token: which lease and claim
-    newest: dict[str, tuple[int, int, int]] = field(default_factory=dict)  # key: token, number, version
-    lists: list[tuple[float, int, int]] = field(default_factory=list)  # when, token, discovery's version
-    phases: dict[str, str] = field(default_factory=dict)  # boxes of the roll, as its document has them
+    newest: dict[str, tuple[int, int, int]] = field(
+        default_factory=dict
+    )  # key: token, number, version
+    lists: list[tuple[float, int, int]] = field(
+        default_factory=list
+    )  # when, token, discovery's version
+    phases: dict[str, str] = field(
+        default_factory=dict
+    )  # boxes of the roll, as its document has them
     roll: dict[str, Any] = field(default_factory=dict)
     out: set[str] = field(default_factory=set)  # the set of disabled names
     turned: Callable[[str, str], None] = lambda box, phase: None
@@ -116,12 +122,16 @@
                 self.turned(name, now)
 
     def whole(self) -> None:
-        """After all changes of a write: the set and the document say the same, and no more are out."""
+        """After all changes of a write: the set and the document say the same, and no more are
+        out.
+        """
         if not self.roll:
             return
         out = {name for name, phase in self.phases.items() if phase in ("out", "quiet")}
         if out != self.out & set(self.phases):
-            self.say(f"the roll says that {sorted(out)} are out, and the set has {sorted(self.out)}")
+            self.say(
+                f"the roll says that {sorted(out)} are out, and the set has {sorted(self.out)}"
+            )
         self.most_out = max(self.most_out, len(out))
         if len(out) > self.roll["at_once"]:
             self.say(f"{len(out)} boxes are out at once, and {self.roll['at_once']} may be")
@@ -148,7 +158,9 @@
             self.counts["owners"] += 1
 
     def _word(self, key: str, lease: str, value: bytes) -> None:
-        """An owner's word: by who owns it at that point of the log, and never older than one before it."""
+        """An owner's word: by who owns it at that point of the log, and never older than one before
+        it.
+        """
         raw = msgspec.json.decode(value)
         token, number = int(raw.get("token", 0)), int(raw.get("number", 0))
         holds = self.leases.get(lease)
@@ -161,8 +173,10 @@
         self.overwritten.discard(key)
         self.counts["owners' words"] += 1
         if holds is None or not holds.held or holds.token != token:
-            self.say(f"{key} was put under token {token}, and {lease} is held under"
-                     f" {holds.token if holds is not None and holds.held else 'none'}")
+            self.say(
+                f"{key} was put under token {token}, and {lease} is held under"
+                f" {holds.token if holds is not None and holds.held else 'none'}"
+            )
         version = int(raw.get("version", -1))
         old = self.newest.get(key, (0, 0, -1))
         if (token, number) < old[:2]:
@@ -174,6 +188,8 @@
         self.newest[key] = token, number, version
 
 
-def change_of_operators(key: str, word: tuple[int, int], before: tuple[int, int, int] | None) -> bool:
+def change_of_operators(
+    key: str, word: tuple[int, int], before: tuple[int, int, int] | None
+) -> bool:
     """They change the courses of sites, and leave the owner's word as it is."""
     return key.endswith("/plan") and word == (before[:2] if before else (0, 0))
--- a/lanelift/lab/silence.py
+++ b/lanelift/lab/silence.py
@@ -9,8 +9,9 @@
 
 
 def silence(listener: socket.socket) -> list[socket.socket]:
-    """Fill the kernel's queue of connections that wait to be accepted; nobody may accept meanwhile. Close
-    what is given back, and listen anew, to end it."""
+    """Fill the kernel's queue of connections that wait to be accepted; nobody may accept meanwhile.
+    Close what is given back, and listen anew, to end it.
+    """
     listener.listen(0)
     stuffing = []
     for _ in range(STUFFED):
--- a/lanelift/lab/sites/__init__.py
+++ b/lanelift/lab/sites/__init__.py
@@ -1,2 +1,3 @@
-"""Sites in virtual time: incidents that hit whole ones, what the fleet does about them, and what would be
-best."""
+"""Sites in virtual time: incidents that hit whole ones, what the fleet does about them, and what
+would be best.
+"""
--- a/lanelift/lab/sites/incidents.py
+++ b/lanelift/lab/sites/incidents.py
@@ -10,9 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Hit:
-    """`boxes`: so much of its boxes dies and starts again at the end, cold; `to`, `back`: so much of what is
-    sent to it, and of what comes back, is lost; `clients`: those at it ask at other sites; `balancers`: they
-    are killed, and started again at the end."""
+    """`boxes`: so much of its boxes dies and starts again at the end, cold; `to`, `back`: so much
+    of what is sent to it, and of what comes back, is lost; `clients`: those at it ask at other
+    sites; `balancers`: they are killed, and started again at the end.
+    """
 
     site: int
     at_s: float
