--- a/lanelift/lab/size/plot.py
+++ b/lanelift/lab/size/plot.py
@@ -1,4 +1,6 @@
-"""A picture of slopes: the points as measured, the line through them, and where it is only drawn on."""
+"""A picture of slopes: the points as measured, the line through them, and where it is only drawn
+on.
+"""
 
 from __future__ import annotations
 
@@ -18,10 +20,13 @@
 
 
 def picture(slopes: Sequence[Slope], sizes: Mapping[str, float]) -> bytes:
-    """PNG with one plot a slope. `sizes`: by what is counted, the size up to which the line is drawn."""
+    """PNG with one plot a slope. `sizes`: by what is counted, the size up to which the line is
+    drawn.
+    """
     rows = math.ceil(len(slopes) / COLUMNS)
-    figure, axes = plt.subplots(rows, COLUMNS, figsize=(4.2 * COLUMNS, 3.1 * rows), layout="constrained",
-                                squeeze=False)
+    figure, axes = plt.subplots(
+        rows, COLUMNS, figsize=(4.2 * COLUMNS, 3.1 * rows), layout="constrained", squeeze=False
+    )
     for place, slope in zip(axes.flat, slopes, strict=False):
         xs, ys = zip(*slope.points, strict=True)
         until = max(slope.measured_to, sizes.get(slope.per, 0.0))
@@ -37,7 +42,7 @@
         place.set_xlabel(slope.per, fontsize=8)
         place.set_ylabel(slope.unit, fontsize=8)
         place.tick_params(labelsize=7)
-    for place in list(axes.flat)[len(slopes):]:
+    for place in list(axes.flat)[len(slopes) :]:
         place.set_visible(False)
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=70, metadata={"Software": None})
--- a/lanelift/lab/size/process.py
+++ b/lanelift/lab/size/process.py
@@ -8,14 +8,16 @@
 
 
 def cpu_s(pid: int) -> float:
-    """CPU seconds of all its threads, those that ended included, in ns steps: /proc/PID/stat counts ticks of
-    10 ms. Raises OSError where there is no such process."""
+    """CPU seconds of all its threads, those that ended included, in ns steps: /proc/PID/stat counts
+    ticks of 10 ms. Raises OSError where there is no such process.
+    """
     return time.clock_gettime((~pid << 3) | 2)  # what clock_getcpuclockid(3) gives on Linux
 
 
 def resident_kb(pid: int, line: str = "VmRSS") -> int:
-    """KB of 1,024 bytes, or the most so far by `VmHWM`; 0 of a process that has ended and stands in its
-    table yet. Raises OSError where there is none."""
+    """KB of 1,024 bytes, or the most so far by `VmHWM`; 0 of a process that has ended and stands in
+    its table yet. Raises OSError where there is none.
+    """
     for said in Path(f"/proc/{pid}/status").read_text().splitlines():
         if said.startswith(f"{line}:"):
             return int(said.split()[1])
--- a/lanelift/lab/soak/clients.py
+++ b/lanelift/lab/soak/clients.py
@@ -1,4 +1,6 @@
-"""Emulated clients of one balancer: honest ones, and such that leave, stop in the middle or are slow."""
+"""Emulated clients of one balancer: honest ones, and such that leave, stop in the middle or are
+slow.
+"""
 
 from __future__ import annotations
 
@@ -35,8 +37,16 @@
 class Clients:
     """Those of one balancer, at `rate` requests a second in the mean."""
 
-    def __init__(self, history: History, balancer: int, port: int, rate: float, rng: random.Random) -> None:
-        self.history, self.balancer, self.port, self.rate, self.rng = history, balancer, port, rate, rng
+    def __init__(
+        self, history: History, balancer: int, port: int, rate: float, rng: random.Random
+    ) -> None:
+        self.history, self.balancer, self.port, self.rate, self.rng = (
+            history,
+            balancer,
+            port,
+            rate,
+            rng,
+        )
         self.kept: list[Link] = []
         self.count = 0
         self.open = False  # the front sends here
@@ -73,11 +83,13 @@
         link = await self._new()
         if link is not None:
             data = self._message(asked)
-            link.writer.write(data[:self.rng.randrange(1, len(data))])
+            link.writer.write(data[: self.rng.randrange(1, len(data))])
             await asyncio.sleep(self.rng.uniform(0.1, 4.0))
             link.close()
 
-    async def _ask(self, asked: Asked, leaves_s: float | None, slow: bool, fresh: bool = False) -> None:
+    async def _ask(
+        self, asked: Asked, leaves_s: float | None, slow: bool, fresh: bool = False
+    ) -> None:
         kept = not fresh and self.kept and self.rng.random() < 0.7
         link = self.kept.pop() if kept else await self._new()
         if link is None:
@@ -101,7 +113,8 @@
         else:
             link.close(reset=asked.end is End.LEFT and self.rng.random() < 0.4)
         if asked.end is End.CLOSED and asked.reused and not self._was_sent_on(asked):
-            # It crossed the end of a resting connection: sent once more on a new one, under the same id.
+            # It crossed the end of a resting connection: sent once more on a new one, under the
+            # same id.
             asked.end = End.NOT_TAKEN
             again = Asked(asked.id, asked.kind, asked.balancer, asked.wait_ms, asked.body)
             self.history.asked.append(again)
@@ -135,9 +148,14 @@
 
     def _message(self, asked: Asked) -> bytes:
         method = "GET" if asked.kind is Kind.READ else "POST"
-        rows = [f"{method} /{asked.kind.value}?obj=key{self.rng.randrange(40)} HTTP/1.1", "Host: soak",
-                f"X-Request-Id: {asked.id}", f"X-Class: {asked.kind.value}", "X-Tenant: ash",
-                f"X-Deadline-Ms: {asked.wait_ms}"]
+        rows = [
+            f"{method} /{asked.kind.value}?obj=key{self.rng.randrange(40)} HTTP/1.1",
+            "Host: soak",
+            f"X-Request-Id: {asked.id}",
+            f"X-Class: {asked.kind.value}",
+            "X-Tenant: ash",
+            f"X-Deadline-Ms: {asked.wait_ms}",
+        ]
         if asked.kind is not Kind.READ:
             rows.append(f"Content-Length: {len(asked.body)}")
         return "\r\n".join([*rows, "", ""]).encode() + asked.body
--- a/lanelift/lab/sockets/__init__.py
+++ b/lanelift/lab/sockets/__init__.py
@@ -1,1 +1,3 @@
-"""The model on sockets: real `lanelift` processes on loopback, in real time, each party a process."""
+"""The model on sockets: real `lanelift` processes on loopback, in real time, each party a
+process.
+"""
