--- a/lanelift/lab/sockets/facts.py
+++ b/lanelift/lab/sockets/facts.py
@@ -1,7 +1,8 @@
-"""What the parties of a socket run saw, each in a file of its own, and how the ledger reads them afterwards.
+"""What the parties of a socket run saw, each in a file of its own, and how the ledger reads them
+afterwards.
 
-Every party reads one clock, the machine's monotonic one, so facts of different processes can be put in order.
-A file is a row of blocks: four bytes of length and a MessagePack array of facts.
+Every party reads one clock, the machine's monotonic one, so facts of different processes can be put
+in order. A file is a row of blocks: four bytes of length and a MessagePack array of facts.
 """
 
 from __future__ import annotations
@@ -24,8 +25,22 @@
 BLOCK = 2000
 
 # At one instant, a cause comes before what it causes.
-KINDS = ("killed", "born", "told", "root", "asked", "taken", "sent", "executed", "finished", "fell", "served",
-         "answered", "cut", "foreign")
+KINDS = (
+    "killed",
+    "born",
+    "told",
+    "root",
+    "asked",
+    "taken",
+    "sent",
+    "executed",
+    "finished",
+    "fell",
+    "served",
+    "answered",
+    "cut",
+    "foreign",
+)
 PLACE = {kind: place for place, kind in enumerate(KINDS)}
 
 
@@ -83,7 +98,9 @@
         self.series = Series(begin_ns, t.length)
         self.classes = {c.name: c for c in t.classes}
         self.roots: dict[int, Root] = {}
-        self.open: dict[int, dict[str, None]] = {}  # tries that each balancer has taken and not answered
+        self.open: dict[
+            int, dict[str, None]
+        ] = {}  # tries that each balancer has taken and not answered
         self.dead: set[int] = set()  # balancers killed and not started again
         self.crossed = 0
         self.last_ns = 0
@@ -101,17 +118,22 @@
                 ledger.tell(balancer, box, ready, started, now)
             case "root":
                 number, cls, tenant, key, within = what
-                self.roots[number] = ledger.root(number, self.classes[cls], tenant, key, now, within)
+                self.roots[number] = ledger.root(
+                    number, self.classes[cls], tenant, key, now, within
+                )
                 self.series.at(now).asked += 1
             case "asked":
                 ticket, number, deadline, balancer = what
-                self.series.at(now).retries += ledger.asked(
-                    ticket, self.roots[number], now, deadline, balancer).root.tries > 1
+                self.series.at(now).retries += (
+                    ledger.asked(ticket, self.roots[number], now, deadline, balancer).root.tries > 1
+                )
                 while len(self.roots) > 200_000:
                     self.roots.pop(next(iter(self.roots)))
             case "taken":
                 ledger.taken(what[0])
-                if ledger.tries[what[0]].balancer in self.dead:  # written to what nobody reads any more
+                if (
+                    ledger.tries[what[0]].balancer in self.dead
+                ):  # written to what nobody reads any more
                     ledger.excuse(what[0])
                 self.open.setdefault(ledger.tries[what[0]].balancer, {})[what[0]] = None
             case "sent":
@@ -131,10 +153,14 @@
             case "cut":
                 found = ledger.tries.get(what[0])
                 if found is not None and found.taken and not found.excused:
-                    ledger.breach(Rule.ANSWER, now, f"balancer {found.balancer} closed on {what[0]}")
+                    ledger.breach(
+                        Rule.ANSWER, now, f"balancer {found.balancer} closed on {what[0]}"
+                    )
                 self._answered(what[0], Answer.FAILED, now)
             case "foreign":
-                ledger.breach(Rule.ANSWER, now, f"{what[0]} was served with the answer of {what[1]}")
+                ledger.breach(
+                    Rule.ANSWER, now, f"{what[0]} was served with the answer of {what[1]}"
+                )
             case "killed":
                 self.dead.add(what[0])
                 for ticket in self.open.pop(what[0], {}):
--- a/lanelift/lab/sockets/party.py
+++ b/lanelift/lab/sockets/party.py
@@ -1,6 +1,8 @@
-"""What the parties of a socket run have in common: orders on standard input, word back on standard output.
+"""What the parties of a socket run have in common: orders on standard input, word back on standard
+output.
 
-Both are JSON, one object a line. A party whose standard input ends has lost its conductor, and leaves.
+Both are JSON, one object a line. A party whose standard input ends has lost its conductor, and
+leaves.
 """
 
 from __future__ import annotations
@@ -75,8 +77,11 @@
             self.order(what)
         self.facts.close()
         with suppress(BrokenPipeError):
-            say(done=self.final(), lag_p99_ms=round(self.lag.p99_ms(), 2),
-                lag_most_ms=round(self.lag.most_ns / 1e6, 2))
+            say(
+                done=self.final(),
+                lag_p99_ms=round(self.lag.p99_ms(), 2),
+                lag_most_ms=round(self.lag.most_ns / 1e6, 2),
+            )
         self.over.set()
 
 
--- a/lanelift/leases/expiry.py
+++ b/lanelift/leases/expiry.py
@@ -1,6 +1,7 @@
-"""The store's leader counts the time of leases; nobody else does. It counts from when it applied a claim, and
-a new leader lets each run its full time again: an owner, which counts from before it sent, is always done
-first, whatever became of answers and leaders, as long as no clock runs faster than the owner allows for.
+"""The store's leader counts the time of leases; nobody else does. It counts from when it applied a
+claim, and a new leader lets each run its full time again: an owner, which counts from before it
+sent, is always done first, whatever became of answers and leaders, as long as no clock runs faster
+than the owner allows for.
 """
 
 from __future__ import annotations
@@ -10,7 +11,9 @@
 from typing import NamedTuple
 
 MS = 1_000_000
-STEP_NS = 500 * MS  # a clock that moves on by more between two looks was stopped, and renewals lie unread
+STEP_NS = (
+    500 * MS
+)  # a clock that moves on by more between two looks was stopped, and renewals lie unread
 
 
 class Running(NamedTuple):
@@ -49,7 +52,9 @@
             heapq.heappush(self.due, (until, *key))
 
     def lapsed(self, now: int) -> list[Running]:
-        """Those whose time is over, each once a time; it stays known until the log says that it is gone."""
+        """Those whose time is over, each once a time; it stays known until the log says that it is
+        gone.
+        """
         self._move(now)
         over = []
         while self.due and self.due[0][0] <= self.at - self.stopped:
--- a/lanelift/leases/fence.py
+++ b/lanelift/leases/fence.py
@@ -18,9 +18,10 @@
 
 @dataclass(slots=True)
 class Receiver:
-    """`heed` tells whether a word may be acted on. After a restart nothing is, until `learn` was told what a
-    majority holds, or what this process kept on disk: a node that lags, or a copy, may say what was long
-    taken back."""
+    """`heed` tells whether a word may be acted on. After a restart nothing is, until `learn` was
+    told what a majority holds, or what this process kept on disk: a node that lags, or a copy, may
+    say what was long taken back.
+    """
 
     highest: Word
     learnt: bool = False
--- a/lanelift/leases/holder.py
+++ b/lanelift/leases/holder.py
@@ -1,8 +1,10 @@
-"""One process's side of a lease: it asks, waits its turn, holds, shows that it is there, gives back.
+"""One process's side of a lease: it asks, waits its turn, holds, shows that it is there, gives
+back.
 
-Time counts from before a claim was **sent**, less what this clock may run slower than the store's leader's:
-then it is over, whether anybody says so or not. A shell hands in the clock, what the store answered and what
-a watch told; it carries out what `take` gives; and before each effect, after each pause, it asks `token`.
+Time counts from before a claim was **sent**, less what this clock may run slower than the store's
+leader's: then it is over, whether anybody says so or not. A shell hands in the clock, what the
+store answered and what a watch told; it carries out what `take` gives; and before each effect,
+after each pause, it asks `token`.
 """
 
 from __future__ import annotations
@@ -14,11 +16,17 @@
 from lanelift.leases.table import MOST_WAITING, Lease
 
 MS = 1_000_000
-DRIFT = 0.1  # a clock that runs slow by less than this leaves no gap; beyond it only the token protects
+DRIFT = (
+    0.1  # a clock that runs slow by less than this leaves no gap; beyond it only the token protects
+)
 RENEW_PART = 1 / 3  # of the time, between two renewals
 WAIT_PART = 1.0  # of it, between two words of a candidate, which is gone after twice its time
-AGAIN_PART = 1 / 12  # of the time, before what failed is asked again; it doubles up to a renewal's distance
-BEGIN_NS = 200 * MS  # first claims of a lease that is free are spread over this, by the share of the time
+AGAIN_PART = (
+    1 / 12
+)  # of the time, before what failed is asked again; it doubles up to a renewal's distance
+BEGIN_NS = (
+    200 * MS
+)  # first claims of a lease that is free are spread over this, by the share of the time
 
 
 class Phase(Enum):
@@ -31,7 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Carry out, and tell how it ended with `answered` or `failed`. `token` is that of a release."""
+    """Carry out, and tell how it ended with `answered` or `failed`. `token` is that of a
+    release.
+    """
 
     what: str  # claim or release
     number: int
@@ -63,7 +73,7 @@
         self.at = max(self.at, now)
         return self.at
 
-    # ---- what may be done --------------------------------------------------------------------------------
+    # ---- what may be done ------------------------------------------------------------------------
 
     def token(self, now: int) -> int:
         """The token to act with right now; 0: it may not. To be asked before each effect."""
@@ -78,7 +88,7 @@
         if self.out is None:
             self.due_ns = now
 
-    # ---- events ------------------------------------------------------------------------------------------
+    # ---- events ----------------------------------------------------------------------------------
 
     def seen(self, lease: Lease | None, now: int) -> None:
         """The row as some node has it, late or not: it tells when to ask, never what one holds."""
@@ -90,7 +100,9 @@
                 self.due_ns = now
             return
         if self.phase is Phase.HELD:
-            if lease is not None and lease.token > self._token:  # the log's own word that it went on
+            if (
+                lease is not None and lease.token > self._token
+            ):  # the log's own word that it went on
                 self._lose(now)
                 self.due_ns = self.due_ns and now + self._spread(RENEW_PART)
             return
@@ -104,8 +116,13 @@
 
     def full(self, lease: Lease | None) -> bool:
         """Is there no use in asking now?"""
-        return (lease is not None and bool(lease.holder) and lease.claim != self.claim
-                and len(lease.waiting) >= MOST_WAITING and all(c.claim != self.claim for c in lease.waiting))
+        return (
+            lease is not None
+            and bool(lease.holder)
+            and lease.claim != self.claim
+            and len(lease.waiting) >= MOST_WAITING
+            and all(c.claim != self.claim for c in lease.waiting)
+        )
 
     def take(self, now: int, lease: Lease | None = None) -> Ask | None:
         """What is to be asked now, if anything; one thing at a time. `lease`: as last seen."""
--- a/lanelift/leases/table.py
+++ b/lanelift/leases/table.py
@@ -1,10 +1,9 @@
-"""A lease as the store's log makes it: who has it, under which token, and who waits. No clock: that its time
-is over is itself an entry of the log, which the store's leader proposes.
+"""A lease as the store's log makes it: who has it, under which token, and who waits. No clock: that
+its time is over is itself an entry of the log, which the store's leader proposes.
 
-Terms: lease (Gray and Cheriton, 1989); sequencer (Burrows, "The Chubby lock service", 2.4), here fencing
-token.
-A token is drawn at each grant from one counter of the whole store that only grows, so none ever returns, and
-of two tokens of one lease the higher is the later.
+Terms: lease (Gray and Cheriton, 1989); sequencer (Burrows, "The Chubby lock service", 2.4), here
+fencing token. A token is drawn at each grant from one counter of the whole store that only grows,
+so none ever returns, and of two tokens of one lease the higher is the later.
 """
 
 from __future__ import annotations
@@ -17,7 +16,9 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
 MOST_NAME = 200  # characters, of a lease and of who asks for it
 MOST_WAITING = 5  # candidates that one lease keeps; the others look on and come when there is room
-MOST_LEFT = 8  # claims that were given back, and that a message which comes late must not bring to life
+MOST_LEFT = (
+    8  # claims that were given back, and that a message which comes late must not bring to life
+)
 LEAST_TTL_MS, MOST_TTL_MS = 100, 3_600_000
 OFFER_PART = 0.5  # of the time, within which a candidate takes what was offered to it
 EPOCH_BITS = 32  # a token is EPOCH * 2**32 + N; a store that was restored begins a new epoch
@@ -28,7 +29,9 @@
 
 
 class Claimant(Array, frozen=True):
-    """A candidate. `claim` is drawn anew by each life of a process; the lower `rank`, the sooner its turn."""
+    """A candidate. `claim` is drawn anew by each life of a process; the lower `rank`, the sooner
+    its turn.
+    """
 
     holder: str
     claim: int
@@ -38,9 +41,10 @@
 
 
 class Lease(Array, frozen=True):
-    """`token` is the last that was granted, whoever has it now; `holder` is empty where nobody has it.
-    `offered`: it is the holder's turn, which has not taken it yet. `since_ms`: the clock of who asked, shown
-    and never decided by."""
+    """`token` is the last that was granted, whoever has it now; `holder` is empty where nobody has
+    it. `offered`: it is the holder's turn, which has not taken it yet. `since_ms`: the clock of who
+    asked, shown and never decided by.
+    """
 
     name: str
     token: int = 0
@@ -86,9 +90,10 @@
 
 
 def next_epoch(token: int, unix_s: int) -> int:
-    """The counter that a restored store begins with. What the lost one granted after the copy was made is
-    unknown, and another copy of it may be restored as well: the operator's clock, at this one moment, tells
-    them apart; it never goes back behind what the copy held."""
+    """The counter that a restored store begins with. What the lost one granted after the copy was
+    made is unknown, and another copy of it may be restored as well: the operator's clock, at this
+    one moment, tells them apart; it never goes back behind what the copy held.
+    """
     return max((token >> EPOCH_BITS) + 1, unix_s) << EPOCH_BITS
 
 
@@ -105,8 +110,10 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a command made of a lease. `token` is the claimant's own, 0 while it waits; `place` counts the
-    candidates ahead of it from 1; `why`: empty where the command was taken. `granted`: a token was drawn"""
+    """What a command made of a lease. `token` is the claimant's own, 0 while it waits; `place`
+    counts the candidates ahead of it from 1; `why`: empty where the command was taken. `granted`: a
+    token was drawn
+    """
 
     lease: Lease
     token: int = 0
@@ -116,8 +123,9 @@
 
 
 def claim(lease: Lease, who: Claimant, token: int, time_ms: int) -> Outcome:
-    """Ask for a lease, or show that one is still there, as owner or candidate: the same words, any number of
-    times. `token` is the next that may be granted."""
+    """Ask for a lease, or show that one is still there, as owner or candidate: the same words, any
+    number of times. `token` is the next that may be granted.
+    """
     if who.claim in lease.left:
         return Outcome(lease, why="this claim was given back")
     if lease.claim == who.claim and lease.holder:
@@ -142,14 +150,18 @@
 
 
 def release(lease: Lease, number: int, token: int, next_token: int, time_ms: int) -> Outcome:
-    """Give back, as owner or candidate, for good: a claim of the same number that comes later is refused.
-    `token`: only if it is held under this one; 0: whatever the claim has. What an owner of earlier says
-    changes nothing for the one of now."""
+    """Give back, as owner or candidate, for good: a claim of the same number that comes later is
+    refused. `token`: only if it is held under this one; 0: whatever the claim has. What an owner of
+    earlier says changes nothing for the one of now.
+    """
     owns = bool(lease.holder) and lease.claim == number
     if owns and token and token != lease.token:
         return Outcome(lease, why="it is held under another token")
-    gone = _with(lease, left=lease.left if number in lease.left else (*lease.left, number)[-MOST_LEFT:],
-                 waiting=tuple(c for c in lease.waiting if c.claim != number))
+    gone = _with(
+        lease,
+        left=lease.left if number in lease.left else (*lease.left, number)[-MOST_LEFT:],
+        waiting=tuple(c for c in lease.waiting if c.claim != number),
+    )
     return _passed(gone, next_token, time_ms) if owns else Outcome(gone)
 
 
@@ -166,14 +178,25 @@
     """Offered to whose turn it is, or free."""
     if lease.waiting:
         first = lease.waiting[0]
-        return Outcome(_granted(_with(lease, waiting=lease.waiting[1:]), first, token, True, time_ms),
-                       granted=True)
+        return Outcome(
+            _granted(_with(lease, waiting=lease.waiting[1:]), first, token, True, time_ms),
+            granted=True,
+        )
     return Outcome(_with(lease, holder="", claim=0, offered=False, note="", since_ms=time_ms))
 
 
 def _granted(lease: Lease, who: Claimant, token: int, offered: bool, time_ms: int) -> Lease:
-    return _with(lease, token=token, holder=who.holder, claim=who.claim, offered=offered, ttl_ms=who.ttl_ms,
-                 note=who.note, rank=who.rank, since_ms=time_ms)
+    return _with(
+        lease,
+        token=token,
+        holder=who.holder,
+        claim=who.claim,
+        offered=offered,
+        ttl_ms=who.ttl_ms,
+        note=who.note,
+        rank=who.rank,
+        since_ms=time_ms,
+    )
 
 
 def refused(lease: Lease) -> Lease:
--- a/lanelift/net/attempt.py
+++ b/lanelift/net/attempt.py
@@ -1,5 +1,6 @@
-"""One attempt of a request on its way out: it is asked for its bytes when its connection is up, and looks at
-the rules, the clock and its client then."""
+"""One attempt of a request on its way out: it is asked for its bytes when its connection is up, and
+looks at the rules, the clock and its client then.
+"""
 
 from __future__ import annotations
 
@@ -38,10 +39,18 @@
         request = self.request
         stream = request.stream
         asked = rules.Attempt(
-            now_ns, request.arrival.deadline_ns, self.number, request.out_beside(self.number),
-            over=request.over, client_gone=not request.over and request.client.gone,
-            body_at_hand=stream is None or stream.whole_again, begin_by_ns=self.begin_by_ns)
-        return rules.may_attempt(asked, self.limits, rules.most_out(self.limits, stream is not None))
+            now_ns,
+            request.arrival.deadline_ns,
+            self.number,
+            request.out_beside(self.number),
+            over=request.over,
+            client_gone=not request.over and request.client.gone,
+            body_at_hand=stream is None or stream.whole_again,
+            begin_by_ns=self.begin_by_ns,
+        )
+        return rules.may_attempt(
+            asked, self.limits, rules.most_out(self.limits, stream is not None)
+        )
 
     def begin(self, usable: rules.Verdict) -> bytes | Denied:
         """Its head, and its body where that is at hand, with the time that is left now."""
@@ -60,8 +69,14 @@
             self.told_ms = rules.told_ms(0, request.wait_ns, self.timeout_ns)
         if request.stream is not None:
             request.stream.rewind()
-        return attempt_request(request.method, request.target, request.headers, request.body,
-                               self.told_ms, request.stream)
+        return attempt_request(
+            request.method,
+            request.target,
+            request.headers,
+            request.body,
+            self.told_ms,
+            request.stream,
+        )
 
     def may_finish(self) -> bool:
         """May the last byte of its body be written, by what its head told?"""
@@ -80,13 +95,24 @@
             self.client_gone(self.request)
 
 
-def attempt_request(method: bytes, target: bytes, headers: Headers, body: bytes, wait_ms: int,
-                    stream: Body | None = None) -> bytes:
-    """The client's request as it goes on: with its own length, and how long this balancer will wait."""
+def attempt_request(
+    method: bytes,
+    target: bytes,
+    headers: Headers,
+    body: bytes,
+    wait_ms: int,
+    stream: Body | None = None,
+) -> bytes:
+    """The client's request as it goes on: with its own length, and how long this balancer will
+    wait.
+    """
     rows = [*headers, (DEADLINE, b"%d" % wait_ms)]
     if stream is not None:
-        rows.append((b"Transfer-Encoding", b"chunked") if stream.length is None
-                    else (b"Content-Length", b"%d" % stream.length))
+        rows.append(
+            (b"Transfer-Encoding", b"chunked")
+            if stream.length is None
+            else (b"Content-Length", b"%d" % stream.length)
+        )
     elif body or method not in (b"GET", b"HEAD"):
         rows.append((b"Content-Length", b"%d" % len(body)))
     return message(b"%b %b HTTP/1.1" % (method, target), rows, body)
--- a/lanelift/net/body.py
+++ b/lanelift/net/body.py
@@ -1,7 +1,7 @@
 """A body that passes through in pieces: a bounded queue from one connection to another.
 
-Its sender is not read from while it is full. The pieces that all of them hold are counted together, and where
-memory is short each may hold less, but never so little that it stands still.
+Its sender is not read from while it is full. The pieces that all of them hold are counted together,
+and where memory is short each may hold less, but never so little that it stands still.
 """
 
 from __future__ import annotations
@@ -40,10 +40,25 @@
 class Body:
     """Pieces in, pieces out. It ends whole, or fails; its reader is told of every change.
 
-    A body that is kept can be read again from its start as long as it was never full: `whole_again`."""
-
-    __slots__ = ("length", "store", "keep", "source", "changed", "pieces", "next", "taken", "held", "ended",
-                 "failed", "paused", "dropped")
+    A body that is kept can be read again from its start as long as it was never full:
+    `whole_again`.
+    """
+
+    __slots__ = (
+        "length",
+        "store",
+        "keep",
+        "source",
+        "changed",
+        "pieces",
+        "next",
+        "taken",
+        "held",
+        "ended",
+        "failed",
+        "paused",
+        "dropped",
+    )
 
     def __init__(self, length: int | None, store: Store, keep: bool = False) -> None:
         self.length = length  # as its sender announced it
@@ -60,7 +75,7 @@
         self.paused = False
         self.dropped = False  # its first pieces are gone
 
-    # ---- its sender's side -------------------------------------------------------------------------------
+    # ---- its sender's side -----------------------------------------------------------------------
 
     def put(self, data: bytes) -> None:
         if self.failed:
@@ -89,7 +104,7 @@
             self._clear()
             self._tell()
 
-    # ---- its reader's side -------------------------------------------------------------------------------
+    # ---- its reader's side -----------------------------------------------------------------------
 
     @property
     def drained(self) -> bool:
@@ -101,7 +116,9 @@
         """Is what is taken next its last piece, or the mark of its end?"""
         if self.length is None:
             return self.ended and len(self.pieces) - self.next <= 1
-        return self.next < len(self.pieces) and self.taken + len(self.pieces[self.next]) >= self.length
+        return (
+            self.next < len(self.pieces) and self.taken + len(self.pieces[self.next]) >= self.length
+        )
 
     @property
     def whole_again(self) -> bool:
@@ -130,7 +147,9 @@
         self.changed = None
 
     def drop(self) -> None:
-        """Nobody reads it any more. What still comes is not wanted, so its sender's connection ends."""
+        """Nobody reads it any more. What still comes is not wanted, so its sender's connection
+        ends.
+        """
         source, self.source = self.source, None
         self.changed = None
         if not self.ended:
@@ -139,14 +158,14 @@
                 source.abort()
         self._clear()
 
-    # ---- what is held ------------------------------------------------------------------------------------
+    # ---- what is held ----------------------------------------------------------------------------
 
     def _let_go(self) -> None:
         """Of what was taken."""
         if self.next:
             self.dropped = True
-            self._count(-sum(map(len, self.pieces[:self.next])))
-            del self.pieces[:self.next]
+            self._count(-sum(map(len, self.pieces[: self.next])))
+            del self.pieces[: self.next]
             self.next = 0
 
     def _clear(self) -> None:
--- a/lanelift/net/budget.py
+++ b/lanelift/net/budget.py
@@ -11,16 +11,18 @@
 from lanelift.net.body import Store
 from lanelift.net.siblings import Siblings
 
-# Descriptors kept for the listener, discovery (an old and a new one), peers, the configuration and the
-# interpreter, and for sockets that were closed on this turn of the loop and still count.
+# Descriptors kept for the listener, discovery (an old and a new one), peers, the configuration and
+# the interpreter, and for sockets that were closed on this turn of the loop and still count.
 RESERVE = 32
 SECOND_RESERVE = 14  # of these a second process needs its own, less what only a crowded turn takes
-# MB that a process takes before it holds any body, with its connections and requests; and of the rest, the
-# part that bodies in pieces may hold: as much again lies in buffers to be written, and memory is not given
-# back at once.
+# MB that a process takes before it holds any body, with its connections and requests; and of the
+# rest, the part that bodies in pieces may hold: as much again lies in buffers to be written, and
+# memory is not given back at once.
 PROCESS_MB, BODIES_PART = 24, 0.25
 LEAST_BODIES = 1024 * 1024  # below that they would crawl
-CLIENTS_PART = 0.55  # of the others. Of a third of all, a client has a request open, with one attempt out
+CLIENTS_PART = (
+    0.55  # of the others. Of a third of all, a client has a request open, with one attempt out
+)
 
 
 class Holder(Protocol):
@@ -41,7 +43,9 @@
 
 def part_of(sockets: int, memory_mb: int, door: int, processes: int) -> Part:
     """What one of so many processes may hold; `door` are those kept for the operators."""
-    spare = max(2, (sockets - RESERVE - processes * door - (processes - 1) * SECOND_RESERVE) // processes)
+    spare = max(
+        2, (sockets - RESERVE - processes * door - (processes - 1) * SECOND_RESERVE) // processes
+    )
     clients = max(1, int(spare * CLIENTS_PART))
     bodies = int((memory_mb / processes - PROCESS_MB) * BODIES_PART * 1024 * 1024)
     return Part(clients, spare - clients, max(LEAST_BODIES, bodies))
--- a/lanelift/net/clientconnection.py
+++ b/lanelift/net/clientconnection.py
@@ -13,7 +13,15 @@
 from lanelift.net.body import Body
 from lanelift.net.http import LAST_CHUNK, Reading, chunk, end_to_end
 from lanelift.net.kernel import Socket, readable, received
-from lanelift.net.parse import MAX_BODY, Headers, Request, RequestReader, Response, Unacceptable, message
+from lanelift.net.parse import (
+    MAX_BODY,
+    Headers,
+    Request,
+    RequestReader,
+    Response,
+    Unacceptable,
+    message,
+)
 from lanelift.net.phases import Phase
 from lanelift.net.requests import OpenRequest
 from lanelift.net.terms import read_terms
@@ -22,8 +30,9 @@
     from lanelift.net.frontend import Frontend
 
 ANSWER_NS = 3_000_000  # kept of each deadline for the answer's way to the client
-# Parts of the cap above which an answer ends its connection: one that is no upstream's, and any. Idle ones
-# are left their 2 s, so that with many clients they would fill all places, and newcomers wait for seconds.
+# Parts of the cap above which an answer ends its connection: one that is no upstream's, and any.
+# Idle ones are left their 2 s, so that with many clients they would fill all places, and newcomers
+# wait for seconds.
 CROWDED, FULL = 0.5, 0.6
 UPLOAD_NS = 600_000_000_000  # longer than the longest body takes that comes as slowly as is allowed
 QUANTUM = 16 * 1024  # bytes of a body that count as progress
@@ -61,7 +70,11 @@
         """Did something come, at rest, that nobody has looked at yet?"""
         if self.has_data:
             return self.phase is Phase.IDLE  # sent ahead, and about to be parsed
-        return self.phase in (Phase.NEW, Phase.IDLE) and self._live is not None and readable(self._socket)
+        return (
+            self.phase in (Phase.NEW, Phase.IDLE)
+            and self._live is not None
+            and readable(self._socket)
+        )
 
     @property
     def unsent(self) -> bool:
@@ -71,8 +84,9 @@
 
     @property
     def gone(self) -> bool:
-        """Has the client closed its connection, read or not? A loop that is late, or is not reading from it,
-        has not heard of it yet; the kernel has."""
+        """Has the client closed its connection, read or not? A loop that is late, or is not reading
+        from it, has not heard of it yet; the kernel has.
+        """
         return self._live is None or received(self._socket)[0]
 
     @property
@@ -98,8 +112,9 @@
     def data_received(self, data: bytes) -> None:
         if self.lingering:
             return
-        # Deadlines count from the client's send. What waited in the backlog, or for a loop that was late, is
-        # not fresh; and work for a client that has left makes those behind it late, until they leave too.
+        # Deadlines count from the client's send. What waited in the backlog, or for a loop that was
+        # late, is not fresh; and work for a client that has left makes those behind it late, until
+        # they leave too.
         gone, ago_ns = received(self._socket)
         if gone:
             self.abort()
@@ -137,7 +152,7 @@
             self.progress = 0
             self.frontend.wait(self, Phase.BODY)
 
-    # ---- a body in pieces: called by it --------------------------------------------------------------------
+    # ---- a body in pieces: called by it ----------------------------------------------------------
 
     def pause(self) -> None:
         """What was read of it waits for its upstream: that is not its client's time."""
@@ -190,12 +205,16 @@
             self.abort()
 
     def leave(self) -> None:
-        """This process ends. A request that is not whole yet was not begun, and may go elsewhere."""
+        """This process ends. A request that is not whole yet was not begun, and may go
+        elsewhere.
+        """
         if self.has_data and self.open is None:
             self._reject(503, "not taken")
 
     def cut(self) -> None:
-        """This process has ended. An answer that is not whole must not seem so, even one without a length."""
+        """This process has ended. An answer that is not whole must not seem so, even one without a
+        length.
+        """
         if self.answer is not None:
             self._reset()
         else:
@@ -207,13 +226,17 @@
             self.transport.abort()
 
     def _reset(self) -> None:
-        """End it so that its client can tell that the answer is not whole, even one without a length."""
+        """End it so that its client can tell that the answer is not whole, even one without a
+        length.
+        """
         if self._live is not None:
             linger = struct.pack("ii", 1, 0)
-            cast(socket.socket, self._socket).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+            cast(socket.socket, self._socket).setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, linger
+            )
         self.abort()
 
-    # ---- in ----------------------------------------------------------------------------------------------
+    # ---- in --------------------------------------------------------------------------------------
 
     def _parse(self) -> None:
         """Read on, unless a request is open, or answers pile up that are not read."""
@@ -245,7 +268,11 @@
 
     def _whole(self, head: Request) -> None:
         """A request has come, but for a body in pieces: of that only the beginning has."""
-        self.is_head, self.keep_alive, self.latest = head.method == b"HEAD", head.keep_alive, head.latest
+        self.is_head, self.keep_alive, self.latest = (
+            head.method == b"HEAD",
+            head.keep_alive,
+            head.latest,
+        )
         stream = head.stream
         if head.target.partition(b"?")[0] == b"/ready":
             ready = self.frontend.ready
@@ -257,8 +284,16 @@
             self._answer(error.status, [], f"{error}\n".encode(), last=stream is not None)
             return
         headers = [row for row in end_to_end(head.headers) if row[0] not in NOT_OURS]
-        request = OpenRequest(arrival, head.method, head.target, headers, head.body, self,
-                              max(0, self.wait_ns - ANSWER_NS), stream)
+        request = OpenRequest(
+            arrival,
+            head.method,
+            head.target,
+            headers,
+            head.body,
+            self,
+            max(0, self.wait_ns - ANSWER_NS),
+            stream,
+        )
         self.open = request
         if stream is None:
             self.frontend.busy(self)
@@ -275,10 +310,14 @@
         self.frontend.busy(self)
         self._read_on()  # its end may have come while it was full
         if self.open is not None:
-            self.driver.body_whole(self.open, self._deadline(self.asked_ns, self.wait_ns), self.asked_ns)
+            self.driver.body_whole(
+                self.open, self._deadline(self.asked_ns, self.wait_ns), self.asked_ns
+            )
 
     def _deadline(self, asked_ns: int, wait_ns: int) -> int:
-        """By then its answer must be given: so that it arrives in time, and before this process leaves."""
+        """By then its answer must be given: so that it arrives in time, and before this process
+        leaves.
+        """
         deadline = asked_ns + max(0, wait_ns - ANSWER_NS)
         if self.frontend.draining:
             deadline = min(deadline, self.frontend.last_answer_ns)
@@ -290,17 +329,27 @@
         deadline_ns = self._deadline(self.asked_ns, terms.wait_ns)
         if head.stream is not None:
             deadline_ns = self.asked_ns + UPLOAD_NS  # until it is whole
-        return api.Arrival(terms.request, terms.class_name, terms.tenant, deadline_ns, terms.cost_hint_ns,
-                           terms.key, terms.retry, self.asked_ns, head.stream is None)
-
-    # ---- out ---------------------------------------------------------------------------------------------
+        return api.Arrival(
+            terms.request,
+            terms.class_name,
+            terms.tenant,
+            deadline_ns,
+            terms.cost_hint_ns,
+            terms.key,
+            terms.retry,
+            self.asked_ns,
+            head.stream is None,
+        )
+
+    # ---- out -------------------------------------------------------------------------------------
 
     def served(self, response: Response) -> None:
         rows = end_to_end(response.headers)
         if response.stream is not None and not self.is_head:
             self._begin(rows, response.stream)
         elif self.is_head:
-            # The length that a GET would be answered with; a 0 of this program's own would be wrong.
+            # The length that a GET would be answered with; a 0 of this program's own would be
+            # wrong.
             length = response.header(b"content-length")
             self._answer(200, rows, b"", length=length)
         else:
@@ -317,8 +366,14 @@
         """Answer bad input, and read no more of it."""
         self._answer(status, [], f"{why}\n".encode(), last=True)
 
-    def _answer(self, status: int, headers: Headers, body: bytes, last: bool = False,
-                length: bytes | None = None) -> None:
+    def _answer(
+        self,
+        status: int,
+        headers: Headers,
+        body: bytes,
+        last: bool = False,
+        length: bytes | None = None,
+    ) -> None:
         framing = [(b"Content-Length", length or b"%d" % len(body))]
         self._head(status, [*headers, *framing], last, b"" if self.is_head else body)
         self._answered()
@@ -331,8 +386,12 @@
             last = True  # what still comes of its body would be read as the next request
             upload.source = None
             self._read_on()
-        self.last = (last or not self.keep_alive or self.frontend.draining
-                     or self.frontend.crowded(FULL if served else CROWDED))
+        self.last = (
+            last
+            or not self.keep_alive
+            or self.frontend.draining
+            or self.frontend.crowded(FULL if served else CROWDED)
+        )
         if self.last:
             rows = [*rows, (b"Connection", b"close")]
         self._write(message(STARTS.get(status) or start_line(status), rows, body))
@@ -383,9 +442,11 @@
             self.frontend.wait(self, Phase.ANSWER)
 
     def _linger(self) -> None:
-        """Lingering close: end the sending behind the last answer, and read and drop what comes until the
-        client ends too, or its time is over. Closed at once, over bytes that lie unread here or in the kernel
-        or that are still on their way, the connection would be reset, and the answer lost with it."""
+        """Lingering close: end the sending behind the last answer, and read and drop what comes
+        until the client ends too, or its time is over. Closed at once, over bytes that lie unread
+        here or in the kernel or that are still on their way, the connection would be reset, and the
+        answer lost with it.
+        """
         self.lingering = True
         self.ahead.clear()
         if (transport := self._live) is not None:
--- a/lanelift/net/denials.py
+++ b/lanelift/net/denials.py
@@ -9,10 +9,19 @@
 
 log = logging.getLogger(__name__)
 
-# Reasons that arise between a decision and the moment at which its connection is up. All others mean that the
-# decision itself was wrong.
-CROSSED = frozenset({Reason.OVER, Reason.CLIENT_GONE, Reason.DEADLINE, Reason.UPSTREAM, Reason.LIST,
-                     Reason.WINDOW, Reason.TOLD})
+# Reasons that arise between a decision and the moment at which its connection is up. All others
+# mean that the decision itself was wrong.
+CROSSED = frozenset(
+    {
+        Reason.OVER,
+        Reason.CLIENT_GONE,
+        Reason.DEADLINE,
+        Reason.UPSTREAM,
+        Reason.LIST,
+        Reason.WINDOW,
+        Reason.TOLD,
+    }
+)
 
 
 class Denials:
@@ -29,4 +38,6 @@
         log.log(level, "denied: request %s, %s: %s", request, state, reason.value)
 
     def __str__(self) -> str:
-        return ", ".join(f"{reason.name.lower()} {count}" for reason, count in self.counts.most_common())
+        return ", ".join(
+            f"{reason.name.lower()} {count}" for reason, count in self.counts.most_common()
+        )
--- a/lanelift/net/disabled.py
+++ b/lanelift/net/disabled.py
@@ -1,9 +1,10 @@
 """The upstreams that operators have taken out: the set, its file, and who has to know of a change.
 
-The file in the state folder is the truth for every process of this balancer: it is replaced as a whole, under
-a lock, and each process looks at it every `POLL_S`. A change counts as made once it is saved and all of them
-obey it. What could not be saved is owed: it holds here at once, and is written until it is written, with
-bounded pauses, merged into what other processes have saved meanwhile.
+The file in the state folder is the truth for every process of this balancer: it is replaced as a
+whole, under a lock, and each process looks at it every `POLL_S`. A change counts as made once it is
+saved and all of them obey it. What could not be saved is owed: it holds here at once, and is
+written until it is written, with bounded pauses, merged into what other processes have saved
+meanwhile.
 """
 
 from __future__ import annotations
@@ -47,21 +48,30 @@
 class DisabledUpstreams:
     """Without a folder the set lives as long as the process."""
 
-    def __init__(self, folder: Path | None, balancer: str, siblings: Siblings, upstreams: Upstreams) -> None:
+    def __init__(
+        self, folder: Path | None, balancer: str, siblings: Siblings, upstreams: Upstreams
+    ) -> None:
         self.folder = folder
         self.balancer = balancer  # a file that another balancer left is not believed
         self.siblings = siblings
         self.upstreams = upstreams
-        self.names: frozenset[str] = frozenset()  # those that are out: as saved, but for what is owed
+        self.names: frozenset[str] = (
+            frozenset()
+        )  # those that are out: as saved, but for what is owed
         self.saved: frozenset[str] = frozenset()  # the set as the file has it
         self.version = 0  # and its version
         self.owed: dict[str, bool] = {}  # changes that the file does not have: out, or back
         self.missing = False  # the file has gone, or can't be used: it is to be put back
-        self.retry_s, self.pause_s = 0.0, RETRY_S[0]  # not written again before, and how long after that
+        self.retry_s, self.pause_s = (
+            0.0,
+            RETRY_S[0],
+        )  # not written again before, and how long after that
         self.seen: tuple[int, int] | None = None  # the file as it was when it was last read
         self.seen_broken = False  # it could not be read, and that was said
         self.turn = asyncio.Lock()
-        self.heard: list[Callable[[str, bool], None]] = []  # who is told what operators asked for here
+        self.heard: list[
+            Callable[[str, bool], None]
+        ] = []  # who is told what operators asked for here
 
     def start(self) -> None:
         """Do as the file says, now and whenever it changes."""
@@ -94,11 +104,14 @@
         for hear in self.heard:
             hear(name, on)
         if not await self.siblings.agreed(lambda note: note.obeys >= version, AGREE_S):
-            raise No(HTTPStatus.SERVICE_UNAVAILABLE, "done here, not yet by another process: repeat")
+            raise No(
+                HTTPStatus.SERVICE_UNAVAILABLE, "done here, not yet by another process: repeat"
+            )
 
     async def _save_change(self, name: str, on: bool) -> None:
-        """A disable binds from 1 s after the call on, whatever is answered: it holds at once, and is owed. An
-        enable is made once it is saved."""
+        """A disable binds from 1 s after the call on, whatever is answered: it holds at once, and
+        is owed. An enable is made once it is saved.
+        """
         if on:
             self.owed[name] = True
             self._obey()
@@ -109,10 +122,14 @@
                 self._save({} if on else {name: False})
         except (OSError, TimeoutError) as error:
             log.error("the set of disabled upstreams is not saved: %s", error)
-            raise No(HTTPStatus.SERVICE_UNAVAILABLE, f"not saved: {error or 'the file is locked'}") from None
+            raise No(
+                HTTPStatus.SERVICE_UNAVAILABLE, f"not saved: {error or 'the file is locked'}"
+            ) from None
 
     async def adopt(self, names: frozenset[str]) -> None:
-        """The set as all balancers of the service keep it. It holds here even if it can't be saved yet."""
+        """The set as all balancers of the service keep it. It holds here even if it can't be saved
+        yet.
+        """
         async with self.turn:
             if names == self.names:
                 return
@@ -127,7 +144,7 @@
             except (OSError, TimeoutError) as error:
                 log.error("the set of disabled upstreams is not saved yet: %s", error)
 
-    # ---- the file ----------------------------------------------------------------------------------------
+    # ---- the file --------------------------------------------------------------------------------
 
     @asynccontextmanager
     async def _locked(self) -> AsyncIterator[None]:
@@ -139,8 +156,9 @@
             yield
 
     def _save(self, more: Mapping[str, bool]) -> None:
-        """Write what is owed, and these changes, on top of what the file has now. The lock is held. Raises
-        OSError: then all of it is still owed, but for `more`."""
+        """Write what is owed, and these changes, on top of what the file has now. The lock is held.
+        Raises OSError: then all of it is still owed, but for `more`.
+        """
         assert self.folder is not None
         self._read_again()
         changes = {**self.owed, **more}
@@ -148,8 +166,12 @@
         version = self.version
         if names != self.saved or self.missing:
             version = 1 + max(version, *(note.obeys for note in self.siblings.others), 0)
-            whole = {"format": FORMAT, "balancer": self.balancer, "version": version,
-                     "disabled": sorted(names)}
+            whole = {
+                "format": FORMAT,
+                "balancer": self.balancer,
+                "version": version,
+                "disabled": sorted(names),
+            }
             write_whole(self.folder / FILE, json.dumps(whole).encode())
         self.owed.clear()
         self.missing = False
@@ -159,7 +181,12 @@
     def _write_owed(self) -> None:
         """Once more, unless somebody is at it, or it failed a moment ago."""
         now = time.monotonic()
-        if self.folder is None or not (self.owed or self.missing) or self.turn.locked() or now < self.retry_s:
+        if (
+            self.folder is None
+            or not (self.owed or self.missing)
+            or self.turn.locked()
+            or now < self.retry_s
+        ):
             return
         self.retry_s, self.pause_s = now + self.pause_s, min(2 * self.pause_s, RETRY_S[1])
         try:
@@ -188,8 +215,9 @@
             self._write_owed()
 
     def _read_again(self) -> None:
-        """One that can't be used changes nothing: what is out stays out, and whoever knows the set puts it
-        back. One that can't be read is read again."""
+        """One that can't be used changes nothing: what is out stays out, and whoever knows the set
+        puts it back. One that can't be read is read again.
+        """
         assert self.folder is not None
         path = self.folder / FILE
         try:
@@ -218,7 +246,9 @@
             self._take(names, version)
 
     def _lost(self, why: str, always: bool = False) -> None:
-        """The file can't be used. It is put back where a set was known; `always`: said in any case."""
+        """The file can't be used. It is put back where a set was known; `always`: said in any
+        case.
+        """
         if (self.version or always) and not self.missing:
             log.warning("%s is left aside: %s", FILE, why)
         self.missing = bool(self.version)
@@ -232,7 +262,7 @@
         names = frozenset(typed(name, "disabled", str) for name in need(raw, "disabled", list))
         return names, need(raw, "version", int)
 
-    # ---- in force ----------------------------------------------------------------------------------------
+    # ---- in force --------------------------------------------------------------------------------
 
     def _take(self, saved: frozenset[str], version: int) -> None:
         """The file has this, and all processes are told that it is obeyed here."""
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -46,19 +46,33 @@
     # What has gone needs no address.
     host, port = split_address(need(row, "addr", str)) if state is not api.State.GONE else ("", 0)
     try:
-        ipaddress.ip_address(host or "::")  # no name: looking one up takes a thread, and may take long
+        ipaddress.ip_address(
+            host or "::"
+        )  # no name: looking one up takes a thread, and may take long
     except ValueError as error:
         raise Malformed(f"addr: {error}") from None
     started_ms, weight = maybe(row, "started_ms", float, 0), float(maybe(row, "weight", float, 1.0))
     if not (math.isfinite(weight) and 0 <= started_ms <= LATEST_MS):
         raise Malformed("weight or started_ms is out of range")
-    return Endpoint(api.Upstream(
-        number_of(need(row, "id", str)), state, maybe(row, "zone", str, ""), maybe(row, "cell", int, 0),
-        weight, kind=maybe(row, "kind", str, "")), host, port, int(started_ms))
+    return Endpoint(
+        api.Upstream(
+            number_of(need(row, "id", str)),
+            state,
+            maybe(row, "zone", str, ""),
+            maybe(row, "cell", int, 0),
+            weight,
+            kind=maybe(row, "kind", str, ""),
+        ),
+        host,
+        port,
+        int(started_ms),
+    )
 
 
 def read_list(raw: Any) -> tuple[int, bool, list[Endpoint]]:
-    """A list's version, whether it is whole, and its entries; those that can't be read are skipped."""
+    """A list's version, whether it is whole, and its entries; those that can't be read are
+    skipped.
+    """
     raw = typed(raw, "list", dict)
     endpoints, skipped = [], []
     for row in need(raw, "servers", list):
@@ -116,8 +130,10 @@
         self._run(self._watch() if self.watching else self._fetch())
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere from now on. What hangs at the old address, or waits to try it again, must
-        not hold up the new one. That one counts its versions for itself: its first whole list stands."""
+        """Discovery is elsewhere from now on. What hangs at the old address, or waits to try it
+        again, must not hold up the new one. That one counts its versions for itself: its first
+        whole list stands.
+        """
         self.address = address
         self.version = -1
         self.calls.forget()
@@ -157,9 +173,13 @@
             await asyncio.sleep(self.calls.again() if pause_s is None else pause_s)
 
     def _failed(self, error: Exception) -> None:
-        """One line for what may happen. What nobody thought of must not end the watch for good, unseen."""
+        """One line for what may happen. What nobody thought of must not end the watch for good,
+        unseen.
+        """
         expected = isinstance(error, Unanswered | Malformed)
-        log.warning("discovery: %s", error or type(error).__name__, exc_info=None if expected else error)
+        log.warning(
+            "discovery: %s", error or type(error).__name__, exc_info=None if expected else error
+        )
 
     async def _fetch(self) -> None:
         try:
@@ -192,7 +212,9 @@
         self.driver.starts.listed(time.monotonic_ns())
 
     async def _get(self, target: bytes, wait_s: float | None) -> Response:
-        """One answer; it may take so long, or what is left of `CALL_S` once there is a connection."""
+        """One answer; it may take so long, or what is left of `CALL_S` once there is a
+        connection.
+        """
         loop = asyncio.get_running_loop()
         by = loop.time() + CALL_S
         if self.connection is None or not self.connection.clear:
@@ -230,7 +252,9 @@
 
 
 class FixedList:
-    """A list that the operators wrote down, where there is no discovery: it stands until they replace it."""
+    """A list that the operators wrote down, where there is no discovery: it stands until they
+    replace it.
+    """
 
     def __init__(self, driver: Driver, servers: Json) -> None:
         self.driver = driver
--- a/lanelift/net/files.py
+++ b/lanelift/net/files.py
@@ -1,8 +1,8 @@
 """Small files in the state folder, replaced as a whole.
 
-The folder does not outlive the machine, so there is nothing to sync for: what has to last is what another
-process of this machine reads. A write may fail, or be short; a process may be killed at any point, which
-leaves the file as it was and a fresh one beside it that `clear` removes.
+The folder does not outlive the machine, so there is nothing to sync for: what has to last is what
+another process of this machine reads. A write may fail, or be short; a process may be killed at any
+point, which leaves the file as it was and a fresh one beside it that `clear` removes.
 """
 
 from __future__ import annotations
@@ -37,8 +37,9 @@
 
 
 def clear(path: Path) -> None:
-    """Remove what processes that were killed left beside the file. Whoever calls this holds the file's lock:
-    nobody else is writing it."""
+    """Remove what processes that were killed left beside the file. Whoever calls this holds the
+    file's lock: nobody else is writing it.
+    """
     for left in path.parent.glob(f"{path.name}.*"):
         with suppress(OSError):
             left.unlink()
--- a/lanelift/net/frontend.py
+++ b/lanelift/net/frontend.py
@@ -28,26 +28,30 @@
 
 
 # At the cap these make room, in this order: one that has lingered for so long, one that sent
-# nothing for so long though its request is not whole, one that has been idle for the 2 s that clients count
-# on. At last it is whoever has been silent longest, but for the time in which an honest client begins.
+# nothing for so long though its request is not whole, one that has been idle for the 2 s that
+# clients count on. At last it is whoever has been silent longest, but for the time in which an
+# honest client begins.
 LEFT_S, SILENT_S, KEPT_S, BEGIN_S = 0.1, 0.5, 2.0, 0.05
-# A connection at rest is not ended over something that lies unread, but no longer than the first: a timer
-# runs ahead of the sockets, and where the loop is late, as on a crowded core, what came meanwhile is read
-# only behind it, on the same turn. Then the connection is looked at again.
+# A connection at rest is not ended over something that lies unread, but no longer than the first: a
+# timer runs ahead of the sockets, and where the loop is late, as on a crowded core, what came
+# meanwhile is read only behind it, on the same turn. Then the connection is looked at again.
 UNREAD_S, LOOK_AGAIN_S = 0.3, 0.004
 
 
 class Frontend:
     """The listening socket and its connections, kept under a cap."""
 
-    def __init__(self, driver: Driver, listener: socket.socket, max_clients: int, store: Store) -> None:
+    def __init__(
+        self, driver: Driver, listener: socket.socket, max_clients: int, store: Store
+    ) -> None:
         self.driver = driver
         self.store = store
         self.loop = asyncio.get_running_loop()
         self.listener = listener
         self.max_clients = max_clients
         self.clients: set[ClientConnection] = set()
-        # Those without an open request, and since when: the longest first, so that one timer serves them all.
+        # Those without an open request, and since when: the longest first, so that one timer serves
+        # them all.
         self.waiting: dict[Phase, dict[ClientConnection, float]] = {phase: {} for phase in Phase}
         # Of these, whose request is not whole: who has been silent longest comes first.
         self.unfinished: dict[ClientConnection, float] = {}
@@ -109,9 +113,10 @@
                 self.loop.call_later(seconds, self._listen)
 
     def _accept(self) -> bool:
-        """Take what waits; True if nothing is left. At the cap, connections without a request make room; if
-        none can yet, the backlog holds the newcomers: one that was accepted is owed an answer, so none is
-        taken to be dropped."""
+        """Take what waits; True if nothing is left. At the cap, connections without a request make
+        room; if none can yet, the backlog holds the newcomers: one that was accepted is owed an
+        answer, so none is taken to be dropped.
+        """
         if len(self.clients) >= self.max_clients:
             self._room()
             return False
@@ -124,15 +129,17 @@
             except OSError as error:
                 if cause(Operation.ACCEPT, error) is Cause.TRANSIENT:
                     continue
-                log.error("accept: %s", error)  # out of descriptors: a later connection's end makes room
+                log.error(
+                    "accept: %s", error
+                )  # out of descriptors: a later connection's end makes room
                 self._pause(ACCEPT_PAUSE_S)
                 return False
             if received(sock)[0]:
                 sock.close()  # it gave up while it waited here: nobody would read an answer
                 continue
             sock.setblocking(False)
-            # It counts from here on, and once: counted again while its transport is made, it would drive out
-            # another client for nothing.
+            # It counts from here on, and once: counted again while its transport is made, it would
+            # drive out another client for nothing.
             client = ClientConnection(self)
             self.clients.add(client)
             task = self.loop.create_task(self._open(client, sock))
@@ -141,13 +148,21 @@
         return False
 
     def _room(self) -> None:
-        """At the cap: end one that has no request open. Its place is free on the loop's next turn, which
-        looks at the listener again. Where all are too fresh for that, wait until the first is not."""
+        """At the cap: end one that has no request open. Its place is free on the loop's next turn,
+        which looks at the listener again. Where all are too fresh for that, wait until the first is
+        not.
+        """
         now = self.loop.time()
         heads = []
-        kept_s = 0.0 if self.draining else KEPT_S  # clients of one that leaves open connections elsewhere
-        for table, seconds in ((self.waiting[Phase.LINGERING], LEFT_S), (self.unfinished, SILENT_S),
-                               (self.waiting[Phase.IDLE], kept_s), (self.unfinished, BEGIN_S)):
+        kept_s = (
+            0.0 if self.draining else KEPT_S
+        )  # clients of one that leaves open connections elsewhere
+        for table, seconds in (
+            (self.waiting[Phase.LINGERING], LEFT_S),
+            (self.unfinished, SILENT_S),
+            (self.waiting[Phase.IDLE], kept_s),
+            (self.unfinished, BEGIN_S),
+        ):
             client = next(iter(table), None)
             if client is not None:
                 due = table[client] + seconds
@@ -169,7 +184,9 @@
         return len(self.clients) >= part * self.max_clients
 
     def wait(self, client: ClientConnection, phase: Phase) -> None:
-        """It has no request open from now on, and can make room: listen again, should that have stopped."""
+        """It has no request open from now on, and can make room: listen again, should that have
+        stopped.
+        """
         self.busy(client)
         client.phase, client.end_at = phase, 0.0
         self.waiting[phase][client] = self.loop.time()
@@ -228,10 +245,12 @@
         self._listen()
         self.check_left()
 
-    # ---- the end -----------------------------------------------------------------------------------------
+    # ---- the end ---------------------------------------------------------------------------------
 
     def drain(self) -> None:
-        """SIGTERM: new connections come for a while, and old ones are used. All are answered, then closed."""
+        """SIGTERM: new connections come for a while, and old ones are used. All are answered, then
+        closed.
+        """
         if not self.draining:
             self.drained.set()
             self.drained_ns = time.monotonic_ns()
@@ -240,8 +259,9 @@
             self.loop.call_later(DRAIN_S, self._stop)
 
     def _stop(self) -> None:
-        """What is in the accept queue was taken, and closing the listener would reset it: first it is
-        emptied, as far as places allow, and what is at rest makes room for it."""
+        """What is in the accept queue was taken, and closing the listener would reset it: first it
+        is emptied, as far as places allow, and what is at rest makes room for it.
+        """
         if self.closed:
             return
         self._listen()
@@ -251,12 +271,15 @@
         self._pause()
         self.closed = True
         self.listener.close()
-        # A new connection is left its time all the same: its client has no reason yet to send elsewhere.
+        # A new connection is left its time all the same: its client has no reason yet to send
+        # elsewhere.
         self._sweep()
         self.check_left()
 
     def end_open(self) -> None:
-        """This process ends: who still waits is told so, and so is who has sent part of a request."""
+        """This process ends: who still waits is told so, and so is who has sent part of a
+        request.
+        """
         self.driver.end_open()
         for client in list(self.unfinished):
             client.leave()
--- a/lanelift/net/http.py
+++ b/lanelift/net/http.py
@@ -1,7 +1,9 @@
-"""One HTTP/1.1 exchange at a time on a connection to a server, and what both sides of a proxy share.
+"""One HTTP/1.1 exchange at a time on a connection to a server, and what both sides of a proxy
+share.
 
-An `Exchange` is one request and how it ended. It is sent once: nothing here sends a request again, and the
-moment at which its last byte left is known, because before it a broken connection proves that it never ran.
+An `Exchange` is one request and how it ended. It is sent once: nothing here sends a request again,
+and the moment at which its last byte left is known, because before it a broken connection proves
+that it never ran.
 """
 
 from __future__ import annotations
@@ -17,22 +19,41 @@
 from lanelift.net.parse import MAX_BODY, Response, ResponseReader
 from lanelift.rules import ALLOWED, Denied, Reason, Verdict
 
-HOP_BY_HOP = frozenset({b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization",
-                        b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-                        b"content-length", b"expect"})
+HOP_BY_HOP = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    }
+)
 
 
 def end_to_end(headers: Sequence[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """The headers that a proxy passes on: not those of the connection, nor of the body's framing."""
+    """The headers that a proxy passes on: not those of the connection, nor of the body's
+    framing.
+    """
     passed = [row for row in headers if row[0] not in HOP_BY_HOP]
     if len(passed) == len(headers):
         return passed  # `connection` itself is not among them
-    named = {token.strip().lower()
-             for name, value in headers if name == b"connection" for token in value.split(b",")}
+    named = {
+        token.strip().lower()
+        for name, value in headers
+        if name == b"connection"
+        for token in value.split(b",")
+    }
     return [row for row in passed if row[0] not in named] if named else passed
 
 
-# A connection on which a body stands still for so long, though there is room for more of it, is given up.
+# A connection on which a body stands still for so long, though there is room for more of it, is
+# given up.
 STALL_S = 10.0
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -42,8 +63,9 @@
 
 
 class Reading(asyncio.BufferedProtocol):
-    """What comes is read in pieces of a bounded size, into one buffer that all connections share: what stands
-    in it is taken out before the next one reads."""
+    """What comes is read in pieces of a bounded size, into one buffer that all connections share:
+    what stands in it is taken out before the next one reads.
+    """
 
     _buffer = bytearray(PIECE)
 
@@ -61,8 +83,9 @@
     """A request on its way out. It is asked at the last moment, and makes its bytes then."""
 
     def begin(self, usable: Verdict) -> bytes | Denied:
-        """All of it but a body in pieces, to be written now. `usable`: may the other side be sent something
-        new?"""
+        """All of it but a body in pieces, to be written now. `usable`: may the other side be sent
+        something new?
+        """
 
     def may_finish(self) -> bool:
         """May the last byte of a body in pieces be written now?"""
@@ -82,15 +105,33 @@
 
 
 class Exchange:
-    """A request and its end, told exactly once: OK with a response, or why there is none. The body of a long
-    response comes in pieces, and may still fail."""
-
-    __slots__ = ("request", "body", "max_body", "store", "head_only", "done", "written",
-                 "connection", "timer", "begin_timer", "unread_ns")
-
-    def __init__(self, request: bytes | Outgoing, done: Callable[[Result, Response | None], None],
-                 max_body: int = MAX_BODY, body: Body | None = None, store: Store | None = None,
-                 head_only: bool = False) -> None:
+    """A request and its end, told exactly once: OK with a response, or why there is none. The body
+    of a long response comes in pieces, and may still fail.
+    """
+
+    __slots__ = (
+        "request",
+        "body",
+        "max_body",
+        "store",
+        "head_only",
+        "done",
+        "written",
+        "connection",
+        "timer",
+        "begin_timer",
+        "unread_ns",
+    )
+
+    def __init__(
+        self,
+        request: bytes | Outgoing,
+        done: Callable[[Result, Response | None], None],
+        max_body: int = MAX_BODY,
+        body: Body | None = None,
+        store: Store | None = None,
+        head_only: bool = False,
+    ) -> None:
         self.request: Outgoing = Ready(request) if isinstance(request, bytes) else request
         self.body = body  # follows on the request, in pieces
         self.max_body = max_body
@@ -109,7 +150,9 @@
         self.timer = asyncio.get_running_loop().call_later(seconds, self.expire)
 
     def begin_in(self, seconds: float) -> None:
-        """It must not begin later than this: where no connection is up by then, it was never sent."""
+        """It must not begin later than this: where no connection is up by then, it was never
+        sent.
+        """
         if self.connection is None and self.done is not None:
             self.begin_timer = asyncio.get_running_loop().call_later(seconds, self._not_begun)
 
@@ -118,7 +161,9 @@
             self.give_up(Result.MOOT)
 
     def expire(self) -> None:
-        """The wait is over. What was not wholly written can't have run, and the close makes sure of it."""
+        """The wait is over. What was not wholly written can't have run, and the close makes sure of
+        it.
+        """
         self.give_up(Result.TIMEOUT if self.written else Result.CONNECT_FAILED)
 
     def give_up(self, result: Result) -> None:
@@ -145,7 +190,9 @@
 class Connection(Reading):
     """A kept connection to a server; `released` hears when it is free again, `lost` of its end."""
 
-    def __init__(self, released: Callable[[Connection], None], lost: Callable[[Connection], None]) -> None:
+    def __init__(
+        self, released: Callable[[Connection], None], lost: Callable[[Connection], None]
+    ) -> None:
         self.released = released
         self.lost = lost
         self.reader = ResponseReader()
@@ -164,20 +211,27 @@
         if self.closed:  # given up while it came up
             transport.abort()  # type: ignore[attr-defined]
             return
-        # The buffer counts as full from its first byte on: `resume_writing` then means that all was written.
+        # The buffer counts as full from its first byte on: `resume_writing` then means that all was
+        # written.
         self.transport.set_write_buffer_limits(high=0)
 
     @property
     def clear(self) -> bool:
-        """Is it at rest, with nothing unread: no late byte, which would be read as the next answer, and no
-        end of the server's, which would break the next request?"""
+        """Is it at rest, with nothing unread: no late byte, which would be read as the next answer,
+        and no end of the server's, which would break the next request?
+        """
         transport = self.transport
-        return (transport is not None and not self.closed and not transport.is_closing()
-                and not readable(transport.get_extra_info("socket")))
+        return (
+            transport is not None
+            and not self.closed
+            and not transport.is_closing()
+            and not readable(transport.get_extra_info("socket"))
+        )
 
     def start(self, exchange: Exchange, usable: Verdict = ALLOWED) -> None:
-        """Write it, if it may still begin. Else it ends as never sent, on the loop's next turn, and the
-        connection is free for the next one."""
+        """Write it, if it may still begin. Else it ends as never sent, on the loop's next turn, and
+        the connection is free for the next one.
+        """
         assert self.transport is not None
         data = exchange.request.begin(usable)
         if isinstance(data, Denied):
@@ -188,7 +242,9 @@
         self.exchange, exchange.connection = exchange, self
         self.reader.expect(exchange.max_body, exchange.store, exchange.head_only)
         self.writable = True
-        exchange.written = exchange.body is None  # unless the transport says that it could not take all
+        exchange.written = (
+            exchange.body is None
+        )  # unless the transport says that it could not take all
         self.transport.write(data)
         if exchange.body is not None:
             exchange.body.changed = self._pump
@@ -234,7 +290,7 @@
             if body.length is None:
                 self.transport.write(LAST_CHUNK)
 
-    # ---- a stall -----------------------------------------------------------------------------------------
+    # ---- a stall ---------------------------------------------------------------------------------
 
     def _watch(self) -> None:
         self._unwatch()
@@ -245,7 +301,7 @@
             self.stall.cancel()
             self.stall = None
 
-    # ---- the answer --------------------------------------------------------------------------------------
+    # ---- the answer ------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
         exchange, reader = self.exchange, self.reader
@@ -262,8 +318,8 @@
         if reader.ready:
             self._complete(exchange, reader.ready.popleft())
         elif reader.fault is not None:
-            # The server has answered, if with what can't be read: its work is done and it is no break of the
-            # network. Nothing on this connection can be believed any more.
+            # The server has answered, if with what can't be read: its work is done and it is no
+            # break of the network. Nothing on this connection can be believed any more.
             exchange.finish(Result.ERROR)
             self.abort()
 
@@ -306,8 +362,9 @@
             self._over(answer)
 
     def _over(self, response: Response) -> None:
-        """The answer is whole. What stands behind it, a second copy or noise, would be read as the next
-        request's."""
+        """The answer is whole. What stands behind it, a second copy or noise, would be read as the
+        next request's.
+        """
         reader = self.reader
         self.noisy = bool(reader.ready or reader.begun or reader.fault)
         if self.clean and response.keep_alive and not self.noisy:
--- a/lanelift/net/listage.py
+++ b/lanelift/net/listage.py
@@ -1,8 +1,10 @@
-"""Whether the list of upstreams may be gone by: not once a change that a silent watch hid counts as told.
+"""Whether the list of upstreams may be gone by: not once a change that a silent watch hid counts as
+told.
 
-A list that is older than that names upstreams of which any may drain, and none of them tells. Nothing new is
-sent by it until discovery has answered. That ends by itself after `LONGEST_S`: where discovery is out of
-reach for good, a fleet that serves nobody is worse than one that goes by an old list.
+A list that is older than that names upstreams of which any may drain, and none of them tells.
+Nothing new is sent by it until discovery has answered. That ends by itself after `LONGEST_S`: where
+discovery is out of reach for good, a fleet that serves nobody is worse than one that goes by an old
+list.
 """
 
 from __future__ import annotations
@@ -19,8 +21,8 @@
 log = logging.getLogger(__name__)
 
 LONGEST_S = 10.0
-# Sends end so long before the grace of the drain rule does: a process may be held up between its look at the
-# clock and its write.
+# Sends end so long before the grace of the drain rule does: a process may be held up between its
+# look at the clock and its write.
 HELD_UP_S = 0.2
 
 
@@ -42,8 +44,9 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def fell_silent(self, term_s: float) -> None:
-        """A watch did; from `term_s` on, monotonic seconds, what it hid counts as told. Said again while it
-        lasts, it changes nothing."""
+        """A watch did; from `term_s` on, monotonic seconds, what it hid counts as told. Said again
+        while it lasts, it changes nothing.
+        """
         if self.state is Trust.FRESH:
             self.state = Trust.AGING
             grace_s = self.driver.settings.rules.stop_sending_within_ns / 1e9
@@ -64,13 +67,17 @@
 
     def _expire(self) -> None:
         self.state = Trust.EXPIRED
-        log.warning("discovery: a watch fell silent and nothing was told since: the list is not gone by")
+        log.warning(
+            "discovery: a watch fell silent and nothing was told since: the list is not gone by"
+        )
         self.driver.trust(False)
         self._set_timer(LONGEST_S, self._resume)
 
     def _resume(self) -> None:
         self.state = Trust.RESUMED
-        log.error("discovery: not reached for %.0f s more: the old list is gone by again", LONGEST_S)
+        log.error(
+            "discovery: not reached for %.0f s more: the old list is gone by again", LONGEST_S
+        )
         self.driver.trust(True)
 
     def _set_timer(self, seconds: float, then: Callable[[], None]) -> None:
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -1,7 +1,8 @@
 """The clients' listening socket, which a process that takes over shares through SO_REUSEPORT.
 
-Each process has an accept queue of its own, and closing a listener resets what waits in it. So the one that
-leaves first has the kernel send new connections to its successor, and closes once its queue is empty.
+Each process has an accept queue of its own, and closing a listener resets what waits in it. So the
+one that leaves first has the kernel send new connections to its successor, and closes once its
+queue is empty.
 """
 
 from __future__ import annotations
@@ -18,14 +19,17 @@
 # Linux; the socket module does not name them.
 SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF = 51, 68
 BPF_RET = 0x06
-# The group numbers its sockets in the order in which they listened, and closes gaps: a process that leaves is
-# the oldest, number 0. Where there is no other, the choice is out of range, and the kernel goes by its hash.
+# The group numbers its sockets in the order in which they listened, and closes gaps: a process that
+# leaves is the oldest, number 0. Where there is no other, the choice is out of range, and the
+# kernel goes by its hash.
 SUCCESSOR = 1
 
 
 def listening_socket(address: tuple[str, int], shared: bool = False) -> socket.socket:
     """Bound, and not listening yet; a shared one may be bound by the next process too."""
-    listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
+    listener = socket.socket(
+        socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM
+    )
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
@@ -38,7 +42,9 @@
 
 
 def listen(listener: socket.socket, backlog: int) -> None:
-    """Join those that take connections. What an earlier process set up when it left holds no longer."""
+    """Join those that take connections. What an earlier process set up when it left holds no
+    longer.
+    """
     listener.listen(backlog)
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_DETACH_REUSEPORT_BPF, 0)
--- a/lanelift/net/management.py
+++ b/lanelift/net/management.py
@@ -21,7 +21,9 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS = 12  # calls open at a time; their descriptors are kept for them. Each takes milliseconds
+CONNECTIONS = (
+    12  # calls open at a time; their descriptors are kept for them. Each takes milliseconds
+)
 TURN = 4  # connections that asyncio takes on one turn of the loop: it may hold so many over the cap
 BACKLOG = 128  # newcomers that the kernel holds meanwhile
 # A call must be whole this long after it connected. At the cap the oldest makes room sooner.
@@ -58,7 +60,8 @@
     async def start(self, listener: socket.socket) -> None:
         # Few are taken at a time, and many may wait.
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: Call(self), sock=listener, backlog=TURN)
+            lambda: Call(self), sock=listener, backlog=TURN
+        )
         listener.listen(BACKLOG)
 
     def close(self) -> None:
@@ -102,7 +105,8 @@
                 need_method(request, b"POST")
                 name = unquote(name)
                 act: Callable[[str], Awaitable[None]] = (
-                    self.switch.disable if what == "disable" else self.switch.enable)
+                    self.switch.disable if what == "disable" else self.switch.enable
+                )
                 await act(name)
                 log.info("management: %s upstream %r", what, name)
                 return f"{what}d {name}"
@@ -111,8 +115,11 @@
 
 def need_method(request: Request, method: bytes) -> None:
     if request.method != method:
-        raise No(HTTPStatus.METHOD_NOT_ALLOWED, f"{method.decode()} is the method of this call",
-                 [(b"Allow", method)])
+        raise No(
+            HTTPStatus.METHOD_NOT_ALLOWED,
+            f"{method.decode()} is the method of this call",
+            [(b"Allow", method)],
+        )
 
 
 class Call(asyncio.Protocol):
@@ -162,12 +169,20 @@
         if self.transport is None or self.transport.is_closing():
             return
         body = text.encode() + b"\n"
-        self.transport.write(message(
-            b"HTTP/1.1 %d %b" % (status, status.phrase.encode()),
-            [*headers, (b"Content-Type", b"text/plain; charset=utf-8"),
-             (b"Content-Length", b"%d" % len(body)), (b"Connection", b"close")], body))
-        # Closing with unread bytes in hand would reset the connection and take the answer along: only the
-        # sending ends, and the caller closes, or its time runs out.
+        self.transport.write(
+            message(
+                b"HTTP/1.1 %d %b" % (status, status.phrase.encode()),
+                [
+                    *headers,
+                    (b"Content-Type", b"text/plain; charset=utf-8"),
+                    (b"Content-Length", b"%d" % len(body)),
+                    (b"Connection", b"close"),
+                ],
+                body,
+            )
+        )
+        # Closing with unread bytes in hand would reset the connection and take the answer along:
+        # only the sending ends, and the caller closes, or its time runs out.
         self.transport.write_eof()
         if self.timer is not None:
             self.timer.cancel()
--- a/lanelift/net/parse.py
+++ b/lanelift/net/parse.py
@@ -1,7 +1,7 @@
 """Bytes in, whole HTTP/1.1 messages out; no socket.
 
-`httptools` (llhttp) reads them, and is strict: bare line feeds, folded headers, two lengths or a length and a
-coding, and bad chunks are errors. What it lets pass is seen to here.
+`httptools` (llhttp) reads them, and is strict: bare line feeds, folded headers, two lengths or a
+length and a coding, and bad chunks are errors. What it lets pass is seen to here.
 """
 
 from __future__ import annotations
@@ -15,15 +15,30 @@
 
 from lanelift.net.body import MAX_LENGTH, Body, Store
 
-MAX_BODY = 64 * 1024  # a longer one is not held whole, but passed on in pieces where that is possible
+MAX_BODY = (
+    64 * 1024
+)  # a longer one is not held whole, but passed on in pieces where that is possible
 MAX_HEAD = 16 * 1024  # bytes ahead of a body; the parser sets no bound of its own
 OVERHEAD = 8  # times the longest body, a message may have in all: small chunks are mostly framing
 MAX_INTERIM = 8  # 1xx answers ahead of the one that counts: more are no answer that will ever end
 Headers = Sequence[tuple[bytes, bytes]]
 
-# Of these one decides and the other might be believed further on: a request that repeats one is ambiguous.
-SINGLE = frozenset({b"host", b"content-length", b"transfer-encoding", b"idempotency-key", b"x-request-id",
-                    b"x-class", b"x-tenant", b"x-deadline-ms", b"x-retry", b"x-cost-hint"})
+# Of these one decides and the other might be believed further on: a request that repeats one is
+# ambiguous.
+SINGLE = frozenset(
+    {
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"idempotency-key",
+        b"x-request-id",
+        b"x-class",
+        b"x-tenant",
+        b"x-deadline-ms",
+        b"x-retry",
+        b"x-cost-hint",
+    }
+)
 
 
 class Unacceptable(Exception):
@@ -61,8 +76,9 @@
 
 
 class Head:
-    """A message under way. One is made for every message there is: no dataclass, whose factories cost more
-    than all the rest of it."""
+    """A message under way. One is made for every message there is: no dataclass, whose factories
+    cost more than all the rest of it.
+    """
 
     __slots__ = ("body", "complete", "headers", "passed", "size", "target")
 
@@ -71,13 +87,16 @@
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
         self.passed = 0  # bytes of its body
-        self.size = 0  # bytes read for it; those that also held another message's end are not counted
+        self.size = (
+            0  # bytes read for it; those that also held another message's end are not counted
+        )
         self.complete = False  # its headers are: what comes as a header now is a trailer
 
 
 class Reader(Generic[Message]):
-    """What both directions share: it collects what the parser calls out. A message that can't be taken is the
-    last: `fault` says why, and nothing is read behind it."""
+    """What both directions share: it collects what the parser calls out. A message that can't be
+    taken is the last: `fault` says why, and nothing is read behind it.
+    """
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None
     keeps = False  # a body in pieces is kept, to be sent again, as long as that is possible
@@ -85,7 +104,9 @@
     def __init__(self, max_body: int, store: Store | None = None) -> None:
         self.max_body = max_body
         self.store = store  # none: what is longer than that can't be taken
-        self.stream: Body | None = None  # the body of the message under way, where it comes in pieces
+        self.stream: Body | None = (
+            None  # the body of the message under way, where it comes in pieces
+        )
         self.ready: deque[Message] = deque()
         self.fault: Unacceptable | None = None
         self.head: Head | None = None
@@ -108,7 +129,9 @@
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             if self.ready:
-                self.ready[-1].keep_alive = False  # the wish may be ignored, but the parser reads no further
+                self.ready[
+                    -1
+                ].keep_alive = False  # the wish may be ignored, but the parser reads no further
             else:
                 self._fail(400, "no other protocol is spoken here")
         except httptools.HttpParserError as error:
@@ -132,7 +155,7 @@
         if self.stream is not None:
             self.stream.fail()
 
-    # ---- called by the parser ----------------------------------------------------------------------------
+    # ---- called by the parser --------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
         self.head = Head()
@@ -278,7 +301,8 @@
     def feed(self, data: bytes) -> None:
         super().feed(data)
         if self.headed and self.fault is None:
-            # The parser does not know of HEAD and waits for a body: another one reads the next answer.
+            # The parser does not know of HEAD and waits for a body: another one reads the next
+            # answer.
             self.headed = False
             self.head = None
             self.parser = httptools.HttpResponseParser(self)
@@ -302,21 +326,29 @@
             super().on_message_complete()
 
     def _check(self, head: Head) -> None:
-        """Only an answer that tells its own end, and in one way, can be told from one that was cut off: by a
-        length, by chunks, or by saying that its connection closes behind it. One that is said to be too large
-        is not read to find out."""
+        """Only an answer that tells its own end, and in one way, can be told from one that was cut
+        off: by a length, by chunks, or by saying that its connection closes behind it. One that is
+        said to be too large is not read to find out.
+        """
         assert self.parser is not None
         status = self.parser.get_status_code()
         framed = sum(name in (b"content-length", b"transfer-encoding") for name, _ in head.headers)
-        closes = any(name == b"connection" and b"close" in value.lower().replace(b",", b" ").split()
-                     for name, value in head.headers)
+        closes = any(
+            name == b"connection" and b"close" in value.lower().replace(b",", b" ").split()
+            for name, value in head.headers
+        )
         self.until_close = not framed and closes and status >= 200 and status not in (204, 304)
         if framed != 1 and status >= 200 and status not in (204, 304) and not self.until_close:
             self._fail(502, "no length, or two")
 
     def finish(self) -> bool:
         """The connection was closed in order. Does that end an answer?"""
-        if not self.until_close or self.head is None or not self.head.complete or self.fault is not None:
+        if (
+            not self.until_close
+            or self.head is None
+            or not self.head.complete
+            or self.fault is not None
+        ):
             return False
         self.on_message_complete()
         return True
@@ -339,6 +371,8 @@
 
 
 def message(start: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
-    """A message as it is written. What stands in it has been read by a parser, or is this program's own."""
+    """A message as it is written. What stands in it has been read by a parser, or is this program's
+    own.
+    """
     rows = b"".join(b"%b: %b\r\n" % row for row in headers)
     return b"%b\r\n%b\r\n%b" % (start, rows, body)
--- a/lanelift/net/phases.py
+++ b/lanelift/net/phases.py
@@ -15,9 +15,16 @@
     LINGERING = "its sending has ended; what still comes is dropped until its client ends too"
 
 
-# How long it may: a request must be whole this long after its client connected, or after its first byte on a
-# connection that was used before (whoever is silent or slow is owed an end within 3 s of connecting, and may
-# take 2 s over a head), or go on coming, by a QUANTUM in each such time; so long a long answer may stand
-# still; a kept connection is closed after so long, and clients open another; its client is left so long to
-# read the last answer and to end in its turn (lingering close).
-LIMIT_S = {Phase.NEW: 2.6, Phase.BODY: 1.5, Phase.ANSWER: 10.0, Phase.IDLE: 10.0, Phase.LINGERING: 1.0}
+# How long it may: a request must be whole this long after its client connected, or after its first
+# byte on a connection that was used before (whoever is silent or slow is owed an end within 3 s of
+# connecting, and may take 2 s over a head), or go on coming, by a QUANTUM in each such time; so
+# long a long answer may stand still; a kept connection is closed after so long, and clients open
+# another; its client is left so long to read the last answer and to end in its turn (lingering
+# close).
+LIMIT_S = {
+    Phase.NEW: 2.6,
+    Phase.BODY: 1.5,
+    Phase.ANSWER: 10.0,
+    Phase.IDLE: 10.0,
+    Phase.LINGERING: 1.0,
+}
--- a/lanelift/net/requests.py
+++ b/lanelift/net/requests.py
@@ -30,7 +30,9 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """Times in nanoseconds, monotonic. `wait_ns`: how long its client waits from its last byte on."""
+    """Times in nanoseconds, monotonic. `wait_ns`: how long its client waits from its last byte
+    on.
+    """
 
     arrival: api.Arrival
     method: bytes
--- a/lanelift/net/siblings.py
+++ b/lanelift/net/siblings.py
@@ -1,8 +1,9 @@
-"""The processes of one balancer: while one takes over from another, both run, under limits set for one.
+"""The processes of one balancer: while one takes over from another, both run, under limits set for
+one.
 
-Each keeps a small file in the state folder, locked for as long as it lives, and writes there what it has
-done: which version of the operators' set it obeys, and whether it makes do with its part of the limits. A
-file that nobody locks belongs to a process that is dead.
+Each keeps a small file in the state folder, locked for as long as it lives, and writes there what
+it has done: which version of the operators' set it obeys, and whether it makes do with its part of
+the limits. A file that nobody locks belongs to a process that is dead.
 """
 
 from __future__ import annotations
@@ -52,7 +53,9 @@
         self.folder = folder
         self.note = Note()
         self.known: dict[Path, Note] = {}  # the others' files, and what they say
-        self.changed: list[Callable[[], None]] = []  # told at each look, whether or not anything is new
+        self.changed: list[
+            Callable[[], None]
+        ] = []  # told at each look, whether or not anything is new
         self.own: int | None = None
         self.path = ""
         self.written: Note | None = None  # what the file of its own has
@@ -62,8 +65,9 @@
         self.look()
 
     def _make(self, folder: Path) -> None:
-        """Make and lock a file of its own. Until it is locked, another process takes it for that of a dead
-        one, and removes it: then another is made. Raises OSError."""
+        """Make and lock a file of its own. Until it is locked, another process takes it for that of
+        a dead one, and removes it: then another is made. Raises OSError.
+        """
         while self.own is None:
             self.own, self.path = tempfile.mkstemp(prefix=PREFIX, dir=folder)
             try:
@@ -108,10 +112,15 @@
         self._tell()
 
     def _tell(self) -> None:
-        """See to it that a file of its own is there and says what is so. What fails is tried again at each
-        look."""
+        """See to it that a file of its own is there and says what is so. What fails is tried again
+        at each look.
+        """
         now = time.monotonic()
-        if self.folder is None or (self.own is not None and self.written == self.note) or now < self.retry_s:
+        if (
+            self.folder is None
+            or (self.own is not None and self.written == self.note)
+            or now < self.retry_s
+        ):
             return
         self.retry_s = now + RETRY_S
         try:
@@ -122,7 +131,9 @@
             self.complained, self.retry_s = False, 0.0
         except OSError as error:
             if not self.complained:
-                log.error("other processes of this balancer are not told of this one yet: %s", error)
+                log.error(
+                    "other processes of this balancer are not told of this one yet: %s", error
+                )
             self.complained = True
 
     def look(self) -> None:
@@ -145,8 +156,9 @@
         self.known = found
 
     def _read(self, path: Path) -> Note | None:
-        """What the process of this file says; None: it is dead, or gone. Where that can't be told, as this
-        process is out of descriptors or the disk errs, it says what it said before."""
+        """What the process of this file says; None: it is dead, or gone. Where that can't be told,
+        as this process is out of descriptors or the disk errs, it says what it said before.
+        """
         try:
             with open(path, "rb", buffering=0) as file:
                 try:
--- a/lanelift/net/terms.py
+++ b/lanelift/net/terms.py
@@ -42,9 +42,15 @@
     # Nobody waits longer than the class allows, whatever the header says: SIGTERM counts on it.
     longest_ns = settings.classes[class_name].deadline_ns
     wait_ns = min(longest_ns, _whole_number(headers, b"x-deadline-ms", longest_ns // MS) * MS)
-    return Terms(request, class_name, headers.get(b"x-tenant", b"").decode("latin-1"), wait_ns,
-                 _whole_number(headers, b"x-cost-hint", 0) * US, key_of(query) if "obj=" in query else "",
-                 headers.get(b"x-retry") == b"1")
+    return Terms(
+        request,
+        class_name,
+        headers.get(b"x-tenant", b"").decode("latin-1"),
+        wait_ns,
+        _whole_number(headers, b"x-cost-hint", 0) * US,
+        key_of(query) if "obj=" in query else "",
+        headers.get(b"x-retry") == b"1",
+    )
 
 
 def _class_of(path: str, headers: Mapping[bytes, bytes], settings: api.Settings) -> str:
--- a/lanelift/net/upstream.py
+++ b/lanelift/net/upstream.py
@@ -19,10 +19,13 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_PART = 0.6  # of the time after which upstreams close idle connections; then they are dropped here
-# What comes late behind an answer, a second copy or noise, would be taken for the next one's, and nothing in
-# the protocol marks it. So a connection is used again at once only if there is no other; once any upstream
-# did so, none is for a while before it has rested for longer, those of that upstream the longest.
+IDLE_PART = (
+    0.6  # of the time after which upstreams close idle connections; then they are dropped here
+)
+# What comes late behind an answer, a second copy or noise, would be taken for the next one's, and
+# nothing in the protocol marks it. So a connection is used again at once only if there is no other;
+# once any upstream did so, none is for a while before it has rested for longer, those of that
+# upstream the longest.
 SETTLE_S, SETTLE_WARY_S, SETTLE_NOISY_S, NOISY_S = 0.002, 0.012, 0.05, 60.0
 HERE_PAUSE_S = 0.02  # before what failed for want of something on this machine is tried again
 QUIET_S = 5.0  # between two lines about one and the same shortage
@@ -39,8 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An upstream as discovery lists it: what the module is told, but for its start, which the driver reckons
-    from the Unix time listed (0: long ago); and the address that the module is not told."""
+    """An upstream as discovery lists it: what the module is told, but for its start, which the
+    driver reckons from the Unix time listed (0: long ago); and the address that the module is not
+    told.
+    """
 
     entry: api.Upstream
     host: str
@@ -55,8 +60,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """How long an attempt may take, in seconds from now on, None: without a limit; and within how long it has
-    to begin, 0: at any time."""
+    """How long an attempt may take, in seconds from now on, None: without a limit; and within how
+    long it has to begin, 0: at any time.
+    """
 
     timeout_s: float | None
     begin_s: float = 0.0
@@ -74,8 +80,9 @@
 
 
 class Upstreams:
-    def __init__(self, limits: api.Limits, max_connections: int, columns: Collection[str],
-                 store: Store) -> None:
+    def __init__(
+        self, limits: api.Limits, max_connections: int, columns: Collection[str], store: Store
+    ) -> None:
         self.store = store
         self.connect_timeout = limits.connect_timeout_ns / 1e9
         self.idle_s = limits.conn_idle_ns * IDLE_PART / 1e9
@@ -87,15 +94,19 @@
         self.banned: set[int] = set()  # by operators: not probed, and no connection to one is kept
         self.listed: dict[int, None] = {}  # every upstream that a list named, the newest last
         self.connections = 0  # those open and those being opened
-        self.resting: dict[Connection, None] = {}  # idle connections to any upstream, the oldest first
+        self.resting: dict[
+            Connection, None
+        ] = {}  # idle connections to any upstream, the oldest first
         self.wary_until_s = 0.0  # an upstream sent what nobody asked for
         self.quiet_until = 0.0  # the shortage of connections is not logged again before
         self.connecting: set[asyncio.Task[None]] = set()
 
-    # ---- the list ----------------------------------------------------------------------------------------
+    # ---- the list --------------------------------------------------------------------------------
 
     def learn(self, endpoints: Iterable[Endpoint], full: bool) -> None:
-        """Take in a list. Idle connections to what drains, restarted, moved or went are dropped at once."""
+        """Take in a list. Idle connections to what drains, restarted, moved or went are dropped at
+        once.
+        """
         seen = set()
         for new in endpoints:
             seen.add(new.entry.id)
@@ -142,7 +153,7 @@
             target.keep = False
             self._drop_idle(target)
 
-    # ---- the cap -----------------------------------------------------------------------------------------
+    # ---- the cap ---------------------------------------------------------------------------------
 
     @property
     def held(self) -> int:
@@ -154,12 +165,21 @@
         while self.connections > connections and self._make_room():
             pass
 
-    # ---- attempts and probes -----------------------------------------------------------------------------
-
-    def send(self, number: int, request: bytes | Outgoing, done: Done, timing: Timing,
-             body: Body | None = None, head_only: bool = False) -> Exchange | None:
-        """Start one attempt; None if there is no such upstream, or operators took it out. The outcome never
-        comes within this call. With a time to begin it is moot if no connection is up by then."""
+    # ---- attempts and probes ---------------------------------------------------------------------
+
+    def send(
+        self,
+        number: int,
+        request: bytes | Outgoing,
+        done: Done,
+        timing: Timing,
+        body: Body | None = None,
+        head_only: bool = False,
+    ) -> Exchange | None:
+        """Start one attempt; None if there is no such upstream, or operators took it out. The
+        outcome never comes within this call. With a time to begin it is moot if no connection is up
+        by then.
+        """
         target = self.targets.get(number)
         if target is None or number in self.banned:
             return None
@@ -173,7 +193,9 @@
         if timing.begin_s:
             exchange.begin_in(timing.begin_s)
         if timing.timeout_s is not None:
-            exchange.expire_in(timing.timeout_s)  # last: what could not start must not come to a second end
+            exchange.expire_in(
+                timing.timeout_s
+            )  # last: what could not start must not come to a second end
         return exchange
 
     def probe(self, number: int, done: Callable[[api.Result, Report], None]) -> bool:
@@ -201,7 +223,7 @@
     def _report(self, text: bytes | None) -> Report:
         return read_report(text, self.columns)
 
-    # ---- connections -------------------------------------------------------------------------------------
+    # ---- connections -----------------------------------------------------------------------------
 
     def _start(self, target: Target, exchange: Exchange) -> None:
         loop = asyncio.get_running_loop()
@@ -222,8 +244,9 @@
         return may_use(target.keep, self.trusted)
 
     def _idle(self, target: Target, now: float) -> Connection | None:
-        """The newest that has settled: the others may come to rest and close. Failing that the oldest, where
-        no upstream was noisy."""
+        """The newest that has settled: the others may come to rest and close. Failing that the
+        oldest, where no upstream was noisy.
+        """
         while True:
             before_s = now - self._settle_s(target, now)
             connection = next((c for c in reversed(target.idle) if c.idle_since <= before_s), None)
@@ -259,8 +282,8 @@
         elif exchange.done is None:  # it is over by now: the connection serves the next one
             self._released(target, connection)
         else:
-            # The upstream may drain, have gone or restarted, or been disabled while the connection came up:
-            # an attempt that began now would be a new one for it.
+            # The upstream may drain, have gone or restarted, or been disabled while the connection
+            # came up: an attempt that began now would be a new one for it.
             try:
                 connection.start(exchange, self._usable(target))
             except Exception:  # its request is owed an end all the same
@@ -269,12 +292,16 @@
                 exchange.give_up(api.Result.RESET if exchange.written else api.Result.MOOT)
 
     async def _dial(self, target: Target, exchange: Exchange) -> Connection | None:
-        """A connection that is up; None: there is none in its time, and the exchange has its end. What fails
-        for want of something on this machine is tried again, and no word on the upstream."""
+        """A connection that is up; None: there is none in its time, and the exchange has its end.
+        What fails for want of something on this machine is tried again, and no word on the
+        upstream.
+        """
         loop = asyncio.get_running_loop()
         until_s = loop.time() + self.connect_timeout
         while True:
-            connection = Connection(lambda c: self._released(target, c), lambda c: self._lost(target, c))
+            connection = Connection(
+                lambda c: self._released(target, c), lambda c: self._lost(target, c)
+            )
             try:
                 await self._open(target.endpoint, connection, until_s)
                 return connection
@@ -283,7 +310,9 @@
                 connection.abort()
                 why = cause(Operation.CONNECT, error)
                 if why is Cause.PEER or loop.time() + HERE_PAUSE_S >= until_s:
-                    exchange.give_up(api.Result.CONNECT_FAILED if why is Cause.PEER else api.Result.MOOT)
+                    exchange.give_up(
+                        api.Result.CONNECT_FAILED if why is Cause.PEER else api.Result.MOOT
+                    )
                 if up:  # it was counted when it was lost
                     self.connections += 1
                 if why is Cause.HERE:
@@ -299,7 +328,8 @@
     async def _open(endpoint: Endpoint, connection: Connection, until_s: float) -> None:
         async with asyncio.timeout_at(until_s):
             await asyncio.get_running_loop().create_connection(
-                lambda: connection, endpoint.host, endpoint.port)
+                lambda: connection, endpoint.host, endpoint.port
+            )
 
     def _released(self, target: Target, connection: Connection) -> None:
         if not target.keep:
@@ -317,8 +347,8 @@
         target.timer = call_after(due - asyncio.get_running_loop().time(), self._sweep, target)
 
     def _sweep(self, target: Target) -> None:
-        # A request written to a connection that the upstream is just closing ends as a reset, and may have
-        # run: none is used that comes near the upstream's own limit.
+        # A request written to a connection that the upstream is just closing ends as a reset, and
+        # may have run: none is used that comes near the upstream's own limit.
         target.timer = None
         now = asyncio.get_running_loop().time()
         for connection in [c for c in target.idle if c.idle_since + self.idle_s <= now]:
@@ -369,8 +399,9 @@
 
 
 def read_report(text: bytes | None, columns: Collection[str]) -> Report:
-    """`inflight=7,queue=2`: what can be read of it, and was agreed on. A figure that is no amount of anything
-    must not reach the decisions: comparisons with not-a-number hold for nobody."""
+    """`inflight=7,queue=2`: what can be read of it, and was agreed on. A figure that is no amount
+    of anything must not reach the decisions: comparisons with not-a-number hold for nobody.
+    """
     if text is None:
         return None
     report = {}
--- a/lanelift/rules.py
+++ b/lanelift/rules.py
@@ -1,8 +1,9 @@
 """What may be sent, retried, finished, refused or told *now*: one place for the rules. Pure.
 
-The decisions ask when they choose; `lanelift/net/` asks again at the last moment before the first byte of an
-attempt is written, and before the last one of a body that comes in pieces. A denial there is counted and
-logged (`lanelift/net/denials.py`). `docs/design/rules.md` lists each promise with its page and test.
+The decisions ask when they choose; `lanelift/net/` asks again at the last moment before the first
+byte of an attempt is written, and before the last one of a body that comes in pieces. A denial
+there is counted and logged (`lanelift/net/denials.py`). `docs/design/rules.md` lists each promise
+with its page and test.
 
 All times are nanoseconds of the monotonic clock.
 """
@@ -15,8 +16,8 @@
 from lanelift import interface as api
 
 MS = 1_000_000
-# An attempt may tell its upstream so much more than its client has left. The page allows 150 ms, of which a
-# process may be held up for some between this look at the clock and its write.
+# An attempt may tell its upstream so much more than its client has left. The page allows 150 ms, of
+# which a process may be held up for some between this look at the clock and its write.
 TOLD_SLACK_NS = 100 * MS
 
 
@@ -99,8 +100,9 @@
 
 
 def may_use(usable: bool, list_trusted: bool) -> Verdict:
-    """May something new begin at this upstream? `usable`: it is listed as ready, by the same process, and is
-    not disabled."""
+    """May something new begin at this upstream? `usable`: it is listed as ready, by the same
+    process, and is not disabled.
+    """
     if not list_trusted:
         return DENIED[Reason.LIST]
     return ALLOWED if usable else DENIED[Reason.UPSTREAM]
@@ -112,8 +114,10 @@
 
 
 def may_repeat(cls: api.RequestClass, since_first_ns: int, same_group: bool) -> Verdict:
-    """May a request be sent to this upstream that may have run before? `since_first_ns`: since the first send
-    that may have run. `same_group`: all upstreams that it went to drop each other's repeats."""
+    """May a request be sent to this upstream that may have run before? `since_first_ns`: since the
+    first send that may have run. `same_group`: all upstreams that it went to drop each other's
+    repeats.
+    """
     if cls.effect is api.Effect.SAFE:
         return ALLOWED
     if cls.effect is not api.Effect.KEYED:
@@ -132,12 +136,16 @@
 
 
 def told_ms(now_ns: int, *until_ns: int) -> int:
-    """The time that an attempt tells its upstream: what is left now until the first of these, in whole ms."""
+    """The time that an attempt tells its upstream: what is left now until the first of these, in
+    whole ms.
+    """
     return max(1, (min(until_ns) - now_ns) // MS)
 
 
 def may_finish(told: int, now_ns: int, client_until_ns: int) -> Verdict:
-    """May the last byte of a body be written, whose head told so many ms? Its upstream counts from there."""
+    """May the last byte of a body be written, whose head told so many ms? Its upstream counts from
+    there.
+    """
     if told * MS > client_until_ns - now_ns + TOLD_SLACK_NS:
         return DENIED[Reason.TOLD]
     return ALLOWED
--- a/lanelift/settings.py
+++ b/lanelift/settings.py
@@ -1,6 +1,8 @@
-"""The settings object, as the simulator's first message and a real balancer's configuration hold it.
+"""The settings object, as the simulator's first message and a real balancer's configuration hold
+it.
 
-Both programs read it here and nowhere else. Unknown keys are skipped; what is absent keeps its default.
+Both programs read it here and nowhere else. Unknown keys are skipped; what is absent keeps its
+default.
 """
 
 from __future__ import annotations
@@ -14,10 +16,19 @@
 
 Json = dict[str, Any]
 
-EFFECTS = {"read_like": api.Effect.SAFE, "idempotency_key": api.Effect.KEYED,
-           "non_idempotent": api.Effect.UNSAFE}
-KINDS = {int: "a whole number", float: "a number", str: "text", bool: "true or false", dict: "an object",
-         list: "an array"}
+EFFECTS = {
+    "read_like": api.Effect.SAFE,
+    "idempotency_key": api.Effect.KEYED,
+    "non_idempotent": api.Effect.UNSAFE,
+}
+KINDS = {
+    int: "a whole number",
+    float: "a number",
+    str: "text",
+    bool: "true or false",
+    dict: "an object",
+    list: "an array",
+}
 SCOPES = {scope.value: scope for scope in api.Scope}
 
 
@@ -60,10 +71,15 @@
 
 
 def _pick(known: Json, like: type, names: Mapping[str, str]) -> Json:
-    """The known settings among those sent, under the interface's names; the rest keep their defaults."""
+    """The known settings among those sent, under the interface's names; the rest keep their
+    defaults.
+    """
     types = {f.name: type(f.default) for f in dataclasses.fields(like)}
-    return {ours: typed(known[theirs], theirs, types[ours])
-            for theirs, ours in names.items() if known.get(theirs) is not None}
+    return {
+        ours: typed(known[theirs], theirs, types[ours])
+        for theirs, ours in names.items()
+        if known.get(theirs) is not None
+    }
 
 
 def _same(*names: str) -> dict[str, str]:
@@ -75,41 +91,92 @@
 
 
 def read_class(row: Json) -> api.RequestClass:
-    given = _pick(row, api.RequestClass, {**_same("window_ns", "aim_ns", "worth", "late_worth", "stream"),
-                                          "hard_limit_ns": "deadline_ns",
-                                          "fifo_by_key": "in_order"})
+    given = _pick(
+        row,
+        api.RequestClass,
+        {
+            **_same("window_ns", "aim_ns", "worth", "late_worth", "stream"),
+            "hard_limit_ns": "deadline_ns",
+            "fifo_by_key": "in_order",
+        },
+    )
     return api.RequestClass(
-        need(row, "name", str), word(row, "repeat", EFFECTS, "non_idempotent"),
-        word(row, "dedup_scope", SCOPES, "all"), zones=_names(row, "runs_in"),
-        kinds=_names(row, "allowed_on"), **given)
+        need(row, "name", str),
+        word(row, "repeat", EFFECTS, "non_idempotent"),
+        word(row, "dedup_scope", SCOPES, "all"),
+        zones=_names(row, "runs_in"),
+        kinds=_names(row, "allowed_on"),
+        **given,
+    )
 
 
 def write_class(name: str, safe: bool, aim_ns: int, deadline_ns: int, worth: float) -> Json:
     """What `read_class` reads back."""
-    return {"name": name, "repeat": "read_like" if safe else "non_idempotent", "aim_ns": int(aim_ns),
-            "hard_limit_ns": int(deadline_ns), "worth": worth}
+    return {
+        "name": name,
+        "repeat": "read_like" if safe else "non_idempotent",
+        "aim_ns": int(aim_ns),
+        "hard_limit_ns": int(deadline_ns),
+        "worth": worth,
+    }
 
 
 def read_settings(raw: Json) -> api.Settings:
     classes = [read_class(typed(row, "profiles", dict)) for row in maybe(raw, "profiles", list, ())]
-    tenants = [api.Tenant(need(typed(row, "realms", dict), "name", str),
-                          **_pick(row, api.Tenant, _same("share", "quota_per_s")))
-               for row in maybe(raw, "realms", list, ())]
-    limits = _pick(maybe(raw, "limits", dict, {}), api.Limits, {
-        "send_cap": "max_attempts",
-        **_same("second_copies", "may_cancel", "probes", "peers", "retry_after", "max_retry_after_ns",
-                "connect_timeout_ns", "conn_idle_ns", "max_open")})
-    rules = _pick(maybe(raw, "rules", dict, {}), api.Rules, _same(
-        "stop_sending_within_ns", "ask_within_ns", "cold_from", "cold_ns", "fall_multiple",
-        "overload_for_ns", "turn_gap_ns"))
-    prices = _pick(maybe(raw, "prices", dict, {}), api.Prices, _same(
-        "cross_zone", "waste", "probe", "peer", "connection", "handshake"))
+    tenants = [
+        api.Tenant(
+            need(typed(row, "realms", dict), "name", str),
+            **_pick(row, api.Tenant, _same("share", "quota_per_s")),
+        )
+        for row in maybe(raw, "realms", list, ())
+    ]
+    limits = _pick(
+        maybe(raw, "limits", dict, {}),
+        api.Limits,
+        {
+            "send_cap": "max_attempts",
+            **_same(
+                "second_copies",
+                "may_cancel",
+                "probes",
+                "peers",
+                "retry_after",
+                "max_retry_after_ns",
+                "connect_timeout_ns",
+                "conn_idle_ns",
+                "max_open",
+            ),
+        },
+    )
+    rules = _pick(
+        maybe(raw, "rules", dict, {}),
+        api.Rules,
+        _same(
+            "stop_sending_within_ns",
+            "ask_within_ns",
+            "cold_from",
+            "cold_ns",
+            "fall_multiple",
+            "overload_for_ns",
+            "turn_gap_ns",
+        ),
+    )
+    prices = _pick(
+        maybe(raw, "prices", dict, {}),
+        api.Prices,
+        _same("cross_zone", "waste", "probe", "peer", "connection", "handshake"),
+    )
     reports = maybe(raw, "load_report", dict, {})
     return api.Settings(
-        me=maybe(raw, "me", int, 0), replicas_of_me=maybe(raw, "replicas_of_me", int, 1),
+        me=maybe(raw, "me", int, 0),
+        replicas_of_me=maybe(raw, "replicas_of_me", int, 1),
         zone=maybe(raw, "locality", str, ""),
         discovery_push=word(raw, "registry_mode", {"push": True, "ask": False}, "push"),
-        classes={c.name: c for c in classes}, tenants={t.name: t for t in tenants},
-        limits=api.Limits(**limits), rules=api.Rules(**rules), prices=api.Prices(**prices),
+        classes={c.name: c for c in classes},
+        tenants={t.name: t for t in tenants},
+        limits=api.Limits(**limits),
+        rules=api.Rules(**rules),
+        prices=api.Prices(**prices),
         report_columns=tuple(typed(c, "columns", str) for c in maybe(reports, "columns", list, ())),
-        reports_in_answers=reports.get("how") == "answers")
+        reports_in_answers=reports.get("how") == "answers",
+    )
--- a/lanelift/sites/member.py
+++ b/lanelift/sites/member.py
@@ -1,11 +1,11 @@
-"""One balancer's part: what it sees, what it tells the others, which boxes it sounds, and the plan that its
-module is to follow. Pure: a shell hands in what was tried and what the store told, and carries out what a
-turn gives.
-
-The owner's orders are followed while they are fresh and for the sites that are listed here. Without them a
-balancer goes by the table for just the loss that it sees, if one was worked out, and lets a site come back by
-the same stages, judged by its own tries alone. In any case nothing is sent to a site that does not answer
-here.
+"""One balancer's part: what it sees, what it tells the others, which boxes it sounds, and the plan
+that its module is to follow. Pure: a shell hands in what was tried and what the store told, and
+carries out what a turn gives.
+
+The owner's orders are followed while they are fresh and for the sites that are listed here. Without
+them a balancer goes by the table for just the loss that it sees, if one was worked out, and lets a
+site come back by the same stages, judged by its own tries alone. In any case nothing is sent to a
+site that does not answer here.
 """
 
 from __future__ import annotations
@@ -25,10 +25,14 @@
 SECOND = 1_000_000_000
 OLD_NS = 12 * SECOND  # of the owner's last word
 SUSPECTED = 2  # calls of its own at each turn to a site that is suspected
-SOUND_NS, SOUND_EACH = SECOND // 2, 8  # a site that is not used gets so many calls in that time, from all
+SOUND_NS, SOUND_EACH = (
+    SECOND // 2,
+    8,
+)  # a site that is not used gets so many calls in that time, from all
 UNUSED = 0.05  # part of its draws, below which a site is hardly met
-# Between two rows of one among many; while something is under way, part of that: each step of a return waits
-# for what is seen. A change of what a site is takes no longer than the last to be told.
+# Between two rows of one among many; while something is under way, part of that: each step of a
+# return waits for what is seen. A change of what a site is takes no longer than the last to be
+# told.
 ROW_NS, ROW_EACH_NS, ROW_MOST_NS = 2 * SECOND, 15_000_000, 3 * SECOND
 BUSY, NEWS_NS = 0.5, SECOND // 4
 CALLED_OFF = 0.8  # of its aim that an attempt had when it was called off: nothing had answered
@@ -40,7 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """`changes`: of what sites are; `sounds`: boxes to call; `plan`: for the module, None: as it was."""
+    """`changes`: of what sites are; `sounds`: boxes to call; `plan`: for the module, None: as it
+    was.
+    """
 
     changes: list[tuple[str, Verdict]]
     sounds: list[int]
@@ -76,7 +82,7 @@
         self.judged: dict[str, list[int]] = {}  # tries of a site in its stage, and good ones
         self.sounded_ns: dict[str, int] = {}
 
-    # ---- what is seen ------------------------------------------------------------------------------------
+    # ---- what is seen ----------------------------------------------------------------------------
 
     def arrived(self, e: api.Arrival) -> None:
         self.asked += 1
@@ -85,7 +91,9 @@
 
     def tried(self, e: api.Outcome, aim_ns: int, usual_ns: float, now: int) -> None:
         """An attempt ended. `usual_ns`: what such a request takes; 0: not known."""
-        dead = e.result in DEAD or (e.result is api.Result.CANCELLED and e.took_ns >= CALLED_OFF * aim_ns)
+        dead = e.result in DEAD or (
+            e.result is api.Result.CANCELLED and e.took_ns >= CALLED_OFF * aim_ns
+        )
         if not dead and e.result not in ALIVE:
             return
         good = e.result is api.Result.OK and e.took_ns <= aim_ns
@@ -109,12 +117,16 @@
         row[0] += 1
         row[1] += good
         if pace > 0:
-            self.paces[site] = self.paces.get(site, 1.0) + 0.1 * (min(10.0, pace) - self.paces.get(site, 1.0))
+            self.paces[site] = self.paces.get(site, 1.0) + 0.1 * (
+                min(10.0, pace) - self.paces.get(site, 1.0)
+            )
         self.evidence.outcome(number, alive, now, pace)
 
-    # ---- the owner's word --------------------------------------------------------------------------------
+    # ---- the owner's word ------------------------------------------------------------------------
 
-    def ordered(self, orders: Orders, sites: frozenset[str], held: Mapping[str, str], now: int) -> None:
+    def ordered(
+        self, orders: Orders, sites: frozenset[str], held: Mapping[str, str], now: int
+    ) -> None:
         """`held`: sites that operators keep out, and who."""
         self.orders, self.sites, self.heard_ns = orders, sites, now
         for name in self.evidence.sites:
@@ -130,7 +142,7 @@
         fresh = bool(self.heard_ns) and now - self.heard_ns < OLD_NS
         return fresh and (not self.sites or there <= self.sites)
 
-    # ---- a turn ------------------------------------------------------------------------------------------
+    # ---- a turn ----------------------------------------------------------------------------------
 
     def turn(self, now: int, store: bool) -> Turn:
         """`store`: it answers, as far as is known."""
@@ -145,14 +157,17 @@
         return Turn(changes, sounds, plan)
 
     def _sounds(self, now: int) -> list[int]:
-        """Boxes of sites that are not used: nothing else would tell that they are back, at once again where
-        one gave a sign. And some of a site that is suspected: the module leaves alone what fails, and too few
-        would be tried."""
+        """Boxes of sites that are not used: nothing else would tell that they are back, at once
+        again where one gave a sign. And some of a site that is suspected: the module leaves alone
+        what fails, and too few would be tried.
+        """
         found: list[int] = []
         for name, site in self.evidence.sites.items():
             suspected = self.evidence.suspected(name)
             gone = site.state in (State.LOST, State.CUT)
-            unused = gone or site.state is State.RETURNING or self.plan.zones.get(name, 1.0) < UNUSED
+            unused = (
+                gone or site.state is State.RETURNING or self.plan.zones.get(name, 1.0) < UNUSED
+            )
             if not (suspected or unused):
                 continue
             boxes = [n for n, b in self.evidence.boxes.items() if b.site == name]
@@ -186,9 +201,16 @@
         return base._replace(zones=zones)
 
     def _of(self, o: Orders) -> api.Plan:
-        return api.Plan(dict(o.zones.get(self.here, {})), o.excess, dict(o.shares.get(self.name, {})),
-                        o.repeats, o.copies, dict(o.classes), (o.back_ns[0], o.back_ns[1]),
-                        {box: o.cold.get(self.name, {}).get(box, 0.0) for box in o.cooling})
+        return api.Plan(
+            dict(o.zones.get(self.here, {})),
+            o.excess,
+            dict(o.shares.get(self.name, {})),
+            o.repeats,
+            o.copies,
+            dict(o.classes),
+            (o.back_ns[0], o.back_ns[1]),
+            {box: o.cold.get(self.name, {}).get(box, 0.0) for box in o.cooling},
+        )
 
     def _by_table(self) -> api.Plan:
         lost = frozenset(n for n, s in self.evidence.sites.items() if s.state is State.LOST)
@@ -209,7 +231,7 @@
         age_s = (now - self.stage_ns[name]) / SECOND
         return self._stage(name, recovery.step(self.returns[name], seen, age_s), now).share
 
-    # ---- what it tells -----------------------------------------------------------------------------------
+    # ---- what it tells ---------------------------------------------------------------------------
 
     @property
     def row_every_ns(self) -> int:
@@ -223,13 +245,23 @@
         seconds = max(0.05, (now - self.since_ns) / SECOND)
         said = self.evidence.says()
         self.count += 1
-        row = Row(self.here, tuple(sorted(said.answers)), tuple(sorted(said.silent)), self.evidence.alone,
-                  tuple((kind, tenant, round(n / seconds, 3), round(self.repeats[kind, tenant] / n, 3))
-                        for (kind, tenant), n in sorted(self.came.items())),
-                  tuple((site, n, round(self.good[site] / n, 3), round(self.paces.get(site, 1.0), 2))
-                        for site, n in sorted(self.ended.items())),
-                  round(self.served / self.asked, 4) if self.asked >= FEW else -1.0,
-                  tuple((k, round(ns / SECOND, 5)) for k, ns in sorted(taken.items()) if k), self.count)
+        row = Row(
+            self.here,
+            tuple(sorted(said.answers)),
+            tuple(sorted(said.silent)),
+            self.evidence.alone,
+            tuple(
+                (kind, tenant, round(n / seconds, 3), round(self.repeats[kind, tenant] / n, 3))
+                for (kind, tenant), n in sorted(self.came.items())
+            ),
+            tuple(
+                (site, n, round(self.good[site] / n, 3), round(self.paces.get(site, 1.0), 2))
+                for site, n in sorted(self.ended.items())
+            ),
+            round(self.served / self.asked, 4) if self.asked >= FEW else -1.0,
+            tuple((k, round(ns / SECOND, 5)) for k, ns in sorted(taken.items()) if k),
+            self.count,
+        )
         for counts in (self.came, self.repeats, self.ended, self.good):
             counts.clear()
         self.asked = self.served = 0
--- a/lanelift/sites/words.py
+++ b/lanelift/sites/words.py
@@ -1,7 +1,7 @@
 """What balancers tell of the sites, put together: what the fleet takes each site to be. Pure.
 
-A balancer's row tells of the sites by its own tries. None is believed alone: a site is lost when most of the
-sites that can tell say so, and nobody within it says otherwise.
+A balancer's row tells of the sites by its own tries. None is believed alone: a site is lost when
+most of the sites that can tell say so, and nobody within it says otherwise.
 """
 
 from __future__ import annotations
@@ -17,11 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A balancer's, as it stands in the store; small, and put some times a minute. `loads`: by class and
-    tenant, requests a second that came in, and the part of them that were clients' repeats; `sites`: by site,
-    tries that ended since the row before, the part of them that were good, and their pace; `served`: part of
-    what came in that was answered in time, under 0: too few; `work`: by class, seconds that a request takes;
-    `count` grows."""
+    """A balancer's, as it stands in the store; small, and put some times a minute. `loads`: by
+    class and tenant, requests a second that came in, and the part of them that were clients'
+    repeats; `sites`: by site, tries that ended since the row before, the part of them that were
+    good, and their pace; `served`: part of what came in that was answered in time, under 0: too
+    few; `work`: by class, seconds that a request takes; `count` grows.
+    """
 
     site: str
     answers: tuple[str, ...]
@@ -36,7 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """A row, and for how long it has stood, by the reader's clock; `live`: its balancer holds its name."""
+    """A row, and for how long it has stood, by the reader's clock; `live`: its balancer holds its
+    name.
+    """
 
     row: Row
     age_s: float
@@ -51,7 +54,9 @@
 class Heard:
     """All rows: by site, who says what of it."""
 
-    answers: Mapping[str, list[str]] = field(default_factory=dict)  # site: sites whose balancers it answers
+    answers: Mapping[str, list[str]] = field(
+        default_factory=dict
+    )  # site: sites whose balancers it answers
     silent: Mapping[str, list[str]] = field(default_factory=dict)
     within: Mapping[str, int] = field(default_factory=dict)  # site: its own balancers that speak
 
@@ -82,9 +87,11 @@
     `usual`."""
     for_, against = h.silent.get(name, []), h.answers.get(name, [])
     others_no, others_yes = [s for s in for_ if s != name], [s for s in against if s != name]
-    why = (f"{len(others_no)} other sites get no answer there ({', '.join(others_no) or 'none'}),"
-           f" {len(others_yes)} do; {h.within.get(name, 0)} of its own balancers speak;"
-           f" {listed} of {usual} boxes are listed")
+    why = (
+        f"{len(others_no)} other sites get no answer there ({', '.join(others_no) or 'none'}),"
+        f" {len(others_yes)} do; {h.within.get(name, 0)} of its own balancers speak;"
+        f" {listed} of {usual} boxes are listed"
+    )
     alive = listed / usual if usual else 1.0
     if usual and not listed:
         return Verdict(State.LOST, 0, 0.0, "discovery lists none of its boxes; " + why)
--- a/lanelift/store/client.py
+++ b/lanelift/store/client.py
@@ -1,9 +1,10 @@
-"""A client of the store: one connection at a time, tried again elsewhere when it fails, with a deadline on
-all.
+"""A client of the store: one connection at a time, tried again elsewhere when it fails, with a
+deadline on all.
 
-Writes belong to a session and bear numbers, so that one whose answer was lost is made once however often it
-is sent (thesis 6.3). Reads say what they are: `get` and `scan` are linearizable, with `stale=True` they are
-what the asked node knows. A watch tells every change, in order, or raises `Compacted`.
+Writes belong to a session and bear numbers, so that one whose answer was lost is made once however
+often it is sent (thesis 6.3). Reads say what they are: `get` and `scan` are linearizable, with
+`stale=True` they are what the asked node knows. A watch tells every change, in order, or raises
+`Compacted`.
 """
 
 from __future__ import annotations
@@ -108,8 +109,9 @@
 
 @dataclass(slots=True)
 class Reading:
-    """Rows, and the revision as of which they are. `behind_ms`: a stale read's node had no leader for so
-    long."""
+    """Rows, and the revision as of which they are. `behind_ms`: a stale read's node had no leader
+    for so long.
+    """
 
     rows: list[Row]
     revision: int
@@ -181,25 +183,35 @@
     connecting: asyncio.Lock = field(default_factory=asyncio.Lock)
     opening: asyncio.Lock = field(default_factory=asyncio.Lock)
     window: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(WINDOW))
-    reach: Mapping[str, str] = field(default_factory=dict)  # where an address that is told is reached
+    reach: Mapping[str, str] = field(
+        default_factory=dict
+    )  # where an address that is told is reached
     rng: random.Random = field(default_factory=lambda: random.Random(os.urandom(8)))
 
-    # ---- reading -----------------------------------------------------------------------------------------
+    # ---- reading ---------------------------------------------------------------------------------
 
     async def get(self, *keys: str, stale: bool = False, within_s: float = 0.0) -> Reading:
         """A row for each key, its value None where it is not there. Raises Unavailable."""
-        return self._reading(await self._call(lambda i, ms: Get(i, ms, keys, not stale), within_s, not stale))
+        return self._reading(
+            await self._call(lambda i, ms: Get(i, ms, keys, not stale), within_s, not stale)
+        )
 
     async def scan(self, prefix: str, stale: bool = False, within_s: float = 0.0) -> Reading:
-        """All keys that begin so; page after page where they are many, as of the first page's revision or
-        later. Raises Unavailable."""
+        """All keys that begin so; page after page where they are many, as of the first page's
+        revision or later. Raises Unavailable.
+        """
         rows: list[Row] = []
         first = 0
         behind = 0
         while True:
             after = rows[-1].key if rows else ""
-            page = await self._call(lambda i, ms, a=after: (  # type: ignore[misc]
-                Scan(i, ms, prefix, a, 1000, not stale)), within_s, not stale)
+            page = await self._call(
+                lambda i, ms, a=after: (  # type: ignore[misc]
+                    Scan(i, ms, prefix, a, 1000, not stale)
+                ),
+                within_s,
+                not stale,
+            )
             assert isinstance(page, Rows)
             rows += page.rows
             first = first or page.revision
@@ -217,8 +229,9 @@
         return Reading(list(reply.rows), reply.revision, reply.behind_ms)
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Changes]:
-        """Every change behind revision `after`, in order, over lost connections and leaders; empty ones say
-        how far it has looked. Ends only by its caller. Raises Compacted."""
+        """Every change behind revision `after`, in order, over lost connections and leaders; empty
+        ones say how far it has looked. Ends only by its caller. Raises Compacted.
+        """
         wait = BACKOFF_S[0]
         while True:
             try:
@@ -260,45 +273,101 @@
             await asyncio.sleep(wait * self.rng.uniform(0.5, 1.0))
             wait = min(2 * wait, BACKOFF_S[1])
 
-    # ---- writing -----------------------------------------------------------------------------------------
-
-    async def put(self, key: str, value: bytes, version: int = ANY, note: str = "", author: str = "",
-                  within_s: float = 0.0) -> int:
-        """The new version. `version`: what the key must be at, 0 for not there. Raises Conflict, Rejected,
-        Unavailable, Undecided."""
+    # ---- writing ---------------------------------------------------------------------------------
+
+    async def put(
+        self,
+        key: str,
+        value: bytes,
+        version: int = ANY,
+        note: str = "",
+        author: str = "",
+        within_s: float = 0.0,
+    ) -> int:
+        """The new version. `version`: what the key must be at, 0 for not there. Raises Conflict,
+        Rejected, Unavailable, Undecided.
+        """
         return (await self.write([Op(key, value, version)], (), note, author, within_s)).versions[0]
 
-    async def delete(self, key: str, version: int = ANY, note: str = "", author: str = "",
-                     within_s: float = 0.0) -> None:
+    async def delete(
+        self, key: str, version: int = ANY, note: str = "", author: str = "", within_s: float = 0.0
+    ) -> None:
         await self.write([Op(key, None, version)], (), note, author, within_s)
 
-    async def write(self, ops: Sequence[Op], checks: Sequence[tuple[str, int]] = (), note: str = "",
-                    author: str = "", within_s: float = 0.0,
-                    fences: Sequence[tuple[str, int]] = ()) -> Result:
-        """All of it or nothing, once. `fences`: leases, and the tokens that this is written under. Raises
-        Conflict, Fenced, Rejected, Unavailable, Undecided."""
+    async def write(
+        self,
+        ops: Sequence[Op],
+        checks: Sequence[tuple[str, int]] = (),
+        note: str = "",
+        author: str = "",
+        within_s: float = 0.0,
+        fences: Sequence[tuple[str, int]] = (),
+    ) -> Result:
+        """All of it or nothing, once. `fences`: leases, and the tokens that this is written under.
+        Raises Conflict, Fenced, Rejected, Unavailable, Undecided.
+        """
         if not fences:
             return await self._write(Write, ops, checks, note, author, within_s)
-        return await self._write(FencedWrite, ops, checks, note, author, within_s, fences=tuple(fences))
-
-    async def write_rows(self, ops: Sequence[Op], refs: Sequence[Sequence[str]] = (),
-                         checks: Sequence[tuple[str, int]] = (), note: str = "", author: str = "",
-                         within_s: float = 0.0, fences: Sequence[tuple[str, int]] = ()) -> Result:
-        """As `write`, with rows of the feed among the keys. `refs`: by op, the keys of the rows that this row
-        names, which must be there after the write; empty where none names any. Raises as `write` does."""
-        return await self._write(RowsWrite, ops, checks, note, author, within_s, fences=tuple(fences),
-                                 refs=tuple(map(tuple, refs)))
-
-    async def _write(self, kind: type[Write], ops: Sequence[Op], checks: Sequence[tuple[str, int]], note: str,
-                     author: str, within_s: float, **more: Any) -> Result:
+        return await self._write(
+            FencedWrite, ops, checks, note, author, within_s, fences=tuple(fences)
+        )
+
+    async def write_rows(
+        self,
+        ops: Sequence[Op],
+        refs: Sequence[Sequence[str]] = (),
+        checks: Sequence[tuple[str, int]] = (),
+        note: str = "",
+        author: str = "",
+        within_s: float = 0.0,
+        fences: Sequence[tuple[str, int]] = (),
+    ) -> Result:
+        """As `write`, with rows of the feed among the keys. `refs`: by op, the keys of the rows
+        that this row names, which must be there after the write; empty where none names any. Raises
+        as `write` does.
+        """
+        return await self._write(
+            RowsWrite,
+            ops,
+            checks,
+            note,
+            author,
+            within_s,
+            fences=tuple(fences),
+            refs=tuple(map(tuple, refs)),
+        )
+
+    async def _write(
+        self,
+        kind: type[Write],
+        ops: Sequence[Op],
+        checks: Sequence[tuple[str, int]],
+        note: str,
+        author: str,
+        within_s: float,
+        **more: Any,
+    ) -> Result:
         until = time.monotonic() + (within_s or self.deadline_s)
         async with self.window:
             await self._open_session(until)
             self.number += 1
             number, session = self.number, self.session
-            packed = commands.pack(kind(session, number, self.done, tuple(ops), tuple(checks), author, note,
-                                        unix_ms(), **more))
-            result = self._result(await self._call(lambda i, ms: Put(i, ms, packed), 0.0, True, until))
+            packed = commands.pack(
+                kind(
+                    session,
+                    number,
+                    self.done,
+                    tuple(ops),
+                    tuple(checks),
+                    author,
+                    note,
+                    unix_ms(),
+                    **more,
+                )
+            )
+            result = self._result(
+                await self._call(lambda i, ms: Put(i, ms, packed), 0.0, True, until)
+            )
             if session == self.session:
                 self._answered(number)
         match result.code:
@@ -315,8 +384,9 @@
         return result
 
     async def claim(self, claim: Claim, within_s: float) -> Result:
-        """Ask for a lease, or renew; `versions` of the answer are the token, 0 while it waits, and the place
-        among the candidates. Raises Rejected, Unavailable, Undecided."""
+        """Ask for a lease, or renew; `versions` of the answer are the token, 0 while it waits, and
+        the place among the candidates. Raises Rejected, Unavailable, Undecided.
+        """
         return await self._ask(claim, within_s)
 
     async def release(self, release: Release, within_s: float) -> Result:
@@ -352,26 +422,35 @@
         assert isinstance(reply, Done)
         return commands.unpack_result(reply.result)
 
-    # ---- operating ---------------------------------------------------------------------------------------
+    # ---- operating -------------------------------------------------------------------------------
 
     async def status(self, within_s: float = 0.0) -> dict[str, Any]:
         """Of the node that answers first. Raises Unavailable."""
         return self._info(await self._call(lambda i, ms: Status(i, ms), within_s, False))
 
-    async def manage(self, what: str, node: int = 0, address: str = "", within_s: float = 0.0) -> str:
+    async def manage(
+        self, what: str, node: int = 0, address: str = "", within_s: float = 0.0
+    ) -> str:
         """Raises Rejected, Unavailable, Undecided."""
         leader = what != "snapshot"
         reply = await self._call(lambda i, ms: Manage(i, ms, what, node, address), within_s, leader)
         return str(self._info(reply)["done"])
 
-    async def copy(self, take: Callable[[bytes], object],
-                   within_s: float = 60.0) -> tuple[int, int, int, int]:
-        """A copy of the state, handed over part by part; index, term, size, checksum. Raises Unavailable."""
+    async def copy(
+        self, take: Callable[[bytes], object], within_s: float = 60.0
+    ) -> tuple[int, int, int, int]:
+        """A copy of the state, handed over part by part; index, term, size, checksum. Raises
+        Unavailable.
+        """
         until = time.monotonic() + within_s
         offset, meta = 0, (0, 0, 0, 0)
         while True:
-            part = await self._call(lambda i, ms, o=offset, m=meta: Copy(i, ms, o, m),  # type: ignore[misc]
-                                    0.0, False, until)
+            part = await self._call(
+                lambda i, ms, o=offset, m=meta: Copy(i, ms, o, m),  # type: ignore[misc]
+                0.0,
+                False,
+                until,
+            )
             assert isinstance(part, Part)
             meta = part.meta_id
             take(part.data)
@@ -396,14 +475,19 @@
             self.wire.abort()
             self.wire = None
 
-    # ---- asking ------------------------------------------------------------------------------------------
+    # ---- asking ----------------------------------------------------------------------------------
 
     def _next(self) -> int:
         self.requests += 1
         return self.requests
 
-    async def _call(self, make: Callable[[int, int], AnyRequest], within_s: float, leader: bool,
-                    until: float = 0.0) -> AnyReply:
+    async def _call(
+        self,
+        make: Callable[[int, int], AnyRequest],
+        within_s: float,
+        leader: bool,
+        until: float = 0.0,
+    ) -> AnyReply:
         """Ask until there is an answer or the deadline has come."""
         until = until or time.monotonic() + (within_s or self.deadline_s)
         wait, why = BACKOFF_S[0], "no node answers"
@@ -440,7 +524,9 @@
                         continue
                     if reply.trouble in (Trouble.NOT_LEADER, Trouble.LATE):
                         self._leave(wire)
-            await asyncio.sleep(min(wait * self.rng.uniform(0.5, 1.0), max(0.0, until - time.monotonic())))
+            await asyncio.sleep(
+                min(wait * self.rng.uniform(0.5, 1.0), max(0.0, until - time.monotonic()))
+            )
             wait = min(2 * wait, BACKOFF_S[1])
         if maybe:
             raise Undecided(why)
