--- a/lanelift/store/commands.py
+++ b/lanelift/store/commands.py
@@ -1,5 +1,7 @@
-"""What entries of the log say to the state, and what it answers. Msgpack arrays with a tag; the format is
-fixed: what one version of the program can't read, no later one may write before all nodes can."""
+"""What entries of the log say to the state, and what it answers. Msgpack arrays with a tag; the
+format is fixed: what one version of the program can't read, no later one may write before all nodes
+can.
+"""
 
 from __future__ import annotations
 
@@ -20,14 +22,16 @@
 MOST_FENCES = 8
 MOST_TEXT = 1024  # of an author or a note
 MOST_REFS = 16  # rows that one row names
-# The newest format of a state that this program knows. 2: leases, and tokens on writes; 3: rows of the feed.
+# The newest format of a state that this program knows. 2: leases, and tokens on writes; 3: rows of
+# the feed.
 FORMAT = 3
 ANY = -1  # a check or op that does not care about the version
 
 
 class Op(Array, frozen=True):
-    """Put `value` under `key`, or delete the key where it is None. `version`: what the key must be at, as its
-    whole command's condition; 0: it must not be there; ANY: whatever."""
+    """Put `value` under `key`, or delete the key where it is None. `version`: what the key must be
+    at, as its whole command's condition; 0: it must not be there; ANY: whatever.
+    """
 
     key: str
     value: bytes | None
@@ -39,8 +43,9 @@
 
 
 class Write(Command, frozen=True, tag=1):
-    """All of `ops`, or none. Writes of a session are numbered from 1; `answered` says that the answers up to
-    that number came, so that they need not be kept."""
+    """All of `ops`, or none. Writes of a session are numbered from 1; `answered` says that the
+    answers up to that number came, so that they need not be kept.
+    """
 
     session: int
     number: int
@@ -53,16 +58,18 @@
 
 
 class FencedWrite(Write, frozen=True, tag=8):
-    """A write under leases, with their tokens; format 2. A kind of its own: a plain write stays, byte for
-    byte, what a program of format 1 reads."""
+    """A write under leases, with their tokens; format 2. A kind of its own: a plain write stays,
+    byte for byte, what a program of format 1 reads.
+    """
 
     fences: tuple[tuple[str, int], ...] = ()
 
 
 class RowsWrite(FencedWrite, frozen=True, tag=9):
-    """A write of rows of the feed, and of other keys with them; format 3. `refs`: by op, the keys of rows
-    that this row names; empty where none does. After the write each of them must be there, and no row may be
-    gone that another names."""
+    """A write of rows of the feed, and of other keys with them; format 3. `refs`: by op, the keys
+    of rows that this row names; empty where none does. After the write each of them must be there,
+    and no row may be gone that another names.
+    """
 
     refs: tuple[tuple[str, ...], ...] = ()
 
@@ -85,8 +92,10 @@
 
 
 class Claim(Command, frozen=True, tag=5):
-    """Ask for a lease, or show that one is still there, as owner or candidate. May be repeated: it needs no
-    session. Answered with the token, 0 while it waits, and the place among the candidates."""
+    """Ask for a lease, or show that one is still there, as owner or candidate. May be repeated: it
+    needs no session. Answered with the token, 0 while it waits, and the place among the
+    candidates.
+    """
 
     lease: str
     holder: str
@@ -107,7 +116,9 @@
 
 
 class Lapse(Command, frozen=True, tag=7):
-    """The time of a claim is over, if it was not renewed since `round`. Proposed by leaders alone."""
+    """The time of a claim is over, if it was not renewed since `round`. Proposed by leaders
+    alone.
+    """
 
     lease: str
     claim: int
@@ -115,7 +126,9 @@
     time_ms: int = 0
 
 
-AnyCommand = Write | FencedWrite | RowsWrite | OpenSession | CloseSession | Upgrade | Claim | Release | Lapse
+AnyCommand = (
+    Write | FencedWrite | RowsWrite | OpenSession | CloseSession | Upgrade | Claim | Release | Lapse
+)
 LEASES = "lease/"  # a lease stands under this key; writes to it are refused from format 2 on
 
 
@@ -124,14 +137,17 @@
 
     DONE = 0
     CONFLICT = 1  # a key is at another version
-    EXPIRED = 2  # the session is not known any more: whether the write was made before can't be told
+    EXPIRED = (
+        2  # the session is not known any more: whether the write was made before can't be told
+    )
     REFUSED = 3  # it breaks a limit: every node says so alike
     FENCED = 4  # it was written under a token that does not hold
 
 
 class Result(Array, frozen=True):
-    """`revision`: the log index that made the change; `versions`: of the written keys, in the order of `ops`;
-    after a conflict, the version that the key named in `text` is at."""
+    """`revision`: the log index that made the change; `versions`: of the written keys, in the order
+    of `ops`; after a conflict, the version that the key named in `text` is at.
+    """
 
     code: int
     revision: int = 0
@@ -177,8 +193,9 @@
 
 
 def wrong(command: Write) -> str:
-    """The first thing about a write that no state takes, whatever it holds; empty: none. Part of the
-    format."""
+    """The first thing about a write that no state takes, whatever it holds; empty: none. Part of
+    the format.
+    """
     if not command.ops or len(command.ops) + len(command.checks) > MOST_OPS:
         return f"a write has 1 to {MOST_OPS} operations"
     keys = [op.key for op in command.ops] + [key for key, _ in command.checks]
--- a/lanelift/store/dial.py
+++ b/lanelift/store/dial.py
@@ -1,5 +1,6 @@
-"""The side that connects, a member's or a client's: it greets, is welcomed or told why not, and then hears
-frames."""
+"""The side that connects, a member's or a client's: it greets, is welcomed or told why not, and
+then hears frames.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +13,9 @@
 
 
 class Dial(asyncio.Protocol):
-    """One connection, until it ends. `welcomed` raises ConnectionError with the reason where it is not."""
+    """One connection, until it ends. `welcomed` raises ConnectionError with the reason where it is
+    not.
+    """
 
     def __init__(self, hello: Hello) -> None:
         self.hello = hello
@@ -53,7 +56,9 @@
     def _greeted(self, payload: bytes) -> None:
         greeting = protocol.unpack_greeting(payload)
         if not isinstance(greeting, Welcome):
-            raise Refused(greeting.text if isinstance(greeting, Declined) else "it speaks out of turn")
+            raise Refused(
+                greeting.text if isinstance(greeting, Declined) else "it speaks out of turn"
+            )
         wrong = self.wrong(greeting)
         if wrong:
             raise Refused(wrong)
--- a/lanelift/store/documents.py
+++ b/lanelift/store/documents.py
@@ -1,5 +1,6 @@
-"""Versioned configuration documents on top of the store: checked before they are proposed, replaced as a
-whole with compare-and-set, with a history to look at and go back in."""
+"""Versioned configuration documents on top of the store: checked before they are proposed, replaced
+as a whole with compare-and-set, with a history to look at and go back in.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +18,16 @@
 def key(name: str) -> str:
     """Raises Rejected."""
     if not KEY.match(PREFIX + name):
-        raise Rejected(f"{name!r} is no name: small letters, digits, dots and dashes, with slashes between")
+        raise Rejected(
+            f"{name!r} is no name: small letters, digits, dots and dashes, with slashes between"
+        )
     return PREFIX + name
 
 
 async def get(client: Client, name: str, version: int = 0) -> Row:
-    """A document as it stands, or at a version. Raises Rejected where there is none, Unavailable."""
+    """A document as it stands, or at a version. Raises Rejected where there is none,
+    Unavailable.
+    """
     if version:
         for row in (await client.history(key(name))).rows:
             if row.version == version and row.value is not None:
@@ -34,10 +39,12 @@
     return row
 
 
-async def put(client: Client, name: str, text: str, check: Checker, version: int, author: str,
-              note: str = "") -> int:
-    """The new version. `version`: what it must be at, 0 for a new one, -1 for whatever. Raises Rejected,
-    Conflict, Unavailable, Undecided."""
+async def put(
+    client: Client, name: str, text: str, check: Checker, version: int, author: str, note: str = ""
+) -> int:
+    """The new version. `version`: what it must be at, 0 for a new one, -1 for whatever. Raises
+    Rejected, Conflict, Unavailable, Undecided.
+    """
     if len(text.encode()) > MOST_VALUE:
         raise Rejected(f"{name}: a document has {MOST_VALUE} bytes at most")
     why = check(name, text)
@@ -51,8 +58,9 @@
     now = await get(client, name)
     then = await get(client, name, version)
     assert then.value is not None
-    return await put(client, name, then.value.decode(), check, now.version, author,
-                     f"back to version {version}")
+    return await put(
+        client, name, then.value.decode(), check, now.version, author, f"back to version {version}"
+    )
 
 
 def diff(name: str, a: Row, b: Row) -> str:
--- a/lanelift/store/durable/journal.py
+++ b/lanelift/store/durable/journal.py
@@ -1,8 +1,8 @@
 """The log on disk: hard state and entries, in segments of checksummed frames.
 
-A segment `log-NNNNNNNN` begins with a salt and a head frame; then comes one frame for each batch, and no
-frame is written before the one ahead of it is synced. So at most the last frame can be torn, and a frame that
-does not read is
+A segment `log-NNNNNNNN` begins with a salt and a head frame; then comes one frame for each batch,
+and no frame is written before the one ahead of it is synced. So at most the last frame can be torn,
+and a frame that does not read is
 
 - a torn tail, which is cut off, where nothing that reads comes after it;
 - damage, which is refused loudly, where something does.
@@ -10,9 +10,9 @@
     segment = magic(8) salt(8) frame*
     frame   = mark(4) length(4) sequence(8) CRC-32C(4) payload(length)
 
-Little-endian; the checksum covers salt, sequence and payload, so that a frame of another segment, or one that
-somebody stored as a value, does not pass for one of this. A mark, an empty frame, may stand after the last:
-it says that the one before it was synced, and is written over by the next.
+Little-endian; the checksum covers salt, sequence and payload, so that a frame of another segment,
+or one that somebody stored as a value, does not pass for one of this. A mark, an empty frame, may
+stand after the last: it says that the one before it was synced, and is written over by the next.
 """
 
 from __future__ import annotations
@@ -106,7 +106,9 @@
 
 
 def _sum(salt: bytes, sequence: int, payload: bytes) -> int:
-    return int(google_crc32c.extend(google_crc32c.value(salt + sequence.to_bytes(8, "little")), payload))
+    return int(
+        google_crc32c.extend(google_crc32c.value(salt + sequence.to_bytes(8, "little")), payload)
+    )
 
 
 def _frame(salt: bytes, sequence: int, payload: bytes) -> bytes:
@@ -121,13 +123,14 @@
     end = at + FRAME.size + length
     if mark != MARK or length > MOST_FRAME or end > len(data):
         return None
-    payload = data[at + FRAME.size:end]
+    payload = data[at + FRAME.size : end]
     return (sequence, payload) if _sum(salt, sequence, payload) == checksum else None
 
 
 def _more(data: bytes) -> bool:
-    """Does anything stand behind a segment's head? Then the head was synced, whatever of it, or of the salt
-    that all its sums are over, no longer reads."""
+    """Does anything stand behind a segment's head? Then the head was synced, whatever of it, or of
+    the salt that all its sums are over, no longer reads.
+    """
     if len(data) < START + FRAME.size:
         return False
     mark, length, _, _ = FRAME.unpack_from(data, START)
@@ -148,8 +151,14 @@
 class Journal:
     """Open for writing. One thread at a time."""
 
-    def __init__(self, files: Files, cluster: str, node: int, segment_bytes: int = SEGMENT_BYTES,
-                 salt: Callable[[], bytes] = lambda: os.urandom(8)) -> None:
+    def __init__(
+        self,
+        files: Files,
+        cluster: str,
+        node: int,
+        segment_bytes: int = SEGMENT_BYTES,
+        salt: Callable[[], bytes] = lambda: os.urandom(8),
+    ) -> None:
         self.files = files
         self.cluster = cluster
         self.node = node
@@ -167,7 +176,7 @@
         self.broken = False
         self.syncs = 0
 
-    # ---- opening -----------------------------------------------------------------------------------------
+    # ---- opening ---------------------------------------------------------------------------------
 
     def create(self, base: int = 0, base_term: int = 0) -> None:
         """A journal where there is none."""
@@ -176,21 +185,30 @@
 
     def open(self, repair: bool = True) -> Found:
         """Raises Damaged, and cuts off a torn tail; without `repair` it is only looked at."""
-        numbers = sorted(int(name[len(PREFIX):]) for name in self.files.names()
-                         if name.startswith(PREFIX) and name[len(PREFIX):].isdigit())
+        numbers = sorted(
+            int(name[len(PREFIX) :])
+            for name in self.files.names()
+            if name.startswith(PREFIX) and name[len(PREFIX) :].isdigit()
+        )
         if not numbers:
             raise Damaged("there is no log: this folder holds no member of a cluster")
         if numbers != list(range(numbers[0], numbers[-1] + 1)):
-            raise Damaged(f"a segment of the log is missing between {PREFIX}{numbers[0]:08d} and "
-                          f"{PREFIX}{numbers[-1]:08d}")
+            raise Damaged(
+                f"a segment of the log is missing between {PREFIX}{numbers[0]:08d} and "
+                f"{PREFIX}{numbers[-1]:08d}"
+            )
         found: Found | None = None
         for number in numbers:
             segment = Segment(number, 0)
             data = self.files.read(segment.name)
-            salt = data[len(MAGIC):START]
+            salt = data[len(MAGIC) : START]
             first = _frame_at(data, START, salt) if data.startswith(MAGIC) else None
             if first is None:
-                begun = found is not None and not _more(data) and _later(data, 0, salt, self.sequence) < 0
+                begun = (
+                    found is not None
+                    and not _more(data)
+                    and _later(data, 0, salt, self.sequence) < 0
+                )
                 if number == numbers[-1] and begun and found is not None:
                     found.cut += len(data)
                     if repair:
@@ -209,7 +227,9 @@
         self.hard, self.last, self.last_term = found.hard, found.last, found.last_term
         return found
 
-    def _read(self, segment: Segment, data: bytes, salt: bytes, found: Found | None, newest: bool) -> Found:
+    def _read(
+        self, segment: Segment, data: bytes, salt: bytes, found: Found | None, newest: bool
+    ) -> Found:
         at, head = START, None
         self.marked = False
         while at < len(data):
@@ -218,8 +238,10 @@
                 after = _later(data, at, salt, self.sequence)
                 if not newest or after >= 0:
                     more = f": a frame at byte {after} follows on it" if after >= 0 else ""
-                    raise Damaged(f"{segment.name}: what stands at byte {at} was written whole and does not"
-                                  f" read{more}")
+                    raise Damaged(
+                        f"{segment.name}: what stands at byte {at} was written whole and does not"
+                        f" read{more}"
+                    )
                 assert found is not None
                 found.cut += len(data) - at
                 break
@@ -247,11 +269,14 @@
     def _head(self, segment: Segment, payload: bytes) -> Head:
         version = msgspec.msgpack.decode(payload)[0]
         if version > FORMAT:
-            raise Damaged(f"{segment.name}: format {version} is newer than {FORMAT}, which this program"
-                          " knows")
+            raise Damaged(
+                f"{segment.name}: format {version} is newer than {FORMAT}, which this program knows"
+            )
         head = _heads.decode(payload)
         if (head.cluster, head.node) != (self.cluster, self.node):
-            raise Damaged(f"{segment.name}: it belongs to node {head.node:x} of cluster {head.cluster}")
+            raise Damaged(
+                f"{segment.name}: it belongs to node {head.node:x} of cluster {head.cluster}"
+            )
         return head
 
     def _take(self, found: Found, segment: Segment, payload: bytes) -> None:
@@ -259,32 +284,38 @@
         if record.hard is not None:
             old, new = found.hard, record.hard
             if new.term < old.term or (new.term == old.term and old.vote not in (0, new.vote)):
-                raise Damaged(f"{segment.name}: term and vote go back from {old.term}, {old.vote:x} to "
-                              f"{new.term}, {new.vote:x}")
+                raise Damaged(
+                    f"{segment.name}: term and vote go back from {old.term}, {old.vote:x} to "
+                    f"{new.term}, {new.vote:x}"
+                )
             found.hard = record.hard
         if record.entries:
             first = record.entries[0].index
             if not found.base < first <= found.last + 1:
                 raise Damaged(f"{segment.name}: entry {first} does not follow on {found.last}")
-            del found.entries[first - found.base - 1:]
+            del found.entries[first - found.base - 1 :]
             found.entries.extend(record.entries)
         if record.install is not None:
             found.install = record.install
             found.entries.clear()
             found.base, found.base_term = record.install.index, record.install.term
 
-    # ---- writing -----------------------------------------------------------------------------------------
+    # ---- writing ---------------------------------------------------------------------------------
 
-    def write(self, hard: HardState | None, entries: Sequence[Entry],
-              install: SnapshotMeta | None = None) -> None:
-        """Durable when it returns. Raises Full where there is no room: the journal is as it was, and the same
-        may be tried again. Raises Broken where it can't be known."""
+    def write(
+        self, hard: HardState | None, entries: Sequence[Entry], install: SnapshotMeta | None = None
+    ) -> None:
+        """Durable when it returns. Raises Full where there is no room: the journal is as it was,
+        and the same may be tried again. Raises Broken where it can't be known.
+        """
         if self.broken:
             raise Broken("the log could not be synced before")
         if self.file is None or self.at >= self.segment_bytes:
             self._begin_segment(self.segments[-1].number + 1)
         assert self.file is not None
-        frame = _frame(self.salt, self.sequence, _encoder.encode(Record(hard, tuple(entries), install)))
+        frame = _frame(
+            self.salt, self.sequence, _encoder.encode(Record(hard, tuple(entries), install))
+        )
         self._put(self.file, frame, self.at)
         self.newest = self.at
         self.at += len(frame)
@@ -304,12 +335,15 @@
                 file.truncate(at)
             except OSError as again:
                 self.broken = True
-                raise Broken(f"the log can't be written, nor cut back: {again.strerror or again}") from error
+                raise Broken(
+                    f"the log can't be written, nor cut back: {again.strerror or again}"
+                ) from error
             raise Full(f"the log can't be written: {error.strerror or error}") from error
         try:
             file.sync()
         except OSError as error:
-            # After a failed sync a page may be marked clean and lost: trying again would prove nothing.
+            # After a failed sync a page may be marked clean and lost: trying again would prove
+            # nothing.
             self.broken = True
             raise Broken(f"the log can't be synced: {error.strerror or error}") from error
         self.syncs += 1
@@ -342,8 +376,9 @@
         self.marked = True
 
     def mark(self) -> None:
-        """Say on disk, where nothing more came, that the last batch was synced. Not synced itself: it tells
-        damage from a torn tail, and the next batch takes its place."""
+        """Say on disk, where nothing more came, that the last batch was synced. Not synced itself:
+        it tells damage from a torn tail, and the next batch takes its place.
+        """
         if self.file is not None and not self.marked and not self.broken:
             with suppress(OSError):
                 self.file.write(_frame(self.salt, self.sequence, b""), self.at)
--- a/lanelift/store/durable/rows.py
+++ b/lanelift/store/durable/rows.py
@@ -1,5 +1,6 @@
-"""Rows of the feed within the state, from its format 3 on: which of them names which, and all that a node
-begins to tell them with."""
+"""Rows of the feed within the state, from its format 3 on: which of them names which, and all that
+a node begins to tell them with.
+"""
 
 from __future__ import annotations
 
@@ -37,13 +38,17 @@
 
 
 def dangling(db: sqlite3.Connection, command: RowsWrite) -> str:
-    """What would name nothing after this write; empty: all is well. It looks before anything is written."""
+    """What would name nothing after this write; empty: all is well. It looks before anything is
+    written.
+    """
     there = {op.key for op in command.ops if op.value is not None}
     gone = {op.key for op in command.ops if op.value is None}
     for op, refs in refs_of(command):
         for ref in refs:
-            if ref not in there and (ref in gone or db.execute(
-                    "SELECT 1 FROM items WHERE key = ?", (ref,)).fetchone() is None):
+            if ref not in there and (
+                ref in gone
+                or db.execute("SELECT 1 FROM items WHERE key = ?", (ref,)).fetchone() is None
+            ):
                 return f"{op.key} names {ref}, which is not there"
     for op in command.ops:
         if op.value is not None:
@@ -56,13 +61,20 @@
 
 def note_refs(db: sqlite3.Connection, command: RowsWrite) -> None:
     db.executemany("DELETE FROM refs WHERE key = ?", [(op.key,) for op in command.ops])
-    db.executemany("INSERT INTO refs VALUES (?, ?)",
-                   [(op.key, ref) for op, refs in refs_of(command) for ref in refs])
+    db.executemany(
+        "INSERT INTO refs VALUES (?, ?)",
+        [(op.key, ref) for op, refs in refs_of(command) for ref in refs],
+    )
 
 
 def load(db: sqlite3.Connection, revision: int, base: int) -> Loaded:
     """`base`: changes up to there are gone."""
-    rows = db.execute("SELECT key, version, value FROM items WHERE key >= ? AND key < ?", (PREFIX, BEHIND))
-    events = db.execute("SELECT revision, key, version, value FROM events WHERE revision > ? AND key >= ?"
-                        " AND key < ? ORDER BY revision, place", (base, PREFIX, BEHIND))
+    rows = db.execute(
+        "SELECT key, version, value FROM items WHERE key >= ? AND key < ?", (PREFIX, BEHIND)
+    )
+    events = db.execute(
+        "SELECT revision, key, version, value FROM events WHERE revision > ? AND key >= ?"
+        " AND key < ? ORDER BY revision, place",
+        (base, PREFIX, BEHIND),
+    )
     return Loaded(revision, rows.fetchall(), base, [Event(*row) for row in events])
--- a/lanelift/store/durable/state.py
+++ b/lanelift/store/durable/state.py
@@ -1,11 +1,13 @@
-"""The state that the log builds: keys with versions, their history, sessions, changes for watchers. SQLite.
+"""The state that the log builds: keys with versions, their history, sessions, changes for watchers.
+SQLite.
 
-A run of entries is applied in one transaction together with its last index, so no reader sees half of a write
-and no entry is applied twice. Commits here are not synced: after power was lost the state may be older than
-the log, which then plays the rest again; `flush` syncs it, and the log is cut only up to there.
+A run of entries is applied in one transaction together with its last index, so no reader sees half
+of a write and no entry is applied twice. Commits here are not synced: after power was lost the
+state may be older than the log, which then plays the rest again; `flush` syncs it, and the log is
+cut only up to there.
 
-Everything that decides lies in the entries and in the state: the same log gives the same bytes of answer on
-every node.
+Everything that decides lies in the entries and in the state: the same log gives the same bytes of
+answer on every node.
 """
 
 from __future__ import annotations
@@ -54,30 +56,33 @@
 WINDOW = 256  # answers that are kept of one session
 CHUNK = 1 << 20
 CANDIDATE_TIMES = 2  # a candidate that shows nothing for so many times its lease's time is gone
-NOT_YET = {2: "not all nodes of the store know leases yet", 3: "not all nodes of the store know rows yet"}
+NOT_YET = {
+    2: "not all nodes of the store know leases yet",
+    3: "not all nodes of the store know rows yet",
+}
 
 TABLES = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value) WITHOUT ROWID;
 CREATE TABLE items (key TEXT PRIMARY KEY, value BLOB NOT NULL, version INTEGER NOT NULL,
-    revision INTEGER NOT NULL, time_ms INTEGER NOT NULL, author TEXT NOT NULL, note TEXT NOT NULL) WITHOUT
-    ROWID;
+    revision INTEGER NOT NULL, time_ms INTEGER NOT NULL, author TEXT NOT NULL, note TEXT NOT NULL)
+    WITHOUT ROWID;
 CREATE TABLE versions (key TEXT PRIMARY KEY, version INTEGER NOT NULL) WITHOUT ROWID;
 CREATE TABLE history (key TEXT, version INTEGER, value BLOB, revision INTEGER NOT NULL,
-    time_ms INTEGER NOT NULL, author TEXT NOT NULL, note TEXT NOT NULL, PRIMARY KEY (key, version)) WITHOUT
-    ROWID;
-CREATE TABLE events (revision INTEGER, place INTEGER, key TEXT NOT NULL, version INTEGER NOT NULL, value BLOB,
-    PRIMARY KEY (revision, place)) WITHOUT ROWID;
+    time_ms INTEGER NOT NULL, author TEXT NOT NULL, note TEXT NOT NULL,
+    PRIMARY KEY (key, version)) WITHOUT ROWID;
+CREATE TABLE events (revision INTEGER, place INTEGER, key TEXT NOT NULL, version INTEGER NOT NULL,
+    value BLOB, PRIMARY KEY (revision, place)) WITHOUT ROWID;
 CREATE TABLE sessions (id INTEGER PRIMARY KEY, name TEXT NOT NULL, answered INTEGER NOT NULL,
     used INTEGER NOT NULL);
 CREATE INDEX sessions_used ON sessions (used);
 CREATE TABLE answers (session INTEGER, number INTEGER, result BLOB NOT NULL,
     PRIMARY KEY (session, number)) WITHOUT ROWID;
 """
-# `rounds`: how often each claim was renewed. Beside the lease, which stays as it is: whoever watches it is
-# not woken by each renewal.
+# `rounds`: how often each claim was renewed. Beside the lease, which stays as it is: whoever
+# watches it is not woken by each renewal.
 TABLES_2 = """
-CREATE TABLE rounds (lease TEXT, claim INTEGER, round INTEGER NOT NULL, PRIMARY KEY (lease, claim)) WITHOUT
-    ROWID;
+CREATE TABLE rounds (lease TEXT, claim INTEGER, round INTEGER NOT NULL, PRIMARY KEY (lease, claim))
+    WITHOUT ROWID;
 """
 
 
@@ -101,7 +106,9 @@
     """The history that a watcher asks for is gone."""
 
     def __init__(self, oldest: int) -> None:
-        super().__init__(f"changes before revision {oldest} are gone: read anew, and watch from there")
+        super().__init__(
+            f"changes before revision {oldest} are gone: read anew, and watch from there"
+        )
         self.oldest = oldest
 
 
@@ -120,8 +127,12 @@
         self.sessions = int(db.execute("SELECT count(*) FROM sessions").fetchone()[0])
         self.format = int(self._meta("format"))
         self.tokens = int(self._meta("tokens")) if self.format >= 2 else 0
-        self.rows_from = int(self._meta("rows_from")) if self.format >= 3 else 0  # the upgrade to format 3
-        self.leases = {lease.name: lease for lease in self._leases()}  # as they stand, for whoever looks on
+        self.rows_from = (
+            int(self._meta("rows_from")) if self.format >= 3 else 0
+        )  # the upgrade to format 3
+        self.leases = {
+            lease.name: lease for lease in self._leases()
+        }  # as they stand, for whoever looks on
         self.touched: set[str] = set()  # keys that changed since last taken
         self.claimed: list[Running] = []  # what was claimed, renewed or ended since last taken
         self.fed: list[Event] = []  # changes of rows since last taken, in their order
@@ -135,26 +146,47 @@
     def close(self) -> None:
         self.db.close()
 
-    # ---- applying ----------------------------------------------------------------------------------------
+    # ---- applying --------------------------------------------------------------------------------
 
     def apply(self, entries: Sequence[Entry]) -> list[Result]:
         """The entries follow on what was applied; all of them or, where this raises, none."""
         assert entries[0].index == self.applied + 1, "a gap between state and log"
-        kept = (self.members, self.kept_events, self.kept_bytes, self.forgotten, self.sessions, self.format,
-                self.tokens, self.rows_from)
+        kept = (
+            self.members,
+            self.kept_events,
+            self.kept_bytes,
+            self.forgotten,
+            self.sessions,
+            self.format,
+            self.tokens,
+            self.rows_from,
+        )
         claimed, fed = len(self.claimed), len(self.fed)
         self.db.execute("BEGIN IMMEDIATE")
         try:
             results = [self._apply(entry) for entry in entries]
             self._forget_events()
-            self._set(applied=entries[-1].index, term=entries[-1].term, forgotten=self.forgotten,
-                      events=self.kept_events, events_bytes=self.kept_bytes)
+            self._set(
+                applied=entries[-1].index,
+                term=entries[-1].term,
+                forgotten=self.forgotten,
+                events=self.kept_events,
+                events_bytes=self.kept_bytes,
+            )
             self.db.execute("COMMIT")
         except BaseException:
             if self.db.in_transaction:
                 self.db.execute("ROLLBACK")
-            (self.members, self.kept_events, self.kept_bytes, self.forgotten, self.sessions, self.format,
-             self.tokens, self.rows_from) = kept
+            (
+                self.members,
+                self.kept_events,
+                self.kept_bytes,
+                self.forgotten,
+                self.sessions,
+                self.format,
+                self.tokens,
+                self.rows_from,
+            ) = kept
             del self.claimed[claimed:], self.fed[fed:]
             self.leases = {lease.name: lease for lease in self._leases()}
             raise
@@ -162,7 +194,9 @@
         return results
 
     def _set(self, **values: int | bytes) -> None:
-        self.db.executemany("UPDATE meta SET value = ? WHERE name = ?", [(v, n) for n, v in values.items()])
+        self.db.executemany(
+            "UPDATE meta SET value = ? WHERE name = ?", [(v, n) for n, v in values.items()]
+        )
 
     def _apply(self, entry: Entry) -> Result:
         if entry.kind == Kind.MEMBERS:
@@ -174,7 +208,9 @@
         try:
             command = unpack_command(entry.data)
         except ValueError as error:
-            return Result(Code.REFUSED, entry.index, (), f"it does not read: {' '.join(str(error).split())}")
+            return Result(
+                Code.REFUSED, entry.index, (), f"it does not read: {' '.join(str(error).split())}"
+            )
         match command:
             case OpenSession():
                 return self._open(command, entry.index)
@@ -189,11 +225,15 @@
                 return self._lease(command, entry.index)
 
     def _open(self, command: OpenSession, index: int) -> Result:
-        fresh = self.db.execute("INSERT INTO sessions VALUES (?, ?, 0, ?) ON CONFLICT (id) DO NOTHING",
-                                (command.session, command.name, index)).rowcount
+        fresh = self.db.execute(
+            "INSERT INTO sessions VALUES (?, ?, 0, ?) ON CONFLICT (id) DO NOTHING",
+            (command.session, command.name, index),
+        ).rowcount
         self.sessions += fresh
         while self.sessions > SESSIONS:
-            oldest = self.db.execute("SELECT id FROM sessions ORDER BY used, id LIMIT 1").fetchone()[0]
+            oldest = self.db.execute(
+                "SELECT id FROM sessions ORDER BY used, id LIMIT 1"
+            ).fetchone()[0]
             self._drop(oldest)
         return Result(Code.DONE, index)
 
@@ -203,32 +243,47 @@
 
     def _once(self, command: Write, index: int) -> Result:
         """A write that was made before is answered as it was then (thesis 6.3)."""
-        row = self.db.execute("SELECT answered FROM sessions WHERE id = ?", (command.session,)).fetchone()
+        row = self.db.execute(
+            "SELECT answered FROM sessions WHERE id = ?", (command.session,)
+        ).fetchone()
         if row is None:
-            return Result(Code.EXPIRED, index, (), "the session is not known here: it is too long ago")
+            return Result(
+                Code.EXPIRED, index, (), "the session is not known here: it is too long ago"
+            )
         if command.number <= row[0]:
             return Result(Code.EXPIRED, index, (), f"write {command.number} was answered before")
-        old = self.db.execute("SELECT result FROM answers WHERE session = ? AND number = ?",
-                              (command.session, command.number)).fetchone()
+        old = self.db.execute(
+            "SELECT result FROM answers WHERE session = ? AND number = ?",
+            (command.session, command.number),
+        ).fetchone()
         if old is not None:
             return commands.unpack_result(old[0])
         answered = max(row[0], command.answered, command.number - WINDOW)
         if answered > row[0]:
-            self.db.execute("DELETE FROM answers WHERE session = ? AND number <= ?",
-                            (command.session, answered))
-        self.db.execute("UPDATE sessions SET answered = ?, used = ? WHERE id = ?",
-                        (answered, index, command.session))
+            self.db.execute(
+                "DELETE FROM answers WHERE session = ? AND number <= ?", (command.session, answered)
+            )
+        self.db.execute(
+            "UPDATE sessions SET answered = ?, used = ? WHERE id = ?",
+            (answered, index, command.session),
+        )
         result = self._write(command, index)
-        self.db.execute("INSERT INTO answers VALUES (?, ?, ?)",
-                        (command.session, command.number, commands.pack(result)))
+        self.db.execute(
+            "INSERT INTO answers VALUES (?, ?, ?)",
+            (command.session, command.number, commands.pack(result)),
+        )
         return result
 
     def _write(self, command: Write, index: int) -> Result:
         why = commands.wrong(command)
         if not why and self.format >= 2 and any(op.key.startswith(LEASES) for op in command.ops):
             why = f"what stands under {LEASES} is changed by claims alone"
-        if not why and self.format >= 3 and not isinstance(command, RowsWrite) and any(
-                op.key.startswith(PREFIX) for op in command.ops):
+        if (
+            not why
+            and self.format >= 3
+            and not isinstance(command, RowsWrite)
+            and any(op.key.startswith(PREFIX) for op in command.ops)
+        ):
             why = f"what stands under {PREFIX} is changed by writes of rows alone"
         fences = commands.fences_of(command)
         needs = 3 if isinstance(command, RowsWrite) else 2 if fences else 1
@@ -241,9 +296,16 @@
             if not lease.guards(token):
                 if lease.token:
                     self._put_lease(table.refused(lease), index, 0)
-                return Result(Code.FENCED, index, (lease.token,), f"{name} is not held under token"
-                              f" {table.written(token)}")
-        checks = [*command.checks, *((op.key, op.version) for op in command.ops if op.version != ANY)]
+                return Result(
+                    Code.FENCED,
+                    index,
+                    (lease.token,),
+                    f"{name} is not held under token {table.written(token)}",
+                )
+        checks = [
+            *command.checks,
+            *((op.key, op.version) for op in command.ops if op.version != ANY),
+        ]
         for key, version in checks:
             now = self._version(key)
             if now != version:
@@ -253,8 +315,11 @@
             if why:
                 return Result(Code.REFUSED, index, (), why)
             rows.note_refs(self.db, command)
-        return Result(Code.DONE, index, tuple(
-            self._op(op, command, index, place) for place, op in enumerate(command.ops)))
+        return Result(
+            Code.DONE,
+            index,
+            tuple(self._op(op, command, index, place) for place, op in enumerate(command.ops)),
+        )
 
     def _version(self, key: str) -> int:
         """0: the key is not there."""
@@ -269,23 +334,30 @@
             if self.db.execute("DELETE FROM items WHERE key = ?", (op.key,)).rowcount == 0:
                 return 0
         else:
-            self.db.execute("INSERT OR REPLACE INTO items VALUES (?, ?, ?, ?, ?, ?, ?)",
-                            (op.key, op.value, version, index, command.time_ms, command.author, command.note))
+            self.db.execute(
+                "INSERT OR REPLACE INTO items VALUES (?, ?, ?, ?, ?, ?, ?)",
+                (op.key, op.value, version, index, command.time_ms, command.author, command.note),
+            )
         self.db.execute("INSERT OR REPLACE INTO versions VALUES (?, ?)", (op.key, version))
         if op.key.startswith(HISTORY_OF if self.format >= 2 else HISTORY_OF[0]):
-            self.db.execute("INSERT INTO history VALUES (?, ?, ?, ?, ?, ?, ?)",
-                            (op.key, version, op.value, index, command.time_ms, command.author, command.note))
-            self.db.execute("DELETE FROM history WHERE key = ? AND version <= ?", (op.key, version - HISTORY))
+            self.db.execute(
+                "INSERT INTO history VALUES (?, ?, ?, ?, ?, ?, ?)",
+                (op.key, version, op.value, index, command.time_ms, command.author, command.note),
+            )
+            self.db.execute(
+                "DELETE FROM history WHERE key = ? AND version <= ?", (op.key, version - HISTORY)
+            )
         self.touched.add(op.key)
         if self.format >= 3 and op.key.startswith(PREFIX):
             self.fed.append(Event(index, op.key, version, op.value))
-        self.db.execute("INSERT INTO events VALUES (?, ?, ?, ?, ?)",
-                        (index, place, op.key, version, op.value))
+        self.db.execute(
+            "INSERT INTO events VALUES (?, ?, ?, ?, ?)", (index, place, op.key, version, op.value)
+        )
         self.kept_events += 1
         self.kept_bytes += len(op.value or b"") + len(op.key.encode())
         return 0 if op.value is None else version
 
-    # ---- leases ------------------------------------------------------------------------------------------
+    # ---- leases ----------------------------------------------------------------------------------
 
     def _upgrade(self, command: Upgrade, index: int) -> Result:
         if command.format == 2 and self.format == 1:
@@ -303,8 +375,10 @@
         """New tables, and nothing under the keys that they are about."""
         for statement in tables.split(";"):
             self.db.execute(statement)
-        found = self.db.execute("SELECT key FROM items WHERE key >= ? AND key < ? ORDER BY key",
-                                (prefix, prefix + "\U0010ffff")).fetchall()
+        found = self.db.execute(
+            "SELECT key FROM items WHERE key >= ? AND key < ? ORDER BY key",
+            (prefix, prefix + "\U0010ffff"),
+        ).fetchall()
         for place, (key,) in enumerate(found):
             self._op(Op(key, None), Write(0, 0, 0, ()), index, place)
 
@@ -317,7 +391,9 @@
             return Result(Code.REFUSED, index, (), NOT_YET[2])
         why = ""
         if isinstance(command, Claim):
-            why = table.wrong(command.lease, command.holder, command.claim, command.ttl_ms, command.note)
+            why = table.wrong(
+                command.lease, command.holder, command.claim, command.ttl_ms, command.note
+            )
         elif len(command.lease) > table.MOST_NAME or not table.NAME.match(command.lease):
             why = "it is no name"
         if why:
@@ -326,8 +402,12 @@
         match command:
             case Claim():
                 if not lease.token and not self._room():
-                    return Result(Code.REFUSED, index, (), f"there are {MOST_LEASES} leases already")
-                who = Claimant(command.holder, command.claim, command.rank, command.ttl_ms, command.note)
+                    return Result(
+                        Code.REFUSED, index, (), f"there are {MOST_LEASES} leases already"
+                    )
+                who = Claimant(
+                    command.holder, command.claim, command.rank, command.ttl_ms, command.note
+                )
                 made = table.claim(lease, who, token, command.time_ms)
             case Release():
                 made = table.release(lease, command.claim, command.token, token, command.time_ms)
@@ -344,8 +424,15 @@
         return Result(Code.DONE, index, (made.token, made.place), made.why)
 
     def _room(self) -> bool:
-        return int(self.db.execute("SELECT count(*) FROM items WHERE key >= ? AND key < ?",
-                                   (LEASES, LEASES + "\U0010ffff")).fetchone()[0]) < MOST_LEASES
+        return (
+            int(
+                self.db.execute(
+                    "SELECT count(*) FROM items WHERE key >= ? AND key < ?",
+                    (LEASES, LEASES + "\U0010ffff"),
+                ).fetchone()[0]
+            )
+            < MOST_LEASES
+        )
 
     def _put_lease(self, lease: Lease, index: int, time_ms: int) -> None:
         command = Write(0, 0, 0, (), time_ms=time_ms, author=lease.holder)
@@ -353,8 +440,9 @@
         self.leases[lease.name] = lease
 
     def _round(self, lease: str, claim: int) -> int:
-        row = self.db.execute("SELECT round FROM rounds WHERE lease = ? AND claim = ?",
-                              (lease, claim)).fetchone()
+        row = self.db.execute(
+            "SELECT round FROM rounds WHERE lease = ? AND claim = ?", (lease, claim)
+        ).fetchone()
         return int(row[0]) if row else 0
 
     def _note_rounds(self, was: Lease, lease: Lease, command: Claim | Release | Lapse) -> None:
@@ -364,23 +452,34 @@
             self.db.execute("DELETE FROM rounds WHERE lease = ? AND claim = ?", (lease.name, claim))
             self.claimed.append(Running(lease.name, claim, 0, 0))
         for claim, ttl_ms in new.items():
-            if old.get(claim) == ttl_ms and not (isinstance(command, Claim) and command.claim == claim):
+            if old.get(claim) == ttl_ms and not (
+                isinstance(command, Claim) and command.claim == claim
+            ):
                 continue
             count = self._round(lease.name, claim) + 1
-            self.db.execute("INSERT OR REPLACE INTO rounds VALUES (?, ?, ?)", (lease.name, claim, count))
+            self.db.execute(
+                "INSERT OR REPLACE INTO rounds VALUES (?, ?, ?)", (lease.name, claim, count)
+            )
             self.claimed.append(Running(lease.name, claim, count, ttl_ms))
 
     def running(self) -> list[Running]:
         """Every claim that there is, with its time."""
-        return [Running(lease.name, claim, self._round(lease.name, claim), ttl_ms)
-                for lease in self._leases() for claim, ttl_ms in _times(lease).items()]
+        return [
+            Running(lease.name, claim, self._round(lease.name, claim), ttl_ms)
+            for lease in self._leases()
+            for claim, ttl_ms in _times(lease).items()
+        ]
 
     def _leases(self) -> list[Lease]:
         if self.format < 2:
             return []
-        return [table.unpack(row[0]) for row in self.db.execute(
-            "SELECT value FROM items WHERE key >= ? AND key < ? ORDER BY key",
-            (LEASES, LEASES + "\U0010ffff")).fetchall()]
+        return [
+            table.unpack(row[0])
+            for row in self.db.execute(
+                "SELECT value FROM items WHERE key >= ? AND key < ? ORDER BY key",
+                (LEASES, LEASES + "\U0010ffff"),
+            ).fetchall()
+        ]
 
     def take_claimed(self) -> list[Running]:
         taken, self.claimed = self.claimed, []
@@ -400,46 +499,70 @@
         while self.kept_events > EVENTS or self.kept_bytes > EVENTS_BYTES:
             oldest = self.db.execute("SELECT min(revision) FROM events").fetchone()[0]
             count, size = self.db.execute(
-                "SELECT count(*), sum(length(CAST(key AS BLOB)) + coalesce(length(value), 0)) FROM events"
-                " WHERE revision = ?", (oldest,)).fetchone()
+                "SELECT count(*), sum(length(CAST(key AS BLOB)) + coalesce(length(value), 0)) "
+                "FROM events"
+                " WHERE revision = ?",
+                (oldest,),
+            ).fetchone()
             self.db.execute("DELETE FROM events WHERE revision = ?", (oldest,))
             self.kept_events -= count
             self.kept_bytes -= size
             self.forgotten = oldest
 
-    # ---- reading -----------------------------------------------------------------------------------------
+    # ---- reading ---------------------------------------------------------------------------------
 
     def get(self, key: str) -> Item | None:
-        row = self.db.execute("SELECT key, value, version, revision, time_ms, author, note FROM items"
-                              " WHERE key = ?", (key,)).fetchone()
+        row = self.db.execute(
+            "SELECT key, value, version, revision, time_ms, author, note FROM items WHERE key = ?",
+            (key,),
+        ).fetchone()
         return Item(*row) if row else None
 
     def scan(self, prefix: str, after: str = "", most: int = 1000) -> list[Item]:
         """Keys that begin so, in their order, from the one behind `after` on."""
-        return [Item(*row) for row in self.db.execute(
-            "SELECT key, value, version, revision, time_ms, author, note FROM items"
-            " WHERE key >= ? AND key < ? AND key > ? ORDER BY key LIMIT ?",
-            (prefix, prefix + "\U0010ffff", after, most))]
+        return [
+            Item(*row)
+            for row in self.db.execute(
+                "SELECT key, value, version, revision, time_ms, author, note FROM items"
+                " WHERE key >= ? AND key < ? AND key > ? ORDER BY key LIMIT ?",
+                (prefix, prefix + "\U0010ffff", after, most),
+            )
+        ]
 
     def history(self, key: str, most: int = HISTORY) -> list[Item]:
         """What a key was, newest first."""
-        return [Item(*row) for row in self.db.execute(
-            "SELECT key, value, version, revision, time_ms, author, note FROM history WHERE key = ?"
-            " ORDER BY version DESC LIMIT ?", (key, most))]
+        return [
+            Item(*row)
+            for row in self.db.execute(
+                "SELECT key, value, version, revision, time_ms, author, note FROM history WHERE "
+                "key = ?"
+                " ORDER BY version DESC LIMIT ?",
+                (key, most),
+            )
+        ]
 
     def events(self, prefix: str, after: int, most: int = 256) -> list[Event]:
         """Changes after this revision, whole revisions only, in their order. Raises Compacted."""
         if after < self.forgotten:
             raise Compacted(self.forgotten)
         rows = self.db.execute(
-            "SELECT revision, key, version, value FROM events WHERE revision > ? AND key >= ? AND key < ?"
-            " ORDER BY revision, place LIMIT ?", (after, prefix, prefix + "\U0010ffff", most)).fetchall()
+            "SELECT revision, key, version, value FROM events WHERE revision > ? AND key >= ? "
+            "AND key < ?"
+            " ORDER BY revision, place LIMIT ?",
+            (after, prefix, prefix + "\U0010ffff", most),
+        ).fetchall()
         if len(rows) == most:
             last = rows[-1][0]
             whole = [row for row in rows if row[0] < last]
-            rows = whole or self.db.execute(
-                "SELECT revision, key, version, value FROM events WHERE revision = ? AND key >= ? AND key < ?"
-                " ORDER BY place", (last, prefix, prefix + "\U0010ffff")).fetchall()
+            rows = (
+                whole
+                or self.db.execute(
+                    "SELECT revision, key, version, value FROM events WHERE revision = ? AND "
+                    "key >= ? AND key < ?"
+                    " ORDER BY place",
+                    (last, prefix, prefix + "\U0010ffff"),
+                ).fetchall()
+            )
         return [Event(*row) for row in rows]
 
     def rows(self) -> rows.Loaded:
@@ -451,10 +574,17 @@
     def digest(self) -> int:
         """A checksum of all that the log decides: the same on every node that applied as much."""
         total = 0
-        tables = [("items", "key"), ("versions", "key"), ("history", "key, version"),
-                  ("events", "revision, place"), ("sessions", "id"), ("answers", "session, number"),
-                  ("meta", "name"), *([("rounds", "lease, claim")] if self.format >= 2 else []),
-                  *([("refs", "key, ref")] if self.format >= 3 else [])]
+        tables = [
+            ("items", "key"),
+            ("versions", "key"),
+            ("history", "key, version"),
+            ("events", "revision, place"),
+            ("sessions", "id"),
+            ("answers", "session, number"),
+            ("meta", "name"),
+            *([("rounds", "lease, claim")] if self.format >= 2 else []),
+            *([("refs", "key, ref")] if self.format >= 3 else []),
+        ]
         for name, order in tables:
             for row in self.db.execute(f"SELECT * FROM {name} ORDER BY {order}"):
                 total = google_crc32c.extend(total, repr(row).encode())
@@ -469,15 +599,19 @@
     return found
 
 
-# ---- files -----------------------------------------------------------------------------------------------
+# ---- files ---------------------------------------------------------------------------------------
 
 
 def _connect(path: str) -> sqlite3.Connection:
     db = sqlite3.connect(path, isolation_level=None, check_same_thread=False, cached_statements=64)
-    db.execute("PRAGMA page_size = 1024")  # of a new file: a write touches a page of each of a few tables
+    db.execute(
+        "PRAGMA page_size = 1024"
+    )  # of a new file: a write touches a page of each of a few tables
     db.execute("PRAGMA journal_mode = WAL")
     db.execute("PRAGMA synchronous = NORMAL")  # durable with `flush`
-    db.execute("PRAGMA wal_autocheckpoint = 0")  # only `flush` moves it, so that its syncs are known
+    db.execute(
+        "PRAGMA wal_autocheckpoint = 0"
+    )  # only `flush` moves it, so that its syncs are known
     db.execute("PRAGMA cache_size = -8192")
     return db
 
@@ -485,9 +619,19 @@
 def fill(db: sqlite3.Connection, cluster: str, members: Members) -> None:
     """A new, empty state."""
     db.executescript("BEGIN;" + TABLES + "COMMIT;")
-    db.executemany("INSERT INTO meta VALUES (?, ?)", [
-        ("format", 1), ("cluster", cluster), ("applied", 0), ("term", 0), ("members", pack(members)),
-        ("forgotten", 0), ("events", 0), ("events_bytes", 0)])
+    db.executemany(
+        "INSERT INTO meta VALUES (?, ?)",
+        [
+            ("format", 1),
+            ("cluster", cluster),
+            ("applied", 0),
+            ("term", 0),
+            ("members", pack(members)),
+            ("forgotten", 0),
+            ("events", 0),
+            ("events_bytes", 0),
+        ],
+    )
 
 
 def checked(db: sqlite3.Connection, name: str) -> State:
@@ -495,8 +639,10 @@
     try:
         version = db.execute("SELECT value FROM meta WHERE name = 'format'").fetchone()
         if version is None or version[0] > FORMAT:
-            raise Damaged(f"{name}: format {version[0] if version else '?'} is newer than {FORMAT}, "
-                          "which this program knows")
+            raise Damaged(
+                f"{name}: format {version[0] if version else '?'} is newer than {FORMAT}, "
+                "which this program knows"
+            )
         return State(db)
     except (sqlite3.Error, ValueError) as error:
         raise Damaged(f"{name}: {' '.join(str(error).split())}") from None
@@ -521,7 +667,9 @@
 
 
 def flush(state: State) -> int:
-    """Sync what was applied; the index up to which the state is durable now. Raises sqlite3.Error."""
+    """Sync what was applied; the index up to which the state is durable now. Raises
+    sqlite3.Error.
+    """
     applied = state.applied
     busy, _, _ = state.db.execute("PRAGMA wal_checkpoint(FULL)").fetchone()
     if busy:
@@ -543,16 +691,21 @@
 
 
 def adopt(path: Path, cluster: str, members: Members, unix_s: int) -> State:
-    """Make a copy the state of another cluster, with these members. `unix_s`: the operator's clock, for the
-    epoch of its tokens. Raises Damaged."""
+    """Make a copy the state of another cluster, with these members. `unix_s`: the operator's clock,
+    for the epoch of its tokens. Raises Damaged.
+    """
     old = open_state(path)
     db = old.db
     db.execute("BEGIN IMMEDIATE")
     if old.format >= 2:
-        db.execute("UPDATE meta SET value = ? WHERE name = 'tokens'",
-                   (table.next_epoch(old.tokens, unix_s),))
-    db.executemany("UPDATE meta SET value = ? WHERE name = ?",
-                   [(pack(members), "members"), (cluster, "cluster")])
+        db.execute(
+            "UPDATE meta SET value = ? WHERE name = 'tokens'",
+            (table.next_epoch(old.tokens, unix_s),),
+        )
+    db.executemany(
+        "UPDATE meta SET value = ? WHERE name = ?",
+        [(pack(members), "members"), (cluster, "cluster")],
+    )
     db.execute("COMMIT")
     state = State(db)
     flush(state)
@@ -560,8 +713,9 @@
 
 
 def export(source: Path, target: Path) -> SnapshotMeta:
-    """A copy of the state as of one entry, while it goes on changing; durable when this returns. Runs on a
-    connection of its own. Raises sqlite3.Error, OSError."""
+    """A copy of the state as of one entry, while it goes on changing; durable when this returns.
+    Runs on a connection of its own. Raises sqlite3.Error, OSError.
+    """
     target.unlink(missing_ok=True)
     db = sqlite3.connect(f"file:{source}?mode=ro", uri=True, timeout=5)
     try:
@@ -585,10 +739,17 @@
         finally:
             db.close()
         if meta["format"] > FORMAT:
-            raise Damaged(f"{path.name}: format {meta['format']} is newer than {FORMAT}, which this program"
-                          " knows")
-        return SnapshotMeta(int(meta["applied"]), int(meta["term"]), unpack_members(meta["members"]),
-                            path.stat().st_size, checksum(path))
+            raise Damaged(
+                f"{path.name}: format {meta['format']} is newer than {FORMAT}, which this program"
+                " knows"
+            )
+        return SnapshotMeta(
+            int(meta["applied"]),
+            int(meta["term"]),
+            unpack_members(meta["members"]),
+            path.stat().st_size,
+            checksum(path),
+        )
     except (sqlite3.Error, KeyError, ValueError) as error:
         raise Damaged(f"{path.name}: no snapshot: {' '.join(str(error).split())}") from None
 
--- a/lanelift/store/durable/vault.py
+++ b/lanelift/store/durable/vault.py
@@ -38,8 +38,9 @@
         """Sync the incoming snapshot: is it whole, and this one?"""
 
     def swap(self, state: State | None, meta: SnapshotMeta) -> State:
-        """The incoming snapshot takes the place of the state; carried out twice it does the same. Raises
-        Damaged."""
+        """The incoming snapshot takes the place of the state; carried out twice it does the same.
+        Raises Damaged.
+        """
 
     def close(self) -> None: ...
 
@@ -87,7 +88,9 @@
                 self.incoming = RealFile(path, os.O_CREAT | (os.O_TRUNC if offset == 0 else 0))
             self.incoming.write(data, offset)
         except OSError as error:
-            raise Full(f"the incoming snapshot can't be written: {error.strerror or error}") from error
+            raise Full(
+                f"the incoming snapshot can't be written: {error.strerror or error}"
+            ) from error
 
     def arrived(self, meta: SnapshotMeta) -> bool:
         try:
@@ -120,7 +123,9 @@
         fresh = self.open()
         if fresh.applied < meta.index:
             fresh.close()
-            raise Damaged(f"the snapshot up to entry {meta.index} that the log speaks of is not there")
+            raise Damaged(
+                f"the snapshot up to entry {meta.index} that the log speaks of is not there"
+            )
         return fresh
 
     def close(self) -> None:
--- a/lanelift/store/feedclient.py
+++ b/lanelift/store/feedclient.py
@@ -51,15 +51,25 @@
 
 
 class FeedClient:
-    """`addresses`: of nodes, HOST:PORT; the first `near` of them are tried before the others, and both in an
-    order drawn by `rng`. `check` says what is wrong with a row, or nothing; `apply` puts rows in force. Both
-    are called in the loop, and take no time. What is known of the rows, and how old it is, tells
-    `subscription`."""
-
-    def __init__(self, addresses: Sequence[str], tls: Callable[[], ssl.SSLContext | None], name: str,
-                 scopes: Collection[str], check: Check, apply: Callable[[Apply], None],
-                 reach: Mapping[str, str] | None = None, rng: random.Random | None = None, near: int = 0,
-                 limits: SubscriptionLimits = SubscriptionLimits()) -> None:  # noqa: B008 (it is frozen)
+    """`addresses`: of nodes, HOST:PORT; the first `near` of them are tried before the others, and
+    both in an order drawn by `rng`. `check` says what is wrong with a row, or nothing; `apply` puts
+    rows in force. Both are called in the loop, and take no time. What is known of the rows, and how
+    old it is, tells `subscription`.
+    """
+
+    def __init__(
+        self,
+        addresses: Sequence[str],
+        tls: Callable[[], ssl.SSLContext | None],
+        name: str,
+        scopes: Collection[str],
+        check: Check,
+        apply: Callable[[Apply], None],
+        reach: Mapping[str, str] | None = None,
+        rng: random.Random | None = None,
+        near: int = 0,
+        limits: SubscriptionLimits = SubscriptionLimits(),  # noqa: B008 (it is frozen)
+    ) -> None:
         """Raises Malformed."""
         for address in (*addresses, *(reach or {}).values()):
             split_address(address)
@@ -101,7 +111,7 @@
         if dialling is not None:
             await asyncio.wait({dialling})
 
-    # ---- the loop's turn ---------------------------------------------------------------------------------
+    # ---- the loop's turn -------------------------------------------------------------------------
 
     def _wake(self) -> None:
         if not self.turning and not self.closed:
@@ -151,11 +161,13 @@
     def _say(self, wire: FeedWire, words: list[bytes]) -> None:
         if wire.closed or wire.transport is None:
             return
-        wire.transport.write(b"".join(wire.sender.frame(protocol.pack(Feed(ID, 0, word))) for word in words))
+        wire.transport.write(
+            b"".join(wire.sender.frame(protocol.pack(Feed(ID, 0, word))) for word in words)
+        )
         if wire.transport.get_write_buffer_size() > UNREAD_MOST:
             wire.end("it reads nothing")
 
-    # ---- connections -------------------------------------------------------------------------------------
+    # ---- connections -----------------------------------------------------------------------------
 
     async def _dial(self, turn: int) -> None:
         """How long it may take is the subscription's to say."""
--- a/lanelift/store/feeding.py
+++ b/lanelift/store/feeding.py
@@ -1,8 +1,9 @@
-"""A node's feed: carries the fan-out's words to connections, and the store's changes to the fan-out.
+"""A node's feed: carries the fan-out's words to connections, and the store's changes to the
+fan-out.
 
-Rows are read from the state once, off the loop, and from then on only what was applied is told on; all that
-comes meanwhile is held, in its order, and done once they are there. After that a change costs one encoding a
-scope and one write for each who hears it; nobody asks the state for it.
+Rows are read from the state once, off the loop, and from then on only what was applied is told on;
+all that comes meanwhile is held, in its order, and done once they are there. After that a change
+costs one encoding a scope and one write for each who hears it; nobody asks the state for it.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
         self.timer_ns = 0
         self.last: dict[str, Any] | None = None  # status
 
-    # ---- the store ---------------------------------------------------------------------------------------
+    # ---- the store -------------------------------------------------------------------------------
 
     def start(self) -> None:
         """Before anything is applied."""
@@ -76,6 +77,7 @@
         def act(fanout: Fanout, now: int) -> None:
             if revision > fanout.revision:
                 fanout.applied(revision, changes, now)
+
         self._do(act)
 
     def installed(self) -> None:
@@ -86,13 +88,17 @@
             self._load()
 
     def led(self, leaderless_ms: int) -> None:
-        """How long this node has known of no leader. Cut off, it would say in good faith that there is
-        nothing newer: balancers are sent elsewhere, once, and those that come back, as they reach nobody
-        else, are told what it knows, and not that it is all there is."""
+        """How long this node has known of no leader. Cut off, it would say in good faith that there
+        is nothing newer: balancers are sent elsewhere, once, and those that come back, as they
+        reach nobody else, are told what it knows, and not that it is all there is.
+        """
         alone, self.alone = self.alone, leaderless_ms > LEADERLESS_MS
         if self.alone and not alone and self.hearers:
-            log.warning("feed: no leader for %d ms, %d balancers are sent elsewhere", leaderless_ms,
-                        len(self.hearers))
+            log.warning(
+                "feed: no leader for %d ms, %d balancers are sent elsewhere",
+                leaderless_ms,
+                len(self.hearers),
+            )
             for hearer in list(self.hearers.values()):
                 hearer.end("this node knows of no leader")
 
@@ -113,20 +119,25 @@
         fanout = self.fanout or Fanout(self.node.identity.cluster, self.limits, time.monotonic_ns())
         while True:
             self.stale = False
-            # What is applied before the state is looked at is among this, and held as well; the rest is held.
+            # What is applied before the state is looked at is among this, and held as well; the
+            # rest is held.
             loaded = await self.node.query(State.rows)
             await asyncio.get_running_loop().run_in_executor(None, _fill, fanout, loaded)
             if not self.stale:
                 break
         held, self.held = self.held or [], None
         self.fanout = fanout
-        log.info("feed: %d rows as of revision %d, loaded in %.0f ms", len(loaded.rows), loaded.revision,
-                 (time.monotonic() - began) * 1000)
+        log.info(
+            "feed: %d rows as of revision %d, loaded in %.0f ms",
+            len(loaded.rows),
+            loaded.revision,
+            (time.monotonic() - began) * 1000,
+        )
         for act in held:
             self._do(act)
         self._wake()
 
-    # ---- subscribers -------------------------------------------------------------------------------------
+    # ---- subscribers -----------------------------------------------------------------------------
 
     def begin(self, hearer: Hearer) -> int:
         """The number of a new subscriber."""
@@ -143,6 +154,7 @@
                     fanout.heard(number, word, now)
             except BadWord as error:
                 self.hearers[number].end(str(error))
+
         self._do(act)
 
     def writable(self, number: int, on: bool) -> None:
@@ -152,7 +164,7 @@
         if self.hearers.pop(number, None) is not None:
             self._do(lambda fanout, now: fanout.gone(number, now))
 
-    # ---- the loop's turn ---------------------------------------------------------------------------------
+    # ---- the loop's turn -------------------------------------------------------------------------
 
     def _do(self, act: Act) -> None:
         """At once, or when the rows are there."""
@@ -218,9 +230,13 @@
             self._wake()
             self.last = self._told(self.fanout.status())
         elif self.held is not None and self.last is None:  # nobody has anything of it yet
-            empty, count = Fanout(self.node.identity.cluster, self.limits, 0).status(), len(self.hearers)
-            return self._told(structs.replace(empty, subscribers=count,
-                                              reached=((0, count),) if count else ()))
+            empty, count = (
+                Fanout(self.node.identity.cluster, self.limits, 0).status(),
+                len(self.hearers),
+            )
+            return self._told(
+                structs.replace(empty, subscribers=count, reached=((0, count),) if count else ())
+            )
         return self.last
 
     def _told(self, status: FeedStatus) -> dict[str, Any]:
@@ -236,4 +252,6 @@
 
 
 def _fill(fanout: Fanout, loaded: Loaded) -> None:
-    fanout.load(loaded.revision, loaded.rows, loaded.base, _changes(loaded.events), time.monotonic_ns())
+    fanout.load(
+        loaded.revision, loaded.rows, loaded.base, _changes(loaded.events), time.monotonic_ns()
+    )
--- a/lanelift/store/link.py
+++ b/lanelift/store/link.py
@@ -1,5 +1,6 @@
-"""Connections to other members, one for each, made anew whenever they break. Messages that can't go are
-dropped: consensus sends again what matters."""
+"""Connections to other members, one for each, made anew whenever they break. Messages that can't go
+are dropped: consensus sends again what matters.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-MOST_WAITING = 16 << 20  # bytes that a slow member may leave unread; beyond it nothing more is written
+MOST_WAITING = (
+    16 << 20
+)  # bytes that a slow member may leave unread; beyond it nothing more is written
 CONNECT_S = 2.0
 BACKOFF_S = 0.05, 2.0
 STUCK_S = 5.0  # nothing was read for so long, though there was something: the connection is dead
@@ -50,10 +53,18 @@
 class Link:
     """The way to one member."""
 
-    def __init__(self, node: int, address: str, reach: str, hello: Callable[[], Hello],
-                 tls: Callable[[], ssl.SSLContext | None], least: Callable[[], int] = lambda: 1) -> None:
-        """`address` as it is advertised, `reach` as it is dialled from here; `least`: the format that the
-        member's program must know by now."""
+    def __init__(
+        self,
+        node: int,
+        address: str,
+        reach: str,
+        hello: Callable[[], Hello],
+        tls: Callable[[], ssl.SSLContext | None],
+        least: Callable[[], int] = lambda: 1,
+    ) -> None:
+        """`address` as it is advertised, `reach` as it is dialled from here; `least`: the format
+        that the member's program must know by now.
+        """
         self.node = node
         self.address = address
         self.reach = reach
--- a/lanelift/store/metrics.py
+++ b/lanelift/store/metrics.py
@@ -1,4 +1,6 @@
-"""A node's figures for a collector of metrics: OpenMetrics text over plain HTTP, on an address of its own."""
+"""A node's figures for a collector of metrics: OpenMetrics text over plain HTTP, on an address of
+its own.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +16,37 @@
 
 MOST_HEAD = 8 << 10
 GAUGES = {
-    "term": "the current term", "last": "last index of the log", "commit": "last committed index",
-    "applied": "last applied index", "stable": "last index on this disk",
+    "term": "the current term",
+    "last": "last index of the log",
+    "commit": "last committed index",
+    "applied": "last applied index",
+    "stable": "last index on this disk",
     "log_bytes": "bytes of log in memory",
-    "writes_waiting": "proposals in flight", "reads_waiting": "reads that wait for a majority",
-    "uncommitted_bytes": "bytes proposed and not committed", "leaderless_ms": "since when no leader is known",
-    "disk_full_s": "since when the disk takes nothing"}
-FEED_GAUGES = {"subscribers": "balancers that hear this node", "waiting": "in the queue for snapshots",
-               "parked": "know more than this node", "refusals": "rows that balancers refuse"}
-FEED_COUNTERS = {"sent_bytes": "bytes told", "snapshots": "scopes sent whole", "later": "asked to come later",
-                 "resumes": "scopes that went on from the log", "failures": "times that the feed began anew"}
-COUNTERS = {"elections": "times this node stood for election", "batches": "batches synced",
-            "entries": "entries written", "late_turns": "turns of the loop that came late"}
+    "writes_waiting": "proposals in flight",
+    "reads_waiting": "reads that wait for a majority",
+    "uncommitted_bytes": "bytes proposed and not committed",
+    "leaderless_ms": "since when no leader is known",
+    "disk_full_s": "since when the disk takes nothing",
+}
+FEED_GAUGES = {
+    "subscribers": "balancers that hear this node",
+    "waiting": "in the queue for snapshots",
+    "parked": "know more than this node",
+    "refusals": "rows that balancers refuse",
+}
+FEED_COUNTERS = {
+    "sent_bytes": "bytes told",
+    "snapshots": "scopes sent whole",
+    "later": "asked to come later",
+    "resumes": "scopes that went on from the log",
+    "failures": "times that the feed began anew",
+}
+COUNTERS = {
+    "elections": "times this node stood for election",
+    "batches": "batches synced",
+    "entries": "entries written",
+    "late_turns": "turns of the loop that came late",
+}
 
 
 class Collector:
@@ -38,9 +59,14 @@
             yield GaugeMetricFamily(f"lanelift_store_{name}", what, value=float(status[name]))
         for name, what in COUNTERS.items():
             yield CounterMetricFamily(f"lanelift_store_{name}", what, value=float(status[name]))
-        yield GaugeMetricFamily("lanelift_store_leads", "1 where this node leads",
-                                value=float(status["role"] == "leader"))
-        sync = GaugeMetricFamily("lanelift_store_sync_seconds", "of the last batches", labels=["quantile"])
+        yield GaugeMetricFamily(
+            "lanelift_store_leads",
+            "1 where this node leads",
+            value=float(status["role"] == "leader"),
+        )
+        sync = GaugeMetricFamily(
+            "lanelift_store_sync_seconds", "of the last batches", labels=["quantile"]
+        )
         for part in (0.5, 0.99):
             sync.add_metric([str(part)], self.node.figures.quantile(part))
         yield sync
@@ -51,19 +77,23 @@
             yield CounterMetricFamily(f"lanelift_feed_{name}", what, value=float(feed.get(name, 0)))
         leases = list(self.node.replica.state.leases.values())
         for name, what, values in (
-                ("held", "1 where somebody holds the lease", [float(lease.held) for lease in leases]),
-                ("token", "the last token granted", [float(lease.token) for lease in leases]),
-                ("waiting", "candidates", [float(len(lease.waiting)) for lease in leases])):
+            ("held", "1 where somebody holds the lease", [float(lease.held) for lease in leases]),
+            ("token", "the last token granted", [float(lease.token) for lease in leases]),
+            ("waiting", "candidates", [float(len(lease.waiting)) for lease in leases]),
+        ):
             gauge = GaugeMetricFamily(f"lanelift_lease_{name}", what, labels=["lease"])
             for lease, value in zip(leases, values, strict=True):
                 gauge.add_metric([lease.name], value)
             yield gauge
-        refused = CounterMetricFamily("lanelift_lease_refused", "writes refused that bore another token",
-                                      labels=["lease"])
+        refused = CounterMetricFamily(
+            "lanelift_lease_refused", "writes refused that bore another token", labels=["lease"]
+        )
         for lease in leases:
             refused.add_metric([lease.name], float(lease.refused))
         yield refused
-        lag = GaugeMetricFamily("lanelift_store_member_lag", "entries, as the leader knows", labels=["node"])
+        lag = GaugeMetricFamily(
+            "lanelift_store_member_lag", "entries, as the leader knows", labels=["node"]
+        )
         for member in status["members"]:
             if member["lag"] is not None:
                 lag.add_metric([member["node"]], float(member["lag"]))
@@ -86,8 +116,10 @@
         if self.transport is None or (b"\r\n\r\n" not in self.head and len(self.head) < MOST_HEAD):
             return
         body: bytes = generate_latest(self.registry)  # type: ignore[no-untyped-call]
-        self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Type: %b\r\nContent-Length: %d\r\nConnection: close"
-                             b"\r\n\r\n" % (CONTENT_TYPE_LATEST.encode(), len(body)) + body)
+        self.transport.write(
+            b"HTTP/1.1 200 OK\r\nContent-Type: %b\r\nContent-Length: %d\r\nConnection: close"
+            b"\r\n\r\n" % (CONTENT_TYPE_LATEST.encode(), len(body)) + body
+        )
         self.transport.close()
 
 
--- a/lanelift/store/node.py
+++ b/lanelift/store/node.py
@@ -1,8 +1,8 @@
 """A running member: the replica's threads, timers and connections to the others.
 
-The loop's thread owns the core. One thread writes to the log, one uses the state; while a snapshot is
-installed neither does anything else. All that comes in one turn of the loop is carried out together at its
-end.
+The loop's thread owns the core. One thread writes to the log, one uses the state; while a snapshot
+is installed neither does anything else. All that comes in one turn of the loop is carried out
+together at its end.
 """
 
 from __future__ import annotations
@@ -89,7 +89,9 @@
 
 
 class Node:
-    def __init__(self, settings: StoreSettings, identity: Identity, replica: Replica, lock: int) -> None:
+    def __init__(
+        self, settings: StoreSettings, identity: Identity, replica: Replica, lock: int
+    ) -> None:
         self.settings = settings
         self.identity = identity
         self.replica = replica
@@ -128,8 +130,15 @@
             files = Folder(settings.folder)
             identity = read_identity(files)
             journal = Journal(files, identity.cluster, identity.node)
-            replica = Replica.open(identity, journal, DiskVault(settings.folder), settings.config,
-                                   time.monotonic_ns(), random.Random(os.urandom(8)), settings.boundaries)
+            replica = Replica.open(
+                identity,
+                journal,
+                DiskVault(settings.folder),
+                settings.config,
+                time.monotonic_ns(),
+                random.Random(os.urandom(8)),
+                settings.boundaries,
+            )
         except BaseException:
             os.close(lock)
             raise
@@ -139,7 +148,7 @@
         self.feeding.start()
         self.wake()
 
-    # ---- the loop's turn ---------------------------------------------------------------------------------
+    # ---- the loop's turn -------------------------------------------------------------------------
 
     def wake(self) -> None:
         """Something happened: carry out what follows at the end of this turn of the loop."""
@@ -190,8 +199,15 @@
             self.exporting = True
             self.task(self._export())
         unsynced = core.applied - self.replica.flushed
-        if not self.flushing and unsynced and (self.replica.wants_cut or unsynced > FLUSH_ENTRIES
-                                               or time.monotonic() - self.flushed_s > FLUSH_S):
+        if (
+            not self.flushing
+            and unsynced
+            and (
+                self.replica.wants_cut
+                or unsynced > FLUSH_ENTRIES
+                or time.monotonic() - self.flushed_s > FLUSH_S
+            )
+        ):
             self.flushing = True
             self.task(self._flush())
         wake_ns = min(core.wake_ns, self.steward.wake_ns or core.wake_ns)
@@ -199,7 +215,9 @@
             if self.timer is not None:
                 self.timer.cancel()
             self.timer_ns = wake_ns
-            self.timer = self.loop.call_later(max(0, wake_ns - time.monotonic_ns()) / 1e9, self._timed)
+            self.timer = self.loop.call_later(
+                max(0, wake_ns - time.monotonic_ns()) / 1e9, self._timed
+            )
 
     def _timed(self) -> None:
         late = (time.monotonic_ns() - self.timer_ns) / 1e9
@@ -262,8 +280,10 @@
 
     def formats(self) -> dict[int, int]:
         """The newest format of the state that each member's program knows; 0: not met yet."""
-        return {n: FORMAT if n == self.identity.node else self.links[n].format if n in self.links else 0
-                for n in self.core.members.all}
+        return {
+            n: FORMAT if n == self.identity.node else self.links[n].format if n in self.links else 0
+            for n in self.core.members.all
+        }
 
     def not_yet(self, needs: int) -> str:
         """Why there can't be a command yet that needs this format of the state."""
@@ -284,11 +304,16 @@
                 if not reading.future.done():
                     reading.future.set_exception(Late("leadership changed"))
 
-    # ---- members -----------------------------------------------------------------------------------------
+    # ---- members ---------------------------------------------------------------------------------
 
     def hello(self) -> Hello:
-        return Hello(protocol.FORMAT, self.identity.cluster, self.identity.node, self.settings.advertise,
-                     self.identity.name)
+        return Hello(
+            protocol.FORMAT,
+            self.identity.cluster,
+            self.identity.node,
+            self.settings.advertise,
+            self.identity.name,
+        )
 
     def address_of(self, node: int) -> str:
         return self.core.members.addresses.get(node, "") or self.told.get(node, "")
@@ -303,8 +328,11 @@
 
     def _keep_links(self) -> None:
         me = self.identity.node
-        wanted = {n: self.address_of(n) for n in {*self.core.members.all, *self.told}
-                  if n != me and n not in self.core.members.gone}
+        wanted = {
+            n: self.address_of(n)
+            for n in {*self.core.members.all, *self.told}
+            if n != me and n not in self.core.members.gone
+        }
         for node, link in list(self.links.items()):
             if wanted.get(node) != link.address:
                 link.close()
@@ -312,8 +340,14 @@
         for node, address in wanted.items():
             if address and node not in self.links:
                 reach = self.settings.reach.get(address, address)
-                self.links[node] = Link(node, address, reach, self.hello, lambda: self.tls,
-                                         lambda: self.replica.state.format)
+                self.links[node] = Link(
+                    node,
+                    address,
+                    reach,
+                    self.hello,
+                    lambda: self.tls,
+                    lambda: self.replica.state.format,
+                )
 
     def _send(self, messages: Sequence[tuple[int, AnyMessage]]) -> None:
         if not messages:
@@ -336,7 +370,7 @@
                 return
             self._send([(to, Piece(self.core.term, meta, offset, data, round_))])
 
-    # ---- disk and state ----------------------------------------------------------------------------------
+    # ---- disk and state --------------------------------------------------------------------------
 
     async def _write(self, batch: Batch) -> None:
         if batch.install is not None:
@@ -345,8 +379,11 @@
         else:
             installed = await self._written(batch)
         if batch.install is not None:
-            log.info("snapshot up to entry %d: %s", batch.install.index,
-                     "installed" if installed else "not whole, asked for anew")
+            log.info(
+                "snapshot up to entry %d: %s",
+                batch.install.index,
+                "installed" if installed else "not whole, asked for anew",
+            )
         self.figures.batches += 1
         self.figures.entries += len(batch.entries)
         self.core.persisted(batch, installed)
@@ -357,7 +394,9 @@
     async def _written(self, batch: Batch) -> bool:
         while True:
             try:
-                installed, seconds = await self.loop.run_in_executor(self.disk, self._timed_write, batch)
+                installed, seconds = await self.loop.run_in_executor(
+                    self.disk, self._timed_write, batch
+                )
             except Full as error:
                 self._note_full("log", error)
                 await asyncio.sleep(FULL_S)
@@ -382,14 +421,18 @@
         return installed, time.perf_counter() - began
 
     async def _apply(self, entries: list[Entry]) -> None:
-        """Until there is room: what is committed has to be applied, and a run that failed left nothing."""
+        """Until there is room: what is committed has to be applied, and a run that failed left
+        nothing.
+        """
         try:
             while True:
                 async with self.state_turn:  # not over the wait: reads go on
                     if self.replica.state.applied >= entries[-1].index:
                         return  # a snapshot came in between
                     try:
-                        results = await self.loop.run_in_executor(self.state, self.replica.apply, entries)
+                        results = await self.loop.run_in_executor(
+                            self.state, self.replica.apply, entries
+                        )
                         break
                     except states.Failed as error:
                         if "full" not in str(error):
@@ -425,8 +468,9 @@
         self.poke(self.replica.state.take_touched())
 
     def poke(self, keys: Collection[str] | None = None) -> None:
-        """These keys changed, or nobody knows which: whoever watches one of them looks. A renewal of a lease
-        changes none."""
+        """These keys changed, or nobody knows which: whoever watches one of them looks. A renewal
+        of a lease changes none.
+        """
         if keys is not None and not keys:
             return
         for prefix, look in list(self.watchers.values()):
@@ -468,7 +512,7 @@
                 raise Late("the node stops")
             return await self.loop.run_in_executor(self.state, look, self.replica.state)
 
-    # ---- what is asked of it -----------------------------------------------------------------------------
+    # ---- what is asked of it ---------------------------------------------------------------------
 
     def put(self, command: bytes) -> asyncio.Future[Result]:
         """Propose a packed command. Raises NotLeader, Busy; the future, Unknown."""
@@ -481,8 +525,9 @@
         return future
 
     def current(self) -> asyncio.Future[None]:
-        """Done when what is applied here holds all that was answered to anyone before. Raises NotLeader,
-        Busy; the future, Late."""
+        """Done when what is applied here holds all that was answered to anyone before. Raises
+        NotLeader, Busy; the future, Late.
+        """
         if self.failed.done():
             raise NotLeader(0)
         self.tickets += 1
@@ -508,8 +553,9 @@
                 reading.future.set_exception(Late("no majority proved the read in time"))
 
     async def manage(self, what: str, node: int, address: str, within_s: float) -> str:
-        """Learn, promote, remove, transfer, snapshot; says what was done. Raises NotLeader, Busy, Refused,
-        Late, Full."""
+        """Learn, promote, remove, transfer, snapshot; says what was done. Raises NotLeader, Busy,
+        Refused, Late, Full.
+        """
         if what == "snapshot":
             meta = await self.loop.run_in_executor(self.copies, self.replica.vault.export)
             await self._flush_now()
@@ -544,7 +590,9 @@
 
     def behind_ms(self) -> int:
         """How long ago this node last knew a leader; 0: it knows one."""
-        return 0 if self.core.leader else max(1, int((time.monotonic() - self.heard_leader_s) * 1000))
+        return (
+            0 if self.core.leader else max(1, int((time.monotonic() - self.heard_leader_s) * 1000))
+        )
 
     def status(self) -> dict[str, Any]:
         core, f = self.core, self.figures
@@ -553,26 +601,51 @@
         for n in core.members.all:
             p = core.progress.get(n) if core.role is Role.LEADER else None
             link = self.links.get(n)
-            members.append({
-                "node": f"{n:x}", "address": self.address_of(n), "voter": n in core.members.voters,
-                "leads": n == core.leader, "here": n == me,
-                "match": (core.stable if n == me else p.match) if p else None,
-                "lag": core.log.last - (core.stable if n == me else p.match) if p else None,
-                "way": p.way.value if p and n != me else "", "connected": n == me or bool(link and link.now),
-                "trouble": "" if n == me or not link or link.now else link.why})
+            members.append(
+                {
+                    "node": f"{n:x}",
+                    "address": self.address_of(n),
+                    "voter": n in core.members.voters,
+                    "leads": n == core.leader,
+                    "here": n == me,
+                    "match": (core.stable if n == me else p.match) if p else None,
+                    "lag": core.log.last - (core.stable if n == me else p.match) if p else None,
+                    "way": p.way.value if p and n != me else "",
+                    "connected": n == me or bool(link and link.now),
+                    "trouble": "" if n == me or not link or link.now else link.why,
+                }
+            )
         return {
-            "cluster": self.identity.cluster, "node": f"{me:x}", "name": self.identity.name,
-            "role": core.role.value, "term": core.term, "leader": f"{core.leader:x}" if core.leader else "",
-            "leaderless_ms": self.behind_ms(), "members": members, "last": core.log.last,
-            "commit": core.commit, "applied": core.applied, "log_from": core.log.base,
+            "cluster": self.identity.cluster,
+            "node": f"{me:x}",
+            "name": self.identity.name,
+            "role": core.role.value,
+            "term": core.term,
+            "leader": f"{core.leader:x}" if core.leader else "",
+            "leaderless_ms": self.behind_ms(),
+            "members": members,
+            "last": core.log.last,
+            "commit": core.commit,
+            "applied": core.applied,
+            "log_from": core.log.base,
             "log_bytes": core.log.bytes,
-            "stable": core.stable, "flushed": self.replica.flushed, "writes_waiting": len(self.waiting),
-            "reads_waiting": len(self.reading), "uncommitted_bytes": core.uncommitted,
-            "elections": core.elections, "batches": f.batches, "entries": f.entries,
-            "sync_p50_ms": round(f.quantile(0.5) * 1000, 3), "sync_p99_ms": round(f.quantile(0.99) * 1000, 3),
+            "stable": core.stable,
+            "flushed": self.replica.flushed,
+            "writes_waiting": len(self.waiting),
+            "reads_waiting": len(self.reading),
+            "uncommitted_bytes": core.uncommitted,
+            "elections": core.elections,
+            "batches": f.batches,
+            "entries": f.entries,
+            "sync_p50_ms": round(f.quantile(0.5) * 1000, 3),
+            "sync_p99_ms": round(f.quantile(0.99) * 1000, 3),
             "disk_full_s": round(time.monotonic() - min(f.full.values()), 1) if f.full else 0,
-            "late_turns": f.late_turns, "removed": core.removed, "failed": self.failed.done(),
-            "format": self.replica.state.format, "feed": self.feeding.status()}
+            "late_turns": f.late_turns,
+            "removed": core.removed,
+            "failed": self.failed.done(),
+            "format": self.replica.state.format,
+            "feed": self.feeding.status(),
+        }
 
     async def close(self) -> None:
         """Stop: what was promised is on disk."""
--- a/lanelift/store/owner.py
+++ b/lanelift/store/owner.py
@@ -1,7 +1,8 @@
-"""A lease as a process of the fleet has it: the pure holder, with a client of the store and a clock.
+"""A lease as a process of the fleet has it: the pure holder, with a client of the store and a
+clock.
 
-Work that needs it begins when `began` is called and must end when `ended` is; before each effect it asks
-`token`, and writes to the store go through `write`, which bears the token.
+Work that needs it begins when `began` is called and must end when `ended` is; before each effect it
+asks `token`, and writes to the store go through `write`, which bears the token.
 """
 
 from __future__ import annotations
@@ -48,11 +49,20 @@
 
 
 class Owner:
-    def __init__(self, client: Client, lease: str, name: str, ttl_s: float, rank: int = 0,
-                 began: Callable[[int], None] = lambda token: None, ended: Callable[[], None] = lambda: None,
-                 seen: Callable[[Lease], None] = lambda lease: None) -> None:
-        """`name`: this process's among the candidates. `seen`: each change of the lease, as some node tells
-        it."""
+    def __init__(
+        self,
+        client: Client,
+        lease: str,
+        name: str,
+        ttl_s: float,
+        rank: int = 0,
+        began: Callable[[int], None] = lambda token: None,
+        ended: Callable[[], None] = lambda: None,
+        seen: Callable[[Lease], None] = lambda lease: None,
+    ) -> None:
+        """`name`: this process's among the candidates. `seen`: each change of the lease, as some
+        node tells it.
+        """
         claim = new_claim()
         self.client = client
         self.lease = lease
@@ -60,13 +70,17 @@
         self.ttl_s = ttl_s
         self.rank = rank
         self.began, self.ended, self.seen = began, ended, seen
-        self.holder = Holder(self.name, claim, int(ttl_s * 1e9), random.Random(os.urandom(8)), clock_ns())
+        self.holder = Holder(
+            self.name, claim, int(ttl_s * 1e9), random.Random(os.urandom(8)), clock_ns()
+        )
         self.last: Lease | None = None  # as last told
         self.working = 0  # the token that `began` was called with
         self.refused = 0  # writes that the store refused as they bore an old token
         self.woken = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.rests_s = time.monotonic()  # since when nobody owns it, as far as is known here; 0: somebody
+        self.rests_s = (
+            time.monotonic()
+        )  # since when nobody owns it, as far as is known here; 0: somebody
 
     def start(self) -> None:
         for work in (self._keep(), self._watch()):
@@ -77,7 +91,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    # ---- what may be done --------------------------------------------------------------------------------
+    # ---- what may be done ------------------------------------------------------------------------
 
     def token(self) -> int:
         """What an effect right now may bear; 0: none may be. Looks at the clock."""
@@ -86,19 +100,33 @@
             self._stop("its time is over, or the store says that it went on")
         return token
 
-    async def write(self, ops: Sequence[Op], checks: Sequence[tuple[str, int]] = (), note: str = "",
-                    within_s: float = 0.0) -> Result:
+    async def write(
+        self,
+        ops: Sequence[Op],
+        checks: Sequence[tuple[str, int]] = (),
+        note: str = "",
+        within_s: float = 0.0,
+    ) -> Result:
         """All of it, under this lease. Raises NotOwner, and what a client's write raises."""
-        return await self._made(lambda fences: self.client.write(
-            ops, checks, note, self.name, within_s, fences))
-
-    async def write_rows(self, ops: Sequence[Op], refs: Sequence[tuple[str, ...]], note: str = "",
-                         within_s: float = 0.0) -> Result:
+        return await self._made(
+            lambda fences: self.client.write(ops, checks, note, self.name, within_s, fences)
+        )
+
+    async def write_rows(
+        self,
+        ops: Sequence[Op],
+        refs: Sequence[tuple[str, ...]],
+        note: str = "",
+        within_s: float = 0.0,
+    ) -> Result:
         """The same of rows of the feed; `refs`: by operation, the rows that its row names."""
-        return await self._made(lambda fences: self.client.write_rows(
-            ops, refs, (), note, self.name, within_s, fences))
+        return await self._made(
+            lambda fences: self.client.write_rows(ops, refs, (), note, self.name, within_s, fences)
+        )
 
-    async def _made(self, write: Callable[[Sequence[tuple[str, int]]], Awaitable[Result]]) -> Result:
+    async def _made(
+        self, write: Callable[[Sequence[tuple[str, int]]], Awaitable[Result]]
+    ) -> Result:
         token = self.token()
         if not token:
             raise NotOwner(f"{self.lease} is not held here")
@@ -115,11 +143,13 @@
         self.began(token)
 
     def _stop(self, why: str) -> None:
-        log.info("%s: no longer owned under token %s: %s", self.lease, table.written(self.working), why)
+        log.info(
+            "%s: no longer owned under token %s: %s", self.lease, table.written(self.working), why
+        )
         self.working = 0
         self.ended()
 
-    # ---- the two loops -----------------------------------------------------------------------------------
+    # ---- the two loops ---------------------------------------------------------------------------
 
     async def _keep(self) -> None:
         while self.holder.phase is not Phase.LEFT:
@@ -146,8 +176,12 @@
         elif self.rests_s == 0.0:
             self.rests_s = time.monotonic()
         elif self.rests_s > 0 and time.monotonic() - self.rests_s > RESTS_S + self.ttl_s:
-            log.warning("%s: nobody has owned it for %.0f s (%s): its work rests", self.lease,
-                        time.monotonic() - self.rests_s, self.holder.why or "no word of the store")
+            log.warning(
+                "%s: nobody has owned it for %.0f s (%s): its work rests",
+                self.lease,
+                time.monotonic() - self.rests_s,
+                self.holder.why or "no word of the store",
+            )
             self.rests_s = -1.0
 
     async def _carry_out(self, asked: Ask) -> None:
@@ -155,13 +189,24 @@
         within = LEAVE_S if asked.what == "release" else self.ttl_s / 3
         try:
             if asked.what == "release":
-                await self.client.release(Release(self.lease, holder.claim, asked.token, unix_ms()), within)
+                await self.client.release(
+                    Release(self.lease, holder.claim, asked.token, unix_ms()), within
+                )
                 holder.answered(asked.number, 0, 0, "", clock_ns())
             else:
-                claim = Claim(self.lease, self.name, holder.claim, int(self.ttl_s * 1000), self.rank, who(),
-                              unix_ms())
+                claim = Claim(
+                    self.lease,
+                    self.name,
+                    holder.claim,
+                    int(self.ttl_s * 1000),
+                    self.rank,
+                    who(),
+                    unix_ms(),
+                )
                 result = await self.client.claim(claim, within)
-                holder.answered(asked.number, result.versions[0], result.versions[1], result.text, clock_ns())
+                holder.answered(
+                    asked.number, result.versions[0], result.versions[1], result.text, clock_ns()
+                )
         except Exception as error:  # the holder must hear of an end, whatever it was
             holder.failed(asked.number, str(error), clock_ns())
             if not isinstance(error, StoreError):
--- a/lanelift/store/raft/core.py
+++ b/lanelift/store/raft/core.py
@@ -1,18 +1,19 @@
-"""Raft without I/O: it is handed the time, messages and word of what is on disk, and gives back messages,
-work for the disk and committed entries.
+"""Raft without I/O: it is handed the time, messages and word of what is on disk, and gives back
+messages, work for the disk and committed entries.
 
-Sources: the extended Raft paper (figure 2, sections 5 to 8) and Ongaro's thesis (3.10 transfer, 4 membership,
-6.4 reads, 9.6 pre-vote, 10.2 pipelining and writing in parallel). A caller
+Sources: the extended Raft paper (figure 2, sections 5 to 8) and Ongaro's thesis (3.10 transfer, 4
+membership, 6.4 reads, 9.6 pre-vote, 10.2 pipelining and writing in parallel). A caller
 
 1. calls `tick`, `step`, `propose`, `change`, `read`, `transfer` as things happen;
 2. sends what `take_out` gives, at once;
-3. takes one `Batch` at a time with `take_batch`, makes it durable as a whole, and calls `persisted`: only
+3. takes one `Batch` at a time with `take_batch`, makes it durable as a whole, and calls
+`persisted`: only
    then
    do the promises in it leave;
 4. applies what `take_committed` gives, in order, and calls `applied_to`.
 
-Nothing is believed of the clock but that it moves on by itself: reads are proved by a round of messages,
-never by a lease.
+Nothing is believed of the clock but that it moves on by itself: reads are proved by a round of
+messages, never by a lease.
 """
 
 from __future__ import annotations
@@ -90,9 +91,13 @@
     """What must be durable, all of it in this order, before `after` may leave."""
 
     hard: HardState | None = None
-    entries: list[Entry] = field(default_factory=list)  # the first drops what stood from its index on
+    entries: list[Entry] = field(
+        default_factory=list
+    )  # the first drops what stood from its index on
     pieces: list[Piece] = field(default_factory=list)
-    install: SnapshotMeta | None = None  # all its pieces are there: it takes the place of state and log
+    install: SnapshotMeta | None = (
+        None  # all its pieces are there: it takes the place of state and log
+    )
     after: list[tuple[int, AnyMessage]] = field(default_factory=list)
 
     @property
@@ -116,10 +121,20 @@
 
 
 class Core:
-    def __init__(self, me: int, config: Config, hard: HardState, log: Log, members: Members, now: int,
-                 rng: random.Random, applied: int = 0) -> None:
-        """What the log holds counts as durable; `members` are those of the state, which holds entries up to
-        `applied`, or the log's base."""
+    def __init__(
+        self,
+        me: int,
+        config: Config,
+        hard: HardState,
+        log: Log,
+        members: Members,
+        now: int,
+        rng: random.Random,
+        applied: int = 0,
+    ) -> None:
+        """What the log holds counts as durable; `members` are those of the state, which holds
+        entries up to `applied`, or the log's base.
+        """
         self.me = me
         self.config = config
         self.rng = rng
@@ -127,7 +142,9 @@
         self.log = log
         self.role = Role.FOLLOWER
         self.leader = 0
-        self.commit = self.applied = self.handed = max(log.base, applied)  # handed: given out to be applied
+        self.commit = self.applied = self.handed = max(
+            log.base, applied
+        )  # handed: given out to be applied
         self.stable = log.last  # on this disk up to here
         self.clock = self.raw = now
         self.heard_ns = now - 2 * config.election_ns  # of a leader; none yet
@@ -138,8 +155,12 @@
         self.round = 0
         self.round_asked = False  # a new round goes out with the next messages
         self.reads: deque[Read] = deque()
-        self.proved: deque[tuple[int, int]] = deque()  # ticket, index: may be read once that is applied
-        self.early_reads: list[tuple[int, int]] = []  # ticket, node: asked before the term's first commit
+        self.proved: deque[tuple[int, int]] = (
+            deque()
+        )  # ticket, index: may be read once that is applied
+        self.early_reads: list[
+            tuple[int, int]
+        ] = []  # ticket, node: asked before the term's first commit
         self.target = 0  # leadership goes there
         self.target_ns = 0  # and is kept if it has not by then
         self.incoming: SnapshotMeta | None = None
@@ -149,18 +170,20 @@
         self.wants_snapshot = False  # a follower needs one that is not there
         self.removed = False  # it was told so, or saw it committed
         self.out: list[tuple[int, AnyMessage]] = []
-        self.pieces_out: list[tuple[int, SnapshotMeta, int, int]] = []  # to, snapshot, offset, round
+        self.pieces_out: list[
+            tuple[int, SnapshotMeta, int, int]
+        ] = []  # to, snapshot, offset, round
         self.pending = Batch()
         self.in_flight: Batch | None = None
         self.in_flight_ns = 0  # since
         self.uncommitted = 0  # bytes
         self.elections = 0
         self.configs: list[tuple[int, Members]] = [(log.base, members)]
-        for entry in log.entries[self.applied - log.base:]:
+        for entry in log.entries[self.applied - log.base :]:
             self._note_members(entry)
         self._arm()
 
-    # ---- what the caller asks ----------------------------------------------------------------------------
+    # ---- what the caller asks --------------------------------------------------------------------
 
     @property
     def term(self) -> int:
@@ -179,8 +202,9 @@
         return next(m for i, m in reversed(self.configs) if i <= index)
 
     def tick(self, raw: int) -> None:
-        """Time has passed. A clock that jumps back stands still, one that jumps on moves by half an election
-        time-out: messages that came meanwhile are to be heard first."""
+        """Time has passed. A clock that jumps back stands still, one that jumps on moves by half an
+        election time-out: messages that came meanwhile are to be heard first.
+        """
         self.clock += max(0, min(raw - self.raw, self.config.election_ns // 2))
         self.raw = raw
         if self.role is Role.LEADER:
@@ -195,7 +219,9 @@
         return self.raw + max(0, due - self.clock)
 
     def propose(self, datas: Sequence[bytes]) -> list[int]:
-        """Indices at which these commands will stand if this leader stays. Raises NotLeader, Busy."""
+        """Indices at which these commands will stand if this leader stays. Raises NotLeader,
+        Busy.
+        """
         if self.role is not Role.LEADER:
             raise NotLeader(self.leader)
         if self.target:
@@ -222,17 +248,21 @@
             p = self.progress.get(change.node)
             if p is None or self.log.last - p.match > self.config.promote_lag:
                 behind = self.log.last - p.match if p else self.log.last
-                raise Refused(f"node {change.node:x} is {behind} entries behind: wait until it has caught up")
+                raise Refused(
+                    f"node {change.node:x} is {behind} entries behind: wait until it has caught up"
+                )
         return self._add(Kind.MEMBERS, pack(members))
 
     def _settled(self) -> bool:
-        """The mend of single-server changes (Ongaro, raft-dev, July 2015): a leader makes none before an
-        entry of its own term is committed, and never two at a time."""
+        """The mend of single-server changes (Ongaro, raft-dev, July 2015): a leader makes none
+        before an entry of its own term is committed, and never two at a time.
+        """
         return self.members_index <= self.commit and self.log.term(self.commit) == self.term
 
     def read(self, ticket: int) -> None:
-        """Ask for a linearizable read: `take_proved` gives the ticket back with the index that must be
-        applied first. Raises NotLeader, Busy."""
+        """Ask for a linearizable read: `take_proved` gives the ticket back with the index that must
+        be applied first. Raises NotLeader, Busy.
+        """
         if self.role is Role.LEADER:
             self._read(ticket, 0)
         elif self.leader:
@@ -283,7 +313,7 @@
         taking = [p.meta.index for p in self.progress.values() if p.meta is not None]
         return min(taking, default=self.log.last)
 
-    # ---- what the caller carries out ---------------------------------------------------------------------
+    # ---- what the caller carries out -------------------------------------------------------------
 
     def take_out(self) -> list[tuple[int, AnyMessage]]:
         """Messages that may leave now."""
@@ -293,7 +323,9 @@
         return out
 
     def take_pieces(self) -> list[tuple[int, SnapshotMeta, int, int]]:
-        """Pieces of snapshots to read and send: to whom, of which, from which byte on, in which round."""
+        """Pieces of snapshots to read and send: to whom, of which, from which byte on, in which
+        round.
+        """
         pieces, self.pieces_out = self.pieces_out, []
         return pieces
 
@@ -343,10 +375,12 @@
             ready.append(self.proved.popleft()[0])
         return ready
 
-    # ---- messages ----------------------------------------------------------------------------------------
+    # ---- messages --------------------------------------------------------------------------------
 
     def step(self, sender: int, m: AnyMessage) -> None:
-        """A message came. One from a node that is no member still counts: it may know more (thesis 4.1)."""
+        """A message came. One from a node that is no member still counts: it may know more (thesis
+        4.1).
+        """
         if isinstance(m, Gone):
             # Only who was removed is told so, by somebody who saw it committed.
             if m.index > self.members_index or self.me not in self.members.all:
@@ -381,8 +415,9 @@
                 self.proved.append((m.ticket, m.index))
 
     def _newer_term(self, sender: int, m: AnyMessage) -> bool:
-        """A later term is taken over, but not from who only asks whether, nor from who shouts while the
-        leader is well. False: the message is left alone."""
+        """A later term is taken over, but not from who only asks whether, nor from who shouts while
+        the leader is well. False: the message is left alone.
+        """
         if isinstance(m, VoteAsk):
             if not m.handed and self._leader_is_well():
                 self._hush(sender)
@@ -421,10 +456,12 @@
         """A message that must not leave before all that was decided so far is durable."""
         self.pending.after.append((to, m))
 
-    # ---- elections ---------------------------------------------------------------------------------------
+    # ---- elections -------------------------------------------------------------------------------
 
     def _arm(self) -> None:
-        self.deadline_ns = self.clock + self.rng.randint(self.config.election_ns, 2 * self.config.election_ns)
+        self.deadline_ns = self.clock + self.rng.randint(
+            self.config.election_ns, 2 * self.config.election_ns
+        )
 
     def _set_hard(self, term: int, vote: int) -> None:
         assert term > self.hard.term or (term == self.hard.term and self.hard.vote in (0, vote))
@@ -445,7 +482,9 @@
         self.uncommitted = 0
 
     def _stand(self) -> None:
-        """The election time-out has run out: ask first whether an election could be won (thesis 9.6)."""
+        """The election time-out has run out: ask first whether an election could be won (thesis
+        9.6).
+        """
         self._arm()
         if not self._may_stand():
             self.leader = 0 if self.clock - self.heard_ns > self.config.election_ns else self.leader
@@ -467,7 +506,9 @@
         self.elections += 1
         self.role = Role.CANDIDATE
         self._set_hard(self.term, self.me)
-        self._promise(self.me, Vote(self.term, True, False))  # its own vote counts when it is on disk
+        self._promise(
+            self.me, Vote(self.term, True, False)
+        )  # its own vote counts when it is on disk
         self._ask_votes(self.term, False, handed)
 
     def _ask_votes(self, term: int, pre: bool, handed: bool) -> None:
@@ -485,8 +526,12 @@
             granted = m.term > self.term and not self._leader_is_well() and newer
             self._promise(sender, Vote(m.term if granted else self.term, granted, True))
             return
-        granted = (self.hard.vote in (0, sender) and self.role is Role.FOLLOWER
-                   and self.leader in (0, sender) and newer)
+        granted = (
+            self.hard.vote in (0, sender)
+            and self.role is Role.FOLLOWER
+            and self.leader in (0, sender)
+            and newer
+        )
         if granted:
             self._set_hard(self.term, sender)
             self._arm()
@@ -520,12 +565,14 @@
         self.role, self.leader = Role.LEADER, self.me
         self.round = 0
         self.votes.clear()
-        self.progress = {n: Progress(self.log.last + 1, heard_ns=self.clock) for n in self.members.all}
-        self.uncommitted = sum(weight(e) for e in self.log.entries[self.commit - self.log.base:])
+        self.progress = {
+            n: Progress(self.log.last + 1, heard_ns=self.clock) for n in self.members.all
+        }
+        self.uncommitted = sum(weight(e) for e in self.log.entries[self.commit - self.log.base :])
         self.beat_ns = self.clock + self.config.heartbeat_ns
         self._add(Kind.NOTHING, b"")
 
-    # ---- leading -----------------------------------------------------------------------------------------
+    # ---- leading ---------------------------------------------------------------------------------
 
     def _add(self, kind: Kind, data: bytes) -> int:
         entry = Entry(self.term, self.log.last + 1, kind, data)
@@ -541,7 +588,7 @@
             self.stable = min(self.stable, first - 1)
             self.configs = [(i, m) for i, m in self.configs if i < first]
             pending = self.pending.entries
-            del pending[max(0, first - pending[0].index) if pending else 0:]
+            del pending[max(0, first - pending[0].index) if pending else 0 :]
         self.log.append(entries)
         self.pending.entries.extend(entries)
         for entry in entries:
@@ -579,7 +626,9 @@
                 p.sent, p.moved_ns = p.taken, self.clock
 
     def _leave_slow_disk(self) -> None:
-        """Nothing that this node writes becomes durable: the follower that has most leads better."""
+        """Nothing that this node writes becomes durable: the follower that has most leads
+        better.
+        """
         others = [n for n in self.members.voters if n != self.me and self._is_near(n)]
         if others and not self.target:
             self.target = max(others, key=lambda n: (self.progress[n].match, -n))
@@ -602,8 +651,11 @@
             if node == self.me:
                 continue
             sent = False
-            while p.way is not Way.SNAPSHOT and p.may_send(self.config.window) and (
-                    p.next <= self.log.last or (self.round_asked and not sent)):
+            while (
+                p.way is not Way.SNAPSHOT
+                and p.may_send(self.config.window)
+                and (p.next <= self.log.last or (self.round_asked and not sent))
+            ):
                 if not self._append_to(node, p):
                     break
                 sent = True
@@ -616,8 +668,9 @@
             self._prove()
 
     def _beat(self, node: int, p: Progress) -> None:
-        """A heartbeat carries no entries, so the window does not bind it. In a stream it follows on all that
-        was sent: where some of that was lost, it is rejected, and the leader knows."""
+        """A heartbeat carries no entries, so the window does not bind it. In a stream it follows on
+        all that was sent: where some of that was lost, it is rejected, and the leader knows.
+        """
         index = p.next - 1 if p.way is Way.STREAM else p.match
         term = self.log.term(index)
         if term is None:
@@ -633,7 +686,9 @@
             self.wants_snapshot = self.wants_snapshot or not fresh
             return False
         entries = self.log.slice(p.next, self.log.last, self.config.append_bytes)
-        self._send(node, Append(self.term, p.next - 1, term, self.commit, self.round, tuple(entries)))
+        self._send(
+            node, Append(self.term, p.next - 1, term, self.commit, self.round, tuple(entries))
+        )
         if p.way is Way.PROBE:
             p.asked = True
         elif entries:
@@ -645,7 +700,8 @@
         if p.meta is None:
             return
         while p.sent - p.taken < self.config.pieces * self.config.piece_bytes and (
-                p.sent < p.meta.size or (p.sent == 0 == p.meta.size)):
+            p.sent < p.meta.size or (p.sent == 0 == p.meta.size)
+        ):
             self.pieces_out.append((node, p.meta, p.sent, self.round))
             p.sent = min(p.meta.size, p.sent + self.config.piece_bytes)
             if not p.meta.size:
@@ -722,7 +778,7 @@
         if p is not None and p.match == self.log.last:
             self._send(self.target, TakeOver(self.term))
 
-    # ---- reads (thesis 6.4) ------------------------------------------------------------------------------
+    # ---- reads (thesis 6.4) ----------------------------------------------------------------------
 
     def _read(self, ticket: int, node: int) -> None:
         if len(self.reads) + len(self.early_reads) >= self.config.reads:
@@ -739,8 +795,9 @@
         if not self.reads:
             return
         voters = self.members.voters
-        rounds = sorted((self.round if n == self.me else self.progress[n].round for n in voters),
-                        reverse=True)
+        rounds = sorted(
+            (self.round if n == self.me else self.progress[n].round for n in voters), reverse=True
+        )
         proved = rounds[self.quorum(voters) - 1]
         while self.reads and self.reads[0].round <= proved:
             read = self.reads.popleft()
@@ -749,7 +806,7 @@
             else:
                 self.proved.append((read.ticket, read.index))
 
-    # ---- following ---------------------------------------------------------------------------------------
+    # ---- following -------------------------------------------------------------------------------
 
     def _hear_leader(self, sender: int) -> None:
         if self.leader != sender or self.role is not Role.FOLLOWER:
@@ -762,12 +819,21 @@
         self._hear_leader(sender)
         if self.installing is not None:
             # It still follows; that alone needs no disk.
-            self._send(sender, Appended(self.term, m.prev_index, m.round, True, self.commit,
-                                        self.log.term(self.commit) or 0))
+            self._send(
+                sender,
+                Appended(
+                    self.term,
+                    m.prev_index,
+                    m.round,
+                    True,
+                    self.commit,
+                    self.log.term(self.commit) or 0,
+                ),
+            )
             return
         if m.prev_index < self.commit:
             # What is committed here agrees with any leader's log: only the rest is looked at.
-            entries = m.entries[self.commit - m.prev_index:]
+            entries = m.entries[self.commit - m.prev_index :]
             if m.prev_index + len(m.entries) <= self.commit:
                 self._promise(sender, Appended(self.term, self.commit, m.round))
                 return
@@ -787,8 +853,8 @@
             if self.me not in self.members.all and self.members_index <= commit:
                 self.removed = self.me in self.members.gone
         if not m.entries and self._term_is_stable():
-            # A heartbeat is answered past the disk, with what that holds: one that is slow or full stops
-            # writes, not reads.
+            # A heartbeat is answered past the disk, with what that holds: one that is slow or full
+            # stops writes, not reads.
             self._send(sender, Appended(self.term, min(last, self.stable), m.round))
         else:
             self._promise(sender, Appended(self.term, last, m.round))
--- a/lanelift/store/raft/log.py
+++ b/lanelift/store/raft/log.py
@@ -1,4 +1,6 @@
-"""The entries that a node holds in memory: all after a base, which the state on disk already contains."""
+"""The entries that a node holds in memory: all after a base, which the state on disk already
+contains.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +44,7 @@
     def slice(self, first: int, last: int, most_bytes: int = 1 << 62) -> list[Entry]:
         """Entries from `first` to `last`, both included, up to so many bytes but one at least."""
         found: list[Entry] = []
-        for entry in self.entries[first - self.base - 1:last - self.base]:
+        for entry in self.entries[first - self.base - 1 : last - self.base]:
             most_bytes -= weight(entry)
             if found and most_bytes < 0:
                 break
@@ -67,8 +69,9 @@
         return len(entries)
 
     def last_within(self, index: int, term: int) -> tuple[int, int]:
-        """The last index up to `index` whose term is `term` or less, and that term: where two logs may still
-        agree. The base, where there is none."""
+        """The last index up to `index` whose term is `term` or less, and that term: where two logs
+        may still agree. The base, where there is none.
+        """
         index = min(index, self.last)
         while index > self.base:
             own = self.entries[index - self.base - 1].term
@@ -87,9 +90,9 @@
             return
         term = self.term(index)
         assert term is not None, "cut beyond the end of the log"
-        gone = self.entries[:index - self.base]
+        gone = self.entries[: index - self.base]
         self.bytes -= sum(map(weight, gone))
-        del self.entries[:index - self.base]
+        del self.entries[: index - self.base]
         self.base, self.base_term = index, term
 
     def reset(self, index: int, term: int) -> None:
--- a/lanelift/store/raft/members.py
+++ b/lanelift/store/raft/members.py
@@ -1,4 +1,6 @@
-"""Membership, one server at a time (thesis 4.1 to 4.3): what each change makes of the members, or why not."""
+"""Membership, one server at a time (thesis 4.1 to 4.3): what each change makes of the members, or
+why not.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +16,16 @@
     """The change can't be made, in one line."""
 
 
-def _with(m: Members, voters: tuple[int, ...], learners: tuple[int, ...], addresses: dict[int, str],
-          gone: tuple[int, ...]) -> Members:
-    return Members(tuple(sorted(voters)), tuple(sorted(learners)), dict(sorted(addresses.items())), gone)
+def _with(
+    m: Members,
+    voters: tuple[int, ...],
+    learners: tuple[int, ...],
+    addresses: dict[int, str],
+    gone: tuple[int, ...],
+) -> Members:
+    return Members(
+        tuple(sorted(voters)), tuple(sorted(learners)), dict(sorted(addresses.items())), gone
+    )
 
 
 def add_learner(m: Members, node: int, address: str) -> Members:
@@ -37,7 +46,9 @@
         raise Refused(f"node {node:x} is no learner")
     if len(m.voters) >= MOST_VOTERS:
         raise Refused(f"there are {MOST_VOTERS} voters already")
-    return _with(m, (*m.voters, node), tuple(n for n in m.learners if n != node), m.addresses, m.gone)
+    return _with(
+        m, (*m.voters, node), tuple(n for n in m.learners if n != node), m.addresses, m.gone
+    )
 
 
 def remove(m: Members, node: int) -> Members:
@@ -45,8 +56,13 @@
         raise Refused(f"node {node:x} is no member")
     if m.voters == (node,):
         raise Refused("the last voter can't be removed")
-    return _with(m, tuple(n for n in m.voters if n != node), tuple(n for n in m.learners if n != node),
-                 {n: a for n, a in m.addresses.items() if n != node}, (*m.gone, node)[-MOST_GONE:])
+    return _with(
+        m,
+        tuple(n for n in m.voters if n != node),
+        tuple(n for n in m.learners if n != node),
+        {n: a for n, a in m.addresses.items() if n != node},
+        (*m.gone, node)[-MOST_GONE:],
+    )
 
 
 class Change(msgspec.Struct, frozen=True):
--- a/lanelift/store/raft/messages.py
+++ b/lanelift/store/raft/messages.py
@@ -1,8 +1,8 @@
 """What nodes tell each other, and what they agree on: terms, entries, members.
 
-Names and fields follow D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm
-(Extended Version)", figure 2 and section 7, and D. Ongaro's thesis, chapters 3, 4, 6 and 9. Every message is
-a msgpack array whose first element is its tag.
+Names and fields follow D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus
+Algorithm (Extended Version)", figure 2 and section 7, and D. Ongaro's thesis, chapters 3, 4, 6 and
+9. Every message is a msgpack array whose first element is its tag.
 """
 
 from __future__ import annotations
@@ -15,13 +15,17 @@
 class Kind(IntEnum):
     """What an entry holds."""
 
-    NOTHING = 0  # a new leader's first: it commits what came before (thesis 6.4, and the mend of 4.1)
+    NOTHING = (
+        0  # a new leader's first: it commits what came before (thesis 6.4, and the mend of 4.1)
+    )
     COMMAND = 1  # for the state
     MEMBERS = 2  # the members from here on, `Members` as msgpack
 
 
 class Array(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """On the wire and on disk without field names; fields are only ever added at the end, with a default."""
+    """On the wire and on disk without field names; fields are only ever added at the end, with a
+    default.
+    """
 
 
 class Entry(Array, frozen=True, gc=False):
@@ -32,7 +36,9 @@
 
 
 class HardState(Array, frozen=True, gc=False):
-    """What must be on disk before a promise leaves: figure 2's `currentTerm` and `votedFor` (0: nobody)."""
+    """What must be on disk before a promise leaves: figure 2's `currentTerm` and `votedFor` (0:
+    nobody).
+    """
 
     term: int = 0
     vote: int = 0
@@ -85,8 +91,9 @@
 
 
 class Append(Message, frozen=True, tag=3):
-    """Also the heartbeat. `round` counts the leader's rounds in its term; an answer that bears it proves that
-    the sender still followed when the round began (thesis 6.4)."""
+    """Also the heartbeat. `round` counts the leader's rounds in its term; an answer that bears it
+    proves that the sender still followed when the round began (thesis 6.4).
+    """
 
     prev_index: int
     prev_term: int
@@ -96,8 +103,9 @@
 
 
 class Appended(Message, frozen=True, tag=4):
-    """`index`: the last that matches; where rejected, the `prev_index` that did not. The hint is the last
-    entry that may match (paper, 5.3)."""
+    """`index`: the last that matches; where rejected, the `prev_index` that did not. The hint is
+    the last entry that may match (paper, 5.3).
+    """
 
     index: int
     round: int
@@ -144,7 +152,9 @@
     index: int
 
 
-AnyMessage = VoteAsk | Vote | Append | Appended | Piece | PieceTaken | TakeOver | ReadAsk | ReadFrom | Gone
+AnyMessage = (
+    VoteAsk | Vote | Append | Appended | Piece | PieceTaken | TakeOver | ReadAsk | ReadFrom | Gone
+)
 
 _encoder = msgspec.msgpack.Encoder()
 _messages = msgspec.msgpack.Decoder(AnyMessage)
--- a/lanelift/store/raft/progress.py
+++ b/lanelift/store/raft/progress.py
@@ -1,4 +1,6 @@
-"""What a leader knows of one follower, and how much it may send it: flow control of appends and snapshots."""
+"""What a leader knows of one follower, and how much it may send it: flow control of appends and
+snapshots.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +25,9 @@
     match: int = 0
     way: Way = Way.PROBE
     asked: bool = False  # PROBE: a message is on its way
-    flights: deque[int] = field(default_factory=deque)  # STREAM: last index of each append on its way
+    flights: deque[int] = field(
+        default_factory=deque
+    )  # STREAM: last index of each append on its way
     round: int = 0  # the last of the leader's rounds that it answered
     heard_ns: int = 0
     meta: SnapshotMeta | None = None  # SNAPSHOT: what is being sent
@@ -33,7 +37,12 @@
 
     def probe(self, following: int) -> None:
         """Ask anew, beginning with this entry."""
-        self.way, self.next, self.asked, self.meta = Way.PROBE, max(following, self.match + 1), False, None
+        self.way, self.next, self.asked, self.meta = (
+            Way.PROBE,
+            max(following, self.match + 1),
+            False,
+            None,
+        )
         self.flights.clear()
 
     def stream(self) -> None:
--- a/lanelift/store/reading.py
+++ b/lanelift/store/reading.py
@@ -18,8 +18,9 @@
 
 
 class Watching:
-    """One watch: tells every change behind a revision, as fast as its client reads and no faster. A client
-    that falls behind what is kept is told so, and has to read anew."""
+    """One watch: tells every change behind a revision, as fast as its client reads and no faster. A
+    client that falls behind what is kept is told so, and has to read anew.
+    """
 
     def __init__(self, connection: Connection, r: Watch) -> None:
         self.connection = connection
@@ -53,7 +54,9 @@
         while not self.stopped and not self.paused:
             self.again = False
             try:
-                events, applied = await node.query(lambda s: (s.events(self.prefix, self.after), s.applied))
+                events, applied = await node.query(
+                    lambda s: (s.events(self.prefix, self.after), s.applied)
+                )
             except Late:
                 return  # its connection closes
             except Compacted as error:
@@ -88,7 +91,9 @@
 def row(item: Item | None, key: str) -> Row:
     if item is None:
         return Row(key, None, 0, 0)
-    return Row(item.key, item.value, item.version, item.revision, item.time_ms, item.author, item.note)
+    return Row(
+        item.key, item.value, item.version, item.revision, item.time_ms, item.author, item.note
+    )
 
 
 def scan(state: State, prefix: str, after: str, most: int) -> tuple[tuple[Row, ...], bool]:
--- a/lanelift/store/replica.py
+++ b/lanelift/store/replica.py
@@ -1,8 +1,9 @@
-"""One member's consensus, log and state put together, still without sockets, threads or a clock of its own.
+"""One member's consensus, log and state put together, still without sockets, threads or a clock of
+its own.
 
-Whoever drives it, a node or a simulator, may carry out `write` in one thread and `apply`, `flush` in another:
-they share nothing but the state, which `write` takes only to install a snapshot while nothing is being
-applied.
+Whoever drives it, a node or a simulator, may carry out `write` in one thread and `apply`, `flush`
+in another: they share nothing but the state, which `write` takes only to install a snapshot while
+nothing is being applied.
 """
 
 from __future__ import annotations
@@ -58,15 +59,24 @@
     try:
         version = msgspec.json.decode(raw)["format"]
         if version > FORMAT:
-            raise Damaged(f"{IDENTITY}: format {version} is newer than {FORMAT}, which this program knows")
+            raise Damaged(
+                f"{IDENTITY}: format {version} is newer than {FORMAT}, which this program knows"
+            )
         return msgspec.json.decode(raw, type=Identity)
     except (ValueError, KeyError, TypeError) as error:
         raise Damaged(f"{IDENTITY}: {error}") from None
 
 
 class Replica:
-    def __init__(self, identity: Identity, journal: Journal, vault: Vault, state: State, core: Core,
-                 boundaries: Boundaries) -> None:
+    def __init__(
+        self,
+        identity: Identity,
+        journal: Journal,
+        vault: Vault,
+        state: State,
+        core: Core,
+        boundaries: Boundaries,
+    ) -> None:
         self.identity = identity
         self.journal = journal
         self.vault = vault
@@ -76,9 +86,17 @@
         self.flushed = 0  # the state holds so much durably
 
     @classmethod
-    def open(cls, identity: Identity, journal: Journal, vault: Vault, config: Config, now: int,
-             rng: random.Random, boundaries: Boundaries = Boundaries(),  # noqa: B008 (it can't be changed)
-             make: type[Core] = Core) -> Replica:
+    def open(
+        cls,
+        identity: Identity,
+        journal: Journal,
+        vault: Vault,
+        config: Config,
+        now: int,
+        rng: random.Random,
+        boundaries: Boundaries = Boundaries(),  # noqa: B008 (it can't be changed)
+        make: type[Core] = Core,
+    ) -> Replica:
         """From what is on disk. Raises Damaged."""
         found = journal.open()
         state = vault.open()
@@ -88,7 +106,9 @@
         if state.cluster != identity.cluster:
             raise Damaged(f"the state belongs to cluster {state.cluster}")
         if state.applied < found.base:
-            raise Damaged(f"the state ends at entry {state.applied}, the log begins after {found.base}")
+            raise Damaged(
+                f"the state ends at entry {state.applied}, the log begins after {found.base}"
+            )
         log = Log(found.base, found.base_term, found.entries)
         if state.applied > log.last:
             raise Damaged(f"the log ends at entry {log.last}, the state holds {state.applied}")
@@ -97,8 +117,9 @@
         return cls(identity, journal, vault, state, core, boundaries)
 
     def write(self, batch: Batch) -> bool:
-        """Make a batch durable; False where the snapshot in it is not whole. Raises Full, and may be called
-        again with the same batch; raises Broken."""
+        """Make a batch durable; False where the snapshot in it is not whole. Raises Full, and may
+        be called again with the same batch; raises Broken.
+        """
         for piece in batch.pieces:
             self.vault.write_piece(piece.offset, piece.data)
         if batch.hard is not None or batch.entries:
--- a/lanelift/store/run.py
+++ b/lanelift/store/run.py
@@ -47,8 +47,9 @@
     except OSError as error:
         raise Malformed(f"{settings.folder}: {error.strerror}") from None
     if taken:
-        raise Malformed(f"{settings.folder}: it holds {sorted(taken)[0]}; a new node begins in an empty"
-                        " folder")
+        raise Malformed(
+            f"{settings.folder}: it holds {sorted(taken)[0]}; a new node begins in an empty folder"
+        )
 
 
 def init(settings: StoreSettings, cluster: str = "", name: str = "") -> Identity:
@@ -65,8 +66,9 @@
 
 
 def restore(settings: StoreSettings, copy: Path, cluster: str = "", name: str = "") -> Identity:
-    """A new cluster of this one node with what a copy, or another node's state, holds. It has a name of its
-    own, so that members of the old one can't speak to it. Raises Malformed, Damaged."""
+    """A new cluster of this one node with what a copy, or another node's state, holds. It has a
+    name of its own, so that members of the old one can't speak to it. Raises Malformed, Damaged.
+    """
     why = states.verify(copy)
     if why:
         raise Damaged(f"{copy}: {why}")
@@ -77,8 +79,9 @@
         wal = Path(f"{copy}-wal")  # of a node that was killed: its last entries
         if wal.exists():
             shutil.copyfile(wal, f"{path}-wal")
-        return states.adopt(path, identity.cluster, members_of(identity.node, settings.advertise),
-                            int(unix_s()))
+        return states.adopt(
+            path, identity.cluster, members_of(identity.node, settings.advertise), int(unix_s())
+        )
 
     return _fill(settings, identity, copied)
 
@@ -113,7 +116,9 @@
             identity = read_identity(files)
             found = Journal(files, identity.cluster, identity.node).open(repair=False)
             if found.cut:
-                wrong.append(f"the log ends in a torn tail of {found.cut} bytes; the next start cuts it off")
+                wrong.append(
+                    f"the log ends in a torn tail of {found.cut} bytes; the next start cuts it off"
+                )
         except Damaged as error:
             wrong.append(str(error))
         why = states.verify(settings.folder / vault.STATE)
@@ -148,8 +153,12 @@
         await self.node.close()
 
 
-async def serve(settings: StoreSettings, started: Callable[[Running], None] = lambda running: None) -> str:
-    """Run a node until SIGTERM; why it ended, empty where it was asked to. Raises Damaged, Malformed."""
+async def serve(
+    settings: StoreSettings, started: Callable[[Running], None] = lambda running: None
+) -> str:
+    """Run a node until SIGTERM; why it ended, empty where it was asked to. Raises Damaged,
+    Malformed.
+    """
     loop = asyncio.get_running_loop()
     asked: asyncio.Future[str] = loop.create_future()
 
@@ -166,9 +175,10 @@
         except OSError as error:
             raise Malformed(f"listen: {error.strerror or error}") from None
         started(running)
-        done, _ = await asyncio.wait({asked, running.node.failed}, return_when=asyncio.FIRST_COMPLETED)
+        done, _ = await asyncio.wait(
+            {asked, running.node.failed}, return_when=asyncio.FIRST_COMPLETED
+        )
         return next(iter(done)).result()
     finally:
         with suppress(OSError):
             await running.close()
-
--- a/lanelift/store/security.py
+++ b/lanelift/store/security.py
@@ -1,8 +1,8 @@
 """Who is at the other end: TLS on both sides, and the role that a certificate gives.
 
 A certificate names its role in a URI of its subject's alternative names (RFC 5280, 4.2.1.6):
-`lanelift://CLUSTER/ROLE`, where ROLE is `node`, `admin`, `write` or `read`, and CLUSTER the cluster's name or
-`*`.
+`lanelift://CLUSTER/ROLE`, where ROLE is `node`, `admin`, `write` or `read`, and CLUSTER the
+cluster's name or `*`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,12 @@
 from lanelift.settings import Malformed
 
 SCHEME = "lanelift://"
-ROLES = ("read", "write", "admin", "node")  # each may what those before it may, but `node` only be a node
+ROLES = (
+    "read",
+    "write",
+    "admin",
+    "node",
+)  # each may what those before it may, but `node` only be a node
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,19 +53,22 @@
             context.load_cert_chain(self.certificate, self.key)
             context.load_verify_locations(self.authority)
         except (OSError, ssl.SSLError) as error:
-            raise Malformed(f"tls: {self.certificate}, {self.key} or {self.authority}: "
-                            f"{getattr(error, 'strerror', None) or error}") from None
+            raise Malformed(
+                f"tls: {self.certificate}, {self.key} or {self.authority}: "
+                f"{getattr(error, 'strerror', None) or error}"
+            ) from None
         return context
 
 
 def role_of(certificate: dict[str, Any] | None, cluster: str) -> str:
-    """The role that a peer's certificate, as `SSLSocket.getpeercert` gives it, has in this cluster; "":
-    none."""
+    """The role that a peer's certificate, as `SSLSocket.getpeercert` gives it, has in this cluster;
+    "": none.
+    """
     best = -1
     for kind, value in (certificate or {}).get("subjectAltName", ()):
         if kind != "URI" or not value.startswith(SCHEME):
             continue
-        where, _, role = value[len(SCHEME):].partition("/")
+        where, _, role = value[len(SCHEME) :].partition("/")
         if where in ("*", cluster) and role in ROLES:
             best = max(best, ROLES.index(role))
     return ROLES[best] if best >= 0 else ""
--- a/lanelift/store/settings.py
+++ b/lanelift/store/settings.py
@@ -36,7 +36,9 @@
 class Timing(Part, frozen=True):
     heartbeat: Duration = Duration(100 * MS)
     election: Duration = Duration(500 * MS)  # an election time-out lies between this and twice this
-    slow_disk: Duration = Duration(1500 * MS)  # a leader whose disk takes longer over one batch hands over
+    slow_disk: Duration = Duration(
+        1500 * MS
+    )  # a leader whose disk takes longer over one batch hands over
 
 
 class Sizes(Part, frozen=True):
@@ -61,9 +63,14 @@
             raise Malformed("feed: snapshots, window and log must be 64KiB at least, and waiting 1")
         if not 100 * MS <= self.bookmark <= 20_000 * MS:
             raise Malformed("feed.bookmark: must be 100ms to 20s")
-        return FanoutLimits(snapshot_bytes_s=int(self.snapshots), waiting_most=self.waiting,
-                            window_bytes=int(self.window), log_bytes=int(self.log),
-                            bookmark_ns=int(self.bookmark), subscribers_most=subscribers)
+        return FanoutLimits(
+            snapshot_bytes_s=int(self.snapshots),
+            waiting_most=self.waiting,
+            window_bytes=int(self.window),
+            log_bytes=int(self.log),
+            bookmark_ns=int(self.bookmark),
+            subscribers_most=subscribers,
+        )
 
 
 class StoreFile(Part, frozen=True):
@@ -123,10 +130,22 @@
         raise Malformed("limits: keep must not be negative, and connections must be 8 at least")
     if f.limits.uncommitted < 2 << 20:
         raise Malformed("limits.uncommitted: must be 2MiB at least")
-    config = Config(heartbeat_ns=int(f.timing.heartbeat), election_ns=int(f.timing.election),
-                    slow_disk_ns=int(f.timing.slow_disk), uncommitted_bytes=int(f.limits.uncommitted))
+    config = Config(
+        heartbeat_ns=int(f.timing.heartbeat),
+        election_ns=int(f.timing.election),
+        slow_disk_ns=int(f.timing.slow_disk),
+        uncommitted_bytes=int(f.limits.uncommitted),
+    )
     tls = f.tls.beside(beside) if f.tls else None
-    return StoreSettings(beside / f.folder, listen, f.advertise or f.listen, f.reach,
-                         split_address(f.metrics) if f.metrics else None, tls, config,
-                         Boundaries(f.limits.keep, 5 * f.limits.keep + 1000, int(f.limits.log)),
-                         f.limits.connections, f.feed.limits(f.limits.connections))
+    return StoreSettings(
+        beside / f.folder,
+        listen,
+        f.advertise or f.listen,
+        f.reach,
+        split_address(f.metrics) if f.metrics else None,
+        tls,
+        config,
+        Boundaries(f.limits.keep, 5 * f.limits.keep + 1000, int(f.limits.log)),
+        f.limits.connections,
+        f.feed.limits(f.limits.connections),
+    )
--- a/lanelift/store/steward.py
+++ b/lanelift/store/steward.py
@@ -1,5 +1,6 @@
-"""What a leader proposes by itself: that the state takes its next format, once all members know it, and that
-the time of a claim is over. Pure: it is handed the clock and what was applied."""
+"""What a leader proposes by itself: that the state takes its next format, once all members know it,
+and that the time of a claim is over. Pure: it is handed the clock and what was applied.
+"""
 
 from __future__ import annotations
 
@@ -38,12 +39,18 @@
                 self.expiry.note(one, now)
 
     def proposals(self, format_now: int, formats: Mapping[int, int], now: int) -> list[AnyCommand]:
-        """`formats`: by member, this one included, the newest that its program knows; 0: not met yet."""
+        """`formats`: by member, this one included, the newest that its program knows; 0: not met
+        yet.
+        """
         found: list[AnyCommand] = []
         if self.expiry is None:
             return found
         due = format_now + 1  # one after the other: each begins with what the one before it left
-        if due <= FORMAT and not behind(formats, due) and (self.asked[0] != due or now >= self.asked[1]):
+        if (
+            due <= FORMAT
+            and not behind(formats, due)
+            and (self.asked[0] != due or now >= self.asked[1])
+        ):
             self.asked = due, now + AGAIN_NS
             found.append(Upgrade(due))
         found += [Lapse(one.lease, one.claim, one.round) for one in self.expiry.lapsed(now)]
--- a/lanelift/store/wire/frames.py
+++ b/lanelift/store/wire/frames.py
@@ -2,9 +2,9 @@
 
     frame = length(4) number(4) CRC-32C(4) payload(length)
 
-Little-endian. The checksum covers the connection's nonce, the number and the payload, so a frame that was
-recorded elsewhere, or comes twice, or out of turn, is refused. The nonce is empty until the greeting has told
-it.
+Little-endian. The checksum covers the connection's nonce, the number and the payload, so a frame
+that was recorded elsewhere, or comes twice, or out of turn, is refused. The nonce is empty until
+the greeting has told it.
 """
 
 from __future__ import annotations
@@ -24,7 +24,9 @@
 
 
 def _sum(seed: int, number: int, payload: bytes) -> int:
-    return int(google_crc32c.extend(google_crc32c.extend(seed, number.to_bytes(4, "little")), payload))
+    return int(
+        google_crc32c.extend(google_crc32c.extend(seed, number.to_bytes(4, "little")), payload)
+    )
 
 
 class Sender:
@@ -68,9 +70,11 @@
                 raise Refused(f"frame {number} where {self.number & 0xFFFFFFFF} was due")
             if len(self.buffer) < HEAD.size + length:
                 return
-            payload = bytes(self.buffer[HEAD.size:HEAD.size + length])
-            del self.buffer[:HEAD.size + length]
+            payload = bytes(self.buffer[HEAD.size : HEAD.size + length])
+            del self.buffer[: HEAD.size + length]
             if _sum(self.seed, number, payload) != checksum:
-                raise Refused(f"frame {number} has a wrong checksum, or belongs to another connection")
+                raise Refused(
+                    f"frame {number} has a wrong checksum, or belongs to another connection"
+                )
             self.number += 1
             yield payload
--- a/lanelift/store/wire/protocol.py
+++ b/lanelift/store/wire/protocol.py
@@ -1,5 +1,6 @@
-"""The greeting of a connection, and what clients ask and are answered. Msgpack arrays with a tag; fields are
-only ever added at the end, with a default."""
+"""The greeting of a connection, and what clients ask and are answered. Msgpack arrays with a tag;
+fields are only ever added at the end, with a default.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +21,9 @@
 
 
 class Hello(Greeting, frozen=True, tag=1):
-    """The side that connected. `node`: its number, 0 for a client; `cluster`: empty where it does not
-    know."""
+    """The side that connected. `node`: its number, 0 for a client; `cluster`: empty where it does
+    not know.
+    """
 
     format: int
     cluster: str
@@ -31,8 +33,9 @@
 
 
 class Welcome(Greeting, frozen=True, tag=2):
-    """`format`: the newest of the state that this node's program knows (`commands.FORMAT`). A hello says only
-    what the other side must know to understand it."""
+    """`format`: the newest of the state that this node's program knows (`commands.FORMAT`). A hello
+    says only what the other side must know to understand it.
+    """
 
     format: int
     cluster: str
@@ -123,8 +126,9 @@
 
 
 class Feed(Request, frozen=True, tag=10):
-    """A word to the node's feed (`lanelift/feed/messages.py`). The first one of a connection begins its one
-    subscription; what it hears bears the id of that one, until the connection ends."""
+    """A word to the node's feed (`lanelift/feed/messages.py`). The first one of a connection begins
+    its one subscription; what it hears bears the id of that one, until the connection ends.
+    """
 
     word: bytes
 
@@ -157,8 +161,9 @@
 
 
 class Rows(Reply, frozen=True, tag=2):
-    """As of entry `revision`; `more`: the page was full. `behind_ms`: how long ago this node last heard of a
-    leader; 0 where the read was linearizable."""
+    """As of entry `revision`; `more`: the page was full. `behind_ms`: how long ago this node last
+    heard of a leader; 0 where the read was linearizable.
+    """
 
     rows: tuple[Row, ...]
     revision: int
@@ -201,8 +206,9 @@
 
 
 class Fed(Reply, frozen=True, tag=7):
-    """A word of the node's feed. `generation`: of the subscription's scopes, as the node knows them;
-    `sequence`: of the patch within the subscription, from 1 on; 0 where it is none."""
+    """A word of the node's feed. `generation`: of the subscription's scopes, as the node knows
+    them; `sequence`: of the patch within the subscription, from 1 on; 0 where it is none.
+    """
 
     generation: int
     sequence: int
--- a/lanelift/units.py
+++ b/lanelift/units.py
@@ -1,5 +1,6 @@
-"""Times, sizes and rates as operators write them, with their units: `250ms`, `64KiB`, `340/s`, and ranges;
-and what reading a file of them comes to."""
+"""Times, sizes and rates as operators write them, with their units: `250ms`, `64KiB`, `340/s`, and
+ranges; and what reading a file of them comes to.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +12,23 @@
 
 import msgspec
 
-NS = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3_600_000_000_000}
-BYTES = {"B": 1, "kB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000,
-         "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
+NS = {
+    "ns": 1,
+    "us": 1_000,
+    "ms": 1_000_000,
+    "s": 1_000_000_000,
+    "m": 60_000_000_000,
+    "h": 3_600_000_000_000,
+}
+BYTES = {
+    "B": 1,
+    "kB": 1_000,
+    "MB": 1_000_000,
+    "GB": 1_000_000_000,
+    "KiB": 1 << 10,
+    "MiB": 1 << 20,
+    "GiB": 1 << 30,
+}
 PER_S = {"/s": 1.0, "/m": 1 / 60, "/h": 1 / 3600}
 T = TypeVar("T", int, float)
 File = TypeVar("File")
@@ -33,7 +48,9 @@
 
 
 class Range(Generic[T]):
-    """What a run draws a figure from. A class of its own, no tuple: a plain pair must not pass for one."""
+    """What a run draws a figure from. A class of its own, no tuple: a plain pair must not pass for
+    one.
+    """
 
     __slots__ = ("high", "low")
 
--- a/lanelift/wallclock.py
+++ b/lanelift/wallclock.py
@@ -1,7 +1,7 @@
 """The wall clock: for people, and for what other machines wrote. No span is measured by it.
 
-It may be stepped, by seconds or by an hour, forward or back, while the monotonic clock runs on. This is the
-only module outside the lab that reads it.
+It may be stepped, by seconds or by an hour, forward or back, while the monotonic clock runs on.
+This is the only module outside the lab that reads it.
 """
 
 from __future__ import annotations
@@ -10,13 +10,16 @@
 from dataclasses import dataclass
 
 SECOND, MS = 1_000_000_000, 1_000_000
-# The two clocks are read one after the other. A reading in between which this process was held up for longer
-# is taken again, so often.
+# The two clocks are read one after the other. A reading in between which this process was held up
+# for longer is taken again, so often.
 APART_NS, READINGS = 200_000, 5
-# The offset of the two moves by so much without a step: clocks are slewed by half a millisecond a second.
+# The offset of the two moves by so much without a step: clocks are slewed by half a millisecond a
+# second.
 SLEWED_NS = 50 * MS
 SKEW_S = 2.0  # clocks of two machines differ by so much
-SAME_START_MS = 100  # starts that are listed so close are one: an older program saved them rounded to this
+SAME_START_MS = (
+    100  # starts that are listed so close are one: an older program saved them rounded to this
+)
 MOST_STARTS = 50_000  # starts that are remembered; in time they are ever new
 
 
@@ -31,8 +34,9 @@
 
 
 def age_s(written_s: float) -> float | None:
-    """How long ago something was written at that Unix time; None: unknown, as it lies in the future, so that
-    one of the two clocks was stepped."""
+    """How long ago something was written at that Unix time; None: unknown, as it lies in the
+    future, so that one of the two clocks was stepped.
+    """
     age = time.time() - written_s
     return None if age < -SKEW_S else max(0.0, age)
 
@@ -65,12 +69,14 @@
 
 
 class StartTimes:
-    """From starts as they are listed, in Unix time, to the monotonic clock. One that was reckoned once stays
-    where it is, whatever the clocks do then.
-
-    None is in the future. Once a step of the wall clock was seen, a start that is first heard of is not taken
-    to be older than the last list without it, nor older than it could be by all steps. (Without a step the
-    first of these would be wrong: lists come late, so a list may lack what has started.)"""
+    """From starts as they are listed, in Unix time, to the monotonic clock. One that was reckoned
+    once stays where it is, whatever the clocks do then.
+
+    None is in the future. Once a step of the wall clock was seen, a start that is first heard of is
+    not taken to be older than the last list without it, nor older than it could be by all steps.
+    (Without a step the first of these would be wrong: lists come late, so a list may lack what has
+    started.)
+    """
 
     def __init__(self) -> None:
         self.starts: dict[int, Start] = {}  # by upstream, the last listed last
--- a/lanelift/wirehost.py
+++ b/lanelift/wirehost.py
@@ -2,8 +2,9 @@
 
     python -m lanelift.wirehost < batches > replies
 
-One JSON object a line each way. A line that is not a batch ends the process with a message on standard
-error and exit status 2; an exception inside a balancer is reported as that balancer's `fault`.
+One JSON object a line each way. A line that is not a batch ends the process with a message on
+standard error and exit status 2; an exception inside a balancer is reported as that balancer's
+`fault`.
 """
 
 from __future__ import annotations
@@ -18,26 +19,49 @@
 from lanelift.decide import Balancer
 from lanelift.settings import Json, Malformed, maybe, need, read_settings, typed, word
 
-RESULTS = {"delivered": api.Result.OK, "app_error": api.Result.ERROR, "shed": api.Result.FULL,
-           "expired": api.Result.TIMEOUT, "dial_failed": api.Result.CONNECT_FAILED,
-           "dropped": api.Result.RESET, "revoked": api.Result.CANCELLED, "unused": api.Result.MOOT}
+RESULTS = {
+    "delivered": api.Result.OK,
+    "app_error": api.Result.ERROR,
+    "shed": api.Result.FULL,
+    "expired": api.Result.TIMEOUT,
+    "dial_failed": api.Result.CONNECT_FAILED,
+    "dropped": api.Result.RESET,
+    "revoked": api.Result.CANCELLED,
+    "unused": api.Result.MOOT,
+}
 STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
-LISTS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
+LISTS = {
+    0: api.ListKind.DELTA,
+    1: api.ListKind.FULL,
+    2: api.ListKind.CACHED,
+    3: api.ListKind.FAILED,
+}
 
 
 def read_upstream(row: Any) -> api.Upstream:
     row = typed(row, "rows_in", dict)
     return api.Upstream(
-        need(row, "upstream", int), word(row, "availability", STATES, 1), maybe(row, "locality", str, ""),
-        maybe(row, "cohort", int, 0), maybe(row, "scale", float, 1.0), maybe(row, "up_since_ns", int, 0),
-        maybe(row, "class_of_host", str, ""))
+        need(row, "upstream", int),
+        word(row, "availability", STATES, 1),
+        maybe(row, "locality", str, ""),
+        maybe(row, "cohort", int, 0),
+        maybe(row, "scale", float, 1.0),
+        maybe(row, "up_since_ns", int, 0),
+        maybe(row, "class_of_host", str, ""),
+    )
 
 
 def _arrival(e: Json) -> api.Event:
     group = e.get("user_group") or ""  # a site with no tenants may send 0
-    return api.Arrival(need(e, "ticket", str), need(e, "kind", str), typed(group, "user_group", str),
-                       need(e, "deadline_ns", int), maybe(e, "cost_guess_ns", int, 0),
-                       maybe(e, "entity", str, ""), maybe(e, "resent", bool, False))
+    return api.Arrival(
+        need(e, "ticket", str),
+        need(e, "kind", str),
+        typed(group, "user_group", str),
+        need(e, "deadline_ns", int),
+        maybe(e, "cost_guess_ns", int, 0),
+        maybe(e, "entity", str, ""),
+        maybe(e, "resent", bool, False),
+    )
 
 
 def _report(e: Json) -> Mapping[str, float] | None:
@@ -46,19 +70,33 @@
 
 
 def _outcome(e: Json) -> api.Event:
-    return api.Outcome(need(e, "ticket", str), need(e, "attempt", int), need(e, "upstream", int),
-                       word(e, "result", RESULTS), maybe(e, "took_ns", int, 0),
-                       maybe(e, "complete", bool, False), _report(e))
+    return api.Outcome(
+        need(e, "ticket", str),
+        need(e, "attempt", int),
+        need(e, "upstream", int),
+        word(e, "result", RESULTS),
+        maybe(e, "took_ns", int, 0),
+        maybe(e, "complete", bool, False),
+        _report(e),
+    )
 
 
 def _begun(e: Json) -> api.Event:
-    return api.AnswerBegun(need(e, "ticket", str), need(e, "attempt", int), need(e, "upstream", int),
-                           maybe(e, "took_ns", int, 0))
+    return api.AnswerBegun(
+        need(e, "ticket", str),
+        need(e, "attempt", int),
+        need(e, "upstream", int),
+        maybe(e, "took_ns", int, 0),
+    )
 
 
 def _probed(e: Json) -> api.Event:
-    return api.ProbeResult(need(e, "upstream", int), word(e, "result", RESULTS),
-                           maybe(e, "took_ns", int, 0), _report(e))
+    return api.ProbeResult(
+        need(e, "upstream", int),
+        word(e, "result", RESULTS),
+        maybe(e, "took_ns", int, 0),
+        _report(e),
+    )
 
 
 def _message(e: Json) -> api.Event:
@@ -79,8 +117,12 @@
     "message": _message,
 }
 WRITE: dict[type, Callable[[Any], Json]] = {
-    api.Send: lambda a: {"t": "submit_to", "ticket": a.request, "upstream": a.upstream,
-                         "timeout_ns": a.timeout_ns},
+    api.Send: lambda a: {
+        "t": "submit_to",
+        "ticket": a.request,
+        "upstream": a.upstream,
+        "timeout_ns": a.timeout_ns,
+    },
     api.Refuse: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
     api.Fail: lambda a: {"t": "finish_error", "ticket": a.request},
     api.Cancel: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
@@ -114,7 +156,8 @@
             raise Malformed("batch without a whole-number round")
         if not isinstance(happened, list):
             raise Malformed("batch without the array happened")
-        # A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
+        # A balancer's events are gathered and handed over together, so that it sees all that a
+        # batch brings.
         waiting: dict[int, list[api.Event]] = {}
         commands: list[Json] = []
         for event in happened:
@@ -123,7 +166,9 @@
             self._run(number_of, now, events, commands)
         return json.dumps({"round": number, "cmds": commands}, separators=(",", ":"))
 
-    def _take(self, event: Json, now: int, waiting: dict[int, list[api.Event]], commands: list[Json]) -> None:
+    def _take(
+        self, event: Json, now: int, waiting: dict[int, list[api.Event]], commands: list[Json]
+    ) -> None:
         kind = need(event, "t", str)
         if kind == "directory":
             rows = need(event, "rows_in", list)
