--- a/deploy/build.py
+++ b/deploy/build.py
@@ -19,18 +19,15 @@
 PYTHON = ROOT / ".venv/bin/python"
 COMPILED = ROOT / ".compiled"
 HOT = (
-    "lanelift/decide/*.py",
-    "lanelift/interface.py",
-    "lanelift/rules.py",
-    "lanelift/net/parse.py",
+    "loadbalancer/policy/*.py",
+    "loadbalancer/proxy/parse.py",
 )
 # What the platform's `run` and `sim` need; the operators' larger program is installed by pip.
-PACKAGE = ("lanelift/*.py", "lanelift/decide/*.py", "lanelift/net/*.py")
+PACKAGE = ("loadbalancer/*.py", "loadbalancer/policy/*.py", "loadbalancer/proxy/*.py")
 LONGEST_S = 600
 # What compiled modules have to do before they are taken: one request through the decisions.
 TRIAL = """
-from lanelift import interface as api
-from lanelift.decide import Balancer
+from loadbalancer.policy import Balancer, api
 balancer = Balancer(api.Settings(classes={"read": api.RequestClass("read")}), seed=1, now=0)
 balancer.handle(0, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(7)])])
 sent = balancer.handle(1, [api.Arrival("r1", "read", "", deadline_ns=1_000_000_000)])
--- a/lanelift/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""lanelift: the decisions of an HTTP load balancer run as a bank of proxies."""
--- /dev/null
+++ b/loadbalancer/__init__.py
@@ -0,0 +1,1 @@
+"""loadbalancer: the decisions of an HTTP load balancer run as a bank of proxies."""
--- a/lanelift/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""The real balancer: `python -m lanelift`, told what to do by the file that BALANCER_CONFIG
+"""The real balancer: `python -m loadbalancer`, told what to do by the file that BALANCER_CONFIG
 names.
 """
 
@@ -21,19 +21,19 @@
 
 import uvloop
 
-from lanelift import interface as api
-from lanelift.net.body import Store
-from lanelift.net.budget import RESERVE, Budget
-from lanelift.net.disabled import DisabledUpstreams
-from lanelift.net.discovery import Discovery, FixedList, read_list
-from lanelift.net.driver import Driver
-from lanelift.net.frontend import Frontend
-from lanelift.net.listener import listening_socket
-from lanelift.net.management import CONNECTIONS, TURN, Management
-from lanelift.net.peers import Address, Peers
-from lanelift.net.siblings import Siblings
-from lanelift.net.upstream import Upstreams
-from lanelift.settings import Json, Malformed, maybe, need, read_settings, split_address, typed
+from loadbalancer.policy import api
+from loadbalancer.proxy.admin_api import CONNECTIONS, TURN, Management
+from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.discovery import Discovery, FixedList, read_list
+from loadbalancer.proxy.frontend import Frontend
+from loadbalancer.proxy.gossip import Address, Peers
+from loadbalancer.proxy.listener import listening_socket
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.resource_limits import RESERVE, Budget
+from loadbalancer.proxy.upstream import Upstreams
+from loadbalancer.settings import Json, Malformed, maybe, need, read_settings, split_address, typed
 
 SOCKETS, MEMORY_MB = 1024, 256  # where no limit is told
 DOOR = CONNECTIONS + TURN + 1  # descriptors kept for the operators' door
@@ -275,7 +275,7 @@
             # only now an address that is taken shows for certain; callers wait meanwhile
             door.listen()
     except (Malformed, OSError) as error:
-        print(f"lanelift: {error}", file=sys.stderr)
+        print(f"loadbalancer: {error}", file=sys.stderr)
         return 2
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(config, listener, door, read, companion))
--- a/lanelift/feed/cache.py
+++ b/loadbalancer/changefeed/cache.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from lanelift.feed.messages import Row, split
-from lanelift.feed.scope import FeedChange, Scope, size_of
+from loadbalancer.changefeed.messages import Row, split
+from loadbalancer.changefeed.scope import FeedChange, Scope, size_of
 
 
 class Changed(NamedTuple):
--- a/lanelift/feed/digest.py
+++ b/loadbalancer/changefeed/digest.py
@@ -9,7 +9,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from lanelift.feed.messages import Row
+from loadbalancer.changefeed.messages import Row
 
 MASK = (1 << 64) - 1
 
--- a/lanelift/feed/fanout.py
+++ b/loadbalancer/changefeed/fanout.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-from lanelift.feed.cache import WatchCache
-from lanelift.feed.messages import (
+from loadbalancer.changefeed.cache import WatchCache
+from loadbalancer.changefeed.messages import (
     MOST_NAME,
     MOST_REFUSAL,
     MOST_REFUSALS,
@@ -34,9 +34,10 @@
     pack,
     unpack_ask,
 )
-from lanelift.feed.pacing import MS, NS
-from lanelift.feed.scope import UNKNOWN, FeedChange, Patches, Scope
-from lanelift.feed.status import (
+from loadbalancer.changefeed.scope import UNKNOWN, FeedChange, Patches, Scope
+from loadbalancer.changefeed.snapshot_queue import Waiting
+from loadbalancer.changefeed.snapshot_rate import MS, NS
+from loadbalancer.changefeed.status import (
     MOST_LAGGARDS,
     MOST_REACHED,
     MOST_REFUSED,
@@ -44,8 +45,7 @@
     Laggard,
     Refused,
 )
-from lanelift.feed.subscriber import Late, Subscriber, Unacknowledged
-from lanelift.feed.waiting import Waiting
+from loadbalancer.changefeed.subscriber import Late, Subscriber, Unacknowledged
 
 __all__ = ["BadWord", "Fanout", "FanoutLimits", "FeedChange", "Send"]
 
--- a/lanelift/feed/scope.py
+++ b/loadbalancer/changefeed/scope.py
@@ -8,11 +8,11 @@
 from collections.abc import Iterable, Iterator
 from typing import TYPE_CHECKING, NamedTuple
 
-from lanelift.feed import digest
-from lanelift.feed.messages import Patch, Row, pack
+from loadbalancer.changefeed import digest
+from loadbalancer.changefeed.messages import Patch, Row, pack
 
 if TYPE_CHECKING:
-    from lanelift.feed.subscriber import Subscriber
+    from loadbalancer.changefeed.subscriber import Subscriber
 
 UNKNOWN = -1  # a cursor: nothing is known
 ROW_OVERHEAD = 24  # bytes of a row beside its key and value, in a message and in the log's count
--- a/lanelift/feed/table.py
+++ b/loadbalancer/changefeed/scope_table.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Callable, Iterator
 
-from lanelift.feed import digest
-from lanelift.feed.messages import MOST_WHY, Patch, Refusal, Row
+from loadbalancer.changefeed import digest
+from loadbalancer.changefeed.messages import MOST_WHY, Patch, Refusal, Row
 
 Check = Callable[[str, Row], str]  # of a scope's row: why it can't be taken; empty: it can
 
--- a/lanelift/feed/waiting.py
+++ b/loadbalancer/changefeed/snapshot_queue.py
@@ -6,8 +6,8 @@
 
 from collections import deque
 
-from lanelift.feed.pacing import Slots, TokenBucket
-from lanelift.feed.subscriber import Subscriber
+from loadbalancer.changefeed.snapshot_rate import Slots, TokenBucket
+from loadbalancer.changefeed.subscriber import Subscriber
 
 
 class Waiting:
--- a/lanelift/feed/status.py
+++ b/loadbalancer/changefeed/status.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lanelift.feed.messages import Refusal
+from loadbalancer.changefeed.messages import Refusal
 
 MOST_REACHED, MOST_LAGGARDS, MOST_REFUSED = 100, 20, 20
 
--- a/lanelift/feed/subscriber.py
+++ b/loadbalancer/changefeed/subscriber.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import structs
 
-from lanelift.feed.messages import Refusal
-from lanelift.feed.scope import Encoded, Scope
+from loadbalancer.changefeed.messages import Refusal
+from loadbalancer.changefeed.scope import Encoded, Scope
 
 
 class Unacknowledged(msgspec.Struct, frozen=True, gc=False):
--- a/lanelift/feed/subscription.py
+++ b/loadbalancer/changefeed/subscription.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from lanelift.feed import digest
-from lanelift.feed.messages import (
+from loadbalancer.changefeed import digest
+from loadbalancer.changefeed.messages import (
     MOST_REFUSALS,
     MOST_SCOPES,
     AnyAsk,
@@ -36,7 +36,7 @@
     pack,
     unpack_told,
 )
-from lanelift.feed.table import Check, ScopeTable, Stage
+from loadbalancer.changefeed.scope_table import Check, ScopeTable, Stage
 
 __all__ = [
     "Action",
--- /dev/null
+++ b/loadbalancer/cli/__init__.py
@@ -0,0 +1,3 @@
+"""The operators' command `loadbalancer`: one module a group of verbs. It prints; it decides
+nothing.
+"""
--- a/lanelift/cli/clusters.py
+++ b/loadbalancer/cli/clusters.py
@@ -1,4 +1,4 @@
-"""`lanelift lab store-...`: clusters of the store, simulated, killed and measured."""
+"""`loadbalancer lab store-...`: clusters of the store, simulated, killed and measured."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 import uvloop
 from rich.table import Table
 
-from lanelift.cli.console import out
-from lanelift.lab import experiments, results
-from lanelift.lab.cluster import campaign
-from lanelift.lab.cluster.campaign import Campaign
-from lanelift.lab.cluster.planted import PLANTS
-from lanelift.lab.topology import Unusable
-from lanelift.units import Duration
+from loadbalancer.cli.console import out
+from loadbalancer.testbed import experiments, results
+from loadbalancer.testbed.cluster import campaign
+from loadbalancer.testbed.cluster.campaign import Campaign
+from loadbalancer.testbed.cluster.planted import PLANTS
+from loadbalancer.testbed.topology import Unusable
+from loadbalancer.units import Duration
 
 SAY_S = 10.0
 Keep = Annotated[Path | None, typer.Option(help="A folder to leave nodes and logs in.")]
@@ -34,7 +34,9 @@
         keep.mkdir(parents=True, exist_ok=True)
         yield keep
         return
-    with tempfile.TemporaryDirectory(prefix="lanelift-store-", ignore_cleanup_errors=True) as name:
+    with tempfile.TemporaryDirectory(
+        prefix="loadbalancer-store-", ignore_cleanup_errors=True
+    ) as name:
         yield Path(name)
 
 
@@ -68,7 +70,7 @@
         )
         again = (f" --planted {planted}" if planted else "") + (" --owners" if owners else "")
         out.print(
-            f"play it again: lanelift lab store-sim --seeds 1 --first {outcome.seed}{again}",
+            f"play it again: loadbalancer lab store-sim --seeds 1 --first {outcome.seed}{again}",
             soft_wrap=True,
         )
     out.print(
@@ -106,9 +108,9 @@
     """Real store nodes killed, stopped and lost in turn under load, and what a ledger says of
     it.
     """
-    from lanelift.cli.rig import told
-    from lanelift.lab.rig import scenario as scenarios
-    from lanelift.lab.rig.run import play
+    from loadbalancer.cli.rig import told
+    from loadbalancer.testbed.rig import scenario as scenarios
+    from loadbalancer.testbed.rig.run import play
 
     churn = scenarios.read(scenarios.builtin("churn"))
     churn = msgspec.structs.replace(
@@ -130,7 +132,7 @@
     out_: Annotated[Path | None, typer.Option("--out")] = None,
 ) -> None:
     """Commits a second beside the disk's own syncs, and leader loss to first commit."""
-    from lanelift.lab.cluster.bench import bench
+    from loadbalancer.testbed.cluster.bench import bench
 
     try:
         counts = [int(w) for w in writers.split(",")]
@@ -192,8 +194,8 @@
     boxes: int = 1000, fill_mb: Annotated[int, typer.Option(help="Of state.")] = 100, times: int = 5
 ) -> None:
     """From a start to the first routed request, with a store, without one, and all at once."""
-    from lanelift.lab.rig import scenario as scenarios
-    from lanelift.lab.rig.run import play
+    from loadbalancer.testbed.rig import scenario as scenarios
+    from loadbalancer.testbed.rig.run import play
 
     plan = scenarios.read(scenarios.builtin("restart"))
     plan = msgspec.structs.replace(plan, listed=max(0, boxes - plan.boxes), fill_mb=fill_mb)
--- a/lanelift/cli/config.py
+++ b/loadbalancer/cli/config.py
@@ -1,4 +1,4 @@
-"""`lanelift config ...`: configuration documents in the store."""
+"""`loadbalancer config ...`: configuration documents in the store."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 import typer
 from rich.table import Table
 
-from lanelift.cli.console import out
-from lanelift.cli.store import At, Authority, Cert, Key, client, using
-from lanelift.daemon.documents import check
-from lanelift.settings import Malformed
-from lanelift.store import documents
-from lanelift.store.client import Client
-from lanelift.store.wire.protocol import Row
+from loadbalancer.cli.console import out
+from loadbalancer.cli.store import At, Authority, Cert, Key, client, using
+from loadbalancer.daemon.documents import check
+from loadbalancer.settings import Malformed
+from loadbalancer.store import documents
+from loadbalancer.store.client import Client
+from loadbalancer.store.wire.protocol import Row
 
 app = typer.Typer(no_args_is_help=True, help="Configuration documents: checked, versioned, whole.")
 
--- a/lanelift/cli/feed.py
+++ b/loadbalancer/cli/feed.py
@@ -1,4 +1,4 @@
-"""`lanelift feed ...`: how far balancers have come with what was written."""
+"""`loadbalancer feed ...`: how far balancers have come with what was written."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 import uvloop
 from rich.table import Table
 
-from lanelift.cli.console import out
-from lanelift.cli.store import At, Authority, Cert, Key, addresses, client
-from lanelift.settings import Malformed
-from lanelift.store import rollout
-from lanelift.store.rollout import Members, NotInForce, Rollout
-from lanelift.units import duration
+from loadbalancer.cli.console import out
+from loadbalancer.cli.store import At, Authority, Cert, Key, addresses, client
+from loadbalancer.settings import Malformed
+from loadbalancer.store import feed_progress
+from loadbalancer.store.feed_progress import Members, NotInForce, Rollout
+from loadbalancer.units import duration
 
 app = typer.Typer(no_args_is_help=True, help="The feed: on which balancers a revision is in force.")
 T = TypeVar("T")
@@ -79,7 +79,7 @@
     found = asking(at, certificate, key, authority, Members.statuses)
     if all("trouble" in s for s in found):
         raise NotInForce("; ".join(f"{s['address']}: {s['trouble']}" for s in found))
-    total = rollout.add_up(found, revision)
+    total = feed_progress.add_up(found, revision)
     if as_json:
         print(
             msgspec.json.format(
@@ -186,7 +186,9 @@
         certificate,
         key,
         authority,
-        lambda members: rollout.wait(members, revision, within_s, balancers, despite_refusals),
+        lambda members: feed_progress.wait(
+            members, revision, within_s, balancers, despite_refusals
+        ),
     )
     out.print(
         f"revision {revision} is in force on {done.reached} balancers, after {took_s:.2f} s",
--- a/lanelift/cli/feedsim.py
+++ b/loadbalancer/cli/feedsim.py
@@ -1,4 +1,4 @@
-"""`lanelift lab feed-sim`: the feed in virtual time, and bugs planted in it."""
+"""`loadbalancer lab feed-sim`: the feed in virtual time, and bugs planted in it."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import typer
 
-from lanelift.cli.console import out
-from lanelift.lab.feed.planted import PLANTS, catch, played
-from lanelift.lab.feed.sim import Options, play
-from lanelift.lab.topology import Unusable
+from loadbalancer.cli.console import out
+from loadbalancer.testbed.feed.planted import PLANTS, catch, played
+from loadbalancer.testbed.feed.sim import Options, play
+from loadbalancer.testbed.topology import Unusable
 
 
 def feed_sim(
--- a/lanelift/cli/hollow.py
+++ b/loadbalancer/cli/hollow.py
@@ -1,4 +1,5 @@
-"""A process of hollow balancers: `python -m lanelift.cli.hollow`, under `lanelift lab size fleet`.
+"""A process of hollow balancers: `python -m loadbalancer.cli.hollow`, under `loadbalancer lab size
+fleet`.
 
 It is here because what the daemon writes into the store and the lab's balancers meet on this floor
 alone.
@@ -10,16 +11,16 @@
 
 import msgspec
 
-from lanelift.daemon import rows
-from lanelift.daemon.saved import SavedList, decoded, load_list, save_list
-from lanelift.feed.messages import Row
-from lanelift.lab.size import parties
-from lanelift.lab.size.hollow import Hollows
-from lanelift.net.upstream import Endpoint
-from lanelift.store.wire.protocol import Row as StoreRow
-from lanelift.wallclock import unix_s
+from loadbalancer.changefeed.messages import Row
+from loadbalancer.daemon import row_codec
+from loadbalancer.daemon.persisted import SavedList, decoded, load_list, save_list
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store.wire.protocol import Row as StoreRow
+from loadbalancer.testbed.size import parties
+from loadbalancer.testbed.size.hollow import Hollows
+from loadbalancer.wallclock import unix_s
 
-MODULE = "lanelift.cli.hollow"
+MODULE = "loadbalancer.cli.hollow"
 TYPED = ("upstream", "service", "list")
 
 
@@ -27,17 +28,17 @@
     """Upstreams as the daemon writes them down."""
 
     def service(self, name: str) -> bytes:
-        return rows.pack(rows.ServiceRow(name))
+        return row_codec.pack(row_codec.ServiceRow(name))
 
     def row(self, endpoint: Endpoint) -> bytes:
-        return rows.packed(endpoint)
+        return row_codec.packed(endpoint)
 
     def check(self, scope: str, row: Row) -> str:
         """Kinds that the daemon has no types for yet are taken as they are."""
-        return rows.check(scope, row) if row.key.startswith(TYPED) else ""
+        return row_codec.check(scope, row) if row.key.startswith(TYPED) else ""
 
     def endpoint(self, value: bytes) -> Endpoint:
-        return rows.endpoint_of(rows.unpack_upstream(value))
+        return row_codec.endpoint_of(row_codec.unpack_upstream(value))
 
     def document(self, endpoints: Sequence[Endpoint]) -> bytes:
         return msgspec.json.encode(
--- a/lanelift/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -1,4 +1,4 @@
-"""`lanelift lab ...`: run, replay, compare, hunt, worlds, report."""
+"""`loadbalancer lab ...`: run, replay, compare, hunt, worlds, report."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 import uvloop
 from rich.table import Table
 
-import lanelift
-from lanelift.cli.console import out
-from lanelift.lab import experiments, results, topology
-from lanelift.lab import scale as scaling
-from lanelift.lab.capacity.measure import measure
-from lanelift.lab.hosts import Host, SpreadHost
-from lanelift.lab.policies import policy
-from lanelift.lab.soak.run import Plan, play
-from lanelift.lab.soak.troubles import Trouble
-from lanelift.lab.topology import Topology, Unusable
-from lanelift.lab.virtual import Instances, World
-from lanelift.settings import Json
-from lanelift.units import duration
+import loadbalancer
+from loadbalancer.cli.console import out
+from loadbalancer.settings import Json
+from loadbalancer.testbed import experiments, results, topology
+from loadbalancer.testbed import scale as scaling
+from loadbalancer.testbed.capacity.measure import measure
+from loadbalancer.testbed.hosts import Host, SpreadHost
+from loadbalancer.testbed.policies import policy
+from loadbalancer.testbed.soak.run import Plan, play
+from loadbalancer.testbed.soak.troubles import Trouble
+from loadbalancer.testbed.topology import Topology, Unusable
+from loadbalancer.testbed.virtual import Instances, World
+from loadbalancer.units import duration
 
 app = typer.Typer(no_args_is_help=True, help="An emulated fleet, faults, and a ledger that judges.")
 
@@ -40,7 +40,7 @@
     typer.Option("--policy", help="here, a textbook policy, a module's file, or a git revision."),
 ]
 Out = Annotated[Path | None, typer.Option("--out", help="Where the result goes, as JSON.")]
-PROGRAM = Path(lanelift.__file__).parent.parent
+PROGRAM = Path(loadbalancer.__file__).parent.parent
 Workers = Annotated[
     int, typer.Option(help="Processes; 0: in this one, or all cores but one for many runs.")
 ]
@@ -49,7 +49,7 @@
 def breaches_exit(found: Json) -> None:
     """A broken rule is no success, and a run that the lab spoilt is none at all."""
     if found.get("void"):
-        print(f"lanelift: void: {found['void']}", file=sys.stderr)
+        print(f"loadbalancer: void: {found['void']}", file=sys.stderr)
         raise typer.Exit(3)
     if found["broken"]:
         raise typer.Exit(1)
@@ -93,8 +93,8 @@
 
 
 def _on_sockets(t: Topology, seed: int) -> Json:
-    from lanelift.cli.live import Live
-    from lanelift.lab.sockets.conductor import run as run_sockets
+    from loadbalancer.cli.live import Live
+    from loadbalancer.testbed.sockets.conductor import run as run_sockets
 
     with Live(t) as live:
         return run_sockets(t, seed, live.look)
@@ -209,7 +209,7 @@
             f"[red]{find.what}[/red] at seed {find.seed}: {experiments.breach(find.outcome)}; "
             f"{len(find.outcome.faults)} faults left: "
             f"{', '.join(f.kind for f in find.outcome.faults)}; "
-            f"play it again: lanelift lab replay {path}"
+            f"play it again: loadbalancer lab replay {path}"
         )
     if finds:
         raise typer.Exit(1)
@@ -387,7 +387,7 @@
     out_: Annotated[Path, typer.Option("--out", help="The page.")] = Path("report.html"),
 ) -> None:
     """Make a page with plots of a result."""
-    from lanelift.lab.report import page
+    from loadbalancer.testbed.report import page
 
     results.write(out_, page(results.read(result)))
     out.print(f"report in {out_}")
--- a/lanelift/cli/lease.py
+++ b/loadbalancer/cli/lease.py
@@ -1,4 +1,4 @@
-"""`lanelift lease ...`: who owns which work of the fleet."""
+"""`loadbalancer lease ...`: who owns which work of the fleet."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import typer
 from rich.table import Table
 
-from lanelift.cli.console import out
-from lanelift.cli.store import At, Authority, Cert, Key, Within, client, using
-from lanelift.leases import table
-from lanelift.leases.table import Lease
-from lanelift.settings import Malformed
-from lanelift.store.client import Client
-from lanelift.store.commands import LEASES, Release
-from lanelift.store.wire.protocol import Row
-from lanelift.wallclock import unix_ms
+from loadbalancer.cli.console import out
+from loadbalancer.cli.store import At, Authority, Cert, Key, Within, client, using
+from loadbalancer.leases import table
+from loadbalancer.leases.table import Lease
+from loadbalancer.settings import Malformed
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import LEASES, Release
+from loadbalancer.store.wire.protocol import Row
+from loadbalancer.wallclock import unix_ms
 
 app = typer.Typer(no_args_is_help=True, help="Leases: who owns which work of the fleet.")
 Name = Annotated[str, typer.Argument(help="Of the lease, as `list` shows it.")]
--- a/lanelift/cli/live.py
+++ b/loadbalancer/cli/live.py
@@ -10,8 +10,8 @@
 from rich.table import Table
 from rich.text import Text
 
-from lanelift.lab.topology import Topology
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.topology import Topology
 
 LINE_S = 5.0  # between two plain lines
 WIDEST = 24  # boxes that are shown one by one
--- a/lanelift/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -1,4 +1,4 @@
-"""`lanelift`: where the groups of verbs come together, and how a wrong use ends: one line, exit
+"""`loadbalancer`: where the groups of verbs come together, and how a wrong use ends: one line, exit
 status 2.
 """
 
@@ -11,10 +11,10 @@
 
 import typer
 
-from lanelift.lab.topology import Unusable
-from lanelift.settings import Malformed
-from lanelift.store.client import StoreError
-from lanelift.store.durable.journal import Damaged, Full
+from loadbalancer.settings import Malformed
+from loadbalancer.store.client import StoreError
+from loadbalancer.store.durable.journal import Damaged, Full
+from loadbalancer.testbed.topology import Unusable
 
 # These start without the lab's libraries.
 DAEMONS = ("serve", "store", "config", "feed", "lease", "roll", "site", "version")
@@ -22,14 +22,14 @@
 
 def version() -> None:
     """Print the version."""
-    typer.echo(f"lanelift {metadata.version('lanelift')}")
+    typer.echo(f"loadbalancer {metadata.version('loadbalancer')}")
 
 
 def application(words: Sequence[str]) -> typer.Typer:
     """The commands; the lab, whose libraries take half a second to load, only where it may be
     meant.
     """
-    from lanelift.cli import config, feed, lease, roll, serve, site, store
+    from loadbalancer.cli import config, feed, lease, roll, serve, site, store
 
     app = typer.Typer(
         no_args_is_help=True,
@@ -45,7 +45,7 @@
     app.add_typer(roll.app, name="roll")
     app.add_typer(site.app, name="site")
     if not words or words[0] not in DAEMONS:
-        from lanelift.cli import clusters, feedsim, lab, rig, sitelab, sizelab, sizestore
+        from loadbalancer.cli import clusters, feedsim, lab, rig, sitelab, sizelab, sizestore
 
         clusters.add_to(lab.app)
         feedsim.add_to(lab.app)
@@ -62,13 +62,13 @@
     try:
         application(sys.argv[1:])()
     except (Unusable, Malformed) as error:
-        print(f"lanelift: {error}", file=sys.stderr)
+        print(f"loadbalancer: {error}", file=sys.stderr)
         sys.exit(2)
     except (StoreError, Damaged, Full) as error:
-        print(f"lanelift: {error}", file=sys.stderr)
+        print(f"loadbalancer: {error}", file=sys.stderr)
         sys.exit(1)
     except KeyboardInterrupt:
-        print("lanelift: interrupted", file=sys.stderr)
+        print("loadbalancer: interrupted", file=sys.stderr)
         sys.exit(130)
     except BrokenPipeError:  # whoever read the output has gone, as `head` does
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
--- a/lanelift/cli/rig.py
+++ b/loadbalancer/cli/rig.py
@@ -1,4 +1,4 @@
-"""`lanelift lab rig ...`: real processes of the program with faults between them."""
+"""`loadbalancer lab rig ...`: real processes of the program with faults between them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import uvloop
 from rich.table import Table
 
-from lanelift.cli.console import out
-from lanelift.lab import experiments, results
-from lanelift.lab.rig import scenario as scenarios
-from lanelift.lab.rig.run import Result, play
-from lanelift.lab.topology import Unusable
+from loadbalancer.cli.console import out
+from loadbalancer.testbed import experiments, results
+from loadbalancer.testbed.rig import scenario as scenarios
+from loadbalancer.testbed.rig.run import Result, play
+from loadbalancer.testbed.topology import Unusable
 
 app = typer.Typer(
     no_args_is_help=True, help="Real processes of the program, and faults between them."
@@ -67,7 +67,7 @@
 @app.command()
 def report(result: Path, where: Annotated[Path, typer.Option("--out", help="The page.")]) -> None:
     """A page with the timeline of a result."""
-    from lanelift.lab.rig.page import page
+    from loadbalancer.testbed.rig.page import page
 
     results.write(where, page(_read(result)))
 
@@ -81,7 +81,7 @@
     keep: Annotated[Path | None, typer.Option(help="A folder for what is found.")] = None,
 ) -> None:
     """Draw schedules by seed and shrink what fails; exit status 1 where something was found."""
-    from lanelift.lab.rig.hunt import Hunted, hunt
+    from loadbalancer.testbed.rig.hunt import Hunted, hunt
 
     scenario = scenarios.read(scenarios.builtin(name))
     if not scenario.chance:
@@ -117,7 +117,7 @@
         out.print(f"[red]seed {result.seed}: {result.wrong[0]}[/red]", soft_wrap=True)
         path = keep_one(result)
         if path is not None:
-            out.print(f"play it again: lanelift lab rig replay {path}", soft_wrap=True)
+            out.print(f"play it again: loadbalancer lab rig replay {path}", soft_wrap=True)
     if found.found:
         raise typer.Exit(1)
 
@@ -130,8 +130,8 @@
     ttl: Annotated[float, typer.Option(help="Of a lease, seconds.")] = 10.0,
 ) -> None:
     """Commits, bytes and CPU a minute of so many leases over so many holders."""
-    from lanelift.cli.clusters import folder
-    from lanelift.lab.rig.cost import lease_cost
+    from loadbalancer.cli.clusters import folder
+    from loadbalancer.testbed.rig.cost import lease_cost
 
     table = Table(title=f"{holders} holders, leases of {ttl:g} s, a minute")
     for column in (
@@ -162,7 +162,7 @@
     times: int = 5, lease: Annotated[float, typer.Option(help="Its time in seconds.")] = 2.0
 ) -> None:
     """How long a work is without an owner, by how the owner went."""
-    from lanelift.lab.rig.cost import without_owner
+    from loadbalancer.testbed.rig.cost import without_owner
 
     found = without_owner(times, lease, lambda line: out.print(f"[dim]{line}[/dim]"))
     table = Table(title=f"seconds without an owner, lease of {lease:g} s, {times} times")
--- a/lanelift/cli/roll.py
+++ b/loadbalancer/cli/roll.py
@@ -1,4 +1,4 @@
-"""`lanelift roll ...`: boxes taken out for a restart, a few at a time, by one owner for all
+"""`loadbalancer roll ...`: boxes taken out for a restart, a few at a time, by one owner for all
 balancers.
 """
 
@@ -14,21 +14,24 @@
 import typer
 from rich.table import Table
 
-from lanelift.cli.console import out
-from lanelift.cli.store import At, Authority, Cert, Key, client, using
-from lanelift.daemon.roller import Ages, Keys, look
-from lanelift.daemon.rolling import Box, Phase, Roll, State, held_up, wrong
-from lanelift.daemon.rowlist import StoredList
-from lanelift.daemon.saved import decoded
-from lanelift.leases import table
-from lanelift.net.upstream import number_of
-from lanelift.settings import Malformed
-from lanelift.store.client import Client, Conflict
-from lanelift.wallclock import unix_ms
+from loadbalancer.cli.console import out
+from loadbalancer.cli.store import At, Authority, Cert, Key, client, using
+from loadbalancer.daemon.endpoint_rows import StoredList
+from loadbalancer.daemon.persisted import decoded
+from loadbalancer.daemon.rolling_restart import Box, Phase, Roll, State, held_up, wrong
+from loadbalancer.daemon.rolling_restart_controller import Ages, Keys, look
+from loadbalancer.leases import table
+from loadbalancer.proxy.upstream import number_of
+from loadbalancer.settings import Malformed
+from loadbalancer.store.client import Client, Conflict
+from loadbalancer.wallclock import unix_ms
 
 app = typer.Typer(no_args_is_help=True, help="Take boxes out for a restart, a few at a time.")
 Service = Annotated[
-    str, typer.Option(envvar="LANELIFT_SERVICE", help="As in the balancers' [store].")
+    str,
+    typer.Option(
+        envvar=["LOADBALANCER_SERVICE", "LANELIFT_SERVICE"], help="As in the balancers' [store]."
+    ),
 ]
 
 
@@ -81,7 +84,7 @@
         old = decoded(row, Roll)
         if old is not None and old.state is not State.ENDED:
             raise Malformed(
-                f"roll {old.id} of {old.by} is not over: `lanelift roll status` shows it"
+                f"roll {old.id} of {old.by} is not over: `loadbalancer roll status` shows it"
             )
         await c.put(
             Keys(service).roll, msgspec.json.encode(roll), row.version, note=f"begun by {by}"
--- a/lanelift/cli/serve.py
+++ b/loadbalancer/cli/serve.py
@@ -1,4 +1,4 @@
-"""`lanelift serve`: one balancer, from the operators' own settings."""
+"""`loadbalancer serve`: one balancer, from the operators' own settings."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 import typer
 
-from lanelift.__main__ import run
-from lanelift.daemon.settings import read_file
+from loadbalancer.__main__ import run
+from loadbalancer.daemon.settings import read_file
 
 
 def serve(
@@ -16,7 +16,9 @@
     check: Annotated[bool, typer.Option("--check", help="Read the file and stop.")] = False,
 ) -> None:
     """Run a balancer until SIGTERM. SIGHUP reads the file again."""
-    from lanelift.daemon.boot import read_boot  # the store's libraries only where one is named
+    from loadbalancer.daemon.bootstrap import (
+        read_boot,  # the store's libraries only where one is named
+    )
 
     boot = read_boot(settings)
     if check:
--- a/lanelift/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -1,4 +1,4 @@
-"""`lanelift site ...`: what the fleet does about its sites, what a loss would come to, and
+"""`loadbalancer site ...`: what the fleet does about its sites, what a loss would come to, and
 operators' words.
 """
 
@@ -13,28 +13,40 @@
 import typer
 from rich.table import Table as Rows
 
-from lanelift.cli.console import out
-from lanelift.cli.store import At, Authority, Cert, Key, client, using
-from lanelift.daemon.roller import Ages
-from lanelift.daemon.rowlist import StoredList
-from lanelift.daemon.saved import decoded
-from lanelift.daemon.sitewatch import PlanDoc, SiteKeys, course_of, with_course
-from lanelift.daemon.siteworks import Looked, look
-from lanelift.leases import table as leases
-from lanelift.settings import Malformed
-from lanelift.sites.course import Aim, ordered
-from lanelift.sites.plan import CLASSES, EXCESS, Admission, Fleet, Table, bearable, table, tables
-from lanelift.sites.words import heard, verdict
-from lanelift.store.client import Client, Conflict
-from lanelift.store.commands import LEASES
-from lanelift.units import duration
-from lanelift.wallclock import StartTimes
+from loadbalancer.cli.console import out
+from loadbalancer.cli.store import At, Authority, Cert, Key, client, using
+from loadbalancer.daemon.endpoint_rows import StoredList
+from loadbalancer.daemon.persisted import decoded
+from loadbalancer.daemon.rolling_restart_controller import Ages
+from loadbalancer.daemon.site_agent import PlanDoc, SiteKeys, course_of, with_course
+from loadbalancer.daemon.site_controller import Looked, look
+from loadbalancer.failover.plan import (
+    CLASSES,
+    EXCESS,
+    Admission,
+    Fleet,
+    Table,
+    bearable,
+    table,
+    tables,
+)
+from loadbalancer.failover.site_reports import heard, verdict
+from loadbalancer.failover.site_state import Aim, ordered
+from loadbalancer.leases import table as leases
+from loadbalancer.settings import Malformed
+from loadbalancer.store.client import Client, Conflict
+from loadbalancer.store.commands import LEASES
+from loadbalancer.units import duration
+from loadbalancer.wallclock import StartTimes
 
 app = typer.Typer(
     no_args_is_help=True, help="Sites: what is lost, where its load goes, how it comes back."
 )
 Service = Annotated[
-    str, typer.Option(envvar="LANELIFT_SERVICE", help="As in the balancers' [store].")
+    str,
+    typer.Option(
+        envvar=["LOADBALANCER_SERVICE", "LANELIFT_SERVICE"], help="As in the balancers' [store]."
+    ),
 ]
 Name = Annotated[str, typer.Argument(help="Of a site, as in the document of sites.")]
 RUNGS = ("nothing", "excess over shares", "repeats", "copies")
--- a/lanelift/cli/sitelab.py
+++ b/loadbalancer/cli/sitelab.py
@@ -1,4 +1,4 @@
-"""`lanelift lab sites ...`: whole sites lost in virtual time, and what the cores are worth."""
+"""`loadbalancer lab sites ...`: whole sites lost in virtual time, and what the cores are worth."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 import typer
 from rich.table import Table
 
-from lanelift.cli.console import out
-from lanelift.lab import experiments, results, topology
-from lanelift.lab.sites.incidents import INCIDENTS
-from lanelift.lab.sites.world import RULES, Shape
-from lanelift.lab.topology import Unusable
+from loadbalancer.cli.console import out
+from loadbalancer.testbed import experiments, results, topology
+from loadbalancer.testbed.sites.incidents import INCIDENTS
+from loadbalancer.testbed.sites.world import RULES, Shape
+from loadbalancer.testbed.topology import Unusable
 
 app = typer.Typer(no_args_is_help=True, help="Whole sites lost, cut off and back, in virtual time.")
 Workers = Annotated[int, typer.Option(help="Processes; 0: all cores but one.")]
@@ -51,7 +51,7 @@
     """Play incidents with the plan, without it, and by simpler rules, on the same seeds; exit
     status 1 where a rule broke.
     """
-    from lanelift.lab.sites.measure import compare, lines
+    from loadbalancer.testbed.sites.measure import compare, lines
 
     if not (2 <= sites <= 8 and 1 <= balancers <= 200 and 1 <= boxes <= 200 and 1 <= seeds <= 1000):
         raise Unusable("sites are 2 to 8, balancers and boxes 1 to 200 a site, seeds 1 to 1000")
@@ -117,7 +117,7 @@
             ),
         )
     if plot is not None:
-        from lanelift.lab.sites.page import page
+        from loadbalancer.testbed.sites.page import page
 
         results.write(plot, page(found).encode())
     broken = [f for f in found if f.broken]
@@ -135,7 +135,7 @@
     boxes: Annotated[int, typer.Option(help="A site.")] = 50,
 ) -> None:
     """How soon one balancer by itself believes that a site is lost, and how often wrongly."""
-    from lanelift.lab.sites.measure import detect
+    from loadbalancer.testbed.sites.measure import detect
 
     table = Table(title=f"4 sites of {boxes} boxes, {seeds} seeds")
     for column in (
@@ -165,7 +165,7 @@
 @app.command()
 def optimum(count: Annotated[int, typer.Option(help="Drawn fleets.")] = 2000) -> None:
     """How far the plan's rule is from the cheapest way, found by a solver."""
-    from lanelift.lab.sites.measure import regret
+    from loadbalancer.testbed.sites.measure import regret
 
     over = sorted(regret(count))
     middle, late, most = results.spread(over)
@@ -187,7 +187,7 @@
     """How refused clients return that do as they are told: by the plan's times, and after a fixed
     second.
     """
-    from lanelift.lab.sites.measure import returns
+    from loadbalancer.testbed.sites.measure import returns
 
     if not 0 < bears <= rate or seconds <= 0:
         raise Unusable("bears must be over 0 and at most the rate, seconds over 0")
--- a/lanelift/cli/sizefleet.py
+++ b/loadbalancer/cli/sizefleet.py
@@ -1,4 +1,4 @@
-"""`lanelift lab size fleet`: hollow balancers at real nodes of the store."""
+"""`loadbalancer lab size fleet`: hollow balancers at real nodes of the store."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 import uvloop
 from rich.table import Table
 
-from lanelift.cli.clusters import Keep, folder
-from lanelift.cli.console import out
-from lanelift.lab import results
-from lanelift.lab.topology import Unusable
-from lanelift.settings import Json
+from loadbalancer.cli.clusters import Keep, folder
+from loadbalancer.cli.console import out
+from loadbalancer.settings import Json
+from loadbalancer.testbed import results
+from loadbalancer.testbed.topology import Unusable
 
 Phase = Callable[[Any], Awaitable[None]]
 
@@ -61,10 +61,10 @@
     how soon a change is in force, and what that costs. Exit status 1 where a balancer has not what
     the store has.
     """
-    from lanelift.cli.hollow import MODULE, Written
-    from lanelift.lab.size.fleet import Fleet, Plan
-    from lanelift.lab.size.phases import FAULTS, PHASES, Times, play
-    from lanelift.lab.size.world import Shape
+    from loadbalancer.cli.hollow import MODULE, Written
+    from loadbalancer.testbed.size.fleet import Fleet, Plan
+    from loadbalancer.testbed.size.phases import FAULTS, PHASES, Times, play
+    from loadbalancer.testbed.size.world import Shape
 
     steps = _steps(fault, FAULTS, "--fault") if fault else _steps(phases, PHASES, "--phases")
     times = Times(quiet, usual, release, cut, patience, dense)
@@ -94,7 +94,7 @@
                 out_, results.encoded({"format": results.FORMAT, "size": "fleet", "runs": runs})
             )
     if plot is not None:
-        from lanelift.lab.size.page import page
+        from loadbalancer.testbed.size.page import page
 
         results.write(plot, page(runs))
     if any(found["wrong"] for found in runs):
@@ -115,7 +115,7 @@
 
 def show(found: Json) -> None:
     """A run in a table."""
-    from lanelift.lab.size.page import COLUMNS, row, way
+    from loadbalancer.testbed.size.page import COLUMNS, row, way
 
     shape, world = found["plan"]["shape"], found["world"]
     table = Table(
--- a/lanelift/cli/sizelab.py
+++ b/loadbalancer/cli/sizelab.py
@@ -1,4 +1,4 @@
-"""`lanelift lab size ...`: what each role costs by size, a slope at a time."""
+"""`loadbalancer lab size ...`: what each role costs by size, a slope at a time."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 import typer
 from rich.table import Table
 
-import lanelift
-from lanelift.cli import sizefleet
-from lanelift.cli.console import out
-from lanelift.daemon.documents import parsed
-from lanelift.daemon.saved import SavedList, load_list, save_list
-from lanelift.daemon.settings import read_raw
-from lanelift.lab import results
-from lanelift.lab.size import balancer as measure
-from lanelift.lab.size import beside, fit
-from lanelift.lab.size.balancer import Sizes
-from lanelift.lab.size.fit import Slope
-from lanelift.lab.topology import Unusable
-from lanelift.net.upstream import Endpoint
-from lanelift.wallclock import unix_s
+import loadbalancer
+from loadbalancer.cli import sizefleet
+from loadbalancer.cli.console import out
+from loadbalancer.daemon.documents import parsed
+from loadbalancer.daemon.persisted import SavedList, load_list, save_list
+from loadbalancer.daemon.settings import read_raw
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.testbed import results
+from loadbalancer.testbed.size import balancer as measure
+from loadbalancer.testbed.size import beside, fit
+from loadbalancer.testbed.size.balancer import Sizes
+from loadbalancer.testbed.size.fit import Slope
+from loadbalancer.testbed.topology import Unusable
+from loadbalancer.wallclock import unix_s
 
 app = typer.Typer(no_args_is_help=True, help="What each role costs by size, a slope at a time.")
 PARTS = ("module", "pools", "services", "settings", "stored", "fleets", "sockets", "rest")
 FILES = ("--json", "--plot", "--record")
-HERE = Path(lanelift.__file__).parent.parent
+HERE = Path(loadbalancer.__file__).parent.parent
 MOST_LISTENERS = 1000  # upstreams that are played on sockets
 # The size to design for, by what a slope counts: its last column, and how far a plot's line goes.
 SIZES: Mapping[str, float] = {
@@ -63,7 +63,7 @@
         for i, word in enumerate(words)
         if word.partition("=")[0] not in FILES and (i == 0 or words[i - 1] not in FILES)
     ]
-    return shlex.join(["lanelift", *kept])
+    return shlex.join(["loadbalancer", *kept])
 
 
 def today() -> str:
@@ -117,7 +117,7 @@
             + b"\n",
         )
     if plot is not None:
-        from lanelift.lab.size.plot import picture
+        from loadbalancer.testbed.size.plot import picture
 
         results.write(plot, picture(slopes, SIZES))
     if record is not None:
@@ -189,7 +189,7 @@
         out.print(f"[dim]{what}[/dim]", soft_wrap=True)
 
     # -P: the folder that this is called in has a program too.
-    run = ("env", f"PYTHONPATH={program}", sys.executable, "-P", "-m", "lanelift")
+    run = ("env", f"PYTHONPATH={program}", sys.executable, "-P", "-m", "loadbalancer")
     slopes: list[Slope] = []
     figures: dict[str, float] = {}
     for part in chosen:
@@ -248,7 +248,7 @@
     record: Record = None,
 ) -> None:
     """What the feed's cores need, without sockets: CPU time and memory by subscribers and rows."""
-    from lanelift.lab.feed import measure as cores
+    from loadbalancer.testbed.feed import measure as cores
 
     chosen = [part.strip() for part in parts.split(",")] if parts else list(cores.SERIES)
     if unknown := [part for part in chosen if part not in cores.SERIES]:
@@ -266,7 +266,7 @@
     """Work docs/CAPACITY.md out anew from its formulas and the recorded slopes; exit status 1 where
     it stood otherwise.
     """
-    from lanelift.lab.size.capacity import recompute
+    from loadbalancer.testbed.size.capacity import recompute
 
     if recompute(docs, write):
         out.print("the page stands as its slopes give it")
--- a/lanelift/cli/sizestore.py
+++ b/loadbalancer/cli/sizestore.py
@@ -1,4 +1,4 @@
-"""`lanelift lab size store`: what one node of the store costs."""
+"""`loadbalancer lab size store`: what one node of the store costs."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 import typer
 import uvloop
 
-from lanelift.__main__ import Parts
-from lanelift.cli.clusters import Keep, folder
-from lanelift.cli.console import out
-from lanelift.cli.sizelab import Json_, Plot, Record, give, today
-from lanelift.daemon.keeper import Keeper
-from lanelift.lab.size import keepers, sessions, storecommits, storefeed, storenode
-from lanelift.lab.size.series import Series
-from lanelift.lab.topology import Unusable
-from lanelift.store.client import Client
-from lanelift.store.durable.state import EVENTS
+from loadbalancer.__main__ import Parts
+from loadbalancer.cli.clusters import Keep, folder
+from loadbalancer.cli.console import out
+from loadbalancer.cli.sizelab import Json_, Plot, Record, give, today
+from loadbalancer.daemon.state_sync import Keeper
+from loadbalancer.store.client import Client
+from loadbalancer.store.durable.state import EVENTS
+from loadbalancer.testbed.size import keepers, sessions, storecommits, storefeed, storenode
+from loadbalancer.testbed.size.series import Series
+from loadbalancer.testbed.topology import Unusable
 
 DESIGNED_FOR = 2_900  # balancers
 
@@ -166,7 +166,7 @@
     with folder(keep) as where:
         uvloop.run(measured(where))
     # What goes where on this machine tells nobody how to measure it again.
-    said, day = f"lanelift lab size store --parts {','.join(chosen)}", today()
+    said, day = f"loadbalancer lab size store --parts {','.join(chosen)}", today()
     loads["the machine's load average, at the end"] = os.getloadavg()[0]
     give(
         "one node of the store",
--- a/lanelift/cli/store.py
+++ b/loadbalancer/cli/store.py
@@ -1,4 +1,4 @@
-"""`lanelift store ...`: make, run and look after the nodes of the replicated store."""
+"""`loadbalancer store ...`: make, run and look after the nodes of the replicated store."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 import uvloop
 from rich.table import Table
 
-from lanelift.cli.console import out
-from lanelift.settings import Malformed
-from lanelift.store import run as running
-from lanelift.store.client import Client
-from lanelift.store.durable import state as states
-from lanelift.store.durable.vault import STATE
-from lanelift.store.rollout import ASK_S, Members
-from lanelift.store.security import Tls
-from lanelift.store.settings import read_store
+from loadbalancer.cli.console import out
+from loadbalancer.settings import Malformed
+from loadbalancer.store import run as running
+from loadbalancer.store.client import Client
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.state_directory import STATE
+from loadbalancer.store.feed_progress import ASK_S, Members
+from loadbalancer.store.security import Tls
+from loadbalancer.store.settings import read_store
 
 app = typer.Typer(no_args_is_help=True, help="The replicated store: its nodes, members, copies.")
 T = TypeVar("T")
@@ -31,16 +31,27 @@
     str,
     typer.Option(
         "--at",
-        envvar="LANELIFT_STORE",
+        envvar=["LOADBALANCER_STORE", "LANELIFT_STORE"],
         help="Addresses of members, HOST:PORT, with commas between.",
     ),
 ]
 Cert = Annotated[
     Path | None,
-    typer.Option("--certificate", envvar="LANELIFT_STORE_CERTIFICATE", help="Of this client, PEM."),
+    typer.Option(
+        "--certificate",
+        envvar=["LOADBALANCER_STORE_CERTIFICATE", "LANELIFT_STORE_CERTIFICATE"],
+        help="Of this client, PEM.",
+    ),
+]
+Key = Annotated[
+    Path | None, typer.Option("--key", envvar=["LOADBALANCER_STORE_KEY", "LANELIFT_STORE_KEY"])
+]
+Authority = Annotated[
+    Path | None,
+    typer.Option(
+        "--authority", envvar=["LOADBALANCER_STORE_AUTHORITY", "LANELIFT_STORE_AUTHORITY"]
+    ),
 ]
-Key = Annotated[Path | None, typer.Option("--key", envvar="LANELIFT_STORE_KEY")]
-Authority = Annotated[Path | None, typer.Option("--authority", envvar="LANELIFT_STORE_AUTHORITY")]
 Within = Annotated[float, typer.Option("--within", help="Seconds until it is given up.")]
 NAME = Annotated[str, typer.Option(help="Of the node, for people.")]
 
@@ -58,7 +69,7 @@
     certificate: Path | None,
     key: Path | None,
     authority: Path | None,
-    name: str = "lanelift command",
+    name: str = "loadbalancer command",
     within_s: float = 5.0,
 ) -> Client:
     """Raises Malformed."""
@@ -86,7 +97,7 @@
         return int(text, 16)
     except ValueError:
         raise Malformed(
-            f"{text!r} is no node's number: `lanelift store status` shows them"
+            f"{text!r} is no node's number: `loadbalancer store status` shows them"
         ) from None
 
 
@@ -100,7 +111,7 @@
     made = running.init(read_store(settings), cluster, name)
     out.print(
         f"cluster {made.cluster}, node {made.node:x}: run it with"
-        f" lanelift store run --settings {settings}",
+        f" loadbalancer store run --settings {settings}",
         soft_wrap=True,
     )
 
@@ -117,7 +128,7 @@
         running.serve(read, lambda r: print(f"listening on port {r.server.port}", flush=True))
     )
     if why:
-        print(f"lanelift: {why}", file=sys.stderr)
+        print(f"loadbalancer: {why}", file=sys.stderr)
         raise typer.Exit(1)
 
 
@@ -150,8 +161,9 @@
             )
             raise
         out.print(
-            f"cluster {made.cluster}, node {made.node:x}, a learner: run it with lanelift store run"
-            f" --settings {settings}, then lanelift store promote {made.node:x}",
+            f"cluster {made.cluster}, node {made.node:x}, a learner: run it with"
+            f" loadbalancer store run --settings {settings},"
+            f" then loadbalancer store promote {made.node:x}",
             soft_wrap=True,
         )
 
@@ -344,7 +356,7 @@
     made = running.restore(read_store(settings), copy, cluster, name)
     out.print(
         f"cluster {made.cluster}, node {made.node:x}: run it with"
-        f" lanelift store run --settings {settings}; other nodes join it anew",
+        f" loadbalancer store run --settings {settings}; other nodes join it anew",
         soft_wrap=True,
     )
 
@@ -368,7 +380,7 @@
     if settings is None and copy is None:
         raise Malformed("--settings or --copy: one of them is needed")
     for line in wrong:
-        print(f"lanelift: {line}", file=sys.stderr)
+        print(f"loadbalancer: {line}", file=sys.stderr)
     if wrong:
         raise typer.Exit(1)
     out.print(f"{'copy' if settings is None else STATE + ' and log'}: good")
--- a/lanelift/daemon/reach.py
+++ b/loadbalancer/daemon/address_map.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from lanelift.net.upstream import Endpoint
-from lanelift.settings import split_address
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.settings import split_address
 
 
 class Reach:
--- a/lanelift/daemon/boot.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -20,17 +20,17 @@
 
 import msgspec
 
-from lanelift.__main__ import Config, Parts
-from lanelift.daemon import documents
-from lanelift.daemon.keeper import LEASE_S, Keeper
-from lanelift.daemon.settings import read_raw, read_table
-from lanelift.leases.table import NAME
-from lanelift.net.files import write_whole
-from lanelift.settings import Json, Malformed, split_address
-from lanelift.store.client import Client
-from lanelift.store.documents import key
-from lanelift.store.settings import Keys
-from lanelift.units import Duration, convert
+from loadbalancer.__main__ import Config, Parts
+from loadbalancer.daemon import documents
+from loadbalancer.daemon.settings import read_raw, read_table
+from loadbalancer.daemon.state_sync import LEASE_S, Keeper
+from loadbalancer.leases.table import NAME
+from loadbalancer.proxy.atomic_files import write_whole
+from loadbalancer.settings import Json, Malformed, split_address
+from loadbalancer.store.client import Client
+from loadbalancer.store.documents import key
+from loadbalancer.store.settings import Keys
+from loadbalancer.units import Duration, convert
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/daemon/documents.py
+++ b/loadbalancer/daemon/documents.py
@@ -4,11 +4,11 @@
 
 import tomllib
 
-from lanelift.__main__ import Config
-from lanelift.daemon import places
-from lanelift.daemon.settings import read_raw
-from lanelift.settings import Json, Malformed
-from lanelift.sites.plan import Place
+from loadbalancer.__main__ import Config
+from loadbalancer.daemon import site_config
+from loadbalancer.daemon.settings import read_raw
+from loadbalancer.failover.plan import Place
+from loadbalancer.settings import Json, Malformed
 
 BALANCER = "balancer"  # and `balancer/NAME`: the operators' settings of balancers
 
@@ -30,7 +30,7 @@
     """A document of what operators say of their sites. Raises Malformed."""
     raw = parsed(name, text)
     try:
-        return places.read(raw)
+        return site_config.read(raw)
     except ValueError as error:
         raise Malformed(f"{name}: {error}") from None
 
@@ -40,7 +40,7 @@
     try:
         if name == BALANCER or name.startswith(BALANCER + "/"):
             read(name, text)
-        elif name.startswith(places.DOCUMENT + "/"):
+        elif name.startswith(site_config.DOCUMENT + "/"):
             sites(name, text)
         else:
             parsed(name, text)
--- a/lanelift/daemon/listing.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -21,25 +21,25 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.daemon import rows
-from lanelift.daemon.follow import Follower
-from lanelift.daemon.reach import Reach
-from lanelift.daemon.rowlist import RowTable, RowWriter, said
-from lanelift.daemon.saved import SavedEndpoint, SavedList, decoded, load_list, save_list
-from lanelift.feed.messages import Row as FeedRow
-from lanelift.feed.subscription import Apply
-from lanelift.leases.fence import Word
-from lanelift.leases.table import written
-from lanelift.net.discovery import Discovery
-from lanelift.net.driver import Driver
-from lanelift.net.upstream import Endpoint
-from lanelift.settings import Malformed
-from lanelift.store.client import Client, StoreError
-from lanelift.store.commands import Op
-from lanelift.store.owner import NotOwner, Owner, clock_ns
-from lanelift.store.wire.protocol import Row
-from lanelift.wallclock import age_s, shown_age, unix_s
+from loadbalancer.changefeed.messages import Row as FeedRow
+from loadbalancer.changefeed.subscription import Apply
+from loadbalancer.daemon import row_codec
+from loadbalancer.daemon.address_map import Reach
+from loadbalancer.daemon.endpoint_rows import RowTable, RowWriter, said
+from loadbalancer.daemon.endpoint_source import Follower
+from loadbalancer.daemon.persisted import SavedEndpoint, SavedList, decoded, load_list, save_list
+from loadbalancer.leases.fence import Word
+from loadbalancer.leases.table import written
+from loadbalancer.policy import api
+from loadbalancer.proxy.discovery import Discovery
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.settings import Malformed
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.commands import Op
+from loadbalancer.store.lease_client import NotOwner, Owner, clock_ns
+from loadbalancer.store.wire.protocol import Row
+from loadbalancer.wallclock import age_s, shown_age, unix_s
 
 log = logging.getLogger(__name__)
 
@@ -357,7 +357,7 @@
         """For the feed: why this program can't go by a row; empty: it can. The feed tells the
         node.
         """
-        why = rows.check(scope, row)
+        why = row_codec.check(scope, row)
         now = time.monotonic()
         if why and now - self.refused_s >= REFUSALS_S:
             self.refused_s = now
--- a/lanelift/daemon/rowlist.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -12,17 +12,17 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TypeVar
 
-from lanelift.daemon import rows
-from lanelift.daemon.rows import Keys, ListRow, differences
-from lanelift.daemon.saved import SavedList, decoded, save_list
-from lanelift.feed.messages import Row
-from lanelift.leases.fence import Word
-from lanelift.net.upstream import Endpoint
-from lanelift.store.client import Client
-from lanelift.store.commands import MOST_OPS, Op
-from lanelift.store.owner import Owner
-from lanelift.store.wire import protocol
-from lanelift.wallclock import unix_s
+from loadbalancer.changefeed.messages import Row
+from loadbalancer.daemon import row_codec
+from loadbalancer.daemon.persisted import SavedList, decoded, save_list
+from loadbalancer.daemon.row_codec import Keys, ListRow, differences
+from loadbalancer.leases.fence import Word
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import MOST_OPS, Op
+from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.wire import protocol
+from loadbalancer.wallclock import unix_s
 
 T = TypeVar("T")
 OWN = 2  # of a write's operations: the owner's word, and the service where it is not there
@@ -86,7 +86,7 @@
         """
         if not self.read_there:
             await self.read()
-        wanted = {self.keys.upstream(e.entry.id): rows.packed(e) for e in known(self.touched)}
+        wanted = {self.keys.upstream(e.entry.id): row_codec.packed(e) for e in known(self.touched)}
         stored: Mapping[str, tuple[int, bytes]] = self.stored
         if self.touched is not None:
             names = map(self.keys.upstream, self.touched)
@@ -103,12 +103,12 @@
         self.read_there = True
         return bool(batches)
 
-    async def _write(self, batch: rows.Batch, word: ListRow) -> None:
+    async def _write(self, batch: row_codec.Batch, word: ListRow) -> None:
         service, listed = self.keys.service, self.keys.list
-        ops = [*batch, Op(listed, rows.pack(word), self.versions[listed])]
+        ops = [*batch, Op(listed, row_codec.pack(word), self.versions[listed])]
         refs: list[tuple[str, ...]] = [(service,) if op.value is not None else () for op in ops]
         if not self.versions[service]:
-            ops.append(Op(service, rows.pack(rows.ServiceRow(self.service)), 0))
+            ops.append(Op(service, row_codec.pack(row_codec.ServiceRow(self.service)), 0))
             refs.append(())
         result = await self.owner.write_rows(ops, refs)
         for op, version in zip(ops, result.versions, strict=True):
@@ -144,12 +144,12 @@
         for row in changed:
             kind = row.key.partition("/")[0]
             if kind == "list":
-                self.word = rows.unpack_list(row.value) if row.value is not None else None
+                self.word = row_codec.unpack_list(row.value) if row.value is not None else None
             elif kind == "upstream" and row.value is not None:
-                told.append(rows.endpoint_of(rows.unpack_upstream(row.value)))
+                told.append(row_codec.endpoint_of(row_codec.unpack_upstream(row.value)))
                 self.endpoints[row.key] = told[-1]
             elif row.key in self.endpoints:
-                told.append(rows.gone(self.endpoints.pop(row.key).entry.id))
+                told.append(row_codec.gone(self.endpoints.pop(row.key).entry.id))
         self.came.set()
         return told
 
@@ -198,12 +198,12 @@
 
 
 def _word(row: protocol.Row) -> ListRow | None:
-    return _read(row, rows.unpack_list)
+    return _read(row, row_codec.unpack_list)
 
 
 def _endpoint(row: protocol.Row) -> Endpoint | None:
-    found = _read(row, rows.unpack_upstream)
-    return rows.endpoint_of(found) if found is not None else None
+    found = _read(row, row_codec.unpack_upstream)
+    return row_codec.endpoint_of(found) if found is not None else None
 
 
 def _read(row: protocol.Row, unpack: Callable[[bytes], T]) -> T | None:
--- a/lanelift/daemon/follow.py
+++ b/loadbalancer/daemon/endpoint_source.py
@@ -9,7 +9,7 @@
 
 import random
 
-from lanelift.leases.fence import Receiver, Word
+from loadbalancer.leases.fence import Receiver, Word
 
 SECOND = 1_000_000_000
 OLD_NS = 12 * SECOND  # three times what the owner's watch of discovery may be silent
--- a/lanelift/daemon/owned.py
+++ b/loadbalancer/daemon/leased_task.py
@@ -7,8 +7,8 @@
 import asyncio
 import logging
 
-from lanelift.store.client import Conflict, StoreError
-from lanelift.store.owner import NotOwner, Owner
+from loadbalancer.store.client import Conflict, StoreError
+from loadbalancer.store.lease_client import NotOwner, Owner
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/daemon/saved.py
+++ b/loadbalancer/daemon/persisted.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.net.upstream import Endpoint
-from lanelift.store.wire.protocol import Row
-from lanelift.wallclock import age_s, unix_s
+from loadbalancer.policy import api
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store.wire.protocol import Row
+from loadbalancer.wallclock import age_s, unix_s
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/daemon/roller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -15,10 +15,12 @@
 
 import msgspec
 
-from lanelift.daemon import doors
-from lanelift.daemon.owned import OwnedWork
-from lanelift.daemon.reach import Reach
-from lanelift.daemon.rolling import (
+from loadbalancer.daemon import upstream_admin
+from loadbalancer.daemon.address_map import Reach
+from loadbalancer.daemon.endpoint_rows import StoredList
+from loadbalancer.daemon.leased_task import OwnedWork
+from loadbalancer.daemon.persisted import decoded
+from loadbalancer.daemon.rolling_restart import (
     Box,
     Listed,
     Phase,
@@ -34,17 +36,15 @@
     name_of,
     to_ask,
 )
-from lanelift.daemon.rowlist import StoredList
-from lanelift.daemon.saved import decoded
-from lanelift.leases import table
-from lanelift.net.disabled import DisabledUpstreams
-from lanelift.net.driver import Driver
-from lanelift.net.upstream import number_of
-from lanelift.store.client import Client
-from lanelift.store.commands import LEASES, Op
-from lanelift.store.owner import NotOwner, Owner
-from lanelift.store.wire.protocol import Row
-from lanelift.wallclock import unix_ms
+from loadbalancer.leases import table
+from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.upstream import number_of
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import LEASES, Op
+from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.wire.protocol import Row
+from loadbalancer.wallclock import unix_ms
 
 log = logging.getLogger(__name__)
 
@@ -205,7 +205,7 @@
             return
         self.asked[name] = now
         try:
-            said = await doors.ask(
+            said = await upstream_admin.ask(
                 self.reach.dialled(listed.address),
                 roll.door,
                 name,
--- a/lanelift/daemon/rows.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -18,13 +18,13 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.daemon.saved import Located
-from lanelift.feed.messages import MOST_ROW, PREFIX, SERVICE, Row
-from lanelift.net.discovery import LATEST_MS
-from lanelift.net.upstream import Endpoint
-from lanelift.settings import Malformed
-from lanelift.store.commands import MOST_OPS, Op
+from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, SERVICE, Row
+from loadbalancer.daemon.persisted import Located
+from loadbalancer.policy import api
+from loadbalancer.proxy.discovery import LATEST_MS
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.settings import Malformed
+from loadbalancer.store.commands import MOST_OPS, Op
 
 Batch = tuple[Op, ...]  # of one write
 
--- a/lanelift/daemon/settings.py
+++ b/loadbalancer/daemon/settings.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from lanelift.__main__ import MEMORY_MB, SOCKETS, Config
-from lanelift.net.budget import RESERVE
-from lanelift.net.discovery import read_list
-from lanelift.settings import Json, Malformed, read_settings, split_address, write_class
-from lanelift.units import Duration, PerSecond, Size, convert, read_toml, repeated
+from loadbalancer.__main__ import MEMORY_MB, SOCKETS, Config
+from loadbalancer.proxy.discovery import read_list
+from loadbalancer.proxy.resource_limits import RESERVE
+from loadbalancer.settings import Json, Malformed, read_settings, split_address, write_class
+from loadbalancer.units import Duration, PerSecond, Size, convert, read_toml, repeated
 
 MS = 1_000_000
 LEAST_MEMORY = 32 << 20
--- a/lanelift/daemon/sitewatch.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -1,5 +1,5 @@
 """A balancer's part in what the fleet does about its sites, on the store and the wire: the
-decisions are `lanelift.sites.member`'s.
+decisions are `loadbalancer.failover.observer`'s.
 
     site/SERVICE/row/BALANCER    what this balancer sees, some times a minute
     site/SERVICE/plan            courses and orders; their one owner puts them, and operators change
@@ -22,21 +22,21 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.daemon.saved import decoded
-from lanelift.leases.fence import Receiver, Word
-from lanelift.leases.table import written
-from lanelift.net.driver import Driver
-from lanelift.net.upstream import Report
-from lanelift.sites.course import Aim, Course
-from lanelift.sites.evidence import Said
-from lanelift.sites.member import Member
-from lanelift.sites.orders import Orders
-from lanelift.sites.words import Row as Own
-from lanelift.store.client import Client
-from lanelift.store.commands import LEASES, Op
-from lanelift.store.owner import NotOwner, Owner, clock_ns
-from lanelift.store.wire.protocol import Row
+from loadbalancer.daemon.persisted import decoded
+from loadbalancer.failover.evidence import Said
+from loadbalancer.failover.observer import Member
+from loadbalancer.failover.site_reports import Row as Own
+from loadbalancer.failover.site_state import Aim, Course
+from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.leases.fence import Receiver, Word
+from loadbalancer.leases.table import written
+from loadbalancer.policy import api
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.upstream import Report
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import LEASES, Op
+from loadbalancer.store.lease_client import NotOwner, Owner, clock_ns
+from loadbalancer.store.wire.protocol import Row
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/daemon/places.py
+++ b/loadbalancer/daemon/site_config.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from lanelift.sites.plan import Place
-from lanelift.units import PerSecond, convert, repeated
+from loadbalancer.failover.plan import Place
+from loadbalancer.units import PerSecond, convert, repeated
 
 DOCUMENT = "sites"  # and a service's name behind it
 MOST = 32
--- a/lanelift/daemon/siteworks.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -1,5 +1,5 @@
 """What the fleet does about its sites, as the work of one owner: it reads, has
-`lanelift.sites.planner` decide, and writes one step at a time, under its token.
+`loadbalancer.failover.controller` decide, and writes one step at a time, under its token.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.daemon import documents, places
-from lanelift.daemon.owned import OwnedWork
-from lanelift.daemon.roller import Ages
-from lanelift.daemon.rowlist import StoredList
-from lanelift.daemon.saved import decoded
-from lanelift.daemon.sitewatch import PlanDoc, SiteKeys, Stands, TableRow, TablesDoc
-from lanelift.leases import table as leases
-from lanelift.settings import Malformed
-from lanelift.sites.course import Course
-from lanelift.sites.orders import Orders, fleet_of, orders, quotas
-from lanelift.sites.plan import Fleet, Ladder, Place, Table, bearable, tables
-from lanelift.sites.planner import ColdBox, Look, Planner, Rules
-from lanelift.sites.recovery import Stage
-from lanelift.sites.words import Row as Own
-from lanelift.sites.words import Told
-from lanelift.store.client import Client
-from lanelift.store.commands import Op
-from lanelift.store.documents import key as document_key
-from lanelift.store.owner import NotOwner, Owner
-from lanelift.store.wire.protocol import Row
-from lanelift.wallclock import StartTimes, unix_s
+from loadbalancer.daemon import documents, site_config
+from loadbalancer.daemon.endpoint_rows import StoredList
+from loadbalancer.daemon.leased_task import OwnedWork
+from loadbalancer.daemon.persisted import decoded
+from loadbalancer.daemon.rolling_restart_controller import Ages
+from loadbalancer.daemon.site_agent import PlanDoc, SiteKeys, Stands, TableRow, TablesDoc
+from loadbalancer.failover.controller import ColdBox, Look, Planner, Rules
+from loadbalancer.failover.plan import Fleet, Ladder, Place, Table, bearable, tables
+from loadbalancer.failover.recovery import Stage
+from loadbalancer.failover.site_reports import Row as Own
+from loadbalancer.failover.site_reports import Told
+from loadbalancer.failover.site_state import Course
+from loadbalancer.failover.traffic_shares import Orders, fleet_of, orders, quotas
+from loadbalancer.leases import table as leases
+from loadbalancer.policy import api
+from loadbalancer.settings import Malformed
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import Op
+from loadbalancer.store.documents import key as document_key
+from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.wire.protocol import Row
+from loadbalancer.wallclock import StartTimes, unix_s
 
 log = logging.getLogger(__name__)
 
@@ -75,7 +75,7 @@
 ) -> Looked:
     """Raises StoreError, Malformed where the operators' document does not read."""
     keys = SiteKeys(service)
-    document = f"{places.DOCUMENT}/{service}"
+    document = f"{site_config.DOCUMENT}/{service}"
     found = await client.get(
         keys.plan, document_key(document), f"list/{service}", f"listed/{service}", stored.keys.list
     )
--- a/lanelift/daemon/keeper.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -23,13 +23,12 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.__main__ import Parts
-from lanelift.daemon.listing import OLDEST_S, FleetList
-from lanelift.daemon.reach import Reach
-from lanelift.daemon.roller import Reporter, Roller
-from lanelift.daemon.rowlist import RowWriter
-from lanelift.daemon.saved import (
+from loadbalancer.__main__ import Parts
+from loadbalancer.changefeed.messages import GLOBAL
+from loadbalancer.daemon.address_map import Reach
+from loadbalancer.daemon.endpoint_publisher import OLDEST_S, FleetList
+from loadbalancer.daemon.endpoint_rows import RowWriter
+from loadbalancer.daemon.persisted import (
     SavedEndpoint,
     SavedLearnt,
     SavedList,
@@ -39,20 +38,21 @@
     save_learnt,
     save_list,
 )
-from lanelift.daemon.sitewatch import SiteWatch
-from lanelift.daemon.siteworks import SiteWorks
-from lanelift.feed.messages import GLOBAL
-from lanelift.leases.table import Lease
-from lanelift.net.discovery import Discovery
-from lanelift.net.driver import Driver
-from lanelift.net.files import write_whole
-from lanelift.net.upstream import Endpoint
-from lanelift.store.client import Client, Compacted, Conflict, StoreError
-from lanelift.store.commands import Op
-from lanelift.store.documents import PREFIX
-from lanelift.store.feedclient import FeedClient
-from lanelift.store.owner import NotOwner, Owner
-from lanelift.wallclock import age_s, shown_age, unix_s
+from loadbalancer.daemon.rolling_restart_controller import Reporter, Roller
+from loadbalancer.daemon.site_agent import SiteWatch
+from loadbalancer.daemon.site_controller import SiteWorks
+from loadbalancer.leases.table import Lease
+from loadbalancer.policy import api
+from loadbalancer.proxy.atomic_files import write_whole
+from loadbalancer.proxy.discovery import Discovery
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store.changefeed_client import FeedClient
+from loadbalancer.store.client import Client, Compacted, Conflict, StoreError
+from loadbalancer.store.commands import Op
+from loadbalancer.store.documents import PREFIX
+from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.wallclock import age_s, shown_age, unix_s
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/daemon/doors.py
+++ b/loadbalancer/daemon/upstream_admin.py
@@ -7,9 +7,9 @@
 import asyncio
 from collections.abc import Callable
 
-from lanelift.interface import Result
-from lanelift.net.http import Connection, Exchange
-from lanelift.net.parse import Response, message
+from loadbalancer.policy.api import Result
+from loadbalancer.proxy.http import Connection, Exchange
+from loadbalancer.proxy.parse import Response, message
 
 ASK_S = 2.0  # to connect, and to be answered
 MOST = 64 << 10  # of an answer
--- a/lanelift/sites/planner.py
+++ b/loadbalancer/failover/controller.py
@@ -8,13 +8,13 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
-from lanelift.sites import recovery
-from lanelift.sites.course import Course, View, advance
-from lanelift.sites.evidence import State, Verdict
-from lanelift.sites.orders import Orders, fleet_of, orders
-from lanelift.sites.plan import Fleet, Ladder, Load, Place
-from lanelift.sites.recovery import Seen
-from lanelift.sites.words import Told, heard, verdict
+from loadbalancer.failover import recovery
+from loadbalancer.failover.evidence import State, Verdict
+from loadbalancer.failover.plan import Fleet, Ladder, Load, Place
+from loadbalancer.failover.recovery import Seen
+from loadbalancer.failover.site_reports import Told, heard, verdict
+from loadbalancer.failover.site_state import Course, View, advance
+from loadbalancer.failover.traffic_shares import Orders, fleet_of, orders
 
 SECOND = 1_000_000_000
 SMOOTH = 0.15  # of loads, by each look: a ladder that follows each row would climb by chance
--- a/lanelift/sites/member.py
+++ b/loadbalancer/failover/observer.py
@@ -15,12 +15,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from lanelift import interface as api
-from lanelift.sites import recovery
-from lanelift.sites.evidence import Evidence, State, Verdict
-from lanelift.sites.orders import Orders
-from lanelift.sites.recovery import Return, Seen, Stage
-from lanelift.sites.words import Row
+from loadbalancer.failover import recovery
+from loadbalancer.failover.evidence import Evidence, State, Verdict
+from loadbalancer.failover.recovery import Return, Seen, Stage
+from loadbalancer.failover.site_reports import Row
+from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.policy import api
 
 SECOND = 1_000_000_000
 OLD_NS = 12 * SECOND  # of the owner's last word
--- a/lanelift/sites/words.py
+++ b/loadbalancer/failover/site_reports.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lanelift.sites.evidence import PART, State, Verdict
+from loadbalancer.failover.evidence import PART, State, Verdict
 
 OLD_S = 8.0  # of a row, beyond which it tells nothing
 AGREE = 2 / 3  # of the sites that can tell
--- a/lanelift/sites/course.py
+++ b/loadbalancer/failover/site_state.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from lanelift.sites import recovery
-from lanelift.sites.evidence import State, Verdict
-from lanelift.sites.recovery import Return, Seen, Stage
+from loadbalancer.failover import recovery
+from loadbalancer.failover.evidence import State, Verdict
+from loadbalancer.failover.recovery import Return, Seen, Stage
 
 STEPS = 20  # in which a site is emptied
 SERVICE_PART = 0.95  # of what was served when it began, below which a drain rests and a drill ends
--- a/lanelift/sites/orders.py
+++ b/loadbalancer/failover/traffic_shares.py
@@ -7,9 +7,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field, replace
 
-from lanelift.sites import recovery
-from lanelift.sites.course import Course, parts
-from lanelift.sites.plan import (
+from loadbalancer.failover import recovery
+from loadbalancer.failover.plan import (
     COPIES,
     EPSILON,
     EXCESS,
@@ -24,8 +23,9 @@
     back_window,
     table,
 )
-from lanelift.sites.recovery import RISE, STEP_S, Stage
-from lanelift.sites.words import Told
+from loadbalancer.failover.recovery import RISE, STEP_S, Stage
+from loadbalancer.failover.site_reports import Told
+from loadbalancer.failover.site_state import Course, parts
 
 SEEN_LEAST = (
     0.15  # of its draws that a site keeps which has room: balancers correct by what they see
--- a/lanelift/leases/holder.py
+++ b/loadbalancer/leases/holder.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lanelift.leases.table import MOST_WAITING, Lease
+from loadbalancer.leases.table import MOST_WAITING, Lease
 
 MS = 1_000_000
 DRIFT = (
--- a/lanelift/interface.py
+++ b/loadbalancer/policy/api.py
@@ -1,8 +1,8 @@
 """The interface of the decision module: its settings, the events it takes, the actions it gives.
 
-One `Balancer` (see `decide/`) is one proxy. It is handed the clock and a seed; it opens no socket,
-reads no clock and keeps no thread. All times are whole nanoseconds on the caller's clock. Nothing
-here decides.
+One `Balancer` (see `policy/balancer.py`) is one proxy. It is handed the clock and a seed; it opens
+no socket, reads no clock and keeps no thread. All times are whole nanoseconds on the caller's
+clock. Nothing here decides.
 """
 
 from __future__ import annotations
--- a/lanelift/decide/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The proxy: events in, actions out. Its types are in `lanelift/interface.py`.
+"""The proxy: events in, actions out. Its types are in `loadbalancer/policy/api.py`.
 
 A request passes its tenant's Throttle, may wait in its pool's queue, and goes to the lightest
 upstream drawn.
@@ -11,16 +11,15 @@
 from collections.abc import Iterable
 from typing import Final
 
-from lanelift import interface as api
-from lanelift.decide import memory
-from lanelift.decide.clock import SECOND
-from lanelift.decide.concurrency import Crowding
-from lanelift.decide.fleet import LOOKS, Fleet
-from lanelift.decide.pool import SCAN, Pool
-from lanelift.decide.rate import FEEDBACK_NS, Rate
-from lanelift.decide.requests import Attempt, Request, Turn
-from lanelift.decide.throttle import Throttle
-from lanelift.decide.upstream import ERROR_FADE, FAULTY, Server
+from loadbalancer.policy import api, learned_state
+from loadbalancer.policy.clock import SECOND
+from loadbalancer.policy.concurrency_limit import Crowding
+from loadbalancer.policy.pool import SCAN, Pool
+from loadbalancer.policy.rate_controller import FEEDBACK_NS, Rate
+from loadbalancer.policy.requests import Attempt, Request, Turn
+from loadbalancer.policy.token_bucket import Throttle
+from loadbalancer.policy.upstream_set import LOOKS, Fleet
+from loadbalancer.policy.upstream_stats import ERROR_FADE, FAULTY, Server
 
 ASK_NS = (
     SECOND // 20,
@@ -102,7 +101,7 @@
             elif type(e) is api.Ban:
                 self.fleet.ban(e, now)
             elif type(e) is api.Learnt:
-                memory.recall(e, now, self.throttles, self.rate, self.crowding, self.fleet)
+                learned_state.recall(e, now, self.throttles, self.rate, self.crowding, self.fleet)
             elif type(e) is api.Plan:
                 self.plan = e
                 for name, t in self.throttles.items():
@@ -130,7 +129,7 @@
 
     def learnt(self) -> api.Learnt:
         """What it has learnt so far, for its successor."""
-        return memory.learnt(self.throttles, self.rate, self.crowding, self.fleet)
+        return learned_state.learnt(self.throttles, self.rate, self.crowding, self.fleet)
 
     def _later(
         self, at: int, what: str, about: Request | Throttle | Turn | None, extra: int = 0
--- a/lanelift/decide/concurrency.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -5,10 +5,10 @@
 import math
 from typing import TYPE_CHECKING, Final
 
-from lanelift.decide.clock import SECOND
+from loadbalancer.policy.clock import SECOND
 
 if TYPE_CHECKING:
-    from lanelift.decide.requests import Attempt, Request
+    from loadbalancer.policy.requests import Attempt, Request
 
 # Requests of all proxies together in flight at each upstream: about one for each core, and half as
 # many again while others wait. What stands there beyond that wins nothing, and a crowd of it makes
--- a/lanelift/decide/memory.py
+++ b/loadbalancer/policy/learned_state.py
@@ -5,12 +5,12 @@
 from collections.abc import Mapping
 from typing import Final
 
-from lanelift import interface as api
-from lanelift.decide.clock import SECOND
-from lanelift.decide.concurrency import EASE, Crowding
-from lanelift.decide.fleet import Fleet
-from lanelift.decide.rate import EVIDENCE, Rate
-from lanelift.decide.throttle import START_RATE, Throttle
+from loadbalancer.policy import api
+from loadbalancer.policy.clock import SECOND
+from loadbalancer.policy.concurrency_limit import EASE, Crowding
+from loadbalancer.policy.rate_controller import EVIDENCE, Rate
+from loadbalancer.policy.token_bucket import START_RATE, Throttle
+from loadbalancer.policy.upstream_set import Fleet
 
 # What was learnt before a restart is believed by half after so long, and not at all below a part;
 # it counts as so many outcomes. R comes back with room on top, more the older it is: too low a
--- a/lanelift/decide/pool.py
+++ b/loadbalancer/policy/pool.py
@@ -10,14 +10,13 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Final
 
-from lanelift import interface as api
-from lanelift import rules
-from lanelift.decide.ring import Ring
-from lanelift.decide.upstream import ACROSS, FAULTY, Server, mixed, weight
+from loadbalancer.policy import api, rules
+from loadbalancer.policy.subset_ring import Ring
+from loadbalancer.policy.upstream_stats import ACROSS, FAULTY, Server, mixed, weight
 
 if TYPE_CHECKING:
-    from lanelift.decide.fleet import Fleet
-    from lanelift.decide.requests import Request
+    from loadbalancer.policy.requests import Request
+    from loadbalancer.policy.upstream_set import Fleet
 
 SCAN: Final = 64  # upstreams that are looked through at most, where chance finds none that is fit
 DRAWS: Final = 2  # random draws beside the previous winner
--- a/lanelift/decide/rate.py
+++ b/loadbalancer/policy/rate_controller.py
@@ -7,8 +7,8 @@
 from operator import attrgetter
 from typing import Final
 
-from lanelift.decide.clock import SECOND
-from lanelift.decide.throttle import START_RATE, Throttle
+from loadbalancer.policy.clock import SECOND
+from loadbalancer.policy.token_bucket import START_RATE, Throttle
 
 BY_RATIO = attrgetter("ratio")
 BY_RATIO_AND_PLACE = attrgetter("ratio", "place")
--- a/lanelift/decide/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -5,12 +5,11 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from lanelift import interface as api
-from lanelift import rules
-from lanelift.decide.pool import Pool
-from lanelift.decide.throttle import Throttle
-from lanelift.decide.upstream import Server
-from lanelift.rules import Denied, Reason
+from loadbalancer.policy import api, rules
+from loadbalancer.policy.pool import Pool
+from loadbalancer.policy.rules import Denied, Reason
+from loadbalancer.policy.token_bucket import Throttle
+from loadbalancer.policy.upstream_stats import Server
 
 
 @dataclass(slots=True, eq=False)
--- a/lanelift/rules.py
+++ b/loadbalancer/policy/rules.py
@@ -1,9 +1,9 @@
 """What may be sent, retried, finished, refused or told *now*: one place for the rules. Pure.
 
-The decisions ask when they choose; `lanelift/net/` asks again at the last moment before the first
-byte of an attempt is written, and before the last one of a body that comes in pieces. A denial
-there is counted and logged (`lanelift/net/denials.py`). `docs/design/rules.md` lists each promise
-with its page and test.
+The decisions ask when they choose; `loadbalancer/proxy/` asks again at the last moment before the
+first byte of an attempt is written, and before the last one of a body that comes in pieces. A
+denial there is counted and logged (`loadbalancer/proxy/policy_violations.py`).
+`docs/design/rules.md` lists each promise with its page and test.
 
 All times are nanoseconds of the monotonic clock.
 """
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lanelift import interface as api
+from loadbalancer.policy import api
 
 MS = 1_000_000
 # An attempt may tell its upstream so much more than its client has left. The page allows 150 ms, of
--- a/lanelift/decide/ring.py
+++ b/loadbalancer/policy/subset_ring.py
@@ -9,9 +9,8 @@
 
 import bisect
 
-from lanelift import interface as api
-from lanelift import rules
-from lanelift.decide.upstream import BY_SPOT, BY_TURN, Server
+from loadbalancer.policy import api, rules
+from loadbalancer.policy.upstream_stats import BY_SPOT, BY_TURN, Server
 
 
 class Ring:
--- a/lanelift/decide/throttle.py
+++ b/loadbalancer/policy/token_bucket.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Final
 
-from lanelift.decide.clock import SECOND
+from loadbalancer.policy.clock import SECOND
 
 if TYPE_CHECKING:
-    from lanelift.decide.requests import Request
+    from loadbalancer.policy.requests import Request
 
 BANK_S: Final = 0.5  # C_T in seconds of tokens
 HOLD_PART: Final = 0.2  # C_J as a part of C_T
--- a/lanelift/decide/fleet.py
+++ b/loadbalancer/policy/upstream_set.py
@@ -7,15 +7,15 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Final
 
-from lanelift import interface as api
-from lanelift.decide.clock import SECOND
-from lanelift.decide.concurrency import START_WINDOW, WIDE, WIDEST, Crowding
-from lanelift.decide.pool import SCAN, Pool
-from lanelift.decide.ring import Ring
-from lanelift.decide.upstream import ACROSS, ERROR_FELT, FAULTY, Server, mixed
+from loadbalancer.policy import api
+from loadbalancer.policy.clock import SECOND
+from loadbalancer.policy.concurrency_limit import START_WINDOW, WIDE, WIDEST, Crowding
+from loadbalancer.policy.pool import SCAN, Pool
+from loadbalancer.policy.subset_ring import Ring
+from loadbalancer.policy.upstream_stats import ACROSS, ERROR_FELT, FAULTY, Server, mixed
 
 if TYPE_CHECKING:
-    from lanelift.decide.requests import Attempt
+    from loadbalancer.policy.requests import Attempt
 
 # An upstream that lately met a key may do less work for it, and remembers few. So each key has some
 # upstreams of a home that are drawn for it and seem so much lighter. A home is such a part of the
--- a/lanelift/decide/upstream.py
+++ b/loadbalancer/policy/upstream_stats.py
@@ -6,7 +6,7 @@
 from operator import attrgetter
 from typing import Final
 
-from lanelift import interface as api
+from loadbalancer.policy import api
 
 BY_SPOT = attrgetter("spot")
 BY_TURN = attrgetter("turn")
--- a/lanelift/net/management.py
+++ b/loadbalancer/proxy/admin_api.py
@@ -17,7 +17,7 @@
 from typing import Protocol, cast
 from urllib.parse import unquote
 
-from lanelift.net.parse import Headers, Request, RequestReader, message
+from loadbalancer.proxy.parse import Headers, Request, RequestReader, message
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -8,13 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lanelift import interface as api
-from lanelift import rules
-from lanelift.net.body import Body
-from lanelift.net.denials import Denials
-from lanelift.net.parse import Headers, message
-from lanelift.net.requests import OpenRequest
-from lanelift.rules import Denied
+from loadbalancer.policy import api, rules
+from loadbalancer.policy.rules import Denied
+from loadbalancer.proxy.body_stream import Body
+from loadbalancer.proxy.parse import Headers, message
+from loadbalancer.proxy.policy_violations import Denials
+from loadbalancer.proxy.requests import OpenRequest
 
 DEADLINE = b"X-Deadline-Ms"
 
--- a/lanelift/net/clientconnection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -9,11 +9,11 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, cast
 
-from lanelift import interface as api
-from lanelift.net.body import Body
-from lanelift.net.http import LAST_CHUNK, Reading, chunk, end_to_end
-from lanelift.net.kernel import Socket, readable, received
-from lanelift.net.parse import (
+from loadbalancer.policy import api
+from loadbalancer.proxy.body_stream import Body
+from loadbalancer.proxy.connection_phase import Phase
+from loadbalancer.proxy.http import LAST_CHUNK, Reading, chunk, end_to_end
+from loadbalancer.proxy.parse import (
     MAX_BODY,
     Headers,
     Request,
@@ -22,12 +22,12 @@
     Unacceptable,
     message,
 )
-from lanelift.net.phases import Phase
-from lanelift.net.requests import OpenRequest
-from lanelift.net.terms import read_terms
+from loadbalancer.proxy.request_head import read_terms
+from loadbalancer.proxy.requests import OpenRequest
+from loadbalancer.proxy.tcp_state import Socket, readable, received
 
 if TYPE_CHECKING:
-    from lanelift.net.frontend import Frontend
+    from loadbalancer.proxy.frontend import Frontend
 
 ANSWER_NS = 3_000_000  # kept of each deadline for the answer's way to the client
 # Parts of the cap above which an answer ends its connection: one that is no upstream's, and any.
--- a/lanelift/net/disabled.py
+++ b/loadbalancer/proxy/disabled_upstreams.py
@@ -21,10 +21,10 @@
 from pathlib import Path
 from typing import Any, BinaryIO, Protocol
 
-from lanelift.net.files import clear, write_whole
-from lanelift.net.management import No
-from lanelift.net.siblings import Siblings
-from lanelift.settings import Malformed, need, typed
+from loadbalancer.proxy.admin_api import No
+from loadbalancer.proxy.atomic_files import clear, write_whole
+from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.settings import Malformed, need, typed
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -12,14 +12,14 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from lanelift import interface as api
-from lanelift.net.calls import CALL_S, Call, Calls, End
-from lanelift.net.driver import Driver
-from lanelift.net.http import Connection, Exchange
-from lanelift.net.listage import ListAge
-from lanelift.net.parse import Response, message
-from lanelift.net.upstream import Endpoint, number_of
-from lanelift.settings import Json, Malformed, maybe, need, split_address, typed, word
+from loadbalancer.policy import api
+from loadbalancer.proxy.discovery_watch import CALL_S, Call, Calls, End
+from loadbalancer.proxy.endpoint_staleness import ListAge
+from loadbalancer.proxy.http import Connection, Exchange
+from loadbalancer.proxy.parse import Response, message
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.upstream import Endpoint, number_of
+from loadbalancer.settings import Json, Malformed, maybe, need, split_address, typed, word
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/listage.py
+++ b/loadbalancer/proxy/endpoint_staleness.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from enum import Enum
 
-from lanelift.net.driver import Driver
-from lanelift.net.timers import call_after
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.timers import call_after
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -8,14 +8,14 @@
 import time
 from contextlib import suppress
 
-from lanelift.errnos import Cause, Operation, cause
-from lanelift.net.body import Store
-from lanelift.net.clientconnection import ClientConnection
-from lanelift.net.driver import Driver
-from lanelift.net.kernel import received
-from lanelift.net.listener import leave_to_successor, listen
-from lanelift.net.phases import LIMIT_S, Phase
-from lanelift.net.timers import call_after
+from loadbalancer.errnos import Cause, Operation, cause
+from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.client_connection import ClientConnection
+from loadbalancer.proxy.connection_phase import LIMIT_S, Phase
+from loadbalancer.proxy.listener import leave_to_successor, listen
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.tcp_state import received
+from loadbalancer.proxy.timers import call_after
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/peers.py
+++ b/loadbalancer/proxy/gossip.py
@@ -7,8 +7,8 @@
 from collections.abc import Sequence
 from typing import cast
 
-from lanelift import interface as api
-from lanelift.net.driver import Driver
+from loadbalancer.policy import api
+from loadbalancer.proxy.policy_driver import Driver
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/http.py
+++ b/loadbalancer/proxy/http.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass
 from typing import Protocol, cast
 
-from lanelift.interface import Result
-from lanelift.net.body import PIECE, Body, Store
-from lanelift.net.kernel import readable, received
-from lanelift.net.parse import MAX_BODY, Response, ResponseReader
-from lanelift.rules import ALLOWED, Denied, Reason, Verdict
+from loadbalancer.policy.api import Result
+from loadbalancer.policy.rules import ALLOWED, Denied, Reason, Verdict
+from loadbalancer.proxy.body_stream import PIECE, Body, Store
+from loadbalancer.proxy.parse import MAX_BODY, Response, ResponseReader
+from loadbalancer.proxy.tcp_state import readable, received
 
 HOP_BY_HOP = frozenset(
     {
--- a/lanelift/net/parse.py
+++ b/loadbalancer/proxy/parse.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from lanelift.net.body import MAX_LENGTH, Body, Store
+from loadbalancer.proxy.body_stream import MAX_LENGTH, Body, Store
 
 MAX_BODY = (
     64 * 1024
--- a/lanelift/net/driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -15,16 +15,15 @@
 from dataclasses import replace
 from typing import Protocol
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.net.attempt import OutgoingAttempt
-from lanelift.net.denials import Denials
-from lanelift.net.parse import Response
-from lanelift.net.requests import Client, OpenRequest
-from lanelift.net.timers import call_after
-from lanelift.net.upstream import Endpoint, Report, Timing, Upstreams, number_of
-from lanelift.rules import Denied
-from lanelift.wallclock import StartTimes
+from loadbalancer.policy import Balancer, api
+from loadbalancer.policy.rules import Denied
+from loadbalancer.proxy.attempt import OutgoingAttempt
+from loadbalancer.proxy.parse import Response
+from loadbalancer.proxy.policy_violations import Denials
+from loadbalancer.proxy.requests import Client, OpenRequest
+from loadbalancer.proxy.timers import call_after
+from loadbalancer.proxy.upstream import Endpoint, Report, Timing, Upstreams, number_of
+from loadbalancer.wallclock import StartTimes
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/denials.py
+++ b/loadbalancer/proxy/policy_violations.py
@@ -5,7 +5,7 @@
 import logging
 from collections import Counter
 
-from lanelift.rules import Denied, Reason
+from loadbalancer.policy.rules import Denied, Reason
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/siblings.py
+++ b/loadbalancer/proxy/process_handover.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lanelift.net.files import write_all
+from loadbalancer.proxy.atomic_files import write_all
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/net/terms.py
+++ b/loadbalancer/proxy/request_head.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from urllib.parse import unquote_plus
 
-from lanelift import interface as api
-from lanelift.net.parse import Request, Unacceptable
+from loadbalancer.policy import api
+from loadbalancer.proxy.parse import Request, Unacceptable
 
 MAX_ID = 128  # bytes of a request's id: it is a key of tables and stands in the log
 MS, US = 1_000_000, 1_000
--- a/lanelift/net/requests.py
+++ b/loadbalancer/proxy/requests.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from lanelift import interface as api
-from lanelift.net.body import Body
-from lanelift.net.http import Exchange
-from lanelift.net.parse import Headers, Response
+from loadbalancer.policy import api
+from loadbalancer.proxy.body_stream import Body
+from loadbalancer.proxy.http import Exchange
+from loadbalancer.proxy.parse import Headers, Response
 
 
 class Client(Protocol):
--- a/lanelift/net/budget.py
+++ b/loadbalancer/proxy/resource_limits.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from lanelift.net.body import Store
-from lanelift.net.siblings import Siblings
+from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.process_handover import Siblings
 
 # Descriptors kept for the listener, discovery (an old and a new one), peers, the configuration and
 # the interpreter, and for sockets that were closed on this turn of the loop and still count.
--- a/lanelift/net/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lanelift import interface as api
-from lanelift.errnos import Cause, Operation, cause
-from lanelift.net.body import Body, Store
-from lanelift.net.http import Connection, Exchange, Outgoing
-from lanelift.net.parse import MAX_BODY, Response, message
-from lanelift.net.timers import call_after
-from lanelift.rules import Verdict, may_use
+from loadbalancer.errnos import Cause, Operation, cause
+from loadbalancer.policy import api
+from loadbalancer.policy.rules import Verdict, may_use
+from loadbalancer.proxy.body_stream import Body, Store
+from loadbalancer.proxy.http import Connection, Exchange, Outgoing
+from loadbalancer.proxy.parse import MAX_BODY, Response, message
+from loadbalancer.proxy.timers import call_after
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/settings.py
+++ b/loadbalancer/settings.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from lanelift import interface as api
+from loadbalancer.policy import api
 
 Json = dict[str, Any]
 
--- a/lanelift/wirehost.py
+++ b/loadbalancer/sim_adapter.py
@@ -1,6 +1,6 @@
 """The adapter: hosts many balancers on the simulator's wire. It translates and decides nothing.
 
-    python -m lanelift.wirehost < batches > replies
+    python -m loadbalancer.sim_adapter < batches > replies
 
 One JSON object a line each way. A line that is not a batch ends the process with a message on
 standard error and exit status 2; an exception inside a balancer is reported as that balancer's
@@ -15,9 +15,8 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.settings import Json, Malformed, maybe, need, read_settings, typed, word
+from loadbalancer.policy import Balancer, api
+from loadbalancer.settings import Json, Malformed, maybe, need, read_settings, typed, word
 
 RESULTS = {
     "delivered": api.Result.OK,
@@ -223,7 +222,7 @@
         try:
             reply = host.batch(line)
         except Malformed as error:
-            print(f"wirehost: line {count}: {error}", file=sys.stderr)
+            print(f"sim_adapter: line {count}: {error}", file=sys.stderr)
             return 2
         sys.stdout.write(reply + "\n")
         sys.stdout.flush()
--- a/lanelift/store/feedclient.py
+++ b/loadbalancer/store/changefeed_client.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable, Collection, Mapping, Sequence
 
-from lanelift.feed.subscription import (
+from loadbalancer.changefeed.subscription import (
     Apply,
     Check,
     Dial,
@@ -19,11 +19,11 @@
     Subscription,
     SubscriptionLimits,
 )
-from lanelift.settings import Malformed, split_address
-from lanelift.store import dial
-from lanelift.store.wire import protocol
-from lanelift.store.wire.frames import Refused
-from lanelift.store.wire.protocol import Failed, Fed, Feed, Hello
+from loadbalancer.settings import Malformed, split_address
+from loadbalancer.store import handshake
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.frames import Refused
+from loadbalancer.store.wire.protocol import Failed, Fed, Feed, Hello
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
 UNREAD_MOST = 1 << 20  # bytes of words that a node leaves unread: it is left
 
 
-class FeedWire(dial.Dial):
+class FeedWire(handshake.Dial):
     """A connection to a node's feed."""
 
     def __init__(self, hello: Hello, client: FeedClient) -> None:
--- a/lanelift/store/feeding.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -17,14 +17,14 @@
 import msgspec
 from msgspec import structs
 
-from lanelift.feed.fanout import BadWord, Fanout, FanoutLimits, FeedChange, Send
-from lanelift.feed.messages import PREFIX, Bookmark, unpack_told
-from lanelift.feed.status import FeedStatus
-from lanelift.store.durable.rows import Event, Loaded
-from lanelift.store.durable.state import State
+from loadbalancer.changefeed.fanout import BadWord, Fanout, FanoutLimits, FeedChange, Send
+from loadbalancer.changefeed.messages import PREFIX, Bookmark, unpack_told
+from loadbalancer.changefeed.status import FeedStatus
+from loadbalancer.store.durable.rows import Event, Loaded
+from loadbalancer.store.durable.state import State
 
 if TYPE_CHECKING:
-    from lanelift.store.node import Node
+    from loadbalancer.store.node import Node
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/store/client.py
+++ b/loadbalancer/store/client.py
@@ -22,9 +22,9 @@
 
 import msgspec
 
-from lanelift.settings import split_address
-from lanelift.store import commands
-from lanelift.store.commands import (
+from loadbalancer.settings import split_address
+from loadbalancer.store import commands
+from loadbalancer.store.commands import (
     ANY,
     AnyCommand,
     Claim,
@@ -38,9 +38,9 @@
     RowsWrite,
     Write,
 )
-from lanelift.store.dial import Dial
-from lanelift.store.wire import protocol
-from lanelift.store.wire.protocol import (
+from loadbalancer.store.handshake import Dial
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.protocol import (
     AnyReply,
     AnyRequest,
     Changes,
@@ -62,7 +62,7 @@
     Unwatch,
     Watch,
 )
-from lanelift.wallclock import unix_ms
+from loadbalancer.wallclock import unix_ms
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/store/commands.py
+++ b/loadbalancer/store/commands.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from lanelift.feed.messages import MOST_ROW, PREFIX, split
-from lanelift.store.raft.messages import Array
-from lanelift.store.raft.messages import pack as pack
+from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, split
+from loadbalancer.store.raft.messages import Array
+from loadbalancer.store.raft.messages import pack as pack
 
 KEY = re.compile(r"[a-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
 MOST_KEY = 512  # characters
--- a/lanelift/store/documents.py
+++ b/loadbalancer/store/documents.py
@@ -7,9 +7,9 @@
 import difflib
 from collections.abc import Callable
 
-from lanelift.store.client import Client, Rejected
-from lanelift.store.commands import KEY, MOST_VALUE
-from lanelift.store.wire.protocol import Row
+from loadbalancer.store.client import Client, Rejected
+from loadbalancer.store.commands import KEY, MOST_VALUE
+from loadbalancer.store.wire.protocol import Row
 
 PREFIX = "config/"
 Checker = Callable[[str, str], str]  # name, text: the first thing wrong with it, or empty
--- a/lanelift/store/durable/journal.py
+++ b/loadbalancer/store/durable/journal.py
@@ -26,8 +26,8 @@
 import google_crc32c
 import msgspec
 
-from lanelift.store.durable.files import File, Files
-from lanelift.store.raft.messages import Array, Entry, HardState, SnapshotMeta
+from loadbalancer.store.durable.files import File, Files
+from loadbalancer.store.raft.messages import Array, Entry, HardState, SnapshotMeta
 
 FORMAT = 1
 MAGIC = b"LANELOG\x01"
--- a/lanelift/store/durable/rows.py
+++ b/loadbalancer/store/durable/rows.py
@@ -7,8 +7,8 @@
 import sqlite3
 from dataclasses import dataclass
 
-from lanelift.feed.messages import PREFIX
-from lanelift.store.commands import RowsWrite, refs_of
+from loadbalancer.changefeed.messages import PREFIX
+from loadbalancer.store.commands import RowsWrite, refs_of
 
 BEHIND = PREFIX + "\U0010ffff"  # after all of their keys
 TABLES_3 = """
--- a/lanelift/store/durable/state.py
+++ b/loadbalancer/store/durable/state.py
@@ -21,12 +21,12 @@
 
 import google_crc32c
 
-from lanelift.feed.messages import PREFIX
-from lanelift.leases import table
-from lanelift.leases.expiry import Running
-from lanelift.leases.table import Claimant, Lease
-from lanelift.store import commands
-from lanelift.store.commands import (
+from loadbalancer.changefeed.messages import PREFIX
+from loadbalancer.leases import table
+from loadbalancer.leases.expiry import Running
+from loadbalancer.leases.table import Claimant, Lease
+from loadbalancer.store import commands
+from loadbalancer.store.commands import (
     ANY,
     FORMAT,
     LEASES,
@@ -43,10 +43,17 @@
     Write,
     unpack_command,
 )
-from lanelift.store.durable import rows
-from lanelift.store.durable.journal import Damaged
-from lanelift.store.durable.rows import Event as Event
-from lanelift.store.raft.messages import Entry, Kind, Members, SnapshotMeta, pack, unpack_members
+from loadbalancer.store.durable import rows
+from loadbalancer.store.durable.journal import Damaged
+from loadbalancer.store.durable.rows import Event as Event
+from loadbalancer.store.raft.messages import (
+    Entry,
+    Kind,
+    Members,
+    SnapshotMeta,
+    pack,
+    unpack_members,
+)
 
 HISTORY = 100  # versions of a key that are kept, where they are
 HISTORY_OF = "config/", LEASES
--- a/lanelift/store/durable/vault.py
+++ b/loadbalancer/store/durable/state_directory.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from typing import Protocol
 
-from lanelift.store.durable import state as states
-from lanelift.store.durable.files import File, Folder, RealFile
-from lanelift.store.durable.journal import Damaged, Full
-from lanelift.store.durable.state import State
-from lanelift.store.raft.messages import SnapshotMeta
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.files import File, Folder, RealFile
+from loadbalancer.store.durable.journal import Damaged, Full
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.raft.messages import SnapshotMeta
 
 STATE, INCOMING, OUTGOING = "state.db", "incoming.db", "outgoing.db"
 
--- a/lanelift/store/rollout.py
+++ b/loadbalancer/store/feed_progress.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from lanelift.feed.status import FeedStatus, Refused
-from lanelift.store.client import Client, StoreError
+from loadbalancer.changefeed.status import FeedStatus, Refused
+from loadbalancer.store.client import Client, StoreError
 
 ASK_S = 2.0  # a member that has not answered by then is told as one that does not
 POLL_S = 0.05  # between two questions of one who waits
--- a/lanelift/store/dial.py
+++ b/loadbalancer/store/handshake.py
@@ -7,9 +7,9 @@
 import asyncio
 from typing import cast
 
-from lanelift.store.wire import protocol
-from lanelift.store.wire.frames import Receiver, Refused, Sender
-from lanelift.store.wire.protocol import Declined, Hello, Welcome
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.frames import Receiver, Refused, Sender
+from loadbalancer.store.wire.protocol import Declined, Hello, Welcome
 
 
 class Dial(asyncio.Protocol):
--- a/lanelift/store/steward.py
+++ b/loadbalancer/store/housekeeping.py
@@ -6,9 +6,9 @@
 
 from collections.abc import Iterable, Mapping
 
-from lanelift.leases.expiry import Expiry, Running
-from lanelift.store.commands import FORMAT, AnyCommand, Lapse, Upgrade
-from lanelift.store.durable.state import State
+from loadbalancer.leases.expiry import Expiry, Running
+from loadbalancer.store.commands import FORMAT, AnyCommand, Lapse, Upgrade
+from loadbalancer.store.durable.state import State
 
 AGAIN_NS = 1_000_000_000  # between two proposals of a format
 
--- a/lanelift/store/owner.py
+++ b/loadbalancer/store/lease_client.py
@@ -16,12 +16,12 @@
 from collections.abc import Awaitable, Callable, Sequence
 from contextlib import suppress
 
-from lanelift.leases import table
-from lanelift.leases.holder import Ask, Holder, Phase
-from lanelift.leases.table import Lease
-from lanelift.store.client import Client, Compacted, Fenced, Rejected, StoreError
-from lanelift.store.commands import LEASES, Claim, Op, Release, Result
-from lanelift.wallclock import unix_ms
+from loadbalancer.leases import table
+from loadbalancer.leases.holder import Ask, Holder, Phase
+from loadbalancer.leases.table import Lease
+from loadbalancer.store.client import Client, Compacted, Fenced, Rejected, StoreError
+from loadbalancer.store.commands import LEASES, Claim, Op, Release, Result
+from loadbalancer.wallclock import unix_ms
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/store/link.py
+++ b/loadbalancer/store/link.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from lanelift.settings import Malformed, split_address
-from lanelift.store.dial import Dial
-from lanelift.store.raft.messages import AnyMessage, pack
-from lanelift.store.wire.protocol import Hello, Welcome
+from loadbalancer.settings import Malformed, split_address
+from loadbalancer.store.handshake import Dial
+from loadbalancer.store.raft.messages import AnyMessage, pack
+from loadbalancer.store.wire.protocol import Hello, Welcome
 
 log = logging.getLogger(__name__)
 
--- a/lanelift/store/metrics.py
+++ b/loadbalancer/store/metrics.py
@@ -12,7 +12,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.openmetrics.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from lanelift.store.node import Node
+from loadbalancer.store.node import Node
 
 MOST_HEAD = 8 << 10
 GAUGES = {
--- a/lanelift/store/node.py
+++ b/loadbalancer/store/node.py
@@ -20,23 +20,23 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from lanelift.settings import Malformed
-from lanelift.store.commands import FORMAT, Result, pack
-from lanelift.store.durable import state as states
-from lanelift.store.durable.files import Folder
-from lanelift.store.durable.journal import Broken, Damaged, Full, Journal
-from lanelift.store.durable.state import State
-from lanelift.store.durable.vault import DiskVault
-from lanelift.store.feeding import Feeding
-from lanelift.store.link import Link
-from lanelift.store.raft.core import Batch, Busy, NotLeader, Role
-from lanelift.store.raft.members import Change
-from lanelift.store.raft.messages import AnyMessage, Entry, Piece
-from lanelift.store.replica import Identity, Replica, read_identity
-from lanelift.store.settings import StoreSettings
-from lanelift.store.steward import Steward, behind
-from lanelift.store.wire import protocol
-from lanelift.store.wire.protocol import Hello
+from loadbalancer.settings import Malformed
+from loadbalancer.store.changefeed_server import Feeding
+from loadbalancer.store.commands import FORMAT, Result, pack
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.files import Folder
+from loadbalancer.store.durable.journal import Broken, Damaged, Full, Journal
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.durable.state_directory import DiskVault
+from loadbalancer.store.housekeeping import Steward, behind
+from loadbalancer.store.link import Link
+from loadbalancer.store.raft.members import Change
+from loadbalancer.store.raft.messages import AnyMessage, Entry, Piece
+from loadbalancer.store.raft.node import Batch, Busy, NotLeader, Role
+from loadbalancer.store.replica import Identity, Replica, read_identity
+from loadbalancer.store.settings import StoreSettings
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.protocol import Hello
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
--- a/lanelift/store/raft/log.py
+++ b/loadbalancer/store/raft/log.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Sequence
 
-from lanelift.store.raft.messages import Entry
+from loadbalancer.store.raft.messages import Entry
 
 EACH = 24  # bytes that an entry is counted for beside its data
 
--- a/lanelift/store/raft/members.py
+++ b/loadbalancer/store/raft/members.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lanelift.store.raft.messages import Members
+from loadbalancer.store.raft.messages import Members
 
 MOST_GONE = 256  # numbers of removed nodes that are remembered
 MOST_VOTERS, MOST_LEARNERS = 9, 16
--- a/lanelift/store/raft/core.py
+++ b/loadbalancer/store/raft/node.py
@@ -24,9 +24,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lanelift.store.raft.log import Log, weight
-from lanelift.store.raft.members import Change, Refused
-from lanelift.store.raft.messages import (
+from loadbalancer.store.raft.log import Log, weight
+from loadbalancer.store.raft.members import Change, Refused
+from loadbalancer.store.raft.messages import (
     AnyMessage,
     Append,
     Appended,
@@ -46,7 +46,7 @@
     pack,
     unpack_members,
 )
-from lanelift.store.raft.progress import Progress, Way
+from loadbalancer.store.raft.progress import Progress, Way
 
 MS = 1_000_000
 
--- a/lanelift/store/raft/progress.py
+++ b/loadbalancer/store/raft/progress.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lanelift.store.raft.messages import SnapshotMeta
+from loadbalancer.store.raft.messages import SnapshotMeta
 
 
 class Way(Enum):
--- a/lanelift/store/reading.py
+++ b/loadbalancer/store/read_requests.py
@@ -6,13 +6,13 @@
 import time
 from typing import TYPE_CHECKING
 
-from lanelift.store.durable.state import Compacted, Item, State
-from lanelift.store.node import Late
-from lanelift.store.wire import protocol
-from lanelift.store.wire.protocol import Change, Changes, Row, Trouble, Watch
+from loadbalancer.store.durable.state import Compacted, Item, State
+from loadbalancer.store.node import Late
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.protocol import Change, Changes, Row, Trouble, Watch
 
 if TYPE_CHECKING:
-    from lanelift.store.server import Connection
+    from loadbalancer.store.server import Connection
 
 PROGRESS_S = 5.0  # a watch with nothing to tell says so often how far it has looked
 
--- a/lanelift/store/replica.py
+++ b/loadbalancer/store/replica.py
@@ -13,14 +13,14 @@
 
 import msgspec
 
-from lanelift.store.commands import Result
-from lanelift.store.durable.files import Files, write_whole
-from lanelift.store.durable.journal import Damaged, Journal
-from lanelift.store.durable.state import State
-from lanelift.store.durable.vault import Vault
-from lanelift.store.raft.core import Batch, Config, Core
-from lanelift.store.raft.log import Log
-from lanelift.store.raft.messages import Array, Entry, Members
+from loadbalancer.store.commands import Result
+from loadbalancer.store.durable.files import Files, write_whole
+from loadbalancer.store.durable.journal import Damaged, Journal
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.durable.state_directory import Vault
+from loadbalancer.store.raft.log import Log
+from loadbalancer.store.raft.messages import Array, Entry, Members
+from loadbalancer.store.raft.node import Batch, Config, Core
 
 IDENTITY = "identity.json"
 FORMAT = 1
--- a/lanelift/store/run.py
+++ b/loadbalancer/store/run.py
@@ -12,20 +12,20 @@
 from contextlib import suppress
 from pathlib import Path
 
-from lanelift.settings import Malformed
-from lanelift.store import metrics
-from lanelift.store import replica as replicas
-from lanelift.store.durable import state as states
-from lanelift.store.durable import vault
-from lanelift.store.durable.files import Folder
-from lanelift.store.durable.journal import Damaged, Journal
-from lanelift.store.durable.state import State
-from lanelift.store.node import Node, locked
-from lanelift.store.raft.messages import Members
-from lanelift.store.replica import Identity, members_of, read_identity, write_identity
-from lanelift.store.server import Server
-from lanelift.store.settings import StoreSettings
-from lanelift.wallclock import unix_s
+from loadbalancer.settings import Malformed
+from loadbalancer.store import metrics
+from loadbalancer.store import replica as replicas
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import state_directory
+from loadbalancer.store.durable.files import Folder
+from loadbalancer.store.durable.journal import Damaged, Journal
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.node import Node, locked
+from loadbalancer.store.raft.messages import Members
+from loadbalancer.store.replica import Identity, members_of, read_identity, write_identity
+from loadbalancer.store.server import Server
+from loadbalancer.store.settings import StoreSettings
+from loadbalancer.wallclock import unix_s
 
 log = logging.getLogger(__name__)
 
@@ -92,7 +92,7 @@
     lock = locked(settings)
     try:
         files = Folder(settings.folder)
-        state = make(settings.folder / vault.STATE)
+        state = make(settings.folder / state_directory.STATE)
         state.close()
         journal = Journal(files, identity.cluster, identity.node)
         journal.create(state.applied, state.term)
@@ -121,9 +121,9 @@
                 )
         except Damaged as error:
             wrong.append(str(error))
-        why = states.verify(settings.folder / vault.STATE)
+        why = states.verify(settings.folder / state_directory.STATE)
         if why:
-            wrong.append(f"{vault.STATE}: {why}")
+            wrong.append(f"{state_directory.STATE}: {why}")
         return wrong
     finally:
         os.close(lock)
--- a/lanelift/store/security.py
+++ b/loadbalancer/store/security.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from lanelift.settings import Malformed
+from loadbalancer.settings import Malformed
 
 SCHEME = "lanelift://"
 ROLES = (
--- a/lanelift/store/server.py
+++ b/loadbalancer/store/server.py
@@ -15,22 +15,22 @@
 
 import msgspec
 
-from lanelift.errnos import Cause, Operation, cause
-from lanelift.feed.fanout import Send
-from lanelift.settings import Malformed
-from lanelift.store import commands
-from lanelift.store.commands import Result
-from lanelift.store.durable.journal import Full
-from lanelift.store.durable.state import State
-from lanelift.store.node import Late, Node, Unknown
-from lanelift.store.raft.core import Busy, NotLeader, Role
-from lanelift.store.raft.members import Refused as ChangeRefused
-from lanelift.store.raft.messages import SnapshotMeta, unpack_message
-from lanelift.store.reading import Watching, row, scan
-from lanelift.store.security import may, role_of
-from lanelift.store.wire import protocol
-from lanelift.store.wire.frames import NONCE, Receiver, Refused, Sender
-from lanelift.store.wire.protocol import (
+from loadbalancer.changefeed.fanout import Send
+from loadbalancer.errnos import Cause, Operation, cause
+from loadbalancer.settings import Malformed
+from loadbalancer.store import commands
+from loadbalancer.store.commands import Result
+from loadbalancer.store.durable.journal import Full
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.node import Late, Node, Unknown
+from loadbalancer.store.raft.members import Refused as ChangeRefused
+from loadbalancer.store.raft.messages import SnapshotMeta, unpack_message
+from loadbalancer.store.raft.node import Busy, NotLeader, Role
+from loadbalancer.store.read_requests import Watching, row, scan
+from loadbalancer.store.security import may, role_of
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.frames import NONCE, Receiver, Refused, Sender
+from loadbalancer.store.wire.protocol import (
     AnyRequest,
     Copy,
     Declined,
--- a/lanelift/store/settings.py
+++ b/loadbalancer/store/settings.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from lanelift.feed.fanout import FanoutLimits
-from lanelift.settings import Malformed, split_address
-from lanelift.store.raft.core import Config
-from lanelift.store.replica import Boundaries
-from lanelift.store.security import Tls
-from lanelift.units import Duration, Size, convert, read_toml
+from loadbalancer.changefeed.fanout import FanoutLimits
+from loadbalancer.settings import Malformed, split_address
+from loadbalancer.store.raft.node import Config
+from loadbalancer.store.replica import Boundaries
+from loadbalancer.store.security import Tls
+from loadbalancer.units import Duration, Size, convert, read_toml
 
 MS = 1_000_000
 
@@ -22,7 +22,7 @@
 
 
 class Keys(Part, frozen=True):
-    """PEM files; a certificate names its role (see `lanelift/store/security.py`)."""
+    """PEM files; a certificate names its role (see `loadbalancer/store/security.py`)."""
 
     certificate: str
     key: str
--- a/lanelift/store/wire/protocol.py
+++ b/loadbalancer/store/wire/protocol.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lanelift.store.raft.messages import pack as pack
+from loadbalancer.store.raft.messages import pack as pack
 
 FORMAT = 1
 MOST_REQUEST = 3 << 20  # bytes: a write with a value of the largest size, twice over
@@ -126,8 +126,9 @@
 
 
 class Feed(Request, frozen=True, tag=10):
-    """A word to the node's feed (`lanelift/feed/messages.py`). The first one of a connection begins
-    its one subscription; what it hears bears the id of that one, until the connection ends.
+    """A word to the node's feed (`loadbalancer/changefeed/messages.py`). The first one of a
+    connection begins its one subscription; what it hears bears the id of that one, until the
+    connection ends.
     """
 
     word: bytes
--- a/lanelift/lab/capacity/measure.py
+++ b/loadbalancer/testbed/capacity/measure.py
@@ -18,12 +18,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lanelift.lab.balancer import environment, free_port, prepare
-from lanelift.lab.topology import Unusable
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.balancer import environment, free_port, prepare
+from loadbalancer.testbed.topology import Unusable
 
-BLAST = "lanelift.lab.capacity.blast"
-RELAY = "lanelift.lab.capacity.relay"
+BLAST = "loadbalancer.testbed.capacity.blast"
+RELAY = "loadbalancer.testbed.capacity.relay"
 UPSTREAMS, SERVERS, CLIENTS = (
     16,
     4,
@@ -67,7 +67,7 @@
         self.connections = connections
         self.command = command
         self.processes: list[subprocess.Popen[str]] = []
-        self.folder = tempfile.TemporaryDirectory(prefix="lanelift-capacity-")
+        self.folder = tempfile.TemporaryDirectory(prefix="loadbalancer-capacity-")
         self.dealt = 0
 
     def __enter__(self) -> Run:
@@ -229,7 +229,7 @@
     if len(cores) < 3:
         raise Unusable("capacity needs three cores: one for what is measured, two for the rest")
     with Run(
-        cores[0], cores[1:], connections, command or (sys.executable, "-m", "lanelift")
+        cores[0], cores[1:], connections, command or (sys.executable, "-m", "loadbalancer")
     ) as run:
         ports = run.upstreams()
         made = {"balancer": run.balancer(ports), "relay": run.relay(ports)}
--- a/lanelift/lab/cluster/bench.py
+++ b/loadbalancer/testbed/cluster/bench.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from lanelift.lab import results
-from lanelift.lab.cluster.real import RealCluster
-from lanelift.lab.topology import Unusable
-from lanelift.settings import Json
-from lanelift.store.client import Client, StoreError
+from loadbalancer.settings import Json
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.testbed import results
+from loadbalancer.testbed.cluster.real import RealCluster
+from loadbalancer.testbed.topology import Unusable
 
 VALUE = b"v" * 200
 TICK_S = 1 / os.sysconf("SC_CLK_TCK")
--- a/lanelift/lab/cluster/campaign.py
+++ b/loadbalancer/testbed/cluster/campaign.py
@@ -7,8 +7,8 @@
 from concurrent.futures import Future, as_completed
 from dataclasses import dataclass, field
 
-from lanelift.lab.cluster import owners
-from lanelift.lab.cluster.plans import (
+from loadbalancer.testbed.cluster import owners
+from loadbalancer.testbed.cluster.plans import (
     Outcome,
     disturbed,
     early_read,
@@ -16,8 +16,8 @@
     play,
     two_majorities,
 )
-from lanelift.lab.cluster.planted import played
-from lanelift.lab.experiments import processes
+from loadbalancer.testbed.cluster.planted import played
+from loadbalancer.testbed.experiments import processes
 
 EVERY_STEERED = 10  # one seed of so many plays a returning node or a steered run, no storm
 AHEAD = 4  # runs handed to each process beforehand
--- a/lanelift/lab/cluster/checks.py
+++ b/loadbalancer/testbed/cluster/checks.py
@@ -4,8 +4,7 @@
 
 from __future__ import annotations
 
-from lanelift.store.raft.core import Core, Role
-from lanelift.store.raft.messages import (
+from loadbalancer.store.raft.messages import (
     AnyMessage,
     Append,
     Appended,
@@ -16,6 +15,7 @@
     Vote,
     VoteAsk,
 )
+from loadbalancer.store.raft.node import Core, Role
 
 
 class Broken(Exception):
--- a/lanelift/lab/cluster/clients.py
+++ b/loadbalancer/testbed/cluster/clients.py
@@ -7,10 +7,10 @@
 import random
 from typing import Any
 
-from lanelift.lab.cluster.linear import Operation
-from lanelift.lab.cluster.sim import MS, SECOND, Cluster
-from lanelift.store.commands import ANY, AnyCommand, Code, Op, OpenSession, Result, Write
-from lanelift.store.replica import Replica
+from loadbalancer.store.commands import ANY, AnyCommand, Code, Op, OpenSession, Result, Write
+from loadbalancer.store.replica import Replica
+from loadbalancer.testbed.cluster.linear import Operation
+from loadbalancer.testbed.cluster.sim import MS, SECOND, Cluster
 
 GROUPS, KEYS = 3, 2  # groups of keys that one write may span
 TRY = 300 * MS
--- a/lanelift/lab/cluster/disk.py
+++ b/loadbalancer/testbed/cluster/disk.py
@@ -14,11 +14,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lanelift.store.durable import state as states
-from lanelift.store.durable.files import File
-from lanelift.store.durable.journal import Damaged, Full
-from lanelift.store.durable.state import State
-from lanelift.store.raft.messages import Members, SnapshotMeta
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.files import File
+from loadbalancer.store.durable.journal import Damaged, Full
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.raft.messages import Members, SnapshotMeta
 
 SECTOR = 512
 INCOMING = "incoming.db"
--- a/lanelift/lab/cluster/owners.py
+++ b/loadbalancer/testbed/cluster/owners.py
@@ -21,14 +21,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lanelift.lab.cluster.checks import Broken
-from lanelift.lab.cluster.plans import CALM, Outcome, Storm, describe, level, mend
-from lanelift.lab.cluster.sim import MS, SECOND, Cluster, agreed, committed
-from lanelift.leases import table
-from lanelift.leases.fence import Receiver, Word
-from lanelift.leases.holder import Ask, Holder, Phase
-from lanelift.store import commands
-from lanelift.store.commands import (
+from loadbalancer.leases import table
+from loadbalancer.leases.fence import Receiver, Word
+from loadbalancer.leases.holder import Ask, Holder, Phase
+from loadbalancer.store import commands
+from loadbalancer.store.commands import (
     LEASES,
     Claim,
     Code,
@@ -40,6 +37,9 @@
     Result,
     Upgrade,
 )
+from loadbalancer.testbed.cluster.checks import Broken
+from loadbalancer.testbed.cluster.plans import CALM, Outcome, Storm, describe, level, mend
+from loadbalancer.testbed.cluster.sim import MS, SECOND, Cluster, agreed, committed
 
 LEASE = "work/list"
 KEY = "list/orders"
--- a/lanelift/lab/cluster/plans.py
+++ b/loadbalancer/testbed/cluster/plans.py
@@ -6,15 +6,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lanelift.lab.cluster import linear
-from lanelift.lab.cluster.checks import Broken
-from lanelift.lab.cluster.clients import GROUPS, KEYS, Client
-from lanelift.lab.cluster.linear import Operation
-from lanelift.lab.cluster.sim import CONFIG, MS, SECOND, Cluster, Node, agreed
-from lanelift.store.commands import Op, OpenSession, Write
-from lanelift.store.raft.core import Config, Core, Role
-from lanelift.store.raft.members import Change
-from lanelift.store.raft.messages import Members
+from loadbalancer.store.commands import Op, OpenSession, Write
+from loadbalancer.store.raft.members import Change
+from loadbalancer.store.raft.messages import Members
+from loadbalancer.store.raft.node import Config, Core, Role
+from loadbalancer.testbed.cluster import linear
+from loadbalancer.testbed.cluster.checks import Broken
+from loadbalancer.testbed.cluster.clients import GROUPS, KEYS, Client
+from loadbalancer.testbed.cluster.linear import Operation
+from loadbalancer.testbed.cluster.sim import CONFIG, MS, SECOND, Cluster, Node, agreed
 
 STORM = 8 * SECOND  # faults for so long
 CALM = 30 * SECOND  # and then all must come right within this
--- a/lanelift/lab/cluster/planted.py
+++ b/loadbalancer/testbed/cluster/planted.py
@@ -6,7 +6,9 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from lanelift.lab.cluster.plans import (
+from loadbalancer.store.raft.messages import Entry, VoteAsk
+from loadbalancer.store.raft.node import Batch, Config, Core
+from loadbalancer.testbed.cluster.plans import (
     Outcome,
     disturbed,
     early_read,
@@ -14,9 +16,7 @@
     play,
     two_majorities,
 )
-from lanelift.lab.cluster.sim import CONFIG, Cluster, Node
-from lanelift.store.raft.core import Batch, Config, Core
-from lanelift.store.raft.messages import Entry, VoteAsk
+from loadbalancer.testbed.cluster.sim import CONFIG, Cluster, Node
 
 
 class NoSyncBeforeVote(Core):
--- a/lanelift/lab/cluster/planted_owners.py
+++ b/loadbalancer/testbed/cluster/planted_owners.py
@@ -9,13 +9,13 @@
 from typing import Any
 from unittest.mock import patch
 
-from lanelift.lab.cluster import owners
-from lanelift.lab.cluster.owners import Box, Owners
-from lanelift.lab.cluster.plans import Outcome
-from lanelift.leases import table
-from lanelift.leases.expiry import Expiry, Running
-from lanelift.leases.fence import Word
-from lanelift.leases.holder import Holder
+from loadbalancer.leases import table
+from loadbalancer.leases.expiry import Expiry, Running
+from loadbalancer.leases.fence import Word
+from loadbalancer.leases.holder import Holder
+from loadbalancer.testbed.cluster import owners
+from loadbalancer.testbed.cluster.owners import Box, Owners
+from loadbalancer.testbed.cluster.plans import Outcome
 
 
 class TimeFromAnswer(Holder):
--- a/lanelift/lab/cluster/real.py
+++ b/loadbalancer/testbed/cluster/real.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lanelift.lab.balancer import free_port
-from lanelift.lab.topology import Unusable
-from lanelift.store import run as running
-from lanelift.store.client import Client, StoreError
-from lanelift.store.settings import StoreSettings, read_store
+from loadbalancer.store import run as running
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.settings import StoreSettings, read_store
+from loadbalancer.testbed.balancer import free_port
+from loadbalancer.testbed.topology import Unusable
 
 READY_S = 15.0
 
@@ -74,7 +74,7 @@
     async def begin(self, member: Member, old: int = 0) -> None:
         """`old`: its program knows formats of the state up to this one; 0: all."""
         log = open(self.folder / f"{member.place}.log", "ab")  # noqa: SIM115 (the child keeps it)
-        module = "lanelift.lab.rig.launcher" if old else "lanelift.cli.main"
+        module = "loadbalancer.testbed.rig.launcher" if old else "loadbalancer.cli.main"
         try:
             member.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -86,7 +86,7 @@
                 str(member.path),
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
-                env={**os.environ, "LANELIFT_LAB_OLD": str(old)},
+                env={**os.environ, "LOADBALANCER_TESTBED_OLD": str(old)},
             )
         finally:
             log.close()
--- a/lanelift/lab/cluster/rowed.py
+++ b/loadbalancer/testbed/cluster/rowed.py
@@ -13,13 +13,21 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lanelift.lab.cluster.checks import Broken
-from lanelift.lab.cluster.plans import CALM, STORM, Outcome, Storm, describe, level, mend
-from lanelift.lab.cluster.sim import MS, SECOND, Cluster, Node, agreed, committed
-from lanelift.store import commands
-from lanelift.store.commands import AnyCommand, Code, Op, OpenSession, Result, RowsWrite, Upgrade
-from lanelift.store.durable.rows import Event
-from lanelift.store.durable.state import State
+from loadbalancer.store import commands
+from loadbalancer.store.commands import (
+    AnyCommand,
+    Code,
+    Op,
+    OpenSession,
+    Result,
+    RowsWrite,
+    Upgrade,
+)
+from loadbalancer.store.durable.rows import Event
+from loadbalancer.store.durable.state import State
+from loadbalancer.testbed.cluster.checks import Broken
+from loadbalancer.testbed.cluster.plans import CALM, STORM, Outcome, Storm, describe, level, mend
+from loadbalancer.testbed.cluster.sim import MS, SECOND, Cluster, Node, agreed, committed
 
 WRITERS = 3
 TRY = 300 * MS
--- a/lanelift/lab/cluster/sim.py
+++ b/loadbalancer/testbed/cluster/sim.py
@@ -12,18 +12,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lanelift.lab.cluster.checks import Broken, Checks
-from lanelift.lab.cluster.disk import Disk, MemoryVault, PowerLost
-from lanelift.store import commands, replica
-from lanelift.store.commands import AnyCommand, Result
-from lanelift.store.durable import journal as journals
-from lanelift.store.durable.journal import Damaged, Full, Journal
-from lanelift.store.durable.state import Event, State
-from lanelift.store.raft.core import Batch, Busy, Config, Core, NotLeader, Role
-from lanelift.store.raft.members import Change, Refused
-from lanelift.store.raft.messages import AnyMessage, Kind, Members, Piece, pack, unpack_message
-from lanelift.store.replica import Boundaries, Identity, Replica
-from lanelift.store.steward import Steward
+from loadbalancer.store import commands, replica
+from loadbalancer.store.commands import AnyCommand, Result
+from loadbalancer.store.durable import journal as journals
+from loadbalancer.store.durable.journal import Damaged, Full, Journal
+from loadbalancer.store.durable.state import Event, State
+from loadbalancer.store.housekeeping import Steward
+from loadbalancer.store.raft.members import Change, Refused
+from loadbalancer.store.raft.messages import AnyMessage, Kind, Members, Piece, pack, unpack_message
+from loadbalancer.store.raft.node import Batch, Busy, Config, Core, NotLeader, Role
+from loadbalancer.store.replica import Boundaries, Identity, Replica
+from loadbalancer.testbed.cluster.checks import Broken, Checks
+from loadbalancer.testbed.cluster.disk import Disk, MemoryVault, PowerLost
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/lanelift/lab/decisions.py
+++ b/loadbalancer/testbed/decisions.py
@@ -14,8 +14,8 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from lanelift import interface as api
-from lanelift.lab.hosts import Maker
+from loadbalancer.policy import api
+from loadbalancer.testbed.hosts import Maker
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/lanelift/lab/experiments.py
+++ b/loadbalancer/testbed/experiments.py
@@ -18,15 +18,15 @@
 import msgspec
 import numpy as np
 
-from lanelift.lab.hosts import Host
-from lanelift.lab.model.faults import schedule
-from lanelift.lab.model.series import SERIES_NS, share
-from lanelift.lab.policies import ByName, policy
-from lanelift.lab.shrinking import shrink
-from lanelift.lab.topology import Fault, Topology, read, source
-from lanelift.lab.virtual import Outcome, World
-from lanelift.settings import Json
-from lanelift.units import Duration, decode
+from loadbalancer.settings import Json
+from loadbalancer.testbed.hosts import Host
+from loadbalancer.testbed.model.faults import schedule
+from loadbalancer.testbed.model.series import SERIES_NS, share
+from loadbalancer.testbed.policies import ByName, policy
+from loadbalancer.testbed.shrinking import shrink
+from loadbalancer.testbed.topology import Fault, Topology, read, source
+from loadbalancer.testbed.virtual import Outcome, World
+from loadbalancer.units import Duration, decode
 
 SECOND = 1_000_000_000
 RESAMPLES = 10_000
--- a/lanelift/lab/feed/books.py
+++ b/loadbalancer/testbed/feed/books.py
@@ -7,8 +7,8 @@
 from bisect import bisect_right
 from dataclasses import dataclass, field
 
-from lanelift.feed.messages import Row
-from lanelift.lab.cluster.checks import Broken
+from loadbalancer.changefeed.messages import Row
+from loadbalancer.testbed.cluster.checks import Broken
 
 Rows = dict[str, Row]
 REFUSED = b"!"  # a value that begins so is one that an older program can't take
--- a/lanelift/lab/feed/herd.py
+++ b/loadbalancer/testbed/feed/herd.py
@@ -1,7 +1,7 @@
 """Many balancers that start at one moment, and those of a node that dies, over real cores in
 virtual time: how long until each has all its rows, and what the nodes send for it. Links don't hold
-anything up. `python -m lanelift.lab.feed.herd BALANCERS SCOPES` prints a line of JSON for each of
-both.
+anything up. `python -m loadbalancer.testbed.feed.herd BALANCERS SCOPES` prints a line of JSON for
+each of both.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from random import Random
 from typing import Any
 
-from lanelift.feed.fanout import Fanout, FanoutLimits
-from lanelift.feed.messages import Row
-from lanelift.feed.subscription import Dial, HangUp, Say, Subscription, SubscriptionLimits
+from loadbalancer.changefeed.fanout import Fanout, FanoutLimits
+from loadbalancer.changefeed.messages import Row
+from loadbalancer.changefeed.subscription import Dial, HangUp, Say, Subscription, SubscriptionLimits
 
 SECOND = 1_000_000_000
 DELAY = 2_000_000  # ns of a word's way
--- a/lanelift/lab/feed/measure.py
+++ b/loadbalancer/testbed/feed/measure.py
@@ -1,6 +1,6 @@
 """What the feed's cores cost, without sockets: processor time of a change by who watches, memory by
-rows and by subscribers. `lanelift lab size feed` gives each series with its slope; each point has
-its own process.
+rows and by subscribers. `loadbalancer lab size feed` gives each series with its slope; each point
+has its own process.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from random import Random
 from statistics import median
 
-from lanelift.feed.fanout import Fanout, FanoutLimits, FeedChange
-from lanelift.feed.messages import Reached, Row, Subscribe, pack
-from lanelift.feed.subscription import Dial, Say, Subscription, SubscriptionLimits
-from lanelift.lab.size.fit import Slope, fit
+from loadbalancer.changefeed.fanout import Fanout, FanoutLimits, FeedChange
+from loadbalancer.changefeed.messages import Reached, Row, Subscribe, pack
+from loadbalancer.changefeed.subscription import Dial, Say, Subscription, SubscriptionLimits
+from loadbalancer.testbed.size.fit import Slope, fit
 
 SECOND = 1_000_000_000
 VALUE = 110  # bytes, as those of an upstream
--- a/lanelift/lab/feed/planted.py
+++ b/loadbalancer/testbed/feed/planted.py
@@ -6,14 +6,14 @@
 from contextlib import contextmanager
 from typing import Any, NamedTuple
 
-from lanelift.feed import digest
-from lanelift.feed.fanout import Fanout
-from lanelift.feed.messages import Patch, Row
-from lanelift.feed.scope import Scope
-from lanelift.feed.subscriber import Subscriber
-from lanelift.feed.subscription import Subscription
-from lanelift.feed.table import ScopeTable, Stage
-from lanelift.lab.feed.sim import Options, Outcome, play
+from loadbalancer.changefeed import digest
+from loadbalancer.changefeed.fanout import Fanout
+from loadbalancer.changefeed.messages import Patch, Row
+from loadbalancer.changefeed.scope import Scope
+from loadbalancer.changefeed.scope_table import ScopeTable, Stage
+from loadbalancer.changefeed.subscriber import Subscriber
+from loadbalancer.changefeed.subscription import Subscription
+from loadbalancer.testbed.feed.sim import Options, Outcome, play
 
 _patch, _rescope, _delta = Subscription._patch, Subscription._rescope, ScopeTable.delta
 _since, _keep, _serve = Scope.since, Scope.keep, Fanout._serve
--- a/lanelift/lab/feed/sim.py
+++ b/loadbalancer/testbed/feed/sim.py
@@ -16,11 +16,18 @@
 
 from msgspec import structs
 
-from lanelift.feed.fanout import BadWord, Fanout, FanoutLimits, FeedChange
-from lanelift.feed.messages import MOST_REFUSALS, Bookmark, Patch, unpack_told
-from lanelift.feed.subscription import Apply, Dial, HangUp, Say, Subscription, SubscriptionLimits
-from lanelift.lab.cluster.checks import Broken
-from lanelift.lab.feed.books import REFUSED, Book, History
+from loadbalancer.changefeed.fanout import BadWord, Fanout, FanoutLimits, FeedChange
+from loadbalancer.changefeed.messages import MOST_REFUSALS, Bookmark, Patch, unpack_told
+from loadbalancer.changefeed.subscription import (
+    Apply,
+    Dial,
+    HangUp,
+    Say,
+    Subscription,
+    SubscriptionLimits,
+)
+from loadbalancer.testbed.cluster.checks import Broken
+from loadbalancer.testbed.feed.books import REFUSED, Book, History
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- a/lanelift/lab/hosts.py
+++ b/loadbalancer/testbed/hosts.py
@@ -14,9 +14,8 @@
 from multiprocessing.connection import Connection
 from typing import Any, Protocol
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.settings import Json, read_settings
+from loadbalancer.policy import Balancer, api
+from loadbalancer.settings import Json, read_settings
 
 Batch = Mapping[int, Sequence[api.Event]]
 Actions = dict[int, list[api.Action]]
--- a/lanelift/lab/ledger.py
+++ b/loadbalancer/testbed/ledger.py
@@ -16,7 +16,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lanelift.lab.topology import Class, Topology, effects
+from loadbalancer.testbed.topology import Class, Topology, effects
 
 SECOND = 1_000_000_000
 MOST_NAMED = 50  # breaches that are named; all are counted
--- a/lanelift/lab/model/box.py
+++ b/loadbalancer/testbed/model/box.py
@@ -19,8 +19,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from lanelift.lab.topology import Fleet, Machine, Rules
-from lanelift.units import Numbers, Times
+from loadbalancer.testbed.topology import Fleet, Machine, Rules
+from loadbalancer.units import Numbers, Times
 
 SECOND = 1_000_000_000
 COLD_STEP_NS = SECOND // 20  # a cold box's speed is set anew so often
--- a/lanelift/lab/model/faults.py
+++ b/loadbalancer/testbed/model/faults.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from lanelift.lab.topology import ON_BALANCERS, ON_BOXES, Fault, FaultKind, Topology
-from lanelift.units import Duration
+from loadbalancer.testbed.topology import ON_BALANCERS, ON_BOXES, Fault, FaultKind, Topology
+from loadbalancer.units import Duration
 
 SECOND = 1_000_000_000
 FLAP_NS = SECOND  # a flapping list changes its mind so often
--- a/lanelift/lab/model/fleet.py
+++ b/loadbalancer/testbed/model/fleet.py
@@ -4,10 +4,10 @@
 
 import random
 
-from lanelift.interface import State
-from lanelift.lab.model.box import Box, Draw, KeyMemory, Nature, draw_nature
-from lanelift.lab.model.registry import Entry
-from lanelift.lab.topology import Topology
+from loadbalancer.policy.api import State
+from loadbalancer.testbed.model.box import Box, Draw, KeyMemory, Nature, draw_nature
+from loadbalancer.testbed.model.registry import Entry
+from loadbalancer.testbed.topology import Topology
 
 
 def zones_of(t: Topology) -> list[str]:
--- a/lanelift/lab/model/registry.py
+++ b/loadbalancer/testbed/model/registry.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from lanelift.interface import State
-from lanelift.lab.model.box import Draw
-from lanelift.lab.topology import Discovery
+from loadbalancer.policy.api import State
+from loadbalancer.testbed.model.box import Draw
+from loadbalancer.testbed.topology import Discovery
 
 STOP_TAKING_NS = 1_000_000_000  # a draining box turns new work away so long after the list says so
 LOG = 4096  # changes that are kept for watches; who asks for older ones gets the whole list
--- a/lanelift/lab/model/series.py
+++ b/loadbalancer/testbed/model/series.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lanelift.lab.ledger import Answer, Try
+from loadbalancer.testbed.ledger import Answer, Try
 
 SECOND = 1_000_000_000
 SERIES_NS = SECOND // 2
--- a/lanelift/lab/model/workload.py
+++ b/loadbalancer/testbed/model/workload.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from lanelift.lab.ledger import Answer
-from lanelift.lab.model.box import Draw
-from lanelift.lab.topology import Class, Topology
+from loadbalancer.testbed.ledger import Answer
+from loadbalancer.testbed.model.box import Draw
+from loadbalancer.testbed.topology import Class, Topology
 
 SECOND = 1_000_000_000
 LEAST_TRY_NS = 20_000_000  # a client with less time left than this does not try again
--- a/lanelift/lab/moduletext.py
+++ b/loadbalancer/testbed/moduletext.py
@@ -12,9 +12,10 @@
 from importlib.machinery import ModuleSpec
 from types import ModuleType
 
-PACKAGE = "lanelift/decide"
-NAME = "lanelift.decide"
+PACKAGE = "loadbalancer/policy"
+NAME = "loadbalancer.policy"
 ROOT = "__init__"
+SHARED = ("api", "rules")  # event and action types have to be this program's own
 
 
 class TextLoader(importlib.abc.MetaPathFinder, importlib.abc.InspectLoader):
@@ -25,6 +26,7 @@
         self.texts = {
             package if name == ROOT else f"{package}.{name}": text.replace(NAME, package)
             for name, text in texts.items()
+            if name not in SHARED
         }
 
     def find_spec(
@@ -45,9 +47,11 @@
     """The package made of these texts, by module name, `__init__` its root, under a name of its
     own.
     """
-    package = f"lanelift_lab_policy_{abs(hash(tuple(sorted(texts.items()))))}"
+    package = f"loadbalancer_lab_policy_{abs(hash(tuple(sorted(texts.items()))))}"
     if package not in sys.modules:
         sys.meta_path.append(TextLoader(package, texts))
+        for name in SHARED:
+            sys.modules[f"{package}.{name}"] = importlib.import_module(f"{NAME}.{name}")
     return importlib.import_module(package)
 
 
--- a/lanelift/lab/policies.py
+++ b/loadbalancer/testbed/policies.py
@@ -9,11 +9,10 @@
 from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.lab import moduletext
-from lanelift.lab.hosts import Maker, Module
-from lanelift.lab.topology import Unusable
+from loadbalancer.policy import Balancer, api
+from loadbalancer.testbed import moduletext
+from loadbalancer.testbed.hosts import Maker, Module
+from loadbalancer.testbed.topology import Unusable
 
 HERE = "here"
 REMEMBERING = "here+memory"  # what an instance learnt outlives its restart
--- a/lanelift/lab/report.py
+++ b/loadbalancer/testbed/report.py
@@ -17,8 +17,8 @@
 from matplotlib.axes import Axes  # noqa: E402
 from matplotlib.figure import Figure  # noqa: E402
 
-from lanelift.lab.model.series import SERIES_NS  # noqa: E402
-from lanelift.settings import Json  # noqa: E402
+from loadbalancer.settings import Json  # noqa: E402
+from loadbalancer.testbed.model.series import SERIES_NS  # noqa: E402
 
 COLOURS = {"good": "#2e7d32", "late": "#f9a825", "refused": "#1565c0", "failed": "#c62828"}
 MOST_LABELLED = 60
@@ -39,7 +39,7 @@
 
 def _faults(axes: Axes, found: Json) -> None:
     """The time of each step, over the plot."""
-    from lanelift.units import duration
+    from loadbalancer.units import duration
 
     top = axes.get_ylim()[1]
     for i, fault in enumerate(found["faults"]):
--- a/lanelift/lab/results.py
+++ b/loadbalancer/testbed/results.py
@@ -19,10 +19,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lanelift.lab import topology as topo
-from lanelift.lab.topology import Topology, Unusable
-from lanelift.lab.virtual import Outcome
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed import topology as topo
+from loadbalancer.testbed.topology import Topology, Unusable
+from loadbalancer.testbed.virtual import Outcome
 
 FORMAT = 1
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
@@ -30,12 +30,12 @@
 
 def versions(policy: str = "here") -> Json:
     modules = sorted(
-        (m for m in resources.files("lanelift.decide").iterdir() if m.name.endswith(".py")),
+        (m for m in resources.files("loadbalancer.policy").iterdir() if m.name.endswith(".py")),
         key=lambda m: m.name,
     )
     text = b"".join(m.read_bytes() for m in modules)
     return {
-        "lanelift": metadata.version("lanelift"),
+        "lanelift": metadata.version("loadbalancer"),
         "module": hashlib.sha256(text).hexdigest()[:16],
         "policy": policy,
         "python": platform.python_version(),
--- a/lanelift/lab/rig/books.py
+++ b/loadbalancer/testbed/rig/books.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from lanelift.leases import table
-from lanelift.leases.table import Lease
-from lanelift.store.client import Client, StoreError
-from lanelift.store.commands import LEASES
-from lanelift.store.wire.protocol import Change
+from loadbalancer.leases import table
+from loadbalancer.leases.table import Lease
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.commands import LEASES
+from loadbalancer.store.wire.protocol import Change
 
 # what stands there is put by who owns that
 WORKS = {"list/": "work/list/", "listed/": "work/list/", "site/": "work/site/"}
--- a/lanelift/lab/rig/cost.py
+++ b/loadbalancer/testbed/rig/cost.py
@@ -11,15 +11,15 @@
 from contextlib import suppress
 from pathlib import Path
 
-from lanelift.lab.cluster.bench import cpu_s, written
-from lanelift.lab.cluster.real import RealCluster
-from lanelift.lab.results import spread
-from lanelift.lab.rig.run import play
-from lanelift.lab.rig.scenario import SECOND, Fault, Moment, Scenario
-from lanelift.settings import Json
-from lanelift.store.client import Client, StoreError
-from lanelift.store.owner import Owner
-from lanelift.units import Duration
+from loadbalancer.settings import Json
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.lease_client import Owner
+from loadbalancer.testbed.cluster.bench import cpu_s, written
+from loadbalancer.testbed.cluster.real import RealCluster
+from loadbalancer.testbed.results import spread
+from loadbalancer.testbed.rig.run import play
+from loadbalancer.testbed.rig.scenario import SECOND, Fault, Moment, Scenario
+from loadbalancer.units import Duration
 
 SETTLE_S = 3.0
 ALL = 10  # up to so many leases each holder is a candidate for all of them, beyond it for one
--- a/lanelift/lab/rig/datagrams.py
+++ b/loadbalancer/testbed/rig/datagrams.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from lanelift.lab.rig.relay import FROM, TO, Fault, Way
+from loadbalancer.testbed.rig.relay import FROM, TO, Fault, Way
 
 HELD_MOST = (
     4096  # datagrams of one direction that a hold keeps; what comes beyond is lost, as in a queue
--- a/lanelift/lab/rig/firsts.py
+++ b/loadbalancer/testbed/rig/firsts.py
@@ -7,9 +7,9 @@
 import asyncio
 import time
 
-from lanelift.lab.results import spread
-from lanelift.lab.rig.world import World
-from lanelift.store.client import Client
+from loadbalancer.store.client import Client
+from loadbalancer.testbed.results import spread
+from loadbalancer.testbed.rig.world import World
 
 PATIENCE_S = 30.0
 AGAIN_S = 0.002
--- a/lanelift/lab/rig/hunt.py
+++ b/loadbalancer/testbed/rig/hunt.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from lanelift.lab.experiments import processes
-from lanelift.lab.rig.run import Result, play
-from lanelift.lab.rig.scenario import SECOND, Fault, Scenario, drawn, parsed, source
-from lanelift.lab.shrinking import shrink
-from lanelift.settings import Json
-from lanelift.units import Duration
+from loadbalancer.settings import Json
+from loadbalancer.testbed.experiments import processes
+from loadbalancer.testbed.rig.run import Result, play
+from loadbalancer.testbed.rig.scenario import SECOND, Fault, Scenario, drawn, parsed, source
+from loadbalancer.testbed.shrinking import shrink
+from loadbalancer.units import Duration
 
 NUMBERS = re.compile(r"[0-9a-f]{6,}|\d+")
 
--- a/lanelift/lab/rig/launcher.py
+++ b/loadbalancer/testbed/rig/launcher.py
@@ -1,12 +1,12 @@
-"""Starts the program with a clock or a disk that is not well: `python -m lanelift.lab.rig.launcher
-WORDS...`.
+"""Starts the program with a clock or a disk that is not well: `python -m
+loadbalancer.testbed.rig.launcher WORDS...`.
 
 The lab's doing and no switch of the product: the standard library's clocks and writes are replaced
-before the program is imported. LANELIFT_LAB_RATE: clocks run so many times as fast. SIGUSR1 turns a
-full disk on and off, SIGUSR2 makes clocks jump on by an hour, SIGQUIT writes down where each task
-stands. LANELIFT_LAB_SYNC_MS: each sync takes so much longer. LANELIFT_LAB_OLD: it knows formats of
-the store's state up to this one: 1 as a program from before there were leases, 2 from before there
-were rows.
+before the program is imported. LOADBALANCER_TESTBED_RATE: clocks run so many times as fast. SIGUSR1
+turns a full disk on and off, SIGUSR2 makes clocks jump on by an hour, SIGQUIT writes down where
+each task stands. LOADBALANCER_TESTBED_SYNC_MS: each sync takes so much longer.
+LOADBALANCER_TESTBED_OLD: it knows formats of the store's state up to this one: 1 as a program from
+before there were leases, 2 from before there were rows.
 """
 
 from __future__ import annotations
@@ -114,8 +114,8 @@
     """What a program of format 1 or 2 said of itself, and could read."""
     import msgspec
 
-    from lanelift.store import commands
-    from lanelift.store.wire import protocol
+    from loadbalancer.store import commands
+    from loadbalancer.store.wire import protocol
 
     commands.FORMAT = newest
     known: Any = commands.Write | commands.OpenSession | commands.CloseSession
@@ -133,19 +133,19 @@
 
 
 def main() -> None:
-    clocks = Clocks(float(os.environ.pop("LANELIFT_LAB_RATE", "1")))
-    disk = Disk(float(os.environ.pop("LANELIFT_LAB_SYNC_MS", "0")))
+    clocks = Clocks(float(os.environ.pop("LOADBALANCER_TESTBED_RATE", "1")))
+    disk = Disk(float(os.environ.pop("LOADBALANCER_TESTBED_SYNC_MS", "0")))
     clocks.install()
     disk.install()
     signal.signal(signal.SIGUSR1, disk.turn)
     signal.signal(signal.SIGUSR2, clocks.jump)
     signal.signal(signal.SIGQUIT, tell_tasks)
-    newest = int(os.environ.pop("LANELIFT_LAB_OLD", "0"))
+    newest = int(os.environ.pop("LOADBALANCER_TESTBED_OLD", "0"))
     if newest:
         grow_old(newest)
-    sys.argv[0] = "lanelift"
+    sys.argv[0] = "loadbalancer"
     # Only now is it imported: it takes its clocks as it finds them.
-    runpy.run_module("lanelift.cli.main", run_name="__main__", alter_sys=True)
+    runpy.run_module("loadbalancer.cli.main", run_name="__main__", alter_sys=True)
 
 
 if __name__ == "__main__":
--- a/lanelift/lab/rig/page.py
+++ b/loadbalancer/testbed/rig/page.py
@@ -7,8 +7,8 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-from lanelift.lab.report import STYLE, image, table
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.report import STYLE, image, table
 
 OWNED, DOWN, FAULT = "#2e7d32", "#c62828", "#f9a825"
 
--- a/lanelift/lab/rig/processes.py
+++ b/loadbalancer/testbed/rig/processes.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lanelift.lab.sockets.conductor import die_with_parent
-from lanelift.lab.topology import Unusable
+from loadbalancer.testbed.sockets.conductor import die_with_parent
+from loadbalancer.testbed.topology import Unusable
 
 READY_S = 20.0
 LEAVE_S = 6.0
@@ -61,15 +61,15 @@
         env = {
             **os.environ,
             "PYTHONFAULTHANDLER": "1",
-            "LANELIFT_LAB_RATE": str(self.rate),
-            "LANELIFT_LAB_SYNC_MS": str(self.sync_ms),
-            "LANELIFT_LAB_OLD": str(int(self.old)),
+            "LOADBALANCER_TESTBED_RATE": str(self.rate),
+            "LOADBALANCER_TESTBED_SYNC_MS": str(self.sync_ms),
+            "LOADBALANCER_TESTBED_OLD": str(int(self.old)),
         }
         self.began = time.monotonic()
         self.child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lanelift.lab.rig.launcher",
+            "loadbalancer.testbed.rig.launcher",
             *self.words,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
--- a/lanelift/lab/rig/relay.py
+++ b/loadbalancer/testbed/rig/relay.py
@@ -20,8 +20,8 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from lanelift.lab.rig.taps import Tap
-from lanelift.lab.silence import silence
+from loadbalancer.testbed.rig.taps import Tap
+from loadbalancer.testbed.silence import silence
 
 QUEUE_MOST = 4 << 20  # bytes that one direction holds; beyond it the sender is not read
 CHUNK = 64 << 10
--- a/lanelift/lab/rig/run.py
+++ b/loadbalancer/testbed/rig/run.py
@@ -18,18 +18,18 @@
 
 import msgspec
 
-from lanelift.lab.results import spread
-from lanelift.lab.rig.books import Books
-from lanelift.lab.rig.firsts import Firsts
-from lanelift.lab.rig.processes import Process
-from lanelift.lab.rig.relay import TO, Relay
-from lanelift.lab.rig.scenario import LINKS, Expected, Fault, Scenario, drawn, quiet, source
-from lanelift.lab.rig.standins import CLASSES, DOOR, Try
-from lanelift.lab.rig.world import SERVICE, World
-from lanelift.lab.rig.writers import CALM_S, Ledger, Writer, digest, judge, look
-from lanelift.lab.topology import Unusable
-from lanelift.settings import Json
-from lanelift.store.client import Client
+from loadbalancer.settings import Json
+from loadbalancer.store.client import Client
+from loadbalancer.testbed.results import spread
+from loadbalancer.testbed.rig.books import Books
+from loadbalancer.testbed.rig.firsts import Firsts
+from loadbalancer.testbed.rig.processes import Process
+from loadbalancer.testbed.rig.relay import TO, Relay
+from loadbalancer.testbed.rig.scenario import LINKS, Expected, Fault, Scenario, drawn, quiet, source
+from loadbalancer.testbed.rig.standins import CLASSES, DOOR, Try
+from loadbalancer.testbed.rig.world import SERVICE, World
+from loadbalancer.testbed.rig.writers import CALM_S, Ledger, Writer, digest, judge, look
+from loadbalancer.testbed.topology import Unusable
 
 LEASE = f"work/list/{SERVICE}"
 STATUS_S = 0.1
@@ -358,7 +358,7 @@
         command = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lanelift.cli.main",
+            "loadbalancer.cli.main",
             *words,
             "--service",
             SERVICE,
@@ -675,5 +675,8 @@
 
 def play(scenario: Scenario, seed: int, faults: Sequence[Fault] | None = None) -> Result:
     """Raises Unusable where the run could not begin."""
-    with tempfile.TemporaryDirectory(prefix="lanelift-rig-") as folder, asyncio.Runner() as runner:
+    with (
+        tempfile.TemporaryDirectory(prefix="loadbalancer-rig-") as folder,
+        asyncio.Runner() as runner,
+    ):
         return runner.run(_played(scenario, seed, Path(folder), faults))
--- a/lanelift/lab/rig/scenario.py
+++ b/loadbalancer/testbed/rig/scenario.py
@@ -29,8 +29,8 @@
 
 import msgspec
 
-from lanelift.lab.topology import Unusable
-from lanelift.units import Duration, convert, read_toml
+from loadbalancer.testbed.topology import Unusable
+from loadbalancer.units import Duration, convert, read_toml
 
 SECOND = 1_000_000_000
 OnLink = Literal["cut", "hold", "refuse", "reset", "delay", "trickle", "lossy"]
@@ -123,7 +123,7 @@
     """An operator's word about a site, by the command that operators use."""
 
     at: Duration
-    words: str  # as after `lanelift site`
+    words: str  # as after `loadbalancer site`
 
 
 class Scenario(Part, frozen=True):
--- a/lanelift/lab/rig/standins.py
+++ b/loadbalancer/testbed/rig/standins.py
@@ -19,8 +19,8 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qs
 
-from lanelift.lab.rig.scenario import Scenario, Tenant
-from lanelift.lab.sockets.fleet import Incoming
+from loadbalancer.testbed.rig.scenario import Scenario, Tenant
+from loadbalancer.testbed.sockets.fleet import Incoming
 
 CLASSES = (("lookup", "GET", 0.6), ("book-delivery", "POST", 0.4))
 DEADLINE_MS = 2000
--- a/lanelift/lab/rig/taps.py
+++ b/loadbalancer/testbed/rig/taps.py
@@ -7,8 +7,8 @@
 import re
 from collections.abc import Iterator
 
-from lanelift.store import commands
-from lanelift.store.commands import (
+from loadbalancer.store import commands
+from loadbalancer.store.commands import (
     Claim,
     CloseSession,
     FencedWrite,
@@ -18,10 +18,10 @@
     Upgrade,
     Write,
 )
-from lanelift.store.raft.messages import unpack_message
-from lanelift.store.wire import protocol
-from lanelift.store.wire.frames import HEAD
-from lanelift.store.wire.protocol import Put
+from loadbalancer.store.raft.messages import unpack_message
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.frames import HEAD
+from loadbalancer.store.wire.protocol import Put
 
 MOST = 16 << 20
 HTTP = re.compile(rb"(?:GET|POST|HEAD|PUT) ([^ ]+) HTTP/1\.1\r\n")
--- a/lanelift/lab/rig/world.py
+++ b/loadbalancer/testbed/rig/world.py
@@ -12,18 +12,18 @@
 from fnmatch import fnmatchcase
 from pathlib import Path
 
-from lanelift.lab.cluster.bench import fill
-from lanelift.lab.cluster.real import RealCluster
-from lanelift.lab.rig.processes import Process
-from lanelift.lab.rig.relay import Relay
-from lanelift.lab.rig.scenario import Scenario
-from lanelift.lab.rig.standins import COLD_FROM, Box, Clients, Discovery, kept_port
-from lanelift.lab.rig.taps import HttpTap, StoreTap, Tap
-from lanelift.lab.topology import Unusable
-from lanelift.store import documents
-from lanelift.store import run as running
-from lanelift.store.client import Client, StoreError
-from lanelift.store.settings import read_store
+from loadbalancer.store import documents
+from loadbalancer.store import run as running
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.settings import read_store
+from loadbalancer.testbed.cluster.bench import fill
+from loadbalancer.testbed.cluster.real import RealCluster
+from loadbalancer.testbed.rig.processes import Process
+from loadbalancer.testbed.rig.relay import Relay
+from loadbalancer.testbed.rig.scenario import Scenario
+from loadbalancer.testbed.rig.standins import COLD_FROM, Box, Clients, Discovery, kept_port
+from loadbalancer.testbed.rig.taps import HttpTap, StoreTap, Tap
+from loadbalancer.testbed.topology import Unusable
 
 SERVICE = "orders"
 READY_S = 20.0
--- a/lanelift/lab/rig/writers.py
+++ b/loadbalancer/testbed/rig/writers.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lanelift.store.client import Client, Conflict, StoreError, Undecided
-from lanelift.store.commands import Op
-from lanelift.store.durable import state as states
-from lanelift.store.durable.vault import STATE
+from loadbalancer.store.client import Client, Conflict, StoreError, Undecided
+from loadbalancer.store.commands import Op
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.state_directory import STATE
 
 PREFIX = "churn/"
 COUNTER = "churn/counter"
--- a/lanelift/lab/scale.py
+++ b/loadbalancer/testbed/scale.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-from lanelift.lab.decisions import cost
-from lanelift.lab.experiments import Task, processes, task, unpacked
-from lanelift.lab.hosts import Host
-from lanelift.lab.model.series import SERIES_NS, Moment, share
-from lanelift.lab.policies import policy
-from lanelift.lab.topology import Fault, Topology
-from lanelift.lab.virtual import World
-from lanelift.settings import Json
-from lanelift.units import Duration, PerSecond
+from loadbalancer.settings import Json
+from loadbalancer.testbed.decisions import cost
+from loadbalancer.testbed.experiments import Task, processes, task, unpacked
+from loadbalancer.testbed.hosts import Host
+from loadbalancer.testbed.model.series import SERIES_NS, Moment, share
+from loadbalancer.testbed.policies import policy
+from loadbalancer.testbed.topology import Fault, Topology
+from loadbalancer.testbed.virtual import World
+from loadbalancer.units import Duration, PerSecond
 
 SECOND = 1_000_000_000
 AT_S = 8  # the fault comes
--- a/lanelift/lab/sites/ceiling.py
+++ b/loadbalancer/testbed/sites/ceiling.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from lanelift.lab.sites.incidents import Hit
-from lanelift.lab.topology import Class
+from loadbalancer.testbed.sites.incidents import Hit
+from loadbalancer.testbed.topology import Class
 
 SECOND = 1_000_000_000
 STEP_NS = SECOND // 10
--- a/lanelift/lab/sites/fleet.py
+++ b/loadbalancer/testbed/sites/fleet.py
@@ -10,14 +10,14 @@
 import random
 from collections import Counter
 
-from lanelift import interface as api
-from lanelift.sites.course import Aim, Course
-from lanelift.sites.evidence import Said
-from lanelift.sites.member import Member, Turn
-from lanelift.sites.orders import Orders
-from lanelift.sites.plan import Place
-from lanelift.sites.planner import ColdBox, Look, Planner, Rules
-from lanelift.sites.words import Row, Told
+from loadbalancer.failover.controller import ColdBox, Look, Planner, Rules
+from loadbalancer.failover.evidence import Said
+from loadbalancer.failover.observer import Member, Turn
+from loadbalancer.failover.plan import Place
+from loadbalancer.failover.site_reports import Row, Told
+from loadbalancer.failover.site_state import Aim, Course
+from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.policy import api
 
 SECOND = 1_000_000_000
 TICK_NS, OWNER_NS = SECOND // 4, 3 * SECOND // 10
--- a/lanelift/lab/sites/measure.py
+++ b/loadbalancer/testbed/sites/measure.py
@@ -15,12 +15,8 @@
 import highspy
 import numpy as np
 
-from lanelift.lab.experiments import processes
-from lanelift.lab.sites.world import Found, Shape, play
-from lanelift.lab.topology import Topology
-from lanelift.sites.evidence import Evidence, State
-from lanelift.sites.orders import FIRST_NS, ROOM_MOST_NS
-from lanelift.sites.plan import (
+from loadbalancer.failover.evidence import Evidence, State
+from loadbalancer.failover.plan import (
     Admission,
     Fleet,
     Kind,
@@ -32,6 +28,10 @@
     table,
     work,
 )
+from loadbalancer.failover.traffic_shares import FIRST_NS, ROOM_MOST_NS
+from loadbalancer.testbed.experiments import processes
+from loadbalancer.testbed.sites.world import Found, Shape, play
+from loadbalancer.testbed.topology import Topology
 
 SECOND = 1_000_000_000
 HOUR_S = 3600.0
--- a/lanelift/lab/sites/page.py
+++ b/loadbalancer/testbed/sites/page.py
@@ -9,9 +9,9 @@
 
 from matplotlib import pyplot as plt
 
-from lanelift.lab.report import STYLE, image
-from lanelift.lab.sites.incidents import INCIDENTS
-from lanelift.lab.sites.world import Found
+from loadbalancer.testbed.report import STYLE, image
+from loadbalancer.testbed.sites.incidents import INCIDENTS
+from loadbalancer.testbed.sites.world import Found
 
 COLOURS = {"none": "#c62828", "plan": "#2e7d32", "nearest": "#f9a825", "equal": "#1565c0"}
 
--- a/lanelift/lab/sites/world.py
+++ b/loadbalancer/testbed/sites/world.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.lab.hosts import Host
-from lanelift.lab.ledger import Root
-from lanelift.lab.model.workload import Want, mean_work
-from lanelift.lab.sites.ceiling import Asked, ceiling
-from lanelift.lab.sites.fleet import COMMIT_NS, OWNER_NS, TICK_NS, SiteFleet
-from lanelift.lab.sites.incidents import AT_S, INCIDENTS, Hit, ends_s
-from lanelift.lab.topology import Topology, settings
-from lanelift.lab.virtual import START_NS, Life, World
-from lanelift.settings import read_settings
-from lanelift.units import Duration, PerSecond
+from loadbalancer.policy import api
+from loadbalancer.settings import read_settings
+from loadbalancer.testbed.hosts import Host
+from loadbalancer.testbed.ledger import Root
+from loadbalancer.testbed.model.workload import Want, mean_work
+from loadbalancer.testbed.sites.ceiling import Asked, ceiling
+from loadbalancer.testbed.sites.fleet import COMMIT_NS, OWNER_NS, TICK_NS, SiteFleet
+from loadbalancer.testbed.sites.incidents import AT_S, INCIDENTS, Hit, ends_s
+from loadbalancer.testbed.topology import Topology, settings
+from loadbalancer.testbed.virtual import START_NS, Life, World
+from loadbalancer.units import Duration, PerSecond
 
 SECOND = 1_000_000_000
 AFTER_S = 16.0  # that a run goes on after the last hit
--- a/lanelift/lab/size/balancer.py
+++ b/loadbalancer/testbed/size/balancer.py
@@ -19,13 +19,12 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.__main__ import Config
-from lanelift.decide import Balancer
-from lanelift.lab.size.fit import LEAST_SIZES, Slope, fit
-from lanelift.lab.topology import Unusable
-from lanelift.net.upstream import Endpoint, number_of
-from lanelift.settings import Json
+from loadbalancer.__main__ import Config
+from loadbalancer.policy import Balancer, api
+from loadbalancer.proxy.upstream import Endpoint, number_of
+from loadbalancer.settings import Json
+from loadbalancer.testbed.size.fit import LEAST_SIZES, Slope, fit
+from loadbalancer.testbed.topology import Unusable
 
 PROBE = Path(__file__).with_name("probe.py")
 LEAST_KB = 64.0  # the system counts pages: less than that is no figure
@@ -147,7 +146,7 @@
 
 def is_compiled(program: Path) -> bool:
     """Is the program in that folder? Raises Unusable where there is none."""
-    if not (program / "lanelift" / "interface.py").is_file():
+    if not (program / "loadbalancer" / "policy" / "api.py").is_file():
         raise Unusable(f"{program}: no program is there")
     found = probed(program, kind="classes", size=1, seconds=0.2, per_s=86)
     return bool(found["compiled"])
--- a/lanelift/lab/size/beside.py
+++ b/loadbalancer/testbed/size/beside.py
@@ -14,12 +14,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lanelift.lab.capacity.measure import WARM_S, Run
-from lanelift.lab.size.balancer import Heard, Series, Told
-from lanelift.lab.size.fit import Slope
-from lanelift.lab.size.process import cpu_s, resident_kb
-from lanelift.lab.topology import Unusable
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.capacity.measure import WARM_S, Run
+from loadbalancer.testbed.size.balancer import Heard, Series, Told
+from loadbalancer.testbed.size.fit import Slope
+from loadbalancer.testbed.size.process import cpu_s, resident_kb
+from loadbalancer.testbed.topology import Unusable
 
 CONNECTIONS = 4  # one a process: one that is never used is closed by the balancer after a while
 LISTENERS = 256  # of one process that plays upstreams
--- a/lanelift/lab/size/capacity.py
+++ b/loadbalancer/testbed/size/capacity.py
@@ -20,10 +20,10 @@
 
 import msgspec
 
-from lanelift.lab.size import fit
-from lanelift.lab.size.fit import Slope
-from lanelift.lab.size.world import Service, Shape, draw
-from lanelift.lab.topology import Unusable
+from loadbalancer.testbed.size import fit
+from loadbalancer.testbed.size.fit import Slope
+from loadbalancer.testbed.size.world import Service, Shape, draw
+from loadbalancer.testbed.topology import Unusable
 
 BEGIN, END = "<!-- figures -->", "<!-- /figures -->"
 WORLD_SEED = 1
--- a/lanelift/lab/size/crowd.py
+++ b/loadbalancer/testbed/size/crowd.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Sequence
 from typing import Generic, TypeVar
 
-from lanelift.settings import split_address
-from lanelift.store.dial import Dial
-from lanelift.store.wire import protocol
-from lanelift.store.wire.frames import HEAD
-from lanelift.store.wire.protocol import (
+from loadbalancer.settings import split_address
+from loadbalancer.store.handshake import Dial
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.frames import HEAD
+from loadbalancer.store.wire.protocol import (
     AnyReply,
     Changes,
     Failed,
--- a/lanelift/lab/size/deciding.py
+++ b/loadbalancer/testbed/size/deciding.py
@@ -10,9 +10,8 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.lab.decisions import SETTINGS, TOOK_NS
+from loadbalancer.policy import Balancer, api
+from loadbalancer.testbed.decisions import SETTINGS, TOOK_NS
 
 
 class Deciding:
--- a/lanelift/lab/size/figures.py
+++ b/loadbalancer/testbed/size/figures.py
@@ -8,10 +8,10 @@
 from collections import Counter
 from collections.abc import Collection, Iterable, Mapping, Sequence
 
-from lanelift.lab.results import spread
-from lanelift.lab.size.parties import Usage
-from lanelift.lab.size.writer import Change
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.results import spread
+from loadbalancer.testbed.size.parties import Usage
+from loadbalancer.testbed.size.writer import Change
 
 MINUTE_S = 60
 Mark = tuple[int, str, int, int]  # balancer, scope, revision, moment in ns
--- a/lanelift/lab/size/fit.py
+++ b/loadbalancer/testbed/size/fit.py
@@ -16,8 +16,8 @@
 import msgspec
 import numpy as np
 
-from lanelift.lab import results
-from lanelift.lab.topology import Unusable
+from loadbalancer.testbed import results
+from loadbalancer.testbed.topology import Unusable
 
 LEAST_SIZES = 4
 DIGITS = 6  # significant ones of a recorded figure
--- a/lanelift/lab/size/fleet.py
+++ b/loadbalancer/testbed/size/fleet.py
@@ -14,16 +14,16 @@
 
 import msgspec
 
-from lanelift.lab.cluster.real import Member, RealCluster
-from lanelift.lab.size.figures import Mark, Marks
-from lanelift.lab.size.hollow import Codec
-from lanelift.lab.size.parties import Party, Usage, usage
-from lanelift.lab.size.world import Balancer, Shape, World, draw
-from lanelift.lab.size.writer import DocumentWriter, RowWriter, Writer
-from lanelift.lab.topology import Unusable
-from lanelift.store.client import Client, StoreError
-
-LINKS = "lanelift.lab.size.links"
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.testbed.cluster.real import Member, RealCluster
+from loadbalancer.testbed.size.figures import Mark, Marks
+from loadbalancer.testbed.size.hollow import Codec
+from loadbalancer.testbed.size.parties import Party, Usage, usage
+from loadbalancer.testbed.size.world import Balancer, Shape, World, draw
+from loadbalancer.testbed.size.writer import DocumentWriter, RowWriter, Writer
+from loadbalancer.testbed.topology import Unusable
+
+LINKS = "loadbalancer.testbed.size.links"
 POLL_S = 0.05
 COUNTED = ("sent_words", "encoded", "resumes", "snapshots", "later")  # of a node's feed
 
--- a/lanelift/lab/size/hollow.py
+++ b/loadbalancer/testbed/size/hollow.py
@@ -20,15 +20,15 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.feed.messages import GLOBAL, SERVICE, Row
-from lanelift.feed.subscription import Apply, SubscriptionLimits
-from lanelift.lab.size.deciding import Deciding
-from lanelift.net.upstream import Endpoint
-from lanelift.settings import Json
-from lanelift.store.client import Client, StoreError
-from lanelift.store.feedclient import FeedClient
-from lanelift.store.wire.protocol import Row as StoreRow
+from loadbalancer.changefeed.messages import GLOBAL, SERVICE, Row
+from loadbalancer.changefeed.subscription import Apply, SubscriptionLimits
+from loadbalancer.policy import api
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.settings import Json
+from loadbalancer.store.changefeed_client import FeedClient
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.wire.protocol import Row as StoreRow
+from loadbalancer.testbed.size.deciding import Deciding
 
 AGAIN_S = 0.2
 MASK = (1 << 64) - 1  # sums of seals are taken modulo this
--- a/lanelift/lab/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -12,19 +12,19 @@
 from types import SimpleNamespace
 from typing import Any, Protocol, cast
 
-from lanelift import interface as api
-from lanelift.__main__ import Parts
-from lanelift.lab.rig.world import unchecked
-from lanelift.lab.size.crowd import Crowd
-from lanelift.lab.size.series import Series
-from lanelift.lab.size.storecommits import real
-from lanelift.lab.size.storenode import Heard, used
-from lanelift.net.disabled import DisabledUpstreams
-from lanelift.net.siblings import Siblings
-from lanelift.net.upstream import Endpoint
-from lanelift.store import documents
-from lanelift.store.client import Client
-from lanelift.store.owner import Owner
+from loadbalancer.__main__ import Parts
+from loadbalancer.policy import api
+from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store import documents
+from loadbalancer.store.client import Client
+from loadbalancer.store.lease_client import Owner
+from loadbalancer.testbed.rig.world import unchecked
+from loadbalancer.testbed.size.crowd import Crowd
+from loadbalancer.testbed.size.series import Series
+from loadbalancer.testbed.size.storecommits import real
+from loadbalancer.testbed.size.storenode import Heard, used
 
 NAMED_S = 60.0
 SETTLE_S = 6.0  # after all names are held: works are owned by then, and first words said
--- a/lanelift/lab/size/links.py
+++ b/loadbalancer/testbed/size/links.py
@@ -1,5 +1,6 @@
 """A process of relays: the links of balancers to nodes and of nodes among each other, with the
-bytes of each balancer counted on the way. `python -m lanelift.lab.size.links`, under a fleet.
+bytes of each balancer counted on the way. `python -m loadbalancer.testbed.size.links`, under a
+fleet.
 
 Counted is what the program sends, without the headers of TCP and IP and without TLS.
 """
@@ -15,12 +16,12 @@
 
 import msgspec
 
-from lanelift.lab.rig.relay import Relay
-from lanelift.lab.rig.taps import Tap
-from lanelift.lab.size.parties import serve
-from lanelift.settings import Json
-from lanelift.store.wire import protocol
-from lanelift.store.wire.frames import HEAD
+from loadbalancer.settings import Json
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.frames import HEAD
+from loadbalancer.testbed.rig.relay import Relay
+from loadbalancer.testbed.rig.taps import Tap
+from loadbalancer.testbed.size.parties import serve
 
 
 @dataclass
--- a/lanelift/lab/size/page.py
+++ b/loadbalancer/testbed/size/page.py
@@ -10,8 +10,8 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-from lanelift.lab.report import STYLE, image
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.report import STYLE, image
 
 FORCE_S, BYTES_S, CPU, READY_S = 4.0, 4096.0, 0.017, 10.0  # what the users allow
 COLUMNS = (
@@ -82,7 +82,7 @@
 
 
 def page(runs: Sequence[Json]) -> bytes:
-    """Results of `lanelift lab size fleet`, of any sizes, as one HTML page."""
+    """Results of `loadbalancer lab size fleet`, of any sizes, as one HTML page."""
     figure, parts = plt.subplots(1, 3, figsize=(15, 5), layout="constrained")
     _plot(
         parts[0], runs, lambda p: float(p["in_force"]["most_s"]), FORCE_S, "in force on the last, s"
--- a/lanelift/lab/size/parties.py
+++ b/loadbalancer/testbed/size/parties.py
@@ -16,10 +16,10 @@
 
 import uvloop
 
-from lanelift.lab.size.process import cpu_s, resident_kb
-from lanelift.lab.sockets.conductor import die_with_parent
-from lanelift.lab.topology import Unusable
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.size.process import cpu_s, resident_kb
+from loadbalancer.testbed.sockets.conductor import die_with_parent
+from loadbalancer.testbed.topology import Unusable
 
 ANSWER_S = 120.0  # a party that has not answered by then ends the run
 LINE_MOST = 64 << 20
--- a/lanelift/lab/size/phases.py
+++ b/loadbalancer/testbed/size/phases.py
@@ -11,11 +11,11 @@
 from collections.abc import Awaitable, Callable, Collection, Sequence
 from dataclasses import asdict, dataclass, field
 
-from lanelift.lab.results import spread
-from lanelift.lab.size.figures import gained, in_force, part, traffic, used
-from lanelift.lab.size.fleet import Fleet, Group
-from lanelift.lab.size.writer import Change, stepped
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.results import spread
+from loadbalancer.testbed.size.figures import gained, in_force, part, traffic, used
+from loadbalancer.testbed.size.fleet import Fleet, Group
+from loadbalancer.testbed.size.writer import Change, stepped
 
 STEPS = 3  # changes of a restart
 A_DAY = 13_000 * STEPS / 86_400 / 44_000  # changes a second of one upstream
--- a/lanelift/lab/size/plot.py
+++ b/loadbalancer/testbed/size/plot.py
@@ -14,7 +14,7 @@
 
 from matplotlib import pyplot as plt  # noqa: E402
 
-from lanelift.lab.size.fit import Slope  # noqa: E402
+from loadbalancer.testbed.size.fit import Slope  # noqa: E402
 
 COLUMNS = 3
 
--- a/lanelift/lab/size/probe.py
+++ b/loadbalancer/testbed/size/probe.py
@@ -21,10 +21,10 @@
 from itertools import accumulate
 from pathlib import Path
 
-from lanelift import decide
-from lanelift import interface as api
-from lanelift.net import upstream
-from lanelift.net.body import Store
+from loadbalancer import policy
+from loadbalancer.policy import api
+from loadbalancer.proxy import upstream
+from loadbalancer.proxy.body_stream import Store
 
 SECOND = 1_000_000_000
 START = 1_000 * SECOND
@@ -68,7 +68,7 @@
 def upstreams(count: int, first: int = 0) -> list[api.Upstream]:
     """With ids as large as the program's."""
     return [
-        api.Upstream(decide.mixed(first + i, 77), api.State.READY, f"zone-{i % ZONES}")
+        api.Upstream(policy.mixed(first + i, 77), api.State.READY, f"zone-{i % ZONES}")
         for i in range(count)
     ]
 
@@ -86,7 +86,7 @@
     `keys`: each request has one of its own.
     """
 
-    def __init__(self, balancer: decide.Balancer, given: api.Settings, keys: bool = False) -> None:
+    def __init__(self, balancer: policy.Balancer, given: api.Settings, keys: bool = False) -> None:
         self.balancer = balancer
         self.keys = keys
         self.met: set[int] = set()  # upstreams that were sent to
@@ -138,7 +138,7 @@
 
 
 def played(
-    balancer: decide.Balancer, given: api.Settings, seconds: float, per_s: float, keys: bool = False
+    balancer: policy.Balancer, given: api.Settings, seconds: float, per_s: float, keys: bool = False
 ) -> Figures:
     """What the events of so many seconds cost, and how many upstreams were sent to."""
     day = Day(balancer, given, keys)
@@ -188,7 +188,7 @@
     list beside the module, where connections are kept.
     """
     given = settings(tenants=10, classes=classes, pools=pools, balancers=balancers)
-    balancer = decide.Balancer(given, 7, START)
+    balancer = policy.Balancer(given, 7, START)
     before = resident_kb()
     listed = upstreams(size)
     first = api.ListUpdate(api.ListKind.FULL, listed)
@@ -223,7 +223,7 @@
     """
     before = resident_kb()
     given = settings(tenants=size) if kind == "tenants" else settings(tenants=10, classes=size)
-    balancer = decide.Balancer(given, 7, START)
+    balancer = policy.Balancer(given, 7, START)
     kept = resident_kb() - before
     balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(64))])
     gc.freeze()
@@ -241,7 +241,7 @@
     began = time.thread_time_ns()
     days = []
     for i, count in enumerate(sizes):
-        balancer = decide.Balancer(given, i, START)
+        balancer = policy.Balancer(given, i, START)
         balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(count, 100_000 * i))])
         days.append(Day(balancer, given))
     spent = (time.thread_time_ns() - began) / 1000
@@ -273,7 +273,7 @@
 def main() -> None:
     asked = json.loads(sys.argv[1])
     found = KINDS[asked.pop("kind")](**asked)
-    module = sys.modules[decide.Balancer.__module__]  # a package, or one module in an older program
+    module = sys.modules[policy.Balancer.__module__]  # a package, or one module in an older program
     print(json.dumps({**found, "compiled": float(str(module.__file__).endswith(".so"))}))
 
 
--- a/lanelift/lab/size/series.py
+++ b/loadbalancer/testbed/size/series.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from lanelift.lab.size.fit import Slope, fit
+from loadbalancer.testbed.size.fit import Slope, fit
 
 
 @dataclass(slots=True)
--- a/lanelift/lab/size/sessions.py
+++ b/loadbalancer/testbed/size/sessions.py
@@ -7,11 +7,11 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from lanelift.lab.size.series import Series
-from lanelift.lab.size.storenode import ROW, Heard
-from lanelift.store.commands import Code, Op, OpenSession, Write, pack
-from lanelift.store.durable import state as states
-from lanelift.store.raft.messages import Entry, Kind, Members
+from loadbalancer.store.commands import Code, Op, OpenSession, Write, pack
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.raft.messages import Entry, Kind, Members
+from loadbalancer.testbed.size.series import Series
+from loadbalancer.testbed.size.storenode import ROW, Heard
 
 ROUNDS = 3
 
--- a/lanelift/lab/size/storecommits.py
+++ b/loadbalancer/testbed/size/storecommits.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lanelift.lab.cluster.real import Member, RealCluster
-from lanelift.lab.size.process import written_bytes
-from lanelift.lab.size.series import Series
-from lanelift.lab.size.storenode import ROW, Heard, fill_rows, pid, used
-from lanelift.lab.topology import Unusable
-from lanelift.store.client import Client, StoreError
-from lanelift.store.commands import Claim, Op
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.commands import Claim, Op
+from loadbalancer.testbed.cluster.real import Member, RealCluster
+from loadbalancer.testbed.size.process import written_bytes
+from loadbalancer.testbed.size.series import Series
+from loadbalancer.testbed.size.storenode import ROW, Heard, fill_rows, pid, used
+from loadbalancer.testbed.topology import Unusable
 
 NODES = 3
 CLIENTS = 16  # connections that writers share
--- a/lanelift/lab/size/storefeed.py
+++ b/loadbalancer/testbed/size/storefeed.py
@@ -11,17 +11,25 @@
 from collections.abc import Callable, Sequence
 from pathlib import Path
 
-from lanelift.feed.messages import Bookmark, Later, Patch, Reached, Subscribe, pack, unpack_told
-from lanelift.lab.cluster.real import RealCluster
-from lanelift.lab.size.crowd import PATIENCE_S, Hearer, Hearers
-from lanelift.lab.size.process import Meter, memory_mb
-from lanelift.lab.size.series import Series
-from lanelift.lab.size.storenode import ROW, SETTLE_S, Heard, Watched, one_node, pid
-from lanelift.lab.topology import Unusable
-from lanelift.store.client import Client, StoreError
-from lanelift.store.commands import MOST_OPS, Op
-from lanelift.store.wire import protocol
-from lanelift.store.wire.protocol import AnyReply, Fed, Feed, Welcome
+from loadbalancer.changefeed.messages import (
+    Bookmark,
+    Later,
+    Patch,
+    Reached,
+    Subscribe,
+    pack,
+    unpack_told,
+)
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.commands import MOST_OPS, Op
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.protocol import AnyReply, Fed, Feed, Welcome
+from loadbalancer.testbed.cluster.real import RealCluster
+from loadbalancer.testbed.size.crowd import PATIENCE_S, Hearer, Hearers
+from loadbalancer.testbed.size.process import Meter, memory_mb
+from loadbalancer.testbed.size.series import Series
+from loadbalancer.testbed.size.storenode import ROW, SETTLE_S, Heard, Watched, one_node, pid
+from loadbalancer.testbed.topology import Unusable
 
 SERVICES = 2_900  # over which rows are spread
 SCOPES = 100  # that each subscriber has, where nothing else is said
--- a/lanelift/lab/size/storenode.py
+++ b/loadbalancer/testbed/size/storenode.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable, Sequence
 from pathlib import Path
 
-from lanelift.lab.cluster.real import Member, RealCluster
-from lanelift.lab.size.crowd import Crowd
-from lanelift.lab.size.process import Meter, cpu_s, memory_mb
-from lanelift.lab.size.series import Series
-from lanelift.store.client import Client
-from lanelift.store.commands import MOST_OPS, Op
-from lanelift.store.durable.vault import OUTGOING, STATE
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import MOST_OPS, Op
+from loadbalancer.store.durable.state_directory import OUTGOING, STATE
+from loadbalancer.testbed.cluster.real import Member, RealCluster
+from loadbalancer.testbed.size.crowd import Crowd
+from loadbalancer.testbed.size.process import Meter, cpu_s, memory_mb
+from loadbalancer.testbed.size.series import Series
 
 ROW = b"r" * 100  # bytes of a value, of the size of an upstream's row
 PREFIX = "rows/orders/"
--- a/lanelift/lab/size/world.py
+++ b/loadbalancer/testbed/size/world.py
@@ -19,7 +19,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from lanelift.lab.topology import Unusable
+from loadbalancer.testbed.topology import Unusable
 
 LEAST = 3  # balancers of a service: one is lost, one is being replaced, one is left
 LEAST_UPSTREAMS = 2  # of a service
--- a/lanelift/lab/size/writer.py
+++ b/loadbalancer/testbed/size/writer.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field, replace
 from typing import TypeVar
 
-from lanelift import interface as api
-from lanelift.feed import messages as feed
-from lanelift.lab.size.hollow import MASK, PROBE, Codec, seal
-from lanelift.lab.size.world import GLOBALS, Service, Upstream, World
-from lanelift.net.upstream import Endpoint, number_of
-from lanelift.store.client import Client
-from lanelift.store.commands import Op, Result
-from lanelift.wallclock import unix_ms
+from loadbalancer.changefeed import messages as feed
+from loadbalancer.policy import api
+from loadbalancer.proxy.upstream import Endpoint, number_of
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import Op, Result
+from loadbalancer.testbed.size.hollow import MASK, PROBE, Codec, seal
+from loadbalancer.testbed.size.world import GLOBALS, Service, Upstream, World
+from loadbalancer.wallclock import unix_ms
 
 T = TypeVar("T")
 OPS = 256  # of a write
--- a/lanelift/lab/soak/balancers.py
+++ b/loadbalancer/testbed/soak/balancers.py
@@ -10,11 +10,11 @@
 import time
 from pathlib import Path
 
-from lanelift.lab.soak.discovery import Discovery
-from lanelift.lab.soak.history import History, Process
-from lanelift.lab.soak.ports import free_port
-from lanelift.lab.soak.shim import Control
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.soak.discovery import Discovery
+from loadbalancer.testbed.soak.history import History, Process
+from loadbalancer.testbed.soak.ports import free_port
+from loadbalancer.testbed.soak.shim import Control
 
 READY_S, TAKE_OVER_S = 30.0, 6.0
 KILL_S = 3.8  # a SIGKILL comes no earlier behind SIGTERM
@@ -144,7 +144,7 @@
             sys.executable,
             "-P",
             "-m",
-            "lanelift",
+            "loadbalancer",
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
             env=environ,
--- a/lanelift/lab/soak/checker.py
+++ b/loadbalancer/testbed/soak/checker.py
@@ -14,7 +14,16 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lanelift.lab.soak.history import Asked, Attempt, Call, Change, End, History, Kind, Process
+from loadbalancer.testbed.soak.history import (
+    Asked,
+    Attempt,
+    Call,
+    Change,
+    End,
+    History,
+    Kind,
+    Process,
+)
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # How far a moment read here may be off: readings of two sockets, and the kernel's ticks of 4 ms.
--- a/lanelift/lab/soak/clients.py
+++ b/loadbalancer/testbed/soak/clients.py
@@ -9,7 +9,7 @@
 import time
 from dataclasses import dataclass
 
-from lanelift.lab.soak.history import Asked, End, History, Kind
+from loadbalancer.testbed.soak.history import Asked, End, History, Kind
 
 SECOND, MS = 1_000_000_000, 1_000_000
 KEPT_MOST = 6  # connections that rest for the next request
--- a/lanelift/lab/soak/discovery.py
+++ b/loadbalancer/testbed/soak/discovery.py
@@ -8,9 +8,9 @@
 from typing import cast
 from urllib.parse import parse_qs
 
-from lanelift.lab.soak.history import Call, History
-from lanelift.lab.soak.ports import free_port
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.soak.history import Call, History
+from loadbalancer.testbed.soak.ports import free_port
 
 
 class Discovery:
--- a/lanelift/lab/soak/run.py
+++ b/loadbalancer/testbed/soak/run.py
@@ -12,16 +12,16 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lanelift.lab.soak import shim
-from lanelift.lab.soak.balancers import READY_S, TAKE_OVER_S, Balancer, Running
-from lanelift.lab.soak.checker import Breach, Checker
-from lanelift.lab.soak.clients import Clients
-from lanelift.lab.soak.discovery import Discovery
-from lanelift.lab.soak.history import Change, Disabled, History
-from lanelift.lab.soak.troubles import Event, Trouble, schedule
-from lanelift.lab.soak.upstreams import Mood, Upstream
-from lanelift.lab.topology import Unusable
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.soak import shim
+from loadbalancer.testbed.soak.balancers import READY_S, TAKE_OVER_S, Balancer, Running
+from loadbalancer.testbed.soak.checker import Breach, Checker
+from loadbalancer.testbed.soak.clients import Clients
+from loadbalancer.testbed.soak.discovery import Discovery
+from loadbalancer.testbed.soak.history import Change, Disabled, History
+from loadbalancer.testbed.soak.troubles import Event, Trouble, schedule
+from loadbalancer.testbed.soak.upstreams import Mood, Upstream
+from loadbalancer.testbed.topology import Unusable
 
 SECOND, MS = 1_000_000_000, 1_000_000
 GRACE_NS, WINDOW_NS = 500 * MS, 2 * SECOND
@@ -398,7 +398,7 @@
 
 async def play(plan: Plan) -> Verdict:
     """Raises Unusable where balancers do not start."""
-    folder = Path(tempfile.mkdtemp(prefix="lanelift-soak-"))
+    folder = Path(tempfile.mkdtemp(prefix="loadbalancer-soak-"))
     try:
         return await Soak(plan, folder).play()
     finally:
--- a/lanelift/lab/soak/shim.py
+++ b/loadbalancer/testbed/soak/shim.py
@@ -21,7 +21,7 @@
     if compiler is None:
         return None
     source, made = folder / "shim.c", folder / "shim.so"
-    source.write_bytes(resources.files("lanelift.lab.soak").joinpath("shim.c").read_bytes())
+    source.write_bytes(resources.files("loadbalancer.testbed.soak").joinpath("shim.c").read_bytes())
     subprocess.run(
         [compiler, "-O2", "-shared", "-fPIC", "-o", str(made), str(source), "-ldl"], check=True
     )
--- a/lanelift/lab/soak/upstreams.py
+++ b/loadbalancer/testbed/soak/upstreams.py
@@ -9,9 +9,9 @@
 from enum import Enum
 from typing import cast
 
-from lanelift.lab.soak.history import Attempt, History
-from lanelift.lab.soak.ports import free_port
-from lanelift.net.kernel import Socket, received
+from loadbalancer.proxy.tcp_state import Socket, received
+from loadbalancer.testbed.soak.history import Attempt, History
+from loadbalancer.testbed.soak.ports import free_port
 
 HEAD_END = b"\r\n\r\n"
 NOT_RUN = b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
