--- a/lanelift/lab/sockets/conductor.py
+++ b/loadbalancer/testbed/sockets/conductor.py
@@ -24,17 +24,17 @@
 
 import msgspec
 
-from lanelift.lab import results
-from lanelift.lab import topology as topo
-from lanelift.lab.balancer import environment, prepare
-from lanelift.lab.model.faults import Step, schedule, steps
-from lanelift.lab.model.series import SERIES_NS, TAIL_NS
-from lanelift.lab.model.workload import Workload, quotas
-from lanelift.lab.sockets.facts import Books, Writer
-from lanelift.lab.topology import Topology, Unusable
-from lanelift.lab.virtual import Outcome
-from lanelift.settings import Json
-from lanelift.units import Duration
+from loadbalancer.settings import Json
+from loadbalancer.testbed import results
+from loadbalancer.testbed import topology as topo
+from loadbalancer.testbed.balancer import environment, prepare
+from loadbalancer.testbed.model.faults import Step, schedule, steps
+from loadbalancer.testbed.model.series import SERIES_NS, TAIL_NS
+from loadbalancer.testbed.model.workload import Workload, quotas
+from loadbalancer.testbed.sockets.facts import Books, Writer
+from loadbalancer.testbed.topology import Topology, Unusable
+from loadbalancer.testbed.virtual import Outcome
+from loadbalancer.units import Duration
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -134,7 +134,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            f"lanelift.lab.sockets.{kind}",
+            f"loadbalancer.testbed.sockets.{kind}",
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             limit=1 << 24,
@@ -206,7 +206,7 @@
         real.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lanelift",
+            "loadbalancer",
             stdout=log,
             stderr=log,
             start_new_session=True,
@@ -464,7 +464,7 @@
     with the lab's own lag, and `void` where that was too much. Raises Unusable; an interrupt leaves
     nothing behind.
     """
-    with tempfile.TemporaryDirectory(prefix="lanelift-lab-") as folder:
+    with tempfile.TemporaryDirectory(prefix="loadbalancer-lab-") as folder:
 
         async def play() -> Json:
             task = asyncio.current_task()
--- a/lanelift/lab/sockets/facts.py
+++ b/loadbalancer/testbed/sockets/facts.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from lanelift.lab.ledger import Answer, Ledger, Root, Rule
-from lanelift.lab.model.series import Series
-from lanelift.lab.topology import Topology
+from loadbalancer.testbed.ledger import Answer, Ledger, Root, Rule
+from loadbalancer.testbed.model.series import Series
+from loadbalancer.testbed.topology import Topology
 
 HORIZON_NS = 8_000_000_000  # a fact stands in its file at most this far from its place
 LENGTH = struct.Struct(">I")
--- a/lanelift/lab/sockets/fleet.py
+++ b/loadbalancer/testbed/sockets/fleet.py
@@ -15,15 +15,15 @@
 
 import httptools
 
-from lanelift.interface import State
-from lanelift.lab.model.box import Box, Draw, Job, Verdict
-from lanelift.lab.model.fleet import build_fleet, entry_of, zones_of
-from lanelift.lab.model.registry import STOP_TAKING_NS, Entry, Registry
-from lanelift.lab.model.series import TAIL_NS
-from lanelift.lab.silence import silence
-from lanelift.lab.sockets.party import Party, main, say
-from lanelift.lab.topology import zone_of
-from lanelift.settings import Json
+from loadbalancer.policy.api import State
+from loadbalancer.settings import Json
+from loadbalancer.testbed.model.box import Box, Draw, Job, Verdict
+from loadbalancer.testbed.model.fleet import build_fleet, entry_of, zones_of
+from loadbalancer.testbed.model.registry import STOP_TAKING_NS, Entry, Registry
+from loadbalancer.testbed.model.series import TAIL_NS
+from loadbalancer.testbed.silence import silence
+from loadbalancer.testbed.sockets.party import Party, main, say
+from loadbalancer.testbed.topology import zone_of
 
 MS = 1_000_000
 STATES = {State.READY: "Ready", State.DRAINING: "Terminating", State.GONE: "Gone"}
--- a/lanelift/lab/sockets/load.py
+++ b/loadbalancer/testbed/sockets/load.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from lanelift.lab.ledger import Answer
-from lanelift.lab.model.workload import Want, Workload
-from lanelift.lab.sockets.party import Party, main, say
-from lanelift.lab.topology import zone_of
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed.ledger import Answer
+from loadbalancer.testbed.model.workload import Want, Workload
+from loadbalancer.testbed.sockets.party import Party, main, say
+from loadbalancer.testbed.topology import zone_of
 
 MS = 1_000_000
 CONNECT_S = 1.0
--- a/lanelift/lab/sockets/party.py
+++ b/loadbalancer/testbed/sockets/party.py
@@ -18,10 +18,10 @@
 from pathlib import Path
 from typing import Any
 
-from lanelift.lab import topology
-from lanelift.lab.sockets.facts import Lag, Writer
-from lanelift.lab.topology import Topology
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed import topology
+from loadbalancer.testbed.sockets.facts import Lag, Writer
+from loadbalancer.testbed.topology import Topology
 
 TELL_S = 0.5
 
--- a/lanelift/lab/topology.py
+++ b/loadbalancer/testbed/topology.py
@@ -13,9 +13,18 @@
 
 import msgspec
 
-from lanelift import interface as api
-from lanelift.settings import Json, write_class
-from lanelift.units import Duration, Numbers, PerSecond, Times, convert, duration, repeated, written
+from loadbalancer.policy import api
+from loadbalancer.settings import Json, write_class
+from loadbalancer.units import (
+    Duration,
+    Numbers,
+    PerSecond,
+    Times,
+    convert,
+    duration,
+    repeated,
+    written,
+)
 
 MS = 1_000_000
 SEND_CAP, COPIES = 4, 2  # attempts of a request in all, and at once
@@ -281,7 +290,7 @@
     """The topologies that come with the package."""
     return sorted(
         entry.name.removesuffix(".toml")
-        for entry in resources.files("lanelift.lab").joinpath("worlds").iterdir()
+        for entry in resources.files("loadbalancer.testbed").joinpath("worlds").iterdir()
         if entry.name.endswith(".toml")
     )
 
@@ -294,7 +303,7 @@
     path = Path(name)
     if name in bundled():
         text = (
-            resources.files("lanelift.lab")
+            resources.files("loadbalancer.testbed")
             .joinpath("worlds", f"{name}.toml")
             .read_text(encoding="utf-8")
         )
@@ -355,7 +364,7 @@
 
 def settings(t: Topology, me: int, quotas: dict[str, float]) -> Json:
     """The settings object that balancer `me` is given, in the platform's form (see
-    `lanelift.settings`).
+    `loadbalancer.settings`).
     """
     return {
         "me": me,
--- a/lanelift/lab/virtual.py
+++ b/loadbalancer/testbed/virtual.py
@@ -13,18 +13,18 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from lanelift import interface as api
-from lanelift.lab import topology as topo
-from lanelift.lab.hosts import Batch, Crashed, Host
-from lanelift.lab.ledger import Answer, Judgement, Ledger, Root, Try
-from lanelift.lab.model.box import Box, Draw, Job, Verdict
-from lanelift.lab.model.faults import Step, schedule, steps
-from lanelift.lab.model.fleet import build_fleet, entry_of, zones_of
-from lanelift.lab.model.registry import STOP_TAKING_NS, Entry, Registry
-from lanelift.lab.model.series import SERIES_NS, TAIL_NS, Moment, Series
-from lanelift.lab.model.workload import Want, Workload, quotas
-from lanelift.lab.topology import Fault, Topology
-from lanelift.settings import Json
+from loadbalancer.policy import api
+from loadbalancer.settings import Json
+from loadbalancer.testbed import topology as topo
+from loadbalancer.testbed.hosts import Batch, Crashed, Host
+from loadbalancer.testbed.ledger import Answer, Judgement, Ledger, Root, Try
+from loadbalancer.testbed.model.box import Box, Draw, Job, Verdict
+from loadbalancer.testbed.model.faults import Step, schedule, steps
+from loadbalancer.testbed.model.fleet import build_fleet, entry_of, zones_of
+from loadbalancer.testbed.model.registry import STOP_TAKING_NS, Entry, Registry
+from loadbalancer.testbed.model.series import SERIES_NS, TAIL_NS, Moment, Series
+from loadbalancer.testbed.model.workload import Want, Workload, quotas
+from loadbalancer.testbed.topology import Fault, Topology
 
 SECOND = 1_000_000_000
 START_NS = 10 * SECOND  # the clock begins here, so that 0 can stand for long ago
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -8,8 +8,7 @@
 
 from collections.abc import Iterable
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
+from loadbalancer.policy import Balancer, api
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -10,7 +10,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 
-from lanelift.store.security import Tls
+from loadbalancer.store.security import Tls
 
 DAY = datetime.timedelta(days=1)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from lanelift import __main__ as program
-from lanelift.decide import Balancer
-from lanelift.net import driver
-from lanelift.net.frontend import Frontend
+from loadbalancer import __main__ as program
+from loadbalancer.policy import Balancer
+from loadbalancer.proxy import policy_driver
+from loadbalancer.proxy.frontend import Frontend
 from tests.fakes import Heard
 
 pytest_plugins = ["tests.known_red"]
@@ -19,7 +19,7 @@
 def heard(monkeypatch: pytest.MonkeyPatch) -> Heard:
     """The events that the module of each balancer started from here on is handed."""
     heard = Heard()
-    monkeypatch.setattr(driver, "Balancer", heard.listen(Balancer))
+    monkeypatch.setattr(policy_driver, "Balancer", heard.listen(Balancer))
     return heard
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -16,11 +16,10 @@
 
 import uvloop
 
-from lanelift import interface as api
-from lanelift.__main__ import Config, serve
-from lanelift.decide import Balancer
-from lanelift.net.listener import listening_socket
-from lanelift.settings import Json
+from loadbalancer.__main__ import Config, serve
+from loadbalancer.policy import Balancer, api
+from loadbalancer.proxy.listener import listening_socket
+from loadbalancer.settings import Json
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/recordings/policy_runs.py
+++ b/tests/recordings/policy_runs.py
@@ -14,9 +14,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.wirehost import WRITE
+from loadbalancer.policy import Balancer, api
+from loadbalancer.sim_adapter import WRITE
 
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
--- a/tests/recordings/simulations.py
+++ b/tests/recordings/simulations.py
@@ -14,12 +14,12 @@
 from enum import Enum
 from typing import Any
 
-from lanelift.lab import topology
-from lanelift.lab.cluster import owners, plans, rowed
-from lanelift.lab.feed import sim as feed
-from lanelift.lab.hosts import Host
-from lanelift.lab.sites import world as sites
-from lanelift.lab.virtual import World
+from loadbalancer.testbed import topology
+from loadbalancer.testbed.cluster import owners, plans, rowed
+from loadbalancer.testbed.feed import sim as feed
+from loadbalancer.testbed.hosts import Host
+from loadbalancer.testbed.sites import world as sites
+from loadbalancer.testbed.virtual import World
 
 
 def figures(value: Any) -> Any:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,11 +16,11 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from lanelift import interface as api
-from lanelift.net import frontend, phases
-from lanelift.net.body import HIGH, Body, Store
-from lanelift.net.parse import MAX_BODY, RequestReader, ResponseReader
-from lanelift.net.phases import Phase
+from loadbalancer.policy import api
+from loadbalancer.proxy import connection_phase, frontend
+from loadbalancer.proxy.body_stream import HIGH, Body, Store
+from loadbalancer.proxy.connection_phase import Phase
+from loadbalancer.proxy.parse import MAX_BODY, RequestReader, ResponseReader
 from tests.fakes import SETTINGS, Client, Heard, free_port, read_message, run, world
 
 LONG = bytes(range(256)) * 1200  # 300 KiB
@@ -342,7 +342,7 @@
 
     async def test() -> None:
         monkeypatch.setattr(
-            frontend, "LIMIT_S", {**phases.LIMIT_S, Phase.NEW: 0.4, Phase.BODY: 0.4}
+            frontend, "LIMIT_S", {**connection_phase.LIMIT_S, Phase.NEW: 0.4, Phase.BODY: 0.4}
         )
         async with raw_world(handle) as w:
             stops, slow = await w.client(), await w.client()
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from lanelift.decide import balancer as decide
-from lanelift.net import calls
-from lanelift.net.calls import Call, Calls, End
+from loadbalancer.policy import balancer as decide
+from loadbalancer.proxy import discovery_watch
+from loadbalancer.proxy.discovery_watch import Call, Calls, End
 from tests.fakes import SECOND
 
 FLEETS = 1, 6, 30, 200
@@ -99,8 +99,11 @@
             end_s, end = {
                 "turned away": (now + 0.004, End.REFUSED),
                 "broken": (now + 0.004, End.REFUSED),
-                "never connected": (now + calls.CALL_S, End.REFUSED),
-                "silent": (now + (calls.CALL_S if ask.wait_s is None else ask.wait_s), End.SILENT),
+                "never connected": (now + discovery_watch.CALL_S, End.REFUSED),
+                "silent": (
+                    now + (discovery_watch.CALL_S if ask.wait_s is None else ask.wait_s),
+                    End.SILENT,
+                ),
                 "unread": (now + 0.02, End.UNREAD),
             }[self.trouble]
         elif self.free_s - now > LINE_S:
@@ -134,7 +137,8 @@
             ask = caller.calls.ask(begun_s)
             assert ask.call is Call.HOLD and ask.wait_s is not None
             caller.term_s = max(
-                silent_s + calls.TERM_S, begun_s + ask.hold_ms / 1000 + calls.HOLD_TERM_S
+                silent_s + discovery_watch.TERM_S,
+                begun_s + ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S,
             )
             self.at(begun_s + ask.wait_s, partial(self.ended, caller, End.SILENT))
         return self.latest()
@@ -150,7 +154,8 @@
             ask = caller.calls.ask(begun_s)
             assert ask.wait_s is not None
             caller.term_s = max(
-                silent_s + calls.TERM_S, begun_s + ask.hold_ms / 1000 + calls.HOLD_TERM_S
+                silent_s + discovery_watch.TERM_S,
+                begun_s + ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S,
             )
             self.at(max(silent_s, begun_s + ask.wait_s), partial(self.ended, caller, End.SILENT))
         return self.latest()
@@ -168,7 +173,7 @@
         moment.
         """
         for caller in self.callers:
-            caller.term_s = self.back_s + calls.TERM_S
+            caller.term_s = self.back_s + discovery_watch.TERM_S
             self.at(0.2 * caller.rng.random(), partial(self.call, caller))
         return self.latest()
 
@@ -250,8 +255,8 @@
 ENDS = {
     "answered": (End.ANSWERED, 0.9),
     "turned away": (End.REFUSED, 0.004),
-    "never connected": (End.REFUSED, calls.CALL_S),
-    "silent again": (End.SILENT, calls.CHECK_S),
+    "never connected": (End.REFUSED, discovery_watch.CALL_S),
+    "silent again": (End.SILENT, discovery_watch.CHECK_S),
     "unread": (End.UNREAD, 0.9),
     "lost": (End.LOST, 0.01),
 }
@@ -270,15 +275,15 @@
         watch.next, watch.known = watched, True
         ask = watch.ask(0.0)
         assert ask.wait_s is not None
-        term_s = max(calls.TERM_S, ask.hold_ms / 1000 + calls.HOLD_TERM_S)
+        term_s = max(discovery_watch.TERM_S, ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S)
         now = ask.wait_s
         pause_s = watch.ended(End.SILENT, now)
         for end, took_s in (ENDS[name] for name in order):
             assert watch.term_s == term_s
             if pause_s is None:
-                assert now > term_s + calls.RECOVER_S
+                assert now > term_s + discovery_watch.RECOVER_S
                 pause_s = watch.again()
-            assert pause_s <= watch.pace.recheck_s or now > term_s + calls.RECOVER_S
+            assert pause_s <= watch.pace.recheck_s or now > term_s + discovery_watch.RECOVER_S
             now += pause_s
             ask = watch.ask(now)
             assert ask.hold_ms == 0  # a hold would keep what was missed, if nothing was
@@ -297,7 +302,9 @@
     watch.next = Call.HOLD
     watch.ask(5.0)
     watch.ended(End.SILENT, 10.0)
-    assert watch.term_s == max(calls.TERM_S, ask.hold_ms / 1000 + calls.HOLD_TERM_S)
+    assert watch.term_s == max(
+        discovery_watch.TERM_S, ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S
+    )
 
 
 @pytest.mark.parametrize("balancers", FLEETS)
@@ -308,5 +315,5 @@
             watch.next = call
             ask = watch.ask(0.0)
             assert ask.wait_s is not None
-            term_s = max(calls.TERM_S, ask.hold_ms / 1000 + calls.HOLD_TERM_S)
+            term_s = max(discovery_watch.TERM_S, ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S)
             assert ask.wait_s + 1.0 <= term_s + 1e-9
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from lanelift.lab.size import capacity, fit
-from lanelift.lab.size.capacity import Figure, Sheet
-from lanelift.lab.topology import Unusable
+from loadbalancer.testbed.size import capacity, fit
+from loadbalancer.testbed.size.capacity import Figure, Sheet
+from loadbalancer.testbed.topology import Unusable
 
 DOCS = Path(__file__).parent.parent / "docs"
 LINE = fit.fit([(1, 12), (2, 14), (4, 18), (8, 26)], name="thing", unit="us", per="upstreams")
@@ -118,4 +118,4 @@
 
 
 def test_the_page_stands_as_the_recorded_slopes_give_it() -> None:
-    assert capacity.recompute(DOCS, write=False), "run `lanelift lab size page --write`"
+    assert capacity.recompute(DOCS, write=False), "run `loadbalancer lab size page --write`"
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from lanelift.lab import topology
-from lanelift.lab.hosts import Host
-from lanelift.lab.policies import policy
-from lanelift.lab.virtual import Life, Sent, World
+from loadbalancer.testbed import topology
+from loadbalancer.testbed.hosts import Host
+from loadbalancer.testbed.policies import policy
+from loadbalancer.testbed.virtual import Life, Sent, World
 
 RELEASE = "fault=[{kind='rolling_restart', at='2s', lasts='5s', part=0.5, size=0.2}]"
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""`lanelift serve`: the operators' settings, a fixed list, and a platform's process that stays
+"""`loadbalancer serve`: the operators' settings, a fixed list, and a platform's process that stays
 lean.
 """
 
@@ -14,8 +14,8 @@
 
 import pytest
 
-from lanelift.daemon.settings import read_file
-from lanelift.settings import Malformed
+from loadbalancer.daemon.settings import read_file
+from loadbalancer.settings import Malformed
 from tests.fakes import Client, FakeDiscovery, FakeUpstream, free_port, run
 
 EXAMPLE = (Path(__file__).parent.parent / "deploy" / "example.toml").read_text()
@@ -53,7 +53,7 @@
     words = [
         sys.executable,
         "-m",
-        "lanelift.cli.main",
+        "loadbalancer.cli.main",
         "serve",
         "--settings",
         str(tmp_path / "none.toml"),
@@ -82,7 +82,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lanelift.cli.main",
+            "loadbalancer.cli.main",
             "serve",
             "--settings",
             str(path),
@@ -135,7 +135,7 @@
 def test_the_platforms_process_loads_nothing_of_the_larger_program(tmp_path: Path) -> None:
     """Memory there is short: what `run` does not need must not be in it."""
     code = (
-        "import sys, asyncio, lanelift.__main__ as m\n"
+        "import sys, asyncio, loadbalancer.__main__ as m\n"
         "real = asyncio.Runner.run\n"
         "def run(self, main):\n"
         "    async def once():\n"
@@ -166,8 +166,8 @@
         check=True,
     )
     loaded = set(done.stdout.split())
-    assert "lanelift.net.frontend" in loaded
-    mine = {name for name in loaded if name.startswith("lanelift.")}
+    assert "loadbalancer.proxy.frontend" in loaded
+    mine = {name for name in loaded if name.startswith("loadbalancer.")}
     assert not [
         m
         for m in mine
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -15,15 +15,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelift import interface as api
-from lanelift.net.attempt import OutgoingAttempt
-from lanelift.net.body import Body, Store
-from lanelift.net.denials import Denials
-from lanelift.net.frontend import Frontend
-from lanelift.net.http import Connection, Exchange
-from lanelift.net.parse import Response
-from lanelift.net.requests import OpenRequest
-from lanelift.rules import ALLOWED, Denied, Verdict
+from loadbalancer.policy import api
+from loadbalancer.policy.rules import ALLOWED, Denied, Verdict
+from loadbalancer.proxy.attempt import OutgoingAttempt
+from loadbalancer.proxy.body_stream import Body, Store
+from loadbalancer.proxy.frontend import Frontend
+from loadbalancer.proxy.http import Connection, Exchange
+from loadbalancer.proxy.parse import Response
+from loadbalancer.proxy.policy_violations import Denials
+from loadbalancer.proxy.requests import OpenRequest
 from tests.fakes import (
     MS,
     SECOND,
@@ -257,7 +257,7 @@
         request, number, limits, Denials(), lambda r: None, timeout_ns, now_ns + timeout_ns, 0
     )
     clock = now_ns + connect_ms * MS
-    with mock.patch("lanelift.net.attempt.time.monotonic_ns", lambda: clock):
+    with mock.patch("loadbalancer.proxy.attempt.time.monotonic_ns", lambda: clock):
         data = attempt.begin(ALLOWED)
         if isinstance(data, Denied):
             return
--- a/tests/test_errnos.py
+++ b/tests/test_errnos.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from lanelift import interface as api
+from loadbalancer.policy import api
 from tests.fakes import SECOND, SETTINGS, Heard, World, run, world
 
 HERE = ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "EMFILE", "ENFILE", "ENETUNREACH", "EAGAIN"]
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -12,9 +12,9 @@
 import pytest
 from msgspec import json, structs
 
-from lanelift.feed import digest, messages
-from lanelift.feed.fanout import BadWord, Fanout, FanoutLimits, FeedChange, Send
-from lanelift.feed.messages import (
+from loadbalancer.changefeed import digest, messages
+from loadbalancer.changefeed.fanout import BadWord, Fanout, FanoutLimits, FeedChange, Send
+from loadbalancer.changefeed.messages import (
     Behind,
     Bookmark,
     Later,
@@ -25,9 +25,9 @@
     Row,
     Subscribe,
 )
-from lanelift.feed.pacing import Slots, TokenBucket
-from lanelift.feed.status import FeedStatus
-from lanelift.feed.subscription import (
+from loadbalancer.changefeed.snapshot_rate import Slots, TokenBucket
+from loadbalancer.changefeed.status import FeedStatus
+from loadbalancer.changefeed.subscription import (
     Action,
     Apply,
     Dial,
--- a/tests/test_feed_daemon.py
+++ b/tests/test_feed_daemon.py
@@ -17,31 +17,39 @@
 import msgspec
 import pytest
 
-from lanelift import interface as api
-from lanelift.__main__ import Parts
-from lanelift.daemon import listing, roller, rows
-from lanelift.daemon.boot import read_boot
-from lanelift.daemon.keeper import Keeper
-from lanelift.daemon.listing import FleetList
-from lanelift.daemon.reach import Reach
-from lanelift.daemon.roller import Ages, look
-from lanelift.daemon.rowlist import RowWriter, StoredList
-from lanelift.daemon.rows import Keys, ListRow, ServiceRow, UpstreamRow, check, differences, pack
-from lanelift.feed.messages import MOST_ROW, Row, split
-from lanelift.feed.subscription import Apply
-from lanelift.lab.cluster.real import RealCluster
-from lanelift.leases.fence import Word
-from lanelift.net import calls
-from lanelift.net.disabled import DisabledUpstreams
-from lanelift.net.discovery import Discovery, read_endpoint
-from lanelift.net.siblings import Siblings
-from lanelift.net.upstream import Endpoint, number_of
-from lanelift.settings import Json, Malformed
-from lanelift.store import run as running
-from lanelift.store.client import Client, Rejected
-from lanelift.store.commands import MOST_OPS, Op, Release, Result
-from lanelift.store.owner import clock_ns
-from lanelift.store.settings import read_store
+from loadbalancer.__main__ import Parts
+from loadbalancer.changefeed.messages import MOST_ROW, Row, split
+from loadbalancer.changefeed.subscription import Apply
+from loadbalancer.daemon import endpoint_publisher, rolling_restart_controller, row_codec
+from loadbalancer.daemon.address_map import Reach
+from loadbalancer.daemon.bootstrap import read_boot
+from loadbalancer.daemon.endpoint_publisher import FleetList
+from loadbalancer.daemon.endpoint_rows import RowWriter, StoredList
+from loadbalancer.daemon.rolling_restart_controller import Ages, look
+from loadbalancer.daemon.row_codec import (
+    Keys,
+    ListRow,
+    ServiceRow,
+    UpstreamRow,
+    check,
+    differences,
+    pack,
+)
+from loadbalancer.daemon.state_sync import Keeper
+from loadbalancer.leases.fence import Word
+from loadbalancer.policy import api
+from loadbalancer.proxy import discovery_watch
+from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.discovery import Discovery, read_endpoint
+from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.upstream import Endpoint, number_of
+from loadbalancer.settings import Json, Malformed
+from loadbalancer.store import run as running
+from loadbalancer.store.client import Client, Rejected
+from loadbalancer.store.commands import MOST_OPS, Op, Release, Result
+from loadbalancer.store.lease_client import clock_ns
+from loadbalancer.store.settings import read_store
+from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import FakeDiscovery, FakeUpstream, Watched, free_port, run
 from tests.test_store_daemon import FakeDriver, answered, until
 from tests.test_store_node import Cluster, cluster
@@ -69,12 +77,16 @@
 
 def test_a_row_holds_what_discovery_told_and_is_the_same_each_time() -> None:
     box = upstream(state="Terminating", weight=0.35)
-    value = rows.packed(box)
-    assert rows.endpoint_of(rows.unpack_upstream(value)) == box
-    assert {rows.packed(upstream(state="Terminating", weight=0.35)) for _ in range(100)} == {value}
-    assert rows.unpack_upstream(value).started_ms == BOX["started_ms"]
+    value = row_codec.packed(box)
+    assert row_codec.endpoint_of(row_codec.unpack_upstream(value)) == box
+    assert {row_codec.packed(upstream(state="Terminating", weight=0.35)) for _ in range(100)} == {
+        value
+    }
+    assert row_codec.unpack_upstream(value).started_ms == BOX["started_ms"]
     assert (
-        rows.endpoint_of(rows.unpack_upstream(rows.packed(upstream(started_ms=0)))).entry.started_ns
+        row_codec.endpoint_of(
+            row_codec.unpack_upstream(row_codec.packed(upstream(started_ms=0)))
+        ).entry.started_ns
         == 0
     )
     key = KEYS.upstream(box.entry.id)
@@ -102,10 +114,10 @@
 
 
 def test_a_later_programs_row_is_taken_where_what_is_known_of_it_reads() -> None:
-    value = pack((*msgspec.msgpack.decode(rows.packed(upstream())), "rack-9"))
+    value = pack((*msgspec.msgpack.decode(row_codec.packed(upstream())), "rack-9"))
     key = f"upstream/{number_of('box-7'):016x}"
     assert check(SCOPE, Row(key, 1, value)) == ""
-    assert rows.endpoint_of(rows.unpack_upstream(value)) == upstream()
+    assert row_codec.endpoint_of(row_codec.unpack_upstream(value)) == upstream()
     assert check(SCOPE, Row("service/orders", 1, pack(ServiceRow("orders")))) == ""
     assert check(SCOPE, Row("list/orders", 1, pack(ListRow(1, 2, 3, "a", 4)))) == ""
     assert check(SCOPE, Row(key, 2, None)) == ""
@@ -121,7 +133,7 @@
 )
 def test_an_upstream_that_can_be_no_row_is_one_line(bad: Endpoint) -> None:
     with pytest.raises(Malformed, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
-        rows.packed(bad)
+        row_codec.packed(bad)
 
 
 # ---- which are written ---------------------------------------------------------------------------
@@ -169,7 +181,7 @@
             if op.value is not None:
                 stored[op.key] = 1, op.value
     assert {key: value for key, (_, value) in stored.items()} == wanted
-    assert api.State.GONE is rows.gone(7).entry.state
+    assert api.State.GONE is row_codec.gone(7).entry.state
 
 
 # ---- balancers over a store ----------------------------------------------------------------------
@@ -272,7 +284,7 @@
         Row(
             split(KEYS.upstream(e.entry.id))[1],
             1,
-            rows.packed(e) if e.entry.state is not api.State.GONE else None,
+            row_codec.packed(e) if e.entry.state is not api.State.GONE else None,
         )
         for e in listed
     ]
@@ -354,20 +366,20 @@
             self.revision = told.revision
             for change in told.changes:
                 if change.key == KEYS.list and change.value is not None:
-                    self.token = rows.unpack_list(change.value).token
+                    self.token = row_codec.unpack_list(change.value).token
                 if change.key.startswith(KEYS.upstreams):
                     self.writes[change.revision] = self.writes.get(change.revision, 0) + 1
                     number = int(change.key.removeprefix(KEYS.upstreams), 16)
                     if change.value is None:
                         del self.rows[number]
                     else:
-                        self.rows[number] = rows.unpack_upstream(change.value)
+                        self.rows[number] = row_codec.unpack_upstream(change.value)
             if holds():
                 return
 
     async def are(self, *wanted: Json) -> None:
         """Wait until just these stand."""
-        now = {e.entry.id: rows.row_of(e) for e in map(read_endpoint, wanted)}
+        now = {e.entry.id: row_codec.row_of(e) for e in map(read_endpoint, wanted)}
         await self.until(lambda: self.rows == now)
 
 
@@ -392,7 +404,14 @@
             await stored.are(*discovery.rows)
             lists, writes = len(two.driver.lists), len(stored.writes)
             client, looks = c.client(), StoredList(c.client(), "orders")
-            assert len((await look(client, roller.Keys("orders"), Ages(), looks))[3].boxes) == 40
+            assert (
+                len(
+                    (await look(client, rolling_restart_controller.Keys("orders"), Ages(), looks))[
+                        3
+                    ].boxes
+                )
+                == 40
+            )
             discovery.change(box("s-7", "Terminating"))
             await two.knows(*discovery.rows)
             discovery.change(box("s-8", "Gone"), box("s-new"))
@@ -405,7 +424,7 @@
                 e.entry.id: e.entry.state for e in went[1]
             } == {number_of("s-8"): api.State.GONE, number_of("s-new"): api.State.READY}
             # Whoever only looks sees the same; there is no document.
-            view = (await look(client, roller.Keys("orders"), Ages(), looks))[3]
+            view = (await look(client, rolling_restart_controller.Keys("orders"), Ages(), looks))[3]
             assert {n: b.ready for n, b in view.boxes.items()} == {
                 n: state is api.State.READY for n, state in two.known.items()
             }
@@ -433,10 +452,10 @@
             for bank in (one, two):
                 await bank.close()
 
-    monkeypatch.setattr(listing, "BEAT_S", 0.05)
-    monkeypatch.setattr(calls, "HOLD_MS", 50)
-    monkeypatch.setattr(calls, "HOLD_LEAST_MS", 50)
-    monkeypatch.setattr(calls, "SPREAD_EACH_MS", 0)
+    monkeypatch.setattr(endpoint_publisher, "BEAT_S", 0.05)
+    monkeypatch.setattr(discovery_watch, "HOLD_MS", 50)
+    monkeypatch.setattr(discovery_watch, "HOLD_LEAST_MS", 50)
+    monkeypatch.setattr(discovery_watch, "SPREAD_EACH_MS", 0)
     run(test())
 
 
@@ -697,7 +716,7 @@
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lanelift.cli.main",
+            "loadbalancer.cli.main",
             "serve",
             "--settings",
             str(path),
--- a/tests/test_feed_fuzz.py
+++ b/tests/test_feed_fuzz.py
@@ -8,14 +8,14 @@
 import pytest
 from typer.testing import CliRunner
 
-from lanelift.cli.main import application
-from lanelift.feed.fanout import FanoutLimits
-from lanelift.lab.cluster.checks import Broken
-from lanelift.lab.feed.books import REFUSED, Book, History
-from lanelift.lab.feed.herd import Herd
-from lanelift.lab.feed.planted import PLANTS, catch, played
-from lanelift.lab.feed.sim import Options, play
-from lanelift.lab.topology import Unusable
+from loadbalancer.changefeed.fanout import FanoutLimits
+from loadbalancer.cli.main import application
+from loadbalancer.testbed.cluster.checks import Broken
+from loadbalancer.testbed.feed.books import REFUSED, Book, History
+from loadbalancer.testbed.feed.herd import Herd
+from loadbalancer.testbed.feed.planted import PLANTS, catch, played
+from loadbalancer.testbed.feed.sim import Options, play
+from loadbalancer.testbed.topology import Unusable
 
 SEEDS = 40
 WITHIN = 12  # seeds, of those that the true program passes above, each bug shows
--- a/tests/test_feed_rollout.py
+++ b/tests/test_feed_rollout.py
@@ -1,4 +1,4 @@
-"""On how many balancers a revision is in force, as operators see it: `lanelift feed status` and
+"""On how many balancers a revision is in force, as operators see it: `loadbalancer feed status` and
 `wait`.
 """
 
@@ -13,12 +13,12 @@
 import pytest
 from typer.testing import CliRunner, Result
 
-from lanelift.cli.main import application
-from lanelift.feed.messages import Refusal
-from lanelift.feed.status import FeedStatus, Laggard, Refused
-from lanelift.store.commands import Op
-from lanelift.store.metrics import Collector
-from lanelift.store.rollout import add_up
+from loadbalancer.changefeed.messages import Refusal
+from loadbalancer.changefeed.status import FeedStatus, Laggard, Refused
+from loadbalancer.cli.main import application
+from loadbalancer.store.commands import Op
+from loadbalancer.store.feed_progress import add_up
+from loadbalancer.store.metrics import Collector
 from tests.test_feed_store import ORDERS, Balancer, feed_of, key, leave, put
 from tests.test_store_node import Cluster, cluster, run
 
--- a/tests/test_feed_store.py
+++ b/tests/test_feed_store.py
@@ -13,21 +13,21 @@
 
 import pytest
 
-from lanelift.feed.fanout import Send
-from lanelift.feed.messages import Row
-from lanelift.feed.subscription import Apply, SubscriptionLimits
-from lanelift.lab.cluster.real import RealCluster
-from lanelift.settings import Malformed
-from lanelift.store import feeding, server
-from lanelift.store import run as running
-from lanelift.store.client import Client, Rejected, Unavailable, Undecided
-from lanelift.store.commands import Op
-from lanelift.store.durable import state as states
-from lanelift.store.feedclient import FeedClient
-from lanelift.store.security import Tls
-from lanelift.store.server import Connection
-from lanelift.store.wire import protocol
-from lanelift.store.wire.protocol import Feed, Hello
+from loadbalancer.changefeed.fanout import Send
+from loadbalancer.changefeed.messages import Row
+from loadbalancer.changefeed.subscription import Apply, SubscriptionLimits
+from loadbalancer.settings import Malformed
+from loadbalancer.store import changefeed_server, server
+from loadbalancer.store import run as running
+from loadbalancer.store.changefeed_client import FeedClient
+from loadbalancer.store.client import Client, Rejected, Unavailable, Undecided
+from loadbalancer.store.commands import Op
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.security import Tls
+from loadbalancer.store.server import Connection
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.protocol import Feed, Hello
+from loadbalancer.testbed.cluster.real import RealCluster
 from tests.certificates import Authority
 from tests.fakes import Watched
 from tests.test_store_node import Cluster, cluster, greeted, run
@@ -409,7 +409,7 @@
 def test_a_node_that_is_cut_off_sends_balancers_elsewhere_and_claims_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(feeding, "LEADERLESS_MS", 300)
+    monkeypatch.setattr(changefeed_server, "LEADERLESS_MS", 300)
 
     async def test() -> None:
         async with cluster(tmp_path, extra='[feed]\nbookmark = "100ms"') as c:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,9 +10,8 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.decide.pool import KEYS
+from loadbalancer.policy import Balancer, api
+from loadbalancer.policy.pool import KEYS
 from tests.bench import Desk, settings
 from tests.fakes import MS, SECOND
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.net import frontend, parse, phases
-from lanelift.net.budget import RESERVE
-from lanelift.net.kernel import received
-from lanelift.net.phases import Phase
+from loadbalancer.policy import api
+from loadbalancer.proxy import connection_phase, frontend, parse
+from loadbalancer.proxy.connection_phase import Phase
+from loadbalancer.proxy.resource_limits import RESERVE
+from loadbalancer.proxy.tcp_state import received
 from tests.fakes import (
     CLASSES,
     SECOND,
@@ -205,7 +205,9 @@
 def test_at_the_cap_an_idle_client_is_left_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "KEPT_S", 1000.0)
     monkeypatch.setattr(frontend, "SILENT_S", 0.0)
-    monkeypatch.setitem(phases.LIMIT_S, Phase.NEW, 0.1)  # the last newcomer is driven out by nobody
+    monkeypatch.setitem(
+        connection_phase.LIMIT_S, Phase.NEW, 0.1
+    )  # the last newcomer is driven out by nobody
 
     async def test() -> None:
         async with world(sockets=RESERVE + 2 * 2) as w:
@@ -301,8 +303,8 @@
 def test_a_request_that_does_not_come_in_time_ends_its_connection(
     monkeypatch: pytest.MonkeyPatch, part: bytes, status: int | None, used: bool
 ) -> None:
-    monkeypatch.setitem(phases.LIMIT_S, Phase.NEW, 0.2)
-    monkeypatch.setitem(phases.LIMIT_S, Phase.IDLE, 0.3)
+    monkeypatch.setitem(connection_phase.LIMIT_S, Phase.NEW, 0.2)
+    monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, 0.3)
 
     async def test() -> None:
         async with world() as w:
@@ -373,7 +375,7 @@
 def test_a_client_that_does_not_read_gets_no_more_answers_piled_up(
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    monkeypatch.setitem(phases.LIMIT_S, Phase.IDLE, 0.5)
+    monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
         async with world() as w:
@@ -440,7 +442,9 @@
                 while received(sock)[1] < 30_000_000:  # the kernel counts in ticks
                     await asyncio.sleep(0)
                 for client in table:
-                    table[client] -= 2.0 if end == "made room" else phases.LIMIT_S[Phase.IDLE]
+                    table[client] -= (
+                        2.0 if end == "made room" else connection_phase.LIMIT_S[Phase.IDLE]
+                    )
                 used.send(raw_request(start="GET /quote HTTP/1.1").replace(b"pay", b"quote"))
                 if end == "drained":
                     front._stop()
--- a/tests/test_lab_measures.py
+++ b/tests/test_lab_measures.py
@@ -11,20 +11,22 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.lab import experiments, topology
-from lanelift.lab.capacity.blast import Clients
-from lanelift.lab.decisions import Drive
-from lanelift.lab.hosts import Host
-from lanelift.lab.policies import policy
-from lanelift.lab.virtual import World
+from loadbalancer.policy import api
+from loadbalancer.testbed import experiments, topology
+from loadbalancer.testbed.capacity.blast import Clients
+from loadbalancer.testbed.decisions import Drive
+from loadbalancer.testbed.hosts import Host
+from loadbalancer.testbed.policies import policy
+from loadbalancer.testbed.virtual import World
 
-CORPUS = sorted(resources.files("lanelift.lab").joinpath("corpus").iterdir(), key=lambda p: p.name)
+CORPUS = sorted(
+    resources.files("loadbalancer.testbed").joinpath("corpus").iterdir(), key=lambda p: p.name
+)
 
 
 def test_clients_count_what_they_asked_in_a_closed_and_in_an_open_loop() -> None:
     with subprocess.Popen(
-        [sys.executable, "-m", "lanelift.lab.capacity.blast", "answer", "2"],
+        [sys.executable, "-m", "loadbalancer.testbed.capacity.blast", "answer", "2"],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
@@ -44,7 +46,7 @@
 
 def test_clients_say_that_a_connection_was_closed() -> None:
     with subprocess.Popen(
-        [sys.executable, "-m", "lanelift.lab.capacity.blast", "answer", "1"],
+        [sys.executable, "-m", "loadbalancer.testbed.capacity.blast", "answer", "1"],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
@@ -85,11 +87,11 @@
 
 @pytest.mark.parametrize("name", [p.name for p in CORPUS])
 def test_what_a_hunt_found_breaks_no_rule_and_is_borne_better_than_by_the_book(name: str) -> None:
-    found = json.loads(resources.files("lanelift.lab").joinpath("corpus", name).read_text())
+    found = json.loads(resources.files("loadbalancer.testbed").joinpath("corpus", name).read_text())
     t = topology.read(found["topology"], name)
     faults = experiments.faults_from(found["faults"])
     ours, book = (
         World(t, found["seed"], Host(policy(p)), faults).run().judgement
         for p in ("here", "two-choices")
     )
-    assert not ours.broken and ours.whole > book.whole, f"lanelift lab replay {name}"
+    assert not ours.broken and ours.whole > book.whole, f"loadbalancer lab replay {name}"
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -8,14 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelift.interface import State
-from lanelift.lab import topology
-from lanelift.lab.ledger import Answer
-from lanelift.lab.model.box import Box, Job, KeyMemory, Nature, Verdict
-from lanelift.lab.model.registry import Entry, Registry
-from lanelift.lab.model.workload import Workload
-from lanelift.lab.topology import Discovery, Rules
-from lanelift.units import Duration, Times
+from loadbalancer.policy.api import State
+from loadbalancer.testbed import topology
+from loadbalancer.testbed.ledger import Answer
+from loadbalancer.testbed.model.box import Box, Job, KeyMemory, Nature, Verdict
+from loadbalancer.testbed.model.registry import Entry, Registry
+from loadbalancer.testbed.model.workload import Workload
+from loadbalancer.testbed.topology import Discovery, Rules
+from loadbalancer.units import Duration, Times
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from lanelift.lab import experiments, results, topology
-from lanelift.lab.hosts import Host, SpreadHost
-from lanelift.lab.ledger import Answer, Ledger, Rule
-from lanelift.lab.policies import policy
-from lanelift.lab.shrinking import shrink
-from lanelift.lab.topology import Fault, Topology
-from lanelift.lab.virtual import World
-from lanelift.units import Duration, duration
+from loadbalancer.testbed import experiments, results, topology
+from loadbalancer.testbed.hosts import Host, SpreadHost
+from loadbalancer.testbed.ledger import Answer, Ledger, Rule
+from loadbalancer.testbed.policies import policy
+from loadbalancer.testbed.shrinking import shrink
+from loadbalancer.testbed.topology import Fault, Topology
+from loadbalancer.testbed.virtual import World
+from loadbalancer.units import Duration, duration
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/test_lab_sites.py
+++ b/tests/test_lab_sites.py
@@ -5,12 +5,12 @@
 import pytest
 from typer.testing import CliRunner
 
-from lanelift.cli.main import application
-from lanelift.lab import topology
-from lanelift.lab.sites import measure
-from lanelift.lab.sites.ceiling import Asked, ceiling
-from lanelift.lab.sites.incidents import INCIDENTS, Hit
-from lanelift.lab.sites.world import Shape, play
+from loadbalancer.cli.main import application
+from loadbalancer.testbed import topology
+from loadbalancer.testbed.sites import measure
+from loadbalancer.testbed.sites.ceiling import Asked, ceiling
+from loadbalancer.testbed.sites.incidents import INCIDENTS, Hit
+from loadbalancer.testbed.sites.world import Shape, play
 
 SECOND = 1_000_000_000
 SMALL = Shape(3, 3, 4, 0.7)
--- a/tests/test_lab_size.py
+++ b/tests/test_lab_size.py
@@ -14,19 +14,19 @@
 import pytest
 from typer.testing import CliRunner
 
-from lanelift.cli.hollow import MODULE, Written
-from lanelift.cli.main import application
-from lanelift.lab.rig.relay import Relay
-from lanelift.lab.size import world as worlds
-from lanelift.lab.size.figures import Marks, gained, in_force, traffic, worst_minute
-from lanelift.lab.size.fleet import Fleet, Plan
-from lanelift.lab.size.hollow import Hollow, Told, seal
-from lanelift.lab.size.page import page
-from lanelift.lab.size.phases import FAULTS, PHASES, Run, Times, play
-from lanelift.lab.size.world import LEAST, Shape, World, carriers, draw
-from lanelift.lab.size.writer import OPS, Change, endpoint, packs
-from lanelift.lab.topology import Unusable
-from lanelift.store.commands import Op
+from loadbalancer.cli.hollow import MODULE, Written
+from loadbalancer.cli.main import application
+from loadbalancer.store.commands import Op
+from loadbalancer.testbed.rig.relay import Relay
+from loadbalancer.testbed.size import world as worlds
+from loadbalancer.testbed.size.figures import Marks, gained, in_force, traffic, worst_minute
+from loadbalancer.testbed.size.fleet import Fleet, Plan
+from loadbalancer.testbed.size.hollow import Hollow, Told, seal
+from loadbalancer.testbed.size.page import page
+from loadbalancer.testbed.size.phases import FAULTS, PHASES, Run, Times, play
+from loadbalancer.testbed.size.world import LEAST, Shape, World, carriers, draw
+from loadbalancer.testbed.size.writer import OPS, Change, endpoint, packs
+from loadbalancer.testbed.topology import Unusable
 
 S = 1_000_000_000
 PLANNED = Shape()
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from lanelift.lab import topology
-from lanelift.lab.report import page
-from lanelift.lab.sockets.conductor import run
-from lanelift.lab.sockets.facts import Books, Writer, read
-from lanelift.settings import Json
+from loadbalancer.settings import Json
+from loadbalancer.testbed import topology
+from loadbalancer.testbed.report import page
+from loadbalancer.testbed.sockets.conductor import run
+from loadbalancer.testbed.sockets.facts import Books, Writer, read
 
 SECOND = 1_000_000_000
 FAULTS = (
@@ -26,7 +26,7 @@
 )
 
 
-MARK = "LANELIFT_TEST_RUN"
+MARK = "LOADBALANCER_TEST_RUN"
 
 
 @pytest.fixture(scope="module")
@@ -50,7 +50,7 @@
         except OSError:
             continue
         if f"{MARK}={mark}".encode() in given and any(
-            word.startswith(b"lanelift") for word in words
+            word.startswith(b"loadbalancer") for word in words
         ):
             found.add(entry.name)
     return found
@@ -126,7 +126,7 @@
     words = [
         sys.executable,
         "-m",
-        "lanelift.cli.main",
+        "loadbalancer.cli.main",
         "lab",
         "run",
         "brief",
--- a/tests/test_lab_topology.py
+++ b/tests/test_lab_topology.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lanelift.lab import topology
-from lanelift.lab.topology import Unusable
-from lanelift.units import Duration, duration, per_second, size, written
+from loadbalancer.testbed import topology
+from loadbalancer.testbed.topology import Unusable
+from loadbalancer.units import Duration, duration, per_second, size, written
 
 GOOD = """
 name = "small"
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -10,15 +10,13 @@
 
 import pytest
 
-from lanelift.lab.cluster import owners
-from lanelift.lab.cluster.planted_owners import PLANTS, played
-from lanelift.leases import table
-from lanelift.leases.expiry import STEP_NS, Expiry, Running
-from lanelift.leases.fence import Receiver, Word
-from lanelift.leases.holder import DRIFT, Holder, Phase
-from lanelift.leases.table import Claimant, Lease
-from lanelift.store import commands
-from lanelift.store.commands import (
+from loadbalancer.leases import table
+from loadbalancer.leases.expiry import STEP_NS, Expiry, Running
+from loadbalancer.leases.fence import Receiver, Word
+from loadbalancer.leases.holder import DRIFT, Holder, Phase
+from loadbalancer.leases.table import Claimant, Lease
+from loadbalancer.store import commands
+from loadbalancer.store.commands import (
     Claim,
     Code,
     FencedWrite,
@@ -30,9 +28,11 @@
     Upgrade,
     Write,
 )
-from lanelift.store.durable import state as states
-from lanelift.store.durable.state import State
-from lanelift.store.raft.messages import Entry, Kind, Members
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.raft.messages import Entry, Kind, Members
+from loadbalancer.testbed.cluster import owners
+from loadbalancer.testbed.cluster.planted_owners import PLANTS, played
 
 MEMBERS = Members((1,), (), {1: "a"})
 MS = 1_000_000
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.net import management
-from lanelift.net.disabled import FILE, DisabledUpstreams
-from lanelift.net.listener import listening_socket
-from lanelift.net.management import CONNECTIONS, No
-from lanelift.net.siblings import Note, Siblings
+from loadbalancer.policy import api
+from loadbalancer.proxy import admin_api
+from loadbalancer.proxy.admin_api import CONNECTIONS, No
+from loadbalancer.proxy.disabled_upstreams import FILE, DisabledUpstreams
+from loadbalancer.proxy.listener import listening_socket
+from loadbalancer.proxy.process_handover import Note, Siblings
 from tests.fakes import Client, Heard, Message, World, run, world
 
 Address = tuple[str, int]
@@ -87,7 +87,7 @@
 
 
 def test_silent_callers_hold_up_nobody_and_get_an_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(management, "WHOLE_S", 0.3)
+    monkeypatch.setattr(admin_api, "WHOLE_S", 0.3)
 
     async def test() -> None:
         async with door_world() as (_, door):
--- a/tests/test_many_tenants.py
+++ b/tests/test_many_tenants.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from lanelift import decide
-from lanelift import interface as api
-from lanelift.decide import balancer as balancing
-from lanelift.decide import throttle as buckets
-from lanelift.decide.rate import Rate
+from loadbalancer import policy
+from loadbalancer.policy import api
+from loadbalancer.policy import balancer as balancing
+from loadbalancer.policy import token_bucket as buckets
+from loadbalancer.policy.rate_controller import Rate
 from tests.bench import MS, SECOND, START, upstreams
 
 GAPS = (0, 1, 3 * MS, 11 * MS, 11 * MS, 60 * MS, 499_999_999, 500 * MS, 2 * SECOND, 7 * SECOND)
@@ -25,8 +25,8 @@
 ]
 
 
-class PlainThrottle(decide.Throttle):
-    def set_rate(self, rate: float, now: int, like: decide.Throttle | None = None) -> None:
+class PlainThrottle(policy.Throttle):
+    def set_rate(self, rate: float, now: int, like: policy.Throttle | None = None) -> None:
         self.accrue(now)
         balance = self.u - self.hold
         self.rate = rate
@@ -44,7 +44,7 @@
             t.asked, t.short = 0, False
 
     def recall(
-        self, value: float, demands: Iterable[tuple[decide.Throttle, float]], now: int
+        self, value: float, demands: Iterable[tuple[policy.Throttle, float]], now: int
     ) -> None:
         self.value = self.served = min(self.value, value)
         for t, demand in demands:
@@ -68,20 +68,20 @@
         return [share + left for share in shares]
 
 
-class PlainBalancer(decide.Balancer):
+class PlainBalancer(policy.Balancer):
     def _tokens(self, now: int) -> None:
         for t in self.throttles.values():
             self._release(t, now)
 
 
-def plain(settings: api.Settings, seed: int, now: int) -> decide.Balancer:
+def plain(settings: api.Settings, seed: int, now: int) -> policy.Balancer:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(balancing, "Throttle", PlainThrottle)
         patch.setattr(balancing, "Rate", PlainRate)
         return PlainBalancer(settings, seed, now)
 
 
-def state(balancer: decide.Balancer) -> list[object]:
+def state(balancer: policy.Balancer) -> list[object]:
     """All numbers of all tenants, each to its last bit."""
     r = balancer.rate
     return [
@@ -121,7 +121,7 @@
                 max_attempts=2, second_copies=True, may_cancel=True, retry_after=True
             ),
         )
-        self.both = decide.Balancer(settings, seed, START), plain(settings, seed, START)
+        self.both = policy.Balancer(settings, seed, START), plain(settings, seed, START)
         self.now = START
         self.number = 0
         self.out: list[tuple[str, int, int, int]] = []
@@ -218,7 +218,7 @@
         weights = [rng.choice((0.3, 0.35, 0.7, 40.3, 41.7)) for _ in range(12)] + [1.7] * 3
         wants = [least * rng.randrange(70) for _ in weights]
         both: list[Rate] = []
-        for throttle, rate in ((decide.Throttle, Rate), (PlainThrottle, PlainRate)):
+        for throttle, rate in ((policy.Throttle, Rate), (PlainThrottle, PlainRate)):
             of_it = [throttle(w, random.Random(7), START) for w in weights]
             both.append(rate(of_it, START))
             both[-1].recall(3.0, zip(of_it, wants, strict=True), START)
--- a/tests/test_many_upstreams.py
+++ b/tests/test_many_upstreams.py
@@ -14,8 +14,7 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
+from loadbalancer.policy import Balancer, api
 from tests.bench import MS, READ, SECOND, START
 
 FEW, MANY = 200, 3200
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-MODULES = sorted((ROOT / "lanelift" / "decide").glob("*.py")) + [ROOT / "lanelift" / "rules.py"]
+MODULES = sorted((ROOT / "loadbalancer" / "policy").glob("*.py"))
 MOST_LINES = 500
 
 
@@ -38,8 +38,8 @@
 
 
 def test_the_package_names_its_interface_at_the_top() -> None:
-    text = (ROOT / "lanelift" / "decide" / "__init__.py").read_text()
-    assert "lanelift/interface.py" in " ".join(text.splitlines()[:3])
+    text = (ROOT / "loadbalancer" / "policy" / "__init__.py").read_text()
+    assert "loadbalancer/policy/api.py" in " ".join(text.splitlines()[:3])
 
 
 def test_the_example_of_the_readme_runs(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -11,12 +11,11 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.net import driver
-from lanelift.net.http import Connection, Exchange
-from lanelift.net.parse import Response, message
-from lanelift.net.upstream import read_report
+from loadbalancer.policy import Balancer, api
+from loadbalancer.proxy import policy_driver
+from loadbalancer.proxy.http import Connection, Exchange
+from loadbalancer.proxy.parse import Response, message
+from loadbalancer.proxy.upstream import read_report
 from tests.fakes import CLASSES, SETTINGS, Heard, answer, free_port, never, read_message, run, world
 
 R = api.Result
@@ -284,7 +283,7 @@
         return acts(event, known[0]) if known else []
 
     monkeypatch.setattr(Puppet, "acts", staticmethod(decide), raising=False)
-    monkeypatch.setattr(driver, "Balancer", heard.listen(Puppet))
+    monkeypatch.setattr(policy_driver, "Balancer", heard.listen(Puppet))
 
 
 def test_a_send_that_cannot_start_is_moot(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -373,7 +372,7 @@
 def test_an_answer_that_cannot_be_given_harms_no_other(
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    from lanelift.net.clientconnection import ClientConnection
+    from loadbalancer.proxy.client_connection import ClientConnection
 
     served = ClientConnection.served
 
--- a/tests/test_parse.py
+++ b/tests/test_parse.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lanelift.net.parse import MAX_BODY, MAX_HEAD, OVERHEAD, RequestReader, ResponseReader
+from loadbalancer.proxy.parse import MAX_BODY, MAX_HEAD, OVERHEAD, RequestReader, ResponseReader
 
 HEAD = b"POST /pay HTTP/1.1\r\nHost: h\r\n"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -63,7 +63,7 @@
     if text is not None:
         path.write_text(text)
     done = subprocess.run(
-        [sys.executable, "-m", "lanelift"],
+        [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
         text=True,
         timeout=60,
@@ -71,7 +71,7 @@
         check=False,
     )
     assert done.returncode == 2
-    assert done.stderr.startswith("lanelift: ") and done.stderr.count("\n") == 1
+    assert done.stderr.startswith("loadbalancer: ") and done.stderr.count("\n") == 1
 
 
 def test_no_configuration() -> None:
@@ -79,14 +79,14 @@
         name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")
     }
     done = subprocess.run(
-        [sys.executable, "-m", "lanelift"],
+        [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
         text=True,
         timeout=60,
         env=environ,
         check=False,
     )
-    assert (done.returncode, done.stderr) == (2, "lanelift: BALANCER_CONFIG is not set\n")
+    assert (done.returncode, done.stderr) == (2, "loadbalancer: BALANCER_CONFIG is not set\n")
 
 
 @asynccontextmanager
@@ -98,7 +98,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "lanelift",
+        "loadbalancer",
         stderr=asyncio.subprocess.PIPE,
         preexec_fn=prepare,
         env={**given, "BALANCER_CONFIG": str(path), **environ},
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -18,21 +18,27 @@
 
 import pytest
 
-from lanelift import __main__ as program
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.decide import balancer as decide
-from lanelift.net import calls, clientconnection, discovery, frontend, phases, upstream
-from lanelift.net.body import Store
-from lanelift.net.budget import RESERVE
-from lanelift.net.clientconnection import ClientConnection
-from lanelift.net.discovery import read_endpoint
-from lanelift.net.frontend import Frontend
-from lanelift.net.parse import message
-from lanelift.net.phases import Phase
-from lanelift.net.siblings import Siblings
-from lanelift.net.upstream import Timing, Upstreams, number_of
-from lanelift.settings import Json
+from loadbalancer import __main__ as program
+from loadbalancer.policy import Balancer, api
+from loadbalancer.policy import balancer as decide
+from loadbalancer.proxy import (
+    client_connection,
+    connection_phase,
+    discovery,
+    discovery_watch,
+    frontend,
+    upstream,
+)
+from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.client_connection import ClientConnection
+from loadbalancer.proxy.connection_phase import Phase
+from loadbalancer.proxy.discovery import read_endpoint
+from loadbalancer.proxy.frontend import Frontend
+from loadbalancer.proxy.parse import message
+from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.resource_limits import RESERVE
+from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
+from loadbalancer.settings import Json
 from tests.bench import CELL, MS, Desk, arrival, of, settings
 from tests.fakes import (
     SECOND,
@@ -125,7 +131,7 @@
 def test_a_client_that_goes_on_sending_does_not_keep_a_connection_that_has_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setitem(phases.LIMIT_S, Phase.LINGERING, 0.1)
+    monkeypatch.setitem(connection_phase.LIMIT_S, Phase.LINGERING, 0.1)
 
     async def test() -> None:
         async with world() as w:
@@ -522,8 +528,8 @@
     made: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(frontend, "KEPT_S", 1000.0)
-    monkeypatch.setattr(clientconnection, "CROWDED", 9.0)
-    monkeypatch.setattr(clientconnection, "FULL", 9.0)
+    monkeypatch.setattr(client_connection, "CROWDED", 9.0)
+    monkeypatch.setattr(client_connection, "FULL", 9.0)
 
     async def test() -> None:
         async with world(sockets=RESERVE + 2 * 2) as w:  # places for two clients
@@ -577,8 +583,14 @@
     before: str, push: bool, heard: Heard, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The call behind it waited for 20 s: fallen silent, it hid all changes meanwhile."""
-    pause_s = max(calls.BACKOFF_S[1], decide.ASK_AGAIN_NS / SECOND)
-    assert pause_s + max(2 * calls.CALL_S, calls.CATCH_UP_MS / 1000 + calls.GRACE_S) <= calls.TERM_S
+    pause_s = max(discovery_watch.BACKOFF_S[1], decide.ASK_AGAIN_NS / SECOND)
+    assert (
+        pause_s
+        + max(
+            2 * discovery_watch.CALL_S, discovery_watch.CATCH_UP_MS / 1000 + discovery_watch.GRACE_S
+        )
+        <= discovery_watch.TERM_S
+    )
     monkeypatch.setattr(discovery, "CALL_S", 0.3)
 
     async def test() -> None:
@@ -594,7 +606,7 @@
                 lists.close_links()
             await lists.until(lambda: len(lists.seen) > asked + 1)
             lists.mute_ms, lists.busy, lists.down, lists.silent = (
-                calls.CATCH_UP_MS,
+                discovery_watch.CATCH_UP_MS,
                 False,
                 False,
                 False,
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -17,10 +17,10 @@
 import msgspec
 import pytest
 
-from lanelift.daemon import boot
-from lanelift.daemon.saved import SavedLearnt, SavedList, load_list
-from lanelift.lab import results
-from lanelift.lab.cluster.real import RealCluster
+from loadbalancer.daemon import bootstrap
+from loadbalancer.daemon.persisted import SavedLearnt, SavedList, load_list
+from loadbalancer.testbed import results
+from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import run
 from tests.recordings import policy_runs, simulations
 from tests.test_management import owner
@@ -136,7 +136,7 @@
         '[store]\naddresses = ["127.0.0.1:1"]\nservice = "orders"\nbalancer = "accra-1"\n'
         f'document = "balancer/orders"\nfolder = "{stored / "balancer"}"\n'
     )
-    made = boot.read_boot(settings)
+    made = bootstrap.read_boot(settings)
     assert made is not None
     assert set(made.read().settings.classes) == {"lookup", "book-delivery"}
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -15,20 +15,20 @@
 import msgspec
 import pytest
 
-from lanelift.lab.rig import scenario as scenarios
-from lanelift.lab.rig.books import Books
-from lanelift.lab.rig.relay import Relay
-from lanelift.lab.rig.run import Result, play
-from lanelift.lab.rig.scenario import parsed, read, source
-from lanelift.lab.rig.taps import StoreTap
-from lanelift.lab.topology import Unusable
-from lanelift.leases import table
-from lanelift.leases.table import Lease
-from lanelift.store import commands
-from lanelift.store.commands import LEASES, Claim
-from lanelift.store.wire import protocol
-from lanelift.store.wire.frames import Sender
-from lanelift.store.wire.protocol import Change, Hello, Put
+from loadbalancer.leases import table
+from loadbalancer.leases.table import Lease
+from loadbalancer.store import commands
+from loadbalancer.store.commands import LEASES, Claim
+from loadbalancer.store.wire import protocol
+from loadbalancer.store.wire.frames import Sender
+from loadbalancer.store.wire.protocol import Change, Hello, Put
+from loadbalancer.testbed.rig import scenario as scenarios
+from loadbalancer.testbed.rig.books import Books
+from loadbalancer.testbed.rig.relay import Relay
+from loadbalancer.testbed.rig.run import Result, play
+from loadbalancer.testbed.rig.scenario import parsed, read, source
+from loadbalancer.testbed.rig.taps import StoreTap
+from loadbalancer.testbed.topology import Unusable
 from tests.fakes import run
 
 LEASE = f"{LEASES}work/list/orders"  # of the list
--- a/tests/test_rig_datagrams.py
+++ b/tests/test_rig_datagrams.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Awaitable, Callable
 
-from lanelift.lab.rig.datagrams import DatagramRelay
+from loadbalancer.testbed.rig.datagrams import DatagramRelay
 from tests.fakes import run
 
 Say = Callable[[int], None]
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -10,10 +10,9 @@
 import msgspec
 import pytest
 
-from lanelift import interface as api
-from lanelift.daemon.follow import CALLS_S, OLD_NS, Follower
-from lanelift.daemon.reach import Reach
-from lanelift.daemon.rolling import (
+from loadbalancer.daemon.address_map import Reach
+from loadbalancer.daemon.endpoint_source import CALLS_S, OLD_NS, Follower
+from loadbalancer.daemon.rolling_restart import (
     PATIENCE_S,
     Box,
     Listed,
@@ -30,8 +29,9 @@
     to_ask,
     wrong,
 )
-from lanelift.leases.fence import Word
-from lanelift.net.upstream import Endpoint
+from loadbalancer.leases.fence import Word
+from loadbalancer.policy import api
+from loadbalancer.proxy.upstream import Endpoint
 
 SECOND = 1_000_000_000
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,8 +11,7 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from lanelift import interface as api
-from lanelift.decide import Attempt, Balancer
+from loadbalancer.policy import Attempt, Balancer, api
 from tests.bench import (
     ANY,
     BIG,
--- a/tests/test_site_daemon.py
+++ b/tests/test_site_daemon.py
@@ -16,18 +16,18 @@
 import pytest
 from typer.testing import CliRunner
 
-from lanelift import interface as api
-from lanelift.__main__ import Parts
-from lanelift.cli.main import application
-from lanelift.daemon import documents as docs
-from lanelift.daemon.keeper import Keeper
-from lanelift.daemon.sitewatch import PlanDoc, SiteKeys
-from lanelift.net.disabled import DisabledUpstreams
-from lanelift.net.siblings import Siblings
-from lanelift.net.upstream import Endpoint
-from lanelift.sites.orders import Orders
-from lanelift.store import documents
-from lanelift.store.client import Client
+from loadbalancer.__main__ import Parts
+from loadbalancer.cli.main import application
+from loadbalancer.daemon import documents as docs
+from loadbalancer.daemon.site_agent import PlanDoc, SiteKeys
+from loadbalancer.daemon.state_sync import Keeper
+from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.policy import api
+from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store import documents
+from loadbalancer.store.client import Client
 from tests.fakes import run
 from tests.test_store_daemon import FakeDriver, until
 from tests.test_store_node import Cluster, cluster
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,15 +10,12 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.sites import evidence as evidences
-from lanelift.sites import plan as plans
-from lanelift.sites import recovery
-from lanelift.sites.course import Aim, Course, View, advance, ordered
-from lanelift.sites.evidence import Evidence, Said, State
-from lanelift.sites.member import Member
-from lanelift.sites.orders import Orders, fleet_of, orders
-from lanelift.sites.plan import (
+from loadbalancer.failover import evidence as evidences
+from loadbalancer.failover import plan as plans
+from loadbalancer.failover import recovery
+from loadbalancer.failover.evidence import Evidence, Said, State
+from loadbalancer.failover.observer import Member
+from loadbalancer.failover.plan import (
     CLASSES,
     EXCESS,
     Admission,
@@ -36,8 +33,11 @@
     tables,
     work,
 )
-from lanelift.sites.recovery import Return, Seen, Stage
-from lanelift.sites.words import Row, Told, heard, verdict
+from loadbalancer.failover.recovery import Return, Seen, Stage
+from loadbalancer.failover.site_reports import Row, Told, heard, verdict
+from loadbalancer.failover.site_state import Aim, Course, View, advance, ordered
+from loadbalancer.failover.traffic_shares import Orders, fleet_of, orders
+from loadbalancer.policy import api
 
 SECOND = 1_000_000_000
 MS = 1_000_000
--- a/tests/test_size_slopes.py
+++ b/tests/test_size_slopes.py
@@ -8,10 +8,10 @@
 import pytest
 from typer.testing import CliRunner
 
-from lanelift.cli.main import application
-from lanelift.cli.sizelab import command
-from lanelift.lab.size import fit
-from lanelift.lab.topology import Unusable
+from loadbalancer.cli.main import application
+from loadbalancer.cli.sizelab import command
+from loadbalancer.testbed.size import fit
+from loadbalancer.testbed.topology import Unusable
 
 FOUR = [(10.0, 7.0), (100.0, 25.0), (1000.0, 205.0), (10_000.0, 2005.0)]  # 5 + 0.2 x
 
@@ -22,7 +22,7 @@
         name=name,
         unit="us",
         per="upstreams",
-        command="lanelift lab size balancer",
+        command="loadbalancer lab size balancer",
         date="2026-12-02",
     )
 
@@ -145,7 +145,9 @@
         "balancer.event.by-services.plain",
         "balancer.settings.toml.by-classes",
     } <= set(slopes)
-    assert all(len(s.points) == 4 and s.command.startswith("lanelift ") for s in slopes.values())
+    assert all(
+        len(s.points) == 4 and s.command.startswith("loadbalancer ") for s in slopes.values()
+    )
     assert slopes["balancer.stored.rows"].slope > 50  # bytes of an upstream
 
 
@@ -180,4 +182,4 @@
         "--record",
         "d",
     ]
-    assert command(words) == "lanelift lab size balancer --seconds 2"
+    assert command(words) == "loadbalancer lab size balancer --seconds 2"
--- a/tests/test_size_store.py
+++ b/tests/test_size_store.py
@@ -12,15 +12,15 @@
 import pytest
 from typer.testing import CliRunner
 
-from lanelift.cli import sizestore
-from lanelift.cli.main import application
-from lanelift.lab.size import keepers, process, sessions, storecommits, storefeed, storenode
-from lanelift.lab.size.crowd import Crowd
-from lanelift.lab.size.process import Meter
-from lanelift.lab.size.series import Series
-from lanelift.lab.size.storefeed import Audience
-from lanelift.store.commands import Op
-from lanelift.store.durable import state as states
+from loadbalancer.cli import sizestore
+from loadbalancer.cli.main import application
+from loadbalancer.store.commands import Op
+from loadbalancer.store.durable import state as states
+from loadbalancer.testbed.size import keepers, process, sessions, storecommits, storefeed, storenode
+from loadbalancer.testbed.size.crowd import Crowd
+from loadbalancer.testbed.size.process import Meter
+from loadbalancer.testbed.size.series import Series
+from loadbalancer.testbed.size.storefeed import Audience
 from tests.fakes import run
 from tests.test_store_node import cluster
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,10 +10,10 @@
 import pytest
 from typer.testing import CliRunner
 
-import lanelift
-from lanelift.cli.lab import app
-from lanelift.lab.soak.checker import Checker
-from lanelift.lab.soak.history import (
+import loadbalancer
+from loadbalancer.cli.lab import app
+from loadbalancer.testbed.soak.checker import Checker
+from loadbalancer.testbed.soak.history import (
     Asked,
     Attempt,
     Call,
@@ -24,12 +24,12 @@
     Kind,
     Process,
 )
-from lanelift.lab.soak.run import Plan, play
-from lanelift.lab.soak.troubles import Trouble, schedule
+from loadbalancer.testbed.soak.run import Plan, play
+from loadbalancer.testbed.soak.troubles import Trouble, schedule
 from tests.fakes import run
 
 MS, SECOND = 1_000_000, 1_000_000_000
-PROGRAM = Path(lanelift.__file__).parent.parent
+PROGRAM = Path(loadbalancer.__file__).parent.parent
 START = 100 * SECOND
 
 
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -16,18 +16,17 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.__main__ import Parts
-from lanelift.daemon.documents import check
-from lanelift.daemon.keeper import Keeper
-from lanelift.daemon.saved import SavedLearnt, load_learnt, save_learnt
-from lanelift.decide import Balancer
-from lanelift.lab.cluster.real import RealCluster
-from lanelift.net.disabled import DisabledUpstreams
-from lanelift.net.siblings import Siblings
-from lanelift.net.upstream import Endpoint
-from lanelift.store import documents
-from lanelift.store.client import Conflict, Rejected
+from loadbalancer.__main__ import Parts
+from loadbalancer.daemon.documents import check
+from loadbalancer.daemon.persisted import SavedLearnt, load_learnt, save_learnt
+from loadbalancer.daemon.state_sync import Keeper
+from loadbalancer.policy import Balancer, api
+from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store import documents
+from loadbalancer.store.client import Conflict, Rejected
+from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import Client, FakeUpstream, free_port, run
 from tests.test_store_node import Cluster, cluster
 
@@ -61,7 +60,7 @@
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "lanelift.cli.main",
+            "loadbalancer.cli.main",
             "serve",
             "--settings",
             str(path),
--- a/tests/test_store_journal.py
+++ b/tests/test_store_journal.py
@@ -8,11 +8,11 @@
 import msgspec
 import pytest
 
-from lanelift.lab.cluster.disk import Disk, PowerLost
-from lanelift.store.durable import journal as journals
-from lanelift.store.durable.files import Folder
-from lanelift.store.durable.journal import Broken, Damaged, Found, Full, Journal
-from lanelift.store.raft.messages import Entry, HardState, Members, SnapshotMeta
+from loadbalancer.store.durable import journal as journals
+from loadbalancer.store.durable.files import Folder
+from loadbalancer.store.durable.journal import Broken, Damaged, Found, Full, Journal
+from loadbalancer.store.raft.messages import Entry, HardState, Members, SnapshotMeta
+from loadbalancer.testbed.cluster.disk import Disk, PowerLost
 
 SALT = b"saltsalt"
 
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -12,11 +12,8 @@
 
 import pytest
 
-from lanelift.lab.cluster.real import RealCluster
-from lanelift.lab.rig.run import play
-from lanelift.lab.rig.scenario import builtin, read
-from lanelift.store import run as running
-from lanelift.store.client import (
+from loadbalancer.store import run as running
+from loadbalancer.store.client import (
     Client,
     Compacted,
     Conflict,
@@ -25,19 +22,22 @@
     Unavailable,
     Wire,
 )
-from lanelift.store.commands import Op, OpenSession, Result, Write, pack
-from lanelift.store.durable import state as states
-from lanelift.store.durable.files import RealFile
-from lanelift.store.durable.journal import Damaged
-from lanelift.store.durable.state import State
-from lanelift.store.node import Late
-from lanelift.store.raft.messages import Entry, VoteAsk
-from lanelift.store.raft.messages import pack as pack_message
-from lanelift.store.run import Running
-from lanelift.store.security import Tls
-from lanelift.store.settings import StoreSettings, read_store
-from lanelift.store.wire import frames, protocol
-from lanelift.store.wire.protocol import Hello, Put
+from loadbalancer.store.commands import Op, OpenSession, Result, Write, pack
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.files import RealFile
+from loadbalancer.store.durable.journal import Damaged
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.node import Late
+from loadbalancer.store.raft.messages import Entry, VoteAsk
+from loadbalancer.store.raft.messages import pack as pack_message
+from loadbalancer.store.run import Running
+from loadbalancer.store.security import Tls
+from loadbalancer.store.settings import StoreSettings, read_store
+from loadbalancer.store.wire import frames, protocol
+from loadbalancer.store.wire.protocol import Hello, Put
+from loadbalancer.testbed.cluster.real import RealCluster
+from loadbalancer.testbed.rig.run import play
+from loadbalancer.testbed.rig.scenario import builtin, read
 from tests.certificates import Authority
 from tests.fakes import free_port
 
@@ -510,7 +510,11 @@
 
 def test_nothing_is_lost_doubled_or_halved_while_nodes_are_killed() -> None:
     result = play(read(builtin("churn")), 3)
-    assert result.wrong == [], ("lanelift lab rig run churn --seed 3", result.wrong, result.events)
+    assert result.wrong == [], (
+        "loadbalancer lab rig run churn --seed 3",
+        result.wrong,
+        result.events,
+    )
     struck = Counter(what.split()[0] for _, what in result.events if not what.endswith("over"))
     assert struck["kill"] >= 3 and struck["lose"] >= 1 and result.figures["writes"] > 300
     assert result.figures["pairs read whole"] > 50
--- a/tests/test_store_rows.py
+++ b/tests/test_store_rows.py
@@ -13,10 +13,9 @@
 from hypothesis import strategies as st
 from msgspec import structs
 
-from lanelift.feed.messages import MOST_ROW
-from lanelift.lab.cluster import rowed
-from lanelift.store import commands
-from lanelift.store.commands import (
+from loadbalancer.changefeed.messages import MOST_ROW
+from loadbalancer.store import commands
+from loadbalancer.store.commands import (
     FORMAT,
     MOST_REFS,
     Code,
@@ -28,11 +27,12 @@
     Upgrade,
     Write,
 )
-from lanelift.store.durable import rows as stored
-from lanelift.store.durable import state as states
-from lanelift.store.durable.state import Event, State
-from lanelift.store.raft.messages import Entry, Kind
-from lanelift.store.steward import AGAIN_NS, Steward
+from loadbalancer.store.durable import rows as stored
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.state import Event, State
+from loadbalancer.store.housekeeping import AGAIN_NS, Steward
+from loadbalancer.store.raft.messages import Entry, Kind
+from loadbalancer.testbed.cluster import rowed
 from tests.test_leases import KEPT, MEMBERS, Log
 from tests.test_store_state import fresh
 
--- a/tests/test_store_sim.py
+++ b/tests/test_store_sim.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from lanelift.lab.cluster import campaign
-from lanelift.lab.cluster.linear import FOREVER, Operation, check
-from lanelift.lab.cluster.plans import disturbed, early_read, figure_8, play, two_majorities
-from lanelift.lab.cluster.planted import PLANTS, played
+from loadbalancer.testbed.cluster import campaign
+from loadbalancer.testbed.cluster.linear import FOREVER, Operation, check
+from loadbalancer.testbed.cluster.plans import disturbed, early_read, figure_8, play, two_majorities
+from loadbalancer.testbed.cluster.planted import PLANTS, played
 
 SEEDS = 160
-# The seed that showed it; `lanelift lab store-sim --planted NAME --seeds 1 --first SEED` plays it
-# again.
+# The seed that showed it; `loadbalancer lab store-sim --planted NAME --seeds 1 --first SEED` plays
+# it again.
 CAUGHT = {
     "vote-without-sync": 3,
     "ack-without-sync": 1,
@@ -36,7 +36,7 @@
     workers = max(1, min(6, len(os.sched_getaffinity(0)) - 1))
     found = campaign.run(range(1, SEEDS + 1), workers)
     assert [
-        f"seed {o.seed}: {o.broken}; lanelift lab store-sim --seeds 1 --first {o.seed}"
+        f"seed {o.seed}: {o.broken}; loadbalancer lab store-sim --seeds 1 --first {o.seed}"
         for o in found.broken
     ] == []
     counts = found.counts
--- a/tests/test_store_state.py
+++ b/tests/test_store_state.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lanelift.store import commands
-from lanelift.store.commands import (
+from loadbalancer.store import commands
+from loadbalancer.store.commands import (
     ANY,
     AnyCommand,
     CloseSession,
@@ -20,10 +20,10 @@
     Result,
     Write,
 )
-from lanelift.store.durable import state as states
-from lanelift.store.durable.journal import Damaged
-from lanelift.store.durable.state import Compacted, State
-from lanelift.store.raft.messages import Entry, Kind, Members, pack
+from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.journal import Damaged
+from loadbalancer.store.durable.state import Compacted, State
+from loadbalancer.store.raft.messages import Entry, Kind, Members, pack
 
 MEMBERS = Members((1,), (), {1: "a"})
 
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -7,8 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lanelift import interface as api
-from lanelift.decide import Balancer, Request, Throttle
+from loadbalancer.policy import Balancer, Request, Throttle, api
 from tests.bench import MS, READ, SECOND
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.net import driver, frontend, phases
-from lanelift.net.budget import RESERVE
-from lanelift.net.frontend import Frontend
-from lanelift.net.phases import Phase
-from lanelift.net.upstream import IDLE_PART, Upstreams
+from loadbalancer.policy import api
+from loadbalancer.proxy import connection_phase, frontend, policy_driver
+from loadbalancer.proxy.connection_phase import Phase
+from loadbalancer.proxy.frontend import Frontend
+from loadbalancer.proxy.resource_limits import RESERVE
+from loadbalancer.proxy.upstream import IDLE_PART, Upstreams
 from tests.fakes import SECOND, SETTINGS, never, run, world
 
 # Parts of the loop's ticks, of which it makes nothing or one too few.
@@ -53,7 +53,7 @@
             calls[-1] += 1
             return [api.SetTimer(self.due - now, "rest")]
 
-    monkeypatch.setattr(driver, "Balancer", Timed)
+    monkeypatch.setattr(policy_driver, "Balancer", Timed)
 
     async def test() -> None:
         async with world():
@@ -80,7 +80,7 @@
     monkeypatch.setattr(kind, "_sweep", counted)
     limits = SETTINGS.limits
     if what == "a client's":
-        monkeypatch.setitem(phases.LIMIT_S, Phase.IDLE, part_s)
+        monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, part_s)
     else:
         limits = replace(limits, conn_idle_ns=int(part_s / IDLE_PART * SECOND))
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -10,17 +10,16 @@
 
 import pytest
 
-import lanelift.__main__ as main
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.net import calls, discovery, driver
-from lanelift.net.body import Store
-from lanelift.net.discovery import read_endpoint
-from lanelift.net.driver import Driver
-from lanelift.net.parse import message
-from lanelift.net.upstream import Timing, Upstreams, number_of
-from lanelift.settings import Malformed, split_address
-from lanelift.wallclock import StartTimes
+import loadbalancer.__main__ as main
+from loadbalancer.policy import Balancer, api
+from loadbalancer.proxy import discovery, discovery_watch, policy_driver
+from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.discovery import read_endpoint
+from loadbalancer.proxy.parse import message
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
+from loadbalancer.settings import Malformed, split_address
+from loadbalancer.wallclock import StartTimes
 from tests.fakes import SECOND, SETTINGS, FakeUpstream, Heard, never, run, world
 
 
@@ -101,13 +100,13 @@
 def test_a_watch_that_fell_silent_is_given_up_before_its_changes_count_as_told(
     push: bool, monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    most_ms = calls.Pace.of(1).most_hold_ms
-    assert most_ms / 1000 + calls.GRACE_S < 6
-    monkeypatch.setattr(calls, "HOLD_MS", 100)
-    monkeypatch.setattr(calls, "HOLD_LEAST_MS", 100)
-    monkeypatch.setattr(calls, "SPREAD_EACH_MS", 0)
-    monkeypatch.setattr(calls, "CATCH_UP_MS", 50)
-    monkeypatch.setattr(calls, "GRACE_S", 0.1)
+    most_ms = discovery_watch.Pace.of(1).most_hold_ms
+    assert most_ms / 1000 + discovery_watch.GRACE_S < 6
+    monkeypatch.setattr(discovery_watch, "HOLD_MS", 100)
+    monkeypatch.setattr(discovery_watch, "HOLD_LEAST_MS", 100)
+    monkeypatch.setattr(discovery_watch, "SPREAD_EACH_MS", 0)
+    monkeypatch.setattr(discovery_watch, "CATCH_UP_MS", 50)
+    monkeypatch.setattr(discovery_watch, "GRACE_S", 0.1)
 
     async def test() -> None:
         async with world(2, settings=replace(SETTINGS, discovery_push=push)) as w:
@@ -149,7 +148,7 @@
         ("GRACE_S", 0.1),
         ("CHECK_S", 0.1),
     ):
-        monkeypatch.setattr(calls, name, value)
+        monkeypatch.setattr(discovery_watch, name, value)
 
     async def test() -> None:
         rules = replace(SETTINGS.rules, stop_sending_within_ns=SECOND // 2)
@@ -299,7 +298,7 @@
         def handle(self, now: int, events: object) -> list[api.Action]:
             return [api.Tell(b"one", 0), api.Tell(b"all")]
 
-    monkeypatch.setattr(driver, "Balancer", Teller)
+    monkeypatch.setattr(policy_driver, "Balancer", Teller)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -332,7 +331,7 @@
                 monkeypatch.undo()
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(driver.Driver, "learn", fails)
+            monkeypatch.setattr(policy_driver.Driver, "learn", fails)
             gone, stays = w.upstreams
             w.discovery.change(gone.row("Gone"))
             await w.watching()  # it has come back, and begun with the whole list
--- a/tests/test_wallclock.py
+++ b/tests/test_wallclock.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.net.upstream import number_of
+from loadbalancer.policy import api
+from loadbalancer.proxy.upstream import number_of
 from tests.fakes import SECOND, SETTINGS, Heard, run, world
 
 ROOT = Path(__file__).parent.parent
@@ -59,8 +59,8 @@
     """One module reads it, for people and for what other machines wrote."""
     readers = {
         str(path.relative_to(ROOT))
-        for path in (ROOT / "lanelift").rglob("*.py")
+        for path in (ROOT / "loadbalancer").rglob("*.py")
         if re.search(r"\btime\.time(_ns)?\(|\bdatetime\.now\(|CLOCK_REALTIME", path.read_text())
-        and "lab" not in path.relative_to(ROOT).parts
+        and "testbed" not in path.relative_to(ROOT).parts
     }
-    assert readers == {"lanelift/wallclock.py"}
+    assert readers == {"loadbalancer/wallclock.py"}
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -12,10 +12,9 @@
 
 import pytest
 
-from lanelift import interface as api
-from lanelift.decide import Balancer
-from lanelift.settings import read_settings
-from lanelift.wirehost import Host, read_upstream
+from loadbalancer.policy import Balancer, api
+from loadbalancer.settings import read_settings
+from loadbalancer.sim_adapter import Host, read_upstream
 
 Json = dict[str, Any]
 SETTINGS: Json = {
@@ -38,7 +37,7 @@
 
 def run(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "lanelift.wirehost"],
+        [sys.executable, "-m", "loadbalancer.sim_adapter"],
         input="".join(f"{x}\n" for x in lines),
         capture_output=True,
         text=True,
@@ -200,7 +199,7 @@
 
 def test_bad_utf_8_is_malformed() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "lanelift.wirehost"],
+        [sys.executable, "-m", "loadbalancer.sim_adapter"],
         input=b'{"round": "\xff"}\n',
         capture_output=True,
         timeout=60,
