--- a/tests/recordings/policy_runs.py
+++ b/tests/recordings/policy_runs.py
@@ -21,7 +21,7 @@
 SECOND = 1000 * MILLISECOND
 STEPS = 900
 STEP_NS = 3 * MILLISECOND
-# (seed, upstreams, balancers)
+# Each is a seed, a count of upstreams and a count of balancers.
 RUNS = (
     (1, 6, 1),
     (2, 6, 6),
