--- a/deploy/build.py
+++ b/deploy/build.py
@@ -29,9 +29,9 @@
 TRIAL = """
 from loadbalancer.policy import Balancer, api
 balancer = Balancer(api.Settings(classes={"read": api.RequestClass("read")}), seed=1, now=0)
-balancer.handle(0, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(7)])])
-sent = balancer.handle(1, [api.Arrival("r1", "read", "", deadline_ns=1_000_000_000)])
-assert any(isinstance(action, api.Send) for action in sent)
+balancer.handle(0, [api.EndpointsUpdated(api.EndpointListKind.FULL, [api.Upstream(7)])])
+sent = balancer.handle(1, [api.RequestArrived("r1", "read", "", deadline_ns=1_000_000_000)])
+assert any(isinstance(action, api.StartAttempt) for action in sent)
 """
 
 
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -92,7 +92,7 @@
         self.refused_s = -REFUSALS_S
         self.bad = ""  # why the list can't be put, as last said
         self.follower = Follower(
-            driver.settings.replicas_of_me, random.Random(os.urandom(8)), clock_ns()
+            driver.settings.instance_count, random.Random(os.urandom(8)), clock_ns()
         )
         self.changed = asyncio.Event()
         self.number = self.beat = 0  # of this owner's lists, and of its words that they stand
@@ -120,20 +120,22 @@
     def fetch(self) -> None:
         self.discovery.fetch()
 
-    def _told(self, kind: api.ListKind, endpoints: list[Endpoint]) -> None:
-        if kind is not api.ListKind.FAILED:
+    def _told(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
+        if kind is not api.EndpointListKind.FAILED:
             self.heard_s = time.monotonic()
-            if kind is api.ListKind.FULL or endpoints:
+            if kind is api.EndpointListKind.FULL or endpoints:
                 self.follower.empty = False
         elif not self.owner.working:
             return  # asked by this process itself, and it asks again: the module need not
         if self._older():
             return
-        if kind is not api.ListKind.FAILED:
+        if kind is not api.EndpointListKind.FAILED:
             self.mirrors = False
             if self.writer is not None:
                 self.writer.touch(
-                    None if kind is not api.ListKind.DELTA else [e.entry.id for e in endpoints]
+                    None
+                    if kind is not api.EndpointListKind.DELTA
+                    else [e.entry.id for e in endpoints]
                 )
         self.driver.learn(kind, self.reach.from_here(endpoints))
         self.changed.set()
@@ -340,7 +342,7 @@
             return  # the rows say it
         if self._heeds(row.key, Word(saved.token, saved.number)):
             self.mirrors = False
-            self.driver.learn(api.ListKind.FULL, self.reach.from_here(load_list(saved)))
+            self.driver.learn(api.EndpointListKind.FULL, self.reach.from_here(load_list(saved)))
 
     def _heeds(self, key: str, word: Word) -> bool:
         if self.follower.listed(word, clock_ns()):
@@ -392,7 +394,7 @@
             age = age_s(table.word.at)
             young = age is None or age < OLDEST_S
             if young and not self.driver.told.is_set() and not self.driver.upstreams.targets:
-                self.driver.learn(api.ListKind.CACHED, self.reach.from_here(table.all()))
+                self.driver.learn(api.EndpointListKind.CACHED, self.reach.from_here(table.all()))
                 log.info(
                     "store: %d upstreams from rows %s old", len(table.endpoints), shown_age(age)
                 )
@@ -401,9 +403,9 @@
             self.mirrors = False
         elif changed is None or not self.mirrors:
             self.mirrors = True
-            self.driver.learn(api.ListKind.FULL, self.reach.from_here(table.all()))
+            self.driver.learn(api.EndpointListKind.FULL, self.reach.from_here(table.all()))
         elif changed:
-            self.driver.learn(api.ListKind.DELTA, self.reach.from_here(changed))
+            self.driver.learn(api.EndpointListKind.DELTA, self.reach.from_here(changed))
 
     def _stands(self, row: Row) -> None:
         standing = decoded(row, Standing)
--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -59,7 +59,7 @@
     rate: float
     demands: dict[str, float]
     taken: dict[str, float]
-    each_ns: float
+    per_request_ns: float = msgspec.field(name="each_ns")
     calm: float
     window: float
     paces: dict[int, tuple[float, float]]
@@ -78,7 +78,7 @@
                 e.entry.cell,
                 e.entry.weight,
                 e.started_ms / 1000,
-                e.entry.state is api.State.DRAINING,
+                e.entry.state is api.UpstreamState.DRAINING,
             )
             for e in endpoints
         ),
@@ -92,7 +92,7 @@
         Endpoint(
             api.Upstream(
                 s.id,
-                api.State.DRAINING if s.draining else api.State.READY,
+                api.UpstreamState.DRAINING if s.draining else api.UpstreamState.READY,
                 s.zone,
                 s.cell,
                 s.weight,
@@ -106,7 +106,7 @@
     ]
 
 
-def save_learnt(learnt: api.Learnt, listed: Mapping[int, Endpoint]) -> SavedLearnt:
+def save_learnt(learnt: api.LearnedState, listed: Mapping[int, Endpoint]) -> SavedLearnt:
     """`listed`: the upstreams as they are listed; what was learnt of others is not kept."""
     paces = {
         n: (round(pace, 4), listed[n].started_ms / 1000)
@@ -118,14 +118,14 @@
         learnt.rate,
         dict(learnt.demands),
         dict(learnt.taken),
-        learnt.each_ns,
+        learnt.per_request_ns,
         learnt.calm,
         learnt.window,
         paces,
     )
 
 
-def load_learnt(saved: SavedLearnt, listed: Mapping[int, Endpoint]) -> api.Learnt | None:
+def load_learnt(saved: SavedLearnt, listed: Mapping[int, Endpoint]) -> api.LearnedState | None:
     """`listed`: upstreams as they are listed now; what was learnt of an earlier start is left out.
     None where nobody can tell how old it is: the clock was stepped.
     """
@@ -137,12 +137,12 @@
         for n, (pace, started) in saved.paces.items()
         if n in listed and abs(listed[n].started_ms / 1000 - started) < SAME_START_S
     }
-    return api.Learnt(
+    return api.LearnedState(
         int(age * 1e9),
         saved.rate,
         saved.demands,
         saved.taken,
-        saved.each_ns,
+        saved.per_request_ns,
         saved.calm,
         saved.window,
         paces,
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -256,7 +256,7 @@
         self.count = 0
         self.more = asyncio.Event()
         self.there = False  # a report of this process stands in the store
-        balancers = driver.settings.replicas_of_me
+        balancers = driver.settings.instance_count
         self.every_s = min(REPORT_MOST_S, max(REPORT_S, REPORT_EACH_S * balancers))
 
     def took(self, version: int) -> None:
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -95,7 +95,7 @@
         e.cell,
         weight,
         endpoint.started_ms,
-        e.state is api.State.DRAINING,
+        e.state is api.UpstreamState.DRAINING,
     )
     wrong = _wrong(row)
     if wrong:
@@ -128,14 +128,14 @@
 
 
 def endpoint_of(row: UpstreamRow) -> Endpoint:
-    state = api.State.DRAINING if row.draining else api.State.READY
+    state = api.UpstreamState.DRAINING if row.draining else api.UpstreamState.READY
     entry = api.Upstream(row.id, state, row.zone, row.cell, float(row.weight), kind=row.kind)
     return Endpoint(entry, row.host, row.port, row.started_ms)
 
 
 def gone(number: int) -> Endpoint:
     """What is told of an upstream whose row was deleted."""
-    return Endpoint(api.Upstream(number, api.State.GONE), "", 0)
+    return Endpoint(api.Upstream(number, api.UpstreamState.REMOVED), "", 0)
 
 
 # ---- what a balancer takes -----------------------------------------------------------------------
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -114,7 +114,7 @@
         self.keys = SiteKeys(service)
         self.key = self.keys.rows + balancer
         self.member = Member(
-            driver.settings.zone, balancer, driver.settings.replicas_of_me, rng, clock_ns()
+            driver.settings.zone, balancer, driver.settings.instance_count, rng, clock_ns()
         )
         self.receiver = Receiver(Word())
         self.doc = PlanDoc()
@@ -129,14 +129,14 @@
         """Beside the module, after each turn. Never raises: the balancer goes on without it."""
         try:
             for e in events:
-                if type(e) is api.Arrival:
+                if type(e) is api.RequestArrived:
                     self.member.arrived(e)
-                elif type(e) is api.Outcome:
+                elif type(e) is api.AttemptFinished:
                     request = self.driver.requests.get(e.request)
                     if request is not None:
                         cls = self.driver.settings.classes[request.arrival.class_name]
                         usual = self.driver.balancer.crowding.taken.get(cls.name, 0.0)
-                        self.member.tried(e, cls.aim_ns, usual, clock_ns())
+                        self.member.tried(e, cls.latency_objective_ns, usual, clock_ns())
         except Exception:
             log.exception("sites")
 
@@ -151,7 +151,7 @@
         boxes = {
             n: t.endpoint.entry.zone
             for n, t in self.driver.upstreams.targets.items()
-            if t.endpoint.entry.state is api.State.READY and t.endpoint.entry.zone
+            if t.endpoint.entry.state is api.UpstreamState.READY and t.endpoint.entry.zone
         }
         if boxes.keys() != self.member.evidence.boxes.keys():
             self.member.evidence.listed(boxes, now)
@@ -170,7 +170,7 @@
             )
         self.fresh = owned
 
-    def _sounded(self, number: int, result: api.Result, report: Report) -> None:
+    def _sounded(self, number: int, result: api.AttemptResult, report: Report) -> None:
         self.member.sounded(number, result, clock_ns())
 
     async def tell(self) -> None:
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -174,7 +174,8 @@
         self.stored = StoredList(self.client, self.service)
         self.starts = StartTimes()
         self.planner = Planner(
-            Rules(rules.cold_ns / 1e9, rules.cold_from, rules.fall_multiple), time.monotonic_ns()
+            Rules(rules.slow_start_ns / 1e9, rules.slow_start_capacity, rules.overload_multiple),
+            time.monotonic_ns(),
         )
         self.number = self.beat = 0
         self.put_s = 0.0
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -240,7 +240,7 @@
             young = age is None or age < OLDEST_S
             if young and not driver.told.is_set() and not driver.upstreams.targets:
                 endpoints = self.reach.from_here(load_list(saved))
-                driver.learn(api.ListKind.CACHED, endpoints)
+                driver.learn(api.EndpointListKind.CACHED, endpoints)
                 log.info("store: %d upstreams from a list %s old", len(endpoints), shown_age(age))
         past = decoded(learnt, SavedLearnt)
         if past is not None:
--- a/loadbalancer/daemon/upstream_admin.py
+++ b/loadbalancer/daemon/upstream_admin.py
@@ -7,7 +7,7 @@
 import asyncio
 from collections.abc import Callable
 
-from loadbalancer.policy.api import Result
+from loadbalancer.policy.api import AttemptResult
 from loadbalancer.proxy.http import Connection, Exchange
 from loadbalancer.proxy.parse import Response, message
 
@@ -24,9 +24,9 @@
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(ASK_S):
         await loop.create_connection(lambda: connection, *address)
-    ended: asyncio.Future[tuple[Result, Response | None]] = loop.create_future()
+    ended: asyncio.Future[tuple[AttemptResult, Response | None]] = loop.create_future()
 
-    def done(result: Result, response: Response | None) -> None:
+    def done(result: AttemptResult, response: Response | None) -> None:
         if not ended.done():
             ended.set_result((result, response))
 
@@ -44,7 +44,7 @@
     try:
         result, response = await ended
     finally:
-        exchange.give_up(Result.CANCELLED)
+        exchange.give_up(AttemptResult.CANCELLED)
         connection.abort()
     if response is None:
         return f"no answer: {result.value}"
--- a/loadbalancer/failover/controller.py
+++ b/loadbalancer/failover/controller.py
@@ -42,7 +42,7 @@
     """Of cold starts, as the settings have them."""
 
     cold_s: float
-    cold_from: float
+    slow_start_capacity: float
     multiple: float
 
 
@@ -219,6 +219,10 @@
             if box.site in back and box.site in look.places and box.age_s < self.rules.cold_s:
                 warm = look.places[box.site].bears / max(1, look.usual.get(box.site, 1))
                 found[box.number] = recovery.bears_now(
-                    warm, box.age_s, self.rules.cold_s, self.rules.cold_from, self.rules.multiple
+                    warm,
+                    box.age_s,
+                    self.rules.cold_s,
+                    self.rules.slow_start_capacity,
+                    self.rules.multiple,
                 )
         return found
--- a/loadbalancer/failover/observer.py
+++ b/loadbalancer/failover/observer.py
@@ -37,9 +37,11 @@
 BUSY, NEWS_NS = 0.5, SECOND // 4
 CALLED_OFF = 0.8  # of its aim that an attempt had when it was called off: nothing had answered
 FEW = 5  # requests, below which a part tells nothing
-ALIVE = frozenset({api.Result.OK, api.Result.ERROR, api.Result.FULL})
-DEAD = frozenset({api.Result.CONNECT_FAILED, api.Result.RESET, api.Result.TIMEOUT})
-CALM = api.Plan()
+ALIVE = frozenset({api.AttemptResult.OK, api.AttemptResult.ERROR, api.AttemptResult.REJECTED})
+DEAD = frozenset(
+    {api.AttemptResult.CONNECT_FAILED, api.AttemptResult.RESET, api.AttemptResult.TIMEOUT}
+)
+CALM = api.TrafficPlan()
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +52,7 @@
 
     changes: list[tuple[str, Verdict]]
     sounds: list[int]
-    plan: api.Plan | None
+    plan: api.TrafficPlan | None
 
 
 class Member:
@@ -84,24 +86,29 @@
 
     # ---- what is seen ----------------------------------------------------------------------------
 
-    def arrived(self, e: api.Arrival) -> None:
+    def arrived(self, e: api.RequestArrived) -> None:
         self.asked += 1
         self.came[e.class_name, e.tenant] += 1
         self.repeats[e.class_name, e.tenant] += e.retry
 
-    def tried(self, e: api.Outcome, aim_ns: int, usual_ns: float, now: int) -> None:
+    def tried(
+        self, e: api.AttemptFinished, latency_objective_ns: int, usual_ns: float, now: int
+    ) -> None:
         """An attempt ended. `usual_ns`: what such a request takes; 0: not known."""
         dead = e.result in DEAD or (
-            e.result is api.Result.CANCELLED and e.took_ns >= CALLED_OFF * aim_ns
+            e.result is api.AttemptResult.CANCELLED
+            and e.duration_ns >= CALLED_OFF * latency_objective_ns
         )
         if not dead and e.result not in ALIVE:
             return
-        good = e.result is api.Result.OK and e.took_ns <= aim_ns
-        pace = e.took_ns / usual_ns if e.result is api.Result.OK and usual_ns > 0 else 0.0
+        good = e.result is api.AttemptResult.OK and e.duration_ns <= latency_objective_ns
+        pace = (
+            e.duration_ns / usual_ns if e.result is api.AttemptResult.OK and usual_ns > 0 else 0.0
+        )
         self.served += good and e.complete
         self._note(e.upstream, not dead, good, pace, now)
 
-    def sounded(self, number: int, result: api.Result, now: int) -> None:
+    def sounded(self, number: int, result: api.AttemptResult, now: int) -> None:
         """A call of its own ended."""
         if result in ALIVE or result in DEAD:
             self._note(number, result in ALIVE, result in ALIVE, 0.0, now)
@@ -180,7 +187,7 @@
                 found.append(self.rng.choice(boxes))
         return found
 
-    def _planned(self, now: int) -> api.Plan:
+    def _planned(self, now: int) -> api.TrafficPlan:
         owned = self.owned(now)
         base = self._of(self.orders) if owned else self._by_table()
         zones = dict(base.zones)
@@ -200,8 +207,8 @@
             zones = {}  # nothing is left: rather a try than none
         return base._replace(zones=zones)
 
-    def _of(self, o: Orders) -> api.Plan:
-        return api.Plan(
+    def _of(self, o: Orders) -> api.TrafficPlan:
+        return api.TrafficPlan(
             dict(o.zones.get(self.here, {})),
             o.excess,
             dict(o.shares.get(self.name, {})),
@@ -212,7 +219,7 @@
             {box: o.cold.get(self.name, {}).get(box, 0.0) for box in o.cooling},
         )
 
-    def _by_table(self) -> api.Plan:
+    def _by_table(self) -> api.TrafficPlan:
         lost = frozenset(n for n, s in self.evidence.sites.items() if s.state is State.LOST)
         there = frozenset(s for s in self.evidence.sites if s)
         if not lost or self.evidence.alone or there != self.tabled or lost not in self.tables:
--- a/loadbalancer/failover/recovery.py
+++ b/loadbalancer/failover/recovery.py
@@ -166,7 +166,7 @@
     warm_per_s: float,
     age_s: float,
     cold_s: float,
-    cold_from: float,
+    slow_start_capacity: float,
     multiple: float,
     careful: float = 0.7,
 ) -> float:
@@ -174,6 +174,8 @@
     starts.
     """
     part = (
-        1.0 if cold_s <= 0 else cold_from + (1.0 - cold_from) * min(1.0, max(0.0, age_s) / cold_s)
+        1.0
+        if cold_s <= 0
+        else slow_start_capacity + (1.0 - slow_start_capacity) * min(1.0, max(0.0, age_s) / cold_s)
     )
     return careful * multiple * part * warm_per_s if part < 1.0 else warm_per_s
--- a/loadbalancer/policy/api.py
+++ b/loadbalancer/policy/api.py
@@ -16,12 +16,14 @@
 class Effect(Enum):
     """What repeating a request of a class may do."""
 
-    SAFE = "safe"  # may be repeated and refused freely
-    KEYED = "keyed"  # carries a key: one group of upstreams drops its repeats for a while
-    UNSAFE = "unsafe"  # must never run twice
+    IDEMPOTENT = "safe"  # may be repeated and refused freely
+    IDEMPOTENT_WITH_KEY = (
+        "keyed"  # carries a key: one group of upstreams drops its repeats for a while
+    )
+    NON_IDEMPOTENT = "unsafe"  # must never run twice
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which upstreams drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -29,15 +31,15 @@
     CELL = "cell"
 
 
-class State(Enum):
+class UpstreamState(Enum):
     """What discovery says of an upstream."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class ListKind(Enum):
+class EndpointListKind(Enum):
     """What a list event carries."""
 
     DELTA = 0  # only changed entries
@@ -46,34 +48,36 @@
     FAILED = 3  # a call failed or the subscription broke; no entries
 
 
-class Result(Enum):
+class AttemptResult(Enum):
     """How an attempt ended."""
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen; never ran
+    REJECTED = "full"  # rejected before it was started; never ran
     TIMEOUT = "timeout"  # may have run, may still run
     CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # called off; may have run
-    MOOT = "moot"  # not sent at all; never ran
+    NOT_SENT = "moot"  # not sent at all; never ran
 
 
-NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
+NEVER_RAN = frozenset(
+    {AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT}
+)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    effect: Effect = Effect.SAFE
-    scope: Scope = Scope.ALL
+    effect: Effect = Effect.IDEMPOTENT
+    scope: DeduplicationScope = DeduplicationScope.ALL
     window_ns: int = 0  # keyed: how long repeats are dropped, from the first send that may have run
-    aim_ns: int = 1_000_000_000  # an answer within this earns the full worth
+    latency_objective_ns: int = 1_000_000_000  # an answer within this earns the full worth
     deadline_ns: int = 3_000_000_000  # the longest that its clients wait, over all their tries
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth for an answer after the aim
+    late_weight: float = 0.0  # share of the worth for an answer after the aim
     stream: bool = False
-    in_order: bool = False  # requests with one key run singly, in the order taken
+    ordered_by_key: bool = False  # requests with one key run singly, in the order taken
     zones: frozenset[str] = frozenset()  # the only zones it may go to; empty: any
     kinds: frozenset[str] = frozenset()  # the only kinds of machine it may go to; empty: any
 
@@ -88,7 +92,7 @@
 @dataclass(frozen=True, slots=True)
 class Limits:
     max_attempts: int = 1
-    second_copies: bool = False
+    may_hedge: bool = False
     may_cancel: bool = False
     probes: bool = False
     peers: bool = False
@@ -102,14 +106,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    stop_sending_within_ns: int = 1_000_000_000  # sends to a draining upstream must end within this
-    ask_within_ns: int = 10_000_000_000  # without news for this long, a proxy counts as told
-    cold_from: float = 0.3  # a started upstream begins at this share of its capacity
-    cold_ns: int = 0  # and is warm after this
-    fall_multiple: float = 3.0  # sent more than this many times what it can do
-    overload_for_ns: int = 2_000_000_000  # for this long, it falls over
-    turn_gap_ns: int = 0  # a key in order rests this long after an attempt that may still run
+class TrafficRules:
+    drain_grace_ns: int = 1_000_000_000  # sends to a draining upstream must end within this
+    list_expiry_ns: int = 10_000_000_000  # without news for this long, a proxy counts as told
+    slow_start_capacity: float = 0.3  # a started upstream begins at this share of its capacity
+    slow_start_ns: int = 0  # and is warm after this
+    overload_multiple: float = 3.0  # sent more than this many times what it can do
+    overload_window_ns: int = 2_000_000_000  # for this long, it falls over
+    key_order_gap_ns: int = 0  # a key in order rests this long after an attempt that may still run
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,13 +129,13 @@
 @dataclass(frozen=True, slots=True)
 class Settings:
     me: int = 0
-    replicas_of_me: int = 1
+    instance_count: int = 1
     zone: str = ""
     discovery_push: bool = True  # list changes come by themselves
     classes: Mapping[str, RequestClass] = field(default_factory=dict)
     tenants: Mapping[str, Tenant] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
-    rules: Rules = field(default_factory=Rules)
+    rules: TrafficRules = field(default_factory=TrafficRules)
     prices: Prices = field(default_factory=Prices)
     report_columns: Sequence[str] = ()  # what load reports hold
     reports_in_answers: bool = False
@@ -141,7 +145,7 @@
     """An entry of the upstream list."""
 
     id: int
-    state: State = State.READY
+    state: UpstreamState = UpstreamState.READY
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
@@ -152,12 +156,12 @@
 # ---- events --------------------------------------------------------------------------------------
 
 
-class ListUpdate(NamedTuple):
-    kind: ListKind
+class EndpointsUpdated(NamedTuple):
+    kind: EndpointListKind
     upstreams: Sequence[Upstream] = ()
 
 
-class ListTrust(NamedTuple):
+class EndpointTrustChanged(NamedTuple):
     """May the list be gone by? Not where it is older than a change may go unknown: any upstream may
     drain.
     """
@@ -165,7 +169,7 @@
     trusted: bool
 
 
-class Arrival(NamedTuple):
+class RequestArrived(NamedTuple):
     """A client's request; the proxy now owes it one final answer."""
 
     request: str
@@ -175,65 +179,65 @@
     cost_hint_ns: int = 0
     key: str = ""
     retry: bool = False
-    asked_ns: int = 0  # when its last byte came, where that was earlier; 0: now
+    received_ns: int = 0  # when its last byte came, where that was earlier; 0: now
     whole: bool = True  # False: the end of its body is still to come, and its time runs from there
 
 
-class BodyWhole(NamedTuple):
+class BodyCompleted(NamedTuple):
     """The last byte of a request that was taken before has come: an upstream starts to work only
     now.
     """
 
     request: str
     deadline_ns: int
-    asked_ns: int
+    received_ns: int
     again: bool  # it could be sent once more: its body is still held whole
 
 
-class Outcome(NamedTuple):
+class AttemptFinished(NamedTuple):
     """How one attempt ended; every Send gets exactly one."""
 
     request: str
     attempt: int
     upstream: int
-    result: Result
-    took_ns: int
+    result: AttemptResult
+    duration_ns: int
     complete: bool = False  # the request is over
     report: Mapping[str, float] | None = None
 
 
-class AnswerBegun(NamedTuple):
+class ResponseStarted(NamedTuple):
     """A streamed answer has begun; the request's deadline no longer runs."""
 
     request: str
     attempt: int
     upstream: int
-    took_ns: int
+    duration_ns: int
 
 
-class ClientGone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     request: str
 
 
-class ProbeResult(NamedTuple):
+class HealthCheckFinished(NamedTuple):
     upstream: int
-    result: Result
-    took_ns: int
+    result: AttemptResult
+    duration_ns: int
     report: Mapping[str, float] | None = None
 
 
-class PeerMessage(NamedTuple):
+class GossipReceived(NamedTuple):
     sender: int
     data: bytes
 
 
-class Wake(NamedTuple):
+class TimerFired(NamedTuple):
     """A timer set with SetTimer is due."""
 
     name: str
 
 
-class Ban(NamedTuple):
+class UpstreamDisabled(NamedTuple):
     """Operators took an upstream out, or put it back. What discovery says of it is another
     matter.
     """
@@ -242,7 +246,7 @@
     on: bool = True
 
 
-class Learnt(NamedTuple):
+class LearnedState(NamedTuple):
     """What a proxy had learnt when it was asked (`Balancer.learnt`), told to it, or to its
     successor, after a restart. The older it is, the less of it is believed.
     """
@@ -251,7 +255,7 @@
     rate: float = 0.0  # requests a second that it let through at most; 0: not told
     demands: Mapping[str, float] = {}  # tenant -> requests a second
     taken: Mapping[str, float] = {}  # class -> ns that a request takes
-    each_ns: float = 0.0  # for each request that an upstream holds
+    per_request_ns: float = 0.0  # for each request that an upstream holds
     calm: float = 0.0  # part of its aim that an answer takes in good times
     window: float = 0.0  # own requests in flight for each upstream
     # Upstream -> its time for a request against the fleet's, and the start of which that was
@@ -259,7 +263,7 @@
     paces: Mapping[int, tuple[float, int]] = {}
 
 
-class Plan(NamedTuple):
+class TrafficPlan(NamedTuple):
     """What the fleet does while a site is lost, emptied or coming back; it stands until the next
     one. The empty one is that of a fleet that is well.
     """
@@ -271,7 +275,7 @@
     repeats: float = 0.0  # part refused of clients' repeats
     copies: bool = True  # second copies and late looks
     classes: Mapping[str, float] = {}  # class -> part refused of it, evenly over tenants
-    back_ns: tuple[int, int] = (
+    retry_window_ns: tuple[int, int] = (
         0,
         0,
     )  # from when to when the refused shall try again; (0, 0): as usual
@@ -279,67 +283,67 @@
 
 
 Event = (
-    ListUpdate
-    | ListTrust
-    | Arrival
-    | BodyWhole
-    | Outcome
-    | AnswerBegun
-    | ClientGone
-    | ProbeResult
-    | PeerMessage
-    | Wake
-    | Ban
-    | Learnt
-    | Plan
+    EndpointsUpdated
+    | EndpointTrustChanged
+    | RequestArrived
+    | BodyCompleted
+    | AttemptFinished
+    | ResponseStarted
+    | ClientDisconnected
+    | HealthCheckFinished
+    | GossipReceived
+    | TimerFired
+    | UpstreamDisabled
+    | LearnedState
+    | TrafficPlan
 )
 
 # ---- actions -------------------------------------------------------------------------------------
 
 
-class Send(NamedTuple):
+class StartAttempt(NamedTuple):
     """Start an attempt. A request's attempts are numbered from 0 in the order of their sends."""
 
     request: str
     upstream: int
     timeout_ns: int = 0  # 0: until the client gives up. It runs from the request's last byte
-    begin_ns: int = (
+    start_by_ns: int = (
         0  # it may not begin later than this, as where a connection comes up late; 0: any time
     )
 
 
-class Refuse(NamedTuple):
+class RejectRequest(NamedTuple):
     """Final answer: turned away; trying again is harmless."""
 
     request: str
     retry_after_ns: int = 0
 
 
-class Fail(NamedTuple):
+class FailRequest(NamedTuple):
     """Final answer: failed, with no promise about its effect."""
 
     request: str
 
 
-class Cancel(NamedTuple):
+class CancelAttempt(NamedTuple):
     request: str
     attempt: int
 
 
-class Probe(NamedTuple):
+class CheckHealth(NamedTuple):
     upstream: int
 
 
-class Tell(NamedTuple):
+class SendGossip(NamedTuple):
     data: bytes
     peer: int = -1  # -1: all peers
 
 
-class Subscribe(NamedTuple):
+class SubscribeEndpoints(NamedTuple):
     on: bool = True
 
 
-class FetchList(NamedTuple):
+class FetchEndpoints(NamedTuple):
     pass
 
 
@@ -348,8 +352,19 @@
     name: str
 
 
-class Note(NamedTuple):
+class LogMessage(NamedTuple):
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Tell | Subscribe | FetchList | SetTimer | Note
+Action = (
+    StartAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | CheckHealth
+    | SendGossip
+    | SubscribeEndpoints
+    | FetchEndpoints
+    | SetTimer
+    | LogMessage
+)
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -64,7 +64,9 @@
         self.plan = self.fleet.plan
         self.guest = 1.0  # how much slower upstreams beyond the home answer
         self.out = self.stuck = 0  # own attempts in flight, and those of them that are overdue
-        self.patience_ns = min((c.aim_ns for c in settings.classes.values()), default=SECOND)
+        self.patience_ns = min(
+            (c.latency_objective_ns for c in settings.classes.values()), default=SECOND
+        )
         self.look_ns = int(max(LOOK_NS[0], min(LOOK_NS[1], LOOK_PART * self.patience_ns)))
         self.crowding.each = min(self.crowding.each, EACH_PART * self.patience_ns)
         self.failures = 0
@@ -73,7 +75,7 @@
             # Proxies must not all ask together; but one that knows of no upstream serves nobody
             # until it has.
             self._later(
-                now + int(self.rng.random() * min(ASK_NS[1], settings.rules.ask_within_ns / 4)),
+                now + int(self.rng.random() * min(ASK_NS[1], settings.rules.list_expiry_ns / 4)),
                 "subscribe",
                 None,
             )
@@ -82,32 +84,32 @@
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
         self.actions = []
         for e in events:
-            if type(e) is api.Arrival:
+            if type(e) is api.RequestArrived:
                 self._arrival(e, now)
-            elif type(e) is api.Outcome:
+            elif type(e) is api.AttemptFinished:
                 self._outcome(e, now)
-            elif type(e) is api.ClientGone and e.request in self.requests:
+            elif type(e) is api.ClientDisconnected and e.request in self.requests:
                 self._end(self.requests[e.request], now)
-            elif type(e) is api.ListUpdate:
+            elif type(e) is api.EndpointsUpdated:
                 self._list(e, now)
-            elif type(e) is api.ProbeResult:
+            elif type(e) is api.HealthCheckFinished:
                 self._probed(e, now)
-            elif type(e) is api.AnswerBegun and e.request in self.requests:
+            elif type(e) is api.ResponseStarted and e.request in self.requests:
                 self.requests[e.request].begun = True
-            elif type(e) is api.BodyWhole:
+            elif type(e) is api.BodyCompleted:
                 self._whole(e, now)
-            elif type(e) is api.ListTrust:
+            elif type(e) is api.EndpointTrustChanged:
                 self.fleet.trusted = e.trusted
-            elif type(e) is api.Ban:
+            elif type(e) is api.UpstreamDisabled:
                 self.fleet.ban(e, now)
-            elif type(e) is api.Learnt:
+            elif type(e) is api.LearnedState:
                 learned_state.recall(e, now, self.throttles, self.rate, self.crowding, self.fleet)
-            elif type(e) is api.Plan:
+            elif type(e) is api.TrafficPlan:
                 self.plan = e
                 for name, t in self.throttles.items():
                     t.share = e.shares.get(name, 0.0)
                 self.fleet.follow(e, now)
-            elif type(e) is api.Wake and e.name == str(self.timer):
+            elif type(e) is api.TimerFired and e.name == str(self.timer):
                 self.timer_ns = 0  # by its name, not the clock: a timer may come a little early
         while self.due and self.due[0][0] <= now:
             at, _, what, about, extra = heapq.heappop(self.due)
@@ -127,7 +129,7 @@
             self.actions.append(api.SetTimer(max(1, self.timer_ns - now), str(self.timer)))
         return self.actions
 
-    def learnt(self) -> api.Learnt:
+    def learnt(self) -> api.LearnedState:
         """What it has learnt so far, for its successor."""
         return learned_state.learnt(self.throttles, self.rate, self.crowding, self.fleet)
 
@@ -137,13 +139,13 @@
         self.count += 1
         heapq.heappush(self.due, (at, self.count, what, about, extra))
 
-    def _arrival(self, e: api.Arrival, now: int) -> None:
+    def _arrival(self, e: api.RequestArrived, now: int) -> None:
         throttle = self.throttles.get(e.tenant) or next(iter(self.throttles.values()))
         cls = self.settings.classes.get(e.class_name) or api.RequestClass(
-            e.class_name, api.Effect.UNSAFE
+            e.class_name, api.Effect.NON_IDEMPOTENT
         )
-        asked = e.asked_ns or now
-        aim = min(asked + cls.aim_ns, e.deadline_ns)
+        asked = e.received_ns or now
+        aim = min(asked + cls.latency_objective_ns, e.deadline_ns)
         pool = self.fleet.pool(cls)
         hint = min(
             e.cost_hint_ns, cls.deadline_ns
@@ -157,7 +159,9 @@
         if self._turned_away(r, now):
             self._refuse(r, now)
             return
-        if expected < cls.aim_ns < waited + expected and not (cls.late_worth or cls.stream):
+        if expected < cls.latency_objective_ns < waited + expected and not (
+            cls.late_weight or cls.stream
+        ):
             # It waited unseen for so long, the proxy being late itself, that its answer would come
             # too late. Served in turn, all would: work on those makes the ones behind them late as
             # well. This covers any stretch in which the proxy had no time. It hurts where
@@ -168,7 +172,7 @@
         self._later(
             r.give_up_ns, "give up", r
         )  # whatever comes, a request that waits is looked at then
-        if cls.in_order and e.key:
+        if cls.ordered_by_key and e.key:
             r.turn = self.turns.setdefault(e.key, Turn(e.key))
             r.turn.waiting.append(r)
             r.turn_ns = r.turn.rest_ns
@@ -197,15 +201,18 @@
 
     def _set_give_up(self, r: Request, expected: float, now: int) -> None:
         need = expected * (1 + self.crowding.spread)
-        r.give_up_ns = max(r.aim_ns - int(need), now + (r.deadline_ns - now) // 4)
+        r.give_up_ns = max(r.latency_objective_ns - int(need), now + (r.deadline_ns - now) // 4)
 
-    def _whole(self, e: api.BodyWhole, now: int) -> None:
+    def _whole(self, e: api.BodyCompleted, now: int) -> None:
         """Its time runs from here, and so does the work of the upstream that has it."""
         r = self.requests.get(e.request)
         if r is None or r.over:
             return
         r.whole, r.again = True, e.again
-        r.deadline_ns, r.aim_ns = e.deadline_ns, min(e.asked_ns + r.cls.aim_ns, e.deadline_ns)
+        r.deadline_ns, r.latency_objective_ns = (
+            e.deadline_ns,
+            min(e.received_ns + r.cls.latency_objective_ns, e.deadline_ns),
+        )
         self._set_give_up(r, self.crowding.expected(r), now)
         for i, a in enumerate(r.attempts):
             if a.waits and a.result is None:
@@ -261,45 +268,50 @@
             # for it. Where requests come faster than answers, each would need a connection. Who
             # owes one for long is passed over.
             drawn = dict.fromkeys(r.pool.draw(LOOKS, now))
-            r.asked, r.asked_ns = (
-                [s for s in drawn if not s.asked_ns or now < s.asked_ns + self.look_ns],
+            r.asked, r.received_ns = (
+                [s for s in drawn if not s.received_ns or now < s.received_ns + self.look_ns],
                 now,
             )
             for s in r.asked:
-                if not s.asked_ns:
-                    s.asked_ns, s.unseen = now, 0
-                    self.actions.append(api.Probe(s.id))
+                if not s.received_ns:
+                    s.received_ns, s.unseen = now, 0
+                    self.actions.append(api.CheckHealth(s.id))
             self._later(now + self.look_ns, "look", r)
 
-    def _probed(self, e: api.ProbeResult, now: int) -> None:
+    def _probed(self, e: api.HealthCheckFinished, now: int) -> None:
         server = self.fleet.servers.get(e.upstream)
         if server is not None:
-            server.asked_ns = 0
+            server.received_ns = 0
             if e.report is not None:
                 server.load, server.load_ns = e.report.get("inflight", 0.0) + server.unseen, now
 
-    def _outcome(self, e: api.Outcome, now: int) -> None:
+    def _outcome(self, e: api.AttemptFinished, now: int) -> None:
         r = self.requests.get(e.request)
         if r is None or r.attempts[e.attempt].result is not None:
             return
         a = r.attempts[e.attempt]
         result = a.result = e.result
-        if a.late and result is api.Result.CANCELLED:
-            result = api.Result.TIMEOUT  # it was called off for want of time
+        if a.late and result is api.AttemptResult.CANCELLED:
+            result = api.AttemptResult.TIMEOUT  # it was called off for want of time
         server = a.server  # also of one that is listed no more: counts must come out even
         fleet = self.fleet
         self.out -= not a.waits
         self.stuck -= a.overdue
-        if result is api.Result.OK and a.waits:
+        if result is api.AttemptResult.OK and a.waits:
             pass  # answered ahead of the request's end: that tells nothing of the time it takes
-        elif result is api.Result.OK:
-            self.crowding.note(r, a, e.took_ns)
-            self.crowding.feel(e.took_ns / r.cls.aim_ns, bool(r.pool.blocked_ns), r.pool.width, now)
+        elif result is api.AttemptResult.OK:
+            self.crowding.note(r, a, e.duration_ns)
+            self.crowding.feel(
+                e.duration_ns / r.cls.latency_objective_ns,
+                bool(r.pool.blocked_ns),
+                r.pool.width,
+                now,
+            )
             if not server.own:
                 self.guest += 0.2 * (
-                    min(5.0, e.took_ns / max(1.0, self.crowding.expected(r))) - self.guest
+                    min(5.0, e.duration_ns / max(1.0, self.crowding.expected(r))) - self.guest
                 )
-            late = a.sent_ns + e.took_ns > r.aim_ns
+            late = a.sent_ns + e.duration_ns > r.latency_objective_ns
             self.rate.good += not late
             self.rate.bad += late  # what a crowded fleet shows first
             fleet.judge(server, False)
@@ -308,21 +320,21 @@
             if server.strikes and server.errors < FAULTY[0]:
                 server.strikes = server.barred_ns = 0
         elif result in (
-            api.Result.FULL,
-            api.Result.TIMEOUT,
-            api.Result.CONNECT_FAILED,
-            api.Result.RESET,
+            api.AttemptResult.REJECTED,
+            api.AttemptResult.TIMEOUT,
+            api.AttemptResult.CONNECT_FAILED,
+            api.AttemptResult.RESET,
         ):
-            if result is api.Result.FULL or self.crowding.crowded():
+            if result is api.AttemptResult.REJECTED or self.crowding.crowded():
                 self.crowding.feel(1.0, False, r.pool.width, now)
             self.rate.bad += 1
-            busy = result in (api.Result.FULL, api.Result.TIMEOUT)
-            if result is api.Result.TIMEOUT:
-                self.crowding.crowd(a, e.took_ns)
-            if result is not api.Result.RESET or fleet.broken(server):
+            busy = result in (api.AttemptResult.REJECTED, api.AttemptResult.TIMEOUT)
+            if result is api.AttemptResult.TIMEOUT:
+                self.crowding.crowd(a, e.duration_ns)
+            if result is not api.AttemptResult.RESET or fleet.broken(server):
                 fleet.bar(a, now, a.expected if busy else SECOND / 4)
                 self._later(server.barred_ns, "pump", None)
-        elif result is api.Result.ERROR:
+        elif result is api.AttemptResult.ERROR:
             self.rate.good += 1
             if fleet.judge(server, True):
                 fleet.bar(a, now, SECOND / 4)
@@ -331,8 +343,12 @@
             server.inflight -= 1
             server.load = max(0.0, server.load - 1)
         fleet.forget(server)
-        if r.turn and result in (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED):
-            r.turn.rest_ns = now + self.settings.rules.turn_gap_ns
+        if r.turn and result in (
+            api.AttemptResult.TIMEOUT,
+            api.AttemptResult.RESET,
+            api.AttemptResult.CANCELLED,
+        ):
+            r.turn.rest_ns = now + self.settings.rules.key_order_gap_ns
         if e.complete:
             self._end(r, now)
         elif not r.over and not r.out and not r.begun:
@@ -363,7 +379,11 @@
     def _choices(self, r: Request) -> list[Server] | None:
         """Where a request that may have run may go again; None: anywhere."""
         first = next((a for a in r.attempts if a.may_have_run), None)
-        if first is None or r.cls.effect is api.Effect.SAFE or r.cls.scope is api.Scope.ALL:
+        if (
+            first is None
+            or r.cls.effect is api.Effect.IDEMPOTENT
+            or r.cls.scope is api.DeduplicationScope.ALL
+        ):
             return None
         return [s for s in r.pool.all() if r._same_group(s, first.server)]
 
@@ -372,13 +392,13 @@
         failed.
         """
         if r.may_refuse():
-            limits, (first, last) = self.settings.limits, self.plan.back_ns
+            limits, (first, last) = self.settings.limits, self.plan.retry_window_ns
             back = self.rng.uniform(0.25, 1.0) * min(limits.max_retry_after_ns, SECOND)
             if last:
                 back = min(limits.max_retry_after_ns, first + self.rng.random() * (last - first))
-            self.actions.append(api.Refuse(r.id, int(back) if limits.retry_after else 0))
+            self.actions.append(api.RejectRequest(r.id, int(back) if limits.retry_after else 0))
         else:
-            self.actions.append(api.Fail(r.id))
+            self.actions.append(api.FailRequest(r.id))
         self._end(r, now)
 
     def _end(self, r: Request, now: int) -> None:
@@ -391,20 +411,20 @@
         if self.settings.limits.may_cancel:
             for i, a in enumerate(r.attempts):
                 if a.result is None:
-                    self.actions.append(api.Cancel(r.id, i))
+                    self.actions.append(api.CancelAttempt(r.id, i))
         self._forget(r, now)
 
-    def _list(self, e: api.ListUpdate, now: int) -> None:
-        if e.kind is api.ListKind.FAILED:
+    def _list(self, e: api.EndpointsUpdated, now: int) -> None:
+        if e.kind is api.EndpointListKind.FAILED:
             # Calls are spread and backed off: discovery does not grow with the fleet.
             self.subscribed = False
             self.failures += 1
             wait = ASK_AGAIN_NS * min(1.0, 2.0 ** (self.failures - 3)) * self.rng.uniform(0.4, 1.0)
             self._later(
-                now + int(min(wait, self.settings.rules.ask_within_ns * 0.8)), "subscribe", None
+                now + int(min(wait, self.settings.rules.list_expiry_ns * 0.8)), "subscribe", None
             )
         else:
-            self.failures = self.failures if e.kind is api.ListKind.CACHED else 0
+            self.failures = self.failures if e.kind is api.EndpointListKind.CACHED else 0
             self.fleet.learn(e, now)
 
     def _look(
@@ -424,7 +444,7 @@
             what == "subscribe" or what == "first" and not self.fleet.ready
         ) and not self.subscribed:
             self.subscribed = True
-            self.actions.append(api.Subscribe(True))
+            self.actions.append(api.SubscribeEndpoints(True))
         elif isinstance(about, Throttle):
             about.waking = False
             self._release(about, now)
@@ -447,7 +467,7 @@
         self._later(a.server.barred_ns, "pump", None)
         if (
             r.pool.line
-            or now + a.expected > r.aim_ns
+            or now + a.expected > r.latency_objective_ns
             or a.server.strikes < 2
             or not self.plan.copies
         ):
@@ -468,7 +488,7 @@
             return
         a.late = True
         if r.pool.line or self.crowding.crowded() or not self.plan.copies:
-            self.actions.append(api.Cancel(r.id, number))
+            self.actions.append(api.CancelAttempt(r.id, number))
         else:
             self._later(now + LATE_LOOK_NS, "late", r, number)
 
@@ -491,8 +511,8 @@
             r = pool.line[0]
             if (
                 r.asked
-                and now < r.asked_ns + self.look_ns
-                and any(s.load_ns < r.asked_ns for s in r.asked)
+                and now < r.received_ns + self.look_ns
+                and any(s.load_ns < r.received_ns for s in r.asked)
             ):
                 break  # who waits for an answer to a question is not held up by a want of room
             pool.blocked_ns = pool.blocked_ns or now
@@ -505,14 +525,16 @@
                 jammed = True
                 break
             choices = self._choices(r) if r.attempts else None
-            fresh = [s for s in r.asked if s.load_ns >= r.asked_ns and fleet.fit(s, now)]
+            fresh = [s for s in r.asked if s.load_ns >= r.received_ns and fleet.fit(s, now)]
             failed = {
                 a.server for a in r.attempts
             }  # it may fail there again: elsewhere, where that can be
             fresh = [s for s in fresh if s not in failed] or fresh
             r.asked = []
-            server = pool.pick(now, fresh or choices, r.cls.effect is not api.Effect.SAFE, r.key)
-            left = (r.aim_ns - now) / self.crowding.each
+            server = pool.pick(
+                now, fresh or choices, r.cls.effect is not api.Effect.IDEMPOTENT, r.key
+            )
+            left = (r.latency_objective_ns - now) / self.crowding.each
             full = (
                 fresh and server and server.load >= 1 and (server.load + 1.5) * server.pace > left
             )
@@ -544,12 +566,14 @@
             self._later(server.barred_ns, "pump", None)
         # Where a late answer is worth nothing, an attempt that others wait for ends at the aim.
         timeout = 0
-        if not (r.cls.late_worth or r.cls.stream):
+        if not (r.cls.late_weight or r.cls.stream):
             if r.whole and self.settings.limits.may_cancel:
-                self._later(max(now + 1, r.aim_ns), "late", r, len(r.attempts) - 1)
+                self._later(max(now + 1, r.latency_objective_ns), "late", r, len(r.attempts) - 1)
             else:
-                timeout = max(1, r.aim_ns - now) if r.whole else r.cls.aim_ns
-        self.actions.append(api.Send(r.id, server.id, timeout, begin))
+                timeout = (
+                    max(1, r.latency_objective_ns - now) if r.whole else r.cls.latency_objective_ns
+                )
+        self.actions.append(api.StartAttempt(r.id, server.id, timeout, begin))
 
     def _begin(self, r: Request, number: int, now: int) -> None:
         """An upstream has something to do for this attempt from now on."""
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -66,7 +66,7 @@
     def expected(self, r: Request) -> float:
         if r.hint:
             return self.taken.get("", 1.0) * r.hint
-        return self.taken.get(r.cls.name, r.cls.aim_ns / 8)
+        return self.taken.get(r.cls.name, r.cls.latency_objective_ns / 8)
 
     def note(self, r: Request, a: Attempt, took: int) -> None:
         server = a.server
--- a/loadbalancer/policy/learned_state.py
+++ b/loadbalancer/policy/learned_state.py
@@ -23,11 +23,11 @@
 
 def learnt(
     throttles: Mapping[str, Throttle], rate: Rate, crowding: Crowding, fleet: Fleet
-) -> api.Learnt:
+) -> api.LearnedState:
     """What it has learnt so far."""
     demands = {name: t.demand for name, t in throttles.items()}
     paces = {s.id: (s.pace, s.started_ns) for s in fleet.ready}
-    return api.Learnt(
+    return api.LearnedState(
         0,
         rate.value if rate.value < START_RATE else 0.0,
         demands,
@@ -40,7 +40,7 @@
 
 
 def recall(
-    e: api.Learnt,
+    e: api.LearnedState,
     now: int,
     throttles: Mapping[str, Throttle],
     rate: Rate,
@@ -54,8 +54,8 @@
         return
     for name, took in e.taken.items():
         c.taken.setdefault(name, took)
-    if e.each_ns > 0:
-        c.each += trust * (e.each_ns - c.each)
+    if e.per_request_ns > 0:
+        c.each += trust * (e.per_request_ns - c.each)
         c.calm += trust * (min(e.calm, EASE[1]) - c.calm)
         c.window += trust * (min(e.window, c.widest) - c.window)
         c.seen = max(c.seen, int(RECALLED * trust))
--- a/loadbalancer/policy/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -21,7 +21,7 @@
     expected: float
     load: float  # what the upstream was thought to hold then, this one included
     opens: bool = False  # more were out there than ever: it had to open a connection
-    result: api.Result | None = None
+    result: api.AttemptResult | None = None
     overdue: bool = False
     late: bool = False  # its answer comes too late to be worth anything
     waits: bool = False  # for the end of its request's body: its upstream has nothing to do yet
@@ -42,7 +42,7 @@
     tenant: Throttle
     pool: Pool
     deadline_ns: int
-    aim_ns: int  # an answer by then earns the full worth
+    latency_objective_ns: int  # an answer by then earns the full worth
     hint: int
     retry: bool = False  # the client's own repeat
     whole: bool = True  # the end of its body has come
@@ -56,7 +56,7 @@
     give_up_ns: int = 0  # waiting longer than this is of no use
     key: str = ""
     asked: list[Server] = field(default_factory=list)  # asked for their load on its behalf
-    asked_ns: int = 0
+    received_ns: int = 0
 
     @property
     def out(self) -> int:
@@ -95,7 +95,7 @@
         """Rule 2: how long a repeat may yet begin, where that has an end; else 0."""
         risky = (
             [a for a in self.attempts if a.may_have_run]
-            if self.cls.effect is api.Effect.KEYED
+            if self.cls.effect is api.Effect.IDEMPOTENT_WITH_KEY
             else []
         )
         return max(1, risky[0].sent_ns + self.cls.window_ns - now) if risky else 0
@@ -109,10 +109,12 @@
         return not isinstance(rules.may_refuse(self.cls, may_have_run), Denied)
 
     def _same_group(self, x: Server, y: Server) -> bool:
-        if self.cls.scope is api.Scope.ALL:
+        if self.cls.scope is api.DeduplicationScope.ALL:
             return True
         a, b = x.entry, y.entry
-        return a.zone == b.zone and (self.cls.scope is api.Scope.ZONE or a.cell == b.cell)
+        return a.zone == b.zone and (
+            self.cls.scope is api.DeduplicationScope.ZONE or a.cell == b.cell
+        )
 
 
 @dataclass(slots=True, eq=False)
--- a/loadbalancer/policy/rules.py
+++ b/loadbalancer/policy/rules.py
@@ -96,7 +96,7 @@
 
 def most_out(limits: api.Limits, in_pieces: bool = False) -> int:
     """How many attempts of a request may be out at once. A body in pieces can only go one way."""
-    return 2 if limits.second_copies and not in_pieces else 1
+    return 2 if limits.may_hedge and not in_pieces else 1
 
 
 def may_use(usable: bool, list_trusted: bool) -> Verdict:
@@ -118,9 +118,9 @@
     first send that may have run. `same_group`: all upstreams that it went to drop each other's
     repeats.
     """
-    if cls.effect is api.Effect.SAFE:
+    if cls.effect is api.Effect.IDEMPOTENT:
         return ALLOWED
-    if cls.effect is not api.Effect.KEYED:
+    if cls.effect is not api.Effect.IDEMPOTENT_WITH_KEY:
         return DENIED[Reason.EFFECT]
     if since_first_ns >= cls.window_ns:
         return DENIED[Reason.WINDOW]
@@ -129,8 +129,10 @@
 
 def may_refuse(cls: api.RequestClass, may_have_run: bool) -> Verdict:
     """May a request be refused, which promises that a repeat is harmless?"""
-    everywhere = cls.effect is api.Effect.KEYED and cls.scope is api.Scope.ALL
-    if cls.effect is api.Effect.SAFE or everywhere or not may_have_run:
+    everywhere = (
+        cls.effect is api.Effect.IDEMPOTENT_WITH_KEY and cls.scope is api.DeduplicationScope.ALL
+    )
+    if cls.effect is api.Effect.IDEMPOTENT or everywhere or not may_have_run:
         return ALLOWED
     return DENIED[Reason.EFFECT]
 
--- a/loadbalancer/policy/upstream_set.py
+++ b/loadbalancer/policy/upstream_set.py
@@ -56,7 +56,7 @@
         self.sharers = 1.0  # proxies that have an upstream in their home
         self.banned: set[int] = set()  # by operators, listed or not
         self.back: dict[int, int] = {}  # put back by them, and when
-        self.plan = api.Plan()
+        self.plan = api.TrafficPlan()
         self.trusted = True  # the list is not older than a change may go unknown
         self.alone: dict[int, Server] = {}  # those left alone for now
         self.ring = Ring()  # usable ones
@@ -77,11 +77,13 @@
         found = self.pools.get((cls.zones, cls.kinds))
         return found or self.pools.setdefault((cls.zones, cls.kinds), Pool(self, cls))
 
-    def learn(self, update: api.ListUpdate, now: int) -> None:
-        if update.kind is not api.ListKind.DELTA:
+    def learn(self, update: api.EndpointsUpdated, now: int) -> None:
+        if update.kind is not api.EndpointListKind.DELTA:
             listed = {e.id for e in update.upstreams}
             for s in [s for s in self.servers.values() if s.id not in listed]:
-                s.entry = s.entry._replace(state=api.State.GONE)  # missing from a whole list
+                s.entry = s.entry._replace(
+                    state=api.UpstreamState.REMOVED
+                )  # missing from a whole list
                 self.ring.place(s)
                 self.forget(s)
         here = self.settings.zone if self.settings.prices.cross_zone else ""
@@ -89,7 +91,7 @@
             s = self.servers.get(entry.id) or self.met(entry)
             s.way = ACROSS if here and entry.zone != here else 1.0
             s.part = self.plan.zones.get(entry.zone, 1.0)
-            s.banned, s.back_ns = entry.id in self.banned, self.back.get(entry.id, 0)
+            s.banned, s.retry_window_ns = entry.id in self.banned, self.back.get(entry.id, 0)
             was, s.entry = s.entry, entry
             if entry.started_ns != was.started_ns:
                 s.strikes = s.barred_ns = 0
@@ -130,14 +132,14 @@
         s.barred_ns = until_ns
         self.alone[s.id] = s
 
-    def ban(self, e: api.Ban, now: int) -> None:
+    def ban(self, e: api.UpstreamDisabled, now: int) -> None:
         """It holds whatever the lists say, until it is taken back. Then the upstream counts as
         cold.
         """
         self.back = {
             number: at
             for number, at in self.back.items()
-            if now - at < self.settings.rules.cold_ns and number != e.upstream
+            if now - at < self.settings.rules.slow_start_ns and number != e.upstream
         }
         s = self.servers.get(e.upstream)
         if e.on:
@@ -146,7 +148,7 @@
             self.banned.discard(e.upstream)
             self.back[e.upstream] = now
             if s is not None:
-                s.back_ns, s.strikes = now, 0
+                s.retry_window_ns, s.strikes = now, 0
                 gap = int(self.rng.random() * self.cold_gap_ns(s, now)) if self.cold(s, now) else 0
                 self.leave(s, now + gap)
         if s is not None:
@@ -154,7 +156,7 @@
             self.ring.place(s)
         self.arrange(now)
 
-    def follow(self, plan: api.Plan, now: int) -> None:
+    def follow(self, plan: api.TrafficPlan, now: int) -> None:
         """The fleet's plan: what each zone may be given, and who sends to what is cold."""
         was, self.plan = self.plan.cold, plan
         for s in self.servers.values():
@@ -166,8 +168,8 @@
 
     def arrange(self, now: int) -> None:
         """Which upstreams each pool draws from."""
-        ready, proxies = self.ready, max(1, self.settings.replicas_of_me)
-        lately = now - NEW[1] * self.settings.rules.cold_ns
+        ready, proxies = self.ready, max(1, self.settings.instance_count)
+        lately = now - NEW[1] * self.settings.rules.slow_start_ns
         self.keyed = NEW[0] * self.ring.started_since(lately) <= len(ready)
         for pool in self.pools.values():
             for s in pool.order[: pool.home]:
@@ -186,7 +188,7 @@
         """What has gone and holds no attempt of ours any more is of no use: in time ids are ever
         new.
         """
-        if s.entry.state is api.State.GONE and not s.inflight:
+        if s.entry.state is api.UpstreamState.REMOVED and not s.inflight:
             self.servers.pop(s.id, None)
             self.alone.pop(s.id, None)
 
@@ -218,7 +220,7 @@
     def cold(self, s: Server, now: int) -> bool:
         # A start may lie in the future, where clocks differ; it is cold all the same, if anything
         # ever is.
-        return bool(s.started_ns) and now - s.started_ns < self.settings.rules.cold_ns > 0
+        return bool(s.started_ns) and now - s.started_ns < self.settings.rules.slow_start_ns > 0
 
     def cold_gap_ns(self, s: Server, now: int) -> int:
         """Rule 4: the least time between sends to a cold upstream, so that all whose home it is in
@@ -228,11 +230,13 @@
         rules = self.settings.rules
         dealt = self.plan.cold.get(s.id)
         if dealt is not None:
-            return int(SECOND / dealt) if dealt > 0 else rules.cold_ns
+            return int(SECOND / dealt) if dealt > 0 else rules.slow_start_ns
         age = max(0, now - s.started_ns)  # clocks differ: it may have started in the future
-        part = rules.cold_from + (1 - rules.cold_from) * age / rules.cold_ns
+        part = (
+            rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age / rules.slow_start_ns
+        )
         bears = max(self.borne, SECOND / self.crowding.each / self.sharers)
-        return int(SECOND / (COLD_PART * rules.fall_multiple * part * bears))
+        return int(SECOND / (COLD_PART * rules.overload_multiple * part * bears))
 
     def fit(self, s: Server, now: int) -> bool:
         if not s.usable or not self.trusted or now < s.barred_ns:
--- a/loadbalancer/policy/upstream_stats.py
+++ b/loadbalancer/policy/upstream_stats.py
@@ -47,7 +47,7 @@
     way: float = 1.0  # in another zone it seems so much heavier
     load: float = 0.0  # requests it holds from all proxies, by its last report
     load_ns: int = 0
-    asked_ns: int = 0  # it was asked for its load then, and has not answered
+    received_ns: int = 0  # it was asked for its load then, and has not answered
     most: int = 0  # own requests there at once, so far
     unseen: int = 0  # sent to it since: its answer may not count them
     errors: float = 0.0  # the part of its answers that were errors lately
@@ -55,7 +55,7 @@
     met_ns: int = 0  # its last good answer
     banned: bool = False  # operators took it out
     part: float = 1.0  # of its draws that may be used, by the fleet's plan for its zone
-    back_ns: int = 0  # they put it back then
+    retry_window_ns: int = 0  # they put it back then
     spot: tuple[int, int] = (0, 0)  # on the ring that all proxies compute alike
     turn: tuple[int, int] = (0, 0)  # in this proxy's own order
     placed: bool = False  # it stands in the ring, as near or not, with this start
@@ -64,14 +64,14 @@
 
     @property
     def usable(self) -> bool:
-        return self.entry.state is api.State.READY and not self.banned and self.part > 0
+        return self.entry.state is api.UpstreamState.READY and not self.banned and self.part > 0
 
     @property
     def started_ns(self) -> int:
         """What was out is restarted meanwhile, and the list tells it late: back, it counts as
         new.
         """
-        return max(self.entry.started_ns, self.back_ns)
+        return max(self.entry.started_ns, self.retry_window_ns)
 
 
 def weight(s: Server) -> float:
--- a/loadbalancer/proxy/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -81,7 +81,7 @@
         """May the last byte of its body be written, by what its head told?"""
         request = self.request
         now_ns = time.monotonic_ns()
-        from_ns = request.arrival.asked_ns if request.arrival.whole else now_ns
+        from_ns = request.arrival.received_ns if request.arrival.whole else now_ns
         verdict = rules.may_finish(self.told_ms, now_ns, from_ns + request.wait_ns)
         if isinstance(verdict, Denied):
             self.denied(verdict, "the last byte of its body is due")
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -56,7 +56,7 @@
         self.in_chunks = False  # these are chunks
         self.last = False  # the connection ends behind it
         self.wait_ns = 0  # how long its client waits once the body is whole
-        self.asked_ns = 0  # when what is being parsed came
+        self.received_ns = 0  # when what is being parsed came
         self.phase: Phase | None = None  # the table of the frontend that it stands in
         self.end_at = 0.0  # overdue since it was first seen so, it ends then, whatever lies unread
         self.lingering = False  # its last answer is given: what it sends is not read any more
@@ -119,7 +119,7 @@
         if gone:
             self.abort()
             return
-        self.asked_ns = time.monotonic_ns() - ago_ns
+        self.received_ns = time.monotonic_ns() - ago_ns
         self.frontend.heard(self)
         self._count(len(data))
         if not self.reading and len(self.ahead) > MAX_BODY:
@@ -311,25 +311,25 @@
         self._read_on()  # its end may have come while it was full
         if self.open is not None:
             self.driver.body_whole(
-                self.open, self._deadline(self.asked_ns, self.wait_ns), self.asked_ns
+                self.open, self._deadline(self.received_ns, self.wait_ns), self.received_ns
             )
 
-    def _deadline(self, asked_ns: int, wait_ns: int) -> int:
+    def _deadline(self, received_ns: int, wait_ns: int) -> int:
         """By then its answer must be given: so that it arrives in time, and before this process
         leaves.
         """
-        deadline = asked_ns + max(0, wait_ns - ANSWER_NS)
+        deadline = received_ns + max(0, wait_ns - ANSWER_NS)
         if self.frontend.draining:
             deadline = min(deadline, self.frontend.last_answer_ns)
         return deadline
 
-    def _arrival(self, head: Request) -> api.Arrival:
+    def _arrival(self, head: Request) -> api.RequestArrived:
         terms = read_terms(head, self.driver.settings, self.driver.requests)
         self.wait_ns = terms.wait_ns
-        deadline_ns = self._deadline(self.asked_ns, terms.wait_ns)
+        deadline_ns = self._deadline(self.received_ns, terms.wait_ns)
         if head.stream is not None:
-            deadline_ns = self.asked_ns + UPLOAD_NS  # until it is whole
-        return api.Arrival(
+            deadline_ns = self.received_ns + UPLOAD_NS  # until it is whole
+        return api.RequestArrived(
             terms.request,
             terms.class_name,
             terms.tenant,
@@ -337,7 +337,7 @@
             terms.cost_hint_ns,
             terms.key,
             terms.retry,
-            self.asked_ns,
+            self.received_ns,
             head.stream is None,
         )
 
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -24,7 +24,11 @@
 log = logging.getLogger(__name__)
 
 MAX_LIST = 4 * 1024 * 1024
-STATES = {"Ready": api.State.READY, "Terminating": api.State.DRAINING, "Gone": api.State.GONE}
+STATES = {
+    "Ready": api.UpstreamState.READY,
+    "Terminating": api.UpstreamState.DRAINING,
+    "Gone": api.UpstreamState.REMOVED,
+}
 LATEST_MS = 1 << 53
 
 
@@ -44,7 +48,9 @@
     row = typed(row, "server", dict)
     state = word(row, "state", STATES, "Ready")
     # What has gone needs no address.
-    host, port = split_address(need(row, "addr", str)) if state is not api.State.GONE else ("", 0)
+    host, port = (
+        split_address(need(row, "addr", str)) if state is not api.UpstreamState.REMOVED else ("", 0)
+    )
     try:
         ipaddress.ip_address(
             host or "::"
@@ -100,7 +106,7 @@
         self.tell = self._tell  # who is told what comes
         self.address = address
         self.push = driver.settings.discovery_push
-        self.calls = Calls(driver.settings.replicas_of_me, driver.settings.me, random.Random(seed))
+        self.calls = Calls(driver.settings.instance_count, driver.settings.me, random.Random(seed))
         self.age = ListAge(driver)
         self.version = -1
         self.answered_s = 0.0  # when it last said something, be it that nothing changed
@@ -113,11 +119,11 @@
         if known is not None:
             self.version, _, endpoints = read_list(known)
             self.calls.knows()
-            self.tell(api.ListKind.CACHED, endpoints)
+            self.tell(api.EndpointListKind.CACHED, endpoints)
         if self.push:
             self.subscribe(True)
 
-    def _tell(self, kind: api.ListKind, endpoints: list[Endpoint]) -> None:
+    def _tell(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         self.driver.learn(kind, endpoints)
 
     def subscribe(self, on: bool) -> None:
@@ -168,7 +174,7 @@
                     self.age.fell_silent(self.calls.term_s)
             if pause_s is None and not self.push:
                 self.watching = False
-                self.tell(api.ListKind.FAILED, [])  # the module says when to ask again
+                self.tell(api.EndpointListKind.FAILED, [])  # the module says when to ask again
                 return
             await asyncio.sleep(self.calls.again() if pause_s is None else pause_s)
 
@@ -187,7 +193,7 @@
             self.calls.knows()
         except Exception as error:
             self._failed(error)
-            self.tell(api.ListKind.FAILED, [])
+            self.tell(api.EndpointListKind.FAILED, [])
 
     async def _call(self) -> None:
         ask, target = self.calls.ask(time.monotonic()), b"/v1/endpoints"
@@ -208,7 +214,7 @@
         self.version = max(self.version, version)
         self.age.answered()
         if endpoints or full or not self.push:
-            self.tell(api.ListKind.FULL if full else api.ListKind.DELTA, endpoints)
+            self.tell(api.EndpointListKind.FULL if full else api.EndpointListKind.DELTA, endpoints)
         self.driver.starts.listed(time.monotonic_ns())
 
     async def _get(self, target: bytes, wait_s: float | None) -> Response:
@@ -230,9 +236,9 @@
                     raise Unanswered(f"no connection: {error or 'timed out'}") from None
                 raise
             self.connection = connection
-        answer: asyncio.Future[tuple[api.Result, Response | None]] = loop.create_future()
+        answer: asyncio.Future[tuple[api.AttemptResult, Response | None]] = loop.create_future()
 
-        def ended(result: api.Result, response: Response | None) -> None:
+        def ended(result: api.AttemptResult, response: Response | None) -> None:
             if not answer.done():
                 answer.set_result((result, response))
 
@@ -244,9 +250,9 @@
         try:
             result, response = await answer
         finally:
-            exchange.give_up(api.Result.CANCELLED)
+            exchange.give_up(api.AttemptResult.CANCELLED)
         if response is None:
-            kinds = {api.Result.TIMEOUT: Silent, api.Result.ERROR: Unread}
+            kinds = {api.AttemptResult.TIMEOUT: Silent, api.AttemptResult.ERROR: Unread}
             raise kinds.get(result, Unanswered)(f"no answer: {result.value}")
         return response
 
@@ -273,7 +279,7 @@
             self.fetch()
 
     def fetch(self) -> None:
-        self.driver.learn(api.ListKind.FULL, self.endpoints)
+        self.driver.learn(api.EndpointListKind.FULL, self.endpoints)
 
     def close(self) -> None:
         pass
--- a/loadbalancer/proxy/endpoint_staleness.py
+++ b/loadbalancer/proxy/endpoint_staleness.py
@@ -49,7 +49,7 @@
         """
         if self.state is Trust.FRESH:
             self.state = Trust.AGING
-            grace_s = self.driver.settings.rules.stop_sending_within_ns / 1e9
+            grace_s = self.driver.settings.rules.drain_grace_ns / 1e9
             until_s = term_s + max(0.0, grace_s - HELD_UP_S)
             self._set_timer(until_s - time.monotonic(), self._expire)
 
--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -30,7 +30,7 @@
     def datagram_received(self, data: bytes, address: Address) -> None:
         sender = self.numbers.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM:
-            self.driver.post(api.PeerMessage(sender, data))
+            self.driver.post(api.GossipReceived(sender, data))
 
     def error_received(self, error: Exception) -> None:
         """A datagram may be lost; a peer that is down refuses it."""
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol, cast
 
-from loadbalancer.policy.api import Result
+from loadbalancer.policy.api import AttemptResult
 from loadbalancer.policy.rules import ALLOWED, Denied, Reason, Verdict
 from loadbalancer.proxy.body_stream import PIECE, Body, Store
 from loadbalancer.proxy.parse import MAX_BODY, Response, ResponseReader
@@ -126,7 +126,7 @@
     def __init__(
         self,
         request: bytes | Outgoing,
-        done: Callable[[Result, Response | None], None],
+        done: Callable[[AttemptResult, Response | None], None],
         max_body: int = MAX_BODY,
         body: Body | None = None,
         store: Store | None = None,
@@ -137,7 +137,7 @@
         self.max_body = max_body
         self.store = store  # a longer answer comes in pieces
         self.head_only = head_only
-        self.done: Callable[[Result, Response | None], None] | None = done
+        self.done: Callable[[AttemptResult, Response | None], None] | None = done
         self.written = False  # its last byte has left
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -158,15 +158,15 @@
 
     def _not_begun(self) -> None:
         if self.connection is None:
-            self.give_up(Result.MOOT)
+            self.give_up(AttemptResult.NOT_SENT)
 
     def expire(self) -> None:
         """The wait is over. What was not wholly written can't have run, and the close makes sure of
         it.
         """
-        self.give_up(Result.TIMEOUT if self.written else Result.CONNECT_FAILED)
+        self.give_up(AttemptResult.TIMEOUT if self.written else AttemptResult.CONNECT_FAILED)
 
-    def give_up(self, result: Result) -> None:
+    def give_up(self, result: AttemptResult) -> None:
         """Stop waiting; the connection is closed, so that the server knows."""
         connection = self.connection
         self.finish(result)
@@ -174,9 +174,9 @@
             connection.abort()
 
     def broken(self) -> None:
-        self.finish(Result.RESET if self.written else Result.CONNECT_FAILED)
+        self.finish(AttemptResult.RESET if self.written else AttemptResult.CONNECT_FAILED)
 
-    def finish(self, result: Result, response: Response | None = None) -> None:
+    def finish(self, result: AttemptResult, response: Response | None = None) -> None:
         for timer in (self.timer, self.begin_timer):
             if timer is not None:
                 timer.cancel()
@@ -236,7 +236,11 @@
         data = exchange.request.begin(usable)
         if isinstance(data, Denied):
             self.released(self)
-            result = Result.CONNECT_FAILED if data.reason is Reason.UPSTREAM else Result.MOOT
+            result = (
+                AttemptResult.CONNECT_FAILED
+                if data.reason is Reason.UPSTREAM
+                else AttemptResult.NOT_SENT
+            )
             asyncio.get_running_loop().call_soon(exchange.give_up, result)
             return
         self.exchange, exchange.connection = exchange, self
@@ -320,7 +324,7 @@
         elif reader.fault is not None:
             # The server has answered, if with what can't be read: its work is done and it is no
             # break of the network. Nothing on this connection can be believed any more.
-            exchange.finish(Result.ERROR)
+            exchange.finish(AttemptResult.ERROR)
             self.abort()
 
     def eof_received(self) -> None:
@@ -349,7 +353,7 @@
             self._go_on(response)
         else:
             self._over(response)
-        exchange.finish(Result.OK, response)
+        exchange.finish(AttemptResult.OK, response)
 
     def _go_on(self, answer: Response) -> None:
         """More of the body has come."""
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -89,12 +89,12 @@
             max(0.0, left) + OVERDUE_S, self._soon_overdue, request
         )
 
-    def body_whole(self, request: OpenRequest, deadline_ns: int, asked_ns: int) -> None:
+    def body_whole(self, request: OpenRequest, deadline_ns: int, received_ns: int) -> None:
         """The last byte of its body came: its time runs from there, and that of its attempt."""
         if request.over or request.stream is None:
             return
         request.arrival = request.arrival._replace(
-            deadline_ns=deadline_ns, asked_ns=asked_ns, whole=True
+            deadline_ns=deadline_ns, received_ns=received_ns, whole=True
         )
         request.whole_ns = time.monotonic_ns()
         self._limit(request)
@@ -102,8 +102,8 @@
             if exchange is not None:
                 exchange.expire_in(self._wait(request, request.timeout_ns) / 1e9)
         self.post(
-            api.BodyWhole(
-                request.arrival.request, deadline_ns, asked_ns, request.stream.whole_again
+            api.BodyCompleted(
+                request.arrival.request, deadline_ns, received_ns, request.stream.whole_again
             )
         )
 
@@ -118,22 +118,22 @@
             if request.stream is not None and not request.stream.ended:
                 # and with it the attempt: its last byte will never be written
                 request.stream.fail()
-            self.post(api.ClientGone(request.arrival.request))
+            self.post(api.ClientDisconnected(request.arrival.request))
 
-    def learn(self, kind: api.ListKind, endpoints: list[Endpoint]) -> None:
-        if kind is not api.ListKind.FAILED:
+    def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
+        if kind is not api.EndpointListKind.FAILED:
             now_ns = time.monotonic_ns()
             endpoints = [self._dated(e, now_ns) for e in endpoints]
-            if kind is not api.ListKind.CACHED:
+            if kind is not api.EndpointListKind.CACHED:
                 self.starts.listed(now_ns)
-            self.upstreams.learn(endpoints, full=kind is not api.ListKind.DELTA)
+            self.upstreams.learn(endpoints, full=kind is not api.EndpointListKind.DELTA)
             self.told.set()
-        self.post(api.ListUpdate(kind, [e.entry for e in endpoints]))
+        self.post(api.EndpointsUpdated(kind, [e.entry for e in endpoints]))
 
     def trust(self, on: bool) -> None:
         """May the list be gone by? While not, nothing new begins at any upstream."""
         self.upstreams.trusted = on
-        self.post(api.ListTrust(on))
+        self.post(api.EndpointTrustChanged(on))
 
     def _dated(self, endpoint: Endpoint, now_ns: int) -> Endpoint:
         """With the time of its start by this process's clock."""
@@ -157,7 +157,7 @@
     def ban(self, name: str, on: bool) -> None:
         """Operators took an upstream out, or put it back."""
         self.upstreams.ban(number_of(name), on)
-        self.post(api.Ban(number_of(name), on))
+        self.post(api.UpstreamDisabled(number_of(name), on))
 
     def _hand_over(self) -> None:
         events, self.waiting = self.waiting, []
@@ -177,7 +177,7 @@
         for (
             event
         ) in events:  # only now: the module may act for a request until it has heard of its end
-            if isinstance(event, api.Outcome | api.ClientGone):
+            if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
                 self._forget(event.request)
 
     def _blame(self, what: str, about: Sequence[api.Event | api.Action]) -> None:
@@ -189,7 +189,7 @@
         for name in names:
             request = self.requests.get(name)
             if request is not None and self._answer(request, lambda client: client.failed(502)):
-                self.post(api.ClientGone(name))
+                self.post(api.ClientDisconnected(name))
 
     def _answer(self, request: OpenRequest, how: Callable[[Client], None]) -> bool:
         """End a request with its final answer; False, and no answer, if it was over already. An
@@ -218,7 +218,7 @@
         """
         if self._answer(request, lambda client: client.failed(504)):
             log.error("request %s was not answered by its deadline", request.arrival.request)
-            self.post(api.ClientGone(request.arrival.request))
+            self.post(api.ClientDisconnected(request.arrival.request))
 
     def end_open(self) -> None:
         """This process leaves now: whoever still waits is told that, and not left with a broken
@@ -227,48 +227,48 @@
         """
         for request in list(self.requests.values()):
             if self._answer(request, lambda client: client.failed(504)):
-                self.post(api.ClientGone(request.arrival.request))
+                self.post(api.ClientDisconnected(request.arrival.request))
 
     # ---- actions ---------------------------------------------------------------------------------
 
     def _carry_out(self, action: api.Action, now: int) -> None:
         match action:
-            case api.Send():
+            case api.StartAttempt():
                 self._send(action, now)
-            case api.Refuse():
+            case api.RejectRequest():
                 request = self.requests.get(action.request)
                 if request is not None and self._answer(
                     request, lambda client: client.refused(action.retry_after_ns)
                 ):
                     self._forget(action.request)
-            case api.Fail():
+            case api.FailRequest():
                 request = self.requests.get(action.request)
                 if request is not None:
                     status = 504 if request.timed_out else 502
                     if self._answer(request, lambda client: client.failed(status)):
                         self._forget(action.request)
-            case api.Cancel():
+            case api.CancelAttempt():
                 request = self.requests.get(action.request)
                 exchange = request.attempts[action.attempt] if request is not None else None
                 if exchange is not None:
-                    exchange.give_up(api.Result.CANCELLED)
-            case api.Probe():
+                    exchange.give_up(api.AttemptResult.CANCELLED)
+            case api.CheckHealth():
                 self._probe(action.upstream, now)
             case api.SetTimer():
-                call_after(action.delay_ns / 1e9, self.post, api.Wake(action.name))
-            case api.Tell():
+                call_after(action.delay_ns / 1e9, self.post, api.TimerFired(action.name))
+            case api.SendGossip():
                 if self.peers is not None:
                     self.peers.tell(action.peer, action.data)
-            case api.Subscribe():
+            case api.SubscribeEndpoints():
                 if self.discovery is not None:
                     self.discovery.subscribe(action.on)
-            case api.FetchList():
+            case api.FetchEndpoints():
                 if self.discovery is not None:
                     self.discovery.fetch()
-            case api.Note():
+            case api.LogMessage():
                 log.info("%s", action.text)
 
-    def _send(self, action: api.Send, now: int) -> None:
+    def _send(self, action: api.StartAttempt, now: int) -> None:
         request = self.requests.get(action.request)
         if request is None:
             log.error("send for request %s, which is not open", action.request)
@@ -280,7 +280,7 @@
         request.sent += 1
 
         def ended(
-            result: api.Result, response: Response | None = None, report: Report = None
+            result: api.AttemptResult, response: Response | None = None, report: Report = None
         ) -> None:
             exchange = request.attempts[number]
             # What an answer lay unread here is this program's time, not its upstream's.
@@ -290,26 +290,26 @@
 
         if isinstance(verdict, Denied):
             attempt.denied(verdict, "decided")
-            ended(api.Result.MOOT)
+            ended(api.AttemptResult.NOT_SENT)
         elif action.timeout_ns < 0:
-            ended(api.Result.TIMEOUT)
+            ended(api.AttemptResult.TIMEOUT)
         else:
             try:
                 request.attempts[number] = self.upstreams.send(
                     action.upstream,
                     attempt,
                     ended,
-                    self._timing(attempt, now, action.begin_ns),
+                    self._timing(attempt, now, action.start_by_ns),
                     request.stream,
                     request.method == b"HEAD",
                 )
             except Exception:  # it still has its one outcome, below
                 self._blame("an attempt could not start", [action])
             if request.attempts[number] is None:
-                ended(api.Result.MOOT)
+                ended(api.AttemptResult.NOT_SENT)
 
     def _attempt(
-        self, request: OpenRequest, number: int, action: api.Send, now: int
+        self, request: OpenRequest, number: int, action: api.StartAttempt, now: int
     ) -> OutgoingAttempt:
         longest = self.settings.classes[request.arrival.class_name].deadline_ns
         timeout_ns = min(action.timeout_ns or longest, longest)
@@ -322,38 +322,40 @@
             self.client_gone,
             timeout_ns,
             now + timeout_ns,
-            now + action.begin_ns if action.begin_ns else 0,
+            now + action.start_by_ns if action.start_by_ns else 0,
         )
 
-    def _timing(self, attempt: OutgoingAttempt, now: int, begin_ns: int) -> Timing:
+    def _timing(self, attempt: OutgoingAttempt, now: int, start_by_ns: int) -> Timing:
         """Without a limit, it waits for a body that is still to come."""
         if not attempt.request.arrival.whole:
-            return Timing(None, begin_ns / 1e9)
-        return Timing(self._wait(attempt.request, attempt.until_ns - now) / 1e9, begin_ns / 1e9)
+            return Timing(None, start_by_ns / 1e9)
+        return Timing(self._wait(attempt.request, attempt.until_ns - now) / 1e9, start_by_ns / 1e9)
 
     def _ended(
         self,
         request: OpenRequest,
         number: int,
         upstream: int,
-        result: api.Result,
-        took_ns: int,
+        result: api.AttemptResult,
+        duration_ns: int,
         response: Response | None,
         report: Report,
     ) -> None:
         request.attempts[number] = None
         request.sent -= 1
-        request.timed_out = result is api.Result.TIMEOUT
-        if result is api.Result.OK and response is not None:
+        request.timed_out = result is api.AttemptResult.TIMEOUT
+        if result is api.AttemptResult.OK and response is not None:
             taken = self._answer(request, lambda client: client.served(response))
             if response.stream is not None and not taken:
                 response.stream.drop()
         name = request.arrival.request
-        self.post(api.Outcome(name, number, upstream, result, took_ns, request.over, report))
+        self.post(
+            api.AttemptFinished(name, number, upstream, result, duration_ns, request.over, report)
+        )
 
     def _probe(self, upstream: int, now: int) -> None:
-        def ended(result: api.Result, report: Report) -> None:
-            self.post(api.ProbeResult(upstream, result, time.monotonic_ns() - now, report))
+        def ended(result: api.AttemptResult, report: Report) -> None:
+            self.post(api.HealthCheckFinished(upstream, result, time.monotonic_ns() - now, report))
 
         try:
             started = self.upstreams.probe(upstream, ended)
@@ -361,7 +363,7 @@
             self._blame("a probe could not start", [])
             started = False
         if not started:
-            ended(api.Result.CONNECT_FAILED, None)
+            ended(api.AttemptResult.CONNECT_FAILED, None)
 
     def _end(self, request: OpenRequest) -> bool:
         """Mark a request as over; False if it was already."""
--- a/loadbalancer/proxy/request_head.py
+++ b/loadbalancer/proxy/request_head.py
@@ -64,7 +64,7 @@
 
 
 def _check_method(head: Request, cls: api.RequestClass) -> None:
-    safe = cls.effect is api.Effect.SAFE
+    safe = cls.effect is api.Effect.IDEMPOTENT
     if head.method not in ((b"GET", b"HEAD") if safe else (b"POST",)):
         raise Unacceptable(405, f"{'GET' if safe else 'POST'} is the method of this class")
     if safe and (head.body or head.stream is not None):
--- a/loadbalancer/proxy/requests.py
+++ b/loadbalancer/proxy/requests.py
@@ -34,7 +34,7 @@
     on.
     """
 
-    arrival: api.Arrival
+    arrival: api.RequestArrived
     method: bytes
     target: bytes
     headers: Headers
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -32,7 +32,7 @@
 NEVER_RAN = (503, 504)
 MAX_LISTED = 10_000  # ids of upstreams that are remembered; in time they are ever new
 Report = Mapping[str, float] | None
-Done = Callable[[api.Result, Response | None, Report], None]
+Done = Callable[[api.AttemptResult, Response | None, Report], None]
 
 
 def number_of(name: str) -> int:
@@ -112,7 +112,7 @@
             seen.add(new.entry.id)
             self._note(new.entry.id)
             old = self.targets.get(new.entry.id)
-            if new.entry.state is api.State.GONE:
+            if new.entry.state is api.UpstreamState.REMOVED:
                 self._remove(new.entry.id)
                 continue
             if old is None or old.endpoint.process != new.process:
@@ -134,7 +134,7 @@
     def _keep(self, target: Target) -> None:
         """Are connections to it kept from now on?"""
         entry = target.endpoint.entry
-        target.keep = entry.state is api.State.READY and entry.id not in self.banned
+        target.keep = entry.state is api.UpstreamState.READY and entry.id not in self.banned
         if not target.keep:
             self._drop_idle(target)
 
@@ -184,7 +184,7 @@
         if target is None or number in self.banned:
             return None
 
-        def ended(result: api.Result, response: Response | None) -> None:
+        def ended(result: api.AttemptResult, response: Response | None) -> None:
             report = self._report(response.header(b"x-load")) if response is not None else None
             done(outcome(result, response), response, report)
 
@@ -198,17 +198,17 @@
             )  # last: what could not start must not come to a second end
         return exchange
 
-    def probe(self, number: int, done: Callable[[api.Result, Report], None]) -> bool:
+    def probe(self, number: int, done: Callable[[api.AttemptResult, Report], None]) -> bool:
         target = self.targets.get(number)
         if target is None or number in self.banned:
             return False
         host = f"{target.endpoint.host}:{target.endpoint.port}".encode()
 
-        def ended(result: api.Result, response: Response | None) -> None:
+        def ended(result: api.AttemptResult, response: Response | None) -> None:
             report = None
             if response is not None:
-                if result is api.Result.OK and response.status == 503:
-                    result = api.Result.FULL
+                if result is api.AttemptResult.OK and response.status == 503:
+                    result = api.AttemptResult.REJECTED
                 else:
                     result = outcome(result, response)
                 report = self._report(response.header(b"x-load") or response.body)
@@ -233,7 +233,7 @@
             return
         if self.connections >= self.max_connections and not self._make_room():
             self._short("no connection to spare")
-            loop.call_soon(exchange.give_up, api.Result.MOOT)
+            loop.call_soon(exchange.give_up, api.AttemptResult.NOT_SENT)
             return
         self.connections += 1
         task = loop.create_task(self._connect(target, exchange))
@@ -278,7 +278,7 @@
         if connection is None:
             self.connections -= 1
         elif connection.closed:
-            exchange.give_up(api.Result.CONNECT_FAILED)
+            exchange.give_up(api.AttemptResult.CONNECT_FAILED)
         elif exchange.done is None:  # it is over by now: the connection serves the next one
             self._released(target, connection)
         else:
@@ -289,7 +289,9 @@
             except Exception:  # its request is owed an end all the same
                 log.exception("an attempt could not start")
                 connection.abort()
-                exchange.give_up(api.Result.RESET if exchange.written else api.Result.MOOT)
+                exchange.give_up(
+                    api.AttemptResult.RESET if exchange.written else api.AttemptResult.NOT_SENT
+                )
 
     async def _dial(self, target: Target, exchange: Exchange) -> Connection | None:
         """A connection that is up; None: there is none in its time, and the exchange has its end.
@@ -311,7 +313,9 @@
                 why = cause(Operation.CONNECT, error)
                 if why is Cause.PEER or loop.time() + HERE_PAUSE_S >= until_s:
                     exchange.give_up(
-                        api.Result.CONNECT_FAILED if why is Cause.PEER else api.Result.MOOT
+                        api.AttemptResult.CONNECT_FAILED
+                        if why is Cause.PEER
+                        else api.AttemptResult.NOT_SENT
                     )
                 if up:  # it was counted when it was lost
                     self.connections += 1
@@ -387,15 +391,15 @@
             self._remove(number)
 
 
-def outcome(result: api.Result, response: Response | None) -> api.Result:
+def outcome(result: api.AttemptResult, response: Response | None) -> api.AttemptResult:
     """What an upstream's answer means."""
-    if result is not api.Result.OK or response is None:
+    if result is not api.AttemptResult.OK or response is None:
         return result
     if response.status == 200:
-        return api.Result.OK
+        return api.AttemptResult.OK
     if response.status in NEVER_RAN and response.header(b"x-not-run") == b"1":
-        return api.Result.FULL
-    return api.Result.ERROR
+        return api.AttemptResult.REJECTED
+    return api.AttemptResult.ERROR
 
 
 def read_report(text: bytes | None, columns: Collection[str]) -> Report:
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -17,9 +17,9 @@
 Json = dict[str, Any]
 
 EFFECTS = {
-    "read_like": api.Effect.SAFE,
-    "idempotency_key": api.Effect.KEYED,
-    "non_idempotent": api.Effect.UNSAFE,
+    "read_like": api.Effect.IDEMPOTENT,
+    "idempotency_key": api.Effect.IDEMPOTENT_WITH_KEY,
+    "non_idempotent": api.Effect.NON_IDEMPOTENT,
 }
 KINDS = {
     int: "a whole number",
@@ -29,7 +29,7 @@
     dict: "an object",
     list: "an array",
 }
-SCOPES = {scope.value: scope for scope in api.Scope}
+SCOPES = {scope.value: scope for scope in api.DeduplicationScope}
 
 
 class Malformed(Exception):
@@ -95,9 +95,11 @@
         row,
         api.RequestClass,
         {
-            **_same("window_ns", "aim_ns", "worth", "late_worth", "stream"),
+            **_same("window_ns", "worth", "stream"),
+            "aim_ns": "latency_objective_ns",
+            "late_worth": "late_weight",
             "hard_limit_ns": "deadline_ns",
-            "fifo_by_key": "in_order",
+            "fifo_by_key": "ordered_by_key",
         },
     )
     return api.RequestClass(
@@ -110,12 +112,14 @@
     )
 
 
-def write_class(name: str, safe: bool, aim_ns: int, deadline_ns: int, worth: float) -> Json:
+def write_class(
+    name: str, safe: bool, latency_objective_ns: int, deadline_ns: int, worth: float
+) -> Json:
     """What `read_class` reads back."""
     return {
         "name": name,
         "repeat": "read_like" if safe else "non_idempotent",
-        "aim_ns": int(aim_ns),
+        "aim_ns": int(latency_objective_ns),
         "hard_limit_ns": int(deadline_ns),
         "worth": worth,
     }
@@ -135,8 +139,8 @@
         api.Limits,
         {
             "send_cap": "max_attempts",
+            "second_copies": "may_hedge",
             **_same(
-                "second_copies",
                 "may_cancel",
                 "probes",
                 "peers",
@@ -150,16 +154,16 @@
     )
     rules = _pick(
         maybe(raw, "rules", dict, {}),
-        api.Rules,
-        _same(
-            "stop_sending_within_ns",
-            "ask_within_ns",
-            "cold_from",
-            "cold_ns",
-            "fall_multiple",
-            "overload_for_ns",
-            "turn_gap_ns",
-        ),
+        api.TrafficRules,
+        {
+            "stop_sending_within_ns": "drain_grace_ns",
+            "ask_within_ns": "list_expiry_ns",
+            "cold_from": "slow_start_capacity",
+            "cold_ns": "slow_start_ns",
+            "fall_multiple": "overload_multiple",
+            "overload_for_ns": "overload_window_ns",
+            "turn_gap_ns": "key_order_gap_ns",
+        },
     )
     prices = _pick(
         maybe(raw, "prices", dict, {}),
@@ -169,13 +173,13 @@
     reports = maybe(raw, "load_report", dict, {})
     return api.Settings(
         me=maybe(raw, "me", int, 0),
-        replicas_of_me=maybe(raw, "replicas_of_me", int, 1),
+        instance_count=maybe(raw, "replicas_of_me", int, 1),
         zone=maybe(raw, "locality", str, ""),
         discovery_push=word(raw, "registry_mode", {"push": True, "ask": False}, "push"),
         classes={c.name: c for c in classes},
         tenants={t.name: t for t in tenants},
         limits=api.Limits(**limits),
-        rules=api.Rules(**rules),
+        rules=api.TrafficRules(**rules),
         prices=api.Prices(**prices),
         report_columns=tuple(typed(c, "columns", str) for c in maybe(reports, "columns", list, ())),
         reports_in_answers=reports.get("how") == "answers",
--- a/loadbalancer/sim_adapter.py
+++ b/loadbalancer/sim_adapter.py
@@ -19,21 +19,21 @@
 from loadbalancer.settings import Json, Malformed, maybe, need, read_settings, typed, word
 
 RESULTS = {
-    "delivered": api.Result.OK,
-    "app_error": api.Result.ERROR,
-    "shed": api.Result.FULL,
-    "expired": api.Result.TIMEOUT,
-    "dial_failed": api.Result.CONNECT_FAILED,
-    "dropped": api.Result.RESET,
-    "revoked": api.Result.CANCELLED,
-    "unused": api.Result.MOOT,
+    "delivered": api.AttemptResult.OK,
+    "app_error": api.AttemptResult.ERROR,
+    "shed": api.AttemptResult.REJECTED,
+    "expired": api.AttemptResult.TIMEOUT,
+    "dial_failed": api.AttemptResult.CONNECT_FAILED,
+    "dropped": api.AttemptResult.RESET,
+    "revoked": api.AttemptResult.CANCELLED,
+    "unused": api.AttemptResult.NOT_SENT,
 }
-STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
+STATES = {0: api.UpstreamState.REMOVED, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
 LISTS = {
-    0: api.ListKind.DELTA,
-    1: api.ListKind.FULL,
-    2: api.ListKind.CACHED,
-    3: api.ListKind.FAILED,
+    0: api.EndpointListKind.DELTA,
+    1: api.EndpointListKind.FULL,
+    2: api.EndpointListKind.CACHED,
+    3: api.EndpointListKind.FAILED,
 }
 
 
@@ -52,7 +52,7 @@
 
 def _arrival(e: Json) -> api.Event:
     group = e.get("user_group") or ""  # a site with no tenants may send 0
-    return api.Arrival(
+    return api.RequestArrived(
         need(e, "ticket", str),
         need(e, "kind", str),
         typed(group, "user_group", str),
@@ -69,7 +69,7 @@
 
 
 def _outcome(e: Json) -> api.Event:
-    return api.Outcome(
+    return api.AttemptFinished(
         need(e, "ticket", str),
         need(e, "attempt", int),
         need(e, "upstream", int),
@@ -81,7 +81,7 @@
 
 
 def _begun(e: Json) -> api.Event:
-    return api.AnswerBegun(
+    return api.ResponseStarted(
         need(e, "ticket", str),
         need(e, "attempt", int),
         need(e, "upstream", int),
@@ -90,7 +90,7 @@
 
 
 def _probed(e: Json) -> api.Event:
-    return api.ProbeResult(
+    return api.HealthCheckFinished(
         need(e, "upstream", int),
         word(e, "result", RESULTS),
         maybe(e, "took_ns", int, 0),
@@ -103,34 +103,42 @@
         data = base64.b64decode(need(e, "blob", str), validate=True)
     except ValueError:
         raise Malformed("message with a blob that is not base64") from None
-    return api.PeerMessage(need(e, "origin_peer", int), data)
+    return api.GossipReceived(need(e, "origin_peer", int), data)
 
 
 READ: dict[str, Callable[[Json], api.Event]] = {
     "submit": _arrival,
     "returned": _outcome,
-    "timer": lambda e: api.Wake(need(e, "name", str)),
-    "dropped": lambda e: api.ClientGone(need(e, "ticket", str)),
+    "timer": lambda e: api.TimerFired(need(e, "name", str)),
+    "dropped": lambda e: api.ClientDisconnected(need(e, "ticket", str)),
     "accepted": _begun,
     "probe_result": _probed,
     "message": _message,
 }
 WRITE: dict[type, Callable[[Any], Json]] = {
-    api.Send: lambda a: {
+    api.StartAttempt: lambda a: {
         "t": "submit_to",
         "ticket": a.request,
         "upstream": a.upstream,
         "timeout_ns": a.timeout_ns,
     },
-    api.Refuse: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
-    api.Fail: lambda a: {"t": "finish_error", "ticket": a.request},
-    api.Cancel: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
-    api.Probe: lambda a: {"t": "sample", "upstream": a.upstream},
-    api.Tell: lambda a: {"t": "announce", "dst": a.peer, "blob": base64.b64encode(a.data).decode()},
-    api.Subscribe: lambda a: {"t": "track", "active": a.on},
-    api.FetchList: lambda a: {"t": "fetch"},
+    api.RejectRequest: lambda a: {
+        "t": "push_back",
+        "ticket": a.request,
+        "backoff_ns": a.retry_after_ns,
+    },
+    api.FailRequest: lambda a: {"t": "finish_error", "ticket": a.request},
+    api.CancelAttempt: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
+    api.CheckHealth: lambda a: {"t": "sample", "upstream": a.upstream},
+    api.SendGossip: lambda a: {
+        "t": "announce",
+        "dst": a.peer,
+        "blob": base64.b64encode(a.data).decode(),
+    },
+    api.SubscribeEndpoints: lambda a: {"t": "track", "active": a.on},
+    api.FetchEndpoints: lambda a: {"t": "fetch"},
     api.SetTimer: lambda a: {"t": "schedule", "wait_ns": a.delay_ns, "name": a.name},
-    api.Note: lambda a: {"t": "write_log", "message": a.text},
+    api.LogMessage: lambda a: {"t": "write_log", "message": a.text},
 }
 
 
@@ -190,8 +198,10 @@
             raise Malformed(f"event {kind} for balancer {number}, which was not started")
         if kind == "membership":
             form = word(event, "form", LISTS)
-            entries = () if form is api.ListKind.FAILED else word(event, "buffer", self.lists)
-            waiting.setdefault(number, []).append(api.ListUpdate(form, entries))
+            entries = (
+                () if form is api.EndpointListKind.FAILED else word(event, "buffer", self.lists)
+            )
+            waiting.setdefault(number, []).append(api.EndpointsUpdated(form, entries))
         elif kind in READ:
             waiting.setdefault(number, []).append(READ[kind](event))
         else:
--- a/loadbalancer/testbed/hosts.py
+++ b/loadbalancer/testbed/hosts.py
@@ -41,7 +41,9 @@
         self.maker = maker
         self.instances: dict[int, Module] = {}
         self.remembers = bool(getattr(maker, "remembers", False))
-        self.past: dict[int, tuple[int, api.Learnt]] = {}  # of those that were killed, and when
+        self.past: dict[
+            int, tuple[int, api.LearnedState]
+        ] = {}  # of those that were killed, and when
         self.now = 0
         self._spent_ns = 0
         self._events = 0
--- a/loadbalancer/testbed/ledger.py
+++ b/loadbalancer/testbed/ledger.py
@@ -53,7 +53,7 @@
 
     ticket: str
     root: Root
-    asked_ns: int
+    received_ns: int
     deadline_ns: int
     balancer: int
     taken: bool = False
@@ -71,7 +71,7 @@
     cls: Class
     tenant: str
     key: str
-    asked_ns: int
+    received_ns: int
     worth: float
     within: bool  # within its tenant's share
     unsafe: bool
@@ -165,7 +165,7 @@
         found = [
             self.whole,
             self.classes.setdefault(root.cls.name, Sums()),
-            self.windows.setdefault(root.asked_ns // self.window_ns, Sums()),
+            self.windows.setdefault(root.received_ns // self.window_ns, Sums()),
         ]
         if root.tenant and root.within:
             found.append(self.tenants.setdefault(root.tenant, Sums()))
@@ -226,7 +226,7 @@
             )
 
     def _earn(self, root: Root, now: int) -> None:
-        took = now - root.asked_ns
+        took = now - root.received_ns
         us = max(1, min(LONGEST_US, took // 1000))
         self.latency.record_value(us)
         self.latency_of[root.cls.name].record_value(us)
@@ -321,7 +321,7 @@
 
     def _forget(self, now: int) -> None:
         """Drop what is long over: a run of hours must not grow."""
-        while self.recent and now - self.recent[0].asked_ns > self.keep_ns:
+        while self.recent and now - self.recent[0].received_ns > self.keep_ns:
             old = self.recent.popleft()
             if old.answer is None:
                 self.silent(old.ticket, now)
--- a/loadbalancer/testbed/model/box.py
+++ b/loadbalancer/testbed/model/box.py
@@ -95,8 +95,8 @@
     choke: float
     choke_rest_ns: int
     choke_most_ns: int
-    cold_from: float
-    cold_ns: int
+    slow_start_capacity: float
+    slow_start_ns: int
     errors: float
     key_gain: float
     handshake_work: float
@@ -248,8 +248,8 @@
         if not self.started_ns:
             return 1.0
         n = self.nature
-        part = min(1.0, self.warmth_ns / n.cold_ns)
-        return n.cold_from + (1.0 - n.cold_from) * part
+        part = min(1.0, self.warmth_ns / n.slow_start_ns)
+        return n.slow_start_capacity + (1.0 - n.slow_start_capacity) * part
 
     def speed(self) -> float:
         """Of one place in work, in yardstick time for real time."""
@@ -281,7 +281,7 @@
         """When the speed may change or a job end, whichever is first."""
         at = self._next_end()
         n = self.nature
-        if self.started_ns and self.warmth_ns < n.cold_ns:
+        if self.started_ns and self.warmth_ns < n.slow_start_ns:
             at = min(at, self.at + COLD_STEP_NS)
         if self.crowded_since >= 0 and self.choked_since < 0:
             at = min(at, max(self.at, self.crowded_since + n.choke_after_ns))
@@ -318,7 +318,7 @@
         self.busy += elapsed * min(1.0, self.in_work / self.nature.cores)
         if self.choked_since >= 0:
             self.counts.choked_ns += elapsed
-        if self.started_ns and self.warmth_ns < self.nature.cold_ns:
+        if self.started_ns and self.warmth_ns < self.nature.slow_start_ns:
             # Work warms it up to twice as fast as waiting does.
             self.warmth_ns += elapsed * (1.0 + min(1.0, self.in_work / self.nature.cores))
         self.at = to
--- a/loadbalancer/testbed/model/fleet.py
+++ b/loadbalancer/testbed/model/fleet.py
@@ -4,7 +4,7 @@
 
 import random
 
-from loadbalancer.policy.api import State
+from loadbalancer.policy.api import UpstreamState
 from loadbalancer.testbed.model.box import Box, Draw, KeyMemory, Nature, draw_nature
 from loadbalancer.testbed.model.registry import Entry
 from loadbalancer.testbed.topology import Topology
@@ -15,7 +15,9 @@
     return [t.network.zones[i % len(t.network.zones)] for i in range(t.fleet.boxes)]
 
 
-def entry_of(t: Topology, box: Box, number: int, state: State = State.READY) -> Entry:
+def entry_of(
+    t: Topology, box: Box, number: int, state: UpstreamState = UpstreamState.READY
+) -> Entry:
     """A box as the list has it, under the id that balancers know it by."""
     zone = t.network.zones[box.number % len(t.network.zones)]
     return Entry(
--- a/loadbalancer/testbed/model/registry.py
+++ b/loadbalancer/testbed/model/registry.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from loadbalancer.policy.api import State
+from loadbalancer.policy.api import UpstreamState
 from loadbalancer.testbed.model.box import Draw
 from loadbalancer.testbed.topology import Discovery
 
@@ -26,7 +26,7 @@
     zone: str
     kind: str
     cell: int
-    state: State
+    state: UpstreamState
     started_ns: int  # on the lab's clock; 0: long ago
 
 
@@ -44,7 +44,7 @@
 
     def note(self, entry: Entry, now: int) -> int:
         """Something happened to a box; the list says so later. Returns when."""
-        late = self.spec.added if entry.state is State.READY else self.spec.notice
+        late = self.spec.added if entry.state is UpstreamState.READY else self.spec.notice
         at = now + self.draw.ns(late)
         self.order += 1
         heapq.heappush(self.pending, (at, self.order, entry))
@@ -62,7 +62,7 @@
     def show(self, entry: Entry) -> None:
         self.version += 1
         self.log.append((self.version, entry))
-        if entry.state is State.GONE:
+        if entry.state is UpstreamState.REMOVED:
             self.entries.pop(entry.number, None)
         else:
             self.entries[entry.number] = entry
--- a/loadbalancer/testbed/model/series.py
+++ b/loadbalancer/testbed/model/series.py
@@ -31,13 +31,13 @@
     the last; without one, they go on for as long as something happens.
     """
 
-    def __init__(self, begin_ns: int, length_ns: int = 0) -> None:
-        self.begin_ns = begin_ns
+    def __init__(self, start_by_ns: int, length_ns: int = 0) -> None:
+        self.start_by_ns = start_by_ns
         self.moments = [Moment() for _ in range(-(-length_ns // SERIES_NS))]
         self.grows = not length_ns
 
     def at(self, when_ns: int) -> Moment:
-        index = max(0, when_ns - self.begin_ns) // SERIES_NS
+        index = max(0, when_ns - self.start_by_ns) // SERIES_NS
         if self.grows:
             while len(self.moments) <= index:
                 self.moments.append(Moment())
@@ -53,10 +53,10 @@
         elif answer is not Answer.SERVED:
             moment.failed += 1
         else:
-            took = now - asked.root.asked_ns
+            took = now - asked.root.received_ns
             moment.slowest_us = max(moment.slowest_us, took // 1000)
             if took <= asked.root.cls.aim:
-                self.at(asked.root.asked_ns).good += 1
+                self.at(asked.root.received_ns).good += 1
             else:
                 moment.late += 1
 
--- a/loadbalancer/testbed/model/workload.py
+++ b/loadbalancer/testbed/model/workload.py
@@ -207,12 +207,12 @@
 
     # ---- a client and the answers to its tries ---------------------------------------------------
 
-    def try_ns(self, cls: Class, asked_ns: int, now: int) -> int:
+    def try_ns(self, cls: Class, received_ns: int, now: int) -> int:
         """When this try is given up: a part of the class's time, within the time of the whole."""
-        return min(asked_ns + cls.deadline, now + int(cls.deadline * self.habits.try_part))
+        return min(received_ns + cls.deadline, now + int(cls.deadline * self.habits.try_part))
 
     def again_at(
-        self, cls: Class, asked_ns: int, tries: int, answer: Answer, told_ns: int, now: int
+        self, cls: Class, received_ns: int, tries: int, answer: Answer, told_ns: int, now: int
     ) -> int | None:
         """When the client tries again after this answer, or None. `told_ns`: how long it was told
         to stay away. What may have run is repeated only where that is safe.
@@ -225,4 +225,4 @@
         if told_ns and self.rng.random() < self.habits.honour:
             wait = max(wait, told_ns)
         at = now + int(wait)
-        return at if at + LEAST_TRY_NS <= asked_ns + cls.deadline else None
+        return at if at + LEAST_TRY_NS <= received_ns + cls.deadline else None
--- a/loadbalancer/testbed/policies.py
+++ b/loadbalancer/testbed/policies.py
@@ -30,7 +30,7 @@
         self.ready: dict[int, api.Upstream] = {}
         self.order: list[int] = []
         self.inflight: dict[int, int] = {}
-        self.open: dict[str, tuple[api.Arrival, list[int]]] = {}
+        self.open: dict[str, tuple[api.RequestArrived, list[int]]] = {}
         self.turn = 0
         self.asked = settings.discovery_push
 
@@ -46,37 +46,37 @@
         out: list[api.Action] = []
         if not self.asked:
             self.asked = True
-            out.append(api.Subscribe())
+            out.append(api.SubscribeEndpoints())
         for event in events:
             match event:
-                case api.ListUpdate():
+                case api.EndpointsUpdated():
                     self._learn(event, out)
-                case api.Arrival():
+                case api.RequestArrived():
                     self.open[event.request] = (event, [])
                     self._send(event.request, now, out)
-                case api.Outcome():
+                case api.AttemptFinished():
                     self.inflight[event.upstream] = max(0, self.inflight.get(event.upstream, 1) - 1)
                     if event.complete:
                         self.open.pop(event.request, None)
                     elif event.request in self.open:
                         self._failed(event, now, out)
-                case api.ClientGone():
+                case api.ClientDisconnected():
                     self.open.pop(event.request, None)
-                case api.Wake():
-                    out.append(api.Subscribe())
+                case api.TimerFired():
+                    out.append(api.SubscribeEndpoints())
                 case _:
                     pass
         return out
 
-    def _learn(self, update: api.ListUpdate, out: list[api.Action]) -> None:
-        if update.kind is api.ListKind.FAILED:
+    def _learn(self, update: api.EndpointsUpdated, out: list[api.Action]) -> None:
+        if update.kind is api.EndpointListKind.FAILED:
             out.append(api.SetTimer(POLL_NS, "ask"))
             return
-        if update.kind is not api.ListKind.DELTA:
+        if update.kind is not api.EndpointListKind.DELTA:
             self.ready.clear()
         for entry in update.upstreams:
             self.ready.pop(entry.id, None)
-            if entry.state is api.State.READY:
+            if entry.state is api.UpstreamState.READY:
                 self.ready[entry.id] = entry
         self.order = sorted(self.ready)
 
@@ -85,21 +85,21 @@
         at = self.choose(tried)
         if at is None or now >= arrival.deadline_ns:
             del self.open[name]
-            out.append(api.Refuse(name) if not tried else api.Fail(name))
+            out.append(api.RejectRequest(name) if not tried else api.FailRequest(name))
             return
         tried.append(at)
         self.inflight[at] = self.inflight.get(at, 0) + 1
-        out.append(api.Send(name, at))
+        out.append(api.StartAttempt(name, at))
 
-    def _failed(self, event: api.Outcome, now: int, out: list[api.Action]) -> None:
+    def _failed(self, event: api.AttemptFinished, now: int, out: list[api.Action]) -> None:
         arrival, tried = self.open[event.request]
         never = event.result in api.NEVER_RAN
-        safe = self.settings.classes[arrival.class_name].effect is api.Effect.SAFE
+        safe = self.settings.classes[arrival.class_name].effect is api.Effect.IDEMPOTENT
         if len(tried) < 3 and (never or safe) and now < arrival.deadline_ns:
             self._send(event.request, now, out)
             return
         del self.open[event.request]
-        out.append(api.Fail(event.request))
+        out.append(api.FailRequest(event.request))
 
 
 class RandomChoice(Textbook):
@@ -171,9 +171,9 @@
 
     def handle(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
         for event in events:
-            if isinstance(event, api.Arrival):
+            if isinstance(event, api.RequestArrived):
                 self.classes[event.request] = self.settings.classes[event.class_name]
-            elif isinstance(event, api.ListUpdate):
+            elif isinstance(event, api.EndpointsUpdated):
                 for entry in event.upstreams:
                     self.states[entry.id] = entry
         out: list[api.Action] = []
@@ -197,20 +197,20 @@
 
     def spoil(self, action: api.Action, now: int) -> list[api.Action]:
         if (
-            isinstance(action, api.Send)
-            and self.classes[action.request].effect is api.Effect.UNSAFE
+            isinstance(action, api.StartAttempt)
+            and self.classes[action.request].effect is api.Effect.NON_IDEMPOTENT
             and self.chance()
         ):
             others = [
                 n
                 for n, e in self.states.items()
-                if n != action.upstream and e.state is api.State.READY
+                if n != action.upstream and e.state is api.UpstreamState.READY
             ]
             return [action, action._replace(upstream=others[self.chances % len(others)])]
         return [action]
 
     def hide(self, events: Sequence[api.Event]) -> Sequence[api.Event]:
-        return [e for e in events if not isinstance(e, api.Outcome) or e.attempt == 0]
+        return [e for e in events if not isinstance(e, api.AttemptFinished) or e.attempt == 0]
 
 
 class SwallowedAnswer(Broken):
@@ -219,7 +219,11 @@
     EVERY = 5
 
     def spoil(self, action: api.Action, now: int) -> list[api.Action]:
-        return [] if isinstance(action, api.Refuse | api.Fail) and self.chance() else [action]
+        return (
+            []
+            if isinstance(action, api.RejectRequest | api.FailRequest) and self.chance()
+            else [action]
+        )
 
 
 class SentAfterDrain(Broken):
@@ -228,10 +232,14 @@
     def hide(self, events: Sequence[api.Event]) -> Sequence[api.Event]:
         kept = []
         for event in events:
-            if isinstance(event, api.ListUpdate):
-                entries = [e._replace(state=api.State.READY) for e in event.upstreams]
-                kind = api.ListKind.DELTA if event.kind is api.ListKind.FULL else event.kind
-                event = api.ListUpdate(kind, entries)
+            if isinstance(event, api.EndpointsUpdated):
+                entries = [e._replace(state=api.UpstreamState.READY) for e in event.upstreams]
+                kind = (
+                    api.EndpointListKind.DELTA
+                    if event.kind is api.EndpointListKind.FULL
+                    else event.kind
+                )
+                event = api.EndpointsUpdated(kind, entries)
             kept.append(event)
         return kept
 
--- a/loadbalancer/testbed/sites/ceiling.py
+++ b/loadbalancer/testbed/sites/ceiling.py
@@ -25,7 +25,7 @@
 
     number: int
     cls: Class
-    asked_ns: int
+    received_ns: int
     zone: int
     work: float
 
@@ -41,7 +41,7 @@
     by site.
     """
     waiting: dict[str, list[tuple[float, int, int, float]]] = {}
-    todo = sorted(roots, key=lambda r: r.asked_ns)
+    todo = sorted(roots, key=lambda r: r.received_ns)
     served: set[int] = set()
     place = 0
     budget: dict[str, float] = {}
@@ -58,13 +58,13 @@
         for site, capacity in by_site.items():
             if site not in lost:
                 room[island(site)] = room.get(island(site), 0.0) + capacity * STEP_NS
-        while place < len(todo) and todo[place].asked_ns < now + STEP_NS:
+        while place < len(todo) and todo[place].received_ns < now + STEP_NS:
             r = todo[place]
             place += 1
             dense = r.cls.worth / max(1.0, r.work)
             heapq.heappush(
                 waiting.setdefault(island(sites[r.zone % len(sites)]), []),
-                (-dense, r.asked_ns + int(r.cls.aim), r.number, r.work),
+                (-dense, r.received_ns + int(r.cls.aim), r.number, r.work),
             )
         for name, queue in waiting.items():
             # What was left of the last step's may be carried on into this one, by part of a
--- a/loadbalancer/testbed/sites/fleet.py
+++ b/loadbalancer/testbed/sites/fleet.py
@@ -58,7 +58,9 @@
         }
         self.courses = tuple(Course(n) for n in self.places)
         rules = settings.rules
-        self.rules = Rules(rules.cold_ns / 1e9, rules.cold_from, rules.fall_multiple)
+        self.rules = Rules(
+            rules.slow_start_ns / 1e9, rules.slow_start_capacity, rules.overload_multiple
+        )
         self.planner = Planner(self.rules, now)
         self.owner_site = min(self.places)
         self.rests_ns = now + SECOND
--- a/loadbalancer/testbed/sites/world.py
+++ b/loadbalancer/testbed/sites/world.py
@@ -165,7 +165,7 @@
             if not box.up:
                 box.start(self.now)
                 self.sites.cold[self.ids[number]] = self.now
-                self._note(number, api.State.READY)
+                self._note(number, api.UpstreamState.READY)
         if hit.balancers:
             for life in self.lives:
                 if life.zone == self.site_names[hit.site]:
@@ -200,9 +200,9 @@
     def _post(self, number: int, event: api.Event) -> None:
         if self.rule == "plan":
             m = self.sites.members[number]
-            if type(event) is api.Arrival:
+            if type(event) is api.RequestArrived:
                 m.arrived(event)
-            elif type(event) is api.Outcome:
+            elif type(event) is api.AttemptFinished:
                 request = self.lives[number].requests.get(event.request)
                 if request is not None:
                     cls = request.want.cls
@@ -228,10 +228,10 @@
             and not self._silent(life, number, True)
         )
         wait = 2 * self.cross_ns if alive else int(self.t.fleet.connect_timeout)
-        result = api.Result.OK if alive else api.Result.CONNECT_FAILED
+        result = api.AttemptResult.OK if alive else api.AttemptResult.CONNECT_FAILED
         self.at(self.now + wait, self._sounded, (life.number, upstream, result))
 
-    def _sounded(self, what: tuple[int, int, api.Result]) -> None:
+    def _sounded(self, what: tuple[int, int, api.AttemptResult]) -> None:
         number, upstream, result = what
         self.sites.members[number].sounded(upstream, result, self.now)
 
@@ -268,7 +268,7 @@
                 neighbour = left[(self.site_names.index(min(gone)) + 1) % len(left)]
                 zones |= dict.fromkeys([z for z in left if z not in (near, neighbour)], 0.0)
             if life.up:
-                self._post(life.number, api.Plan(zones))
+                self._post(life.number, api.TrafficPlan(zones))
 
     def _told_bears(self, _: Any) -> None:
         """What operators know of their sites by then: the work that a request takes as it is, keys
@@ -320,21 +320,23 @@
     wants = [(w, r) for w, r in world.asked if r.within]
     roots = [r for _, r in wants]
     tops = ceiling(
-        [Asked(r.number, r.cls, r.asked_ns, w.zone, w.work) for w, r in wants],
+        [Asked(r.number, r.cls, r.received_ns, w.zone, w.work) for w, r in wants],
         world.able,
         hits,
         world.site_names,
         START_NS,
     )
-    good = {r.number for r in roots if r.served_ns >= 0 and r.served_ns - r.asked_ns <= r.cls.aim}
+    good = {
+        r.number for r in roots if r.served_ns >= 0 and r.served_ns - r.received_ns <= r.cls.aim
+    }
     for name, (a, b) in windows.items():
-        asked = [r for r in roots if a <= r.asked_ns < b]
+        asked = [r for r in roots if a <= r.received_ns < b]
         worth = sum(r.cls.worth for r in asked) or 1.0
         setattr(found, name, sum(r.cls.worth for r in asked if r.number in good) / worth)
         found.top[name] = sum(r.cls.worth for r in asked if r.number in tops) / worth
     tenants: dict[str, list[int]] = {}
     for r in roots:
-        if begin <= r.asked_ns < end:
+        if begin <= r.received_ns < end:
             row = tenants.setdefault(r.tenant, [0, 0])
             row[0] += r.number in good
             row[1] += 1
@@ -343,7 +345,7 @@
     bins = int((world.end_ns - START_NS) // half)
     series = [[0, 0] for _ in range(bins + 1)]
     for r in roots:
-        at = min(bins, int((r.asked_ns - START_NS) // half))
+        at = min(bins, int((r.received_ns - START_NS) // half))
         series[at][0] += 1
         series[at][1] += r.number in good
     found.series = [(a, g) for a, g in series]
--- a/loadbalancer/testbed/size/balancer.py
+++ b/loadbalancer/testbed/size/balancer.py
@@ -371,7 +371,7 @@
         Endpoint(
             api.Upstream(
                 number_of(f"{SERVICE}-{i}"),
-                api.State.READY,
+                api.UpstreamState.READY,
                 f"region-{i % 8}-zone-{i % 20}",
                 i // 3,
                 1.0,
--- a/loadbalancer/testbed/size/deciding.py
+++ b/loadbalancer/testbed/size/deciding.py
@@ -17,7 +17,7 @@
 class Deciding:
     def __init__(self, zone: str, among: int, seed: int) -> None:
         """`among`: how many balancers carry the service."""
-        settings = replace(SETTINGS, zone=zone, replicas_of_me=among)
+        settings = replace(SETTINGS, zone=zone, instance_count=among)
         self.module = Balancer(settings, seed, time.monotonic_ns())
         self.loop = asyncio.get_running_loop()
         self.numbers = itertools.count()
@@ -26,8 +26,8 @@
         self.timers: set[asyncio.TimerHandle] = set()
         self.closed = False
 
-    def learn(self, kind: api.ListKind, entries: Sequence[api.Upstream]) -> None:
-        self._give(api.ListUpdate(kind, entries))
+    def learn(self, kind: api.EndpointListKind, entries: Sequence[api.Upstream]) -> None:
+        self._give(api.EndpointsUpdated(kind, entries))
 
     def come(self, per_s: float) -> None:
         """Requests from here on."""
@@ -39,7 +39,7 @@
         request = f"r{next(self.numbers)}"
         self.open[request] = 0
         self._give(
-            api.Arrival(
+            api.RequestArrived(
                 request, cls.name, "ash", time.monotonic_ns() + cls.deadline_ns, key=request
             )
         )
@@ -60,19 +60,23 @@
             match action:
                 case api.SetTimer():
                     self._after(
-                        action.delay_ns / 1e9, lambda a=action: self._give(api.Wake(a.name))
+                        action.delay_ns / 1e9, lambda a=action: self._give(api.TimerFired(a.name))
                     )
-                case api.Send():
+                case api.StartAttempt():
                     self.sent += 1
                     attempt = self.open.get(action.request, 0)
                     self.open[action.request] = attempt + 1
                     self._after(TOOK_NS / 1e9, lambda a=action, n=attempt: self._answered(a, n))
-                case api.Refuse() | api.Fail():
+                case api.RejectRequest() | api.FailRequest():
                     self.open.pop(action.request, None)
 
-    def _answered(self, sent: api.Send, attempt: int) -> None:
+    def _answered(self, sent: api.StartAttempt, attempt: int) -> None:
         first = self.open.pop(sent.request, None) is not None
-        self._give(api.Outcome(sent.request, attempt, sent.upstream, api.Result.OK, TOOK_NS, first))
+        self._give(
+            api.AttemptFinished(
+                sent.request, attempt, sent.upstream, api.AttemptResult.OK, TOOK_NS, first
+            )
+        )
 
     def close(self) -> None:
         self.closed = True
--- a/loadbalancer/testbed/size/hollow.py
+++ b/loadbalancer/testbed/size/hollow.py
@@ -129,7 +129,9 @@
         """Called once the module has it."""
         module = self.modules.get(scope.removeprefix(SERVICE))
         if module is not None:
-            module.learn(api.ListKind.FULL if whole else api.ListKind.DELTA, entries)
+            module.learn(
+                api.EndpointListKind.FULL if whole else api.EndpointListKind.DELTA, entries
+            )
         now = time.monotonic_ns()
         self.marks.append((self.told.number, scope, revision, now))
         self._note(scope, whole, rows, revision)
@@ -203,7 +205,9 @@
 
     def _entry(self, row: Row) -> api.Upstream:
         if row.value is None:
-            return api.Upstream(int(row.key.removeprefix("upstream/"), 16), api.State.GONE)
+            return api.Upstream(
+                int(row.key.removeprefix("upstream/"), 16), api.UpstreamState.REMOVED
+            )
         return self.codec.endpoint(row.value).entry
 
     async def close(self) -> None:
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -30,7 +30,7 @@
 SETTLE_S = 6.0  # after all names are held: works are owned by then, and first words said
 POLL_S = 0.02
 SITE = '[[site]]\nname = "a"\nbears = "1000/s"\n'
-LEARNT = api.Learnt(
+LEARNT = api.LearnedState(
     0,
     86.0,
     {f"tenant-{n}": 1.0 for n in range(20)},
@@ -52,13 +52,13 @@
             zone="a",
             classes={"q": api.RequestClass("q")},
             tenants=TENANTS,
-            replicas_of_me=balancers,
+            instance_count=balancers,
         )
         self.discovery = None
         self.tap: Callable[[int, Sequence[api.Event]], None] = lambda now, events: None
         self.requests: dict[str, Any] = {}
         boxes = [
-            Endpoint(api.Upstream(n, api.State.READY, "a"), "127.0.0.1", 9000 + n)
+            Endpoint(api.Upstream(n, api.UpstreamState.READY, "a"), "127.0.0.1", 9000 + n)
             for n in range(16)
         ]
         self.upstreams = SimpleNamespace(
@@ -71,7 +71,7 @@
             rate=SimpleNamespace(sent=86.0, served=86.0),
         )
 
-    def learn(self, kind: api.ListKind, endpoints: list[Endpoint]) -> None:
+    def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         self.upstreams.targets = {e.entry.id: SimpleNamespace(endpoint=e) for e in endpoints}
 
     def post(self, event: api.Event) -> None:
@@ -83,8 +83,8 @@
     def ban(self, name: str, on: bool) -> None:
         pass
 
-    def probe(self, number: int, done: Callable[[api.Result, Any], None]) -> bool:
-        done(api.Result.OK, None)
+    def probe(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
+        done(api.AttemptResult.OK, None)
         return True
 
 
--- a/loadbalancer/testbed/size/probe.py
+++ b/loadbalancer/testbed/size/probe.py
@@ -57,7 +57,7 @@
     zones = [frozenset(f"zone-{z}" for z in range(ZONES) if z != i and i) for i in range(pools)]
     made = [api.RequestClass(f"class-{i}", zones=zones[i % pools]) for i in range(classes)]
     return api.Settings(
-        replicas_of_me=balancers,
+        instance_count=balancers,
         zone="zone-0",
         classes={c.name: c for c in made},
         tenants={f"tenant-{i:06d}": api.Tenant(f"tenant-{i:06d}", 1.0) for i in range(tenants)},
@@ -68,7 +68,7 @@
 def upstreams(count: int, first: int = 0) -> list[api.Upstream]:
     """With ids as large as the program's."""
     return [
-        api.Upstream(policy.mixed(first + i, 77), api.State.READY, f"zone-{i % ZONES}")
+        api.Upstream(policy.mixed(first + i, 77), api.UpstreamState.READY, f"zone-{i % ZONES}")
         for i in range(count)
     ]
 
@@ -104,15 +104,15 @@
         actions = self.balancer.handle(self.now, events)
         self.spent_us.append((time.thread_time_ns() - began) / 1000)
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 self.sent += 1
                 self.met.add(action.upstream)
-                answer = api.Outcome(
-                    action.request, 0, action.upstream, api.Result.OK, ANSWER_NS, True
+                answer = api.AttemptFinished(
+                    action.request, 0, action.upstream, api.AttemptResult.OK, ANSWER_NS, True
                 )
                 self.later(ANSWER_NS, answer)
             elif isinstance(action, api.SetTimer):
-                self.later(action.delay_ns, api.Wake(action.name))
+                self.later(action.delay_ns, api.TimerFired(action.name))
 
     def later(self, after_ns: int, event: api.Event) -> None:
         self.number += 1
@@ -133,7 +133,9 @@
                 self.tenants[self.tenant()],
             )
             key = f"key-{self.number}" if self.keys else ""
-            self.hand(api.Arrival(f"r{self.number}", name, tenant, self.now + 2 * SECOND, key=key))
+            self.hand(
+                api.RequestArrived(f"r{self.number}", name, tenant, self.now + 2 * SECOND, key=key)
+            )
             self.until(self.now + gap)
 
 
@@ -191,7 +193,7 @@
     balancer = policy.Balancer(given, 7, START)
     before = resident_kb()
     listed = upstreams(size)
-    first = api.ListUpdate(api.ListKind.FULL, listed)
+    first = api.EndpointsUpdated(api.EndpointListKind.FULL, listed)
     figures = {
         "list_first": taken(lambda: balancer.handle(START, [first])),
         "list_kb": resident_kb() - before,
@@ -204,14 +206,14 @@
     kept, of_kept = connections(given, endpoints)
     figures |= {**of_kept, "targets": len(kept.targets)}
     gc.freeze()
-    again = api.ListUpdate(api.ListKind.FULL, upstreams(size))
+    again = api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(size))
     whole = [taken(lambda: balancer.handle(START, [again])) for _ in range(5)]
     figures["list_whole"] = statistics.median(whole)
     changes = []
     for i in range(20):
         entry = again.upstreams[size * i // 20]
-        for state in (api.State.DRAINING, api.State.READY):
-            update = api.ListUpdate(api.ListKind.DELTA, [entry._replace(state=state)])
+        for state in (api.UpstreamState.DRAINING, api.UpstreamState.READY):
+            update = api.EndpointsUpdated(api.EndpointListKind.DELTA, [entry._replace(state=state)])
             changes.append(taken(lambda: balancer.handle(START, [update])))  # noqa: B023
     figures["change"] = statistics.median(changes)
     return {**figures, **played(balancer, given, seconds, per_s, keys)}
@@ -225,7 +227,7 @@
     given = settings(tenants=size) if kind == "tenants" else settings(tenants=10, classes=size)
     balancer = policy.Balancer(given, 7, START)
     kept = resident_kb() - before
-    balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(64))])
+    balancer.handle(START, [api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(64))])
     gc.freeze()
     return {"kb": kept, **played(balancer, given, seconds, per_s)}
 
@@ -242,7 +244,9 @@
     days = []
     for i, count in enumerate(sizes):
         balancer = policy.Balancer(given, i, START)
-        balancer.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(count, 100_000 * i))])
+        balancer.handle(
+            START, [api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(count, 100_000 * i))]
+        )
         days.append(Day(balancer, given))
     spent = (time.thread_time_ns() - began) / 1000
     kept = resident_kb() - before
--- a/loadbalancer/testbed/size/writer.py
+++ b/loadbalancer/testbed/size/writer.py
@@ -42,7 +42,9 @@
 
 
 def endpoint(u: Upstream) -> Endpoint:
-    entry = api.Upstream(number_of(u.name), api.State.READY, f"z{u.zone:02d}", u.rack, 1.0, 0, "m1")
+    entry = api.Upstream(
+        number_of(u.name), api.UpstreamState.READY, f"z{u.zone:02d}", u.rack, 1.0, 0, "m1"
+    )
     return Endpoint(
         entry, f"10.{u.zone}.{u.number >> 8 & 255}.{u.number & 255}", 8000 + u.number % 1000
     )
@@ -53,10 +55,10 @@
     entry = e.entry
     match step:
         case 0:
-            entry = entry._replace(state=api.State.DRAINING)
+            entry = entry._replace(state=api.UpstreamState.DRAINING)
         case 1:
             e = replace(e, started_ms=unix_ms())
-            entry = entry._replace(state=api.State.READY, weight=0.5)
+            entry = entry._replace(state=api.UpstreamState.READY, weight=0.5)
         case _:
             entry = entry._replace(weight=1.0)
     return replace(e, entry=entry)
--- a/loadbalancer/testbed/soak/checker.py
+++ b/loadbalancer/testbed/soak/checker.py
@@ -121,8 +121,8 @@
             if p.balancer != asked.balancer or not p.killed_ns:
                 continue
             if asked.sent_ns - SECOND <= p.killed_ns <= asked.ended_ns + MARGIN_NS:
-                in_order = p.term_ns and p.killed_ns - p.term_ns >= KILL_NS - MARGIN_NS
-                if not in_order or asked.sent_ns < p.term_ns + 700 * MS:
+                ordered_by_key = p.term_ns and p.killed_ns - p.term_ns >= KILL_NS - MARGIN_NS
+                if not ordered_by_key or asked.sent_ns < p.term_ns + 700 * MS:
                     return True
         return False
 
--- a/loadbalancer/testbed/sockets/conductor.py
+++ b/loadbalancer/testbed/sockets/conductor.py
@@ -102,7 +102,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.crashes: list[str] = []
         self.faulty: list[str] = []  # what failed in the lab itself
-        self.begin_ns = 0
+        self.start_by_ns = 0
         self.capacity = 0.0
         cores = sorted(os.sched_getaffinity(0))
         # The lab's own parties get cores that no balancer shares, where there are enough.
@@ -252,7 +252,7 @@
             rows = (line.split() for line in text.splitlines() if line.startswith("Vm"))
             kb = {row[0]: int(row[1]) for row in rows}
             real.peak_kb = max(real.peak_kb, kb["VmHWM:"])
-            if time.monotonic_ns() - self.begin_ns > MINUTE_NS * len(real.minutes_kb):
+            if time.monotonic_ns() - self.start_by_ns > MINUTE_NS * len(real.minutes_kb):
                 real.minutes_kb.append(kb["VmRSS:"])
 
     async def _loads(self) -> list[Child]:
@@ -287,14 +287,14 @@
     async def _play(self, fleet: Child, loads: Sequence[Child]) -> Json:
         faults = schedule(self.t, self.seed)
         plan = steps(self.t, faults, self.seed)
-        self.begin_ns = time.monotonic_ns() + SECOND
+        self.start_by_ns = time.monotonic_ns() + SECOND
         for child in (fleet, *loads):
-            child.order(go=self.begin_ns)
+            child.order(go=self.start_by_ns)
         watch = self._spawn(self._watch_parties(fleet, loads))
         for step in plan:
-            await self._until(self.begin_ns + step.at_ns)
+            await self._until(self.start_by_ns + step.at_ns)
             self._step(step, fleet, loads)
-        await self._until(self.begin_ns + self.t.length + TAIL_NS)
+        await self._until(self.start_by_ns + self.t.length + TAIL_NS)
         watch.cancel()
         for child in (fleet, *loads):
             child.order(end=True)
@@ -356,7 +356,7 @@
                     now[key] = now.get(key, 0) + count
             self.look(
                 {
-                    "at_s": (time.monotonic_ns() - self.begin_ns) / 1e9,
+                    "at_s": (time.monotonic_ns() - self.start_by_ns) / 1e9,
                     "length_s": self.t.length / 1e9,
                     "loads": now,
                     "fleet": fleet.status,
@@ -414,7 +414,7 @@
             answer_grace=Duration(self.t.rules.answer_grace + SLACK),
             drain_grace=Duration(self.t.rules.drain_grace + SLACK),
         )
-        books = Books(msgspec.structs.replace(self.t, rules=rules), self.begin_ns)
+        books = Books(msgspec.structs.replace(self.t, rules=rules), self.start_by_ns)
         books.post([own, *self.facts])
         if self.crashes:
             books.ledger.broken["no crash"] += len(self.crashes)
@@ -455,7 +455,7 @@
             for r in self.real
         ]
         for breach in found["breaches"]:
-            breach["at_ns"] -= self.begin_ns
+            breach["at_ns"] -= self.start_by_ns
         return found
 
 
--- a/loadbalancer/testbed/sockets/facts.py
+++ b/loadbalancer/testbed/sockets/facts.py
@@ -93,9 +93,9 @@
 class Books:
     """Facts in, a ledger out: the same ledger as in virtual time."""
 
-    def __init__(self, t: Topology, begin_ns: int) -> None:
+    def __init__(self, t: Topology, start_by_ns: int) -> None:
         self.ledger = Ledger(t)
-        self.series = Series(begin_ns, t.length)
+        self.series = Series(start_by_ns, t.length)
         self.classes = {c.name: c for c in t.classes}
         self.roots: dict[int, Root] = {}
         self.open: dict[
--- a/loadbalancer/testbed/sockets/fleet.py
+++ b/loadbalancer/testbed/sockets/fleet.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from loadbalancer.policy.api import State
+from loadbalancer.policy.api import UpstreamState
 from loadbalancer.settings import Json
 from loadbalancer.testbed.model.box import Box, Draw, Job, Verdict
 from loadbalancer.testbed.model.fleet import build_fleet, entry_of, zones_of
@@ -26,7 +26,11 @@
 from loadbalancer.testbed.topology import zone_of
 
 MS = 1_000_000
-STATES = {State.READY: "Ready", State.DRAINING: "Terminating", State.GONE: "Gone"}
+STATES = {
+    UpstreamState.READY: "Ready",
+    UpstreamState.DRAINING: "Terminating",
+    UpstreamState.REMOVED: "Gone",
+}
 # One clock for all: what an upstream's start is on the wall clock.
 MONOTONIC_TO_UNIX_NS = time.time_ns() - time.monotonic_ns()
 BODY = b"x" * 168
@@ -358,7 +362,7 @@
         )
         await super().listen()
 
-    def entry(self, i: int, state: State = State.READY) -> Entry:
+    def entry(self, i: int, state: UpstreamState = UpstreamState.READY) -> Entry:
         return entry_of(self.t, self.boxes[i], i, state)
 
     def row(self, balancer: int, e: Entry) -> Json:
@@ -379,7 +383,9 @@
         listed = set()
         for e in entries:
             listed.add(e.number)
-            self.facts.note(now, "told", balancer, e.number, e.state is State.READY, e.started_ns)
+            self.facts.note(
+                now, "told", balancer, e.number, e.state is UpstreamState.READY, e.started_ns
+            )
         if full:
             for i in range(len(self.boxes)):
                 if i not in listed:
@@ -408,14 +414,14 @@
     def _fell(self, box: Box, now: int, work: dict[int, float]) -> None:
         self.facts.note(now, "fell", box.number, list(work.items()), box.started_ns)
         self.loop.call_soon(self._doors, box.number, "close")
-        self._note(box.number, State.GONE)
+        self._note(box.number, UpstreamState.REMOVED)
 
     def _doors(self, box: int, what: str) -> None:
         for (_, number), door in self.doors.items():
             if number == box:
                 getattr(door, what)()
 
-    def _note(self, box: int, state: State) -> None:
+    def _note(self, box: int, state: UpstreamState) -> None:
         now = time.monotonic_ns()
         at = self.registry.note(self.entry(box, state), now)
         self.loop.call_later((at - now) / 1e9, self._show)
@@ -426,7 +432,7 @@
             return
         news = self.registry.advance(time.monotonic_ns())
         for entry in news:
-            if entry.state is State.DRAINING:
+            if entry.state is UpstreamState.DRAINING:
                 self.loop.call_later(STOP_TAKING_NS / 1e9, self._turn_away, entry)
         if news:
             for watch in list(self.watches):
@@ -493,19 +499,19 @@
             case "partition over":
                 self._doors(whom, "hear")
             case "drain":
-                self._note(whom, State.DRAINING)
+                self._note(whom, UpstreamState.DRAINING)
             case "box down" if box.up:
                 box.die(time.monotonic_ns())
                 self._doors(whom, "close")
-                self._note(whom, State.GONE)
+                self._note(whom, UpstreamState.REMOVED)
             case "box up" if not box.up:
                 box.start(time.monotonic_ns())
                 self._doors(whom, "listen")
-                self._note(whom, State.READY)
+                self._note(whom, UpstreamState.READY)
             case "unlist":
-                self._note(whom, State.GONE)
+                self._note(whom, UpstreamState.REMOVED)
             case "list" if box.up:
-                self._note(whom, State.READY)
+                self._note(whom, UpstreamState.READY)
         self.plan(box)
 
 
--- a/loadbalancer/testbed/sockets/load.py
+++ b/loadbalancer/testbed/sockets/load.py
@@ -30,11 +30,11 @@
 class Wish:
     """What a client wants, through all of its tries."""
 
-    __slots__ = ("asked_ns", "tries", "want")
+    __slots__ = ("received_ns", "tries", "want")
 
     def __init__(self, want: Want) -> None:
         self.want = want
-        self.asked_ns = want.at_ns
+        self.received_ns = want.at_ns
         self.tries = 0
 
 
@@ -177,8 +177,8 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def _arrivals(self, workload: Workload, begin_ns: int) -> None:
-        for want in workload.wants(begin_ns + self.t.length):
+    async def _arrivals(self, workload: Workload, start_by_ns: int) -> None:
+        for want in workload.wants(start_by_ns + self.t.length):
             wait = (want.at_ns - time.monotonic_ns()) / 1e9
             if wait > 0:
                 await asyncio.sleep(wait)
@@ -204,7 +204,7 @@
         wish.tries += 1
         work_us = min(LONGEST_WORK_US, max(1, int(want.work / 1000)))
         ticket = f"{(self.number << 26) | self.tickets:08x}{work_us:08x}"
-        deadline = self.workload.try_ns(want.cls, wish.asked_ns, now)
+        deadline = self.workload.try_ns(want.cls, wish.received_ns, now)
         balancer = self._pick(want.zone)
         asked = Asked(ticket, wish, -1 if balancer is None else balancer, deadline)
         self.facts.note(now, "asked", ticket, want.number, deadline, asked.balancer)
@@ -314,7 +314,7 @@
         self.facts.note(now, "answered", asked.ticket, answer.value)
         self.counts[answer.value] += 1
         if answer is Answer.SERVED:
-            took = now - asked.wish.asked_ns
+            took = now - asked.wish.received_ns
             self.slowest_us = max(self.slowest_us, took // 1000)
             self.counts["good" if took <= asked.wish.want.cls.aim else "late"] += 1
         self._again(asked, answer, told_ns)
@@ -322,7 +322,9 @@
     def _again(self, asked: Asked, answer: Answer, told_ns: int) -> None:
         assert self.workload is not None
         wish, now = asked.wish, time.monotonic_ns()
-        at = self.workload.again_at(wish.want.cls, wish.asked_ns, wish.tries, answer, told_ns, now)
+        at = self.workload.again_at(
+            wish.want.cls, wish.received_ns, wish.tries, answer, told_ns, now
+        )
         if at is not None:
             self.loop.call_later((at - now) / 1e9, lambda: self._try(wish, time.monotonic_ns()))
 
--- a/loadbalancer/testbed/topology.py
+++ b/loadbalancer/testbed/topology.py
@@ -216,12 +216,12 @@
     chance: int = 0  # faults drawn by the seed, over those of the file
 
     @property
-    def cold_ns(self) -> int:
+    def slow_start_ns(self) -> int:
         longest: int = max(m.cold.high for m in self.fleet.machines)
         return longest
 
     @property
-    def cold_from(self) -> float:
+    def slow_start_capacity(self) -> float:
         least: float = min(m.cold_from.low for m in self.fleet.machines)
         return least
 
@@ -390,8 +390,8 @@
         "rules": {
             "stop_sending_within_ns": int(t.rules.drain_grace),
             "ask_within_ns": int(t.discovery.ask_within),
-            "cold_from": t.cold_from,
-            "cold_ns": t.cold_ns,
+            "cold_from": t.slow_start_capacity,
+            "cold_ns": t.slow_start_ns,
             "fall_multiple": t.rules.fall_multiple,
             "overload_for_ns": int(t.rules.overload_for),
         },
@@ -405,4 +405,7 @@
 
 
 def effects(t: Topology) -> dict[str, api.Effect]:
-    return {c.name: api.Effect.SAFE if c.effect == "safe" else api.Effect.UNSAFE for c in t.classes}
+    return {
+        c.name: api.Effect.IDEMPOTENT if c.effect == "safe" else api.Effect.NON_IDEMPOTENT
+        for c in t.classes
+    }
--- a/loadbalancer/testbed/virtual.py
+++ b/loadbalancer/testbed/virtual.py
@@ -32,11 +32,11 @@
 PROBE_WAIT_NS = 120_000_000  # a probe that nobody answers ends after this
 
 RESULT_OF = {
-    Verdict.SERVED: api.Result.OK,
-    Verdict.ERROR: api.Result.ERROR,
-    Verdict.TURNED_AWAY: api.Result.FULL,
-    Verdict.EXPIRED: api.Result.FULL,
-    Verdict.LOST: api.Result.RESET,
+    Verdict.SERVED: api.AttemptResult.OK,
+    Verdict.ERROR: api.AttemptResult.ERROR,
+    Verdict.TURNED_AWAY: api.AttemptResult.REJECTED,
+    Verdict.EXPIRED: api.AttemptResult.REJECTED,
+    Verdict.LOST: api.AttemptResult.RESET,
 }
 
 
@@ -192,7 +192,7 @@
     def _chance(self, what: str) -> random.Random:
         return random.Random(f"{self.seed}/{what}")
 
-    def entry(self, i: int, state: api.State = api.State.READY) -> Entry:
+    def entry(self, i: int, state: api.UpstreamState = api.UpstreamState.READY) -> Entry:
         return entry_of(self.t, self.boxes[i], self.ids[i], state)
 
     # ---- the heap --------------------------------------------------------------------------------
@@ -268,7 +268,7 @@
         ticket = f"q{self.tickets}"
         if root.tries:
             self.series.at(self.now).retries += 1
-        deadline = self.workload.try_ns(want.cls, root.asked_ns, self.now)
+        deadline = self.workload.try_ns(want.cls, root.received_ns, self.now)
         life = self._pick_balancer(want.zone)
         asked = self.ledger.asked(ticket, root, self.now, deadline, life.number if life else -1)
         way = self._jitter(self.client_ns)
@@ -308,7 +308,9 @@
         life.requests[asked.ticket] = Open(asked.ticket, asked, want, life.life)
         self._post(
             life.number,
-            api.Arrival(asked.ticket, want.cls.name, want.tenant, asked.deadline_ns, key=want.key),
+            api.RequestArrived(
+                asked.ticket, want.cls.name, want.tenant, asked.deadline_ns, key=want.key
+            ),
         )
 
     def _client_leaves(self, what: tuple[Life, Try]) -> None:
@@ -318,7 +320,7 @@
             return
         asked.excused = True
         request.over = True
-        self._post(life.number, api.ClientGone(asked.ticket))
+        self._post(life.number, api.ClientDisconnected(asked.ticket))
         self._tidy(life, request)
 
     def _client_gets(self, what: tuple[Want, Try, Answer, int]) -> None:
@@ -339,7 +341,9 @@
 
     def _maybe_again(self, want: Want, asked: Try, answer: Answer, told_ns: int) -> None:
         root = asked.root
-        at = self.workload.again_at(want.cls, root.asked_ns, root.tries, answer, told_ns, self.now)
+        at = self.workload.again_at(
+            want.cls, root.received_ns, root.tries, answer, told_ns, self.now
+        )
         if at is not None:
             self.at(at, self._again, (want, root))
 
@@ -361,9 +365,16 @@
         self.ledger.restarted(life.number)
         for number, entry in life.known.items():
             self.ledger.tell(
-                life.number, number, entry.state is api.State.READY, entry.started_ns, self.now
+                life.number,
+                number,
+                entry.state is api.UpstreamState.READY,
+                entry.started_ns,
+                self.now,
             )
-        self._post(life.number, api.ListUpdate(api.ListKind.CACHED, list(life.known.values())))
+        self._post(
+            life.number,
+            api.EndpointsUpdated(api.EndpointListKind.CACHED, list(life.known.values())),
+        )
         if self.t.discovery.mode == "push":
             life.watching = True
 
@@ -422,45 +433,45 @@
         for number, events in batch.items():
             life = self.lives[number]
             for event in events:
-                if isinstance(event, api.Outcome | api.ClientGone):
+                if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
                     request = life.requests.get(event.request)
                     if request is not None:
                         self._tidy(life, request)
 
     def _act(self, life: Life, action: api.Action) -> None:
         match action:
-            case api.Send():
+            case api.StartAttempt():
                 self._send(life, action)
-            case api.Refuse():
+            case api.RejectRequest():
                 self._finish(life, action.request, Answer.REFUSED, action.retry_after_ns)
-            case api.Fail():
+            case api.FailRequest():
                 self._finish(life, action.request, Answer.FAILED, 0)
             case api.SetTimer():
                 self.at(
                     self.now + max(1, action.delay_ns), self._timer, (life, life.life, action.name)
                 )
-            case api.Cancel():
+            case api.CancelAttempt():
                 self._cancel(life, action)
-            case api.Probe():
+            case api.CheckHealth():
                 self._probe(life, action.upstream)
-            case api.Subscribe():
+            case api.SubscribeEndpoints():
                 life.watching = False
                 if action.on:
                     self._call(life, True)
-            case api.FetchList():
+            case api.FetchEndpoints():
                 self._call(life, False)
-            case api.Note():
+            case api.LogMessage():
                 if len(self.notes) < 200:
                     self.notes.append(
                         f"{(self.now - START_NS) / 1e9:.3f} {life.number} {action.text}"
                     )
-            case api.Tell():
+            case api.SendGossip():
                 pass  # these installations have no talk between balancers
 
     def _timer(self, what: tuple[Life, int, str]) -> None:
         life, number, name = what
         if life.up and life.life == number:
-            self._post(life.number, api.Wake(name))
+            self._post(life.number, api.TimerFired(name))
 
     def _finish(self, life: Life, ticket: str, answer: Answer, told_ns: int) -> None:
         request = life.requests.get(ticket)
@@ -493,7 +504,7 @@
         """Does nothing get from this balancer to that box, or back?"""
         return box in self.cut
 
-    def _send(self, life: Life, action: api.Send) -> None:
+    def _send(self, life: Life, action: api.StartAttempt) -> None:
         request = life.requests.get(action.request)
         number = self.by_id.get(action.upstream)
         if request is None or number is None:
@@ -514,11 +525,11 @@
             or attempt.number >= topo.SEND_CAP
             or request.out > topo.COPIES
         ):
-            self._end(life, attempt, api.Result.MOOT)
+            self._end(life, attempt, api.AttemptResult.NOT_SENT)
             return
         timeout = min(action.timeout_ns or left, left)
         if timeout < 0:
-            self._end(life, attempt, api.Result.TIMEOUT)
+            self._end(life, attempt, api.AttemptResult.TIMEOUT)
             return
         self.ledger.sent(life.number, number, self.now)
         self.series.at(self.now).attempts += 1
@@ -559,7 +570,7 @@
     def _connect_failed(self, what: tuple[Life, int, Sent]) -> None:
         life, number, attempt = what
         if life.life == number and life.up and not attempt.over:
-            self._end(life, attempt, api.Result.CONNECT_FAILED)
+            self._end(life, attempt, api.AttemptResult.CONNECT_FAILED)
 
     def _at_box(self, what: tuple[Life, int, Sent, bool]) -> None:
         life, number, attempt, fresh = what
@@ -568,7 +579,10 @@
             return  # given up on the way, or lost in a network that says nothing
         if not box.up:
             self._reply(
-                life, number, attempt, api.Result.CONNECT_FAILED if fresh else api.Result.RESET
+                life,
+                number,
+                attempt,
+                api.AttemptResult.CONNECT_FAILED if fresh else api.AttemptResult.RESET,
             )
             return
         want = attempt.request.want
@@ -577,8 +591,8 @@
             if verdict is Verdict.SERVED:
                 self.ledger.finished(job.ticket)
             result = RESULT_OF[verdict]
-            if result is api.Result.OK and box.spoilt and self.rng.random() < box.spoilt:
-                result = api.Result.RESET  # it ran, and its answer came spoilt
+            if result is api.AttemptResult.OK and box.spoilt and self.rng.random() < box.spoilt:
+                result = api.AttemptResult.RESET  # it ran, and its answer came spoilt
             self.at(now, self._box_says, (life, number, attempt, result))
 
         # A box stops what its sender has given up, which closing the connection tells it.
@@ -611,10 +625,10 @@
             box.advance(self.now)
             self._plan(box)
 
-    def _box_says(self, what: tuple[Life, int, Sent, api.Result]) -> None:
+    def _box_says(self, what: tuple[Life, int, Sent, api.AttemptResult]) -> None:
         self._reply(*what)
 
-    def _reply(self, life: Life, number: int, attempt: Sent, result: api.Result) -> None:
+    def _reply(self, life: Life, number: int, attempt: Sent, result: api.AttemptResult) -> None:
         if not self._silent(life, attempt.box.number, True):
             self.at(
                 self.now + self._way(life, attempt.box.number),
@@ -622,11 +636,11 @@
                 (life, number, attempt, result),
             )
 
-    def _back(self, what: tuple[Life, int, Sent, api.Result]) -> None:
+    def _back(self, what: tuple[Life, int, Sent, api.AttemptResult]) -> None:
         life, number, attempt, result = what
         if life.life != number or not life.up or attempt.over:
             return
-        if result in (api.Result.OK, api.Result.ERROR, api.Result.FULL):
+        if result in (api.AttemptResult.OK, api.AttemptResult.ERROR, api.AttemptResult.REJECTED):
             life.idle.setdefault(attempt.box.number, []).append(self.now)
         else:
             self.used[attempt.box.number] -= 1
@@ -637,16 +651,16 @@
         life, number, attempt = what
         if life.life == number and life.up and not attempt.over:
             self._drop(life, attempt)
-            self._end(life, attempt, api.Result.TIMEOUT)
+            self._end(life, attempt, api.AttemptResult.TIMEOUT)
 
-    def _cancel(self, life: Life, action: api.Cancel) -> None:
+    def _cancel(self, life: Life, action: api.CancelAttempt) -> None:
         request = life.requests.get(action.request)
         if request is None or action.attempt >= len(request.attempts):
             return
         attempt = request.attempts[action.attempt]
         if attempt is not None and not attempt.over:
             self._drop(life, attempt)
-            self._end(life, attempt, api.Result.CANCELLED)
+            self._end(life, attempt, api.AttemptResult.CANCELLED)
 
     def _drop(self, life: Life, attempt: Sent) -> None:
         """Its connection is closed; the box hears so a little later and stops."""
@@ -661,18 +675,18 @@
             attempt.box.stop(attempt.job, self.now)
             self._plan(attempt.box)
 
-    def _end(self, life: Life, attempt: Sent, result: api.Result) -> None:
+    def _end(self, life: Life, attempt: Sent, result: api.AttemptResult) -> None:
         """The balancer has the outcome of an attempt; the first good one is the client's answer."""
         attempt.over = True
         request = attempt.request
         request.out -= 1
         request.attempts[attempt.number] = None
-        if result is api.Result.OK and not request.over:
+        if result is api.AttemptResult.OK and not request.over:
             request.over = True
             self._answer(request, Answer.SERVED, 0)
         self._post(
             life.number,
-            api.Outcome(
+            api.AttemptFinished(
                 request.ticket,
                 attempt.number,
                 self.ids[attempt.box.number],
@@ -689,7 +703,7 @@
         def fell(now: int, work: dict[int, float]) -> None:
             self.ledger.fell(box.number, now, work, box.started_ns)
             self._lose_connections(box.number)
-            self._note(box.number, api.State.GONE)
+            self._note(box.number, api.UpstreamState.REMOVED)
 
         return fell
 
@@ -702,13 +716,13 @@
             self.at(
                 self.now + 2 * self.cross_ns,
                 self._probed,
-                (life, life.life, upstream_id, api.Result.CONNECT_FAILED, self.now, None),
+                (life, life.life, upstream_id, api.AttemptResult.CONNECT_FAILED, self.now, None),
             )
         elif self._silent(life, number):
             self.at(
                 self.now + PROBE_WAIT_NS,
                 self._probed,
-                (life, life.life, upstream_id, api.Result.TIMEOUT, self.now, None),
+                (life, life.life, upstream_id, api.AttemptResult.TIMEOUT, self.now, None),
             )
         else:
             self.at(
@@ -719,20 +733,25 @@
 
     def _probe_there(self, what: tuple[Life, int, int, int]) -> None:
         life, number, box, since = what
-        result, report = api.Result.CONNECT_FAILED, None
+        result, report = api.AttemptResult.CONNECT_FAILED, None
         if self.boxes[box].up:
             seen = self.boxes[box].probe(self.now)
-            result, report = api.Result.OK, {"util": seen.util, "latency_ms": seen.latency_ms}
+            result, report = (
+                api.AttemptResult.OK,
+                {"util": seen.util, "latency_ms": seen.latency_ms},
+            )
         self.at(
             self.now + self._way(life, box),
             self._probed,
             (life, number, self.ids[box], result, since, report),
         )
 
-    def _probed(self, what: tuple[Life, int, int, api.Result, int, Any]) -> None:
+    def _probed(self, what: tuple[Life, int, int, api.AttemptResult, int, Any]) -> None:
         life, number, upstream_id, result, since, report = what
         if life.up and life.life == number:
-            self._post(life.number, api.ProbeResult(upstream_id, result, self.now - since, report))
+            self._post(
+                life.number, api.HealthCheckFinished(upstream_id, result, self.now - since, report)
+            )
 
     def _call(self, life: Life, watch: bool) -> None:
         at, well = self.registry.call(self.now + self.same_ns)
@@ -743,21 +762,23 @@
         if not life.up or life.life != number:
             return
         if not well:
-            self._post(life.number, api.ListUpdate(api.ListKind.FAILED))
+            self._post(life.number, api.EndpointsUpdated(api.EndpointListKind.FAILED))
             return
         life.watching = watch or life.watching
         life.version = self.registry.version
         life.known = {e.number: upstream(e) for e in self.registry.entries.values()}
         self._tell_all(life)
-        self._post(life.number, api.ListUpdate(api.ListKind.FULL, list(life.known.values())))
+        self._post(
+            life.number, api.EndpointsUpdated(api.EndpointListKind.FULL, list(life.known.values()))
+        )
 
     def _tell_all(self, life: Life) -> None:
         for i in range(len(self.boxes)):
             entry = life.known.get(i)
-            ready = entry is not None and entry.state is api.State.READY
+            ready = entry is not None and entry.state is api.UpstreamState.READY
             self.ledger.tell(life.number, i, ready, entry.started_ns if entry else 0, self.now)
 
-    def _note(self, box: int, state: api.State) -> None:
+    def _note(self, box: int, state: api.UpstreamState) -> None:
         self._will_show(self.registry.note(self.entry(box, state), self.now))
 
     def _will_show(self, when: int) -> None:
@@ -768,7 +789,7 @@
         if not news:
             return
         for entry in news:
-            if entry.state is api.State.DRAINING:
+            if entry.state is api.UpstreamState.DRAINING:
                 self.at(self.now + STOP_TAKING_NS, self._turn_away, entry)
         if self.registry.down:
             return
@@ -790,17 +811,20 @@
         if not life.up or life.life != number or not life.watching:
             return
         if self.registry.down:
-            self._post(life.number, api.ListUpdate(api.ListKind.FAILED))
+            self._post(life.number, api.EndpointsUpdated(api.EndpointListKind.FAILED))
             life.watching = False
             return
         for entry in news:
-            ready = entry.state is api.State.READY
-            if entry.state is api.State.GONE:
+            ready = entry.state is api.UpstreamState.READY
+            if entry.state is api.UpstreamState.REMOVED:
                 life.known.pop(entry.number, None)
             else:
                 life.known[entry.number] = upstream(entry)
             self.ledger.tell(life.number, entry.number, ready, entry.started_ns, self.now)
-        self._post(life.number, api.ListUpdate(api.ListKind.DELTA, [upstream(e) for e in news]))
+        self._post(
+            life.number,
+            api.EndpointsUpdated(api.EndpointListKind.DELTA, [upstream(e) for e in news]),
+        )
 
     # ---- faults ----------------------------------------------------------------------------------
 
@@ -827,7 +851,7 @@
                 for life in self.lives:
                     if life.up and life.watching:
                         life.watching = False
-                        self._post(life.number, api.ListUpdate(api.ListKind.FAILED))
+                        self._post(life.number, api.EndpointsUpdated(api.EndpointListKind.FAILED))
             case "list up":
                 self.registry.down = False
             case "unfinished" | "unfinished over":
@@ -846,21 +870,21 @@
                 self.cut.discard(number)
                 self._lose_connections(number)
             case "drain":
-                self._note(number, api.State.DRAINING)
+                self._note(number, api.UpstreamState.DRAINING)
             case "box down":
                 if box.up:
                     self._lose_connections(number)
                     box.die(self.now)
-                    self._note(number, api.State.GONE)
+                    self._note(number, api.UpstreamState.REMOVED)
             case "box up":
                 if not box.up:
                     box.start(self.now)
-                    self._note(number, api.State.READY)
+                    self._note(number, api.UpstreamState.READY)
             case "unlist":
-                self._note(number, api.State.GONE)
+                self._note(number, api.UpstreamState.REMOVED)
             case "list":
                 if box.up:
-                    self._note(number, api.State.READY)
+                    self._note(number, api.UpstreamState.READY)
         self._plan(box)
 
 
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -14,26 +14,45 @@
 SECOND = 1000 * MS
 START = 5 * SECOND
 
-READ = api.RequestClass("read", api.Effect.SAFE, aim_ns=300 * MS)
-PAY = api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=300 * MS)
+READ = api.RequestClass("read", api.Effect.IDEMPOTENT, latency_objective_ns=300 * MS)
+PAY = api.RequestClass("pay", api.Effect.NON_IDEMPOTENT, latency_objective_ns=300 * MS)
 CELL = api.RequestClass(
-    "cell", api.Effect.KEYED, api.Scope.CELL, window_ns=400 * MS, aim_ns=300 * MS
+    "cell",
+    api.Effect.IDEMPOTENT_WITH_KEY,
+    api.DeduplicationScope.CELL,
+    window_ns=400 * MS,
+    latency_objective_ns=300 * MS,
+)
+ANY = api.RequestClass(
+    "any",
+    api.Effect.IDEMPOTENT_WITH_KEY,
+    api.DeduplicationScope.ALL,
+    window_ns=400 * MS,
+    latency_objective_ns=300 * MS,
 )
-ANY = api.RequestClass("any", api.Effect.KEYED, api.Scope.ALL, window_ns=400 * MS, aim_ns=300 * MS)
 ROW = api.RequestClass(
-    "row", api.Effect.KEYED, api.Scope.CELL, window_ns=400 * MS, aim_ns=300 * MS, in_order=True
+    "row",
+    api.Effect.IDEMPOTENT_WITH_KEY,
+    api.DeduplicationScope.CELL,
+    window_ns=400 * MS,
+    latency_objective_ns=300 * MS,
+    ordered_by_key=True,
+)
+WEST = api.RequestClass(
+    "west", api.Effect.IDEMPOTENT, latency_objective_ns=300 * MS, zones=frozenset({"west"})
+)
+BIG = api.RequestClass(
+    "big", api.Effect.NON_IDEMPOTENT, latency_objective_ns=300 * MS, kinds=frozenset({"big"})
 )
-WEST = api.RequestClass("west", api.Effect.SAFE, aim_ns=300 * MS, zones=frozenset({"west"}))
-BIG = api.RequestClass("big", api.Effect.UNSAFE, aim_ns=300 * MS, kinds=frozenset({"big"}))
-MAY_STILL_RUN = (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED)
+MAY_STILL_RUN = (api.AttemptResult.TIMEOUT, api.AttemptResult.RESET, api.AttemptResult.CANCELLED)
 
 
 def settings(**changes: object) -> api.Settings:
     base: dict[str, object] = {
         "classes": {c.name: c for c in (READ, PAY, CELL, ANY, ROW, WEST, BIG)},
         "tenants": {"ash": api.Tenant("ash", 0.5), "birch": api.Tenant("birch", 0.5)},
-        "limits": api.Limits(max_attempts=3, second_copies=True, may_cancel=True, retry_after=True),
-        "rules": api.Rules(cold_ns=4 * SECOND, turn_gap_ns=100 * MS),
+        "limits": api.Limits(max_attempts=3, may_hedge=True, may_cancel=True, retry_after=True),
+        "rules": api.TrafficRules(slow_start_ns=4 * SECOND, key_order_gap_ns=100 * MS),
         "zone": "east",
     }
     return api.Settings(**{**base, **changes})  # type: ignore[arg-type]
@@ -41,7 +60,7 @@
 
 def upstreams(count: int, first: int = 1, started_ns: int = 0) -> list[api.Upstream]:
     return [
-        api.Upstream(first + i, api.State.READY, "east", i // 3, 1.0, started_ns)
+        api.Upstream(first + i, api.UpstreamState.READY, "east", i // 3, 1.0, started_ns)
         for i in range(count)
     ]
 
@@ -62,23 +81,25 @@
     wait_ns: int = 500 * MS,
     retry: bool = False,
     key: str = "",
-) -> api.Arrival:
-    return api.Arrival(f"r{number}", cls.name, tenant, now + wait_ns, key=key, retry=retry)
+) -> api.RequestArrived:
+    return api.RequestArrived(f"r{number}", cls.name, tenant, now + wait_ns, key=key, retry=retry)
 
 
 def check_cold_budget(
-    sends: list[int], started_ns: int, rules: api.Rules, warm_per_s: float
+    sends: list[int], started_ns: int, rules: api.TrafficRules, warm_per_s: float
 ) -> None:
     """Rule 4 over all proxies: in no window is a cold upstream sent more than it can stand. Slack
     of two.
     """
     for i, last in enumerate(sends):
         age = last - started_ns
-        if age >= rules.cold_ns:
+        if age >= rules.slow_start_ns:
             continue
-        part = rules.cold_from + (1 - rules.cold_from) * age / rules.cold_ns
-        count = sum(last - rules.overload_for_ns < t <= last for t in sends[: i + 1])
-        most = rules.fall_multiple * part * warm_per_s * rules.overload_for_ns / SECOND + 2
+        part = (
+            rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age / rules.slow_start_ns
+        )
+        count = sum(last - rules.overload_window_ns < t <= last for t in sends[: i + 1])
+        most = rules.overload_multiple * part * warm_per_s * rules.overload_window_ns / SECOND + 2
         assert count <= most, f"{count} sends to a cold upstream, {most:.1f} at most"
 
 
@@ -100,12 +121,12 @@
             str, int
         ] = {}  # request -> time until which later ones of its key must wait
         self.sends: dict[str, list[tuple[api.Upstream, int]]] = {}
-        self.results: dict[tuple[str, int], api.Result] = {}
+        self.results: dict[tuple[str, int], api.AttemptResult] = {}
         self.list: dict[int, api.Upstream] = {}
         self.timers: list[tuple[int, str]] = []
         self.log: list[api.Action] = []
         if servers:
-            self.give(api.ListUpdate(api.ListKind.CACHED, upstreams(servers)))
+            self.give(api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(servers)))
 
     # -- time --
 
@@ -126,10 +147,10 @@
             self.now = min(end, self.now + step_ns)
             due = sorted(t for t in self.timers if t[0] <= self.now)
             self.timers = [t for t in self.timers if t[0] > self.now]
-            events: list[api.Event] = [api.Wake(name) for _, name in due]
+            events: list[api.Event] = [api.TimerFired(name) for _, name in due]
             for request, number in self.out():
                 if self.deadline[request] <= self.now:
-                    events.append(self.result(request, number, api.Result.TIMEOUT))
+                    events.append(self.result(request, number, api.AttemptResult.TIMEOUT))
             if events:
                 seen += self.give(*events)
             for request, deadline in self.deadline.items():
@@ -145,13 +166,13 @@
             if (r, i) not in self.results
         ]
 
-    def result(self, request: str, number: int, result: api.Result) -> api.Outcome:
+    def result(self, request: str, number: int, result: api.AttemptResult) -> api.AttemptFinished:
         upstream, sent = self.sends[request][number]
-        over = request in self.answer or request in self.told_over or result is api.Result.OK
-        return api.Outcome(request, number, upstream.id, result, self.now - sent, over)
+        over = request in self.answer or request in self.told_over or result is api.AttemptResult.OK
+        return api.AttemptFinished(request, number, upstream.id, result, self.now - sent, over)
 
     def finish(
-        self, request: str, result: api.Result = api.Result.OK, number: int = -1
+        self, request: str, result: api.AttemptResult = api.AttemptResult.OK, number: int = -1
     ) -> list[api.Action]:
         number = number if number >= 0 else len(self.sends[request]) - 1
         return self.give(self.result(request, number, result))
@@ -159,27 +180,29 @@
     # -- books --
 
     def _event(self, e: api.Event) -> None:
-        if isinstance(e, api.Arrival):
+        if isinstance(e, api.RequestArrived):
             self.cls[e.request] = self.config.classes[e.class_name]
             self.deadline[e.request] = e.deadline_ns
-            if self.cls[e.request].in_order and e.key:
+            if self.cls[e.request].ordered_by_key and e.key:
                 self.rows.setdefault(e.key, []).append(e.request)
-        elif isinstance(e, api.Outcome) and e.request in self.cls:
+        elif isinstance(e, api.AttemptFinished) and e.request in self.cls:
             self.results[e.request, e.attempt] = e.result
             if e.result in MAY_STILL_RUN:
-                self.rest[e.request] = self.now + self.config.rules.turn_gap_ns
-            if e.result is api.Result.OK and e.request not in self.answer:
+                self.rest[e.request] = self.now + self.config.rules.key_order_gap_ns
+            if e.result is api.AttemptResult.OK and e.request not in self.answer:
                 self.answer[e.request] = "served"
             if e.complete:
                 self.told_over.add(e.request)
-        elif isinstance(e, api.ClientGone):
+        elif isinstance(e, api.ClientDisconnected):
             self.answer.setdefault(e.request, "gone")
             self.told_over.add(e.request)
-        elif isinstance(e, api.BodyWhole):
+        elif isinstance(e, api.BodyCompleted):
             self.deadline[e.request] = e.deadline_ns
-        elif isinstance(e, api.ListUpdate):
-            if e.kind in (api.ListKind.FULL, api.ListKind.CACHED):
-                self.list = {i: u._replace(state=api.State.GONE) for i, u in self.list.items()}
+        elif isinstance(e, api.EndpointsUpdated):
+            if e.kind in (api.EndpointListKind.FULL, api.EndpointListKind.CACHED):
+                self.list = {
+                    i: u._replace(state=api.UpstreamState.REMOVED) for i, u in self.list.items()
+                }
             self.list |= {u.id: u for u in e.upstreams}
 
     def _risky(self, request: str) -> list[tuple[api.Upstream, int]]:
@@ -190,25 +213,28 @@
         ]
 
     def _action(self, a: api.Action) -> None:
-        if isinstance(a, api.Send):
+        if isinstance(a, api.StartAttempt):
             self._send(a)
-        elif isinstance(a, api.Refuse):
+        elif isinstance(a, api.RejectRequest):
             cls, risky = self.cls[a.request], self._risky(a.request)
             harmless = (
-                cls.effect is api.Effect.SAFE
+                cls.effect is api.Effect.IDEMPOTENT
                 or not risky
-                or (cls.effect is api.Effect.KEYED and cls.scope is api.Scope.ALL)
+                or (
+                    cls.effect is api.Effect.IDEMPOTENT_WITH_KEY
+                    and cls.scope is api.DeduplicationScope.ALL
+                )
             )
             assert harmless, f"{a.request} refused though it may have run"
             self._final(a.request, "refused")
             assert 0 <= a.retry_after_ns <= self.config.limits.max_retry_after_ns
-        elif isinstance(a, api.Fail):
+        elif isinstance(a, api.FailRequest):
             self._final(a.request, "failed")
-        elif isinstance(a, api.Cancel):
+        elif isinstance(a, api.CancelAttempt):
             assert self.config.limits.may_cancel and a.attempt < len(self.sends[a.request])
-        elif isinstance(a, api.Probe):
+        elif isinstance(a, api.CheckHealth):
             assert self.config.limits.probes and a.upstream in self.list
-        elif isinstance(a, api.Tell):
+        elif isinstance(a, api.SendGossip):
             assert self.config.limits.peers and len(a.data) <= 256
         elif isinstance(a, api.SetTimer):
             assert a.delay_ns > 0
@@ -232,13 +258,15 @@
         assert self.now <= self.deadline[request] + 20 * MS, f"{request} answered late"
         self.answer[request] = answer
 
-    def _send(self, a: api.Send) -> None:
+    def _send(self, a: api.StartAttempt) -> None:
         request, upstream = a.request, self.list[a.upstream]
         cls, limits, risky = self.cls[request], self.config.limits, self._risky(a.request)
         assert request not in self.answer and request not in self.told_over, (
             f"{request} sent after its end"
         )
-        assert upstream.state is api.State.READY, f"{request} sent to a draining or gone upstream"
+        assert upstream.state is api.UpstreamState.READY, (
+            f"{request} sent to a draining or gone upstream"
+        )
         assert not cls.zones or upstream.zone in cls.zones, f"{request} sent outside its zones"
         assert not cls.kinds or upstream.kind in cls.kinds, (
             f"{request} sent to a kind it may not use"
@@ -247,12 +275,12 @@
         sent = self.sends.setdefault(request, [])
         assert len(sent) < limits.max_attempts
         out = sum((request, i) not in self.results for i in range(len(sent)))
-        assert out < (2 if limits.second_copies else 1), f"{request}: {out} attempts out already"
-        if risky and cls.effect is api.Effect.UNSAFE:
+        assert out < (2 if limits.may_hedge else 1), f"{request}: {out} attempts out already"
+        if risky and cls.effect is api.Effect.NON_IDEMPOTENT:
             raise AssertionError(f"{request} is unsafe, may have run and is sent again")
-        if risky and cls.effect is api.Effect.KEYED:
+        if risky and cls.effect is api.Effect.IDEMPOTENT_WITH_KEY:
             assert self.now - risky[0][1] <= cls.window_ns, f"{request} repeated after its window"
-            if cls.scope is api.Scope.CELL:
+            if cls.scope is api.DeduplicationScope.CELL:
                 assert all((u.zone, u.cell) == (upstream.zone, upstream.cell) for u, _ in risky)
         sent.append((upstream, self.now))
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -25,8 +25,12 @@
 SECOND = 1000 * MS
 TEST_S = 60.0
 CLASSES = {
-    "quote": api.RequestClass("quote", api.Effect.SAFE, aim_ns=2 * SECOND, deadline_ns=3 * SECOND),
-    "pay": api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=2 * SECOND, deadline_ns=3 * SECOND),
+    "quote": api.RequestClass(
+        "quote", api.Effect.IDEMPOTENT, latency_objective_ns=2 * SECOND, deadline_ns=3 * SECOND
+    ),
+    "pay": api.RequestClass(
+        "pay", api.Effect.NON_IDEMPOTENT, latency_objective_ns=2 * SECOND, deadline_ns=3 * SECOND
+    ),
 }
 SETTINGS = api.Settings(
     classes=CLASSES,
@@ -284,8 +288,8 @@
     def of(self, kind: type) -> list[Any]:
         return [event for event in self.events if isinstance(event, kind)]
 
-    def results(self) -> list[api.Result]:
-        return [event.result for event in self.of(api.Outcome)]
+    def results(self) -> list[api.AttemptResult]:
+        return [event.result for event in self.of(api.AttemptFinished)]
 
     def listen(self, module: type[Balancer]) -> type[Balancer]:
         heard = self
--- a/tests/recordings/policy_runs.py
+++ b/tests/recordings/policy_runs.py
@@ -37,12 +37,12 @@
     (12, 200, 1),
 )
 RESULTS = (
-    (api.Result.OK, 78),
-    (api.Result.ERROR, 6),
-    (api.Result.FULL, 5),
-    (api.Result.TIMEOUT, 4),
-    (api.Result.CONNECT_FAILED, 4),
-    (api.Result.RESET, 3),
+    (api.AttemptResult.OK, 78),
+    (api.AttemptResult.ERROR, 6),
+    (api.AttemptResult.REJECTED, 5),
+    (api.AttemptResult.TIMEOUT, 4),
+    (api.AttemptResult.CONNECT_FAILED, 4),
+    (api.AttemptResult.RESET, 3),
 )
 
 
@@ -57,29 +57,44 @@
 
 def make_settings(rng: random.Random, balancers: int) -> api.Settings:
     classes = [
-        api.RequestClass("read", api.Effect.SAFE, aim_ns=150 * MILLISECOND, deadline_ns=SECOND),
         api.RequestClass(
-            "write", api.Effect.UNSAFE, aim_ns=400 * MILLISECOND, deadline_ns=3 * SECOND, worth=3.0
+            "read",
+            api.Effect.IDEMPOTENT,
+            latency_objective_ns=150 * MILLISECOND,
+            deadline_ns=SECOND,
+        ),
+        api.RequestClass(
+            "write",
+            api.Effect.NON_IDEMPOTENT,
+            latency_objective_ns=400 * MILLISECOND,
+            deadline_ns=3 * SECOND,
+            worth=3.0,
         ),
         api.RequestClass(
             "pay",
-            api.Effect.KEYED,
-            api.Scope.ZONE,
+            api.Effect.IDEMPOTENT_WITH_KEY,
+            api.DeduplicationScope.ZONE,
             900 * MILLISECOND,
-            aim_ns=300 * MILLISECOND,
+            latency_objective_ns=300 * MILLISECOND,
             deadline_ns=2 * SECOND,
             worth=2.0,
-            late_worth=0.3,
+            late_weight=0.3,
+        ),
+        api.RequestClass(
+            "log",
+            api.Effect.IDEMPOTENT_WITH_KEY,
+            api.DeduplicationScope.ALL,
+            700 * MILLISECOND,
+            ordered_by_key=True,
         ),
-        api.RequestClass("log", api.Effect.KEYED, api.Scope.ALL, 700 * MILLISECOND, in_order=True),
         api.RequestClass(
-            "near", api.Effect.SAFE, zones=frozenset("ab"), kinds=frozenset(("", "big"))
+            "near", api.Effect.IDEMPOTENT, zones=frozenset("ab"), kinds=frozenset(("", "big"))
         ),
-        api.RequestClass("feed", api.Effect.SAFE, stream=True),
+        api.RequestClass("feed", api.Effect.IDEMPOTENT, stream=True),
     ]
     return api.Settings(
         me=rng.randrange(balancers),
-        replicas_of_me=balancers,
+        instance_count=balancers,
         zone=rng.choice(["", "a", "b"]),
         discovery_push=rng.random() < 0.5,
         classes={cls.name: cls for cls in classes},
@@ -90,15 +105,15 @@
         },
         limits=api.Limits(
             max_attempts=rng.choice([2, 3, 4]),
-            second_copies=rng.random() < 0.7,
+            may_hedge=rng.random() < 0.7,
             may_cancel=rng.random() < 0.7,
             probes=rng.random() < 0.7,
             retry_after=rng.random() < 0.7,
         ),
-        rules=api.Rules(
-            stop_sending_within_ns=SECOND // 2,
-            cold_ns=rng.choice([0, SECOND, 5 * SECOND]),
-            turn_gap_ns=50 * MILLISECOND,
+        rules=api.TrafficRules(
+            drain_grace_ns=SECOND // 2,
+            slow_start_ns=rng.choice([0, SECOND, 5 * SECOND]),
+            key_order_gap_ns=50 * MILLISECOND,
         ),
         prices=api.Prices(
             cross_zone=rng.choice([0.0, 0.03]), waste=0.02, probe=0.01, connection=0.01
@@ -119,7 +134,7 @@
         self.entries = {
             number: api.Upstream(
                 number,
-                api.State.READY,
+                api.UpstreamState.READY,
                 "abc"[number % 3],
                 number // 4,
                 self.rng.choice([0.5, 1.0, 1.0, 2.0]),
@@ -135,7 +150,7 @@
         self.order = 0
         self.digest = hashlib.sha256()
         self.policy = Balancer(self.settings, seed, self.now)
-        self.handle([api.ListUpdate(api.ListKind.FULL, list(self.entries.values()))])
+        self.handle([api.EndpointsUpdated(api.EndpointListKind.FULL, list(self.entries.values()))])
 
     def schedule(self, delay_ns: int, event: api.Event) -> None:
         self.order += 1
@@ -150,51 +165,57 @@
             self.carry_out(action)
 
     def carry_out(self, action: api.Action) -> None:
-        if isinstance(action, api.Send):
-            self.write(action.begin_ns)
+        if isinstance(action, api.StartAttempt):
+            self.write(action.start_by_ns)
             attempt = self.active.get(action.request, 0)
             self.active[action.request] = attempt + 1
             self.in_flight[action.request, attempt] = action.upstream
             self.plan_outcome(action, attempt)
-        elif isinstance(action, api.Refuse | api.Fail):
+        elif isinstance(action, api.RejectRequest | api.FailRequest):
             self.active.pop(action.request, None)
-        elif isinstance(action, api.Cancel):
+        elif isinstance(action, api.CancelAttempt):
             upstream = self.in_flight.pop((action.request, action.attempt), None)
             if upstream is not None:
                 self.schedule(
                     0,
-                    api.Outcome(
-                        action.request, action.attempt, upstream, api.Result.CANCELLED, MILLISECOND
+                    api.AttemptFinished(
+                        action.request,
+                        action.attempt,
+                        upstream,
+                        api.AttemptResult.CANCELLED,
+                        MILLISECOND,
                     ),
                 )
         elif isinstance(action, api.SetTimer):
-            self.schedule(action.delay_ns, api.Wake(action.name))
-        elif isinstance(action, api.Probe):
-            result = api.Result.OK if self.rng.random() < 0.8 else api.Result.TIMEOUT
+            self.schedule(action.delay_ns, api.TimerFired(action.name))
+        elif isinstance(action, api.CheckHealth):
+            result = api.AttemptResult.OK if self.rng.random() < 0.8 else api.AttemptResult.TIMEOUT
             self.schedule(
                 8 * MILLISECOND,
-                api.ProbeResult(
+                api.HealthCheckFinished(
                     action.upstream, result, 8 * MILLISECOND, {"util": self.rng.random()}
                 ),
             )
-        elif isinstance(action, api.FetchList):
+        elif isinstance(action, api.FetchEndpoints):
             self.schedule(
-                20 * MILLISECOND, api.ListUpdate(api.ListKind.FULL, list(self.entries.values()))
+                20 * MILLISECOND,
+                api.EndpointsUpdated(api.EndpointListKind.FULL, list(self.entries.values())),
             )
 
-    def plan_outcome(self, send: api.Send, attempt: int) -> None:
+    def plan_outcome(self, send: api.StartAttempt, attempt: int) -> None:
         kinds, weights = zip(*RESULTS, strict=True)
         result = self.rng.choices(kinds, weights)[0]
         took = int(self.rng.lognormvariate(3.4, 0.7) * MILLISECOND)
         if send.timeout_ns:
             took = min(took, send.timeout_ns)
-        if result is api.Result.OK and self.rng.random() < 0.05:
+        if result is api.AttemptResult.OK and self.rng.random() < 0.05:
             self.schedule(
-                took // 2, api.AnswerBegun(send.request, attempt, send.upstream, took // 2)
+                took // 2, api.ResponseStarted(send.request, attempt, send.upstream, took // 2)
             )
         report = {"util": self.rng.random()} if self.rng.random() < 0.5 else None
         self.schedule(
-            took, api.Outcome(send.request, attempt, send.upstream, result, took, report=report)
+            took,
+            api.AttemptFinished(send.request, attempt, send.upstream, result, took, report=report),
         )
 
     def arrivals(self) -> list[Any]:
@@ -208,7 +229,7 @@
             complete = self.rng.random() < 0.95
             self.active[name] = 0
             events.append(
-                api.Arrival(
+                api.RequestArrived(
                     name,
                     cls.name,
                     self.rng.choice(["ash", "ash", "birch", "elm", "?"]),
@@ -223,10 +244,10 @@
             if not complete:
                 self.schedule(
                     15 * MILLISECOND,
-                    api.BodyWhole(name, deadline, self.now + 15 * MILLISECOND, True),
+                    api.BodyCompleted(name, deadline, self.now + 15 * MILLISECOND, True),
                 )
             if self.rng.random() < 0.03:
-                self.schedule(30 * MILLISECOND, api.ClientGone(name))
+                self.schedule(30 * MILLISECOND, api.ClientDisconnected(name))
         return events
 
     def list_change(self) -> list[Any]:
@@ -234,40 +255,43 @@
         entry = self.entries[rng.choice(sorted(self.entries))]
         kind = rng.randrange(7)
         if kind == 0:
-            changed = entry._replace(state=api.State.DRAINING)
+            changed = entry._replace(state=api.UpstreamState.DRAINING)
         elif kind == 1:
             changed = entry._replace(
-                state=api.State.READY, started_ns=self.now - rng.randrange(SECOND)
+                state=api.UpstreamState.READY, started_ns=self.now - rng.randrange(SECOND)
             )
         elif kind == 2:
-            changed = entry._replace(state=api.State.GONE)
+            changed = entry._replace(state=api.UpstreamState.REMOVED)
             if len(self.entries) > 3:
                 del self.entries[entry.id]
-            return [api.ListUpdate(api.ListKind.DELTA, [changed])]
+            return [api.EndpointsUpdated(api.EndpointListKind.DELTA, [changed])]
         elif kind == 3:
             changed = entry._replace(
-                id=self.next_upstream, state=api.State.READY, started_ns=self.now
+                id=self.next_upstream, state=api.UpstreamState.READY, started_ns=self.now
             )
             self.next_upstream += 1
         elif kind == 4:
-            return [api.Ban(entry.id, rng.random() < 0.6)]
+            return [api.UpstreamDisabled(entry.id, rng.random() < 0.6)]
         elif kind == 5:
             return [
-                api.ListUpdate(
-                    rng.choice([api.ListKind.FULL, api.ListKind.CACHED]),
+                api.EndpointsUpdated(
+                    rng.choice([api.EndpointListKind.FULL, api.EndpointListKind.CACHED]),
                     list(self.entries.values()),
                 )
             ]
         else:
-            return [api.ListUpdate(api.ListKind.FAILED), api.ListTrust(rng.random() < 0.8)]
+            return [
+                api.EndpointsUpdated(api.EndpointListKind.FAILED),
+                api.EndpointTrustChanged(rng.random() < 0.8),
+            ]
         self.entries[changed.id] = changed
-        return [api.ListUpdate(api.ListKind.DELTA, [changed])]
+        return [api.EndpointsUpdated(api.EndpointListKind.DELTA, [changed])]
 
-    def traffic_plan(self) -> api.Plan:
+    def traffic_plan(self) -> api.TrafficPlan:
         rng = self.rng
         if rng.random() < 0.4:
-            return api.Plan()
-        return api.Plan(
+            return api.TrafficPlan()
+        return api.TrafficPlan(
             {"a": rng.random()},
             rng.random(),
             {"ash": 50.0},
@@ -280,11 +304,11 @@
 
     def finished(self, event: Any) -> Any:
         """An event that is due, or None where its attempt has gone."""
-        if isinstance(event, api.Outcome):
+        if isinstance(event, api.AttemptFinished):
             known = self.in_flight.pop((event.request, event.attempt), None) is not None
-            if not known and event.result is not api.Result.CANCELLED:
+            if not known and event.result is not api.AttemptResult.CANCELLED:
                 return None
-            over = event.request not in self.active or event.result is api.Result.OK
+            over = event.request not in self.active or event.result is api.AttemptResult.OK
             if over:
                 self.active.pop(event.request, None)
             return event._replace(complete=over)
@@ -300,7 +324,7 @@
         self.policy = Balancer(self.settings, self.rng.randrange(1000), self.now)
         self.handle(
             [
-                api.ListUpdate(api.ListKind.CACHED, list(self.entries.values())),
+                api.EndpointsUpdated(api.EndpointListKind.CACHED, list(self.entries.values())),
                 learned._replace(age_ns=SECOND // 2),
             ]
         )
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -97,7 +97,7 @@
                 else:
                     assert f"content-length: {len(LONG)}" in head
                     assert await client.reader.readexactly(len(LONG)) == LONG
-            assert [o.complete for o in heard.of(api.Outcome)] == [True, True]
+            assert [o.complete for o in heard.of(api.AttemptFinished)] == [True, True]
 
     run(test())
 
@@ -131,8 +131,8 @@
             client.send("r1")
             await full.wait()  # its upstream can write no more, as nobody reads
             assert sent < MUCH
-            await heard.until(lambda: heard.of(api.Outcome))
-            assert heard.results() == [api.Result.OK]
+            await heard.until(lambda: heard.of(api.AttemptFinished))
+            assert heard.results() == [api.AttemptResult.OK]
             await read_head(client.reader)
             assert len(await client.reader.readexactly(MUCH)) == MUCH
             client.close()
@@ -251,8 +251,8 @@
             else:
                 client.writer.write(post("r1", f"Content-Length: {len(LONG)}") + LONG[:half])
             await begun.wait()  # it is under way, and half of it has not been sent yet
-            (arrival,) = heard.of(api.Arrival)
-            assert not arrival.whole and not heard.of(api.BodyWhole)
+            (arrival,) = heard.of(api.RequestArrived)
+            assert not arrival.whole and not heard.of(api.BodyCompleted)
             if chunked:
                 client.writer.write(b"%x\r\n%b\r\n0\r\nX-Sum: 9\r\n\r\n" % (half, LONG[half:]))
             else:
@@ -260,11 +260,11 @@
             got = await read_message(client.reader)
             assert (got.status, got.body) == (200, b"done")
             assert bodies == [LONG]
-            (whole,) = heard.of(api.BodyWhole)
+            (whole,) = heard.of(api.BodyCompleted)
             assert not whole.again and whole.deadline_ns < arrival.deadline_ns
             # The connection goes on.
             client.writer.write(post("r2", "Content-Length: 2") + b"ab")
-            await heard.until(lambda: len(heard.of(api.Arrival)) == 2)
+            await heard.until(lambda: len(heard.of(api.RequestArrived)) == 2)
 
     run(test())
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -37,12 +37,12 @@
         age = self.now - box.started_ns
         known = life.known.get(box.number)
         told = known is not None and known.started_ns == box.started_ns
-        if what[2].job is None or not box.started_ns or age >= t.cold_ns or not told:
+        if what[2].job is None or not box.started_ns or age >= t.slow_start_ns or not told:
             return
         sends = self.sends.setdefault((box.number, box.started_ns), [])
         sends.append(self.now)
         count = len(sends) - bisect.bisect_right(sends, self.now - int(t.rules.overload_for))
-        part = t.cold_from + (1 - t.cold_from) * age / t.cold_ns
+        part = t.slow_start_capacity + (1 - t.slow_start_capacity) * age / t.slow_start_ns
         n = (
             t.rules.fall_multiple
             * part
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -72,7 +72,7 @@
                 0, settings=PATIENT, known={"version": 1, "full": True, "servers": [row]}
             ) as w:
                 with closing(await plain(w)) as client:
-                    asked_ns = time.monotonic_ns()
+                    received_ns = time.monotonic_ns()
                     client.send(
                         b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nX-Class: quote\r\n"
                         b"X-Deadline-Ms: 2800\r\n\r\n"
@@ -86,7 +86,7 @@
                     reader, writer = await asyncio.open_connection(sock=link)
                     with closing(writer):
                         message = await read_message(reader)
-                        left_ms = 2800 - (begun[-1] - asked_ns) / 1e6
+                        left_ms = 2800 - (begun[-1] - received_ns) / 1e6
                         assert told_ms(message) <= left_ms + SLACK_MS
                         writer.write(answer(200, b"done"))
                         assert (await asyncio.get_running_loop().sock_recv(client, 99)).startswith(
@@ -140,7 +140,7 @@
             started[0][0].pause_writing()
             client.writer.write(b"x")
             monkeypatch.setattr(Connection, "resume_writing", lambda connection: None)
-            await heard.until(lambda: heard.of(api.BodyWhole))
+            await heard.until(lambda: heard.of(api.BodyCompleted))
             await asyncio.sleep(0.3)  # time that goes by is what is tested
             go_on(started[0][0])
             assert (await read_message(client.reader)).status in (502, 503, 504)
@@ -169,7 +169,7 @@
             for upstream in w.upstreams:
                 upstream.script = [late]
             client = await w.client()
-            asked_ns = time.monotonic_ns()
+            received_ns = time.monotonic_ns()
             client.send("r1", X_Deadline_Ms=2000)
             while not begun:
                 await asyncio.sleep(0)
@@ -181,7 +181,7 @@
                 upstream.script = []
             await read_message(client.reader)
             seen = [m for u in w.upstreams for m in u.seen]
-            assert min(map(told_ms, seen)) <= 2000 - (begun[1] - asked_ns) / 1e6 + SLACK_MS
+            assert min(map(told_ms, seen)) <= 2000 - (begun[1] - received_ns) / 1e6 + SLACK_MS
             client.close()
 
     run(test())
@@ -236,7 +236,7 @@
     start_ns = 10 * SECOND
     wait_ns, whole = wait_ms * MS, not in_pieces
     deadline_ns = start_ns + wait_ns if whole else start_ns + 600 * SECOND
-    arrival = api.Arrival("r1", "pay", "ash", deadline_ns, asked_ns=start_ns, whole=whole)
+    arrival = api.RequestArrived("r1", "pay", "ash", deadline_ns, received_ns=start_ns, whole=whole)
     body = Body(10, Store(1024), True) if in_pieces else None
     request = OpenRequest(
         arrival,
@@ -250,7 +250,7 @@
         attempts=[None] * (number + 1),
         sent=number + 1,
     )
-    limits = api.Limits(max_attempts=2, second_copies=not in_pieces)
+    limits = api.Limits(max_attempts=2, may_hedge=not in_pieces)
     now_ns = start_ns + decided_ms * MS
     timeout_ns = (timeout_ms or 4000) * MS
     attempt = OutgoingAttempt(
@@ -269,10 +269,10 @@
         if whole:
             assert told <= (deadline_ns - clock) / MS - held_up_ms + SLACK_MS
             return
-        asked_ns = clock + body_ms * MS  # its last byte: the client's time runs from there
-        clock = asked_ns + (late_ms + write_ms) * MS
+        received_ns = clock + body_ms * MS  # its last byte: the client's time runs from there
+        clock = received_ns + (late_ms + write_ms) * MS
         request.arrival = arrival._replace(
-            deadline_ns=asked_ns + wait_ns, asked_ns=asked_ns, whole=True
+            deadline_ns=received_ns + wait_ns, received_ns=received_ns, whole=True
         )
         if attempt.may_finish():
-            assert told <= (asked_ns + wait_ns - clock) / MS + SLACK_MS - 50
+            assert told <= (received_ns + wait_ns - clock) / MS + SLACK_MS - 50
