--- a/tests/test_errnos.py
+++ b/tests/test_errnos.py
@@ -52,7 +52,7 @@
     async def test() -> None:
         async with failing_world(name, 2) as (w, dials):
             assert (await w.ask("r1")).status == 200
-            assert dials.failed == 2 and heard.results() == [api.Result.OK]
+            assert dials.failed == 2 and heard.results() == [api.AttemptResult.OK]
 
     run(test())
 
@@ -64,7 +64,7 @@
     async def test() -> None:
         async with failing_world(name, 1 << 30) as (w, _):
             assert (await w.ask("r1")).status == 503
-            assert heard.results() == [api.Result.MOOT]
+            assert heard.results() == [api.AttemptResult.NOT_SENT]
             assert (
                 len([r for r in caplog.records if os.strerror(getattr(errno, name)) in r.message])
                 == 1
@@ -78,7 +78,7 @@
     async def test() -> None:
         async with failing_world(name, 1) as (w, dials):
             assert (await w.ask("r1")).status == 503
-            assert dials.failed == 1 and heard.results() == [api.Result.CONNECT_FAILED]
+            assert dials.failed == 1 and heard.results() == [api.AttemptResult.CONNECT_FAILED]
 
     run(test())
 
--- a/tests/test_feed_daemon.py
+++ b/tests/test_feed_daemon.py
@@ -181,7 +181,7 @@
             if op.value is not None:
                 stored[op.key] = 1, op.value
     assert {key: value for key, (_, value) in stored.items()} == wanted
-    assert api.State.GONE is row_codec.gone(7).entry.state
+    assert api.UpstreamState.REMOVED is row_codec.gone(7).entry.state
 
 
 # ---- balancers over a store ----------------------------------------------------------------------
@@ -200,13 +200,15 @@
         super().__init__()
         self.poke = told
 
-    def learn(self, kind: api.ListKind, endpoints: list[Endpoint]) -> None:
+    def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         self.lists.append((kind, endpoints))
-        if kind is not api.ListKind.FAILED:
-            targets = {} if kind is not api.ListKind.DELTA else self.upstreams.targets
+        if kind is not api.EndpointListKind.FAILED:
+            targets = {} if kind is not api.EndpointListKind.DELTA else self.upstreams.targets
             targets |= {e.entry.id: SimpleNamespace(endpoint=e) for e in endpoints}
             self.upstreams.targets = {
-                n: t for n, t in targets.items() if t.endpoint.entry.state is not api.State.GONE
+                n: t
+                for n, t in targets.items()
+                if t.endpoint.entry.state is not api.UpstreamState.REMOVED
             }
             self.told.set()
         self.poke()
@@ -249,7 +251,7 @@
         self.poke()
 
     @property
-    def known(self) -> dict[int, api.State]:
+    def known(self) -> dict[int, api.UpstreamState]:
         return {n: t.endpoint.entry.state for n, t in self.driver.upstreams.targets.items()}
 
     async def owns(self) -> Bank:
@@ -284,7 +286,7 @@
         Row(
             split(KEYS.upstream(e.entry.id))[1],
             1,
-            row_codec.packed(e) if e.entry.state is not api.State.GONE else None,
+            row_codec.packed(e) if e.entry.state is not api.UpstreamState.REMOVED else None,
         )
         for e in listed
     ]
@@ -306,7 +308,7 @@
             writer,
         )
 
-        def kinds() -> list[tuple[api.ListKind, int]]:
+        def kinds() -> list[tuple[api.EndpointListKind, int]]:
             found = [(kind, len(endpoints)) for kind, endpoints in driver.lists]
             driver.lists.clear()
             return found
@@ -317,11 +319,11 @@
         # Before a majority was heard it is something to begin with, and after it a list.
         follows.apply(told(word(3, 7), box("s-1"), whole=True))
         follows.apply(told(word(3, 8), box("s-2")))
-        assert kinds() == [(api.ListKind.CACHED, 1)]
+        assert kinds() == [(api.EndpointListKind.CACHED, 1)]
         follows.follower.learn(Word(3, 7), clock_ns())
         follows.apply(told(word(3, 9), box("s-3")))
         follows.apply(told(word(3, 10), box("s-3", "Gone"), box("never there", "Gone")))
-        assert kinds() == [(api.ListKind.FULL, 3), (api.ListKind.DELTA, 1)]
+        assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
         dialled = driver.upstreams.targets[number_of("s-1")].endpoint
         assert (dialled.host, dialled.port) == ("127.0.0.2", 19001)
         # Of an owner of before, as from a node that lags, nothing is taken; nor is a list without
@@ -330,7 +332,7 @@
         follows.apply(told(word(3, 11), whole=True))
         assert kinds() == []
         follows.apply(told(word(3, 12), box("s-1"), whole=True))
-        assert kinds() == [(api.ListKind.FULL, 1)]
+        assert kinds() == [(api.EndpointListKind.FULL, 1)]
         # What comes while it owns the list itself, and is the next owner's, counts once it does
         # not.
         owner.working, follows.put = 4, (4, 1, [])
@@ -339,7 +341,7 @@
         assert kinds() == []
         owner.working = 0
         follows.ended()
-        assert kinds() == [(api.ListKind.FULL, 3)] and follows.mirrors
+        assert kinds() == [(api.EndpointListKind.FULL, 3)] and follows.mirrors
         follows.put = 6, 1, []
         follows.ended()  # its own rows are no news
         assert kinds() == [] and not follows.mirrors
@@ -400,7 +402,7 @@
             one = await Bank(c, "one", discovery).owns()
             two = Bank(c, "two", None)
             await two.knows(*discovery.rows)
-            assert two.driver.lists[-1][0] is api.ListKind.FULL
+            assert two.driver.lists[-1][0] is api.EndpointListKind.FULL
             await stored.are(*discovery.rows)
             lists, writes = len(two.driver.lists), len(stored.writes)
             client, looks = c.client(), StoredList(c.client(), "orders")
@@ -419,14 +421,20 @@
             await stored.are(*discovery.rows)
             assert list(stored.writes.values())[writes:] == [1, 2]
             drained, went = two.driver.lists[lists:]
-            assert drained == (api.ListKind.DELTA, [read_endpoint(box("s-7", "Terminating"))])
-            assert went[0] is api.ListKind.DELTA and {
+            assert drained == (
+                api.EndpointListKind.DELTA,
+                [read_endpoint(box("s-7", "Terminating"))],
+            )
+            assert went[0] is api.EndpointListKind.DELTA and {
                 e.entry.id: e.entry.state for e in went[1]
-            } == {number_of("s-8"): api.State.GONE, number_of("s-new"): api.State.READY}
+            } == {
+                number_of("s-8"): api.UpstreamState.REMOVED,
+                number_of("s-new"): api.UpstreamState.READY,
+            }
             # Whoever only looks sees the same; there is no document.
             view = (await look(client, rolling_restart_controller.Keys("orders"), Ages(), looks))[3]
             assert {n: b.ready for n, b in view.boxes.items()} == {
-                n: state is api.State.READY for n, state in two.known.items()
+                n: state is api.UpstreamState.READY for n, state in two.known.items()
             }
             assert (await client.get("list/orders")).rows[0].value is None
             with pytest.raises(Rejected, match="names"):
@@ -589,7 +597,7 @@
             second.change(box("s-3", "Terminating"))
             await one.knows(*second.rows)
             assert one.driver.lists[lists:] == [
-                (api.ListKind.DELTA, [read_endpoint(box("s-3", "Terminating"))])
+                (api.EndpointListKind.DELTA, [read_endpoint(box("s-3", "Terminating"))])
             ]
             first.silent = False
             one.discovery.fetch()  # as where the owner is silent
@@ -645,8 +653,8 @@
             module.handle(
                 time.monotonic_ns(),
                 [
-                    api.ListUpdate(
-                        api.ListKind.FULL,
+                    api.EndpointsUpdated(
+                        api.EndpointListKind.FULL,
                         [t.endpoint.entry for t in two.driver.upstreams.targets.values()],
                     )
                 ],
@@ -660,7 +668,7 @@
             # What was learnt comes behind the list, and is of the same start of each upstream.
             await until(lambda: bool(again.driver.posted))
             (learnt,) = again.driver.posted
-            assert isinstance(learnt, api.Learnt) and learnt.paces[number_of("s-2")] == (
+            assert isinstance(learnt, api.LearnedState) and learnt.paces[number_of("s-2")] == (
                 3.0,
                 again.driver.upstreams.targets[number_of("s-2")].endpoint.entry.started_ns,
             )
@@ -692,7 +700,7 @@
             await two.knows(*discovery.rows)
             # The copy's rows are older than what was heard: s-2 does not come back for a moment.
             assert all(
-                number_of("s-2") != e.entry.id or e.entry.state is api.State.GONE
+                number_of("s-2") != e.entry.id or e.entry.state is api.UpstreamState.REMOVED
                 for _, listed in two.driver.lists[lists:]
                 for e in listed
             )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,10 +16,14 @@
 from tests.fakes import MS, SECOND
 
 CLASSES = {
-    "look": api.RequestClass("look", api.Effect.SAFE, aim_ns=400 * MS, deadline_ns=900 * MS),
-    "book": api.RequestClass("book", api.Effect.UNSAFE, aim_ns=600 * MS, deadline_ns=1400 * MS),
+    "look": api.RequestClass(
+        "look", api.Effect.IDEMPOTENT, latency_objective_ns=400 * MS, deadline_ns=900 * MS
+    ),
+    "book": api.RequestClass(
+        "book", api.Effect.NON_IDEMPOTENT, latency_objective_ns=600 * MS, deadline_ns=1400 * MS
+    ),
 }
-Answer = tuple[api.Result, int]  # and after how many ns
+Answer = tuple[api.AttemptResult, int]  # and after how many ns
 
 
 class Proxy:
@@ -38,13 +42,13 @@
     ) -> None:
         self.settings = api.Settings(
             me=me,
-            replicas_of_me=proxies,
+            instance_count=proxies,
             zone=zone,
             prices=api.Prices(cross_zone=0.029 if zone else 0.0),
             classes=CLASSES,
             tenants={"t0": api.Tenant("t0", 1.0)},
             limits=api.Limits(max_attempts=4, may_cancel=True, retry_after=True),
-            rules=api.Rules(cold_ns=8 * SECOND),
+            rules=api.TrafficRules(slow_start_ns=8 * SECOND),
         )
         self.now = SECOND
         self.rng = random.Random(seed)
@@ -58,7 +62,7 @@
         self.open: set[str] = set()
         self.key_of: dict[str, str] = {}
         self.by_key: Counter[tuple[str, int]] = Counter()  # attempts of a key at an upstream
-        self.post(self.now, api.ListUpdate(api.ListKind.FULL, upstreams))
+        self.post(self.now, api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams))
 
     def post(self, at: int, event: api.Event) -> None:
         self.count += 1
@@ -74,17 +78,19 @@
             self.key_of[name] = self.rng.choice(keys)
             self.post(
                 at,
-                api.Arrival(name, cls, "t0", at + CLASSES[cls].deadline_ns, key=self.key_of[name]),
+                api.RequestArrived(
+                    name, cls, "t0", at + CLASSES[cls].deadline_ns, key=self.key_of[name]
+                ),
             )
         self.play(end)
 
     def play(self, end: int) -> None:
         while self.due and self.due[0][0] <= end:
             self.now, _, event = heapq.heappop(self.due)
-            if isinstance(event, api.Arrival):
+            if isinstance(event, api.RequestArrived):
                 self.open.add(event.request)
-            elif isinstance(event, api.Outcome):
-                done = event.result is api.Result.OK and event.request in self.open
+            elif isinstance(event, api.AttemptFinished):
+                done = event.result is api.AttemptResult.OK and event.request in self.open
                 event = event._replace(complete=done or event.request not in self.open)
                 if done:
                     self.open.discard(event.request)
@@ -95,7 +101,7 @@
 
     def act(self, action: api.Action) -> None:
         match action:
-            case api.Send():
+            case api.StartAttempt():
                 number = self.attempts[action.request]
                 self.attempts[action.request] += 1
                 self.sent.append((self.now, action.upstream))
@@ -103,13 +109,13 @@
                 result, took = self.answer(action.upstream, self.now)
                 self.post(
                     self.now + took,
-                    api.Outcome(action.request, number, action.upstream, result, took),
+                    api.AttemptFinished(action.request, number, action.upstream, result, took),
                 )
-            case api.Refuse() | api.Fail():
+            case api.RejectRequest() | api.FailRequest():
                 self.open.discard(action.request)
-                self.ended["refused" if isinstance(action, api.Refuse) else "failed"] += 1
+                self.ended["refused" if isinstance(action, api.RejectRequest) else "failed"] += 1
             case api.SetTimer():
-                self.post(self.now + action.delay_ns, api.Wake(action.name))
+                self.post(self.now + action.delay_ns, api.TimerFired(action.name))
             case _:
                 pass
 
@@ -132,8 +138,8 @@
             upstream: int, now: int, chance: random.Random = chance, sick: set[int] = sick
         ) -> Answer:
             if upstream in sick and chance.random() < 0.5:
-                return api.Result.ERROR, 2 * MS
-            return api.Result.OK, int(chance.uniform(30, 90) * MS)
+                return api.AttemptResult.ERROR, 2 * MS
+            return api.AttemptResult.OK, int(chance.uniform(30, 90) * MS)
 
         proxy = Proxy([api.Upstream(n) for n in range(1, 10)], answer, seed=seed)
         proxy.load(6, 25)
@@ -158,7 +164,7 @@
 
         def answer(upstream: int, now: int, chance: random.Random = chance) -> Answer:
             crowded = 4 if upstream in near else 1  # by the others of the zone
-            return api.Result.OK, int(crowded * chance.uniform(40, 90) * MS)
+            return api.AttemptResult.OK, int(crowded * chance.uniform(40, 90) * MS)
 
         proxy = Proxy(fleet, answer, proxies=40, seed=me, me=me, zone="a")
         proxy.load(10, 30)
@@ -171,7 +177,7 @@
     chance = random.Random(1)
     proxy = Proxy(
         fleet,
-        lambda upstream, now: (api.Result.OK, int(chance.uniform(40, 90) * MS)),
+        lambda upstream, now: (api.AttemptResult.OK, int(chance.uniform(40, 90) * MS)),
         proxies=40,
         me=5,
         zone="a",
@@ -188,7 +194,7 @@
     fleet = [api.Upstream(n, started_ns=SECOND // 2 if n in cold else 0) for n in range(1, 10)]
     proxy = Proxy(
         fleet,
-        lambda upstream, now: (api.Result.OK, 300 * MS if upstream in cold else 60 * MS),
+        lambda upstream, now: (api.AttemptResult.OK, 300 * MS if upstream in cold else 60 * MS),
         proxies=9,
     )
     proxy.load(1, 40)
@@ -210,16 +216,20 @@
     ]
     for fleet in (odd, odd + [api.Upstream(n, zone="abc"[n % 3]) for n in range(10, 5000)]):
         proxy = Proxy(
-            fleet, lambda upstream, now: (api.Result.OK, 50 * MS), proxies=40, me=39, zone="a"
+            fleet,
+            lambda upstream, now: (api.AttemptResult.OK, 50 * MS),
+            proxies=40,
+            me=39,
+            zone="a",
         )
         proxy.load(1, 20)
         proxy.post(
             proxy.now,
-            api.ListUpdate(
-                api.ListKind.DELTA,
+            api.EndpointsUpdated(
+                api.EndpointListKind.DELTA,
                 [
-                    api.Upstream(7000, api.State.GONE),
-                    api.Upstream(7001, api.State.DRAINING),
+                    api.Upstream(7000, api.UpstreamState.REMOVED),
+                    api.Upstream(7001, api.UpstreamState.DRAINING),
                     odd[0],
                     odd[0],
                 ],
@@ -241,7 +251,7 @@
         chance = random.Random(me)
 
         def answer(upstream: int, now: int, chance: random.Random = chance) -> Answer:
-            return api.Result.OK, int(chance.uniform(60, 140) * MS)
+            return api.AttemptResult.OK, int(chance.uniform(60, 140) * MS)
 
         proxy = Proxy(fleet, answer, proxies=180, seed=me, me=me)
         proxy.load(30, 10, keys)
@@ -258,7 +268,7 @@
         held = 1 + sum(there == upstream and until > now for until, there in out)
         took = int(held * chance.uniform(40, 80) * MS)
         out.append((now + took, upstream))
-        return api.Result.OK, took
+        return api.AttemptResult.OK, took
 
     proxy = Proxy([api.Upstream(n) for n in range(1, 13)], answer)
     proxy.load(20, 60, ["order:1"] * 9 + ["order:2"])
@@ -270,7 +280,7 @@
 def test_keys_without_end_take_bounded_memory_and_odd_ones_are_served() -> None:
     """On a long day keys are ever new, and bad clients send what is no text or very long."""
     proxy = Proxy(
-        [api.Upstream(n) for n in range(1, 13)], lambda upstream, now: (api.Result.OK, MS)
+        [api.Upstream(n) for n in range(1, 13)], lambda upstream, now: (api.AttemptResult.OK, MS)
     )
     proxy.load(5, 40, ["\ud800", "x" * 60_000, "\x00", " ", "é" * 300])
     assert proxy.ended["served"] == proxy.ended.total() > 100
@@ -286,22 +296,22 @@
     """
     proxy = Proxy(
         [api.Upstream(n) for n in range(1, 121)],
-        lambda upstream, now: (api.Result.OK, 80 * MS),
+        lambda upstream, now: (api.AttemptResult.OK, 80 * MS),
         proxies=180,
     )
     proxy.play(2 * SECOND)
     large = proxy.balancer.fleet.main.home
     fresh = [api.Upstream(n, started_ns=2 * SECOND) for n in range(200, 240)]
-    proxy.post(2 * SECOND, api.ListUpdate(api.ListKind.DELTA, fresh))
+    proxy.post(2 * SECOND, api.EndpointsUpdated(api.EndpointListKind.DELTA, fresh))
     proxy.play(3 * SECOND)
     small = proxy.balancer.fleet.main.home
     # Random draws still come from as many, for as long as it lasts: a proxy's few are the same few
     # others' too.
     for second in range(4, 25):
-        proxy.post(second * SECOND, api.ListUpdate(api.ListKind.DELTA, []))
+        proxy.post(second * SECOND, api.EndpointsUpdated(api.EndpointListKind.DELTA, []))
         proxy.play(second * SECOND)
     assert proxy.balancer.fleet.main.width >= 40
-    proxy.post(40 * SECOND, api.ListUpdate(api.ListKind.DELTA, []))
+    proxy.post(40 * SECOND, api.EndpointsUpdated(api.EndpointListKind.DELTA, []))
     proxy.play(41 * SECOND)
     assert (large, small, proxy.balancer.fleet.main.home) == (30, 5, 40)
 
@@ -314,12 +324,13 @@
     def after(pause: int) -> float:
         slow = [False]
         proxy = Proxy(
-            [api.Upstream(1)], lambda upstream, now: (api.Result.OK, (250 if slow[0] else 50) * MS)
+            [api.Upstream(1)],
+            lambda upstream, now: (api.AttemptResult.OK, (250 if slow[0] else 50) * MS),
         )
         proxy.load(10, 5)
         slow[0] = True
         at = proxy.now + pause
-        proxy.post(at, api.Arrival("last", "look", "t0", at + 900 * MS))
+        proxy.post(at, api.RequestArrived("last", "look", "t0", at + 900 * MS))
         proxy.key_of["last"] = ""
         proxy.play(at + SECOND)
         return proxy.balancer.fleet.servers[1].pace
@@ -330,7 +341,15 @@
 
 def test_a_start_in_the_future_is_borne_where_nothing_is_ever_cold() -> None:
     """Starts in a shared list are rounded; without a rule for cold ones such a list was lost."""
-    desk = Desk(settings(rules=api.Rules(cold_ns=0)), servers=0)
-    desk.give(api.ListUpdate(api.ListKind.FULL, [api.Upstream(1, started_ns=desk.now + 40 * MS)]))
-    desk.give(api.ListUpdate(api.ListKind.FULL, [api.Upstream(1, started_ns=desk.now + 90 * MS)]))
+    desk = Desk(settings(rules=api.TrafficRules(slow_start_ns=0)), servers=0)
+    desk.give(
+        api.EndpointsUpdated(
+            api.EndpointListKind.FULL, [api.Upstream(1, started_ns=desk.now + 40 * MS)]
+        )
+    )
+    desk.give(
+        api.EndpointsUpdated(
+            api.EndpointListKind.FULL, [api.Upstream(1, started_ns=desk.now + 90 * MS)]
+        )
+    )
     assert [s.id for s in desk.balancer.fleet.ready] == [1]
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -155,7 +155,7 @@
             busy = [await w.client(), await w.client()]
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
-            await heard.until(lambda: len(heard.of(api.Arrival)) == 3)
+            await heard.until(lambda: len(heard.of(api.RequestArrived)) == 3)
             await idle.ended()
             late = await w.client()  # it waits in the backlog, and is answered once there is room
             late.send("r1")
@@ -262,7 +262,7 @@
             with socket.create_connection(w.address) as early:
                 early.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: early\r\n\r\n")
             assert (await w.ask("r1")).status == 200
-            assert [e.request for e in heard.of(api.Arrival)] == ["r0", "r1"]
+            assert [e.request for e in heard.of(api.RequestArrived)] == ["r0", "r1"]
             assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r0", "r1"]
 
     run(test())
@@ -280,9 +280,9 @@
                 new.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n")
                 sent_ns = time.monotonic_ns()
                 time.sleep(late)  # the loop stands still
-                await heard.until(lambda: len(heard.of(api.Arrival)) == 3)
-            for arrival in heard.of(api.Arrival)[1:]:
-                assert arrival.asked_ns < sent_ns + late / 2 * SECOND
+                await heard.until(lambda: len(heard.of(api.RequestArrived)) == 3)
+            for arrival in heard.of(api.RequestArrived)[1:]:
+                assert arrival.received_ns < sent_ns + late / 2 * SECOND
                 assert (
                     arrival.deadline_ns < sent_ns + CLASSES["quote"].deadline_ns + late / 2 * SECOND
                 )
@@ -394,7 +394,7 @@
                     await asyncio.sleep(0.01)
                     if writer.transport.is_closing():
                         break
-            assert len(heard.of(api.Arrival)) < 900
+            assert len(heard.of(api.RequestArrived)) < 900
             assert (await w.ask("last")).status == 200
 
     run(test())
--- a/tests/test_lab_measures.py
+++ b/tests/test_lab_measures.py
@@ -64,7 +64,7 @@
     whatever the machine is doing.
     """
     drive = Drive(policy("here"), boxes, 4)
-    drive.play(0.5, 200.0, lambda upstream: api.Result.OK)
+    drive.play(0.5, 200.0, lambda upstream: api.AttemptResult.OK)
     counted: Counter[str] = Counter()
 
     def count(frame: FrameType, event: str, argument: object) -> None:
@@ -73,7 +73,11 @@
     sys.setprofile(count)
     try:
         drive.play(
-            1.0, 200.0, lambda upstream: api.Result.ERROR if upstream % 10 == 0 else api.Result.OK
+            1.0,
+            200.0,
+            lambda upstream: (
+                api.AttemptResult.ERROR if upstream % 10 == 0 else api.AttemptResult.OK
+            ),
         )
     finally:
         sys.setprofile(None)
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.policy.api import State
+from loadbalancer.policy.api import UpstreamState
 from loadbalancer.testbed import topology
 from loadbalancer.testbed.ledger import Answer
 from loadbalancer.testbed.model.box import Box, Job, KeyMemory, Nature, Verdict
@@ -35,8 +35,8 @@
         "choke": 3.0,
         "choke_rest_ns": 2 * SECOND,
         "choke_most_ns": 20 * SECOND,
-        "cold_from": 0.5,
-        "cold_ns": 4 * SECOND,
+        "slow_start_capacity": 0.5,
+        "slow_start_ns": 4 * SECOND,
         "errors": 0.0,
         "key_gain": 0.5,
         "handshake_work": 0.0,
@@ -189,7 +189,7 @@
 
 
 def test_the_box_list_is_late_and_calls_wait_in_turn() -> None:
-    entry = Entry(0, 7, "z", "m", 0, State.READY, 0)
+    entry = Entry(0, 7, "z", "m", 0, UpstreamState.READY, 0)
     registry = Registry(
         Discovery(
             notice=Times(SECOND, SECOND), service=Duration(100 * MS), patience=Duration(250 * MS)
@@ -197,9 +197,14 @@
         [entry],
         random.Random(1),
     )
-    registry.note(entry._replace(state=State.GONE), 0)
-    assert not registry.advance(SECOND - 1) and registry.advance(SECOND)[0].state is State.GONE
-    assert registry.version == 2 and registry.since(1) == [entry._replace(state=State.GONE)]
+    registry.note(entry._replace(state=UpstreamState.REMOVED), 0)
+    assert (
+        not registry.advance(SECOND - 1)
+        and registry.advance(SECOND)[0].state is UpstreamState.REMOVED
+    )
+    assert registry.version == 2 and registry.since(1) == [
+        entry._replace(state=UpstreamState.REMOVED)
+    ]
     assert registry.since(0) is None and registry.since(2) == [] and not registry.entries
     assert [registry.call(0) for _ in range(4)] == [
         (100 * MS, True),
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -107,7 +107,9 @@
             first, second = w.upstreams
             for _ in range(2):  # a call may be repeated
                 assert (await call(door, "/-/upstreams/s-0/disable")).status == 200
-            assert heard.of(api.Ban) == [api.Ban(heard.of(api.Ban)[0].upstream, True)]
+            assert heard.of(api.UpstreamDisabled) == [
+                api.UpstreamDisabled(heard.of(api.UpstreamDisabled)[0].upstream, True)
+            ]
             await w.tell(first.row(started_ms=1))
             await w.tell(first.row("Gone"))
             await w.tell(first.row(started_ms=2))
--- a/tests/test_many_tenants.py
+++ b/tests/test_many_tenants.py
@@ -17,11 +17,11 @@
 from tests.bench import MS, SECOND, START, upstreams
 
 GAPS = (0, 1, 3 * MS, 11 * MS, 11 * MS, 60 * MS, 499_999_999, 500 * MS, 2 * SECOND, 7 * SECOND)
-RESULTS = [api.Result.OK] * 12 + [
-    api.Result.TIMEOUT,
-    api.Result.FULL,
-    api.Result.ERROR,
-    api.Result.RESET,
+RESULTS = [api.AttemptResult.OK] * 12 + [
+    api.AttemptResult.TIMEOUT,
+    api.AttemptResult.REJECTED,
+    api.AttemptResult.ERROR,
+    api.AttemptResult.RESET,
 ]
 
 
@@ -111,15 +111,13 @@
     def __init__(self, weights: Sequence[float], seed: int) -> None:
         self.rng = random.Random(seed)
         self.names = [f"t{i}" for i in range(len(weights))]
-        cls = api.RequestClass("read", aim_ns=300 * MS)
+        cls = api.RequestClass("read", latency_objective_ns=300 * MS)
         settings = api.Settings(
             classes={"read": cls},
             tenants={
                 name: api.Tenant(name, w) for name, w in zip(self.names, weights, strict=True)
             },
-            limits=api.Limits(
-                max_attempts=2, second_copies=True, may_cancel=True, retry_after=True
-            ),
+            limits=api.Limits(max_attempts=2, may_hedge=True, may_cancel=True, retry_after=True),
         )
         self.both = policy.Balancer(settings, seed, START), plain(settings, seed, START)
         self.now = START
@@ -129,7 +127,7 @@
         self.actions = 0
         self.seen: set[str] = set()
         self.sent: dict[str, int] = {}  # attempts of each request
-        self.give(api.ListUpdate(api.ListKind.FULL, upstreams(8)))
+        self.give(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(8)))
 
     def give(self, *events: api.Event) -> None:
         ours, theirs = (b.handle(self.now, events) for b in self.both)
@@ -137,7 +135,7 @@
         assert state(self.both[0]) == state(self.both[1])
         for action in ours:
             self.seen.add(type(action).__name__)
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 number = self.sent.get(action.request, 0)
                 self.sent[action.request] = number + 1
                 self.out.append((action.request, number, action.upstream, self.now))
@@ -145,10 +143,10 @@
                 self.timers.append((self.now + action.delay_ns, action.name))
         self.actions += len(ours)
 
-    def asked(self, name: str, count: int, chance: float = 0.0) -> list[api.Arrival]:
+    def asked(self, name: str, count: int, chance: float = 0.0) -> list[api.RequestArrived]:
         self.number += count
         return [
-            api.Arrival(
+            api.RequestArrived(
                 f"r{self.number - i}",
                 "read",
                 name,
@@ -158,7 +156,7 @@
             for i in range(count)
         ]
 
-    def ask(self, count: int, most: int) -> list[api.Arrival]:
+    def ask(self, count: int, most: int) -> list[api.RequestArrived]:
         return [
             e
             for _ in range(count)
@@ -169,7 +167,9 @@
         done = [o for o in self.out if self.rng.random() < chance]
         self.out = [o for o in self.out if o not in done]
         return [
-            api.Outcome(r, number, upstream, result, self.now - at, result is api.Result.OK)
+            api.AttemptFinished(
+                r, number, upstream, result, self.now - at, result is api.AttemptResult.OK
+            )
             for r, number, upstream, at in done
             for result in [self.rng.choice(RESULTS)]
         ]
@@ -178,10 +178,10 @@
         self.now += self.rng.choice(GAPS)
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        events: list[api.Event] = [api.Wake(name) for _, name in due] + self.answers(0.7)
+        events: list[api.Event] = [api.TimerFired(name) for _, name in due] + self.answers(0.7)
         events += self.ask(self.rng.randrange(load), most)
         if self.rng.random() < 0.02 and self.both[0].requests:
-            events.append(api.ClientGone(self.rng.choice(list(self.both[0].requests))))
+            events.append(api.ClientDisconnected(self.rng.choice(list(self.both[0].requests))))
         self.give(*events)
 
 
@@ -199,9 +199,9 @@
     pair = Pair(weights, seed)
     if seed % 3 == 0:
         demands = {name: rng.choice((0.0, 3.5, 3.5, 80.0)) for name in pair.names[::2]}
-        pair.give(api.Learnt(SECOND, rng.choice((5.0, 300.0)), {**demands, "gone": 9.0}))
+        pair.give(api.LearnedState(SECOND, rng.choice((5.0, 300.0)), {**demands, "gone": 9.0}))
     if seed % 4 == 1:
-        pair.give(api.Plan(excess=0.5, shares=dict.fromkeys(pair.names, 2.0), repeats=0.5))
+        pair.give(api.TrafficPlan(excess=0.5, shares=dict.fromkeys(pair.names, 2.0), repeats=0.5))
     for i in range(300):
         most = (
             len(weights) if i > 200 else max(1, len(weights) // 3)
@@ -237,13 +237,18 @@
 def test_capacities_are_not_those_of_one_that_holds_more() -> None:
     """Two at one rate, one of which holds more requests than the rate gives it places."""
     pair = Pair([1.0, 1.0, 1.0], 1)
-    pair.give(api.Learnt(SECOND, 100.0))
+    pair.give(api.LearnedState(SECOND, 100.0))
     pair.now += 495 * MS
     first, second = (pair.asked(name, 100) for name in pair.names[:2])
     pair.give(*first, *second)
     one, other, _ = pair.both[0].throttles.values()
     assert one.held and other.held
-    pair.give(*(api.ClientGone(e.request) for e in second))
+    pair.give(*(api.ClientDisconnected(e.request) for e in second))
     pair.now += 5 * MS
-    pair.give(*(api.Outcome(r, n, u, api.Result.FULL, 3 * MS) for r, n, u, _ in pair.out))
+    pair.give(
+        *(
+            api.AttemptFinished(r, n, u, api.AttemptResult.REJECTED, 3 * MS)
+            for r, n, u, _ in pair.out
+        )
+    )
     assert one.rate == other.rate and one.hold == len(one.held) > other.hold
--- a/tests/test_many_upstreams.py
+++ b/tests/test_many_upstreams.py
@@ -42,27 +42,37 @@
 def balancer(upstreams: int, me: int, balancers: int) -> Balancer:
     settings = api.Settings(
         me=me,
-        replicas_of_me=balancers,
+        instance_count=balancers,
         zone="east",
         classes={"read": READ},
         prices=api.Prices(cross_zone=0.03),
-        rules=api.Rules(cold_ns=4 * SECOND),
+        rules=api.TrafficRules(slow_start_ns=4 * SECOND),
         limits=api.Limits(max_attempts=3, may_cancel=True, retry_after=True),
     )
     made = Balancer(settings, 7, START)
-    made.handle(START, [api.ListUpdate(api.ListKind.CACHED, [entry(n) for n in range(upstreams)])])
+    made.handle(
+        START,
+        [api.EndpointsUpdated(api.EndpointListKind.CACHED, [entry(n) for n in range(upstreams)])],
+    )
     return made
 
 
-def entry(number: int, state: api.State = api.State.READY) -> api.Upstream:
+def entry(number: int, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
     return api.Upstream(
         number * 7_919 + 1, state, ("east", "west", "north")[number % 3], number // 3
     )
 
 
 def change(module: Balancer, number: int) -> None:
-    module.handle(START, [api.ListUpdate(api.ListKind.DELTA, [entry(number, api.State.DRAINING)])])
-    module.handle(START, [api.ListUpdate(api.ListKind.DELTA, [entry(number)])])
+    module.handle(
+        START,
+        [
+            api.EndpointsUpdated(
+                api.EndpointListKind.DELTA, [entry(number, api.UpstreamState.DRAINING)]
+            )
+        ],
+    )
+    module.handle(START, [api.EndpointsUpdated(api.EndpointListKind.DELTA, [entry(number)])])
 
 
 def requests(module: Balancer, count: int, seen: set[int]) -> None:
@@ -71,13 +81,15 @@
     for i in range(count):
         now += 5 * MS
         sent = module.handle(
-            now, [api.Arrival(f"r{i}", "read", "", now + 500 * MS, key=f"key-{i}")]
+            now, [api.RequestArrived(f"r{i}", "read", "", now + 500 * MS, key=f"key-{i}")]
         )
         now += 5 * MS
         for action in sent:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 seen.add(action.upstream)
-                ended = api.Outcome(action.request, 0, action.upstream, api.Result.OK, 5 * MS, True)
+                ended = api.AttemptFinished(
+                    action.request, 0, action.upstream, api.AttemptResult.OK, 5 * MS, True
+                )
                 module.handle(now, [ended])
 
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -18,9 +18,9 @@
 from loadbalancer.proxy.upstream import read_report
 from tests.fakes import CLASSES, SETTINGS, Heard, answer, free_port, never, read_message, run, world
 
-R = api.Result
+R = api.AttemptResult
 OK = b"HTTP/1.1 200 OK\r\n"
-AIM_NS = CLASSES["quote"].aim_ns
+AIM_NS = CLASSES["quote"].latency_objective_ns
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back(heard: Heard) -> None:
@@ -48,10 +48,10 @@
             assert seen.start[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="] and seen.body == body
             assert seen.headers["x-request-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
             assert 0 < int(seen.headers["x-deadline-ms"]) <= 3000
-            (arrived,) = heard.of(api.Arrival)
+            (arrived,) = heard.of(api.RequestArrived)
             assert (arrived.cost_hint_ns, arrived.key, arrived.retry) == (12_000_000, "7f", True)
-            await heard.until(lambda: heard.of(api.Outcome))
-            (outcome,) = heard.of(api.Outcome)
+            await heard.until(lambda: heard.of(api.AttemptFinished))
+            (outcome,) = heard.of(api.AttemptFinished)
             assert (outcome.result, outcome.complete) == (R.OK, True)
             assert outcome.report == {"inflight": 7.0, "util": 0.5}
 
@@ -62,8 +62,8 @@
     ("reply", "result"),
     [
         (answer(500), R.ERROR),
-        (answer(503, b"", "X-Not-Run: 1"), R.FULL),
-        (answer(504, b"", "X-Not-Run: 1"), R.FULL),
+        (answer(503, b"", "X-Not-Run: 1"), R.REJECTED),
+        (answer(504, b"", "X-Not-Run: 1"), R.REJECTED),
         (answer(503), R.ERROR),
         (None, R.RESET),
         (answer(200, b"whole")[:-2], R.TIMEOUT),  # begun, and silent from then on
@@ -84,7 +84,7 @@
     ],
 )
 @pytest.mark.parametrize("kind", ["quote", "pay"])
-def test_outcomes(heard: Heard, reply: Any, result: api.Result, kind: str) -> None:
+def test_outcomes(heard: Heard, reply: Any, result: api.AttemptResult, kind: str) -> None:
     async def test() -> None:
         async with world() as w:
             w.upstreams[0].script = [reply]
@@ -94,11 +94,11 @@
                 "GET" if kind == "quote" else "POST",
                 X_Deadline_Ms=400 if result is R.TIMEOUT else 3000,
             )
-            await heard.until(lambda: heard.of(api.Outcome))
-            (outcome,) = heard.of(api.Outcome)
+            await heard.until(lambda: heard.of(api.AttemptFinished))
+            (outcome,) = heard.of(api.AttemptFinished)
             assert (outcome.request, outcome.attempt, outcome.result) == ("r1", 0, result)
             assert not outcome.complete
-            if kind == "quote" or result is R.FULL:
+            if kind == "quote" or result is R.REJECTED:
                 assert got.status == 503 and 0 < float(got.headers["retry-after"]) <= 1
             else:  # it may have run: no promise
                 assert got.status == (504 if result is R.TIMEOUT else 502)
@@ -198,11 +198,11 @@
 
 @pytest.mark.parametrize(("size", "result"), [(10, R.RESET), (50_000_000, R.CONNECT_FAILED)])
 def test_a_break_before_the_last_byte_was_written_is_no_reset(
-    size: int, result: api.Result
+    size: int, result: api.AttemptResult
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        ended: asyncio.Future[api.Result] = loop.create_future()
+        ended: asyncio.Future[api.AttemptResult] = loop.create_future()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -226,8 +226,8 @@
             got = await w.ask("r1", X_Deadline_Ms=300)
             assert got.status == 503
             assert int(w.upstreams[0].seen[-1].headers["x-deadline-ms"]) < 300
-            (outcome,) = heard.of(api.Outcome)
-            assert outcome.result is R.TIMEOUT and outcome.took_ns < AIM_NS
+            (outcome,) = heard.of(api.AttemptFinished)
+            assert outcome.result is R.TIMEOUT and outcome.duration_ns < AIM_NS
             # Giving up an attempt closes its connection: the upstream knows, and a late answer hits
             # nobody.
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
@@ -242,7 +242,7 @@
             time.sleep(0.4)  # the whole loop stands still, past every timer of the request
             got = await read_message(client.reader)
             assert got.status == 503 and "retry-after" in got.headers
-            assert heard.results() == [R.TIMEOUT] and not heard.of(api.ClientGone)
+            assert heard.results() == [R.TIMEOUT] and not heard.of(api.ClientDisconnected)
 
     run(test())
 
@@ -252,8 +252,10 @@
         async with world() as w:
             client = await w.held("r1")
             client.close()
-            await heard.until(lambda: heard.of(api.ClientGone) and heard.of(api.Outcome))
-            (outcome,) = heard.of(api.Outcome)
+            await heard.until(
+                lambda: heard.of(api.ClientDisconnected) and heard.of(api.AttemptFinished)
+            )
+            (outcome,) = heard.of(api.AttemptFinished)
             assert (outcome.result, outcome.complete) == (R.CANCELLED, True)
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
@@ -278,7 +280,7 @@
     known: list[int] = []
 
     def decide(event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.ListUpdate):
+        if isinstance(event, api.EndpointsUpdated):
             known.extend(u.id for u in event.upstreams)
         return acts(event, known[0]) if known else []
 
@@ -291,9 +293,13 @@
 
     def acts(event: api.Event, upstream: int) -> list[api.Action]:
         if isinstance(
-            event, api.Arrival
+            event, api.RequestArrived
         ):  # a second copy is not allowed, nor an upstream nobody listed
-            return [api.Send("r1", upstream), api.Send("r1", upstream), api.Send("r1", 99)]
+            return [
+                api.StartAttempt("r1", upstream),
+                api.StartAttempt("r1", upstream),
+                api.StartAttempt("r1", 99),
+            ]
         return []
 
     puppet(monkeypatch, heard, acts)
@@ -302,11 +308,11 @@
         limits = replace(SETTINGS.limits, max_attempts=5)
         async with world(settings=replace(SETTINGS, limits=limits)) as w:
             assert (await w.ask("r1")).status == 200
-            await heard.until(lambda: len(heard.of(api.Outcome)) == 3)
-            assert {o.attempt: o.result for o in heard.of(api.Outcome)} == {
+            await heard.until(lambda: len(heard.of(api.AttemptFinished)) == 3)
+            assert {o.attempt: o.result for o in heard.of(api.AttemptFinished)} == {
                 0: R.OK,
-                1: R.MOOT,
-                2: R.MOOT,
+                1: R.NOT_SENT,
+                2: R.NOT_SENT,
             }
             assert len(w.upstreams[0].seen) == 1
 
@@ -317,9 +323,13 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     def acts(event: api.Event, upstream: int) -> list[api.Action]:
-        if isinstance(event, api.Arrival) and event.request == "bad":
+        if isinstance(event, api.RequestArrived) and event.request == "bad":
             raise RuntimeError("out of its mind")
-        return [api.Send(event.request, upstream)] if isinstance(event, api.Arrival) else []
+        return (
+            [api.StartAttempt(event.request, upstream)]
+            if isinstance(event, api.RequestArrived)
+            else []
+        )
 
     puppet(monkeypatch, Heard(), acts)
 
@@ -342,7 +352,7 @@
     async def test() -> None:
         async with world() as w:
             assert (await w.ask("r1", X_Deadline_Ms=100)).status == 504
-            await heard.until(lambda: heard.of(api.ClientGone))
+            await heard.until(lambda: heard.of(api.ClientDisconnected))
         assert "r1" in caplog.text
 
     run(test())
@@ -359,7 +369,7 @@
             assert (await w.ask("r1")).status == 200
             probes = [m for m in w.upstreams[0].seen if m.start[1] == "/status/load"]
             assert probes and "x-request-id" not in probes[0].headers
-            results = heard.of(api.ProbeResult)
+            results = heard.of(api.HealthCheckFinished)
             assert len(results) == len(probes)
             assert results[0].result is R.OK and results[0].report == {
                 "inflight": 3.0,
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -57,6 +57,20 @@
         json.dumps((told := config()) | {"mgmt": told["listen"]}),
         json.dumps(config(known={"version": 1})),
     ],
+    ids=[
+        "missing",
+        "not JSON",
+        "a list",
+        "bad listen address",
+        "bad seed",
+        "bad class",
+        "no settings",
+        "too few sockets",
+        "bad admin address",
+        "admin address of a wrong type",
+        "one address twice",
+        "bad known list",
+    ],
 )
 def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -159,7 +159,7 @@
             connection.eof_received()
             connection._parse()  # as behind an answer, or once its buffer has room
             assert (await w.ask("last")).status == 200
-            assert [e.request for e in heard.of(api.Arrival)] == ["r1", "last"]
+            assert [e.request for e in heard.of(api.RequestArrived)] == ["r1", "last"]
 
     run(test())
 
@@ -274,7 +274,9 @@
 
     def hurried(module: Balancer, *args: Any) -> None:
         send(module, *args)
-        module.actions[-1] = cast(api.Send, module.actions[-1])._replace(begin_ns=100 * MS)
+        module.actions[-1] = cast(api.StartAttempt, module.actions[-1])._replace(
+            start_by_ns=100 * MS
+        )
 
     if what == "it may not be repeated any more":
         monkeypatch.setattr(Balancer, "_send", hurried)
@@ -298,7 +300,9 @@
                     if what.startswith("its client"):
                         client.close()
                     elif what == "it may not be repeated any more":
-                        await heard.until(lambda: heard.results()[:1] == [api.Result.MOOT])
+                        await heard.until(
+                            lambda: heard.results()[:1] == [api.AttemptResult.NOT_SENT]
+                        )
                     elif what == "it drains":
                         upstreams.learn(
                             [read_endpoint({**row, "state": "Terminating"})], full=False
@@ -332,9 +336,9 @@
             upstreams = Upstreams(SETTINGS.limits, 4, (), Store(1024))
             row = {"id": "s-0", "addr": "{}:{}".format(*server.getsockname()), "state": "Ready"}
             upstreams.learn([read_endpoint(row)], full=True)
-            ended: asyncio.Queue[tuple[api.Result, bytes]] = asyncio.Queue()
+            ended: asyncio.Queue[tuple[api.AttemptResult, bytes]] = asyncio.Queue()
 
-            def done(result: api.Result, response: Any, report: Any) -> None:
+            def done(result: api.AttemptResult, response: Any, report: Any) -> None:
                 ended.put_nowait((result, response.body if response is not None else b""))
 
             for body in (b"first", b"second"):  # each on a connection of its own
@@ -342,7 +346,7 @@
                 link, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
                 assert await loop.sock_recv(link, 4096) == REQUEST
                 await loop.sock_sendall(link, answer(200, body))
-                assert await ended.get() == (api.Result.OK, body)
+                assert await ended.get() == (api.AttemptResult.OK, body)
                 if what == "a second answer":
                     link.send(answer(200, b"stray"))
                 elif what == "the end":
@@ -361,15 +365,15 @@
     desk = Desk(settings(), servers=3)
     desk.give(arrival(1, desk.now, CELL, wait_ns=900 * MS))
     desk.now += 150 * MS
-    sends = of(api.Send, desk.finish("r1", api.Result.RESET)) or of(
-        api.Send, desk.advance(100 * MS)
+    sends = of(api.StartAttempt, desk.finish("r1", api.AttemptResult.RESET)) or of(
+        api.StartAttempt, desk.advance(100 * MS)
     )
     [again] = sends
-    assert isinstance(again, api.Send)
+    assert isinstance(again, api.StartAttempt)
     first, second = (sent for _, sent in desk.sends["r1"])
-    assert again.begin_ns == first + CELL.window_ns - second
-    [other] = of(api.Send, desk.give(arrival(2, desk.now)))
-    assert isinstance(other, api.Send) and other.begin_ns == 0
+    assert again.start_by_ns == first + CELL.window_ns - second
+    [other] = of(api.StartAttempt, desk.give(arrival(2, desk.now)))
+    assert isinstance(other, api.StartAttempt) and other.start_by_ns == 0
 
 
 # ---- shutdown ------------------------------------------------------------------------------------
@@ -461,7 +465,7 @@
                 os.write(
                     w.upstreams[0].links[0].get_extra_info("socket").fileno(), answer(200, b"late")
                 )
-            await heard.until(lambda: heard.of(api.Outcome))
+            await heard.until(lambda: heard.of(api.AttemptFinished))
             driver = made[0].driver
             assert (await w.ask("last")).status == 200
             assert not driver.requests and not driver.open and not driver.balancer.requests
@@ -574,7 +578,7 @@
 
 # ---- lists ---------------------------------------------------------------------------------------
 
-FLEET = replace(SETTINGS, replicas_of_me=200)  # each call waits for 20 s there
+FLEET = replace(SETTINGS, instance_count=200)  # each call waits for 20 s there
 
 
 @pytest.mark.parametrize("push", [True, False])
@@ -615,11 +619,11 @@
             gone = number_of(w.upstreams[1].name)
 
             def told() -> bool:
-                [last] = heard.of(api.ListUpdate)[-1:]
+                [last] = heard.of(api.EndpointsUpdated)[-1:]
                 return (
-                    last.kind is api.ListKind.FULL
+                    last.kind is api.EndpointListKind.FULL
                     and gone not in [u.id for u in last.upstreams]
-                    or last.kind is api.ListKind.DELTA
+                    or last.kind is api.EndpointListKind.DELTA
                     and gone in [u.id for u in last.upstreams]
                 )
 
@@ -635,12 +639,14 @@
     monkeypatch.setattr(decide, "ASK_AGAIN_NS", 1000 * SECOND)
 
     async def test() -> None:
-        rules = replace(FLEET.rules, ask_within_ns=1000 * SECOND)
+        rules = replace(FLEET.rules, list_expiry_ns=1000 * SECOND)
         async with world(2, settings=replace(FLEET, discovery_push=False, rules=rules)) as w:
             w.discovery.down = True
             monkeypatch.setattr(decide, "ASK_NS", (0, 0))
             await heard.until(
-                lambda: api.ListKind.FAILED in [e.kind for e in heard.of(api.ListUpdate)]
+                lambda: (
+                    api.EndpointListKind.FAILED in [e.kind for e in heard.of(api.EndpointsUpdated)]
+                )
             )
             lists = made[0].driver.discovery
             assert isinstance(lists, discovery.Discovery)
@@ -649,7 +655,11 @@
             lists.move(other.address)
             await asyncio.wait_for(
                 heard.until(
-                    lambda: [e for e in heard.of(api.ListUpdate) if e.kind is api.ListKind.FULL]
+                    lambda: [
+                        e
+                        for e in heard.of(api.EndpointsUpdated)
+                        if e.kind is api.EndpointListKind.FULL
+                    ]
                 ),
                 4.0,
             )
@@ -661,9 +671,9 @@
 def test_where_discovery_is_asked_the_module_asks_again_in_time() -> None:
     desk = Desk(settings(discovery_push=False))
     for _ in range(12):
-        desk.give(api.ListUpdate(api.ListKind.FAILED, []))
+        desk.give(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
         before = desk.now
-        while not of(api.Subscribe, desk.advance(10 * MS)):
+        while not of(api.SubscribeEndpoints, desk.advance(10 * MS)):
             assert desk.now - before <= decide.ASK_AGAIN_NS + 20 * MS
 
 
@@ -681,7 +691,9 @@
             lists.fetch()
             await asyncio.wait_for(
                 heard.until(
-                    lambda: [e.kind for e in heard.of(api.ListUpdate) if len(e.upstreams) == 1]
+                    lambda: [
+                        e.kind for e in heard.of(api.EndpointsUpdated) if len(e.upstreams) == 1
+                    ]
                 ),
                 6.0,
             )
@@ -706,9 +718,9 @@
                 await asyncio.sleep(0)
             lists.move(other.address)
             await other.until(lambda: any("from=1&" in m.start[1] for m in other.seen))
-            assert [e.kind for e in heard.of(api.ListUpdate)] == [
-                api.ListKind.CACHED,
-                api.ListKind.FULL,
+            assert [e.kind for e in heard.of(api.EndpointsUpdated)] == [
+                api.EndpointListKind.CACHED,
+                api.EndpointListKind.FULL,
             ]
             other.stop()
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -35,14 +35,14 @@
 
 def test_served_request_needs_nothing_more() -> None:
     desk = Desk()
-    assert len(of(api.Send, desk.give(arrival(1, desk.now)))) == 1
-    assert not of(api.Fail, desk.finish("r1")) and desk.answer["r1"] == "served"
+    assert len(of(api.StartAttempt, desk.give(arrival(1, desk.now)))) == 1
+    assert not of(api.FailRequest, desk.finish("r1")) and desk.answer["r1"] == "served"
 
 
 @pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
 def test_no_server_known_is_refused_in_time(cls: api.RequestClass) -> None:
     desk = Desk(servers=0)
-    desk.give(api.ListUpdate(api.ListKind.CACHED), arrival(1, desk.now, cls))
+    desk.give(api.EndpointsUpdated(api.EndpointListKind.CACHED), arrival(1, desk.now, cls))
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused"
 
@@ -53,19 +53,23 @@
     """
     desk = Desk(servers=2)
     banned, other = (u.id for u in upstreams(2))
-    desk.give(api.Ban(banned))
-    desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(1, 9)))
-    desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(2)))
+    desk.give(api.UpstreamDisabled(banned))
+    desk.give(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(1, 9)))
+    desk.give(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(2)))
     for number in range(1, 30):
         desk.give(arrival(number, desk.now))
         desk.advance(20 * MS)
         assert {upstream.id for upstream, _ in desk.sends[f"r{number}"]} == {other}
         desk.finish(f"r{number}")
-    desk.give(api.ListUpdate(api.ListKind.DELTA, [api.Upstream(other, api.State.DRAINING)]))
+    desk.give(
+        api.EndpointsUpdated(
+            api.EndpointListKind.DELTA, [api.Upstream(other, api.UpstreamState.DRAINING)]
+        )
+    )
     desk.give(arrival(100, desk.now))
     desk.advance(600 * MS)
     assert desk.answer["r100"] == "refused"
-    desk.give(api.Ban(banned, False))
+    desk.give(api.UpstreamDisabled(banned, False))
     fleet = desk.balancer.fleet
     assert fleet.servers[banned].usable and fleet.cold(fleet.servers[banned], desk.now)
     desk.advance(600 * MS)
@@ -75,12 +79,12 @@
 
 
 def test_what_is_put_back_is_in_reach_of_every_proxy() -> None:
-    desk = Desk(settings(replicas_of_me=20), servers=30)
+    desk = Desk(settings(instance_count=20), servers=30)
     pool = desk.balancer.fleet.main
     far = pool.all()[-1].id
     assert far not in {s.id for s in pool.order[: pool.width]}
-    desk.give(api.Ban(far))
-    desk.give(api.Ban(far, False))
+    desk.give(api.UpstreamDisabled(far))
+    desk.give(api.UpstreamDisabled(far, False))
     desk.advance(5 * SECOND)
     assert far in {s.id for s in pool.order[: pool.width]}
 
@@ -97,9 +101,11 @@
     assert (b.out, server.inflight) == (0, 0)
     desk.advance(20 * SECOND)
     assert "r1" not in desk.answer and not server.strikes  # a slow client is no upstream's fault
-    desk.give(api.BodyWhole("r1", desk.now + PAY.deadline_ns, desk.now, False))
+    desk.give(api.BodyCompleted("r1", desk.now + PAY.deadline_ns, desk.now, False))
     assert (b.out, server.inflight) == (1, 1)
-    desk.finish("r1", api.Result.FULL)  # it never ran, but can't be sent from its start any more
+    desk.finish(
+        "r1", api.AttemptResult.REJECTED
+    )  # it never ran, but can't be sent from its start any more
     assert (b.out, server.inflight) == (0, 0)
     assert desk.answer["r1"] == "refused" and len(desk.sends["r1"]) == 1
 
@@ -107,8 +113,9 @@
 def test_all_draining_is_refused_in_time() -> None:
     desk = Desk()
     desk.give(
-        api.ListUpdate(
-            api.ListKind.DELTA, [u._replace(state=api.State.DRAINING) for u in upstreams(6)]
+        api.EndpointsUpdated(
+            api.EndpointListKind.DELTA,
+            [u._replace(state=api.UpstreamState.DRAINING) for u in upstreams(6)],
         )
     )
     desk.give(arrival(1, desk.now, PAY))
@@ -123,8 +130,8 @@
     assert desk.answer["r1"] == "failed" and len(desk.sends["r1"]) == 1
 
 
-@pytest.mark.parametrize("result", [api.Result.FULL, api.Result.CONNECT_FAILED])
-def test_unsafe_request_that_never_ran_is_sent_again(result: api.Result) -> None:
+@pytest.mark.parametrize("result", [api.AttemptResult.REJECTED, api.AttemptResult.CONNECT_FAILED])
+def test_unsafe_request_that_never_ran_is_sent_again(result: api.AttemptResult) -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
@@ -132,8 +139,10 @@
     assert len(desk.sends["r1"]) == 2
 
 
-@pytest.mark.parametrize("result", [api.Result.ERROR, api.Result.RESET, api.Result.CANCELLED])
-def test_unsafe_request_that_may_have_run_is_failed(result: api.Result) -> None:
+@pytest.mark.parametrize(
+    "result", [api.AttemptResult.ERROR, api.AttemptResult.RESET, api.AttemptResult.CANCELLED]
+)
+def test_unsafe_request_that_may_have_run_is_failed(result: api.AttemptResult) -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now, PAY))
     desk.now += MS
@@ -147,7 +156,7 @@
     for _ in range(3):
         desk.now += MS
         if "r1" not in desk.answer:
-            desk.finish("r1", api.Result.FULL)
+            desk.finish("r1", api.AttemptResult.REJECTED)
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused" and len(desk.sends["r1"]) <= 3
 
@@ -177,8 +186,9 @@
 def test_drained_upstream_gets_nothing_new() -> None:
     desk = Desk()
     desk.give(
-        api.ListUpdate(
-            api.ListKind.DELTA, [u._replace(state=api.State.DRAINING) for u in upstreams(5)]
+        api.EndpointsUpdated(
+            api.EndpointListKind.DELTA,
+            [u._replace(state=api.UpstreamState.DRAINING) for u in upstreams(5)],
         )
     )
     for i in range(20):
@@ -191,7 +201,7 @@
 
 def test_missing_from_a_full_list_is_gone() -> None:
     desk = Desk()
-    desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(1)))
+    desk.give(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(1)))
     for i in range(5):
         desk.give(arrival(i, desk.now))
         desk.finish(f"r{i}")
@@ -200,7 +210,9 @@
 
 def test_cold_upstreams_get_one_request_at_a_time() -> None:
     desk = Desk(servers=0)
-    desk.give(api.ListUpdate(api.ListKind.CACHED, upstreams(4, started_ns=START - MS)))
+    desk.give(
+        api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(4, started_ns=START - MS))
+    )
     for i in range(40):
         desk.give(arrival(i, desk.now))
         desk.advance(5 * MS)
@@ -216,8 +228,10 @@
     # over.
     sent = []
     for proxies in (1, 40):
-        desk = Desk(settings(replicas_of_me=proxies), servers=0)
-        desk.give(api.ListUpdate(api.ListKind.CACHED, upstreams(6, started_ns=START - MS)))
+        desk = Desk(settings(instance_count=proxies), servers=0)
+        desk.give(
+            api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(6, started_ns=START - MS))
+        )
         for i in range(100):
             desk.give(arrival(i, desk.now))
             desk.advance(5 * MS)
@@ -235,12 +249,12 @@
 def test_asks_the_drawn_upstreams_and_sends_to_the_lightest() -> None:
     # With many proxies own counts say little: the upstreams' own word decides.
     desk = probing()
-    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.Probe)]
+    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
     assert asked and "r1" not in desk.sends
     desk.now += MS
     desk.give(
         *(
-            api.ProbeResult(u, api.Result.OK, MS, {"inflight": float(i)})
+            api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": float(i)})
             for i, u in enumerate(asked)
         )
     )
@@ -256,9 +270,11 @@
 
 def test_refuses_when_all_asked_upstreams_would_answer_late() -> None:
     desk = probing()
-    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.Probe)]
+    asked = [a.upstream for a in desk.give(arrival(1, desk.now)) if isinstance(a, api.CheckHealth)]
     desk.now += MS
-    desk.give(*(api.ProbeResult(u, api.Result.OK, MS, {"inflight": 500.0}) for u in asked))
+    desk.give(
+        *(api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": 500.0}) for u in asked)
+    )
     assert desk.answer["r1"] == "refused"
 
 
@@ -267,7 +283,7 @@
     desk = probing(servers=1)
     desk.balancer.fleet.servers[1].pace = 9.0
     desk.give(arrival(1, desk.now, wait_ns=100 * MS))
-    desk.give(api.ProbeResult(1, api.Result.OK, MS, {"inflight": 0.0}))
+    desk.give(api.HealthCheckFinished(1, api.AttemptResult.OK, MS, {"inflight": 0.0}))
     assert len(desk.sends["r1"]) == 1
 
 
@@ -277,7 +293,7 @@
     for config in (dear, settings(limits=limits, report_columns=("util",))):
         desk = Desk(config)
         desk.give(arrival(1, desk.now))
-        assert "r1" in desk.sends and not of(api.Probe, desk.log)
+        assert "r1" in desk.sends and not of(api.CheckHealth, desk.log)
 
 
 def test_what_stands_still_together_is_one_strike() -> None:
@@ -295,25 +311,31 @@
     # it.
     desk = Desk(servers=1)
     desk.give(arrival(1, desk.now, READ))
-    desk.advance(READ.aim_ns + 100 * MS)
-    assert not of(api.Cancel, desk.log) and "r1" not in desk.answer
+    desk.advance(READ.latency_objective_ns + 100 * MS)
+    assert not of(api.CancelAttempt, desk.log) and "r1" not in desk.answer
     for i in range(2, 12):
         desk.give(arrival(i, desk.now, READ, wait_ns=2 * SECOND))
     desk.advance(50 * MS)
-    assert of(api.Cancel, desk.log)[0] == api.Cancel("r1", 0)
-    desk.finish("r1", api.Result.CANCELLED)
+    assert of(api.CancelAttempt, desk.log)[0] == api.CancelAttempt("r1", 0)
+    desk.finish("r1", api.AttemptResult.CANCELLED)
     assert desk.answer["r1"] == "refused"
 
 
 def test_an_attempt_ends_at_the_aim_where_it_cannot_be_called_off() -> None:
     desk = Desk(settings(limits=api.Limits(max_attempts=3)))
-    sends = [a for a in desk.give(arrival(1, desk.now, READ)) if isinstance(a, api.Send)]
-    assert sends[0].timeout_ns == READ.aim_ns
+    sends = [a for a in desk.give(arrival(1, desk.now, READ)) if isinstance(a, api.StartAttempt)]
+    assert sends[0].timeout_ns == READ.latency_objective_ns
 
 
 def test_what_may_not_be_repeated_goes_round_an_upstream_that_fails_in_part() -> None:
     desk = Desk(servers=6)
-    drive(desk, 150, lambda server, n: api.Result.ERROR if server == 2 and n % 2 else api.Result.OK)
+    drive(
+        desk,
+        150,
+        lambda server, n: (
+            api.AttemptResult.ERROR if server == 2 and n % 2 else api.AttemptResult.OK
+        ),
+    )
     assert desk.balancer.fleet.servers[2].errors > 0.1
     before = len(desk.sends)
     for i in range(120):
@@ -326,19 +348,19 @@
 
 def test_two_late_answers_in_a_row_tell_of_the_upstream_and_one_of_long_work() -> None:
     desk = Desk(servers=6)
-    drive(desk, 40, lambda server, n: api.Result.OK)
+    drive(desk, 40, lambda server, n: api.AttemptResult.OK)
     desk.give(arrival("long", desk.now, READ, wait_ns=2 * SECOND))
-    desk.advance(READ.aim_ns // 2)
+    desk.advance(READ.latency_objective_ns // 2)
     assert len(desk.sends["rlong"]) == 1
     server = desk.sends["rlong"][0][0].id
-    desk.finish("rlong", api.Result.TIMEOUT)
+    desk.finish("rlong", api.AttemptResult.TIMEOUT)
     # What is sent there next stands still as well, while the others answer.
     for i in range(200):
         desk.give(*(arrival(f"s{i}-{j}", desk.now, READ, wait_ns=2 * SECOND) for j in range(5)))
         desk.advance(5 * MS)
         for request, number in desk.out():
             if desk.sends[request][number][0].id != server:
-                desk.finish(request, api.Result.OK, number)
+                desk.finish(request, api.AttemptResult.OK, number)
     copied = [
         name for name, sends in desk.sends.items() if name.startswith("rs") and len(sends) == 2
     ]
@@ -348,7 +370,7 @@
 def test_the_near_are_preferred_where_crossing_has_a_price_and_not_beyond_what_they_bear() -> None:
     places = [u._replace(zone=("east", "west")[u.id % 2]) for u in upstreams(8)]
     desk = Desk(settings(prices=api.Prices(cross_zone=0.03)), servers=0)
-    desk.give(api.ListUpdate(api.ListKind.FULL, places))
+    desk.give(api.EndpointsUpdated(api.EndpointListKind.FULL, places))
     near = 0
     for i in range(100):
         desk.give(arrival(i, desk.now))
@@ -363,7 +385,7 @@
         zones |= {desk.sends[f"r{name}"][0][0].zone for name in names if f"r{name}" in desk.sends}
         desk.advance(5 * MS)
         for request, number in desk.out():
-            desk.finish(request, api.Result.OK, number)
+            desk.finish(request, api.AttemptResult.OK, number)
     assert zones == {"east", "west"}
 
 
@@ -371,8 +393,8 @@
     # Each proxy takes its own stretch of one ring that all compute alike, and what follows it.
     homes: list[int] = []
     for me in range(10):
-        b = Balancer(settings(me=me, replicas_of_me=10), 1, START)
-        b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(100))])
+        b = Balancer(settings(me=me, instance_count=10), 1, START)
+        b.handle(START, [api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(100))])
         homes += [s.id for s in b.fleet.main.order[: b.fleet.main.home]]
     shared = Counter(homes)
     assert set(shared) == set(range(1, 101)) and max(shared.values()) - min(shared.values()) <= 1, (
@@ -385,8 +407,8 @@
     # quarter of the fleet is enough for a key's requests to meet again.
     sizes = {}
     for proxies in (3, 20, 400):
-        b = Balancer(settings(me=1, replicas_of_me=proxies), 1, START)
-        b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(30))])
+        b = Balancer(settings(me=1, instance_count=proxies), 1, START)
+        b.handle(START, [api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(30))])
         sizes[proxies] = b.fleet.main.home
     assert sizes == {3: 10, 20: 9, 400: 7}
 
@@ -394,7 +416,7 @@
 def test_a_limit_does_not_run_away_before_the_first_answers() -> None:
     # Incident i4eb9e9: the line waited at the start, each limit looked good before its requests
     # were done.
-    desk = Desk(settings(replicas_of_me=20))
+    desk = Desk(settings(instance_count=20))
     for i in range(300):
         desk.give(arrival(i, desk.now))
         desk.now += MS // 10
@@ -405,7 +427,7 @@
     # Incident i9559ec: two requests a proxy, of 279 proxies, choked 42 upstreams in their first
     # seconds.
     for proxies in (1, 10, 100, 400):
-        desk = Desk(settings(replicas_of_me=proxies), servers=40)
+        desk = Desk(settings(instance_count=proxies), servers=40)
         desk.give(*(arrival(i, desk.now) for i in range(400)))
         assert len(desk.out()) * proxies / 40 <= 8 + proxies / 40
 
@@ -415,25 +437,25 @@
     proxies: int, most: float
 ) -> None:
     # Twelve boxes of two cores turned slow for long once each had eight in flight.
-    desk = Desk(settings(replicas_of_me=proxies), servers=12)
+    desk = Desk(settings(instance_count=proxies), servers=12)
     crowding, width = desk.balancer.crowding, desk.balancer.fleet.main.home
     for i in range(10_000):
         crowding.feel(0.01, True, width, desk.now + i * MS)
     assert crowding.window * width * proxies / 12 <= most
 
 
-def feed(desk: Desk, took_ns: int, count: int = 40) -> None:
+def feed(desk: Desk, duration_ns: int, count: int = 40) -> None:
     """So many requests, one after another, that each take this long."""
     for i in range(count):
         ident = f"{desk.now}-{i}"
         desk.give(arrival(ident, desk.now))
-        desk.advance(took_ns)
+        desk.advance(duration_ns)
         if f"r{ident}" in desk.sends and (f"r{ident}", 0) in desk.out():
             desk.finish(f"r{ident}", number=0)
 
 
 def test_slow_answers_narrow_the_window_and_quick_ones_bring_it_back() -> None:
-    desk = Desk(settings(replicas_of_me=10))
+    desk = Desk(settings(instance_count=10))
     start = desk.balancer.crowding.window
     feed(desk, 280 * MS)
     narrow = desk.balancer.crowding.window
@@ -443,7 +465,7 @@
 
 def test_lost_answers_do_not_bring_the_rate_down() -> None:
     # Bergen's lost-answer days: R went down for ever though the answers that came were quick.
-    desk = Desk(settings(replicas_of_me=10, limits=api.Limits(max_attempts=1)))
+    desk = Desk(settings(instance_count=10, limits=api.Limits(max_attempts=1)))
     for i in range(400):
         desk.give(arrival(i, desk.now, PAY))
         desk.advance(50 * MS)
@@ -457,7 +479,7 @@
     # One silent upstream must not stop all others; a fleet of slow ones must not let the window
     # leak.
     for stress, more in ((1.0, 1), (0.1, 2)):
-        desk = Desk(settings(replicas_of_me=8), servers=4)  # a window of two
+        desk = Desk(settings(instance_count=8), servers=4)  # a window of two
         desk.give(*(arrival(i, desk.now) for i in range(10)))
         assert len(desk.out()) == 2
         desk.balancer.stuck, desk.balancer.crowding.stress = 2, stress
@@ -468,8 +490,8 @@
 def test_a_class_with_much_time_keeps_the_line_short_for_one_with_little() -> None:
     # Incident i31aba8: requests with two seconds to spare filled the line, and quick ones never got
     # in.
-    slow = api.RequestClass("slow", api.Effect.SAFE, aim_ns=20 * SECOND)
-    desk = Desk(settings(classes={"slow": slow, "read": READ}, replicas_of_me=20), servers=1)
+    slow = api.RequestClass("slow", api.Effect.IDEMPOTENT, latency_objective_ns=20 * SECOND)
+    desk = Desk(settings(classes={"slow": slow, "read": READ}, instance_count=20), servers=1)
     for i in range(200):
         desk.give(arrival(i, desk.now, slow, wait_ns=20 * SECOND))
         desk.advance(10 * MS)
@@ -491,7 +513,7 @@
 
 
 def test_a_tenant_over_its_share_is_found_out() -> None:
-    desk = Desk(settings(replicas_of_me=20), servers=1)
+    desk = Desk(settings(instance_count=20), servers=1)
     for i in range(600):
         desk.give(
             *(
@@ -510,9 +532,13 @@
 def test_what_waited_too_long_unseen_is_refused_at_once(waited_ms: int, answer: str | None) -> None:
     desk = Desk()
     asked = desk.now - waited_ms * MS
-    gone_by = desk.give(arrival(1, asked, wait_ns=500 * MS)._replace(asked_ns=asked))
+    gone_by = desk.give(arrival(1, asked, wait_ns=500 * MS)._replace(received_ns=asked))
     assert desk.answer.get("r1") == answer and len(desk.sends) == (answer is None)
-    assert all(a.retry_after_ns > 0 for a in of(api.Refuse, gone_by) if isinstance(a, api.Refuse))
+    assert all(
+        a.retry_after_ns > 0
+        for a in of(api.RejectRequest, gone_by)
+        if isinstance(a, api.RejectRequest)
+    )
 
 
 def test_a_late_proxy_does_not_hold_its_own_lateness_against_an_upstream() -> None:
@@ -526,7 +552,10 @@
 def test_client_gone_ends_the_request() -> None:
     desk = Desk()
     desk.give(
-        arrival(1, desk.now), api.ClientGone("r1"), api.ClientGone("r1"), api.ClientGone("unknown")
+        arrival(1, desk.now),
+        api.ClientDisconnected("r1"),
+        api.ClientDisconnected("r1"),
+        api.ClientDisconnected("unknown"),
     )
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "gone"
@@ -535,7 +564,7 @@
 def test_late_and_unknown_outcomes_are_harmless() -> None:
     desk = Desk()
     desk.give(arrival(1, desk.now))
-    late = desk.result("r1", 0, api.Result.OK)
+    late = desk.result("r1", 0, api.AttemptResult.OK)
     desk.give(late)
     desk.balancer.handle(
         desk.now, [late, late._replace(request="unknown"), late._replace(upstream=99)]
@@ -544,28 +573,32 @@
 
 def test_ask_mode_subscribes_and_backs_off() -> None:
     desk = Desk(settings(discovery_push=False))
-    assert not of(api.Subscribe, desk.log)
+    assert not of(api.SubscribeEndpoints, desk.log)
     desk.advance(5 * SECOND)
-    assert len(of(api.Subscribe, desk.log)) == 1
+    assert len(of(api.SubscribeEndpoints, desk.log)) == 1
     gaps, last = [], desk.now
     for _ in range(4):
-        desk.give(api.ListUpdate(api.ListKind.FAILED))
-        before = len(of(api.Subscribe, desk.log))
-        while len(of(api.Subscribe, desk.log)) == before:
+        desk.give(api.EndpointsUpdated(api.EndpointListKind.FAILED))
+        before = len(of(api.SubscribeEndpoints, desk.log))
+        while len(of(api.SubscribeEndpoints, desk.log)) == before:
             desk.advance(50 * MS)
             assert desk.now - last < 20 * SECOND
         gaps.append(desk.now - last)
         last = desk.now
-    assert gaps[0] < gaps[2] and max(gaps) <= desk.config.rules.ask_within_ns
+    assert gaps[0] < gaps[2] and max(gaps) <= desk.config.rules.list_expiry_ns
 
 
 def test_spread_of_first_calls() -> None:
     asked = set()
     for seed in range(10):
         b = Balancer(settings(discovery_push=False), seed, START)
-        b.handle(START, [api.ListUpdate(api.ListKind.CACHED, upstreams(6))])
+        b.handle(START, [api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(6))])
         asked.add(
-            next(n for n in range(60) if of(api.Subscribe, b.handle(START + n * 50 * MS, [])))
+            next(
+                n
+                for n in range(60)
+                if of(api.SubscribeEndpoints, b.handle(START + n * 50 * MS, []))
+            )
         )
     assert len(asked) > 5
 
@@ -573,7 +606,7 @@
 def test_push_mode_never_calls_discovery() -> None:
     desk = Desk()
     desk.advance(5 * SECOND)
-    assert not of(api.Subscribe, desk.log)
+    assert not of(api.SubscribeEndpoints, desk.log)
 
 
 def test_no_tenants_and_unknown_class_work() -> None:
@@ -584,8 +617,8 @@
     b.handle(
         START,
         [
-            api.ListUpdate(api.ListKind.FULL, upstreams(2)),
-            api.Arrival("x", "never-named", "nobody", START + SECOND),
+            api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(2)),
+            api.RequestArrived("x", "never-named", "nobody", START + SECOND),
         ],
     )
 
@@ -594,11 +627,13 @@
     desk = Desk(servers=0)
     desk.give(*(arrival(i, desk.now) for i in range(30)))
     desk.advance(600 * MS)
-    told = {a.retry_after_ns for a in desk.log if isinstance(a, api.Refuse)}
+    told = {a.retry_after_ns for a in desk.log if isinstance(a, api.RejectRequest)}
     assert len(told) > 20
 
 
-RESULTS = [api.Result.OK] * 6 + [r for r in api.Result if r is not api.Result.TIMEOUT]
+RESULTS = [api.AttemptResult.OK] * 6 + [
+    r for r in api.AttemptResult if r is not api.AttemptResult.TIMEOUT
+]
 
 
 @hyp(derandomize=True, deadline=None, max_examples=120)
@@ -607,19 +642,19 @@
     rng = random.Random(seed)
     limits = api.Limits(
         max_attempts=rng.choice([1, 2, 3, 5]),
-        second_copies=copies,
+        may_hedge=copies,
         may_cancel=rng.random() < 0.7,
         retry_after=True,
         probes=True,
         peers=True,
     )
     desk = Desk(
-        settings(limits=limits, discovery_push=push, replicas_of_me=rng.choice([1, 3, 40])),
+        settings(limits=limits, discovery_push=push, instance_count=rng.choice([1, 3, 40])),
         seed,
         servers,
     )
     pool = places(servers)
-    desk.give(api.ListUpdate(api.ListKind.FULL, pool))
+    desk.give(api.EndpointsUpdated(api.EndpointListKind.FULL, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
             cls = rng.choice([READ, PAY, CELL, ANY, ROW, ROW, WEST, BIG])
@@ -641,15 +676,23 @@
         if rng.random() < 0.1:
             open_ones = [r for r in desk.cls if r not in desk.answer]
             if open_ones:
-                desk.give(api.ClientGone(rng.choice(open_ones)))
+                desk.give(api.ClientDisconnected(rng.choice(open_ones)))
         if rng.random() < 0.1:
             i = rng.randrange(len(pool))
             started = desk.now if rng.random() < 0.5 else pool[i].started_ns
-            pool[i] = pool[i]._replace(state=rng.choice(list(api.State)), started_ns=started)
-            kind = rng.choice([api.ListKind.DELTA, api.ListKind.FULL, api.ListKind.CACHED])
-            desk.give(api.ListUpdate(kind, [pool[i]] if kind is api.ListKind.DELTA else pool))
+            pool[i] = pool[i]._replace(
+                state=rng.choice(list(api.UpstreamState)), started_ns=started
+            )
+            kind = rng.choice(
+                [api.EndpointListKind.DELTA, api.EndpointListKind.FULL, api.EndpointListKind.CACHED]
+            )
+            desk.give(
+                api.EndpointsUpdated(
+                    kind, [pool[i]] if kind is api.EndpointListKind.DELTA else pool
+                )
+            )
         if not push and rng.random() < 0.05:
-            desk.give(api.ListUpdate(api.ListKind.FAILED))
+            desk.give(api.EndpointsUpdated(api.EndpointListKind.FAILED))
         desk.advance(rng.choice([0, 1, 10, 50]) * MS)
     desk.advance(2 * SECOND)
     assert set(desk.answer) == set(desk.cls)
@@ -661,7 +704,7 @@
 @pytest.mark.parametrize(("cls", "ids"), [(WEST, {1, 3, 5}), (BIG, {1, 4, 5})])
 def test_a_restricted_class_goes_only_where_it_may(cls: api.RequestClass, ids: set[int]) -> None:
     desk = Desk(servers=0)
-    desk.give(api.ListUpdate(api.ListKind.FULL, places(6)))
+    desk.give(api.EndpointsUpdated(api.EndpointListKind.FULL, places(6)))
     for i in range(60):
         desk.give(arrival(i, desk.now, cls))
         desk.advance(5 * MS)
@@ -673,13 +716,15 @@
 def test_a_restricted_class_waits_and_is_refused_while_others_go_on() -> None:
     # The only allowed upstreams fail: nothing of that class may go elsewhere, nor hold up what can.
     desk = Desk(servers=0)
-    desk.give(api.ListUpdate(api.ListKind.FULL, places(6)))
+    desk.give(api.EndpointsUpdated(api.EndpointListKind.FULL, places(6)))
     for i in range(40):
         desk.give(arrival(f"w{i}", desk.now, WEST), arrival(f"a{i}", desk.now, READ))
         desk.advance(10 * MS)
         for request, number in desk.out():
             west = desk.sends[request][number][0].zone == "west"
-            desk.finish(request, api.Result.CONNECT_FAILED if west else api.Result.OK, number)
+            desk.finish(
+                request, api.AttemptResult.CONNECT_FAILED if west else api.AttemptResult.OK, number
+            )
     desk.advance(SECOND)
     assert all(desk.answer[f"rw{i}"] == "refused" for i in range(40))
     assert sum(desk.answer[f"ra{i}"] == "served" for i in range(40)) > 30
@@ -718,13 +763,13 @@
 @pytest.mark.parametrize(
     ("result", "rests"),
     [
-        (api.Result.OK, False),
-        (api.Result.ERROR, False),
-        (api.Result.RESET, True),
-        (api.Result.TIMEOUT, True),
+        (api.AttemptResult.OK, False),
+        (api.AttemptResult.ERROR, False),
+        (api.AttemptResult.RESET, True),
+        (api.AttemptResult.TIMEOUT, True),
     ],
 )
-def test_a_key_rests_only_after_what_may_still_run(result: api.Result, rests: bool) -> None:
+def test_a_key_rests_only_after_what_may_still_run(result: api.AttemptResult, rests: bool) -> None:
     limits = api.Limits(max_attempts=1)
     desk = Desk(settings(limits=limits))
     desk.give(arrival(1, desk.now, ROW, key="k"), arrival(2, desk.now, ROW, key="k"))
@@ -739,10 +784,10 @@
 def test_a_client_gone_with_an_attempt_out_still_holds_its_turn() -> None:
     desk = Desk(settings(limits=api.Limits(max_attempts=2)))
     desk.give(arrival(1, desk.now, ROW, key="k"), arrival(2, desk.now, ROW, key="k"))
-    desk.give(api.ClientGone("r1"))
+    desk.give(api.ClientDisconnected("r1"))
     desk.advance(100 * MS)
     assert "r2" not in desk.sends
-    desk.finish("r1", api.Result.ERROR)
+    desk.finish("r1", api.AttemptResult.ERROR)
     desk.advance(10 * MS)
     assert "r2" in desk.sends
 
@@ -774,7 +819,7 @@
 def test_proxies_that_hear_of_a_start_together_do_not_push_it_over() -> None:
     # Incident i604f4b: each kept its gap, but all sent their first request the moment they heard of
     # it.
-    desks = [Desk(settings(me=me, replicas_of_me=40), seed=me, servers=4) for me in range(40)]
+    desks = [Desk(settings(me=me, instance_count=40), seed=me, servers=4) for me in range(40)]
     for desk in desks:
         for i in range(40):  # what a warm upstream bears is seen first: 50 ms a request
             desk.give(arrival(f"w{i}", desk.now))
@@ -783,7 +828,9 @@
                 desk.finish(request, number=number)
     started = desks[0].now
     for desk in desks:
-        desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(4) + upstreams(1, 9, started)))
+        desk.give(
+            api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(4) + upstreams(1, 9, started))
+        )
     waits = {desk.balancer.fleet.servers[9].barred_ns - started for desk in desks}
     assert len(waits) == len(desks) and max(waits) > 100 * MS
     for i in range(80):
@@ -811,36 +858,41 @@
 def test_the_checker_sees_a_breach_of_each_rule() -> None:
     def fresh(*events: api.Event) -> Desk:
         desk = Desk(settings(limits=api.Limits(max_attempts=3)), servers=0)
-        for e in (api.ListUpdate(api.ListKind.FULL, places(6)), *events):
+        for e in (api.EndpointsUpdated(api.EndpointListKind.FULL, places(6)), *events):
             desk._event(e)
         return desk
 
     one, pay = arrival(1, START), arrival(1, START, PAY)
-    breach(fresh(one), api.Refuse("r1"), api.Send("r1", 1))  # 1: sent after its end
-    breach(fresh(one), api.Refuse("r1"), api.Fail("r1"))  # 1: two answers
-    breach(fresh(one), api.Send("r1", 1), api.Send("r1", 2))  # 2: two out, copies not allowed
+    breach(fresh(one), api.RejectRequest("r1"), api.StartAttempt("r1", 1))  # 1: sent after its end
+    breach(fresh(one), api.RejectRequest("r1"), api.FailRequest("r1"))  # 1: two answers
+    breach(
+        fresh(one), api.StartAttempt("r1", 1), api.StartAttempt("r1", 2)
+    )  # 2: two out, copies not allowed
     ran = fresh(pay)
-    ran._action(api.Send("r1", 1))
-    ran.results["r1", 0] = api.Result.ERROR
-    breach(ran, api.Refuse("r1"))  # 2: refused though it may have run
-    breach(ran, api.Send("r1", 2))  # 2: unsafe and sent again
+    ran._action(api.StartAttempt("r1", 1))
+    ran.results["r1", 0] = api.AttemptResult.ERROR
+    breach(ran, api.RejectRequest("r1"))  # 2: refused though it may have run
+    breach(ran, api.StartAttempt("r1", 2))  # 2: unsafe and sent again
     drains = fresh(
-        one, api.ListUpdate(api.ListKind.DELTA, [places(1)[0]._replace(state=api.State.DRAINING)])
+        one,
+        api.EndpointsUpdated(
+            api.EndpointListKind.DELTA, [places(1)[0]._replace(state=api.UpstreamState.DRAINING)]
+        ),
     )
-    breach(drains, api.Send("r1", 1))  # 3
+    breach(drains, api.StartAttempt("r1", 1))  # 3
     with pytest.raises(AssertionError):  # 4
         check_cold_budget(
-            [START + i * MS for i in range(60)], START, api.Rules(cold_ns=SECOND), 10.0
+            [START + i * MS for i in range(60)], START, api.TrafficRules(slow_start_ns=SECOND), 10.0
         )
     row = [arrival(i, START, ROW, key="k") for i in (1, 2)]
-    breach(fresh(*row), api.Send("r2", 1))  # 5: before its turn
+    breach(fresh(*row), api.StartAttempt("r2", 1))  # 5: before its turn
     rests = fresh(*row)
-    rests._action(api.Send("r1", 1))
-    rests._event(rests.result("r1", 0, api.Result.RESET))
-    rests._action(api.Fail("r1"))
-    breach(rests, api.Send("r2", 1))  # 5: its key rests
-    breach(fresh(arrival(1, START, WEST)), api.Send("r1", 2))  # 6: zone
-    breach(fresh(arrival(1, START, BIG)), api.Send("r1", 2))  # 6: kind
+    rests._action(api.StartAttempt("r1", 1))
+    rests._event(rests.result("r1", 0, api.AttemptResult.RESET))
+    rests._action(api.FailRequest("r1"))
+    breach(rests, api.StartAttempt("r2", 1))  # 5: its key rests
+    breach(fresh(arrival(1, START, WEST)), api.StartAttempt("r1", 2))  # 6: zone
+    breach(fresh(arrival(1, START, BIG)), api.StartAttempt("r1", 2))  # 6: kind
 
 
 def looking(servers: int = 6) -> Desk:
@@ -853,19 +905,21 @@
     # Each request asked for itself: in half a second 160 connections were open, and none to spare.
     desk = looking(3)
     actions = desk.give(*(arrival(i, desk.now) for i in range(20)))
-    asked = [a.upstream for a in actions if isinstance(a, api.Probe)]
+    asked = [a.upstream for a in actions if isinstance(a, api.CheckHealth)]
     assert len(asked) == len(set(asked)) <= 3 and not desk.sends
     desk.now += MS
-    desk.give(*(api.ProbeResult(u, api.Result.OK, MS, {"inflight": 0.0}) for u in asked))
+    desk.give(
+        *(api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": 0.0}) for u in asked)
+    )
     assert len(desk.sends) > 1 and not desk.answer
     # Who does not answer is not asked again meanwhile, nor waited for; once it has, it is.
     desk = looking(1)
-    assert len(of(api.Probe, desk.give(arrival(1, desk.now)))) == 1
+    assert len(of(api.CheckHealth, desk.give(arrival(1, desk.now)))) == 1
     desk.advance(20 * MS)
     assert "r1" in desk.sends
-    assert not of(api.Probe, desk.give(arrival(2, desk.now))) and "r2" in desk.sends
-    desk.give(api.ProbeResult(1, api.Result.TIMEOUT, 20 * MS))
-    assert len(of(api.Probe, desk.give(arrival(3, desk.now)))) == 1
+    assert not of(api.CheckHealth, desk.give(arrival(2, desk.now))) and "r2" in desk.sends
+    desk.give(api.HealthCheckFinished(1, api.AttemptResult.TIMEOUT, 20 * MS))
+    assert len(of(api.CheckHealth, desk.give(arrival(3, desk.now)))) == 1
 
 
 def test_what_is_sent_while_an_answer_about_load_is_out_counts_on_top_of_it() -> None:
@@ -873,7 +927,7 @@
     desk.give(arrival(1, desk.now))
     desk.advance(20 * MS)  # not waited for any longer
     desk.give(arrival(2, desk.now))
-    desk.give(api.ProbeResult(1, api.Result.OK, 20 * MS, {"inflight": 3.0}))
+    desk.give(api.HealthCheckFinished(1, api.AttemptResult.OK, 20 * MS, {"inflight": 3.0}))
     assert desk.balancer.fleet.servers[1].load == 5.0
 
 
@@ -893,13 +947,15 @@
     assert desk.out()
     for first in range(10, 3000, 3):  # ever new ids, by whole lists and by changes
         gone = [
-            u._replace(state=api.State.GONE)
+            u._replace(state=api.UpstreamState.REMOVED)
             for u in desk.list.values()
-            if u.state is not api.State.GONE
+            if u.state is not api.UpstreamState.REMOVED
         ]
-        kind = (api.ListKind.FULL, api.ListKind.DELTA)[first % 2]
+        kind = (api.EndpointListKind.FULL, api.EndpointListKind.DELTA)[first % 2]
         desk.give(
-            api.ListUpdate(kind, upstreams(3, first) + (gone if kind is api.ListKind.DELTA else []))
+            api.EndpointsUpdated(
+                kind, upstreams(3, first) + (gone if kind is api.EndpointListKind.DELTA else [])
+            )
         )
     fleet = desk.balancer.fleet
     assert {s.id for s in fleet.servers.values()} - {1, 2, 3} == {first, first + 1, first + 2}
@@ -919,7 +975,7 @@
 
 
 def drive(
-    desk: Desk, count: int, how: Callable[[int, int], api.Result], name: str = ""
+    desk: Desk, count: int, how: Callable[[int, int], api.AttemptResult], name: str = ""
 ) -> Counter[int]:
     """So many rounds of eight requests; `how` tells by upstream and request how an attempt ends.
     Returns the attempts at each upstream.
@@ -943,7 +999,9 @@
     # Weighed by its errors it is met seldom: it takes more requests until it is left alone for
     # them.
     seen = drive(
-        desk, 450, lambda server, n: api.Result.ERROR if server <= faulty else api.Result.OK
+        desk,
+        450,
+        lambda server, n: api.AttemptResult.ERROR if server <= faulty else api.AttemptResult.OK,
     )
     strikes = [s.id for s in desk.balancer.fleet.servers.values() if s.strikes]
     assert strikes == ([1] if faulty == 1 else [])
@@ -955,10 +1013,19 @@
     # With one attempt in ten broken anywhere, half the upstreams stood barred and the others were
     # crowded.
     desk = Desk(servers=6)
-    drive(desk, 200, lambda server, n: api.Result.RESET if n % 10 == 0 else api.Result.OK)
+    drive(
+        desk,
+        200,
+        lambda server, n: api.AttemptResult.RESET if n % 10 == 0 else api.AttemptResult.OK,
+    )
     assert not [s for s in desk.balancer.fleet.servers.values() if s.barred_ns > desk.now]
     # But where all break at one upstream, it has failed.
-    drive(desk, 200, lambda server, n: api.Result.RESET if server == 1 else api.Result.OK, "more")
+    drive(
+        desk,
+        200,
+        lambda server, n: api.AttemptResult.RESET if server == 1 else api.AttemptResult.OK,
+        "more",
+    )
     assert desk.balancer.fleet.servers[1].barred_ns > desk.now
 
 
@@ -1016,7 +1083,11 @@
 
 def test_a_start_in_the_future_does_not_break_the_pace_of_a_cold_upstream() -> None:
     desk = Desk(servers=0)
-    desk.give(api.ListUpdate(api.ListKind.FULL, upstreams(1, started_ns=desk.now + 1000 * SECOND)))
+    desk.give(
+        api.EndpointsUpdated(
+            api.EndpointListKind.FULL, upstreams(1, started_ns=desk.now + 1000 * SECOND)
+        )
+    )
     desk.advance(10 * SECOND, SECOND // 10)
     desk.give(arrival(1, desk.now))
     assert "r1" in desk.sends
@@ -1024,17 +1095,21 @@
 
 def test_a_start_with_no_list_asks_at_once_however_long_news_may_take() -> None:
     # With a very long ask_within_ns a proxy that knew nobody refused everything for minutes.
-    config = settings(discovery_push=False, rules=api.Rules(ask_within_ns=3600 * SECOND))
+    config = settings(discovery_push=False, rules=api.TrafficRules(list_expiry_ns=3600 * SECOND))
     for seed in range(20):
         b = Balancer(config, seed, START)
         now, asked = START, []
-        b.handle(now, [api.ListUpdate(api.ListKind.CACHED)] if seed % 2 else [])
+        b.handle(now, [api.EndpointsUpdated(api.EndpointListKind.CACHED)] if seed % 2 else [])
         for _ in range(20):
             now += 5 * MS
-            asked += of(api.Subscribe, b.handle(now, []))
+            asked += of(api.SubscribeEndpoints, b.handle(now, []))
         assert len(asked) == 1, f"seed {seed}"
     known = Balancer(config, 1, START)  # whoever knows upstreams leaves the others time to ask
-    first = known.handle(START, [api.ListUpdate(api.ListKind.CACHED, upstreams(6))])
+    first = known.handle(START, [api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(6))])
     soon = known.handle(START + 100 * MS, [])
     later = known.handle(START + 3 * SECOND, [])
-    assert [len(of(api.Subscribe, actions)) for actions in (first, soon, later)] == [0, 0, 1]
+    assert [len(of(api.SubscribeEndpoints, actions)) for actions in (first, soon, later)] == [
+        0,
+        0,
+        1,
+    ]
--- a/tests/test_site_daemon.py
+++ b/tests/test_site_daemon.py
@@ -40,9 +40,10 @@
 bears = "40/s"
 prices = {a = 1.0}
 """
-CLASSES = {"q": api.RequestClass("q", aim_ns=200_000_000)}
+CLASSES = {"q": api.RequestClass("q", latency_objective_ns=200_000_000)}
 BOXES = [
-    Endpoint(api.Upstream(n, api.State.READY, "ab"[n % 2]), "127.0.0.1", 9000 + n) for n in range(8)
+    Endpoint(api.Upstream(n, api.UpstreamState.READY, "ab"[n % 2]), "127.0.0.1", 9000 + n)
+    for n in range(8)
 ]
 
 
@@ -52,7 +53,7 @@
     def __init__(self, zone: str) -> None:
         super().__init__()
         self.settings = api.Settings(
-            zone=zone, classes=CLASSES, replicas_of_me=2, tenants={"t": api.Tenant("t", 1.0, 80.0)}
+            zone=zone, classes=CLASSES, instance_count=2, tenants={"t": api.Tenant("t", 1.0, 80.0)}
         )
         self.tap: Callable[[int, list[api.Event]], None] = lambda now, events: None
         self.requests: dict[str, Any] = {}
@@ -60,14 +61,16 @@
         self.upstreams = SimpleNamespace(
             targets={e.entry.id: SimpleNamespace(endpoint=e) for e in BOXES}, probe=self.probe
         )
-        self.plans: list[api.Plan] = []
+        self.plans: list[api.TrafficPlan] = []
 
     def post(self, event: api.Event) -> None:
-        if isinstance(event, api.Plan):
+        if isinstance(event, api.TrafficPlan):
             self.plans.append(event)
 
-    def probe(self, number: int, done: Callable[[api.Result, Any], None]) -> bool:
-        done(api.Result.CONNECT_FAILED if number in self.gone else api.Result.OK, None)
+    def probe(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
+        done(
+            api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK, None
+        )
         return True
 
     async def ask(self, rate: float) -> None:
@@ -75,12 +78,18 @@
         while True:
             count += 1
             now = time.monotonic_ns()
-            arrival = api.Arrival(f"r{count}", "q", "t", now + 10**9)
+            arrival = api.RequestArrived(f"r{count}", "q", "t", now + 10**9)
             self.requests = {arrival.request: SimpleNamespace(arrival=arrival)}
             number = count % len(BOXES)
-            result = api.Result.CONNECT_FAILED if number in self.gone else api.Result.OK
+            result = (
+                api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK
+            )
             self.tap(
-                now, [arrival, api.Outcome(arrival.request, 0, number, result, 20_000_000, True)]
+                now,
+                [
+                    arrival,
+                    api.AttemptFinished(arrival.request, 0, number, result, 20_000_000, True),
+                ],
             )
             await asyncio.sleep(1 / rate)
 
@@ -144,7 +153,7 @@
             assert 'lanelift_site_part{site="b"} 0.0' in (await command(c, "metrics"))[1]
             assert "not as usual" in (await command(c, "drill", "b", "--force"))[1]
             assert (await command(c, "return", "b"))[0] == 0
-            await until(lambda: one.driver.plans[-1] == api.Plan(), 30.0)
+            await until(lambda: one.driver.plans[-1] == api.TrafficPlan(), 30.0)
             for beside in (one, two):
                 beside.driver.gone = {e.entry.id for e in BOXES if e.entry.zone == "b"}
             await until(lambda: one.driver.plans[-1].zones.get("b") == 0.0)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -618,9 +618,9 @@
     """All its tries at a site fail until it is believed; when that is."""
     for _ in range(40):
         for box in [b for b, x in m.evidence.boxes.items() if x.site == site]:
-            m.sounded(box, api.Result.CONNECT_FAILED, now)
+            m.sounded(box, api.AttemptResult.CONNECT_FAILED, now)
         for box in [b for b, x in m.evidence.boxes.items() if x.site != site]:
-            m.sounded(box, api.Result.OK, now)
+            m.sounded(box, api.AttemptResult.OK, now)
         now += SECOND // 4
         m.turn(now, True)
         if m.plan.zones.get(site) == 0.0:
@@ -632,10 +632,12 @@
     shut = Orders({"a": {"d": 0.0}}, excess=1.0)
     m = member()
     m.ordered(shut, frozenset("abcd"), {}, 2 * SECOND)
-    assert m.turn(3 * SECOND, True).plan == api.Plan({"d": 0.0}, excess=1.0)
+    assert m.turn(3 * SECOND, True).plan == api.TrafficPlan({"d": 0.0}, excess=1.0)
     m.stands(10 * SECOND)
     assert m.turn(21 * SECOND, True).plan is None and m.plan.excess == 1.0
-    assert m.turn(23 * SECOND, True).plan == api.Plan()  # the owner is silent: by what is seen here
+    assert (
+        m.turn(23 * SECOND, True).plan == api.TrafficPlan()
+    )  # the owner is silent: by what is seen here
     other = member()
     other.ordered(shut, frozenset("abc"), {}, 2 * SECOND)  # of a fleet that had no site d
     assert other.turn(3 * SECOND, True).plan is None and not other.owned(3 * SECOND)
@@ -654,10 +656,15 @@
     for _ in range(240):
         now += SECOND // 4
         for box in m.evidence.boxes:
-            m.sounded(box, api.Result.OK, now)
+            m.sounded(box, api.AttemptResult.OK, now)
         m.turn(now, True)
         seen.append(m.plan.zones.get("b", 1.0))
-    assert seen == sorted(seen) and seen[0] == 0.0 and len(set(seen)) > 4 and m.plan == api.Plan()
+    assert (
+        seen == sorted(seen)
+        and seen[0] == 0.0
+        and len(set(seen)) > 4
+        and m.plan == api.TrafficPlan()
+    )
     stale = member()
     stale.tables, stale.tabled = m.tables, frozenset("abc")  # made for another fleet
     lose(stale, "b", 2 * SECOND)
@@ -667,9 +674,12 @@
 def test_a_row_tells_what_came_and_when_it_is_due() -> None:
     m = member()
     for n in range(20):
-        m.arrived(api.Arrival(f"r{n}", "look", "t", 9 * SECOND, retry=n % 4 == 0))
+        m.arrived(api.RequestArrived(f"r{n}", "look", "t", 9 * SECOND, retry=n % 4 == 0))
         m.tried(
-            api.Outcome(f"r{n}", 0, n, api.Result.OK, 50 * MS, True), 200 * MS, 50e6, 2 * SECOND
+            api.AttemptFinished(f"r{n}", 0, n, api.AttemptResult.OK, 50 * MS, True),
+            200 * MS,
+            50e6,
+            2 * SECOND,
         )
     row = m.row({"look": 50e6}, 3 * SECOND)
     assert (
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -135,7 +135,7 @@
         self.settings = api.Settings()
         self.discovery = None
         self.upstreams = SimpleNamespace(targets={})
-        self.lists: list[tuple[api.ListKind, list[Endpoint]]] = []
+        self.lists: list[tuple[api.EndpointListKind, list[Endpoint]]] = []
         self.posted: list[api.Event] = []
         self.banned: dict[str, bool] = {}
         self.module = Balancer(
@@ -146,7 +146,7 @@
     def balancer(self) -> Balancer:
         return self.module
 
-    def learn(self, kind: api.ListKind, endpoints: list[Endpoint]) -> None:
+    def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         self.lists.append((kind, endpoints))
         self.upstreams.targets = {e.entry.id: SimpleNamespace(endpoint=e) for e in endpoints}
 
@@ -216,7 +216,7 @@
     started_ms = time.time_ns() // 1_000_000 - 9_000
     old = [
         Endpoint(
-            api.Upstream(i, api.State.READY, "z", 1, 1.0, now - i * 10**9, "k"),
+            api.Upstream(i, api.UpstreamState.READY, "z", 1, 1.0, now - i * 10**9, "k"),
             "127.0.0.1",
             9000 + i,
             started_ms + i * 1000,
@@ -227,9 +227,9 @@
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
             one = Beside(c, "one")
-            one.driver.learn(api.ListKind.FULL, old)
+            one.driver.learn(api.EndpointListKind.FULL, old)
             one.driver.module.handle(
-                now, [api.ListUpdate(api.ListKind.FULL, [e.entry for e in old])]
+                now, [api.EndpointsUpdated(api.EndpointListKind.FULL, [e.entry for e in old])]
             )
             one.driver.module.crowding.taken["q"] = 5e6
             one.driver.module.fleet.servers[2].pace = 3.0
@@ -239,15 +239,15 @@
             two = Beside(c, "one")
             await until(lambda: bool(two.driver.posted))
             ((kind, listed),) = two.driver.lists
-            assert kind is api.ListKind.CACHED and [e.port for e in listed] == [9001, 9002]
+            assert kind is api.EndpointListKind.CACHED and [e.port for e in listed] == [9001, 9002]
             assert [e.started_ms for e in listed] == [e.started_ms for e in old]
             (learnt,) = two.driver.posted
             assert (
-                isinstance(learnt, api.Learnt)
+                isinstance(learnt, api.LearnedState)
                 and learnt.taken == {"q": 5e6}
                 and learnt.age_ns < 5 * 10**9
             )
-            update = api.ListUpdate(api.ListKind.CACHED, [e.entry for e in listed])
+            update = api.EndpointsUpdated(api.EndpointListKind.CACHED, [e.entry for e in listed])
             two.driver.module.handle(now, [update, learnt])
             assert 2.5 < two.driver.module.fleet.servers[2].pace <= 3.0
             await two.keeper.close()
@@ -262,13 +262,18 @@
         module.handle(
             now,
             [
-                api.Learnt(
+                api.LearnedState(
                     int(age_s * 1e9), 50.0, {"": 40.0}, {"q": 5e6}, 1e6, 0.2, 3.0, {1: (3.0, 7)}
                 )
             ],
         )
         module.handle(
-            now, [api.ListUpdate(api.ListKind.FULL, [api.Upstream(1, started_ns=started)])]
+            now,
+            [
+                api.EndpointsUpdated(
+                    api.EndpointListKind.FULL, [api.Upstream(1, started_ns=started)]
+                )
+            ],
         )
         return module.fleet.servers[1].pace
 
@@ -276,7 +281,7 @@
     assert fresh == 3.0 and aged == pytest.approx(2.0) and stale == 1.0
     assert paces(0, 8) == 1.0
     old = {1: Endpoint(api.Upstream(1), "", 0), 2: Endpoint(api.Upstream(2), "", 0, 7_000)}
-    learnt = api.Learnt(
+    learnt = api.LearnedState(
         0, 9.0, {"a": 1.0}, {"q": 2.0}, 3.0, 0.1, 2.0, {1: (2.0, 0), 2: (2.0, 10**9)}
     )
     saved = save_learnt(learnt, old)
@@ -292,7 +297,7 @@
     step_s: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is left aside, or believed as little as what is an hour old."""
-    saved = save_learnt(api.Learnt(0, 9.0, {}, {"q": 2.0}, 3.0, 0.1, 2.0, {}), {})
+    saved = save_learnt(api.LearnedState(0, 9.0, {}, {"q": 2.0}, 3.0, 0.1, 2.0, {}), {})
     now_s = time.time()
     monkeypatch.setattr(time, "time", lambda: now_s + step_s)
     back = load_learnt(saved, {})
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -42,7 +42,10 @@
             self.due, self.left = 0, 20
 
         def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-            if not any(isinstance(e, api.Wake | api.ListUpdate) for e in events) or not self.left:
+            if (
+                not any(isinstance(e, api.TimerFired | api.EndpointsUpdated) for e in events)
+                or not self.left
+            ):
                 return []
             if now >= self.due:
                 self.left -= 1
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -34,7 +34,7 @@
             await upstream.until(lambda: upstream.ended == 1)
             assert (await w.ask("r3")).status == 200
             assert upstream.seen[-1].link == 2
-            assert heard.results() == [api.Result.OK] * 3
+            assert heard.results() == [api.AttemptResult.OK] * 3
 
     run(test())
 
@@ -86,10 +86,13 @@
             )  # it tries again, and again
             w.discovery.down = False
             await w.watching()
-            first, last = heard.of(api.ListUpdate)
-            assert (first.kind, last.kind) == (api.ListKind.CACHED, api.ListKind.DELTA)
+            first, last = heard.of(api.EndpointsUpdated)
+            assert (first.kind, last.kind) == (
+                api.EndpointListKind.CACHED,
+                api.EndpointListKind.DELTA,
+            )
             assert [(u.id, u.state) for u in last.upstreams] == [
-                (number_of(gone.name), api.State.GONE)
+                (number_of(gone.name), api.UpstreamState.REMOVED)
             ]
             assert (await w.ask("r2")).body == stays.name.encode()
 
@@ -119,12 +122,12 @@
             await heard.until(
                 lambda: any(
                     [(u.id, u.state) for u in e.upstreams]
-                    == [(number_of(gone.name), api.State.GONE)]
-                    for e in heard.of(api.ListUpdate)
+                    == [(number_of(gone.name), api.UpstreamState.REMOVED)]
+                    for e in heard.of(api.EndpointsUpdated)
                 )
             )
-            assert api.ListKind.FAILED not in [
-                e.kind for e in heard.of(api.ListUpdate)
+            assert api.EndpointListKind.FAILED not in [
+                e.kind for e in heard.of(api.EndpointsUpdated)
             ]  # no pause before it
             assert all("from=" in m.start[1] for m in w.discovery.seen)
             assert (await w.ask("r1")).body == stays.name.encode()
@@ -151,7 +154,7 @@
         monkeypatch.setattr(discovery_watch, name, value)
 
     async def test() -> None:
-        rules = replace(SETTINGS.rules, stop_sending_within_ns=SECOND // 2)
+        rules = replace(SETTINGS.rules, drain_grace_ns=SECOND // 2)
         async with world(settings=replace(SETTINGS, discovery_push=push, rules=rules)) as w:
             await w.watching()
             w.discovery.silent = True
@@ -191,7 +194,11 @@
             w.discovery.busy = False
             await w.tell(gone.row("Gone"))
             assert all("from=" in m.start[1] for m in w.discovery.seen)
-            assert [e.kind for e in heard.of(api.ListUpdate) if e.kind is api.ListKind.FULL] == []
+            assert [
+                e.kind
+                for e in heard.of(api.EndpointsUpdated)
+                if e.kind is api.EndpointListKind.FULL
+            ] == []
             assert (await w.ask("r1")).body == stays.name.encode()
 
     run(test())
@@ -201,7 +208,7 @@
     async def test() -> None:
         for balancers, calls_s in ((1, 0.3), (4, 1.1), (40, 4.1), (400, 21.0)):
             driver = Driver(
-                replace(SETTINGS, replicas_of_me=balancers),
+                replace(SETTINGS, instance_count=balancers),
                 1,
                 Upstreams(SETTINGS.limits, 4, (), Store(1)),
             )
@@ -217,12 +224,14 @@
 ) -> None:
     async def test() -> None:
         settings = replace(
-            SETTINGS, discovery_push=False, rules=api.Rules(ask_within_ns=SECOND // 2)
+            SETTINGS, discovery_push=False, rules=api.TrafficRules(list_expiry_ns=SECOND // 2)
         )
         async with world(settings=settings) as w:
             w.discovery.down = True
             await heard.until(
-                lambda: api.ListKind.FAILED in [e.kind for e in heard.of(api.ListUpdate)]
+                lambda: (
+                    api.EndpointListKind.FAILED in [e.kind for e in heard.of(api.EndpointsUpdated)]
+                )
             )
             w.discovery.down = False
             await w.watching()
@@ -283,12 +292,12 @@
                 peers=[address, peer.getsockname()],
                 peers_all=peer.getsockname(),
             ):
-                await heard.until(lambda: heard.of(api.ListUpdate))
+                await heard.until(lambda: heard.of(api.EndpointsUpdated))
                 odd.sendto(b"from nobody", address)
                 peer.sendto(b"x" * 300, address)
                 peer.sendto(b"hello", address)
-                await heard.until(lambda: heard.of(api.PeerMessage))
-                assert heard.of(api.PeerMessage) == [api.PeerMessage(1, b"hello")]
+                await heard.until(lambda: heard.of(api.GossipReceived))
+                assert heard.of(api.GossipReceived) == [api.GossipReceived(1, b"hello")]
 
     run(test())
 
@@ -296,7 +305,7 @@
 def test_a_message_is_told_to_one_peer_or_all(monkeypatch: pytest.MonkeyPatch) -> None:
     class Teller(Balancer):
         def handle(self, now: int, events: object) -> list[api.Action]:
-            return [api.Tell(b"one", 0), api.Tell(b"all")]
+            return [api.SendGossip(b"one", 0), api.SendGossip(b"all")]
 
     monkeypatch.setattr(policy_driver, "Balancer", Teller)
 
@@ -374,7 +383,7 @@
         await upstream.start()
         upstreams = Upstreams(SETTINGS.limits, 1, (), Store(1024))
         upstreams.learn([read_endpoint(upstream.row())], full=True)
-        ended: asyncio.Queue[api.Result] = asyncio.Queue()
+        ended: asyncio.Queue[api.AttemptResult] = asyncio.Queue()
         request = message(b"GET /quote HTTP/1.1", [(b"Host", b"h")])
         for seconds in (0.3, 5.0):
             upstreams.send(
@@ -383,7 +392,10 @@
                 lambda result, *rest: ended.put_nowait(result),
                 Timing(seconds),
             )
-        assert [await ended.get(), await ended.get()] == [api.Result.MOOT, api.Result.TIMEOUT]
+        assert [await ended.get(), await ended.get()] == [
+            api.AttemptResult.NOT_SENT,
+            api.AttemptResult.TIMEOUT,
+        ]
         upstreams.close()
         upstream.stop()
 
--- a/tests/test_wallclock.py
+++ b/tests/test_wallclock.py
@@ -24,7 +24,7 @@
     step_s: int, heard: Heard, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        rules = replace(SETTINGS.rules, cold_ns=60 * SECOND)
+        rules = replace(SETTINGS.rules, slow_start_ns=60 * SECOND)
         async with world(2, settings=replace(SETTINGS, rules=rules)) as w:
             await w.tell(w.upstreams[0].row())
             read_ns, read_s = time.time_ns, time.time
@@ -36,7 +36,7 @@
             after_ns = time.monotonic_ns()
             starts = {
                 u.started_ns
-                for e in heard.of(api.ListUpdate)
+                for e in heard.of(api.EndpointsUpdated)
                 for u in e.upstreams
                 if u.id == number_of(w.upstreams[1].name) and u.started_ns
             }
@@ -46,7 +46,7 @@
             await w.tell(row)  # the same start again, behind another step
             again = {
                 u.started_ns
-                for e in heard.of(api.ListUpdate)
+                for e in heard.of(api.EndpointsUpdated)
                 for u in e.upstreams
                 if u.id == number_of(w.upstreams[1].name) and u.started_ns
             }
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -238,12 +238,12 @@
     read = read_settings({"profiles": [row], "rules": {"turn_gap_ns": 7}})
     cls = read.classes["order"]
     assert (
-        cls.in_order
+        cls.ordered_by_key
         and cls.zones == {"north"}
         and cls.kinds == {"big"}
-        and cls.scope is api.Scope.CELL
+        and cls.scope is api.DeduplicationScope.CELL
     )
-    assert read.rules.turn_gap_ns == 7
+    assert read.rules.key_order_gap_ns == 7
     assert read_upstream({"upstream": 1, "class_of_host": "big"}).kind == "big"
 
 
