--- a/loadbalancer/proxy/discovery_watch.py
+++ b/loadbalancer/proxy/discovery_watch.py
@@ -3,7 +3,7 @@
 
 A state machine without I/O: it is handed the clock, is told how a call ended, and says what to ask,
 and when. `Discovery` carries it out. `docs/design/discovery.md` has the arithmetic,
-`tests/test_calls.py` checks it.
+`tests/proxy/test_discovery_watch.py` checks it.
 
     term                   a change that a silent watch hides counts as told `TERM_S` after the
     silence began,
--- a/tests/test_feed_daemon.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -50,9 +50,9 @@
 from loadbalancer.store.lease_client import clock_ns
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.real import RealCluster
+from tests.daemon.test_state_sync import FakeDriver, answered, until
 from tests.fakes import FakeDiscovery, FakeUpstream, Watched, free_port, run
-from tests.test_store_daemon import FakeDriver, answered, until
-from tests.test_store_node import Cluster, cluster
+from tests.store.test_node import Cluster, cluster
 
 KEYS = Keys("orders")
 SCOPE = "service:orders"
--- a/tests/test_feed_rollout.py
+++ b/tests/daemon/test_feed_progress.py
@@ -19,8 +19,8 @@
 from loadbalancer.store.commands import Op
 from loadbalancer.store.feed_progress import add_up
 from loadbalancer.store.metrics import Collector
-from tests.test_feed_store import ORDERS, Balancer, feed_of, key, leave, put
-from tests.test_store_node import Cluster, cluster, run
+from tests.store.test_changefeed_server import ORDERS, Balancer, feed_of, key, leave, put
+from tests.store.test_node import Cluster, cluster, run
 
 
 async def feed(c: Cluster, *words: str) -> Result:
--- a/tests/test_daemon.py
+++ b/tests/daemon/test_settings.py
@@ -18,7 +18,7 @@
 from loadbalancer.settings import Malformed
 from tests.fakes import Client, FakeDiscovery, FakeUpstream, free_port, run
 
-EXAMPLE = (Path(__file__).parent.parent / "deploy" / "example.toml").read_text()
+EXAMPLE = (Path(__file__).parents[2] / "deploy" / "example.toml").read_text()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_site_daemon.py
+++ b/tests/daemon/test_site_controller.py
@@ -28,9 +28,9 @@
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
+from tests.daemon.test_state_sync import FakeDriver, until
 from tests.fakes import run
-from tests.test_store_daemon import FakeDriver, until
-from tests.test_store_node import Cluster, cluster
+from tests.store.test_node import Cluster, cluster
 
 SITES = """[[site]]
 name = "a"
--- a/tests/test_store_daemon.py
+++ b/tests/daemon/test_state_sync.py
@@ -28,7 +28,7 @@
 from loadbalancer.store.client import Conflict, Rejected
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import Client, FakeUpstream, free_port, run
-from tests.test_store_node import Cluster, cluster
+from tests.store.test_node import Cluster, cluster
 
 
 def settings(port: int, upstream: FakeUpstream) -> str:
--- a/tests/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -37,7 +37,7 @@
 MEMBERS = Members((1,), (), {1: "a"})
 MS = 1_000_000
 TTL = 900 * MS
-KEPT = Path(__file__).parent / "kept/store-format-1.tar.xz"
+KEPT = Path(__file__).parents[1] / "kept/store-format-1.tar.xz"
 # The first seed by which each planted bug was found.
 CAUGHT = {
     "no-token-check": 3,
--- a/tests/test_module.py
+++ b/tests/policy/test_decision_modules.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 MODULES = sorted((ROOT / "loadbalancer" / "policy").glob("*.py"))
 MOST_LINES = 500
 
--- a/tests/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -36,7 +36,7 @@
     run,
     world,
 )
-from tests.test_races import blocked, held_connection, plain
+from tests.proxy.test_races import blocked, held_connection, plain
 
 SLACK_MS = 150  # a process may be held up for so long between reading its clock and writing
 PATIENT = replace(SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=5 * SECOND))
--- a/tests/test_state_folder.py
+++ b/tests/proxy/test_state_folder.py
@@ -22,7 +22,7 @@
 from loadbalancer.proxy.disabled_upstreams import FILE
 from loadbalancer.proxy.process_handover import Siblings
 from tests.fakes import run
-from tests.test_management import owner
+from tests.proxy.test_admin_api import owner
 
 ENOSPC = OSError(errno.ENOSPC, "No space left on device")
 EIO = OSError(errno.EIO, "Input/output error")
--- a/tests/test_feed_store.py
+++ b/tests/store/test_changefeed_server.py
@@ -30,7 +30,7 @@
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.certificates import Authority
 from tests.fakes import Watched
-from tests.test_store_node import Cluster, cluster, greeted, run
+from tests.store.test_node import Cluster, cluster, greeted, run
 
 ORDERS, CARTS = "service:orders", "service:carts"
 QUICK = SubscriptionLimits(
--- a/tests/test_store_rows.py
+++ b/tests/store/test_rows.py
@@ -33,8 +33,8 @@
 from loadbalancer.store.housekeeping import AGAIN_NS, Steward
 from loadbalancer.store.raft.messages import Entry, Kind
 from loadbalancer.testbed.cluster import rowed
-from tests.test_leases import KEPT, MEMBERS, Log
-from tests.test_store_state import fresh
+from tests.leases.test_leases import KEPT, MEMBERS, Log
+from tests.store.test_state import fresh
 
 ACME, ROUTE = "feed/global/tenant/acme", "feed/service:orders/route/r1"
 OTHER, TIMES = "feed/service:orders/route/r2", "feed/service:orders/upstream/times"
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -22,8 +22,8 @@
 from loadbalancer.testbed import results
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import run
+from tests.proxy.test_admin_api import owner
 from tests.recordings import policy_runs, simulations
-from tests.test_management import owner
 
 ROOT = Path(__file__).parent.parent
 RECORDINGS = Path(__file__).parent / "recordings"
--- a/tests/test_capacity.py
+++ b/tests/testbed/test_capacity.py
@@ -11,7 +11,7 @@
 from loadbalancer.testbed.size.capacity import Figure, Sheet
 from loadbalancer.testbed.topology import Unusable
 
-DOCS = Path(__file__).parent.parent / "docs"
+DOCS = Path(__file__).parents[2] / "docs"
 LINE = fit.fit([(1, 12), (2, 14), (4, 18), (8, 26)], name="thing", unit="us", per="upstreams")
 
 
--- a/tests/test_size_store.py
+++ b/tests/testbed/test_size_store.py
@@ -22,7 +22,7 @@
 from loadbalancer.testbed.size.series import Series
 from loadbalancer.testbed.size.storefeed import Audience
 from tests.fakes import run
-from tests.test_store_node import cluster
+from tests.store.test_node import cluster
 
 
 def sized(found: Sequence[Series], sizes: Sequence[float]) -> dict[str, list[float]]:
