--- a/loadbalancer/cli/lease.py
+++ b/loadbalancer/cli/lease.py
@@ -38,7 +38,7 @@
 def _holder(lease: Lease) -> str:
     if not lease.holder:
         return "nobody"
-    return f"{lease.holder}{' (offered, not taken yet)' if lease.offered else ''}"
+    return f"{lease.holder}{' (offered, not taken yet)' if lease.is_offered else ''}"
 
 
 @app.command("list")
@@ -53,11 +53,11 @@
         rows.add_row(
             lease.name,
             _holder(lease),
-            table.written(lease.token),
+            table.format_token(lease.token),
             _when(lease.since_ms),
             f"{lease.ttl_ms / 1000:g} s",
-            str(len(lease.waiting)),
-            str(lease.refused),
+            str(len(lease.candidates)),
+            str(lease.rejected_writes),
         )
     out.print(rows)
 
@@ -73,11 +73,12 @@
     lease = _lease(row)
     out.print(
         f"{name}: {_holder(lease)}{f', {lease.note}' if lease.note else ''}\n"
-        f"token {table.written(lease.token)}, since {_when(lease.since_ms)}, renewed within"
-        f" {lease.ttl_ms / 1000:g} s; {lease.refused} writes refused that bore another token",
+        f"token {table.format_token(lease.token)}, since {_when(lease.since_ms)}, renewed within"
+        f" {lease.ttl_ms / 1000:g} s; {lease.rejected_writes} writes refused"
+        " that bore another token",
         soft_wrap=True,
     )
-    for place, who in enumerate(lease.waiting, 1):
+    for place, who in enumerate(lease.candidates, 1):
         out.print(f"  {place}. {who.holder}, rank {who.rank}, {who.note}", soft_wrap=True)
 
 
@@ -100,7 +101,7 @@
         if not lease.holder:
             return f"{name}: nobody holds it"
         done = await c.release(Release(name, lease.claim, lease.token, unix_ms()), within)
-        taken = f"taken from {lease.holder}, token {table.written(lease.token)}"
+        taken = f"taken from {lease.holder}, token {table.format_token(lease.token)}"
         return f"{name}: {done.text or taken}"
 
     out.print(using(client(at, certificate, key, authority, within_s=within), work), soft_wrap=True)
@@ -122,7 +123,7 @@
             continue
         lease = _lease(row)
         out.print(
-            f"{_when(row.time_ms) or 'its time was over'}  token {table.written(lease.token)}"
-            f"  {_holder(lease)}, {len(lease.waiting)} waiting",
+            f"{_when(row.time_ms) or 'its time was over'}  token {table.format_token(lease.token)}"
+            f"  {_holder(lease)}, {len(lease.candidates)} waiting",
             soft_wrap=True,
         )
--- a/loadbalancer/cli/roll.py
+++ b/loadbalancer/cli/roll.py
@@ -209,7 +209,7 @@
         report, name = (await c.get(keys.reports + balancer, keys.names + balancer)).rows
         if report.value is None:
             raise Malformed(f"{balancer}: it never reported")
-        if name.value is not None and table.unpack(name.value).held:
+        if name.value is not None and table.unpack(name.value).is_held:
             raise Malformed(f"{balancer}: it holds its name, so it is there")
         await c.delete(keys.reports + balancer, report.version, note="forgotten by an operator")
         return f"{balancer} is forgotten"
--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -85,8 +85,8 @@
         owner = (await c.get(f"{LEASES}work/site/{service}")).rows[0]
         held = leases.unpack(owner.value) if owner.value is not None else None
         who = (
-            f"{held.holder.split('@')[0]}, token {leases.written(held.token)}"
-            if (held is not None and held.held)
+            f"{held.holder.split('@')[0]}, token {leases.format_token(held.token)}"
+            if (held is not None and held.is_held)
             else "nobody"
         )
         blind = seen.look.blind
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -28,8 +28,8 @@
 from loadbalancer.daemon.endpoint_rows import RowTable, RowWriter, said
 from loadbalancer.daemon.endpoint_source import Follower
 from loadbalancer.daemon.persisted import SavedEndpoint, SavedList, decoded, load_list, save_list
-from loadbalancer.leases.fence import Word
-from loadbalancer.leases.table import written
+from loadbalancer.leases.fence import FencingPosition
+from loadbalancer.leases.table import format_token
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery import Discovery
 from loadbalancer.proxy.policy_driver import Driver
@@ -301,7 +301,9 @@
             found = await self.client.get(*self.keys, self.table.keys.list)
         now = clock_ns()
         saved = decoded(found.rows[0], SavedList)
-        self.follower.learn(Word(saved.token, saved.number) if saved else Word(), now)
+        self.follower.learn(
+            FencingPosition(saved.token, saved.number) if saved else FencingPosition(), now
+        )
         if self.table is not None:
             self.follower.learn(said(found.rows[2]), now)
         self._list(found.rows[0])
@@ -340,18 +342,18 @@
             return  # of a program without owners
         if self.table is not None and self.table.said.token >= saved.token:
             return  # the rows say it
-        if self._heeds(row.key, Word(saved.token, saved.number)):
+        if self._heeds(row.key, FencingPosition(saved.token, saved.number)):
             self.mirrors = False
             self.driver.learn(api.EndpointListKind.FULL, self.reach.from_here(load_list(saved)))
 
-    def _heeds(self, key: str, word: Word) -> bool:
+    def _heeds(self, key: str, word: FencingPosition) -> bool:
         if self.follower.listed(word, clock_ns()):
             return True
         log.info(
             "%s: the word of token %s is not heeded: token %s was heard",
             key,
-            written(word.token),
-            written(self.follower.receiver.highest.token),
+            format_token(word.token),
+            format_token(self.follower.receiver.highest.token),
         )
         return False
 
@@ -389,7 +391,7 @@
                 False  # a list without an upstream is not believed; nor does its owner put one
             )
             return
-        if not self.follower.receiver.learnt:
+        if not self.follower.receiver.is_initialized:
             # No majority was heard yet: good enough to begin with, where there is nothing else.
             age = age_s(table.word.at)
             young = age is None or age < OLDEST_S
@@ -410,7 +412,9 @@
     def _stands(self, row: Row) -> None:
         standing = decoded(row, Standing)
         if standing is not None:
-            self.follower.stands(Word(standing.token, standing.number), standing.beat, clock_ns())
+            self.follower.stands(
+                FencingPosition(standing.token, standing.number), standing.beat, clock_ns()
+            )
 
     async def look(self) -> None:
         """Ask discovery by itself, where the owner's word is old or missing."""
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -16,7 +16,7 @@
 from loadbalancer.daemon import row_codec
 from loadbalancer.daemon.persisted import SavedList, decoded, save_list
 from loadbalancer.daemon.row_codec import Keys, ListRow, differences
-from loadbalancer.leases.fence import Word
+from loadbalancer.leases.fence import FencingPosition
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import MOST_OPS, Op
@@ -131,7 +131,7 @@
         self.came = asyncio.Event()
 
     @property
-    def said(self) -> Word:
+    def said(self) -> FencingPosition:
         return _order(self.word)
 
     def take(self, whole: bool, changed: Iterable[Row]) -> list[Endpoint]:
@@ -188,13 +188,13 @@
         return self.saved
 
 
-def said(row: protocol.Row) -> Word:
+def said(row: protocol.Row) -> FencingPosition:
     """Of the owner's word, as it stands in the store, its place among others."""
     return _order(_word(row))
 
 
-def _order(word: ListRow | None) -> Word:
-    return Word(word.token, word.number) if word is not None else Word()
+def _order(word: ListRow | None) -> FencingPosition:
+    return FencingPosition(word.token, word.number) if word is not None else FencingPosition()
 
 
 def _word(row: protocol.Row) -> ListRow | None:
--- a/loadbalancer/daemon/endpoint_source.py
+++ b/loadbalancer/daemon/endpoint_source.py
@@ -9,7 +9,7 @@
 
 import random
 
-from loadbalancer.leases.fence import Receiver, Word
+from loadbalancer.leases.fence import FencedReceiver, FencingPosition
 
 SECOND = 1_000_000_000
 OLD_NS = 12 * SECOND  # three times what the owner's watch of discovery may be silent
@@ -23,7 +23,7 @@
 class Follower:
     def __init__(self, balancers: int, rng: random.Random, now: int) -> None:
         self.rng = rng
-        self.receiver = Receiver(Word())
+        self.receiver = FencedReceiver(FencingPosition())
         self.beat = 0  # how often the owner said that its list stands
         self.heard_ns = now  # the owner's last new word
         self.owner = False
@@ -35,21 +35,21 @@
         self.owner = on
         self.heard_ns, self.ask_ns = now, 0
 
-    def learn(self, word: Word, now: int) -> None:
+    def learn(self, word: FencingPosition, now: int) -> None:
         """What a majority has: heard before any other word is heeded."""
         self.receiver.learn(word)
         if word.token:
             self._fresh(now)
 
-    def listed(self, word: Word, now: int) -> bool:
+    def listed(self, word: FencingPosition, now: int) -> bool:
         """A list came. May it be gone by?"""
-        if not self.receiver.heed(word):
+        if not self.receiver.accept(word):
             return False
         self.empty = False
         self._fresh(now)
         return True
 
-    def stands(self, word: Word, beat: int, now: int) -> None:
+    def stands(self, word: FencingPosition, beat: int, now: int) -> None:
         """The owner said that its list is still discovery's."""
         if word == self.receiver.highest and beat > self.beat:
             self._fresh(now)
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -103,7 +103,7 @@
     names = await client.scan(keys.names, stale=stale)
     live = set()
     for row in names.rows:
-        if row.value is not None and table.unpack(row.value).held:
+        if row.value is not None and table.unpack(row.value).is_held:
             live.add(row.key.removeprefix(keys.names))
     seen: dict[str, Seen] = {}
     for row in reports.rows:
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -28,8 +28,8 @@
 from loadbalancer.failover.site_reports import Row as Own
 from loadbalancer.failover.site_state import Aim, Course
 from loadbalancer.failover.traffic_shares import Orders
-from loadbalancer.leases.fence import Receiver, Word
-from loadbalancer.leases.table import written
+from loadbalancer.leases.fence import FencedReceiver, FencingPosition
+from loadbalancer.leases.table import format_token
 from loadbalancer.policy import api
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Report
@@ -116,7 +116,7 @@
         self.member = Member(
             driver.settings.zone, balancer, driver.settings.instance_count, rng, clock_ns()
         )
-        self.receiver = Receiver(Word())
+        self.receiver = FencedReceiver(FencingPosition())
         self.doc = PlanDoc()
         self.beat = 0
         self.fresh = False
@@ -195,7 +195,7 @@
         """First what a majority has, then each change behind it. Raises StoreError."""
         found = await self.client.get(self.keys.plan, self.keys.stands, self.keys.tables)
         doc = decoded(found.rows[0], PlanDoc)
-        self.receiver.learn(Word(doc.token, doc.number) if doc else Word())
+        self.receiver.learn(FencingPosition(doc.token, doc.number) if doc else FencingPosition())
         self._planned(found.rows[0])
         self._tabled(found.rows[2])
         async for told in self.client.watch(self.keys.prefix, found.revision):
@@ -214,12 +214,12 @@
         doc = decoded(row, PlanDoc)
         if doc is None:
             return
-        if not self.receiver.heed(Word(doc.token, doc.number)):
+        if not self.receiver.accept(FencingPosition(doc.token, doc.number)):
             log.info(
                 "%s: the word of token %s is not heeded: token %s was heard",
                 row.key,
-                written(doc.token),
-                written(self.receiver.highest.token),
+                format_token(doc.token),
+                format_token(self.receiver.highest.token),
             )
             return
         for course in doc.courses:
@@ -240,7 +240,7 @@
         stands = decoded(row, Stands)
         if stands is not None:
             if (
-                Word(stands.token, stands.number) == self.receiver.highest
+                FencingPosition(stands.token, stands.number) == self.receiver.highest
                 and stands.beat != self.beat
             ):
                 self.member.stands(clock_ns())
@@ -248,7 +248,9 @@
 
     def _tabled(self, row: Row) -> None:
         doc = decoded(row, TablesDoc)
-        if doc is not None and not Word(doc.token).before(Word(self.receiver.highest.token)):
+        if doc is not None and not FencingPosition(doc.token).is_before(
+            FencingPosition(self.receiver.highest.token)
+        ):
             self.member.tables = {
                 frozenset(t.lost): replace(t.orders, shares=doc.shares) for t in doc.tables
             }
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -84,7 +84,7 @@
     live = {
         row.key.removeprefix(keys.names)
         for row in names.rows
-        if row.value is not None and leases.unpack(row.value).held
+        if row.value is not None and leases.unpack(row.value).is_held
     }
     rows: dict[str, Told] = {}
     for row in scanned.rows:
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -173,7 +173,7 @@
 
     def _named(self, lease: Lease) -> None:
         """Another process has this name, and none of the two is taking over from the other."""
-        if not lease.held or lease.claim == self.name.holder.claim or self.named_s:
+        if not lease.is_held or lease.claim == self.name.holder.claim or self.named_s:
             return
         if self.parts.disabled.siblings.alone:
             self.named_s = time.monotonic()
@@ -355,7 +355,7 @@
                 value = msgspec.json.encode(save_learnt(known, endpoints_of(driver)))
                 await self.name.write([Op(learnt, value)], within_s=within_s)
         if self.name.holder.failures >= SILENT:
-            self._lost(self.name.holder.why)
+            self._lost(self.name.holder.reason)
         else:
             self._found()
 
--- a/loadbalancer/leases/expiry.py
+++ b/loadbalancer/leases/expiry.py
@@ -1,78 +1,86 @@
-"""The store's leader counts the time of leases; nobody else does. It counts from when it applied a
-claim, and a new leader lets each run its full time again: an owner, which counts from before it
-sent, is always done first, whatever became of answers and leaders, as long as no clock runs faster
-than the owner allows for.
+"""Expiry of leases, counted by the store's leader and by no other node.
+
+The leader counts from when it applied a claim, and a new leader lets each claim run its full TTL
+again. A lease holder counts from before it sent the claim, so it always stops first, whatever
+becomes of responses and leaders, as long as no clock runs faster than the holder allows for.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Iterable
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
-MS = 1_000_000
-STEP_NS = (
-    500 * MS
-)  # a clock that moves on by more between two looks was stopped, and renewals lie unread
+NS_PER_MS: Final = 1_000_000
+# A clock that moves on by more between two calls was stopped, and renewals lie unread.
+MAX_CLOCK_STEP_NS: Final = 500 * NS_PER_MS
 
 
-class Running(NamedTuple):
-    """A claim and its time; `round` counts how often it was renewed; 0 ms: it is over."""
+class ActiveClaim(NamedTuple):
+    """A claim and its TTL. A TTL of 0 ms says that the claim has ended."""
 
     lease: str
     claim: int
-    round: int
+    round: int  # how often it was renewed
     ttl_ms: int
 
 
-class Expiry:
-    def __init__(self, running: Iterable[Running], now: int) -> None:
-        self.at = now
-        self.stopped = 0  # time that does not count, in which this process stood still
-        self.running: dict[tuple[str, int], tuple[int, Running]] = {}
-        self.due: list[tuple[int, str, int]] = []
-        for one in running:
-            self.note(one, now)
-
-    def _move(self, now: int) -> None:
-        self.stopped += max(0, now - self.at - STEP_NS)
-        self.at = max(self.at, now)
-
-    def note(self, one: Running, now: int) -> None:
-        """A claim was made, renewed or is over."""
-        self._move(now)
-        key = one.lease, one.claim
-        if one.ttl_ms <= 0:
-            self.running.pop(key, None)
+class LeaseExpiry:
+    """Deadlines of all active claims, on the clock of the store's leader."""
+
+    def __init__(self, claims: Iterable[ActiveClaim], now: int) -> None:
+        self.now_ns = now
+        self.paused_ns = 0  # time in which this process was stopped; it does not count
+        self.claims: dict[tuple[str, int], tuple[int, ActiveClaim]] = {}
+        self.deadlines: list[tuple[int, str, int]] = []
+        for claim in claims:
+            self.record(claim, now)
+
+    def _advance(self, now: int) -> None:
+        self.paused_ns += max(0, now - self.now_ns - MAX_CLOCK_STEP_NS)
+        self.now_ns = max(self.now_ns, now)
+
+    @property
+    def _running_ns(self) -> int:
+        """The clock without the time in which this process was stopped."""
+        return self.now_ns - self.paused_ns
+
+    def record(self, claim: ActiveClaim, now: int) -> None:
+        """Note that a claim was made, renewed or ended."""
+        self._advance(now)
+        key = claim.lease, claim.claim
+        if claim.ttl_ms <= 0:
+            self.claims.pop(key, None)
             return
-        until = self.at - self.stopped + one.ttl_ms * MS
-        known = key in self.running
-        self.running[key] = until, one
-        if not known:
-            heapq.heappush(self.due, (until, *key))
-
-    def lapsed(self, now: int) -> list[Running]:
-        """Those whose time is over, each once a time; it stays known until the log says that it is
-        gone.
+        deadline = self._running_ns + claim.ttl_ms * NS_PER_MS
+        is_known = key in self.claims
+        self.claims[key] = deadline, claim
+        if not is_known:
+            heapq.heappush(self.deadlines, (deadline, *key))
+
+    def take_expired(self, now: int) -> list[ActiveClaim]:
+        """Return the claims whose TTL has run out, each once per TTL.
+
+        A claim stays active until the log ends it: what the leader proposes may be lost.
         """
-        self._move(now)
-        over = []
-        while self.due and self.due[0][0] <= self.at - self.stopped:
-            _, lease, claim = heapq.heappop(self.due)
-            found = self.running.get((lease, claim))
+        self._advance(now)
+        expired = []
+        while self.deadlines and self.deadlines[0][0] <= self._running_ns:
+            _, lease, number = heapq.heappop(self.deadlines)
+            found = self.claims.get((lease, number))
             if found is None:
                 continue
-            until, one = found
-            if until <= self.at - self.stopped:
-                over.append(one)
-                until = self.at - self.stopped + one.ttl_ms * MS  # what was proposed may be lost
-                self.running[lease, claim] = until, one
-            heapq.heappush(self.due, (until, lease, claim))
-        return over
+            deadline, claim = found
+            if deadline <= self._running_ns:
+                expired.append(claim)
+                deadline = self._running_ns + claim.ttl_ms * NS_PER_MS
+                self.claims[lease, number] = deadline, claim
+            heapq.heappush(self.deadlines, (deadline, lease, number))
+        return expired
 
     @property
-    def wake_ns(self) -> int:
-        """When to look again, on the clock that is handed in; 0: nothing runs."""
-        if not self.due:
-            return 0
-        return min(self.due[0][0] + self.stopped, self.at + STEP_NS)
+    def wake_ns(self) -> int | None:
+        """When to call `take_expired` next, on the caller's clock. None: no claim is active."""
+        if not self.deadlines:
+            return None
+        return min(self.deadlines[0][0] + self.paused_ns, self.now_ns + MAX_CLOCK_STEP_NS)
--- a/loadbalancer/leases/fence.py
+++ b/loadbalancer/leases/fence.py
@@ -1,4 +1,4 @@
-"""What a process that acts on the words of an owner remembers: nothing older is heeded any more."""
+"""Fencing on the receiver's side: an order of a superseded leader is rejected."""
 
 from __future__ import annotations
 
@@ -6,36 +6,43 @@
 
 
 @dataclass(slots=True)
-class Word:
-    """An owner's word, in the order that the log gives: by token, then by the owner's own count."""
+class FencingPosition:
+    """Where an order stands: by fencing token, then by the leader's own sequence number."""
 
     token: int = 0
     number: int = 0
 
-    def before(self, other: Word) -> bool:
+    def is_before(self, other: FencingPosition) -> bool:
+        """Return whether this order is older than the other."""
         return (self.token, self.number) < (other.token, other.number)
 
 
 @dataclass(slots=True)
-class Receiver:
-    """`heed` tells whether a word may be acted on. After a restart nothing is, until `learn` was
-    told what a majority holds, or what this process kept on disk: a node that lags, or a copy, may
-    say what was long taken back.
+class FencedReceiver:
+    """Accepts orders that are no older than the newest one accepted so far.
+
+    After a restart nothing is accepted before `learn` was called with what a majority of the store
+    holds, or with what this process persisted: a lagging node, or a stale copy, may repeat orders
+    that were superseded long ago.
     """
 
-    highest: Word
-    learnt: bool = False
-    ignored: int = 0  # older words that came
+    highest: FencingPosition
+    is_initialized: bool = False
+    rejected: int = 0  # orders that were too old
+
+    def learn(self, position: FencingPosition) -> None:
+        """Take over a position from an authoritative source, and begin to accept orders."""
+        if self.highest.is_before(position):
+            self.highest = position
+        self.is_initialized = True
 
-    def learn(self, word: Word) -> None:
-        if self.highest.before(word):
-            self.highest = word
-        self.learnt = True
+    def accept(self, position: FencingPosition) -> bool:
+        """Return whether the order may be carried out.
 
-    def heed(self, word: Word) -> bool:
-        """The same word again is heeded: it changes nothing."""
-        if not self.learnt or word.before(self.highest):
-            self.ignored += 1
+        A repeated order is accepted: it changes nothing.
+        """
+        if not self.is_initialized or position.is_before(self.highest):
+            self.rejected += 1
             return False
-        self.highest = word
+        self.highest = position
         return True
--- a/loadbalancer/leases/holder.py
+++ b/loadbalancer/leases/holder.py
@@ -1,10 +1,9 @@
-"""One process's side of a lease: it asks, waits its turn, holds, shows that it is there, gives
-back.
+"""One process's side of a lease: it claims, queues, holds, renews and releases.
 
-Time counts from before a claim was **sent**, less what this clock may run slower than the store's
-leader's: then it is over, whether anybody says so or not. A shell hands in the clock, what the
-store answered and what a watch told; it carries out what `take` gives; and before each effect,
-after each pause, it asks `token`.
+The TTL counts from before a claim was **sent**, less what this clock may run slower than that of
+the store's leader: then the lease is over, whether anybody says so or not. A shell hands in the
+clock, the store's responses and watch events, carries out the requests that `next_request` gives,
+and calls `token` before each effect and after each pause.
 """
 
 from __future__ import annotations
@@ -12,204 +11,274 @@
 import random
 from dataclasses import dataclass
 from enum import Enum
+from typing import Final
 
-from loadbalancer.leases.table import MOST_WAITING, Lease
+from loadbalancer.leases.table import MAX_CANDIDATES, Lease
 
-MS = 1_000_000
-DRIFT = (
-    0.1  # a clock that runs slow by less than this leaves no gap; beyond it only the token protects
-)
-RENEW_PART = 1 / 3  # of the time, between two renewals
-WAIT_PART = 1.0  # of it, between two words of a candidate, which is gone after twice its time
-AGAIN_PART = (
-    1 / 12
-)  # of the time, before what failed is asked again; it doubles up to a renewal's distance
-BEGIN_NS = (
-    200 * MS
-)  # first claims of a lease that is free are spread over this, by the share of the time
+NS_PER_MS: Final = 1_000_000
+# A clock that runs slow by less than this leaves no gap; beyond it only the token protects.
+MAX_CLOCK_DRIFT: Final = 0.1
+# Fractions of the TTL:
+RENEWAL_FRACTION: Final = 1 / 3  # between two renewals
+CANDIDACY_FRACTION: Final = 1.0  # between two claims of a candidate, which expires after two TTLs
+RETRY_FRACTION: Final = 1 / 12  # before a first retry; it doubles up to the renewal interval
+IDLE_FRACTION: Final = 1.0  # before a process claims that found no room among the candidates
+MAX_BACKOFF_DOUBLINGS: Final = 8
+# First claims of a free lease are spread over this, at most a renewal interval.
+FIRST_CLAIM_SPREAD_NS: Final = 200 * NS_PER_MS
 
 
 class Phase(Enum):
-    OUT = "out"  # it does not want the lease, or looks on as there is no room
-    ASKING = "asking"  # its claim is on the way, or will be
-    WAITING = "waiting"  # a candidate
+    """What a process is to the lease."""
+
+    IDLE = "idle"  # it does not want the lease, or observes as there is no room for candidates
+    CLAIMING = "claiming"  # its claim is in flight, or will be
+    QUEUED = "queued"  # a candidate
     HELD = "held"
-    LEFT = "left"  # given back: this claim never returns
+    RELEASED = "released"  # for good: this claim never returns
+
+
+class RequestKind(Enum):
+    """What is asked of the store."""
+
+    CLAIM = "claim"
+    RELEASE = "release"
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Carry out, and tell how it ended with `answered` or `failed`. `token` is that of a
-    release.
-    """
+class LeaseRequest:
+    """A request to carry out; its end is reported by `response_received` or `request_failed`."""
 
-    what: str  # claim or release
+    kind: RequestKind
     number: int
-    token: int = 0
+    token: int = 0  # of a release
 
 
-class Holder:
+class LeaseHolder:
+    """The state machine of one claim on one lease, by a process that wants to lead a task."""
+
     def __init__(self, name: str, claim: int, ttl_ns: int, rng: random.Random, now: int) -> None:
-        """`claim`: drawn for this life of the process, and of no other."""
+        """Begin without the lease.
+
+        Args:
+            name: This process's name among the candidates.
+            claim: A number drawn for this incarnation of the process, and for no other.
+            ttl_ns: How long the lease lasts without a renewal.
+            rng: Spreads the requests of many processes.
+            now: The clock.
+        """
         self.name = name
         self.claim = claim
         self.ttl_ns = ttl_ns
         self.rng = rng
-        self.phase = Phase.OUT
-        self.at = now
-        self.until_ns = 0  # it may act until then
+        self.phase = Phase.IDLE
+        self.now_ns = now
+        self.expires_ns = 0
         self._token = 0
-        self.place = 0
-        self.due_ns = 0  # when to ask next; 0: on word from the watch only
-        self.out: Ask | None = None
+        self.queue_position = 0
+        self.due_ns: int | None = None  # the next claim; None: after a watch event only
+        self.in_flight: LeaseRequest | None = None
         self.sent_ns = 0
-        self.number = 0
+        self.request_count = 0
         self.failures = 0
-        self.why = ""  # what the store said last, where it did not take a claim
-        self.leaving = False
+        self.reason = ""  # why the store last rejected a claim
+        self.is_leaving = False
 
-    def _now(self, now: int) -> int:
-        """A clock that jumps back stands still."""
-        self.at = max(self.at, now)
-        return self.at
+    def _advance(self, now: int) -> int:
+        """Move the clock on; one that jumps back stands still."""
+        self.now_ns = max(self.now_ns, now)
+        return self.now_ns
 
     # ---- what may be done ------------------------------------------------------------------------
 
     def token(self, now: int) -> int:
-        """The token to act with right now; 0: it may not. To be asked before each effect."""
-        now = self._now(now)
-        if self.phase is Phase.HELD and now >= self.until_ns:
-            self._lose(now)
-        return self._token if self.phase is Phase.HELD and not self.leaving else 0
-
-    def _lose(self, now: int) -> None:
-        """Its time ran out unheard: whoever has it now, it asks anew."""
-        self.phase, self._token, self.until_ns = Phase.ASKING, 0, 0
-        if self.out is None:
+        """Return the fencing token to act under right now; 0: no effect is permitted."""
+        now = self._advance(now)
+        if self.phase is Phase.HELD and now >= self.expires_ns:
+            self._expire(now)
+        return self._token if self.phase is Phase.HELD and not self.is_leaving else 0
+
+    def _enter(self, phase: Phase) -> None:
+        """Enter a phase without the lease."""
+        self.phase = phase
+        self._token = 0
+        self.expires_ns = 0
+
+    def _expire(self, now: int) -> None:
+        """The TTL ran out without a renewal: claim anew, whoever holds the lease by now."""
+        self._enter(Phase.CLAIMING)
+        if self.in_flight is None:
             self.due_ns = now
 
     # ---- events ----------------------------------------------------------------------------------
 
-    def seen(self, lease: Lease | None, now: int) -> None:
-        """The row as some node has it, late or not: it tells when to ask, never what one holds."""
-        now = self._now(now)
-        if self.phase is Phase.LEFT or self.leaving:
+    def lease_observed(self, lease: Lease | None, now: int) -> None:
+        """Take in the lease as some node has it, late or not.
+
+        It says when to claim, never what this process holds.
+        """
+        now = self._advance(now)
+        if self.phase is Phase.RELEASED or self.is_leaving:
             return
         if lease is not None and lease.holder and lease.claim == self.claim:
-            if self.phase is not Phase.HELD and self.out is None:  # offered: take it
+            if self.phase is not Phase.HELD and self.in_flight is None:  # offered: take it
                 self.due_ns = now
             return
         if self.phase is Phase.HELD:
-            if (
-                lease is not None and lease.token > self._token
-            ):  # the log's own word that it went on
-                self._lose(now)
-                self.due_ns = self.due_ns and now + self._spread(RENEW_PART)
-            return
-        if self.phase is Phase.OUT and self.out is None and not self.due_ns:
-            free = lease is None or not lease.holder
-            if free:
-                self.due_ns = now + int(self.rng.random() * min(BEGIN_NS, self.ttl_ns * RENEW_PART))
-            elif lease is not None and len(lease.waiting) < MOST_WAITING:
-                # Room among the candidates: no hurry, and not all who look on together.
-                self.due_ns = now + self._spread(1.0)
-
-    def full(self, lease: Lease | None) -> bool:
-        """Is there no use in asking now?"""
+            self._observed_while_held(lease, now)
+        elif self.phase is Phase.IDLE and self.in_flight is None and self.due_ns is None:
+            self._observed_while_idle(lease, now)
+
+    def _observed_while_held(self, lease: Lease | None, now: int) -> None:
+        if lease is None or lease.token <= self._token:
+            return  # from a node that lags
+        self._expire(now)
+        if self.due_ns is not None:
+            self.due_ns = now + self._spread(RENEWAL_FRACTION)
+
+    def _observed_while_idle(self, lease: Lease | None, now: int) -> None:
+        if lease is None or not lease.holder:
+            spread_ns = min(FIRST_CLAIM_SPREAD_NS, self.ttl_ns * RENEWAL_FRACTION)
+            self.due_ns = now + int(self.rng.random() * spread_ns)
+        elif len(lease.candidates) < MAX_CANDIDATES:
+            # Room among the candidates: no hurry, and not all observers at once.
+            self.due_ns = now + self._spread(IDLE_FRACTION)
+
+    def is_hopeless(self, lease: Lease | None) -> bool:
+        """Return whether a claim would be rejected, as there is no room among the candidates."""
         return (
             lease is not None
             and bool(lease.holder)
             and lease.claim != self.claim
-            and len(lease.waiting) >= MOST_WAITING
-            and all(c.claim != self.claim for c in lease.waiting)
+            and len(lease.candidates) >= MAX_CANDIDATES
+            and all(candidate.claim != self.claim for candidate in lease.candidates)
         )
 
-    def take(self, now: int, lease: Lease | None = None) -> Ask | None:
-        """What is to be asked now, if anything; one thing at a time. `lease`: as last seen."""
-        now = self._now(now)
+    def next_request(self, now: int, lease: Lease | None = None) -> LeaseRequest | None:
+        """Return the request to send now, if any; one is in flight at a time.
+
+        Args:
+            now: The clock.
+            lease: The lease as last observed.
+        """
+        now = self._advance(now)
         self.token(now)
-        if self.out is not None or self.phase is Phase.LEFT:
+        if self.in_flight is not None or self.phase is Phase.RELEASED:
             return None
-        if self.leaving:
-            self.number += 1
-            self.out = Ask("release", self.number, self._token)
-            return self.out
-        if not self.due_ns or now < self.due_ns:
+        if self.is_leaving:
+            return self._request(RequestKind.RELEASE, self._token)
+        if self.due_ns is None or now < self.due_ns:
             return None
-        if self.phase is Phase.OUT and self.full(lease):
-            self.due_ns = 0
+        if self.phase is Phase.IDLE and self.is_hopeless(lease):
+            self.due_ns = None
             return None
-        self.number += 1
-        self.due_ns, self.sent_ns = 0, now
-        self.out = Ask("claim", self.number)
-        if self.phase is Phase.OUT:
-            self.phase = Phase.ASKING
-        return self.out
-
-    def answered(self, number: int, token: int, place: int, why: str, now: int) -> None:
-        """The store's answer: a token, or a place among the candidates, or why not."""
-        now = self._now(now)
-        if self.out is None or self.out.number != number:
-            return
-        asked, self.out = self.out, None
-        self.failures, self.why = 0, why
-        if asked.what == "release":
-            self.phase, self._token, self.until_ns = Phase.LEFT, 0, 0
+        self.due_ns = None
+        self.sent_ns = now
+        if self.phase is Phase.IDLE:
+            self.phase = Phase.CLAIMING
+        return self._request(RequestKind.CLAIM)
+
+    def _request(self, kind: RequestKind, token: int = 0) -> LeaseRequest:
+        self.request_count += 1
+        self.in_flight = LeaseRequest(kind, self.request_count, token)
+        return self.in_flight
+
+    def _finish_request(self, number: int) -> LeaseRequest | None:
+        """The request in flight, if it bears this number; it is in flight no more."""
+        request = self.in_flight
+        if request is None or request.number != number:
+            return None
+        self.in_flight = None
+        return request
+
+    def response_received(
+        self, number: int, token: int, queue_position: int, reason: str, now: int
+    ) -> None:
+        """Take in the store's response: a token, a position among the candidates, or neither.
+
+        Args:
+            number: The request's.
+            token: The fencing token granted; 0: none.
+            queue_position: Among the candidates, from 1; 0: not queued.
+            reason: Why a claim was rejected.
+            now: The clock.
+        """
+        now = self._advance(now)
+        request = self._finish_request(number)
+        if request is None:
             return
-        if token:
-            until = self.sent_ns + int(self.ttl_ns * (1 - DRIFT))
-            self.place = 0
-            self._token = token
-            self.phase = Phase.HELD
-            self.until_ns = max(self.until_ns, until)
-            self.due_ns = max(now, self.sent_ns + self._spread(RENEW_PART))
-            self.token(now)  # an answer may come when all is over
-        elif place:
-            self.phase, self._token, self.place = Phase.WAITING, 0, place
-            self.due_ns = now + self._spread(WAIT_PART)
+        self.failures = 0
+        self.reason = reason
+        if request.kind is RequestKind.RELEASE:
+            self._enter(Phase.RELEASED)
+        elif token:
+            self._granted(token, now)
+        elif queue_position:
+            self.phase = Phase.QUEUED
+            self._token = 0
+            self.queue_position = queue_position
+            self.due_ns = now + self._spread(CANDIDACY_FRACTION)
         else:
-            # No room, or the claim was given back: word from the watch brings it on again.
-            self.phase, self._token, self.place = Phase.OUT, 0, 0
-            self.due_ns = now + self._spread(1.0)
-
-    def failed(self, number: int, why: str, now: int) -> None:
-        """It is not known whether the store took it. An owner goes on to its own end of time."""
-        now = self._now(now)
-        if self.out is None or self.out.number != number:
+            # No room, or the claim was released: a watch event may bring the next claim on.
+            self.phase = Phase.IDLE
+            self._token = 0
+            self.queue_position = 0
+            self.due_ns = now + self._spread(IDLE_FRACTION)
+
+    def _granted(self, token: int, now: int) -> None:
+        self.phase = Phase.HELD
+        self._token = token
+        self.queue_position = 0
+        expires_ns = self.sent_ns + int(self.ttl_ns * (1 - MAX_CLOCK_DRIFT))
+        self.expires_ns = max(self.expires_ns, expires_ns)
+        self.due_ns = max(now, self.sent_ns + self._spread(RENEWAL_FRACTION))
+        self.token(now)  # a response may come when the TTL has run out
+
+    def request_failed(self, number: int, reason: str, now: int) -> None:
+        """Take in that a request had no response: whether the store took it is unknown.
+
+        A holder goes on until its TTL runs out.
+        """
+        now = self._advance(now)
+        request = self._finish_request(number)
+        if request is None:
             return
-        asked, self.out = self.out, None
-        self.why = why
+        self.reason = reason
         self.failures += 1
-        if asked.what == "release":
-            self.phase, self._token, self.until_ns = Phase.LEFT, 0, 0  # its time ends it
+        if request.kind is RequestKind.RELEASE:
+            self._enter(Phase.RELEASED)  # the store ends the lease after its TTL
             return
-        wait = min(AGAIN_PART * 2.0 ** min(self.failures - 1, 8), RENEW_PART)
-        self.due_ns = now + self._spread(wait)
+        doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
+        backoff = min(RETRY_FRACTION * 2.0**doublings, RENEWAL_FRACTION)
+        self.due_ns = now + self._spread(backoff)
 
     def leave(self, now: int) -> None:
-        """Give it back, in one message; no effect may follow."""
-        self._now(now)
-        if self.phase is Phase.LEFT or self.leaving:
+        """Release the lease, or the candidacy, with one request; no effect may follow."""
+        self._advance(now)
+        if self.phase is Phase.RELEASED or self.is_leaving:
             return
-        if self.phase is Phase.OUT and self.out is None:
-            self.phase, self.due_ns = Phase.LEFT, 0
+        if self.phase is Phase.IDLE and self.in_flight is None:
+            self.phase = Phase.RELEASED
+            self.due_ns = None
             return
-        self.leaving = True
-        if self.out is not None and self.out.what == "claim":
-            self.out = None  # its answer, if one comes, is that of a claim which is given back
+        self.is_leaving = True
+        if self.in_flight is not None and self.in_flight.kind is RequestKind.CLAIM:
+            self.in_flight = None  # its response, if one comes, is that of a released claim
 
-    def _spread(self, part: float) -> int:
-        """Not two processes at one beat."""
-        return int(self.ttl_ns * part * self.rng.uniform(0.7, 1.0))
+    def _spread(self, fraction: float) -> int:
+        """A fraction of the TTL, with jitter: many processes must not send in step."""
+        return int(self.ttl_ns * fraction * self.rng.uniform(0.7, 1.0))
 
     @property
-    def wake_ns(self) -> int:
-        """When to look again; 0: only when something comes."""
-        if self.phase is Phase.LEFT:
-            return 0
-        if self.leaving and self.out is None:
-            return self.at
-        times = [self.due_ns] if self.due_ns and self.out is None else []
+    def wake_ns(self) -> int | None:
+        """When to call `next_request` next. None: only after an event."""
+        if self.phase is Phase.RELEASED:
+            return None
+        if self.is_leaving and self.in_flight is None:
+            return self.now_ns
+        times = []
+        if self.due_ns is not None and self.in_flight is None:
+            times.append(self.due_ns)
         if self.phase is Phase.HELD:
-            times.append(self.until_ns)
-        return min(times, default=0)
+            times.append(self.expires_ns)
+        return min(times, default=None)
--- a/loadbalancer/leases/table.py
+++ b/loadbalancer/leases/table.py
@@ -1,207 +1,234 @@
-"""A lease as the store's log makes it: who has it, under which token, and who waits. No clock: that
-its time is over is itself an entry of the log, which the store's leader proposes.
+"""A lease as the store's log makes it: who holds it, under which token, and who is queued.
+
+There is no clock here: that a TTL has run out is itself an entry of the log, proposed by the
+leader of the store.
 
 Terms: lease (Gray and Cheriton, 1989); sequencer (Burrows, "The Chubby lock service", 2.4), here
-fencing token. A token is drawn at each grant from one counter of the whole store that only grows,
-so none ever returns, and of two tokens of one lease the higher is the later.
+fencing token. A token is drawn at each grant from one counter of the store that only grows, so none
+ever returns, and of two tokens of one lease the higher is the later.
 """
 
 from __future__ import annotations
 
 import re
-from typing import Any, TypeVar
+from typing import Any, Final
 
 import msgspec
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
-MOST_NAME = 200  # characters, of a lease and of who asks for it
-MOST_WAITING = 5  # candidates that one lease keeps; the others look on and come when there is room
-MOST_LEFT = (
-    8  # claims that were given back, and that a message which comes late must not bring to life
-)
-LEAST_TTL_MS, MOST_TTL_MS = 100, 3_600_000
-OFFER_PART = 0.5  # of the time, within which a candidate takes what was offered to it
-EPOCH_BITS = 32  # a token is EPOCH * 2**32 + N; a store that was restored begins a new epoch
+NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
+MAX_NAME_CHARS: Final = 200  # of a lease, of a holder and of a note
+MAX_NAME_CHARS_SHOWN: Final = 60
+MAX_CANDIDATES: Final = 5  # of one lease; other processes observe and claim when there is room
+MAX_RELEASED_CLAIMS: Final = 8  # remembered, so that a late message does not renew one of them
+MIN_TTL_MS: Final = 100
+MAX_TTL_MS: Final = 3_600_000
+OFFER_FRACTION: Final = 0.5  # of the TTL, within which a candidate takes what was offered to it
+EPOCH_BITS: Final = 32  # a token is EPOCH * 2**32 + N; a restored store begins a new epoch
+CLAIM_LIMIT: Final = 1 << 63
 
 
-class Array(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Fields are only ever added at the end, with a default."""
+class ArrayStruct(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """Encoded by position: fields are only ever added at the end, with a default."""
 
 
-class Claimant(Array, frozen=True):
-    """A candidate. `claim` is drawn anew by each life of a process; the lower `rank`, the sooner
-    its turn.
-    """
+class Candidate(ArrayStruct, frozen=True):
+    """A process that claims a lease; the lower its `rank`, the sooner it is granted."""
 
     holder: str
-    claim: int
+    claim: int  # drawn anew by each incarnation of a process
     rank: int = 0
     ttl_ms: int = 0
     note: str = ""
 
 
-class Lease(Array, frozen=True):
-    """`token` is the last that was granted, whoever has it now; `holder` is empty where nobody has
-    it. `offered`: it is the holder's turn, which has not taken it yet. `since_ms`: the clock of who
-    asked, shown and never decided by.
-    """
+class Lease(ArrayStruct, frozen=True):
+    """A lease, held, offered or free."""
 
     name: str
-    token: int = 0
-    holder: str = ""
+    token: int = 0  # the last that was granted, whoever holds the lease now
+    holder: str = ""  # empty: nobody
     claim: int = 0
-    offered: bool = False
+    is_offered: bool = False  # granted to the first candidate, which has not taken it yet
     ttl_ms: int = 0
     note: str = ""
     rank: int = 0
-    since_ms: int = 0
-    waiting: tuple[Claimant, ...] = ()
-    left: tuple[int, ...] = ()  # claims given back
-    refused: int = 0  # writes under it that bore another token
+    since_ms: int = 0  # the claimant's clock: shown, and never decided by
+    candidates: tuple[Candidate, ...] = ()
+    released_claims: tuple[int, ...] = ()
+    rejected_writes: int = 0  # writes under this lease that bore another token
 
     @property
-    def held(self) -> bool:
-        """By somebody who may act."""
-        return bool(self.holder) and not self.offered
+    def is_held(self) -> bool:
+        """Whether somebody may act under it."""
+        return bool(self.holder) and not self.is_offered
 
-    def guards(self, token: int) -> bool:
-        """May a write that bears this token be made?"""
-        return self.held and token == self.token
+    def permits(self, token: int) -> bool:
+        """Return whether a write that bears this token may be made."""
+        return self.is_held and token == self.token
 
 
-_leases = msgspec.msgpack.Decoder(Lease)
+_lease_decoder = msgspec.msgpack.Decoder(Lease)
 _encoder = msgspec.msgpack.Encoder()
-T = TypeVar("T")
 
 
 def pack(lease: Lease) -> bytes:
+    """Encode a lease as it is stored."""
     return _encoder.encode(lease)
 
 
 def unpack(data: bytes) -> Lease:
-    """Raises ValueError."""
-    return _leases.decode(data)
+    """Decode a stored lease.
+
+    Raises:
+        ValueError: It is none.
+    """
+    return _lease_decoder.decode(data)
 
 
-def written(token: int) -> str:
-    """A token as people read it: with its epoch, where the store was ever restored."""
-    epoch, number = token >> EPOCH_BITS, token & ((1 << EPOCH_BITS) - 1)
+def format_token(token: int) -> str:
+    """Return a token as people read it: with its epoch, where the store was ever restored."""
+    epoch = token >> EPOCH_BITS
+    number = token & ((1 << EPOCH_BITS) - 1)
     return f"{epoch}.{number}" if epoch else str(number)
 
 
 def next_epoch(token: int, unix_s: int) -> int:
-    """The counter that a restored store begins with. What the lost one granted after the copy was
-    made is unknown, and another copy of it may be restored as well: the operator's clock, at this
-    one moment, tells them apart; it never goes back behind what the copy held.
+    """Return the token counter that a restored store begins with.
+
+    What the lost store granted after the copy was made is unknown, and another copy of it may be
+    restored as well: the operator's clock, at this one moment, tells them apart. The counter never
+    goes back behind what the copy held.
     """
     return max((token >> EPOCH_BITS) + 1, unix_s) << EPOCH_BITS
 
 
-def wrong(name: str, holder: str, claim: int, ttl_ms: int, note: str) -> str:
-    """The first thing about a claim that no state takes; empty: none. Part of the format."""
-    for what in (name, holder):
-        if len(what) > MOST_NAME or not NAME.match(what):
-            return f"{what[:60]!r} is no name"
-    if not 0 < claim < 1 << 63:
+def claim_fault(name: str, holder: str, claim: int, ttl_ms: int, note: str) -> str:
+    """Return the first thing about a claim that makes it invalid; empty: it is valid.
+
+    The texts are part of the replicated state: changing one is a change of format.
+    """
+    for text in (name, holder):
+        if len(text) > MAX_NAME_CHARS or not NAME.match(text):
+            return f"{text[:MAX_NAME_CHARS_SHOWN]!r} is no name"
+    if not 0 < claim < CLAIM_LIMIT:
         return "a claim is a number over 0"
-    if not LEAST_TTL_MS <= ttl_ms <= MOST_TTL_MS:
-        return f"a lease's time is {LEAST_TTL_MS} to {MOST_TTL_MS} ms"
-    return "" if len(note) <= MOST_NAME else f"a note has {MOST_NAME} characters at most"
+    if not MIN_TTL_MS <= ttl_ms <= MAX_TTL_MS:
+        return f"a lease's time is {MIN_TTL_MS} to {MAX_TTL_MS} ms"
+    return "" if len(note) <= MAX_NAME_CHARS else f"a note has {MAX_NAME_CHARS} characters at most"
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a command made of a lease. `token` is the claimant's own, 0 while it waits; `place`
-    counts the candidates ahead of it from 1; `why`: empty where the command was taken. `granted`: a
-    token was drawn
-    """
+    """What a command made of a lease."""
 
     lease: Lease
-    token: int = 0
-    place: int = 0
-    why: str = ""
-    granted: bool = False
+    token: int = 0  # the claimant's own; 0: it is queued
+    queue_position: int = 0  # among the candidates, from 1
+    reason: str = ""  # why the command was rejected; empty: it was taken
+    is_granted: bool = False  # a token was drawn
 
 
-def claim(lease: Lease, who: Claimant, token: int, time_ms: int) -> Outcome:
-    """Ask for a lease, or show that one is still there, as owner or candidate: the same words, any
-    number of times. `token` is the next that may be granted.
+def claim(lease: Lease, claimant: Candidate, token: int, time_ms: int) -> Outcome:
+    """Claim a lease, or renew it as its holder or a candidate; repeating it changes nothing more.
+
+    Args:
+        lease: As it stands.
+        claimant: Who claims.
+        token: The next that may be granted.
+        time_ms: The claimant's clock.
     """
-    if who.claim in lease.left:
-        return Outcome(lease, why="this claim was given back")
-    if lease.claim == who.claim and lease.holder:
-        if lease.offered:
-            lease = _with(lease, offered=False, since_ms=time_ms)
+    if claimant.claim in lease.released_claims:
+        return Outcome(lease, reason="this claim was given back")
+    if lease.claim == claimant.claim and lease.holder:
+        if lease.is_offered:
+            lease = _with(lease, is_offered=False, since_ms=time_ms)
         return Outcome(lease, lease.token)
     if not lease.holder:
-        others = tuple(c for c in lease.waiting if c.holder != who.holder)
-        fresh = _granted(_with(lease, waiting=others), who, token, False, time_ms)
-        return Outcome(fresh, token, granted=True)
-    # A process that began anew takes the place of its own earlier life: its rank may have changed.
-    queue = [c for c in lease.waiting if c.holder != who.holder]
-    was = next((c for c in lease.waiting if c.holder == who.holder), None)
-    if was is None and len(queue) >= MOST_WAITING:
-        return Outcome(lease, why="there is no room among the candidates")
-    if was is not None and was.rank == who.rank:
-        queue = [who if c.holder == who.holder else c for c in lease.waiting]
+        others = tuple(c for c in lease.candidates if c.holder != claimant.holder)
+        granted = _granted(_with(lease, candidates=others), claimant, token, time_ms)
+        return Outcome(granted, token, is_granted=True)
+    return _enqueue(lease, claimant)
+
+
+def _enqueue(lease: Lease, claimant: Candidate) -> Outcome:
+    """Queue a claimant; a process that restarted replaces its earlier incarnation.
+
+    It moves in the queue only where its rank changed.
+    """
+    queue = [c for c in lease.candidates if c.holder != claimant.holder]
+    earlier = next((c for c in lease.candidates if c.holder == claimant.holder), None)
+    if earlier is None and len(queue) >= MAX_CANDIDATES:
+        return Outcome(lease, reason="there is no room among the candidates")
+    if earlier is not None and earlier.rank == claimant.rank:
+        queue = [claimant if c.holder == claimant.holder else c for c in lease.candidates]
     else:
-        at = next((i for i, c in enumerate(queue) if c.rank > who.rank), len(queue))
-        queue.insert(at, who)
-    return Outcome(_with(lease, waiting=tuple(queue)), place=queue.index(who) + 1)
+        index = next((i for i, c in enumerate(queue) if c.rank > claimant.rank), len(queue))
+        queue.insert(index, claimant)
+    position = queue.index(claimant) + 1
+    return Outcome(_with(lease, candidates=tuple(queue)), queue_position=position)
 
 
-def release(lease: Lease, number: int, token: int, next_token: int, time_ms: int) -> Outcome:
-    """Give back, as owner or candidate, for good: a claim of the same number that comes later is
-    refused. `token`: only if it is held under this one; 0: whatever the claim has. What an owner of
-    earlier says changes nothing for the one of now.
+def release(lease: Lease, claim_number: int, token: int, next_token: int, time_ms: int) -> Outcome:
+    """Release a lease or a candidacy for good: a later claim of the same number is rejected.
+
+    Args:
+        lease: As it stands.
+        claim_number: Whose claim; that of an earlier holder changes nothing for the present one.
+        token: Release only if it is held under this one; 0: under any.
+        next_token: The next that may be granted.
+        time_ms: The clock of who releases.
     """
-    owns = bool(lease.holder) and lease.claim == number
-    if owns and token and token != lease.token:
-        return Outcome(lease, why="it is held under another token")
-    gone = _with(
-        lease,
-        left=lease.left if number in lease.left else (*lease.left, number)[-MOST_LEFT:],
-        waiting=tuple(c for c in lease.waiting if c.claim != number),
+    is_holder = bool(lease.holder) and lease.claim == claim_number
+    if is_holder and token and token != lease.token:
+        return Outcome(lease, reason="it is held under another token")
+    released = lease.released_claims
+    if claim_number not in released:
+        released = (*released, claim_number)[-MAX_RELEASED_CLAIMS:]
+    remaining = _with(
+        lease, released_claims=released, candidates=_without(lease.candidates, claim_number)
     )
-    return _passed(gone, next_token, time_ms) if owns else Outcome(gone)
+    return _pass_on(remaining, next_token, time_ms) if is_holder else Outcome(remaining)
+
+
+def lapse(lease: Lease, claim_number: int, next_token: int, time_ms: int = 0) -> Outcome:
+    """End a holder's, an offer's or a candidate's claim, whose TTL ran out."""
+    if any(c.claim == claim_number for c in lease.candidates):
+        return Outcome(_with(lease, candidates=_without(lease.candidates, claim_number)))
+    if not lease.holder or lease.claim != claim_number:
+        return Outcome(lease, reason="it is not held under this claim")
+    return _pass_on(lease, next_token, time_ms)
 
 
-def lapse(lease: Lease, number: int, next_token: int, time_ms: int = 0) -> Outcome:
-    """The time of an owner, an offer or a candidate is over."""
-    if any(c.claim == number for c in lease.waiting):
-        return Outcome(_with(lease, waiting=tuple(c for c in lease.waiting if c.claim != number)))
-    if not lease.holder or lease.claim != number:
-        return Outcome(lease, why="it is not held under this claim")
-    return _passed(lease, next_token, time_ms)
+def _without(candidates: tuple[Candidate, ...], claim_number: int) -> tuple[Candidate, ...]:
+    return tuple(c for c in candidates if c.claim != claim_number)
 
 
-def _passed(lease: Lease, token: int, time_ms: int) -> Outcome:
-    """Offered to whose turn it is, or free."""
-    if lease.waiting:
-        first = lease.waiting[0]
-        return Outcome(
-            _granted(_with(lease, waiting=lease.waiting[1:]), first, token, True, time_ms),
-            granted=True,
-        )
-    return Outcome(_with(lease, holder="", claim=0, offered=False, note="", since_ms=time_ms))
+def _pass_on(lease: Lease, token: int, time_ms: int) -> Outcome:
+    """Offer the lease to its first candidate, or free it."""
+    if lease.candidates:
+        first = lease.candidates[0]
+        queue = _with(lease, candidates=lease.candidates[1:])
+        offered = _with(_granted(queue, first, token, time_ms), is_offered=True)
+        return Outcome(offered, is_granted=True)
+    return Outcome(_with(lease, holder="", claim=0, is_offered=False, note="", since_ms=time_ms))
 
 
-def _granted(lease: Lease, who: Claimant, token: int, offered: bool, time_ms: int) -> Lease:
+def _granted(lease: Lease, claimant: Candidate, token: int, time_ms: int) -> Lease:
     return _with(
         lease,
         token=token,
-        holder=who.holder,
-        claim=who.claim,
-        offered=offered,
-        ttl_ms=who.ttl_ms,
-        note=who.note,
-        rank=who.rank,
+        holder=claimant.holder,
+        claim=claimant.claim,
+        is_offered=False,
+        ttl_ms=claimant.ttl_ms,
+        note=claimant.note,
+        rank=claimant.rank,
         since_ms=time_ms,
     )
 
 
-def refused(lease: Lease) -> Lease:
-    """A write under it bore a token that does not hold."""
-    return _with(lease, refused=lease.refused + 1)
+def write_rejected(lease: Lease) -> Lease:
+    """Count a write under this lease that bore a token which does not hold it."""
+    return _with(lease, rejected_writes=lease.rejected_writes + 1)
 
 
 def _with(lease: Lease, **changes: Any) -> Lease:
--- a/loadbalancer/store/durable/state.py
+++ b/loadbalancer/store/durable/state.py
@@ -23,8 +23,8 @@
 
 from loadbalancer.changefeed.messages import PREFIX
 from loadbalancer.leases import table
-from loadbalancer.leases.expiry import Running
-from loadbalancer.leases.table import Claimant, Lease
+from loadbalancer.leases.expiry import ActiveClaim
+from loadbalancer.leases.table import Candidate, Lease
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
     ANY,
@@ -141,7 +141,7 @@
             lease.name: lease for lease in self._leases()
         }  # as they stand, for whoever looks on
         self.touched: set[str] = set()  # keys that changed since last taken
-        self.claimed: list[Running] = []  # what was claimed, renewed or ended since last taken
+        self.claimed: list[ActiveClaim] = []  # what was claimed, renewed or ended since last taken
         self.fed: list[Event] = []  # changes of rows since last taken, in their order
 
     def _meta(self, name: str) -> Any:
@@ -300,14 +300,14 @@
             return Result(Code.REFUSED, index, (), why)
         for name, token in fences:
             lease = self._found(name)
-            if not lease.guards(token):
+            if not lease.permits(token):
                 if lease.token:
-                    self._put_lease(table.refused(lease), index, 0)
+                    self._put_lease(table.write_rejected(lease), index, 0)
                 return Result(
                     Code.FENCED,
                     index,
                     (lease.token,),
-                    f"{name} is not held under token {table.written(token)}",
+                    f"{name} is not held under token {table.format_token(token)}",
                 )
         checks = [
             *command.checks,
@@ -398,10 +398,10 @@
             return Result(Code.REFUSED, index, (), NOT_YET[2])
         why = ""
         if isinstance(command, Claim):
-            why = table.wrong(
+            why = table.claim_fault(
                 command.lease, command.holder, command.claim, command.ttl_ms, command.note
             )
-        elif len(command.lease) > table.MOST_NAME or not table.NAME.match(command.lease):
+        elif len(command.lease) > table.MAX_NAME_CHARS or not table.NAME.match(command.lease):
             why = "it is no name"
         if why:
             return Result(Code.REFUSED, index, (), why)
@@ -412,7 +412,7 @@
                     return Result(
                         Code.REFUSED, index, (), f"there are {MOST_LEASES} leases already"
                     )
-                who = Claimant(
+                who = Candidate(
                     command.holder, command.claim, command.rank, command.ttl_ms, command.note
                 )
                 made = table.claim(lease, who, token, command.time_ms)
@@ -422,13 +422,13 @@
                 if self._round(command.lease, command.claim) != command.round:
                     return Result(Code.DONE, index, (), "it was renewed since")
                 made = table.lapse(lease, command.claim, token, command.time_ms)
-        if made.granted:
+        if made.is_granted:
             self.tokens = token
             self._set(tokens=token)
-        if made.lease != lease and (lease.token or made.granted):
+        if made.lease != lease and (lease.token or made.is_granted):
             self._put_lease(made.lease, index, command.time_ms)
         self._note_rounds(lease, made.lease, command)
-        return Result(Code.DONE, index, (made.token, made.place), made.why)
+        return Result(Code.DONE, index, (made.token, made.queue_position), made.reason)
 
     def _room(self) -> bool:
         return (
@@ -457,7 +457,7 @@
         old, new = _times(was), _times(lease)
         for claim in old.keys() - new.keys():
             self.db.execute("DELETE FROM rounds WHERE lease = ? AND claim = ?", (lease.name, claim))
-            self.claimed.append(Running(lease.name, claim, 0, 0))
+            self.claimed.append(ActiveClaim(lease.name, claim, 0, 0))
         for claim, ttl_ms in new.items():
             if old.get(claim) == ttl_ms and not (
                 isinstance(command, Claim) and command.claim == claim
@@ -467,12 +467,12 @@
             self.db.execute(
                 "INSERT OR REPLACE INTO rounds VALUES (?, ?, ?)", (lease.name, claim, count)
             )
-            self.claimed.append(Running(lease.name, claim, count, ttl_ms))
+            self.claimed.append(ActiveClaim(lease.name, claim, count, ttl_ms))
 
-    def running(self) -> list[Running]:
+    def running(self) -> list[ActiveClaim]:
         """Every claim that there is, with its time."""
         return [
-            Running(lease.name, claim, self._round(lease.name, claim), ttl_ms)
+            ActiveClaim(lease.name, claim, self._round(lease.name, claim), ttl_ms)
             for lease in self._leases()
             for claim, ttl_ms in _times(lease).items()
         ]
@@ -488,7 +488,7 @@
             ).fetchall()
         ]
 
-    def take_claimed(self) -> list[Running]:
+    def take_claimed(self) -> list[ActiveClaim]:
         taken, self.claimed = self.claimed, []
         return taken
 
@@ -600,9 +600,11 @@
 
 def _times(lease: Lease) -> dict[int, int]:
     """The claims of a lease, and how long each lasts unrenewed, in ms."""
-    found = {c.claim: CANDIDATE_TIMES * c.ttl_ms for c in lease.waiting}
+    found = {c.claim: CANDIDATE_TIMES * c.ttl_ms for c in lease.candidates}
     if lease.holder:
-        found[lease.claim] = int(lease.ttl_ms * table.OFFER_PART) if lease.offered else lease.ttl_ms
+        found[lease.claim] = (
+            int(lease.ttl_ms * table.OFFER_FRACTION) if lease.is_offered else lease.ttl_ms
+        )
     return found
 
 
--- a/loadbalancer/store/housekeeping.py
+++ b/loadbalancer/store/housekeeping.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from loadbalancer.leases.expiry import Expiry, Running
+from loadbalancer.leases.expiry import ActiveClaim, LeaseExpiry
 from loadbalancer.store.commands import FORMAT, AnyCommand, Lapse, Upgrade
 from loadbalancer.store.durable.state import State
 
@@ -21,22 +21,22 @@
 class Steward:
     def __init__(self) -> None:
         self.term = 0  # of the leadership that it counts for; 0: none
-        self.expiry: Expiry | None = None
+        self.expiry: LeaseExpiry | None = None
         self.asked = (0, 0)  # for which format, and when it may be asked for again
 
     def leads(self, term: int, state: State, now: int) -> None:
         """This node leads, in this term: a new leader lets every claim run its full time again."""
         if term != self.term:
             state.take_claimed()
-            self.term, self.expiry, self.asked = term, Expiry(state.running(), now), (0, 0)
+            self.term, self.expiry, self.asked = term, LeaseExpiry(state.running(), now), (0, 0)
 
     def follows(self) -> None:
         self.term, self.expiry = 0, None
 
-    def applied(self, claimed: Iterable[Running], now: int) -> None:
+    def applied(self, claimed: Iterable[ActiveClaim], now: int) -> None:
         if self.expiry is not None:
             for one in claimed:
-                self.expiry.note(one, now)
+                self.expiry.record(one, now)
 
     def proposals(self, format_now: int, formats: Mapping[int, int], now: int) -> list[AnyCommand]:
         """`formats`: by member, this one included, the newest that its program knows; 0: not met
@@ -53,10 +53,10 @@
         ):
             self.asked = due, now + AGAIN_NS
             found.append(Upgrade(due))
-        found += [Lapse(one.lease, one.claim, one.round) for one in self.expiry.lapsed(now)]
+        found += [Lapse(one.lease, one.claim, one.round) for one in self.expiry.take_expired(now)]
         return found
 
     @property
-    def wake_ns(self) -> int:
-        """When to look again; 0: when something comes."""
-        return self.expiry.wake_ns if self.expiry is not None else 0
+    def wake_ns(self) -> int | None:
+        """When to call `proposals` next. None: only after an event."""
+        return self.expiry.wake_ns if self.expiry is not None else None
--- a/loadbalancer/store/lease_client.py
+++ b/loadbalancer/store/lease_client.py
@@ -17,7 +17,7 @@
 from contextlib import suppress
 
 from loadbalancer.leases import table
-from loadbalancer.leases.holder import Ask, Holder, Phase
+from loadbalancer.leases.holder import LeaseHolder, LeaseRequest, Phase, RequestKind
 from loadbalancer.leases.table import Lease
 from loadbalancer.store.client import Client, Compacted, Fenced, Rejected, StoreError
 from loadbalancer.store.commands import LEASES, Claim, Op, Release, Result
@@ -70,7 +70,7 @@
         self.ttl_s = ttl_s
         self.rank = rank
         self.began, self.ended, self.seen = began, ended, seen
-        self.holder = Holder(
+        self.holder = LeaseHolder(
             self.name, claim, int(ttl_s * 1e9), random.Random(os.urandom(8)), clock_ns()
         )
         self.last: Lease | None = None  # as last told
@@ -138,13 +138,16 @@
             raise NotOwner(str(error)) from None
 
     def _go(self, token: int) -> None:
-        log.info("%s: owned under token %s", self.lease, table.written(token))
+        log.info("%s: owned under token %s", self.lease, table.format_token(token))
         self.working = token
         self.began(token)
 
     def _stop(self, why: str) -> None:
         log.info(
-            "%s: no longer owned under token %s: %s", self.lease, table.written(self.working), why
+            "%s: no longer owned under token %s: %s",
+            self.lease,
+            table.format_token(self.working),
+            why,
         )
         self.working = 0
         self.ended()
@@ -152,8 +155,8 @@
     # ---- the two loops ---------------------------------------------------------------------------
 
     async def _keep(self) -> None:
-        while self.holder.phase is not Phase.LEFT:
-            asked = self.holder.take(clock_ns(), self.last)
+        while self.holder.phase is not Phase.RELEASED:
+            asked = self.holder.next_request(clock_ns(), self.last)
             if asked is not None:
                 self._task(self._carry_out(asked))
             token = self.token()
@@ -169,7 +172,7 @@
 
     def _note_rest(self) -> None:
         """Tell once that nobody owns it, and when that is over."""
-        if self.working or (self.last is not None and self.last.held):
+        if self.working or (self.last is not None and self.last.is_held):
             if self.rests_s < 0:
                 log.info("%s: it is owned again", self.lease)
             self.rests_s = 0.0
@@ -180,19 +183,19 @@
                 "%s: nobody has owned it for %.0f s (%s): its work rests",
                 self.lease,
                 time.monotonic() - self.rests_s,
-                self.holder.why or "no word of the store",
+                self.holder.reason or "no word of the store",
             )
             self.rests_s = -1.0
 
-    async def _carry_out(self, asked: Ask) -> None:
+    async def _carry_out(self, asked: LeaseRequest) -> None:
         holder = self.holder
-        within = LEAVE_S if asked.what == "release" else self.ttl_s / 3
+        within = LEAVE_S if asked.kind is RequestKind.RELEASE else self.ttl_s / 3
         try:
-            if asked.what == "release":
+            if asked.kind is RequestKind.RELEASE:
                 await self.client.release(
                     Release(self.lease, holder.claim, asked.token, unix_ms()), within
                 )
-                holder.answered(asked.number, 0, 0, "", clock_ns())
+                holder.response_received(asked.number, 0, 0, "", clock_ns())
             else:
                 claim = Claim(
                     self.lease,
@@ -204,11 +207,11 @@
                     unix_ms(),
                 )
                 result = await self.client.claim(claim, within)
-                holder.answered(
+                holder.response_received(
                     asked.number, result.versions[0], result.versions[1], result.text, clock_ns()
                 )
         except Exception as error:  # the holder must hear of an end, whatever it was
-            holder.failed(asked.number, str(error), clock_ns())
+            holder.request_failed(asked.number, str(error), clock_ns())
             if not isinstance(error, StoreError):
                 log.exception("%s", self.lease)
         self.woken.set()
@@ -233,7 +236,7 @@
         except ValueError as error:
             log.warning("%s: the lease does not read: %s", self.lease, error)
             return
-        self.holder.seen(self.last, clock_ns())
+        self.holder.lease_observed(self.last, clock_ns())
         self.seen(self.last)
         self.woken.set()
 
@@ -245,7 +248,7 @@
         self.woken.set()
         with suppress(TimeoutError):
             async with asyncio.timeout(LEAVE_S + 0.1):
-                while self.holder.phase is not Phase.LEFT:
+                while self.holder.phase is not Phase.RELEASED:
                     self.woken.set()
                     await asyncio.sleep(0.005)
         for task in list(self.tasks):
--- a/loadbalancer/store/metrics.py
+++ b/loadbalancer/store/metrics.py
@@ -77,9 +77,13 @@
             yield CounterMetricFamily(f"lanelift_feed_{name}", what, value=float(feed.get(name, 0)))
         leases = list(self.node.replica.state.leases.values())
         for name, what, values in (
-            ("held", "1 where somebody holds the lease", [float(lease.held) for lease in leases]),
+            (
+                "held",
+                "1 where somebody holds the lease",
+                [float(lease.is_held) for lease in leases],
+            ),
             ("token", "the last token granted", [float(lease.token) for lease in leases]),
-            ("waiting", "candidates", [float(len(lease.waiting)) for lease in leases]),
+            ("waiting", "candidates", [float(len(lease.candidates)) for lease in leases]),
         ):
             gauge = GaugeMetricFamily(f"lanelift_lease_{name}", what, labels=["lease"])
             for lease, value in zip(leases, values, strict=True):
@@ -89,7 +93,7 @@
             "lanelift_lease_refused", "writes refused that bore another token", labels=["lease"]
         )
         for lease in leases:
-            refused.add_metric([lease.name], float(lease.refused))
+            refused.add_metric([lease.name], float(lease.rejected_writes))
         yield refused
         lag = GaugeMetricFamily(
             "lanelift_store_member_lag", "entries, as the leader knows", labels=["node"]
--- a/loadbalancer/testbed/cluster/owners.py
+++ b/loadbalancer/testbed/cluster/owners.py
@@ -22,8 +22,8 @@
 from typing import Any
 
 from loadbalancer.leases import table
-from loadbalancer.leases.fence import Receiver, Word
-from loadbalancer.leases.holder import Ask, Holder, Phase
+from loadbalancer.leases.fence import FencedReceiver, FencingPosition
+from loadbalancer.leases.holder import LeaseHolder, LeaseRequest, Phase, RequestKind
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
     LEASES,
@@ -72,20 +72,20 @@
     """A receiver of orders outside the store. `durable`: what it keeps over a restart."""
 
     def __init__(self) -> None:
-        self.receiver = Receiver(Word(), True)
-        self.durable = Word()
-        self.heeded: list[Word] = []
+        self.receiver = FencedReceiver(FencingPosition(), True)
+        self.durable = FencingPosition()
+        self.heeded: list[FencingPosition] = []
         self.refused = 0
 
-    def order(self, word: Word) -> None:
-        if self.receiver.heed(word):
+    def order(self, word: FencingPosition) -> None:
+        if self.receiver.accept(word):
             self.heeded.append(word)
             self.durable = self.receiver.highest
         else:
             self.refused += 1
 
     def restart(self) -> None:
-        self.receiver = Receiver(Word())
+        self.receiver = FencedReceiver(FencingPosition())
         self.learn()
 
     def learn(self) -> None:
@@ -230,12 +230,12 @@
             self.seen = (
                 table.unpack(item.value) if item is not None and item.value is not None else None
             )
-            self.holder.seen(self.seen, self.clock())
+            self.holder.lease_observed(self.seen, self.clock())
             self.turn()
         self.alive(self.rng.randint(20 * MS, 150 * MS), self.look)
 
     def turn(self) -> None:
-        asked = self.holder.take(self.clock(), self.seen)
+        asked = self.holder.next_request(self.clock(), self.seen)
         if asked is not None:
             self._carry_out(asked)
         wake = self.holder.wake_ns
@@ -249,26 +249,26 @@
         self.due = 0
         self.turn()
 
-    def _carry_out(self, asked: Ask) -> None:
+    def _carry_out(self, asked: LeaseRequest) -> None:
         holder, life = self.holder, self.life
-        self.fleet.books.counts[asked.what] += 1
+        self.fleet.books.counts[asked.kind.value] += 1
 
         def told(result: Result | None) -> None:
             if life != self.life:
                 return
             now = self.clock()
             if result is None:
-                holder.failed(asked.number, "no answer", now)
+                holder.request_failed(asked.number, "no answer", now)
             elif result.code != Code.DONE:  # the store is not upgraded yet
-                holder.failed(asked.number, result.text, now)
-            elif asked.what == "release":
-                holder.answered(asked.number, 0, 0, result.text, now)
+                holder.request_failed(asked.number, result.text, now)
+            elif asked.kind is RequestKind.RELEASE:
+                holder.response_received(asked.number, 0, 0, result.text, now)
             else:
                 token, place = result.versions
-                holder.answered(asked.number, token, place, result.text, now)
+                holder.response_received(asked.number, token, place, result.text, now)
             self.turn()
 
-        if asked.what == "release":
+        if asked.kind is RequestKind.RELEASE:
             self.ask(Release(LEASE, holder.claim, asked.token, self.clock() // MS), told)
         else:
             self.ask(
@@ -285,7 +285,7 @@
         token = self.holder.token(self.clock())
         if token:
             self.count += 1
-            word = Word(token, self.count)
+            word = FencingPosition(token, self.count)
             late = self.fleet.stormy and self.rng.random() < 0.03
             if late:
                 self.stop(int(TTL_MS * MS * self.rng.uniform(0.5, 3.0)))
@@ -295,7 +295,7 @@
                 self._effect(word, True)
         self.alive(self.rng.randint(20 * MS, 120 * MS), self.work)
 
-    def _effect(self, word: Word, looked: bool) -> None:
+    def _effect(self, word: FencingPosition, looked: bool) -> None:
         if looked or self.fleet.careless:
             self.fleet.books.touched(word.token, self.cluster.now)
         self.cluster.at(self.rng.randint(MS // 2, 3 * MS), lambda: self.fleet.books.box.order(word))
@@ -326,7 +326,7 @@
 class Owners:
     """All of a run."""
 
-    def __init__(self, cluster: Cluster, count: int, make: type[Holder] = Holder) -> None:
+    def __init__(self, cluster: Cluster, count: int, make: type[LeaseHolder] = LeaseHolder) -> None:
         self.cluster = cluster
         self.make = make
         self.books = Books(Box())
@@ -380,7 +380,7 @@
 
 def play(
     seed: int,
-    make: type[Holder] = Holder,
+    make: type[LeaseHolder] = LeaseHolder,
     clocks: bool | None = None,
     prepare: Callable[[Owners], None] = lambda owners: None,
     newest: int = 2,
@@ -432,7 +432,7 @@
     began, until = cluster.now, cluster.now + int(BOUND / slowest)
     cluster.run(until, lambda: any(o.holder.token(o.clock()) for o in owners.owners))
     if cluster.now >= until:
-        who = [(o.holder.phase.value, o.holder.why) for o in owners.owners]
+        who = [(o.holder.phase.value, o.holder.reason) for o in owners.owners]
         raise Broken(
             "an owner in time",
             f"nobody owns it {BOUND / SECOND:.0f} s after the last fault: {who};"
@@ -490,7 +490,7 @@
                 highest = token
     words = books.box.heeded
     for before, after in zip(words, words[1:], strict=False):
-        if after.before(before):
+        if after.is_before(before):
             raise Broken("nothing older is heeded", f"the box heeded {after} after {before}")
     books.counts.update(
         taken=taken,
--- a/loadbalancer/testbed/cluster/planted_owners.py
+++ b/loadbalancer/testbed/cluster/planted_owners.py
@@ -10,38 +10,40 @@
 from unittest.mock import patch
 
 from loadbalancer.leases import table
-from loadbalancer.leases.expiry import Expiry, Running
-from loadbalancer.leases.fence import Word
-from loadbalancer.leases.holder import Holder
+from loadbalancer.leases.expiry import ActiveClaim, LeaseExpiry
+from loadbalancer.leases.fence import FencingPosition
+from loadbalancer.leases.holder import LeaseHolder
 from loadbalancer.testbed.cluster import owners
 from loadbalancer.testbed.cluster.owners import Box, Owners
 from loadbalancer.testbed.cluster.plans import Outcome
 
 
-class TimeFromAnswer(Holder):
+class TimeFromAnswer(LeaseHolder):
     """Its time counts from when the store's answer came."""
 
-    def answered(self, number: int, token: int, place: int, why: str, now: int) -> None:
+    def response_received(
+        self, number: int, token: int, queue_position: int, reason: str, now: int
+    ) -> None:
         self.sent_ns = now
-        super().answered(number, token, place, why, now)
+        super().response_received(number, token, queue_position, reason, now)
 
 
 @contextmanager
 def no_token_check() -> Iterator[None]:
     """The store takes a write under any token."""
-    with patch.object(table.Lease, "guards", lambda lease, token: True):
+    with patch.object(table.Lease, "permits", lambda lease, token: True):
         yield
 
 
 @contextmanager
 def hasty_leader() -> Iterator[None]:
     """A new leader takes it that all leases were over when it came."""
-    real = Expiry.__init__
+    real = LeaseExpiry.__init__
 
-    def begun(expiry: Expiry, running: Iterable[Running], now: int) -> None:
+    def begun(expiry: LeaseExpiry, running: Iterable[ActiveClaim], now: int) -> None:
         real(expiry, [one._replace(ttl_ms=1) for one in running], now)
 
-    with patch.object(Expiry, "__init__", begun):
+    with patch.object(LeaseExpiry, "__init__", begun):
         yield
 
 
@@ -50,7 +52,9 @@
     """A token is the time of who asked."""
     real = table.claim
 
-    def claimed(lease: table.Lease, who: table.Claimant, token: int, time_ms: int) -> table.Outcome:
+    def claimed(
+        lease: table.Lease, who: table.Candidate, token: int, time_ms: int
+    ) -> table.Outcome:
         return real(lease, who, time_ms // 500, time_ms)
 
     with patch.object(table, "claim", claimed):
@@ -60,7 +64,7 @@
 @contextmanager
 def forgets_highest() -> Iterator[None]:
     """A receiver that restarts heeds whoever speaks first."""
-    with patch.object(Box, "learn", lambda box: box.receiver.learn(Word())):
+    with patch.object(Box, "learn", lambda box: box.receiver.learn(FencingPosition())):
         yield
 
 
@@ -88,15 +92,15 @@
     fleet.careless = True
 
 
-Plant = tuple[Callable[[], Any], type[Holder], Callable[[Owners], None]]
+Plant = tuple[Callable[[], Any], type[LeaseHolder], Callable[[Owners], None]]
 PLANTS: dict[str, Plant] = {
-    "no-token-check": (no_token_check, Holder, lambda fleet: None),
+    "no-token-check": (no_token_check, LeaseHolder, lambda fleet: None),
     "time-from-answer": (nothing, TimeFromAnswer, lambda fleet: None),
-    "hasty-leader": (hasty_leader, Holder, lambda fleet: None),
-    "token-from-clock": (token_from_clock, Holder, lambda fleet: None),
-    "forgets-highest": (forgets_highest, Holder, lambda fleet: None),
-    "no-look-after-pause": (nothing, Holder, careless),
-    "released-by-anybody": (released_by_anybody, Holder, lambda fleet: None),
+    "hasty-leader": (hasty_leader, LeaseHolder, lambda fleet: None),
+    "token-from-clock": (token_from_clock, LeaseHolder, lambda fleet: None),
+    "forgets-highest": (forgets_highest, LeaseHolder, lambda fleet: None),
+    "no-look-after-pause": (nothing, LeaseHolder, careless),
+    "released-by-anybody": (released_by_anybody, LeaseHolder, lambda fleet: None),
 }
 
 
--- a/loadbalancer/testbed/rig/books.py
+++ b/loadbalancer/testbed/rig/books.py
@@ -71,7 +71,7 @@
     def owner(self, lease: str) -> str:
         """The process that holds a lease now; empty: nobody."""
         found = self.leases.get(lease)
-        return found.holder.split("@")[0] if found is not None and found.held else ""
+        return found.holder.split("@")[0] if found is not None and found.is_held else ""
 
     async def watch(self, client: Client) -> None:
         """Each change of the store, once and in order, from the first on."""
@@ -145,15 +145,15 @@
             self.say(f"token {lease.token} stands for {self.granted[lease.token]} and for {mine}")
         if was is not None and lease.token < was.token:
             self.say(f"{lease.name}: token {lease.token} came after {was.token}")
-        before = (was.token, was.held) if was is not None else (0, False)
-        if before == (lease.token, lease.held):
+        before = (was.token, was.is_held) if was is not None else (0, False)
+        if before == (lease.token, lease.is_held):
             return
         if before[1]:
             for one in reversed(self.owned):
                 if one.lease == lease.name and not one.end:
                     one.end = now
                     break
-        if lease.held:
+        if lease.is_held:
             self.owned.append(Owned(lease.name, lease.token, lease.holder, now))
             self.counts["owners"] += 1
 
@@ -172,10 +172,10 @@
             return
         self.overwritten.discard(key)
         self.counts["owners' words"] += 1
-        if holds is None or not holds.held or holds.token != token:
+        if holds is None or not holds.is_held or holds.token != token:
             self.say(
                 f"{key} was put under token {token}, and {lease} is held under"
-                f" {holds.token if holds is not None and holds.held else 'none'}"
+                f" {holds.token if holds is not None and holds.is_held else 'none'}"
             )
         version = int(raw.get("version", -1))
         old = self.newest.get(key, (0, 0, -1))
--- a/loadbalancer/testbed/rig/run.py
+++ b/loadbalancer/testbed/rig/run.py
@@ -616,7 +616,7 @@
             "owners' words": books.counts["owners' words"],
             "older words": books.counts["older words"],
             "store changes": books.counts["changes"],
-            "fenced": sum(lease.refused for lease in books.leases.values()),
+            "fenced": sum(lease.rejected_writes for lease in books.leases.values()),
             "longest gap s": round(max(gaps, default=0.0), 3),
             **self.firsts.figures(),
             "doors asked": sum(len(box.asked) for box in world.boxes.values()),
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -36,7 +36,7 @@
     pack,
 )
 from loadbalancer.daemon.state_sync import Keeper
-from loadbalancer.leases.fence import Word
+from loadbalancer.leases.fence import FencingPosition
 from loadbalancer.policy import api
 from loadbalancer.proxy import discovery_watch
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
@@ -320,7 +320,7 @@
         follows.apply(told(word(3, 7), box("s-1"), whole=True))
         follows.apply(told(word(3, 8), box("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
-        follows.follower.learn(Word(3, 7), clock_ns())
+        follows.follower.learn(FencingPosition(3, 7), clock_ns())
         follows.apply(told(word(3, 9), box("s-3")))
         follows.apply(told(word(3, 10), box("s-3", "Gone"), box("never there", "Gone")))
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -29,7 +29,7 @@
     to_ask,
     wrong,
 )
-from loadbalancer.leases.fence import Word
+from loadbalancer.leases.fence import FencingPosition
 from loadbalancer.policy import api
 from loadbalancer.proxy.upstream import Endpoint
 
@@ -249,8 +249,8 @@
 def test_where_the_owner_is_silent_all_together_ask_no_more_than_is_allowed(count: int) -> None:
     followers = [Follower(count, random.Random(i), 0) for i in range(count)]
     for follower in followers:
-        follower.learn(Word(1, 1), 0)
-        assert follower.listed(Word(1, 1), 0)
+        follower.learn(FencingPosition(1, 1), 0)
+        assert follower.listed(FencingPosition(1, 1), 0)
     calls = [0] * 60
     for ms in range(0, 60_000, 50):
         for follower in followers:
@@ -260,16 +260,18 @@
     assert sum(calls[30:]) / 30 <= 1.3 * CALLS_S, "in the long run"
     assert sum(calls[30:]) > 0, "and they do ask"
     for follower in followers:
-        follower.stands(Word(1, 1), 1, 60 * SECOND)
+        follower.stands(FencingPosition(1, 1), 1, 60 * SECOND)
     assert not any(f.asks(61 * SECOND) for f in followers)
 
 
 def test_an_older_word_or_one_before_the_majority_was_heard_is_not_gone_by() -> None:
     follower = Follower(8, random.Random(1), 0)
-    assert not follower.listed(Word(3, 1), 0)
-    follower.learn(Word(5, 2), 0)
-    assert not follower.listed(Word(4, 9), 0) and not follower.listed(Word(5, 1), 0)
-    assert follower.listed(Word(5, 2), 0) and follower.listed(Word(6, 1), 0)
+    assert not follower.listed(FencingPosition(3, 1), 0)
+    follower.learn(FencingPosition(5, 2), 0)
+    assert not follower.listed(FencingPosition(4, 9), 0) and not follower.listed(
+        FencingPosition(5, 1), 0
+    )
+    assert follower.listed(FencingPosition(5, 2), 0) and follower.listed(FencingPosition(6, 1), 0)
 
 
 def test_a_balancer_that_knows_of_no_box_does_not_wait_long() -> None:
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,6 +1,4 @@
-"""Leases: who has it and who is next; when an owner's time is over; what a state of an older format
-does.
-"""
+"""Leases: grants and the queue of candidates, expiry, fencing, and states of an older format."""
 
 from __future__ import annotations
 
@@ -11,10 +9,10 @@
 import pytest
 
 from loadbalancer.leases import table
-from loadbalancer.leases.expiry import STEP_NS, Expiry, Running
-from loadbalancer.leases.fence import Receiver, Word
-from loadbalancer.leases.holder import DRIFT, Holder, Phase
-from loadbalancer.leases.table import Claimant, Lease
+from loadbalancer.leases.expiry import MAX_CLOCK_STEP_NS, ActiveClaim, LeaseExpiry
+from loadbalancer.leases.fence import FencedReceiver, FencingPosition
+from loadbalancer.leases.holder import MAX_CLOCK_DRIFT, LeaseHolder, Phase, RequestKind
+from loadbalancer.leases.table import Candidate, Lease
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
     Claim,
@@ -38,7 +36,7 @@
 MS = 1_000_000
 TTL = 900 * MS
 KEPT = Path(__file__).parents[1] / "kept/store-format-1.tar.xz"
-# The first seed by which each planted bug was found.
+# The first seed by which each seeded bug was found.
 CAUGHT = {
     "no-token-check": 3,
     "time-from-answer": 5,
@@ -81,7 +79,7 @@
     return log
 
 
-def test_one_owner_and_candidates_by_rank_then_by_arrival(log: Log) -> None:
+def test_one_holder_and_candidates_by_rank_then_by_arrival(log: Log) -> None:
     assert log.claim("a", 11) == (1, 0)
     assert log.claim("b", 12, 5) == (0, 1)
     assert log.claim("c", 13, 5) == (0, 2)
@@ -89,22 +87,22 @@
     assert log.claim("a", 11) == (1, 0)  # a renewal keeps its token
     log.do(Release("work", 11, 1))
     lease = log.lease()
-    assert (lease.holder, lease.token, lease.offered) == ("d", 2, True)
+    assert (lease.holder, lease.token, lease.is_offered) == ("d", 2, True)
     assert log.write("k", 2).code == Code.FENCED  # offered is not yet held
     assert log.claim("d", 14) == (2, 0)
     assert log.write("k", 2).code == Code.DONE
     assert log.write("k", 1).code == Code.FENCED
-    assert log.lease().refused == 2
+    assert log.lease().rejected_writes == 2
 
 
-def test_a_claim_that_was_given_back_does_not_come_to_life_by_a_late_message(log: Log) -> None:
+def test_a_released_claim_is_not_renewed_by_a_late_message(log: Log) -> None:
     log.claim("a", 11)
     log.do(Release("work", 11))
     assert log.do(Claim("work", "a", 11, 1000)).text == "this claim was given back"
     assert log.lease().holder == ""
 
 
-def test_a_process_that_began_anew_waits_out_its_own_earlier_life_under_a_new_token(
+def test_a_restarted_process_waits_for_its_earlier_incarnation_to_expire_and_gets_a_new_token(
     log: Log,
 ) -> None:
     log.claim("a", 11)
@@ -122,7 +120,7 @@
     assert log.lease().holder == ""
 
 
-def test_with_no_room_for_a_further_lease_those_that_are_there_go_on(
+def test_with_no_room_for_a_further_lease_the_existing_ones_go_on(
     log: Log, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(states, "MOST_LEASES", 2)
@@ -143,8 +141,8 @@
     ).versions == (4, 0)
 
 
-def test_candidates_are_bounded_and_what_stands_under_lease_is_no_plain_key(log: Log) -> None:
-    for number in range(table.MOST_WAITING + 1):
+def test_candidates_are_bounded_and_a_lease_key_rejects_plain_writes(log: Log) -> None:
+    for number in range(table.MAX_CANDIDATES + 1):
         log.claim(f"p{number}", 11 + number)
     assert log.do(Claim("work", "late", 99, 1000)).text == "there is no room among the candidates"
     made = log.do(Write(7, 1000, 0, (Op("lease/work", b"mine"),)))
@@ -162,14 +160,14 @@
     assert restored.lease().token == before  # who held it then may go on, or be waited out
     restored.do(Lapse("work", 12, restored.state.running()[0].round))
     after = restored.claim("c", 13)[0]
-    assert after > before and table.written(after) == "5000.1"
+    assert after > before and table.format_token(after) == "5000.1"
     again = states.adopt(copy, "third", MEMBERS, 6_000)
     assert again.tokens > after, (
         "two clusters restored from one copy must not grant the same tokens"
     )
 
 
-def test_a_folder_of_format_1_is_read_and_upgraded_in_its_place(tmp_path: Path) -> None:
+def test_a_folder_of_format_1_is_read_and_upgraded_in_place(tmp_path: Path) -> None:
     with tarfile.open(KEPT) as kept:
         kept.extractall(tmp_path, filter="data")
     log = Log(states.open_state(tmp_path / "state.db"))
@@ -199,114 +197,122 @@
     assert [r.code for r in state.apply(entries[:2])] == [Code.DONE, Code.DONE]
 
 
-# ---- the owner's time ----------------------------------------------------------------------------
+# ---- the holder's time ---------------------------------------------------------------------------
 
 
-def held(now: int = 1000 * MS) -> Holder:
-    holder = Holder("a", 11, TTL, random.Random(1), 0)
-    holder.seen(None, now - 500 * MS)
-    asked = holder.take(now)
-    assert asked is not None and asked.what == "claim"
-    holder.answered(asked.number, 5, 0, "", now + 300 * MS)
+def held_lease(now: int = 1000 * MS) -> LeaseHolder:
+    holder = LeaseHolder("a", 11, TTL, random.Random(1), 0)
+    holder.lease_observed(None, now - 500 * MS)
+    request = holder.next_request(now)
+    assert request is not None and request.kind is RequestKind.CLAIM
+    holder.response_received(request.number, 5, 0, "", now + 300 * MS)
     return holder
 
 
 def test_time_counts_from_before_the_claim_was_sent_less_the_drift() -> None:
-    holder = held()
-    end = 1000 * MS + int(TTL * (1 - DRIFT))
+    holder = held_lease()
+    end = 1000 * MS + int(TTL * (1 - MAX_CLOCK_DRIFT))
     assert holder.token(end - 1) == 5
     assert holder.token(end) == 0
-    assert holder.phase is Phase.ASKING
+    assert holder.phase is Phase.CLAIMING
 
 
-def test_an_answer_that_comes_when_all_is_over_makes_no_owner() -> None:
-    holder = Holder("a", 11, TTL, random.Random(1), 0)
-    holder.seen(None, 0)
-    asked = holder.take(TTL)
-    assert asked is not None
-    holder.answered(asked.number, 5, 0, "", TTL + TTL)
+def test_a_response_after_expiry_grants_nothing() -> None:
+    holder = LeaseHolder("a", 11, TTL, random.Random(1), 0)
+    holder.lease_observed(None, 0)
+    request = holder.next_request(TTL)
+    assert request is not None
+    holder.response_received(request.number, 5, 0, "", TTL + TTL)
     assert holder.token(2 * TTL) == 0
 
 
-def test_an_owner_whose_renewals_fail_goes_on_to_its_own_end_and_no_further() -> None:
-    holder, now, failed = held(), 1300 * MS, 0
+def test_a_holder_whose_renewals_fail_goes_on_until_its_ttl_runs_out_and_no_further() -> None:
+    holder, now, failed = held_lease(), 1300 * MS, 0
     while holder.token(now):
-        asked = holder.take(now)
-        if asked is not None:
-            holder.failed(asked.number, "no answer", now)
+        request = holder.next_request(now)
+        if request is not None:
+            holder.request_failed(request.number, "no answer", now)
             failed += 1
         now += MS
-    assert now == 1000 * MS + int(TTL * (1 - DRIFT))
+    assert now == 1000 * MS + int(TTL * (1 - MAX_CLOCK_DRIFT))
     assert 2 <= failed <= 12, "it asks again, and not in a storm"
 
 
-def test_leaving_takes_one_message_and_no_effect_follows() -> None:
-    holder = held()
+def test_leaving_takes_one_request_and_no_effect_follows() -> None:
+    holder = held_lease()
     holder.leave(1400 * MS)
     assert holder.token(1400 * MS) == 0
-    asked = holder.take(1400 * MS)
-    assert asked is not None and (asked.what, asked.token) == ("release", 5)
-    holder.answered(asked.number, 0, 0, "", 1401 * MS)
-    assert holder.phase is Phase.LEFT and holder.take(9000 * MS) is None
+    request = holder.next_request(1400 * MS)
+    assert request is not None and (request.kind, request.token) == (RequestKind.RELEASE, 5)
+    holder.response_received(request.number, 0, 0, "", 1401 * MS)
+    assert holder.phase is Phase.RELEASED and holder.next_request(9000 * MS) is None
 
 
-def test_an_owner_that_sees_a_later_token_stops_at_once() -> None:
-    holder = held()
-    holder.seen(Lease("work", token=6, holder="b", claim=12), 1350 * MS)
+def test_a_holder_that_observes_a_later_token_stops_at_once() -> None:
+    holder = held_lease()
+    holder.lease_observed(Lease("work", token=6, holder="b", claim=12), 1350 * MS)
     assert holder.token(1350 * MS) == 0
-    holder = held()
-    holder.seen(Lease("work", token=4, holder="b", claim=12), 1350 * MS)  # a follower that lags
+    holder = held_lease()
+    holder.lease_observed(
+        Lease("work", token=4, holder="b", claim=12), 1350 * MS
+    )  # a follower that lags
     assert holder.token(1350 * MS) == 5
 
 
-def test_two_hundred_who_look_on_do_not_ask_when_there_is_no_room() -> None:
-    waiting = tuple(Claimant(f"p{i}", 50 + i) for i in range(table.MOST_WAITING))
-    full = Lease("work", token=3, holder="b", claim=12, waiting=waiting)
-    asked = 0
+def test_two_hundred_observers_do_not_claim_when_there_is_no_room() -> None:
+    waiting = tuple(Candidate(f"p{i}", 50 + i) for i in range(table.MAX_CANDIDATES))
+    full = Lease("work", token=3, holder="b", claim=12, candidates=waiting)
+    claims = 0
     for number in range(200):
-        holder = Holder(f"x{number}", 1000 + number, TTL, random.Random(number), 0)
-        holder.seen(None, 0)  # it was free a moment ago
-        holder.seen(full, MS)
-        asked += any(holder.take(at * MS, full) is not None for at in range(2, 5000, 7))
-    assert asked == 0
+        holder = LeaseHolder(f"x{number}", 1000 + number, TTL, random.Random(number), 0)
+        holder.lease_observed(None, 0)  # it was free a moment ago
+        holder.lease_observed(full, MS)
+        claims += any(holder.next_request(at * MS, full) is not None for at in range(2, 5000, 7))
+    assert claims == 0
 
 
-def test_a_leader_lets_time_run_in_full_and_does_not_count_a_stop_of_its_own() -> None:
-    expiry = Expiry([Running("work", 11, 3, 1000)], 0)
+def test_the_leader_lets_each_ttl_run_in_full_and_does_not_count_its_own_pauses() -> None:
+    expiry = LeaseExpiry([ActiveClaim("work", 11, 3, 1000)], 0)
     for at in range(0, 1000, 100):
-        assert expiry.lapsed(at * MS) == []
-    assert expiry.lapsed(1000 * MS) == [Running("work", 11, 3, 1000)]
-    assert expiry.lapsed(1001 * MS) == [], "said once a time, not at each look"
-    stopped = Expiry([Running("work", 11, 3, 1000)], 0)
-    assert stopped.lapsed(60_000 * MS) == [], "renewals of a minute lie unread"
-    assert stopped.lapsed(60_000 * MS + STEP_NS) != []
-
-
-def test_nothing_older_is_heeded_and_nothing_at_all_before_it_learnt() -> None:
-    receiver = Receiver(Word())
-    assert not receiver.heed(Word(9, 1))
-    receiver.learn(Word(7, 4))
-    assert not receiver.heed(Word(7, 3)) and not receiver.heed(Word(6, 99))
-    assert receiver.heed(Word(7, 4)) and receiver.heed(Word(8, 0)) and not receiver.heed(Word(7, 5))
+        assert expiry.take_expired(at * MS) == []
+    assert expiry.take_expired(1000 * MS) == [ActiveClaim("work", 11, 3, 1000)]
+    assert expiry.take_expired(1001 * MS) == [], "once per TTL, not at each call"
+    stopped = LeaseExpiry([ActiveClaim("work", 11, 3, 1000)], 0)
+    assert stopped.take_expired(60_000 * MS) == [], "renewals of a minute lie unread"
+    assert stopped.take_expired(60_000 * MS + MAX_CLOCK_STEP_NS) != []
+
+
+def test_nothing_older_is_accepted_and_nothing_at_all_before_initialization() -> None:
+    receiver = FencedReceiver(FencingPosition())
+    assert not receiver.accept(FencingPosition(9, 1))
+    receiver.learn(FencingPosition(7, 4))
+    assert not receiver.accept(FencingPosition(7, 3)) and not receiver.accept(
+        FencingPosition(6, 99)
+    )
+    assert (
+        receiver.accept(FencingPosition(7, 4))
+        and receiver.accept(FencingPosition(8, 0))
+        and not receiver.accept(FencingPosition(7, 5))
+    )
 
 
-# ---- many owners over a simulated cluster --------------------------------------------------------
+# ---- many holders over a simulated cluster -------------------------------------------------------
 
 
 # The last two were found among 10,000: a vote that came when its term was long over, and a
 # simulator that lost a tick.
 @pytest.mark.parametrize("seed", [*range(1, 41), 15185, 15676])
-def test_whatever_fails_no_old_owner_does_harm_and_there_is_one_in_time(seed: int) -> None:
+def test_whatever_fails_no_superseded_holder_acts_and_a_new_one_comes_in_time(seed: int) -> None:
     assert not owners.play(seed).broken, f"seed {seed}"
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
-def test_owners_are_served_alike_over_the_newest_format(seed: int) -> None:
+def test_holders_are_served_alike_with_the_newest_format(seed: int) -> None:
     assert not owners.play(seed, newest=commands.FORMAT).broken, f"seed {seed}"
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
-def test_a_planted_bug_of_owners_is_caught(name: str) -> None:
+def test_a_seeded_bug_of_lease_holders_is_caught(name: str) -> None:
     assert played(name, CAUGHT[name]).broken
 
 
