--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -207,7 +207,7 @@
             len(weights) if i > 200 else max(1, len(weights) // 3)
         )  # some ask for the first time late
         pair.step(most, rng.choice((2, 10, 40, 300)))
-    assert pair.actions > 300 and {"Send", "Refuse"} <= pair.seen
+    assert pair.actions > 300 and {"StartAttempt", "RejectRequest"} <= pair.seen
 
 
 def test_so_it_is_near_the_least_number_there_is() -> None:
