--- a/loadbalancer/store/commands.py
+++ b/loadbalancer/store/commands.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, split
-from loadbalancer.store.raft.messages import Array
+from loadbalancer.store.raft.messages import ArrayStruct
 from loadbalancer.store.raft.messages import pack as pack
 
 KEY = re.compile(r"[a-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
@@ -28,7 +28,7 @@
 ANY = -1  # a check or op that does not care about the version
 
 
-class Op(Array, frozen=True):
+class Op(ArrayStruct, frozen=True):
     """Put `value` under `key`, or delete the key where it is None. `version`: what the key must be
     at, as its whole command's condition; 0: it must not be there; ANY: whatever.
     """
@@ -144,7 +144,7 @@
     FENCED = 4  # it was written under a token that does not hold
 
 
-class Result(Array, frozen=True):
+class Result(ArrayStruct, frozen=True):
     """`revision`: the log index that made the change; `versions`: of the written keys, in the order
     of `ops`; after a conflict, the version that the key named in `text` is at.
     """
--- a/loadbalancer/store/durable/journal.py
+++ b/loadbalancer/store/durable/journal.py
@@ -27,7 +27,7 @@
 import msgspec
 
 from loadbalancer.store.durable.files import File, Files
-from loadbalancer.store.raft.messages import Array, Entry, HardState, SnapshotMeta
+from loadbalancer.store.raft.messages import ArrayStruct, Entry, HardState, SnapshotMeta
 
 FORMAT = 1
 MAGIC = b"LANELOG\x01"
@@ -51,7 +51,7 @@
     """A sync failed: what is on disk is not known, so this process must not go on writing."""
 
 
-class Head(Array, frozen=True):
+class Head(ArrayStruct, frozen=True):
     """A segment's first frame: whose it is, and what stood before its entries."""
 
     format: int
@@ -62,7 +62,7 @@
     base_term: int
 
 
-class Record(Array, frozen=True):
+class Record(ArrayStruct, frozen=True):
     """A batch. `install`: a snapshot took the place of all entries before it."""
 
     hard: HardState | None = None
@@ -283,10 +283,12 @@
         record = _records.decode(payload)
         if record.hard is not None:
             old, new = found.hard, record.hard
-            if new.term < old.term or (new.term == old.term and old.vote not in (0, new.vote)):
+            if new.term < old.term or (
+                new.term == old.term and old.voted_for not in (0, new.voted_for)
+            ):
                 raise Damaged(
-                    f"{segment.name}: term and vote go back from {old.term}, {old.vote:x} to "
-                    f"{new.term}, {new.vote:x}"
+                    f"{segment.name}: term and vote go back from {old.term}, {old.voted_for:x} to "
+                    f"{new.term}, {new.voted_for:x}"
                 )
             found.hard = record.hard
         if record.entries:
--- a/loadbalancer/store/durable/state.py
+++ b/loadbalancer/store/durable/state.py
@@ -48,7 +48,7 @@
 from loadbalancer.store.durable.rows import Event as Event
 from loadbalancer.store.raft.messages import (
     Entry,
-    Kind,
+    EntryKind,
     Members,
     SnapshotMeta,
     pack,
@@ -206,11 +206,11 @@
         )
 
     def _apply(self, entry: Entry) -> Result:
-        if entry.kind == Kind.MEMBERS:
+        if entry.kind == EntryKind.MEMBERS:
             self.members = unpack_members(entry.data)
             self._set(members=entry.data)
             return Result(Code.DONE, entry.index)
-        if entry.kind != Kind.COMMAND:
+        if entry.kind != EntryKind.COMMAND:
             return Result(Code.DONE, entry.index)
         try:
             command = unpack_command(entry.data)
--- a/loadbalancer/store/node.py
+++ b/loadbalancer/store/node.py
@@ -30,9 +30,11 @@
 from loadbalancer.store.durable.state_directory import DiskVault
 from loadbalancer.store.housekeeping import Steward, behind
 from loadbalancer.store.link import Link
-from loadbalancer.store.raft.members import Change
-from loadbalancer.store.raft.messages import AnyMessage, Entry, Piece
-from loadbalancer.store.raft.node import Batch, Busy, NotLeader, Role
+from loadbalancer.store.raft.errors import BusyError, NotLeaderError
+from loadbalancer.store.raft.members import MembershipChange, parse_change_kind
+from loadbalancer.store.raft.messages import AnyMessage, Entry, InstallSnapshotChunk
+from loadbalancer.store.raft.ready import Batch
+from loadbalancer.store.raft.state import Role
 from loadbalancer.store.replica import Identity, Replica, read_identity
 from loadbalancer.store.settings import StoreSettings
 from loadbalancer.store.wire import protocol
@@ -175,16 +177,16 @@
         core = self.core
         core.tick(time.monotonic_ns())
         while True:
-            self._send(core.take_out())
+            self._send(core.take_messages())
             self._send_pieces()
             batch = core.take_batch()
             if batch is None:
                 break
-            if batch.on_disk:
+            if batch.needs_disk:
                 self.task(self._write(batch))
                 break
-            core.persisted(batch)
-        if not self.applying and core.commit > core.handed:
+            core.batch_persisted(batch)
+        if not self.applying and core.commit_index > core.delivered_index:
             entries = core.take_committed(APPLY)
             if entries and len(entries) <= INLINE and not self.state_turn.locked():
                 self._apply_here(entries)
@@ -195,10 +197,10 @@
         self._note_leader()
         self._lead()
         self.feeding.led(self.behind_ms())
-        if core.wants_snapshot and not self.exporting:
+        if core.needs_snapshot and not self.exporting:
             self.exporting = True
             self.task(self._export())
-        unsynced = core.applied - self.replica.flushed
+        unsynced = core.applied_index - self.replica.flushed
         if (
             not self.flushing
             and unsynced
@@ -251,12 +253,12 @@
 
     def _note_leader(self) -> None:
         core = self.core
-        if core.leader:
+        if core.leader_id:
             self.heard_leader_s = time.monotonic()
-        if (core.term, core.leader) != self.was:
-            if core.leader:
-                log.info("term %d: node %x leads", core.term, core.leader)
-            self.was = core.term, core.leader
+        if (core.term, core.leader_id) != self.was:
+            if core.leader_id:
+                log.info("term %d: node %x leads", core.term, core.leader_id)
+            self.was = core.term, core.leader_id
             self._drop_waiting(core.term if core.role is not Role.LEADER else core.term - 1)
             self._keep_links()
 
@@ -274,7 +276,7 @@
         if due:
             try:
                 core.propose([pack(command) for command in due])
-            except (Busy, NotLeader):
+            except (BusyError, NotLeaderError):
                 return  # they come again
             self.wake()
 
@@ -331,7 +333,7 @@
         wanted = {
             n: self.address_of(n)
             for n in {*self.core.members.all, *self.told}
-            if n != me and n not in self.core.members.gone
+            if n != me and n not in self.core.members.removed
         }
         for node, link in list(self.links.items()):
             if wanted.get(node) != link.address:
@@ -363,12 +365,14 @@
                 link.send(some)
 
     def _send_pieces(self) -> None:
-        for to, meta, offset, round_ in self.core.take_pieces():
-            data = self.replica.vault.read_piece(meta, offset, self.settings.config.piece_bytes)
+        for to, meta, offset, round_ in self.core.take_chunk_requests():
+            data = self.replica.vault.read_piece(
+                meta, offset, self.settings.config.snapshot_chunk_bytes
+            )
             if data is None:
                 self.core.snapshot_lost()
                 return
-            self._send([(to, Piece(self.core.term, meta, offset, data, round_))])
+            self._send([(to, InstallSnapshotChunk(self.core.term, meta, offset, data, round_))])
 
     # ---- disk and state --------------------------------------------------------------------------
 
@@ -386,7 +390,7 @@
             )
         self.figures.batches += 1
         self.figures.entries += len(batch.entries)
-        self.core.persisted(batch, installed)
+        self.core.batch_persisted(batch, installed)
         if installed and batch.install is not None:
             self.feeding.installed()
             self.poke()
@@ -462,7 +466,7 @@
                     waiting.future.set_result(result)
                 else:
                     waiting.future.set_exception(Unknown("another entry took its place"))
-        self.core.applied_to(entries[-1].index)
+        self.core.mark_applied(entries[-1].index)
         self.steward.applied(self.replica.state.take_claimed(), time.monotonic_ns())
         self.feeding.applied(entries[-1].index, self.replica.state.take_fed())
         self.poke(self.replica.state.take_touched())
@@ -481,7 +485,7 @@
         try:
             meta = await self.loop.run_in_executor(self.copies, self.replica.vault.export)
             self.figures.exports += 1
-            self.core.snapshot_made(meta)
+            self.core.snapshot_exported(meta)
         except Full as error:
             log.error("%s", error)
             await asyncio.sleep(FULL_S)
@@ -495,7 +499,7 @@
             if self.replica.wants_cut:
                 # The journal belongs to the disk's thread; the core, to this one.
                 index = self.replica.cut_index()
-                self.core.cut(index)
+                self.core.compact(index)
                 await self.loop.run_in_executor(self.disk, self.replica.journal.cut, index)
             await self.loop.run_in_executor(self.disk, self.replica.journal.mark)
         except Full as error:
@@ -515,9 +519,9 @@
     # ---- what is asked of it ---------------------------------------------------------------------
 
     def put(self, command: bytes) -> asyncio.Future[Result]:
-        """Propose a packed command. Raises NotLeader, Busy; the future, Unknown."""
+        """Propose a packed command. Raises NotLeaderError, BusyError; the future, Unknown."""
         if self.failed.done():
-            raise NotLeader(0)
+            raise NotLeaderError(0)
         index = self.core.propose([command])[0]
         future: asyncio.Future[Result] = self.loop.create_future()
         self.waiting[index] = Waiting(self.core.term, future)
@@ -526,20 +530,20 @@
 
     def current(self) -> asyncio.Future[None]:
         """Done when what is applied here holds all that was answered to anyone before. Raises
-        NotLeader, Busy; the future, Late.
+        NotLeaderError, BusyError; the future, Late.
         """
         if self.failed.done():
-            raise NotLeader(0)
+            raise NotLeaderError(0)
         self.tickets += 1
         ticket = self.tickets
-        self.core.read(ticket)
+        self.core.request_read(ticket)
         future: asyncio.Future[None] = self.loop.create_future()
         self.reading[ticket] = Reading(self.core.term, time.monotonic() + READ_S, future)
         self.wake()
         return future
 
     def _answer_reads(self) -> None:
-        for ticket in self.core.take_proved():
+        for ticket in self.core.take_confirmed_reads():
             reading = self.reading.pop(ticket, None)
             if reading is not None and not reading.future.done():
                 reading.future.set_result(None)
@@ -553,8 +557,8 @@
                 reading.future.set_exception(Late("no majority proved the read in time"))
 
     async def manage(self, what: str, node: int, address: str, within_s: float) -> str:
-        """Learn, promote, remove, transfer, snapshot; says what was done. Raises NotLeader, Busy,
-        Refused, Late, Full.
+        """Learn, promote, remove, transfer, snapshot; says what was done. Raises NotLeaderError,
+        BusyError, MembershipError, Late, Full.
         """
         if what == "snapshot":
             meta = await self.loop.run_in_executor(self.copies, self.replica.vault.export)
@@ -562,18 +566,20 @@
             return f"snapshot up to entry {meta.index}, {meta.size} bytes"
         until = time.monotonic() + within_s
         if what == "transfer":
-            self.core.transfer(node)
+            self.core.transfer_leadership(node)
             self.wake()
-            while self.core.leader != node:
+            while self.core.leader_id != node:
                 await self._pause(until)
-                if self.core.role is Role.LEADER and not self.core.target:
-                    raise Busy(f"node {node:x} did not take over")
+                if self.core.role is Role.LEADER and self.core.transfer_target is None:
+                    raise BusyError(f"node {node:x} did not take over")
             return f"node {node:x} leads"
-        index = self.core.change(Change(what, node, address))
+        self.core.require_change_possible()
+        change = MembershipChange(parse_change_kind(what), node, address)
+        index = self.core.change_membership(change)
         term = self.core.term
         self.wake()
         self._keep_links()
-        while self.core.applied < index:
+        while self.core.applied_index < index:
             await self._pause(until)
             if self.core.term != term and what != "remove":
                 raise Unknown("leadership was lost over it")
@@ -591,7 +597,9 @@
     def behind_ms(self) -> int:
         """How long ago this node last knew a leader; 0: it knows one."""
         return (
-            0 if self.core.leader else max(1, int((time.monotonic() - self.heard_leader_s) * 1000))
+            0
+            if self.core.leader_id
+            else max(1, int((time.monotonic() - self.heard_leader_s) * 1000))
         )
 
     def status(self) -> dict[str, Any]:
@@ -606,11 +614,13 @@
                     "node": f"{n:x}",
                     "address": self.address_of(n),
                     "voter": n in core.members.voters,
-                    "leads": n == core.leader,
+                    "leads": n == core.leader_id,
                     "here": n == me,
-                    "match": (core.stable if n == me else p.match) if p else None,
-                    "lag": core.log.last - (core.stable if n == me else p.match) if p else None,
-                    "way": p.way.value if p and n != me else "",
+                    "match": (core.durable_index if n == me else p.match_index) if p else None,
+                    "lag": core.log.last_index - (core.durable_index if n == me else p.match_index)
+                    if p
+                    else None,
+                    "way": p.state.value if p and n != me else "",
                     "connected": n == me or bool(link and link.now),
                     "trouble": "" if n == me or not link or link.now else link.why,
                 }
@@ -621,27 +631,27 @@
             "name": self.identity.name,
             "role": core.role.value,
             "term": core.term,
-            "leader": f"{core.leader:x}" if core.leader else "",
+            "leader": f"{core.leader_id:x}" if core.leader_id else "",
             "leaderless_ms": self.behind_ms(),
             "members": members,
-            "last": core.log.last,
-            "commit": core.commit,
-            "applied": core.applied,
-            "log_from": core.log.base,
-            "log_bytes": core.log.bytes,
-            "stable": core.stable,
+            "last": core.log.last_index,
+            "commit": core.commit_index,
+            "applied": core.applied_index,
+            "log_from": core.log.base_index,
+            "log_bytes": core.log.size_bytes,
+            "stable": core.durable_index,
             "flushed": self.replica.flushed,
             "writes_waiting": len(self.waiting),
             "reads_waiting": len(self.reading),
-            "uncommitted_bytes": core.uncommitted,
-            "elections": core.elections,
+            "uncommitted_bytes": core.uncommitted_bytes,
+            "elections": core.election_count,
             "batches": f.batches,
             "entries": f.entries,
             "sync_p50_ms": round(f.quantile(0.5) * 1000, 3),
             "sync_p99_ms": round(f.quantile(0.99) * 1000, 3),
             "disk_full_s": round(time.monotonic() - min(f.full.values()), 1) if f.full else 0,
             "late_turns": f.late_turns,
-            "removed": core.removed,
+            "removed": core.is_removed,
             "failed": self.failed.done(),
             "format": self.replica.state.format,
             "feed": self.feeding.status(),
--- a/loadbalancer/store/raft/__init__.py
+++ b/loadbalancer/store/raft/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus: Raft as a state machine without I/O."""
+"""Raft without I/O: messages, log, membership and the consensus state machine (see `node`)."""
--- a/loadbalancer/store/raft/log.py
+++ b/loadbalancer/store/raft/log.py
@@ -1,102 +1,109 @@
-"""The entries that a node holds in memory: all after a base, which the state on disk already
-contains.
-"""
+"""The entries that a node holds in memory: all after a base that the durable state contains."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import Final
 
 from loadbalancer.store.raft.messages import Entry
 
-EACH = 24  # bytes that an entry is counted for beside its data
+ENTRY_OVERHEAD_BYTES: Final = 24  # that an entry is counted for beside its data
+NO_LIMIT_BYTES: Final = 1 << 62
 
 
-def weight(entry: Entry) -> int:
-    """Bytes that an entry counts for in limits."""
-    return len(entry.data) + EACH
+def entry_bytes(entry: Entry) -> int:
+    """Return the bytes that an entry counts for in limits."""
+    return len(entry.data) + ENTRY_OVERHEAD_BYTES
 
 
 class Log:
-    """Indices count from 1; `base` is the last index that is no longer here, 0 at first."""
+    """Entries from `base_index` + 1 on; indices count from 1, and the base is 0 at first."""
 
-    def __init__(self, base: int = 0, base_term: int = 0, entries: Sequence[Entry] = ()) -> None:
-        self.base = base
+    def __init__(
+        self, base_index: int = 0, base_term: int = 0, entries: Sequence[Entry] = ()
+    ) -> None:
+        self.base_index = base_index
         self.base_term = base_term
         self.entries = list(entries)
-        self.bytes = sum(map(weight, self.entries))
+        self.size_bytes = sum(map(entry_bytes, self.entries))
 
     @property
-    def last(self) -> int:
-        return self.base + len(self.entries)
+    def last_index(self) -> int:
+        """The index of the last entry, or the base."""
+        return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """The term of the last entry, or of the base."""
         return self.entries[-1].term if self.entries else self.base_term
 
-    def term(self, index: int) -> int | None:
-        """None: not here, cut off or not there yet."""
-        if index == self.base:
+    def term_at(self, index: int) -> int | None:
+        """Return the term of an entry. None: it was compacted, or is not there yet."""
+        if index == self.base_index:
             return self.base_term
-        if self.base < index <= self.last:
-            return self.entries[index - self.base - 1].term
+        if self.base_index < index <= self.last_index:
+            return self.entries[index - self.base_index - 1].term
         return None
 
-    def slice(self, first: int, last: int, most_bytes: int = 1 << 62) -> list[Entry]:
-        """Entries from `first` to `last`, both included, up to so many bytes but one at least."""
+    def slice(self, first: int, last: int, max_bytes: int = NO_LIMIT_BYTES) -> list[Entry]:
+        """Return entries from `first` to `last`, both included, up to a size but at least one."""
         found: list[Entry] = []
-        for entry in self.entries[first - self.base - 1 : last - self.base]:
-            most_bytes -= weight(entry)
-            if found and most_bytes < 0:
+        for entry in self.entries[first - self.base_index - 1 : last - self.base_index]:
+            max_bytes -= entry_bytes(entry)
+            if found and max_bytes < 0:
                 break
             found.append(entry)
         return found
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add entries; what stood from the first of them on is dropped."""
-        keep = entries[0].index - self.base - 1
-        assert 0 <= keep <= len(self.entries), "a gap in the log"
-        for old in self.entries[keep:]:
-            self.bytes -= weight(old)
-        del self.entries[keep:]
+        """Add entries; existing ones from the first new index on are dropped."""
+        retained = entries[0].index - self.base_index - 1
+        assert 0 <= retained <= len(self.entries), "a gap in the log"
+        for dropped in self.entries[retained:]:
+            self.size_bytes -= entry_bytes(dropped)
+        del self.entries[retained:]
         self.entries.extend(entries)
-        self.bytes += sum(map(weight, entries))
+        self.size_bytes += sum(map(entry_bytes, entries))
 
-    def first_new(self, entries: Sequence[Entry]) -> int:
-        """How many of these are here already with the same term."""
-        for i, entry in enumerate(entries):
-            if self.term(entry.index) != entry.term:
-                return i
+    def count_matching(self, entries: Sequence[Entry]) -> int:
+        """Return how many of these, from the first on, are here with the same term."""
+        for count, entry in enumerate(entries):
+            if self.term_at(entry.index) != entry.term:
+                return count
         return len(entries)
 
-    def last_within(self, index: int, term: int) -> tuple[int, int]:
-        """The last index up to `index` whose term is `term` or less, and that term: where two logs
-        may still agree. The base, where there is none.
+    def last_possible_match(self, index: int, term: int) -> tuple[int, int]:
+        """Return index and term of the last entry at which another log may still agree.
+
+        It is the last one up to `index` whose term is `term` or less, else the base.
         """
-        index = min(index, self.last)
-        while index > self.base:
-            own = self.entries[index - self.base - 1].term
-            if own <= term:
-                return index, own
+        index = min(index, self.last_index)
+        while index > self.base_index:
+            own_term = self.entries[index - self.base_index - 1].term
+            if own_term <= term:
+                return index, own_term
             index -= 1
-        return self.base, self.base_term
+        return self.base_index, self.base_term
 
-    def newer(self, last_index: int, last_term: int) -> bool:
-        """Is a log that ends so at least as complete as this one (paper, 5.4.1)?"""
-        return (last_term, last_index) >= (self.last_term, self.last)
+    def is_up_to_date(self, last_index: int, last_term: int) -> bool:
+        """Return whether a log that ends so is at least as complete as this one (paper, 5.4.1)."""
+        return (last_term, last_index) >= (self.last_term, self.last_index)
 
-    def cut(self, index: int) -> None:
-        """Forget what the state holds anyway, up to this index."""
-        if index <= self.base:
+    def compact(self, index: int) -> None:
+        """Drop entries up to this index, which the durable state contains."""
+        if index <= self.base_index:
             return
-        term = self.term(index)
-        assert term is not None, "cut beyond the end of the log"
-        gone = self.entries[: index - self.base]
-        self.bytes -= sum(map(weight, gone))
-        del self.entries[: index - self.base]
-        self.base, self.base_term = index, term
+        term = self.term_at(index)
+        assert term is not None, "compacted beyond the end of the log"
+        dropped = self.entries[: index - self.base_index]
+        self.size_bytes -= sum(map(entry_bytes, dropped))
+        del self.entries[: index - self.base_index]
+        self.base_index = index
+        self.base_term = term
 
     def reset(self, index: int, term: int) -> None:
-        """A snapshot took the place of all of it."""
-        self.base, self.base_term = index, term
+        """Begin anew after a snapshot, which replaced all of it."""
+        self.base_index = index
+        self.base_term = term
         self.entries.clear()
-        self.bytes = 0
+        self.size_bytes = 0
--- a/loadbalancer/store/raft/members.py
+++ b/loadbalancer/store/raft/members.py
@@ -1,84 +1,120 @@
-"""Membership, one server at a time (thesis 4.1 to 4.3): what each change makes of the members, or
-why not.
-"""
+"""Membership changes, one server at a time (thesis 4.1 to 4.3)."""
 
 from __future__ import annotations
 
+from enum import Enum
+from typing import Final
+
 import msgspec
 
+from loadbalancer.store.raft.errors import MembershipError
 from loadbalancer.store.raft.messages import Members
 
-MOST_GONE = 256  # numbers of removed nodes that are remembered
-MOST_VOTERS, MOST_LEARNERS = 9, 16
+MAX_REMOVED_REMEMBERED: Final = 256  # numbers of former members
+MAX_VOTERS: Final = 9
+MAX_LEARNERS: Final = 16
+
+
+class ChangeKind(Enum):
+    """A single-server change; the values are those of the wire and the command line."""
+
+    LEARN = "learn"
+    PROMOTE = "promote"
+    REMOVE = "remove"
 
 
-class Refused(Exception):
-    """The change can't be made, in one line."""
+def parse_change_kind(text: str) -> ChangeKind:
+    """Return the kind that a request names.
 
+    Raises:
+        MembershipError: There is none.
+    """
+    try:
+        return ChangeKind(text)
+    except ValueError:
+        raise MembershipError(f"no such change: {text}") from None
 
-def _with(
-    m: Members,
+
+def _sorted(
     voters: tuple[int, ...],
     learners: tuple[int, ...],
     addresses: dict[int, str],
-    gone: tuple[int, ...],
+    removed: tuple[int, ...],
 ) -> Members:
     return Members(
-        tuple(sorted(voters)), tuple(sorted(learners)), dict(sorted(addresses.items())), gone
-    )
-
-
-def add_learner(m: Members, node: int, address: str) -> Members:
-    """A newcomer takes the log but has no vote. One that is known gets another address."""
-    if node in m.gone:
-        raise Refused(f"node {node:x} was removed: it comes back only with a new data folder")
-    if node in m.all:
-        return _with(m, m.voters, m.learners, {**m.addresses, node: address}, m.gone)
-    if len(m.learners) >= MOST_LEARNERS:
-        raise Refused(f"there are {MOST_LEARNERS} learners already")
-    return _with(m, m.voters, (*m.learners, node), {**m.addresses, node: address}, m.gone)
-
-
-def promote(m: Members, node: int) -> Members:
-    if node in m.voters:
-        return m
-    if node not in m.learners:
-        raise Refused(f"node {node:x} is no learner")
-    if len(m.voters) >= MOST_VOTERS:
-        raise Refused(f"there are {MOST_VOTERS} voters already")
-    return _with(
-        m, (*m.voters, node), tuple(n for n in m.learners if n != node), m.addresses, m.gone
+        tuple(sorted(voters)), tuple(sorted(learners)), dict(sorted(addresses.items())), removed
     )
 
 
-def remove(m: Members, node: int) -> Members:
-    if node not in m.all:
-        raise Refused(f"node {node:x} is no member")
-    if m.voters == (node,):
-        raise Refused("the last voter can't be removed")
-    return _with(
-        m,
-        tuple(n for n in m.voters if n != node),
-        tuple(n for n in m.learners if n != node),
-        {n: a for n, a in m.addresses.items() if n != node},
-        (*m.gone, node)[-MOST_GONE:],
+def add_learner(members: Members, node: int, address: str) -> Members:
+    """Add a node that takes the log but has no vote; a known one gets another address.
+
+    Raises:
+        MembershipError: It was removed, or there are too many learners.
+    """
+    if node in members.removed:
+        raise MembershipError(
+            f"node {node:x} was removed: it comes back only with a new data folder"
+        )
+    addresses = {**members.addresses, node: address}
+    if node in members.all:
+        return _sorted(members.voters, members.learners, addresses, members.removed)
+    if len(members.learners) >= MAX_LEARNERS:
+        raise MembershipError(f"there are {MAX_LEARNERS} learners already")
+    return _sorted(members.voters, (*members.learners, node), addresses, members.removed)
+
+
+def promote(members: Members, node: int) -> Members:
+    """Make a learner a voter.
+
+    Raises:
+        MembershipError: It is no learner, or there are too many voters.
+    """
+    if node in members.voters:
+        return members
+    if node not in members.learners:
+        raise MembershipError(f"node {node:x} is no learner")
+    if len(members.voters) >= MAX_VOTERS:
+        raise MembershipError(f"there are {MAX_VOTERS} voters already")
+    learners = tuple(n for n in members.learners if n != node)
+    return _sorted((*members.voters, node), learners, members.addresses, members.removed)
+
+
+def remove(members: Members, node: int) -> Members:
+    """Remove a member for good.
+
+    Raises:
+        MembershipError: It is no member, or the last voter.
+    """
+    if node not in members.all:
+        raise MembershipError(f"node {node:x} is no member")
+    if members.voters == (node,):
+        raise MembershipError("the last voter can't be removed")
+    return _sorted(
+        tuple(n for n in members.voters if n != node),
+        tuple(n for n in members.learners if n != node),
+        {n: address for n, address in members.addresses.items() if n != node},
+        (*members.removed, node)[-MAX_REMOVED_REMEMBERED:],
     )
 
 
-class Change(msgspec.Struct, frozen=True):
-    """One step: `learn`, `promote` or `remove`."""
+class MembershipChange(msgspec.Struct, frozen=True):
+    """One change of the members."""
 
-    what: str
+    kind: ChangeKind
     node: int
     address: str = ""
 
-    def of(self, m: Members) -> Members:
-        """Raises Refused."""
-        match self.what:
-            case "learn":
-                return add_learner(m, self.node, self.address)
-            case "promote":
-                return promote(m, self.node)
-            case "remove":
-                return remove(m, self.node)
-        raise Refused(f"no such change: {self.what}")
+    def applied_to(self, members: Members) -> Members:
+        """Return the members after this change.
+
+        Raises:
+            MembershipError: It can't be made.
+        """
+        match self.kind:
+            case ChangeKind.LEARN:
+                return add_learner(members, self.node, self.address)
+            case ChangeKind.PROMOTE:
+                return promote(members, self.node)
+            case ChangeKind.REMOVE:
+                return remove(members, self.node)
--- a/loadbalancer/store/raft/progress.py
+++ b/loadbalancer/store/raft/progress.py
@@ -1,6 +1,4 @@
-"""What a leader knows of one follower, and how much it may send it: flow control of appends and
-snapshots.
-"""
+"""What a leader knows of one follower, and the flow control of appends and snapshots to it."""
 
 from __future__ import annotations
 
@@ -11,56 +9,66 @@
 from loadbalancer.store.raft.messages import SnapshotMeta
 
 
-class Way(Enum):
+class ProgressState(Enum):
     """How entries go to a follower."""
 
-    PROBE = "probe"  # one message at a time, until it is known where the logs agree
-    STREAM = "stream"  # many on the way at once
+    PROBE = "probe"  # one message at a time, until it is known where the logs match
+    REPLICATE = "replicate"  # many messages in flight
     SNAPSHOT = "snapshot"  # what it needs is no longer in the log
 
 
 @dataclass(slots=True, eq=False)
 class Progress:
-    next: int
-    match: int = 0
-    way: Way = Way.PROBE
-    asked: bool = False  # PROBE: a message is on its way
-    flights: deque[int] = field(
-        default_factory=deque
-    )  # STREAM: last index of each append on its way
-    round: int = 0  # the last of the leader's rounds that it answered
-    heard_ns: int = 0
-    meta: SnapshotMeta | None = None  # SNAPSHOT: what is being sent
-    taken: int = 0  # bytes of it that are there
-    sent: int = 0  # bytes of it that are there or on their way
-    moved_ns: int = 0  # when `taken` last grew, or pieces were sent anew
+    """One follower, as its leader knows it."""
 
-    def probe(self, following: int) -> None:
-        """Ask anew, beginning with this entry."""
-        self.way, self.next, self.asked, self.meta = (
-            Way.PROBE,
-            max(following, self.match + 1),
-            False,
-            None,
-        )
-        self.flights.clear()
+    next_index: int
+    match_index: int = 0
+    state: ProgressState = ProgressState.PROBE
+    is_probe_in_flight: bool = False
+    in_flight: deque[int] = field(default_factory=deque)  # REPLICATE: last index of each append
+    acked_round: int = 0  # the last of the leader's rounds that it responded to
+    last_contact_ns: int = 0
+    snapshot: SnapshotMeta | None = None  # SNAPSHOT: what is being sent
+    acked_bytes: int = 0  # of the snapshot
+    sent_bytes: int = 0  # of the snapshot: acknowledged or in flight
+    snapshot_moved_ns: int = 0  # when `acked_bytes` last grew, or chunks were sent again
 
-    def stream(self) -> None:
-        self.way, self.next, self.asked, self.meta = Way.STREAM, self.match + 1, False, None
-        self.flights.clear()
+    def become_probe(self, next_index: int) -> None:
+        """Find out where the logs match, beginning before this entry."""
+        self._enter(ProgressState.PROBE)
+        self.next_index = max(next_index, self.match_index + 1)
 
-    def snapshot(self, meta: SnapshotMeta | None, now: int) -> None:
-        self.way, self.meta, self.taken, self.sent, self.moved_ns = Way.SNAPSHOT, meta, 0, 0, now
-        self.flights.clear()
+    def become_replicate(self) -> None:
+        """The logs match up to `match_index`: send many appends at a time."""
+        self._enter(ProgressState.REPLICATE)
+        self.next_index = self.match_index + 1
 
-    def landed(self, index: int) -> None:
-        while self.flights and self.flights[0] <= index:
-            self.flights.popleft()
+    def _enter(self, state: ProgressState) -> None:
+        self.state = state
+        self.is_probe_in_flight = False
+        self.snapshot = None
+        self.in_flight.clear()
 
-    def may_send(self, window: int) -> bool:
-        match self.way:
-            case Way.PROBE:
-                return not self.asked
-            case Way.STREAM:
-                return len(self.flights) < window
-        return False
+    def become_snapshot(self, snapshot: SnapshotMeta | None, now: int) -> None:
+        """Send this snapshot, or wait for one."""
+        self.state = ProgressState.SNAPSHOT
+        self.snapshot = snapshot
+        self.acked_bytes = 0
+        self.sent_bytes = 0
+        self.snapshot_moved_ns = now
+        self.in_flight.clear()
+
+    def append_acknowledged(self, index: int) -> None:
+        """Appends up to this index are no longer in flight."""
+        while self.in_flight and self.in_flight[0] <= index:
+            self.in_flight.popleft()
+
+    def can_send_append(self, max_in_flight: int) -> bool:
+        """Return whether flow control permits another append."""
+        match self.state:
+            case ProgressState.PROBE:
+                return not self.is_probe_in_flight
+            case ProgressState.REPLICATE:
+                return len(self.in_flight) < max_in_flight
+            case ProgressState.SNAPSHOT:
+                return False
--- /dev/null
+++ b/loadbalancer/store/raft/replication.py
@@ -0,0 +1,335 @@
+"""Log replication and commitment (paper, 5.3 and 5.4; thesis 10.2.1: writing in parallel)."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from loadbalancer.store.raft.errors import BusyError, MembershipError, NotLeaderError
+from loadbalancer.store.raft.log import entry_bytes
+from loadbalancer.store.raft.membership import Membership
+from loadbalancer.store.raft.messages import (
+    NO_NODE,
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    TimeoutNow,
+)
+from loadbalancer.store.raft.progress import Progress, ProgressState
+from loadbalancer.store.raft.snapshots import Snapshots
+from loadbalancer.store.raft.state import Role
+
+# A follower without contact for so many election timeouts does not count as following.
+FOLLOWING_TIMEOUTS: Final = 2
+# Chunks without progress for so many heartbeats are sent again.
+CHUNK_RETRY_HEARTBEATS: Final = 2
+
+
+class Replication(Membership, Snapshots):
+    """Both sides of AppendEntries, what a leader commits, and how it transfers its leadership."""
+
+    # ---- leader: timers --------------------------------------------------------------------------
+
+    def _tick_leader(self) -> None:
+        """Begin a heartbeat when one is due, if a quorum still follows (thesis 6.2)."""
+        if self.transfer_target is not None and self.now_ns >= self.transfer_deadline_ns:
+            self.transfer_target = None  # it did not take over in time
+        if self.now_ns < self.heartbeat_due_ns:
+            return
+        self.heartbeat_due_ns = self.now_ns + self.config.heartbeat_interval_ns
+        if not self._has_quorum_contact():
+            self._become_follower(self.term, NO_NODE)
+            return
+        self.is_round_due = True
+        if self._is_disk_slow():
+            self._transfer_from_slow_disk()
+        self._retry_lost_messages()
+
+    def _retry_lost_messages(self) -> None:
+        chunk_timeout_ns = CHUNK_RETRY_HEARTBEATS * self.config.heartbeat_interval_ns
+        for progress in self.progress.values():
+            progress.is_probe_in_flight = False
+            if (
+                progress.state is ProgressState.SNAPSHOT
+                and self.now_ns - progress.snapshot_moved_ns > chunk_timeout_ns
+            ):
+                progress.sent_bytes = progress.acked_bytes
+                progress.snapshot_moved_ns = self.now_ns
+
+    def _is_following(self, node: int) -> bool:
+        silence_ns = self.now_ns - self.progress[node].last_contact_ns
+        return silence_ns < FOLLOWING_TIMEOUTS * self.config.election_timeout_ns
+
+    def _has_quorum_contact(self) -> bool:
+        voters = self.members.voters
+        following = sum(n == self.node_id or self._is_following(n) for n in voters)
+        return following >= self.quorum(voters)
+
+    # ---- leader: transfer of leadership (thesis 3.10) --------------------------------------------
+
+    def transfer_leadership(self, target: int) -> None:
+        """Hand the leadership over to a voter.
+
+        Raises:
+            NotLeaderError: Another node leads, or none.
+            BusyError: Another transfer is under way.
+            MembershipError: The target is no voter.
+        """
+        if self.role is not Role.LEADER:
+            raise NotLeaderError(self.leader_id)
+        if target == self.node_id:
+            return
+        if target not in self.members.voters:
+            raise MembershipError(f"node {target:x} is no voter")
+        if self.transfer_target is not None and self.transfer_target != target:
+            raise BusyError("leadership is being handed over to another")
+        self._begin_transfer(target)
+
+    def _begin_transfer(self, target: int) -> None:
+        self.transfer_target = target
+        self.transfer_deadline_ns = self.now_ns + self.config.election_timeout_ns
+        self._try_transfer(target)
+
+    def _try_transfer(self, target: int) -> None:
+        """Let the target start an election, once it has all entries."""
+        progress = self.progress.get(target)
+        if progress is not None and progress.match_index == self.log.last_index:
+            self._send(target, TimeoutNow(self.term))
+
+    def _is_disk_slow(self) -> bool:
+        return (
+            self.batch_in_flight is not None
+            and self.now_ns - self.batch_started_ns > self.config.slow_disk_timeout_ns
+        )
+
+    def _transfer_from_slow_disk(self) -> None:
+        """Nothing that this node writes becomes durable: the most complete follower takes over."""
+        voters = self.members.voters
+        others = [n for n in voters if n != self.node_id and self._is_following(n)]
+        if others and self.transfer_target is None:
+            self._begin_transfer(
+                max(others, key=lambda node: (self.progress[node].match_index, -node))
+            )
+
+    # ---- leader: sending -------------------------------------------------------------------------
+
+    def _members_changed(self) -> None:
+        everyone = self.members.all
+        for node in everyone:
+            self.progress.setdefault(
+                node, Progress(self.log.last_index, last_contact_ns=self.now_ns)
+            )
+        for node in [n for n in self.progress if n not in everyone and n != self.node_id]:
+            # One last append goes out, so that the node may learn of its own removal.
+            self._send_append(node, self.progress[node])
+            del self.progress[node]
+
+    def _flush(self) -> None:
+        """Send what flow control permits to each follower, and a new round where one is due."""
+        if self.is_round_due:
+            self.round += 1
+        for node, progress in list(self.progress.items()):
+            if node != self.node_id:
+                self._flush_follower(node, progress)
+        if self.is_round_due:
+            self.is_round_due = False
+            self._confirm_reads()
+
+    def _flush_follower(self, node: int, progress: Progress) -> None:
+        is_sent = False
+        while (
+            progress.state is not ProgressState.SNAPSHOT
+            and progress.can_send_append(self.config.max_in_flight_appends)
+            and (progress.next_index <= self.log.last_index or (self.is_round_due and not is_sent))
+        ):
+            if not self._send_append(node, progress):
+                break
+            is_sent = True
+        if progress.state is ProgressState.SNAPSHOT:
+            self._request_chunks(node, progress)
+        if self.is_round_due and not is_sent:
+            self._send_heartbeat(node, progress)
+
+    def _send_heartbeat(self, node: int, progress: Progress) -> None:
+        """Send an append without entries, which flow control does not bind.
+
+        While replicating it follows on all that was sent: where some of that was lost, it is
+        rejected, and the leader notices.
+        """
+        is_replicating = progress.state is ProgressState.REPLICATE
+        index = progress.next_index - 1 if is_replicating else progress.match_index
+        term = self.log.term_at(index)
+        if term is None:
+            index = self.log.base_index
+            term = self.log.base_term
+        self._send(node, AppendEntries(self.term, index, term, self.commit_index, self.round))
+
+    def _send_append(self, node: int, progress: Progress) -> bool:
+        """Send the next entries. False: the log no longer holds them, and a snapshot is due."""
+        prev_index = progress.next_index - 1
+        prev_term = self.log.term_at(prev_index)
+        if prev_term is None:
+            self._fall_back_to_snapshot(progress)
+            return False
+        entries = self.log.slice(
+            progress.next_index, self.log.last_index, self.config.max_append_bytes
+        )
+        message = AppendEntries(
+            self.term, prev_index, prev_term, self.commit_index, self.round, tuple(entries)
+        )
+        self._send(node, message)
+        if progress.state is ProgressState.PROBE:
+            progress.is_probe_in_flight = True
+        elif entries:
+            progress.next_index = entries[-1].index + 1
+            progress.in_flight.append(entries[-1].index)
+        return True
+
+    def _fall_back_to_snapshot(self, progress: Progress) -> None:
+        snapshot = self.available_snapshot
+        if snapshot is not None and snapshot.index < self.log.base_index:
+            snapshot = None  # the entries after it are gone, too
+        progress.become_snapshot(snapshot, self.now_ns)
+        self.needs_snapshot = self.needs_snapshot or snapshot is None
+
+    # ---- leader: responses and commitment --------------------------------------------------------
+
+    def _on_append_response(self, sender: int, message: AppendEntriesResponse) -> None:
+        progress = self.progress.get(sender)
+        if self.role is not Role.LEADER or progress is None:
+            return
+        self._follower_contacted(progress, message.round)
+        if message.is_rejected:
+            self._append_rejected(progress, message)
+            return
+        self._append_acknowledged(progress, message.index)
+        self._update_match(sender, message.index)
+        if sender == self.transfer_target:
+            self._try_transfer(sender)
+
+    def _append_rejected(self, progress: Progress, message: AppendEntriesResponse) -> None:
+        """Go back to where the logs may match; a stale rejection is ignored."""
+        is_probing = progress.state is ProgressState.PROBE
+        is_stale = message.index <= progress.match_index or (
+            is_probing and message.index != progress.next_index - 1
+        )
+        if progress.state is ProgressState.SNAPSHOT or is_stale:
+            return
+        match_index, _ = self.log.last_possible_match(message.hint_index, message.hint_term)
+        if message.hint_index < self.log.base_index:
+            match_index = message.hint_index
+        progress.become_probe(min(match_index + 1, message.index))
+
+    def _append_acknowledged(self, progress: Progress, index: int) -> None:
+        progress.append_acknowledged(index)
+        if index >= progress.next_index and progress.state is not ProgressState.SNAPSHOT:
+            progress.next_index = index + 1
+        if progress.state is ProgressState.PROBE and index >= progress.next_index - 1:
+            progress.match_index = max(progress.match_index, index)
+            progress.become_replicate()
+        elif progress.state is ProgressState.SNAPSHOT and index >= self.log.base_index:
+            progress.match_index = max(progress.match_index, index)
+            progress.become_probe(index + 1)
+
+    def _update_match(self, node: int, index: int) -> None:
+        """A node's log matches up to `index`: commit what a quorum has."""
+        progress = self.progress.get(node)
+        if progress is None:
+            return
+        progress.match_index = max(progress.match_index, index)
+        progress.next_index = max(progress.next_index, progress.match_index + 1)
+        voters = self.members.voters
+        matches = sorted((self.progress[n].match_index for n in voters), reverse=True)
+        quorum_index = matches[self.quorum(voters) - 1]
+        if quorum_index > self.commit_index and self._can_commit(quorum_index):
+            self._commit(quorum_index)
+
+    def _can_commit(self, index: int) -> bool:
+        """Only an entry of its own term is committed by counting (paper, 5.4.2)."""
+        return self.log.term_at(index) == self.term
+
+    def _commit(self, index: int) -> None:
+        for entry in self.log.slice(self.commit_index + 1, index):
+            self.uncommitted_bytes -= entry_bytes(entry)
+        self.commit_index = index
+        self._begin_deferred_reads()
+        if self.members_index <= index and self.node_id not in self.members.all:
+            self._resign_after_removal()
+        elif self.role is Role.LEADER:
+            # Followers learn of it with the next entries, or by a heartbeat soon.
+            notice_ns = self.now_ns + self.config.commit_notice_ns
+            self.heartbeat_due_ns = min(self.heartbeat_due_ns, notice_ns)
+
+    def _resign_after_removal(self) -> None:
+        """A leader leads, without a vote, until its own removal is committed (thesis 4.2.2)."""
+        for node, progress in self.progress.items():
+            if node != self.node_id:
+                self._send_append(node, progress)
+        self.is_removed = True
+        self._become_follower(self.term, NO_NODE)
+
+    # ---- follower --------------------------------------------------------------------------------
+
+    def _on_append(self, sender: int, message: AppendEntries) -> None:
+        self._leader_contacted(sender)
+        if self.installing_snapshot is not None:
+            self._reject_while_installing(sender, message)
+            return
+        entries = message.entries
+        last_index = message.prev_log_index + len(entries)
+        if message.prev_log_index < self.commit_index:
+            # Committed entries agree with any leader's log: only the others are compared.
+            if last_index <= self.commit_index:
+                response = AppendEntriesResponse(self.term, self.commit_index, message.round)
+                self._send_when_durable(sender, response)
+                return
+            entries = entries[self.commit_index - message.prev_log_index :]
+        elif self.log.term_at(message.prev_log_index) != message.prev_log_term:
+            self._reject_append(sender, message)
+            return
+        self._store_missing(entries)
+        self._learn_commit(min(message.leader_commit, last_index))
+        self._acknowledge_append(sender, message, last_index)
+
+    def _store_missing(self, entries: tuple[Entry, ...]) -> None:
+        matching = self.log.count_matching(entries)
+        if matching < len(entries):
+            self._store_entries(entries[matching:])
+
+    def _reject_while_installing(self, sender: int, message: AppendEntries) -> None:
+        """This node still follows, and saying so needs no disk."""
+        commit_term = self.log.term_at(self.commit_index) or 0
+        response = AppendEntriesResponse(
+            self.term, message.prev_log_index, message.round, True, self.commit_index, commit_term
+        )
+        self._send(sender, response)
+
+    def _reject_append(self, sender: int, message: AppendEntries) -> None:
+        hint_index, hint_term = self.log.last_possible_match(
+            message.prev_log_index, message.prev_log_term
+        )
+        response = AppendEntriesResponse(
+            self.term, message.prev_log_index, message.round, True, hint_index, hint_term
+        )
+        self._send_when_durable(sender, response)
+
+    def _learn_commit(self, index: int) -> None:
+        if index <= self.commit_index:
+            return
+        self.commit_index = index
+        if self.node_id not in self.members.all and self.members_index <= index:
+            self.is_removed = self.node_id in self.members.removed
+
+    def _acknowledge_append(self, sender: int, message: AppendEntries, last_index: int) -> None:
+        if not message.entries and self._is_term_durable():
+            # A heartbeat is acknowledged past the disk, with what that holds: a slow or full disk
+            # stops writes, not reads.
+            index = min(last_index, self.durable_index)
+            self._send(sender, AppendEntriesResponse(self.term, index, message.round))
+        else:
+            response = AppendEntriesResponse(self.term, last_index, message.round)
+            self._send_when_durable(sender, response)
+
+    def _is_term_durable(self) -> bool:
+        return self.pending_batch.hard_state is None and (
+            self.batch_in_flight is None or self.batch_in_flight.hard_state is None
+        )
--- a/loadbalancer/store/replica.py
+++ b/loadbalancer/store/replica.py
@@ -18,9 +18,12 @@
 from loadbalancer.store.durable.journal import Damaged, Journal
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.durable.state_directory import Vault
+from loadbalancer.store.raft.config import RaftConfig
 from loadbalancer.store.raft.log import Log
-from loadbalancer.store.raft.messages import Array, Entry, Members
-from loadbalancer.store.raft.node import Batch, Config, Core
+from loadbalancer.store.raft.messages import ArrayStruct, Entry, Members
+from loadbalancer.store.raft.node import RaftNode
+from loadbalancer.store.raft.ready import Batch
+from loadbalancer.store.raft.state import StoredState
 
 IDENTITY = "identity.json"
 FORMAT = 1
@@ -38,7 +41,7 @@
     name: str = ""
 
 
-class Boundaries(Array, frozen=True):
+class Boundaries(ArrayStruct, frozen=True):
     """When the log is cut, and what of it is kept."""
 
     keep: int = KEEP
@@ -74,7 +77,7 @@
         journal: Journal,
         vault: Vault,
         state: State,
-        core: Core,
+        core: RaftNode,
         boundaries: Boundaries,
     ) -> None:
         self.identity = identity
@@ -91,11 +94,11 @@
         identity: Identity,
         journal: Journal,
         vault: Vault,
-        config: Config,
+        config: RaftConfig,
         now: int,
         rng: random.Random,
         boundaries: Boundaries = Boundaries(),  # noqa: B008 (it can't be changed)
-        make: type[Core] = Core,
+        make: type[RaftNode] = RaftNode,
     ) -> Replica:
         """From what is on disk. Raises Damaged."""
         found = journal.open()
@@ -110,20 +113,23 @@
                 f"the state ends at entry {state.applied}, the log begins after {found.base}"
             )
         log = Log(found.base, found.base_term, found.entries)
-        if state.applied > log.last:
-            raise Damaged(f"the log ends at entry {log.last}, the state holds {state.applied}")
-        core = make(identity.node, config, found.hard, log, state.members, now, rng, state.applied)
-        core.cut(state.applied - boundaries.keep)
+        if state.applied > log.last_index:
+            raise Damaged(
+                f"the log ends at entry {log.last_index}, the state holds {state.applied}"
+            )
+        stored = StoredState(found.hard, log, state.members, state.applied)
+        core = make(identity.node, config, stored, now, rng)
+        core.compact(state.applied - boundaries.keep)
         return cls(identity, journal, vault, state, core, boundaries)
 
     def write(self, batch: Batch) -> bool:
         """Make a batch durable; False where the snapshot in it is not whole. Raises Full, and may
         be called again with the same batch; raises Broken.
         """
-        for piece in batch.pieces:
+        for piece in batch.chunks:
             self.vault.write_piece(piece.offset, piece.data)
-        if batch.hard is not None or batch.entries:
-            self.journal.write(batch.hard, batch.entries)
+        if batch.hard_state is not None or batch.entries:
+            self.journal.write(batch.hard_state, batch.entries)
         if batch.install is None:
             return True
         if not self.vault.arrived(batch.install):
@@ -139,8 +145,8 @@
     def wants_cut(self) -> bool:
         """Is there so much log that the state should be synced and the log cut?"""
         log, b = self.core.log, self.boundaries
-        behind = self.core.applied - log.base
-        return behind > b.keep and (behind > b.entries or log.bytes > b.bytes)
+        behind = self.core.applied_index - log.base_index
+        return behind > b.keep and (behind > b.entries or log.size_bytes > b.bytes)
 
     def flush(self) -> int:
         """Sync the state. Raises Full."""
@@ -151,16 +157,16 @@
         """Up to which entry the log may be dropped: what is durable in the state, but for the last
         entries."""
         log = self.core.log
-        index = min(self.flushed, self.core.applied - self.boundaries.keep)
-        if log.bytes > self.boundaries.bytes:
+        index = min(self.flushed, self.core.applied_index - self.boundaries.keep)
+        if log.size_bytes > self.boundaries.bytes:
             index = self.flushed  # what is kept must not outgrow memory
-        if log.bytes < PATIENCE * self.boundaries.bytes:
-            index = min(index, self.core.awaited)
-        return max(index, log.base)
+        if log.size_bytes < PATIENCE * self.boundaries.bytes:
+            index = min(index, self.core.first_needed_index)
+        return max(index, log.base_index)
 
     def cut(self) -> None:
         index = self.cut_index()
-        self.core.cut(index)
+        self.core.compact(index)
         self.journal.cut(index)
 
     def close(self) -> None:
--- a/loadbalancer/store/server.py
+++ b/loadbalancer/store/server.py
@@ -23,9 +23,9 @@
 from loadbalancer.store.durable.journal import Full
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.node import Late, Node, Unknown
-from loadbalancer.store.raft.members import Refused as ChangeRefused
+from loadbalancer.store.raft.errors import BusyError, MembershipError, NotLeaderError
 from loadbalancer.store.raft.messages import SnapshotMeta, unpack_message
-from loadbalancer.store.raft.node import Busy, NotLeader, Role
+from loadbalancer.store.raft.state import Role
 from loadbalancer.store.read_requests import Watching, row, scan
 from loadbalancer.store.security import may, role_of
 from loadbalancer.store.wire import protocol
@@ -268,7 +268,7 @@
             role = role_of(self.transport.get_extra_info("peercert"), identity.cluster)
         if bool(hello.node) != (role == "node"):
             return self._decline(f"its certificate's role is {role or 'none'}")
-        if hello.node in self.node.core.members.gone:
+        if hello.node in self.node.core.members.removed:
             return self._decline(f"node {hello.node:x} was removed")
         if hello.node == identity.node:
             return self._decline("it has this node's own number")
@@ -363,15 +363,15 @@
                 return self.fail(
                     r.id,
                     Trouble.NOT_LEADER,
-                    str(NotLeader(self.node.core.leader)),
-                    self.node.core.leader,
+                    str(NotLeaderError(self.node.core.leader_id)),
+                    self.node.core.leader_id,
                 )
             return self.fail(r.id, Trouble.BUSY, self.node.not_yet(needs))
         try:
             future = self.node.put(r.command)
-        except NotLeader as error:
+        except NotLeaderError as error:
             return self.fail(r.id, Trouble.NOT_LEADER, str(error), error.leader)
-        except Busy as error:
+        except BusyError as error:
             return self.fail(r.id, Trouble.BUSY, str(error))
         self.open += 1
         future.add_done_callback(lambda done: self._put_done(r.id, done))
@@ -385,7 +385,7 @@
         if error is None:
             self.send(Done(number, commands.pack(done.result())))
         else:
-            self.fail(number, Trouble.UNKNOWN, str(error), self.node.core.leader)
+            self.fail(number, Trouble.UNKNOWN, str(error), self.node.core.leader_id)
 
     def _read(
         self,
@@ -461,14 +461,14 @@
     async def _answered(self, number: int, work: Coroutine[Any, Any, None]) -> None:
         try:
             await work
-        except NotLeader as error:
+        except NotLeaderError as error:
             self.fail(number, Trouble.NOT_LEADER, str(error), error.leader)
-        except Busy as error:
+        except BusyError as error:
             self.fail(number, Trouble.BUSY, str(error))
-        except ChangeRefused as error:
+        except MembershipError as error:
             self.fail(number, Trouble.REFUSED, str(error))
         except Unknown as error:
-            self.fail(number, Trouble.UNKNOWN, str(error), self.node.core.leader)
+            self.fail(number, Trouble.UNKNOWN, str(error), self.node.core.leader_id)
         except Late as error:
             self.fail(number, Trouble.LATE, str(error))
         except Full as error:
--- a/loadbalancer/store/settings.py
+++ b/loadbalancer/store/settings.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.changefeed.fanout import FanoutLimits
 from loadbalancer.settings import Malformed, split_address
-from loadbalancer.store.raft.node import Config
+from loadbalancer.store.raft.config import RaftConfig
 from loadbalancer.store.replica import Boundaries
 from loadbalancer.store.security import Tls
 from loadbalancer.units import Duration, Size, convert, read_toml
@@ -96,7 +96,7 @@
     reach: dict[str, str]
     metrics: tuple[str, int] | None
     tls: Tls | None
-    config: Config
+    config: RaftConfig
     boundaries: Boundaries
     connections: int
     feed: FanoutLimits = FanoutLimits()
@@ -130,11 +130,11 @@
         raise Malformed("limits: keep must not be negative, and connections must be 8 at least")
     if f.limits.uncommitted < 2 << 20:
         raise Malformed("limits.uncommitted: must be 2MiB at least")
-    config = Config(
-        heartbeat_ns=int(f.timing.heartbeat),
-        election_ns=int(f.timing.election),
-        slow_disk_ns=int(f.timing.slow_disk),
-        uncommitted_bytes=int(f.limits.uncommitted),
+    config = RaftConfig(
+        heartbeat_interval_ns=int(f.timing.heartbeat),
+        election_timeout_ns=int(f.timing.election),
+        slow_disk_timeout_ns=int(f.timing.slow_disk),
+        max_uncommitted_bytes=int(f.limits.uncommitted),
     )
     tls = f.tls.beside(beside) if f.tls else None
     return StoreSettings(
--- a/loadbalancer/testbed/cluster/bench.py
+++ b/loadbalancer/testbed/cluster/bench.py
@@ -181,7 +181,7 @@
             "turns": turns,
             "elections_ms": times,
             "state_mb": size,
-            "election_ms": config.election_ns / 1e6,
+            "election_ms": config.election_timeout_ns / 1e6,
         }
     finally:
         await cluster.stop()
--- a/loadbalancer/testbed/cluster/checks.py
+++ b/loadbalancer/testbed/cluster/checks.py
@@ -6,16 +6,17 @@
 
 from loadbalancer.store.raft.messages import (
     AnyMessage,
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
-    Piece,
-    PieceTaken,
-    TakeOver,
-    Vote,
-    VoteAsk,
+    InstallSnapshotChunk,
+    InstallSnapshotChunkResponse,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
-from loadbalancer.store.raft.node import Core, Role
+from loadbalancer.store.raft.node import RaftNode
+from loadbalancer.store.raft.state import Role
 
 
 class Broken(Exception):
@@ -41,14 +42,16 @@
 
     def said(self, node: int, to: int, m: AnyMessage) -> None:
         """A message left a node."""
-        if isinstance(m, Vote) and m.granted and not m.pre:
+        if isinstance(m, RequestVoteResponse) and m.is_granted and not m.is_pre_vote:
             self.voted(node, m.term, to)
         # Who declines, or asks to read, binds itself to nothing.
         binds = (
-            isinstance(m, Append | Piece | TakeOver | PieceTaken)
-            or (isinstance(m, VoteAsk) and not m.pre)
-            or (isinstance(m, Vote) and m.granted and not m.pre)
-            or (isinstance(m, Appended) and not m.rejected)
+            isinstance(
+                m, AppendEntries | InstallSnapshotChunk | TimeoutNow | InstallSnapshotChunkResponse
+            )
+            or (isinstance(m, RequestVote) and not m.is_pre_vote)
+            or (isinstance(m, RequestVoteResponse) and m.is_granted and not m.is_pre_vote)
+            or (isinstance(m, AppendEntriesResponse) and not m.is_rejected)
         )
         if binds:
             self.terms[node] = max(self.terms.get(node, 0), m.term)
@@ -60,7 +63,7 @@
                 "one vote a term", f"node {node} voted for {before} and {whom} in term {term}"
             )
 
-    def restarted(self, node: int, core: Core) -> None:
+    def restarted(self, node: int, core: RaftNode) -> None:
         if core.term < self.terms.get(node, 0):
             raise Broken(
                 "hard state goes forward",
@@ -68,14 +71,14 @@
                 f"and had bound itself in {self.terms[node]}",
             )
         vote = self.votes.get((node, core.term))
-        if vote and core.hard.vote != vote:
+        if vote and core.hard_state.voted_for != vote:
             raise Broken(
                 "hard state goes forward",
                 f"node {node} forgot that it voted for {vote} in term {core.term}",
             )
         self.looked.pop(node, None)
 
-    def look(self, node: int, core: Core) -> None:
+    def look(self, node: int, core: RaftNode) -> None:
         """After every step of a node."""
         if core.role is Role.LEADER and self.leaders.get(core.term) != node:
             if core.term in self.leaders:
@@ -86,22 +89,22 @@
             self.leaders[core.term] = node
             self._complete(node, core)
         log = core.log
-        end = (log.last, log.last_term)
+        end = (log.last_index, log.last_term)
         if self.looked.get(node) != end:
             self._matches(node, core)
             self.looked[node] = end
-        for index in range(max(log.base, self.highest) + 1, core.commit + 1):
-            self.committed[index] = log.entries[index - log.base - 1]
+        for index in range(max(log.base_index, self.highest) + 1, core.commit_index + 1):
+            self.committed[index] = log.entries[index - log.base_index - 1]
             self.committed_in[index] = core.term
             self.highest = index
-        if core.commit > log.base:
-            last = log.entries[core.commit - log.base - 1]
+        if core.commit_index > log.base_index:
+            last = log.entries[core.commit_index - log.base_index - 1]
             if last != self.committed[last.index]:
                 raise Broken(
                     "state machine safety", f"node {node} committed another entry {last.index}"
                 )
 
-    def _matches(self, node: int, core: Core) -> None:
+    def _matches(self, node: int, core: RaftNode) -> None:
         """Log matching: index and term decide an entry and the one before it, and so all before
         it.
         """
@@ -120,7 +123,7 @@
             else:
                 break  # what comes before it was looked at when it was first seen
 
-    def _complete(self, node: int, core: Core) -> None:
+    def _complete(self, node: int, core: RaftNode) -> None:
         """Leader completeness: whoever wins holds all that was committed in its term or before. One
         whose votes were long on the way may win a term that is over, and miss what was committed
         since: it commits nothing.
@@ -129,8 +132,8 @@
         for index, entry in self.committed.items():
             if (
                 self.committed_in[index] <= core.term
-                and index > log.base
-                and log.term(index) != entry.term
+                and index > log.base_index
+                and log.term_at(index) != entry.term
             ):
                 raise Broken(
                     "leader completeness",
--- a/loadbalancer/testbed/cluster/plans.py
+++ b/loadbalancer/testbed/cluster/plans.py
@@ -7,9 +7,11 @@
 from dataclasses import dataclass, field
 
 from loadbalancer.store.commands import Op, OpenSession, Write
-from loadbalancer.store.raft.members import Change
+from loadbalancer.store.raft.config import RaftConfig
+from loadbalancer.store.raft.members import ChangeKind, MembershipChange
 from loadbalancer.store.raft.messages import Members
-from loadbalancer.store.raft.node import Config, Core, Role
+from loadbalancer.store.raft.node import RaftNode
+from loadbalancer.store.raft.state import Role
 from loadbalancer.testbed.cluster import linear
 from loadbalancer.testbed.cluster.checks import Broken
 from loadbalancer.testbed.cluster.clients import GROUPS, KEYS, Client
@@ -289,7 +291,7 @@
         self.cluster.last_id += 1
         number = self.cluster.last_id
         self.cluster.add_node(number, Members())
-        self.cluster.change(Change("learn", number, str(number)))
+        self.cluster.change(MembershipChange(ChangeKind.LEARN, number, str(number)))
 
     def _members(self) -> Members | None:
         leader = self.cluster.leader()
@@ -306,7 +308,7 @@
         if not members.learners:
             self.learn()
             return
-        self.cluster.change(Change("promote", self.rng.choice(members.learners)))
+        self.cluster.change(MembershipChange(ChangeKind.PROMOTE, self.rng.choice(members.learners)))
 
     def remove(self) -> None:
         """One goes, the leader too; never so many that what is left could not bear a loss."""
@@ -323,7 +325,7 @@
             or (len(members.voters) > 3 and len(voters_up) - 1 > (len(members.voters) - 1) // 2)
         ]
         if candidates:
-            self.cluster.change(Change("remove", self.rng.choice(candidates)))
+            self.cluster.change(MembershipChange(ChangeKind.REMOVE, self.rng.choice(candidates)))
 
     def burst(self) -> None:
         """Several changes at once, at whoever thinks that it leads."""
@@ -333,7 +335,7 @@
             self.promote()
             return
         for number in self.rng.sample(members.voters, min(2, len(members.voters) - 2)):
-            self.cluster.change(Change("remove", number), True)
+            self.cluster.change(MembershipChange(ChangeKind.REMOVE, number), True)
 
     def eager(self) -> None:
         """Operators that ask for a change of members the moment there is a leader, over and
@@ -345,9 +347,13 @@
             if members is None:
                 return
             if members.learners and self.rng.random() < 0.6:
-                self.cluster.change(Change("promote", self.rng.choice(members.learners)), True)
+                self.cluster.change(
+                    MembershipChange(ChangeKind.PROMOTE, self.rng.choice(members.learners)), True
+                )
             elif len(members.voters) > 3 and self.rng.random() < 0.5:
-                self.cluster.change(Change("remove", self.rng.choice(members.voters)), True)
+                self.cluster.change(
+                    MembershipChange(ChangeKind.REMOVE, self.rng.choice(members.voters)), True
+                )
             elif len(members.voters) < 5:
                 self.learn()
 
@@ -359,9 +365,9 @@
             return
         to = self.rng.choice(leader.replica.core.members.voters)
         try:
-            leader.replica.core.transfer(to)
+            leader.replica.core.transfer_leadership(to)
         except Exception as error:  # it may be busy or gone; what else it were would be a defect
-            if type(error).__name__ not in ("Busy", "NotLeader", "Refused"):
+            if type(error).__name__ not in ("BusyError", "NotLeaderError", "MembershipError"):
                 raise
             return
         self.cluster.turn(leader)
@@ -370,10 +376,10 @@
 def play(
     seed: int,
     size: int = 0,
-    make: type[Core] = Core,
+    make: type[RaftNode] = RaftNode,
     kinds: tuple[str, ...] = (),
     prepare: Callable[[Cluster], None] = lambda cluster: None,
-    config: Config = CONFIG,
+    config: RaftConfig = CONFIG,
 ) -> Outcome:
     """A storm, then calm, in which all must come right. What is broken is in the outcome, with the
     first property that did not hold.
@@ -442,10 +448,12 @@
     if leader is None or leader.replica is None:
         return False
     core = leader.replica.core
-    if core.applied < core.log.last:
+    if core.applied_index < core.log.last_index:
         return False
     return all(
-        n.replica is None or n.id not in core.members.all or n.replica.core.applied == core.applied
+        n.replica is None
+        or n.id not in core.members.all
+        or n.replica.core.applied_index == core.applied_index
         for n in cluster.nodes.values()
     )
 
@@ -458,9 +466,10 @@
         else:
             c = node.replica.core
             words.append(
-                f"{node.id} {c.role.value} term {c.term} log {c.log.base}-{c.log.last} "
-                f"commit {c.commit} applied {c.applied} leader {c.leader} voters {c.members.voters}"
-                f"{' installing' if c.installing else ''}{' removed' if c.removed else ''}"
+                f"{node.id} {c.role.value} term {c.term} log {c.log.base_index}-{c.log.last_index} "
+                f"commit {c.commit_index} applied {c.applied_index} leader {c.leader_id}"
+                f" voters {c.members.voters}{' installing' if c.installing_snapshot else ''}"
+                f"{' removed' if c.is_removed else ''}"
             )
     return "; ".join(words)
 
@@ -472,7 +481,7 @@
             raise Broken("linearizability", f"group {group}: none of {verdict.stuck} can come next")
 
 
-def disturbed(seed: int, make: type[Core] = Core) -> Outcome:
+def disturbed(seed: int, make: type[RaftNode] = RaftNode) -> Outcome:
     """One follower is cut off for long and comes back to a healthy cluster: the leader must stay
     (thesis 9.6).
     """
@@ -489,9 +498,9 @@
         one = next(n for n in cluster.nodes.values() if n is not leader)
         pairs = {pair for n in cluster.nodes if n != one.id for pair in ((one.id, n), (n, one.id))}
         cluster.network.cut |= pairs
-        cluster.run(cluster.now + 10 * CONFIG.election_ns)
+        cluster.run(cluster.now + 10 * CONFIG.election_timeout_ns)
         cluster.network.cut -= pairs
-        cluster.run(cluster.now + 10 * CONFIG.election_ns)
+        cluster.run(cluster.now + 10 * CONFIG.election_timeout_ns)
         core = leader.replica.core
         if core.role is not Role.LEADER or core.term != term:
             raise Broken("a returning node disturbs nobody", f"term {term} became {core.term}")
@@ -506,7 +515,7 @@
 class Steered:
     """A cluster whose every meeting is arranged."""
 
-    def __init__(self, seed: int, size: int, make: type[Core], config: Config) -> None:
+    def __init__(self, seed: int, size: int, make: type[RaftNode], config: RaftConfig) -> None:
         self.cluster = Cluster(seed, size, make, config)
         self.nodes = self.cluster.nodes
 
@@ -519,7 +528,7 @@
             if a != b and not any(a in g and b in g for g in groups)
         }
 
-    def core(self, number: int) -> Core:
+    def core(self, number: int) -> RaftNode:
         replica = self.nodes[number].replica
         if replica is None:
             raise Broken("progress", f"node {number} is down")
@@ -542,7 +551,8 @@
         self.wait(
             lambda: (
                 bool(self.leads(among))
-                and len({(self.core(n).commit, self.core(n).log.last) for n in among}) == 1
+                and len({(self.core(n).commit_index, self.core(n).log.last_index) for n in among})
+                == 1
             )
         )
         return self.leads(among)
@@ -557,7 +567,7 @@
         return outcome
 
 
-def figure_8(seed: int, make: type[Core] = Core, config: Config = CONFIG) -> Outcome:
+def figure_8(seed: int, make: type[RaftNode] = RaftNode, config: RaftConfig = CONFIG) -> Outcome:
     """The paper's figure 8, steered: an entry of an old term reaches a majority, its leader dies
     before one of its own term does, and a node with a later entry in its place stands for
     election.
@@ -572,14 +582,14 @@
     rest = tuple(others)
     s.only((a, b), rest)  # (a): the entry stands on two of five
     s.cluster.propose(a, OpenSession(7), lambda how, what: None)
-    entry = s.core(a).log.last
-    s.wait(lambda: s.core(b).stable == entry)
+    entry = s.core(a).log.last_index
+    s.wait(lambda: s.core(b).durable_index == entry)
     s.wait(lambda: bool(s.leads(rest)))  # (b): another leads, and its entry stands on itself alone
     e = s.leads(rest)
     if not e:
         return
     s.only((a, b))
-    s.wait(lambda: s.core(e).stable >= entry)
+    s.wait(lambda: s.core(e).durable_index >= entry)
     s.cluster.stop(s.nodes[e], False)
     c, d = (n for n in rest if n != e)
     s.only((a, b, c), (b, c, d))
@@ -587,7 +597,7 @@
     f = s.leads((a, b))
     if not f:
         return
-    s.wait(lambda: s.core(f).commit >= entry, 2)
+    s.wait(lambda: s.core(f).commit_index >= entry, 2)
     s.cluster.network.cut |= {(f, n) for n in everyone}
     s.cluster.stop(s.nodes[f], False)
     s.cluster.start(s.nodes[e])  # (d): may the other still win?
@@ -604,7 +614,9 @@
     agreed(s.cluster)
 
 
-def two_majorities(seed: int, make: type[Core] = Core, config: Config = CONFIG) -> Outcome:
+def two_majorities(
+    seed: int, make: type[RaftNode] = RaftNode, config: RaftConfig = CONFIG
+) -> Outcome:
     """What was wrong with the first publication of single-server changes (Ongaro, raft-dev, July
     2015), steered: a leader's change stands on two nodes, the next leader makes another before it
     committed anything, and the first comes back with a majority of its own.
@@ -616,14 +628,20 @@
     old = tuple(s.nodes)
     a = s.settle(old)
     s.cluster.add_node(5, Members())
-    s.cluster.change(Change("learn", 5, "5"))
+    s.cluster.change(MembershipChange(ChangeKind.LEARN, 5, "5"))
     s.settle((*old, 5))
     if s.leads(old) != a or 5 not in s.core(a).members.learners:
         return
     rest = tuple(n for n in old if n != a)
     s.only((a, 5), rest)
-    s.cluster.change(Change("promote", 5))  # it stands on the first leader and the newcomer
-    s.wait(lambda: 5 in s.core(5).members.voters and s.core(5).stable == s.core(a).log.last)
+    s.cluster.change(
+        MembershipChange(ChangeKind.PROMOTE, 5)
+    )  # it stands on the first leader and the newcomer
+    s.wait(
+        lambda: (
+            5 in s.core(5).members.voters and s.core(5).durable_index == s.core(a).log.last_index
+        )
+    )
     s.cluster.stop(s.nodes[a], False)
     s.wait(lambda: bool(s.leads(rest)))
     b = s.leads(rest)
@@ -631,15 +649,20 @@
         return
     c, d = (n for n in rest if n != b)
     s.only((b, c))
-    s.cluster.change(Change("remove", a))
-    s.wait(lambda: a not in s.core(b).members.voters and s.core(b).commit == s.core(b).log.last, 1)
+    s.cluster.change(MembershipChange(ChangeKind.REMOVE, a))
+    s.wait(
+        lambda: (
+            a not in s.core(b).members.voters and s.core(b).commit_index == s.core(b).log.last_index
+        ),
+        1,
+    )
     s.cluster.start(s.nodes[a])
     s.only((a, d, 5))
     s.wait(lambda: bool(s.leads((a, d, 5))), 3)
     _reunite(s)
 
 
-def early_read(seed: int, make: type[Core] = Core, config: Config = CONFIG) -> Outcome:
+def early_read(seed: int, make: type[RaftNode] = RaftNode, config: RaftConfig = CONFIG) -> Outcome:
     """A leader answers a write and dies; who takes its place is asked at once, before it can know
     what was committed (thesis 6.4, step 1).
     """
--- a/loadbalancer/testbed/cluster/planted.py
+++ b/loadbalancer/testbed/cluster/planted.py
@@ -6,8 +6,10 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from loadbalancer.store.raft.messages import Entry, VoteAsk
-from loadbalancer.store.raft.node import Batch, Config, Core
+from loadbalancer.store.raft.config import RaftConfig
+from loadbalancer.store.raft.messages import NO_NODE, Entry, HardState, RequestVote
+from loadbalancer.store.raft.node import RaftNode
+from loadbalancer.store.raft.ready import Batch, ConfirmedRead
 from loadbalancer.testbed.cluster.plans import (
     Outcome,
     disturbed,
@@ -19,99 +21,99 @@
 from loadbalancer.testbed.cluster.sim import CONFIG, Cluster, Node
 
 
-class NoSyncBeforeVote(Core):
+class NoSyncBeforeVote(RaftNode):
     """A vote leaves before it is on disk."""
 
-    def _vote_ask(self, sender: int, m: VoteAsk) -> None:
-        super()._vote_ask(sender, m)
-        if not m.pre:
-            self.out.append(self.pending.after.pop())
+    def _on_request_vote(self, sender: int, message: RequestVote) -> None:
+        super()._on_request_vote(sender, message)
+        if not message.is_pre_vote:
+            self.outbox.append(self.pending_batch.messages.pop())
 
 
-class AckBeforeSync(Core):
+class AckBeforeSync(RaftNode):
     """Entries count as stored before they are."""
 
     def take_batch(self) -> Batch | None:
         batch = super().take_batch()
         if batch is not None and batch.entries:
-            self.out += [(to, m) for to, m in batch.after if to != self.me]
-            batch.after = [(to, m) for to, m in batch.after if to == self.me]
+            self.outbox += [(to, m) for to, m in batch.messages if to != self.node_id]
+            batch.messages = [(to, m) for to, m in batch.messages if to == self.node_id]
         return batch
 
 
-class OldTermByCount(Core):
+class OldTermByCount(RaftNode):
     """An entry of an earlier term is committed because a majority has it (paper, figure 8)."""
 
-    def _may_commit(self, index: int) -> bool:
+    def _can_commit(self, index: int) -> bool:
         return True
 
 
-class ReadWithoutQuorum(Core):
+class ReadWithoutQuorum(RaftNode):
     """Who once became leader reads from its own state, unasked."""
 
-    def _prove(self) -> None:
-        while self.reads:
-            read = self.reads.popleft()
-            if not read.node:
-                self.proved.append((read.ticket, read.index))
+    def _confirm_reads(self) -> None:
+        while self.pending_reads:
+            read = self.pending_reads.popleft()
+            if read.requester is None:
+                self.confirmed_reads.append(ConfirmedRead(read.ticket, read.read_index))
 
 
-class ReadTooEarly(Core):
+class ReadTooEarly(RaftNode):
     """A new leader reads before it knows what its predecessors committed."""
 
-    def _read(self, ticket: int, node: int) -> None:
-        if not node:
-            self.round_asked = True
-            self.proved.append((ticket, self.applied))
+    def _begin_read(self, ticket: int, requester: int | None) -> None:
+        if requester is None:
+            self.is_round_due = True
+            self.confirmed_reads.append(ConfirmedRead(ticket, self.applied_index))
 
 
-class NoPreVote(Core):
+class NoPreVote(RaftNode):
     """Who hears no leader raises its term at once, and its shouts are heeded."""
 
-    def _pre_campaign(self) -> None:
-        self._campaign()
+    def _start_pre_vote(self) -> None:
+        self._start_election()
 
-    def _leader_is_well(self) -> bool:
+    def _has_live_leader(self) -> bool:
         return False
 
 
-class TwoVotes(Core):
+class TwoVotes(RaftNode):
     """It votes for whoever asks."""
 
-    def _vote_ask(self, sender: int, m: VoteAsk) -> None:
-        if not m.pre and m.term == self.term:
-            self.hard = self.hard.__class__(self.term, 0)
-        super()._vote_ask(sender, m)
+    def _on_request_vote(self, sender: int, message: RequestVote) -> None:
+        if not message.is_pre_vote and message.term == self.term:
+            self.hard_state = HardState(self.term, NO_NODE)
+        super()._on_request_vote(sender, message)
 
 
-class SmallQuorum(Core):
+class SmallQuorum(RaftNode):
     """Half is enough."""
 
     def quorum(self, voters: Any) -> int:
         return max(1, len(voters) // 2)
 
 
-class HastyMembers(Core):
+class HastyMembers(RaftNode):
     """Members change before an entry of the leader's own term is committed (the bug of the first
     publication)."""
 
-    def _settled(self) -> bool:
-        return self.members_index <= self.commit
+    def _is_membership_settled(self) -> bool:
+        return self.members_index <= self.commit_index
 
 
-class ManyMembers(Core):
+class ManyMembers(RaftNode):
     """A change of members does not wait for the one before it."""
 
-    def _settled(self) -> bool:
+    def _is_membership_settled(self) -> bool:
         return True
 
 
-class ForgetsLog(Core):
+class ForgetsLog(RaftNode):
     """What differs from the leader's log stays."""
 
-    def _keep(self, entries: Sequence[Entry]) -> None:
-        if entries[0].index > self.log.last:
-            super()._keep(entries)
+    def _store_entries(self, entries: Sequence[Entry]) -> None:
+        if entries[0].index > self.log.last_index:
+            super()._store_entries(entries)
 
 
 def lying_disks(cluster: Cluster) -> None:
@@ -125,16 +127,16 @@
 
 
 class Plant(NamedTuple):
-    make: type[Core]
+    make: type[RaftNode]
     run: str = "storm"  # or "disturbed", or one of STEERED
     kinds: tuple[str, ...] = ()  # of faults that it is looked for with
     prepare: Callable[[Cluster], None] = lambda cluster: None
     size: int = 0
-    config: Config = CONFIG
+    config: RaftConfig = CONFIG
 
 
 # One entry a message, so that old ones arrive long before the first of a new term.
-ONE_BY_ONE = replace(CONFIG, append_bytes=1, window=2)
+ONE_BY_ONE = replace(CONFIG, max_append_bytes=1, max_in_flight_appends=2)
 
 STEERED = {"figure 8": figure_8, "two majorities": two_majorities, "early read": early_read}
 PLANTS: dict[str, Plant] = {
@@ -142,7 +144,7 @@
         NoSyncBeforeVote, kinds=("power", "fuse", "all", "part", "slowdisk"), size=3
     ),
     "ack-without-sync": Plant(AckBeforeSync, kinds=("power", "all", "fuse", "slowdisk")),
-    "lying-disk": Plant(Core, kinds=("power", "all", "kill"), prepare=lying_disks),
+    "lying-disk": Plant(RaftNode, kinds=("power", "all", "kill"), prepare=lying_disks),
     "old-term-by-count": Plant(OldTermByCount, "figure 8", config=ONE_BY_ONE),
     "read-without-quorum": Plant(ReadWithoutQuorum, kinds=("lonely", "silence")),
     "read-too-early": Plant(ReadTooEarly, "early read"),
--- a/loadbalancer/testbed/cluster/rowed.py
+++ b/loadbalancer/testbed/cluster/rowed.py
@@ -160,7 +160,7 @@
         rows = judge(cluster)
         for node in cluster.up():
             assert node.replica is not None
-            if node.replica.core.applied < cluster.checks.highest:
+            if node.replica.core.applied_index < cluster.checks.highest:
                 continue  # it was removed
             for what, found in (
                 ("state", loaded(node.replica.state)),
--- a/loadbalancer/testbed/cluster/sim.py
+++ b/loadbalancer/testbed/cluster/sim.py
@@ -18,24 +18,35 @@
 from loadbalancer.store.durable.journal import Damaged, Full, Journal
 from loadbalancer.store.durable.state import Event, State
 from loadbalancer.store.housekeeping import Steward
-from loadbalancer.store.raft.members import Change, Refused
-from loadbalancer.store.raft.messages import AnyMessage, Kind, Members, Piece, pack, unpack_message
-from loadbalancer.store.raft.node import Batch, Busy, Config, Core, NotLeader, Role
+from loadbalancer.store.raft.config import RaftConfig
+from loadbalancer.store.raft.errors import BusyError, MembershipError, NotLeaderError
+from loadbalancer.store.raft.members import MembershipChange
+from loadbalancer.store.raft.messages import (
+    AnyMessage,
+    EntryKind,
+    InstallSnapshotChunk,
+    Members,
+    pack,
+    unpack_message,
+)
+from loadbalancer.store.raft.node import RaftNode
+from loadbalancer.store.raft.ready import Batch
+from loadbalancer.store.raft.state import Role
 from loadbalancer.store.replica import Boundaries, Identity, Replica
 from loadbalancer.testbed.cluster.checks import Broken, Checks
 from loadbalancer.testbed.cluster.disk import Disk, MemoryVault, PowerLost
 
 MS = 1_000_000
 SECOND = 1000 * MS
-CONFIG = Config(
-    heartbeat_ns=50 * MS,
-    election_ns=200 * MS,
-    append_bytes=2_000,
-    window=8,
-    piece_bytes=16 << 10,
-    uncommitted_bytes=64 << 10,
-    slow_disk_ns=600 * MS,
-    promote_lag=50,
+CONFIG = RaftConfig(
+    heartbeat_interval_ns=50 * MS,
+    election_timeout_ns=200 * MS,
+    max_append_bytes=2_000,
+    max_in_flight_appends=8,
+    snapshot_chunk_bytes=16 << 10,
+    max_uncommitted_bytes=64 << 10,
+    slow_disk_timeout_ns=600 * MS,
+    max_promotion_lag=50,
 )
 BOUNDARIES = Boundaries(keep=20, entries=60, bytes=1 << 20)
 SEGMENT = 6_000
@@ -81,7 +92,7 @@
 
 class Cluster:
     def __init__(
-        self, seed: int, size: int, make: type[Core] = Core, config: Config = CONFIG
+        self, seed: int, size: int, make: type[RaftNode] = RaftNode, config: RaftConfig = CONFIG
     ) -> None:
         self.seed = seed
         self.config = config
@@ -221,23 +232,23 @@
         core = r.core
         self.checks.look(node.id, core)
         while True:
-            for to, message in core.take_out():
+            for to, message in core.take_messages():
                 self.send(node, to, message)
-            for to, meta, offset, round_ in core.take_pieces():
-                data = r.vault.read_piece(meta, offset, self.config.piece_bytes)
+            for to, meta, offset, round_ in core.take_chunk_requests():
+                data = r.vault.read_piece(meta, offset, self.config.snapshot_chunk_bytes)
                 if data is None:
                     core.snapshot_lost()
                     break
-                self.send(node, to, Piece(core.term, meta, offset, data, round_))
+                self.send(node, to, InstallSnapshotChunk(core.term, meta, offset, data, round_))
             batch = core.take_batch()
             if batch is None:
                 break
-            if batch.on_disk:
+            if batch.needs_disk:
                 self._later_write(node, batch)
                 break
-            core.persisted(batch)
+            core.batch_persisted(batch)
             self.checks.look(node.id, core)
-        if not node.applying and core.commit > core.handed:
+        if not node.applying and core.commit_index > core.delivered_index:
             entries = core.take_committed(50)
             if entries:
                 node.applying = True
@@ -247,7 +258,7 @@
                 )
         self._reads(node, core)
         self._lead(node, r)
-        if core.wants_snapshot and not node.exporting:
+        if core.needs_snapshot and not node.exporting:
             node.exporting = True
             self.at(
                 self.between((MS, 30 * MS)), self.guarded(node, lambda r: self._export(node, r))
@@ -267,7 +278,7 @@
         formats = {n: self.nodes[n].format if n in self.nodes else 0 for n in r.core.members.all}
         due = node.steward.proposals(r.state.format, formats, self.clock(node))
         if due:
-            with suppress(Busy, NotLeader):
+            with suppress(BusyError, NotLeaderError):
                 r.core.propose([commands.pack(command) for command in due])
                 self.counts["lapses"] += sum(isinstance(c, commands.Lapse) for c in due)
                 self.turn(node)
@@ -298,7 +309,7 @@
         if batch.install is not None:
             self.counts["snapshots taken"] += installed
             self.fed(node, r.state, [])
-        r.core.persisted(batch, installed)
+        r.core.batch_persisted(batch, installed)
         self.turn(node)
 
     def _apply(self, node: Node, r: Replica, entries: list[Any]) -> None:
@@ -312,7 +323,7 @@
                     answer("done", result)
                 else:
                     answer("unknown", None)
-        r.core.applied_to(entries[-1].index)
+        r.core.mark_applied(entries[-1].index)
         node.steward.applied(r.state.take_claimed(), self.clock(node))
         self.fed(node, r.state, r.state.take_fed())
         node.applying = False
@@ -331,13 +342,13 @@
             return
         node.exporting = False
         try:
-            r.core.snapshot_made(r.vault.export())
+            r.core.snapshot_exported(r.vault.export())
         except Full:
             return
         self.turn(node)
 
-    def _reads(self, node: Node, core: Core) -> None:
-        for ticket in core.take_proved():
+    def _reads(self, node: Node, core: RaftNode) -> None:
+        for ticket in core.take_confirmed_reads():
             if ticket in node.reads:
                 _, look, answer = node.reads.pop(ticket)
                 answer("done", look())
@@ -388,10 +399,10 @@
         core = node.replica.core
         try:
             index = core.propose([commands.pack(command)])[0]
-        except NotLeader as error:
+        except NotLeaderError as error:
             answer("elsewhere", error.leader)
             return
-        except Busy:
+        except BusyError:
             answer("busy", None)
             return
         node.waiting[index] = (core.term, answer)
@@ -406,26 +417,26 @@
         r = node.replica
         node.reads[node.tickets] = (core.term, lambda: look(r), answer)
         try:
-            core.read(node.tickets)
-        except NotLeader:
+            core.request_read(node.tickets)
+        except NotLeaderError:
             del node.reads[node.tickets]
             answer("elsewhere", 0)
             return
-        except Busy:
+        except BusyError:
             del node.reads[node.tickets]
             answer("busy", None)
             return
         self.turn(node)
 
-    def change(self, change: Change, anywhere: bool = False) -> bool:
+    def change(self, change: MembershipChange, anywhere: bool = False) -> bool:
         """At the leader; `anywhere`, at any node that thinks it leads."""
         leading = [n for n in self.up() if n.replica and n.replica.core.role is Role.LEADER]
         leader = self.rng.choice(leading) if anywhere and leading else self.leader()
         if leader is None or leader.replica is None:
             return False
         try:
-            leader.replica.core.change(change)
-        except (NotLeader, Busy, Refused):
+            leader.replica.core.change_membership(change)
+        except (NotLeaderError, BusyError, MembershipError):
             return False
         self.turn(leader)
         return True
@@ -448,7 +459,7 @@
     """
     for index in range(1, cluster.checks.highest + 1):
         entry, packed = cluster.checks.committed.get(index), cluster.checks.results.get(index)
-        if entry is not None and packed is not None and entry.kind == Kind.COMMAND:
+        if entry is not None and packed is not None and entry.kind == EntryKind.COMMAND:
             yield index, commands.unpack_command(entry.data), commands.unpack_result(packed)
 
 
--- a/loadbalancer/testbed/rig/taps.py
+++ b/loadbalancer/testbed/rig/taps.py
@@ -18,7 +18,20 @@
     Upgrade,
     Write,
 )
-from loadbalancer.store.raft.messages import unpack_message
+from loadbalancer.store.raft.messages import (
+    AnyMessage,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshotChunk,
+    InstallSnapshotChunkResponse,
+    NodeRemoved,
+    ReadIndexRequest,
+    ReadIndexResponse,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
+    unpack_message,
+)
 from loadbalancer.store.wire import protocol
 from loadbalancer.store.wire.frames import HEAD
 from loadbalancer.store.wire.protocol import Put
@@ -35,6 +48,19 @@
     Lapse: "lapse",
     Upgrade: "upgrade",
 }
+# The names that scenarios select messages by.
+RAFT_MESSAGE_KINDS: dict[type[AnyMessage], str] = {
+    RequestVote: "voteask",
+    RequestVoteResponse: "vote",
+    AppendEntries: "append",
+    AppendEntriesResponse: "appended",
+    InstallSnapshotChunk: "piece",
+    InstallSnapshotChunkResponse: "piecetaken",
+    TimeoutNow: "takeover",
+    ReadIndexRequest: "readask",
+    ReadIndexResponse: "readfrom",
+    NodeRemoved: "gone",
+}
 
 
 class Tap:
@@ -84,7 +110,7 @@
             if not self.asks:
                 return type(protocol.unpack_reply(payload)).__name__.lower()
             if self.member:
-                return type(unpack_message(payload)).__name__.lower()
+                return RAFT_MESSAGE_KINDS[type(unpack_message(payload))]
             request = protocol.unpack_request(payload)
             if isinstance(request, Put):
                 return WORDS[type(commands.unpack_command(request.command))]
--- a/loadbalancer/testbed/size/sessions.py
+++ b/loadbalancer/testbed/size/sessions.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.store.commands import Code, Op, OpenSession, Write, pack
 from loadbalancer.store.durable import state as states
-from loadbalancer.store.raft.messages import Entry, Kind, Members
+from loadbalancer.store.raft.messages import Entry, EntryKind, Members
 from loadbalancer.testbed.size.series import Series
 from loadbalancer.testbed.size.storenode import ROW, Heard
 
@@ -29,7 +29,7 @@
             numbers = [0] * size
 
             def commit(command: OpenSession | Write, state: states.State = state) -> int:
-                entry = Entry(1, state.applied + 1, Kind.COMMAND, pack(command))
+                entry = Entry(1, state.applied + 1, EntryKind.COMMAND, pack(command))
                 return state.apply([entry])[0].code
 
             for who in range(size):
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -28,7 +28,7 @@
 )
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.state import State
-from loadbalancer.store.raft.messages import Entry, Kind, Members
+from loadbalancer.store.raft.messages import Entry, EntryKind, Members
 from loadbalancer.testbed.cluster import owners
 from loadbalancer.testbed.cluster.planted_owners import PLANTS, played
 
@@ -55,7 +55,7 @@
         self.state = state
 
     def do(self, command: commands.AnyCommand) -> Result:
-        entry = Entry(1, self.state.applied + 1, Kind.COMMAND, commands.pack(command))
+        entry = Entry(1, self.state.applied + 1, EntryKind.COMMAND, commands.pack(command))
         return self.state.apply([entry])[0]
 
     def claim(self, holder: str, number: int, rank: int = 0) -> tuple[int, ...]:
@@ -187,9 +187,9 @@
 def test_a_run_of_entries_that_fails_leaves_no_token_and_no_format_behind(tmp_path: Path) -> None:
     state = states.create(tmp_path / "state.db", "c", MEMBERS)
     entries = [
-        Entry(1, 1, Kind.COMMAND, commands.pack(Upgrade(2))),
-        Entry(1, 2, Kind.COMMAND, commands.pack(Claim("work", "a", 11, 1000))),
-        Entry(1, 3, Kind.MEMBERS, b"\xc1"),
+        Entry(1, 1, EntryKind.COMMAND, commands.pack(Upgrade(2))),
+        Entry(1, 2, EntryKind.COMMAND, commands.pack(Claim("work", "a", 11, 1000))),
+        Entry(1, 3, EntryKind.MEMBERS, b"\xc1"),
     ]
     with pytest.raises(ValueError):
         state.apply(entries)
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -290,7 +290,7 @@
             await put(client, ORDERS, b"2", "a")
             leader = c.nodes[c.leader()].node
             async with asyncio.timeout(20):
-                while leader.core.log.base <= node.core.log.last:
+                while leader.core.log.base_index <= node.core.log.last_index:
                     await asyncio.sleep(0.01)
             node.step = step  # type: ignore[method-assign]
             await one.has(ORDERS, "upstream/a", b"2")
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -28,7 +28,7 @@
 from loadbalancer.store.durable.journal import Damaged
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.node import Late
-from loadbalancer.store.raft.messages import Entry, VoteAsk
+from loadbalancer.store.raft.messages import Entry, RequestVote
 from loadbalancer.store.raft.messages import pack as pack_message
 from loadbalancer.store.run import Running
 from loadbalancer.store.security import Tls
@@ -263,7 +263,7 @@
                 await client.put(f"k/{i}", bytes(3000))
             first = c.nodes[0].node
             async with asyncio.timeout(10):
-                while first.core.log.base < 60:
+                while first.core.log.base_index < 60:
                     await asyncio.sleep(0.01)
             made = running.prepare(c.read(1), "c")
             await c.insist(client, "learn", made.node, c.settings[1].advertise)
@@ -271,7 +271,7 @@
             await c.insist(client, "promote", made.node)
             assert first.figures.exports >= 1
             rows = (await c.client(only=1).scan("k/")).rows
-            assert len(rows) == 120 and c.nodes[1].node.core.log.base > 60
+            assert len(rows) == 120 and c.nodes[1].node.core.log.base_index > 60
             assert len(list((tmp_path / "n0").glob("log-*"))) < 8
 
     run(test)
@@ -330,7 +330,7 @@
                 "own number" in (await greeted(c, Hello(1, "c", c.nodes[0].node.identity.node)))[1]
             )
             # A frame that was recorded on one connection, played on another.
-            vote = pack_message(VoteAsk(term + 50, 10**9, 10**9, False, True))
+            vote = pack_message(RequestVote(term + 50, 10**9, 10**9, False, True))
             recorded, why = await greeted(c, Hello(1, "c", 77))
             assert not why
             replayed = recorded.sender.frame(vote)
@@ -344,7 +344,7 @@
             # And twice on its own.
             again, _ = await greeted(c, Hello(1, "c", 79))
             assert again.transport is not None
-            frame = again.sender.frame(pack_message(VoteAsk(term, 0, 0, True)))
+            frame = again.sender.frame(pack_message(RequestVote(term, 0, 0, True)))
             again.transport.write(frame + frame)
             await closed(again)
             assert "frame 1 where 2 was due" in caplog.text
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -31,7 +31,7 @@
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.state import Event, State
 from loadbalancer.store.housekeeping import AGAIN_NS, Steward
-from loadbalancer.store.raft.messages import Entry, Kind
+from loadbalancer.store.raft.messages import Entry, EntryKind
 from loadbalancer.testbed.cluster import rowed
 from tests.leases.test_leases import KEPT, MEMBERS, Log
 from tests.store.test_state import fresh
@@ -211,9 +211,9 @@
     state = upgraded(fresh(), 2).state
     at, write = state.applied, RowsWrite(7, 900, 0, (Op(ACME, b"x"),))
     entries = [
-        Entry(1, at + 1, Kind.COMMAND, commands.pack(Upgrade(3))),
-        Entry(1, at + 2, Kind.COMMAND, commands.pack(write)),
-        Entry(1, at + 3, Kind.MEMBERS, b"\xc1"),
+        Entry(1, at + 1, EntryKind.COMMAND, commands.pack(Upgrade(3))),
+        Entry(1, at + 2, EntryKind.COMMAND, commands.pack(write)),
+        Entry(1, at + 3, EntryKind.MEMBERS, b"\xc1"),
     ]
     with pytest.raises(ValueError):
         state.apply(entries)
--- a/tests/store/test_state.py
+++ b/tests/store/test_state.py
@@ -23,7 +23,7 @@
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.journal import Damaged
 from loadbalancer.store.durable.state import Compacted, State
-from loadbalancer.store.raft.messages import Entry, Kind, Members, pack
+from loadbalancer.store.raft.messages import Entry, EntryKind, Members, pack
 
 MEMBERS = Members((1,), (), {1: "a"})
 
@@ -43,7 +43,7 @@
     def do(self, *said: AnyCommand) -> list[Result]:
         first = self.state.applied + 1
         return self.state.apply(
-            [Entry(1, first + i, Kind.COMMAND, commands.pack(c)) for i, c in enumerate(said)]
+            [Entry(1, first + i, EntryKind.COMMAND, commands.pack(c)) for i, c in enumerate(said)]
         )
 
 
@@ -155,9 +155,9 @@
     state = fresh()
     result = state.apply(
         [
-            Entry(1, 1, Kind.COMMAND, b"\xc1 nonsense"),
-            Entry(1, 2, Kind.NOTHING),
-            Entry(1, 3, Kind.MEMBERS, pack(Members((1, 2)))),
+            Entry(1, 1, EntryKind.COMMAND, b"\xc1 nonsense"),
+            Entry(1, 2, EntryKind.NO_OP),
+            Entry(1, 3, EntryKind.MEMBERS, pack(Members((1, 2)))),
         ]
     )
     assert result[0].code == Code.REFUSED and state.members.voters == (1, 2) and state.applied == 3
@@ -200,7 +200,7 @@
 
 @given(st.lists(SAID, max_size=30), st.randoms())
 def test_one_log_one_state_however_it_is_cut_into_runs(said: list[AnyCommand], rng: object) -> None:
-    log = [Entry(1, i + 1, Kind.COMMAND, commands.pack(c)) for i, c in enumerate(said)]
+    log = [Entry(1, i + 1, EntryKind.COMMAND, commands.pack(c)) for i, c in enumerate(said)]
     one, other = fresh(), fresh()
     answers: list[Result] = []
     while len(answers) < len(log):
--- a/tests/testbed/test_store_simulation.py
+++ b/tests/testbed/test_store_simulation.py
@@ -1,4 +1,4 @@
-"""Whole clusters in virtual time: hundreds of seeds without a broken property, and planted bugs
+"""Whole clusters in virtual time: hundreds of seeds without a broken property, and seeded bugs
 that show.
 """
 
@@ -32,7 +32,7 @@
 }
 
 
-def test_nothing_breaks_in_hundreds_of_storms() -> None:
+def test_no_property_breaks_in_hundreds_of_storms() -> None:
     workers = max(1, min(6, len(os.sched_getaffinity(0)) - 1))
     found = campaign.run(range(1, SEEDS + 1), workers)
     assert [
@@ -57,18 +57,18 @@
     assert counts["operations"] > 200 * SEEDS
 
 
-def test_a_seed_decides_all() -> None:
+def test_a_seed_decides_the_run() -> None:
     assert play(17) == play(17) != play(18)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_figure_8_and_a_returning_node_are_borne(seed: int) -> None:
+def test_figure_8_and_a_returning_node_break_no_property(seed: int) -> None:
     for steered in (figure_8, disturbed, two_majorities, early_read):
         assert not steered(seed).broken
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
-def test_a_planted_bug_is_caught(name: str) -> None:
+def test_a_seeded_bug_is_caught(name: str) -> None:
     assert played(name, CAUGHT[name]).broken
 
 
