--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -23,7 +23,7 @@
 
 from loadbalancer.policy import api
 from loadbalancer.proxy.admin_api import CONNECTIONS, TURN, Management
-from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.discovery import Discovery, FixedList, read_list
 from loadbalancer.proxy.frontend import Frontend
@@ -200,8 +200,10 @@
     settings = config.settings
     siblings = Siblings(config.folder)
     budget = Budget(config.sockets, config.memory_mb, DOOR if door is not None else 0, siblings)
-    store = Store(budget.part.bodies)
-    upstreams = Upstreams(settings.limits, budget.part.upstreams, settings.report_columns, store)
+    body_memory = BodyMemory(budget.part.bodies)
+    upstreams = Upstreams(
+        settings.limits, budget.part.upstreams, settings.report_columns, body_memory
+    )
     driver = Driver(settings, config.seed, upstreams)
     if config.peer_listen is not None and settings.limits.peers:
         _, driver.peers = await loop.create_datagram_endpoint(
@@ -216,8 +218,8 @@
         discovery = Discovery(driver, config.discovery, config.seed)
     driver.discovery = discovery
     discovery.start(config.known)
-    frontend = Frontend(driver, listener, budget.part.clients, store)
-    budget.start(frontend, upstreams, store)
+    frontend = Frontend(driver, listener, budget.part.clients, body_memory)
+    budget.start(frontend, upstreams, body_memory)
     siblings.watch()
     management = Management(lambda: frontend.ready, disabled)
     if door is not None:
--- a/loadbalancer/daemon/upstream_admin.py
+++ b/loadbalancer/daemon/upstream_admin.py
@@ -8,8 +8,9 @@
 from collections.abc import Callable
 
 from loadbalancer.policy.api import AttemptResult
-from loadbalancer.proxy.http import Connection, Exchange
+from loadbalancer.proxy.exchange import Exchange, ExpectedResponse
 from loadbalancer.proxy.parse import Response, message
+from loadbalancer.proxy.upstream_connection import UpstreamConnection
 
 ASK_S = 2.0  # to connect, and to be answered
 MOST = 64 << 10  # of an answer
@@ -20,7 +21,7 @@
     before the first byte leaves: an owner that was stopped meanwhile asks nothing. Raises OSError,
     TimeoutError.
     """
-    connection = Connection(lambda c: None, lambda c: None)
+    connection = UpstreamConnection(lambda c: None, lambda c: None)
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(ASK_S):
         await loop.create_connection(lambda: connection, *address)
@@ -35,7 +36,7 @@
         b"POST %b HTTP/1.1" % path.encode(),
         [(b"Host", host), (b"Idempotency-Key", b'"%b"' % name.encode()), (b"Content-Length", b"0")],
     )
-    exchange = Exchange(request, done, MOST)
+    exchange = Exchange(request, done, expected=ExpectedResponse(MOST))
     exchange.expire_in(ASK_S)
     if not may():
         connection.abort()
--- a/loadbalancer/proxy/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -1,5 +1,7 @@
-"""One attempt of a request on its way out: it is asked for its bytes when its connection is up, and
-looks at the rules, the clock and its client then.
+"""One attempt of a request on its way to an upstream.
+
+An attempt is asked for its bytes when its connection is up. Only then are the rules, the clock and
+the client looked at for the last time, so that nothing is sent that nobody waits for any more.
 """
 
 from __future__ import annotations
@@ -11,107 +13,120 @@
 from loadbalancer.policy import api, rules
 from loadbalancer.policy.rules import Denied
 from loadbalancer.proxy.body_stream import Body
-from loadbalancer.proxy.parse import Headers, message
+from loadbalancer.proxy.parse import message
 from loadbalancer.proxy.policy_violations import Denials
 from loadbalancer.proxy.requests import OpenRequest
 
-DEADLINE = b"X-Deadline-Ms"
+DEADLINE_HEADER = b"X-Deadline-Ms"
+METHODS_WITHOUT_BODY = (b"GET", b"HEAD")
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptLimits:
+    """How long an attempt may take and when it may start.
+
+    Attributes:
+        limits: The settings' limits on attempts.
+        timeout_ns: How long it may take from the request's last byte on.
+        expires_ns: When it is given up, where its request is complete.
+        start_by_ns: It may not start later; 0: at any time.
+    """
+
+    limits: api.Limits
+    timeout_ns: int
+    expires_ns: int
+    start_by_ns: int
 
 
 @dataclass(slots=True, eq=False)
 class OutgoingAttempt:
-    """Attempt `number` of a request. `until_ns`: when it is given up, where its request is whole;
-    `begin_by_ns`: it may not begin later, 0: at any time."""
+    """Attempt `number` of a request.
+
+    Attributes:
+        client_gone: Called when the request's client is found to have disconnected.
+        promised_ms: The remaining time that the head gave to the upstream.
+    """
 
     request: OpenRequest
     number: int
-    limits: api.Limits
+    limits: AttemptLimits
     denials: Denials
-    client_gone: Callable[[OpenRequest], None]  # told when its client is seen to have left
-    timeout_ns: int
-    until_ns: int
-    begin_by_ns: int
-    told_ms: int = 0
+    client_gone: Callable[[OpenRequest], None]
+    promised_ms: int = 0
 
     def verdict(self, now_ns: int) -> rules.Verdict:
-        """May it begin now, as far as its request tells?"""
+        """Decide whether it may start now, as far as its request is concerned."""
         request = self.request
         stream = request.stream
-        asked = rules.Attempt(
+        limits = self.limits.limits
+        attempt = rules.Attempt(
             now_ns,
             request.arrival.deadline_ns,
             self.number,
             request.out_beside(self.number),
             over=request.over,
             client_gone=not request.over and request.client.gone,
-            body_at_hand=stream is None or stream.whole_again,
-            begin_by_ns=self.begin_by_ns,
-        )
-        return rules.may_attempt(
-            asked, self.limits, rules.most_out(self.limits, stream is not None)
+            body_at_hand=stream is None or stream.is_replayable,
+            begin_by_ns=self.limits.start_by_ns,
         )
+        return rules.may_attempt(attempt, limits, rules.most_out(limits, stream is not None))
 
     def begin(self, usable: rules.Verdict) -> bytes | Denied:
-        """Its head, and its body where that is at hand, with the time that is left now."""
+        """Build the head, and the body where it is at hand, with the time that is left now.
+
+        Args:
+            usable: Whether the upstream may be sent something new.
+        """
         now_ns = time.monotonic_ns()
         verdict = self.verdict(now_ns)
         if not isinstance(verdict, Denied):
             verdict = usable
         if isinstance(verdict, Denied):
-            self.denied(verdict, "its connection is up")
+            self.report_denial(verdict, "its connection is up")
             return verdict
         request = self.request
         if request.arrival.whole:
-            self.told_ms = rules.told_ms(now_ns, request.arrival.deadline_ns, self.until_ns)
+            deadline_ns = request.arrival.deadline_ns
+            self.promised_ms = rules.told_ms(now_ns, deadline_ns, self.limits.expires_ns)
         else:
             # Its client's time runs from the last byte, which is still to come.
-            self.told_ms = rules.told_ms(0, request.wait_ns, self.timeout_ns)
+            self.promised_ms = rules.told_ms(0, request.wait_ns, self.limits.timeout_ns)
         if request.stream is not None:
             request.stream.rewind()
-        return attempt_request(
-            request.method,
-            request.target,
-            request.headers,
-            request.body,
-            self.told_ms,
-            request.stream,
-        )
+        return attempt_request(request, self.promised_ms)
 
     def may_finish(self) -> bool:
-        """May the last byte of its body be written, by what its head told?"""
+        """Decide whether the body's last byte may be written, given the time its head promised."""
         request = self.request
         now_ns = time.monotonic_ns()
         from_ns = request.arrival.received_ns if request.arrival.whole else now_ns
-        verdict = rules.may_finish(self.told_ms, now_ns, from_ns + request.wait_ns)
+        verdict = rules.may_finish(self.promised_ms, now_ns, from_ns + request.wait_ns)
         if isinstance(verdict, Denied):
-            self.denied(verdict, "the last byte of its body is due")
+            self.report_denial(verdict, "the last byte of its body is due")
         return not isinstance(verdict, Denied)
 
-    def denied(self, denied: Denied, state: str) -> None:
-        """Count it, and end a request whose client is seen to have left."""
+    def report_denial(self, denied: Denied, state: str) -> None:
+        """Count a denial, and end a request whose client is found to have disconnected."""
         self.denials.note(denied, self.request.arrival.request, f"attempt {self.number}, {state}")
         if denied.reason is rules.Reason.CLIENT_GONE:
             self.client_gone(self.request)
 
 
-def attempt_request(
-    method: bytes,
-    target: bytes,
-    headers: Headers,
-    body: bytes,
-    wait_ms: int,
-    stream: Body | None = None,
-) -> bytes:
-    """The client's request as it goes on: with its own length, and how long this balancer will
-    wait.
-    """
-    rows = [*headers, (DEADLINE, b"%d" % wait_ms)]
+def attempt_request(request: OpenRequest, wait_ms: int) -> bytes:
+    """Build the forwarded request: framed anew, with how long this balancer will wait."""
+    rows = [*request.headers, (DEADLINE_HEADER, b"%d" % wait_ms)]
+    framing = _framing(request.method, request.body, request.stream)
+    if framing is not None:
+        rows.append(framing)
+    return message(b"%b %b HTTP/1.1" % (request.method, request.target), rows, request.body)
+
+
+def _framing(method: bytes, body: bytes, stream: Body | None) -> tuple[bytes, bytes] | None:
+    """The header that frames the body; None where there is no body to frame."""
     if stream is not None:
-        rows.append(
-            (b"Transfer-Encoding", b"chunked")
-            if stream.length is None
-            else (b"Content-Length", b"%d" % stream.length)
-        )
-    elif body or method not in (b"GET", b"HEAD"):
-        rows.append((b"Content-Length", b"%d" % len(body)))
-    return message(b"%b %b HTTP/1.1" % (method, target), rows, body)
+        if stream.length is None:
+            return (b"Transfer-Encoding", b"chunked")
+        return (b"Content-Length", b"%d" % stream.length)
+    if body or method not in METHODS_WITHOUT_BODY:
+        return (b"Content-Length", b"%d" % len(body))
+    return None
--- a/loadbalancer/proxy/body_stream.py
+++ b/loadbalancer/proxy/body_stream.py
@@ -1,7 +1,7 @@
-"""A body that passes through in pieces: a bounded queue from one connection to another.
+"""A message body that passes through in pieces: a bounded queue between two connections.
 
-Its sender is not read from while it is full. The pieces that all of them hold are counted together,
-and where memory is short each may hold less, but never so little that it stands still.
+While a body is full its sender is not read from. The bytes that all bodies buffer are counted
+together; where memory is short each may buffer less, but never so little that it stands still.
 """
 
 from __future__ import annotations
@@ -9,111 +9,122 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_LENGTH = 32 * 1024 * 1024  # of any body; more than that is no body, but a flood
-HIGH = 64 * 1024  # bytes that one may hold before its sender is paused
-SCANTY = 8 * 1024  # the same where memory is short
-PIECE = 64 * 1024  # bytes that are read from a socket at a time
+MAX_LENGTH = 32 * 1024 * 1024  # of any body
+MAX_BUFFERED = 64 * 1024  # bytes that one body may buffer before its sender is paused
+MAX_BUFFERED_IN_SHORTAGE = 8 * 1024  # the same where memory is short
+READ_SIZE = 64 * 1024  # bytes that are read from a socket at a time
 
 
-class Store:
-    """What the bodies of this process may hold together."""
+class BodyMemory:
+    """Counts what the bodies of this process buffer together."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.held = 0
+        self.buffered = 0
 
     @property
-    def high(self) -> int:
-        return HIGH if self.held < self.limit else SCANTY
+    def max_buffered(self) -> int:
+        """Bytes that one body may buffer now."""
+        return MAX_BUFFERED if self.buffered < self.limit else MAX_BUFFERED_IN_SHORTAGE
 
 
 class Source(Protocol):
     """The connection that a body comes on."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Stop reading: the body is full."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Read on: the body has capacity again."""
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """Close the connection: the rest of the body is not wanted."""
 
 
 class Body:
-    """Pieces in, pieces out. It ends whole, or fails; its reader is told of every change.
+    """A queue of pieces that ends complete or fails, and notifies its reader of each change.
 
-    A body that is kept can be read again from its start as long as it was never full:
-    `whole_again`.
+    A body that is kept can be read again from its start as long as it was never full; see
+    `is_replayable`.
+
+    Args:
+        length: The length that its sender announced; None: it comes in chunks.
+        memory: Counts the bytes that are buffered here.
+        keep: Keep pieces that were taken, as long as they don't stand in the way.
     """
 
     __slots__ = (
-        "length",
-        "store",
-        "keep",
-        "source",
+        "buffered",
         "changed",
-        "pieces",
-        "next",
-        "taken",
-        "held",
+        "dropped",
         "ended",
         "failed",
+        "keep",
+        "length",
+        "memory",
+        "next",
         "paused",
-        "dropped",
+        "pieces",
+        "source",
+        "taken",
     )
 
-    def __init__(self, length: int | None, store: Store, keep: bool = False) -> None:
-        self.length = length  # as its sender announced it
-        self.store = store
+    def __init__(self, length: int | None, memory: BodyMemory, keep: bool = False) -> None:
+        self.length = length
+        self.memory = memory
         self.keep = keep
         self.source: Source | None = None
         self.changed: Callable[[], None] | None = None
         self.pieces: list[bytes] = []
-        self.next = 0  # the first that was not taken
+        self.next = 0  # the first piece that was not taken
         self.taken = 0  # bytes
-        self.held = 0
+        self.buffered = 0  # bytes
         self.ended = False
         self.failed = False
         self.paused = False
         self.dropped = False  # its first pieces are gone
 
-    # ---- its sender's side -----------------------------------------------------------------------
+    # ---- the sender's side -----------------------------------------------------------------------
 
     def put(self, data: bytes) -> None:
+        """Append a piece, and pause the source where the body is full."""
         if self.failed:
             return
         self.pieces.append(data)
         self._count(len(data))
-        high = self.store.high
-        if self.held >= high and not self.paused:
-            self._let_go()
-            if self.held >= high:
+        max_buffered = self.memory.max_buffered
+        if self.buffered >= max_buffered and not self.paused:
+            self._drop_taken()
+            if self.buffered >= max_buffered:
                 self.paused = True
                 if self.source is not None:
                     self.source.pause()
-        self._tell()
+        self._notify()
 
     def end(self) -> None:
+        """Mark the body as complete."""
         self.ended = True
         self.source = None
-        self._tell()
+        self._notify()
 
     def fail(self) -> None:
-        """It will never be whole."""
+        """Mark the body as one that will never be complete."""
         if not (self.ended or self.failed):
             self.failed = True
             self.source = None
             self._clear()
-            self._tell()
+            self._notify()
 
-    # ---- its reader's side -----------------------------------------------------------------------
+    # ---- the reader's side -----------------------------------------------------------------------
 
     @property
     def drained(self) -> bool:
-        """It is whole, and all of it was taken."""
+        """Whether it is complete, and all of it was taken."""
         return self.ended and self.next == len(self.pieces)
 
     @property
     def ends_next(self) -> bool:
-        """Is what is taken next its last piece, or the mark of its end?"""
+        """Whether what is taken next is its last piece, or the mark of its end."""
         if self.length is None:
             return self.ended and len(self.pieces) - self.next <= 1
         return (
@@ -121,20 +132,21 @@
         )
 
     @property
-    def whole_again(self) -> bool:
+    def is_replayable(self) -> bool:
+        """Whether it can still be read from its start."""
         return not (self.dropped or self.failed)
 
     def take(self) -> bytes | None:
-        """The next piece, if there is one."""
+        """Take the next piece; None where there is none yet."""
         if self.next == len(self.pieces):
             return None
         piece = self.pieces[self.next]
         self.next += 1
         self.taken += len(piece)
-        # What may be wanted again is let go only when it stands in the way.
+        # What may be read again is dropped only when it stands in the way.
         if not self.keep or self.paused:
-            self._let_go()
-        if self.paused and self.held <= self.store.high // 2:
+            self._drop_taken()
+        if self.paused and self.buffered <= self.memory.max_buffered // 2:
             self.paused = False
             if self.source is not None:
                 self.source.resume()
@@ -142,15 +154,15 @@
 
     def rewind(self) -> None:
         """Read it from its start again."""
-        assert self.whole_again
-        self.next = self.taken = 0
+        assert self.is_replayable
+        self.next = 0
+        self.taken = 0
         self.changed = None
 
     def drop(self) -> None:
-        """Nobody reads it any more. What still comes is not wanted, so its sender's connection
-        ends.
-        """
-        source, self.source = self.source, None
+        """Stop reading it for good; where more is still to come, its source is closed."""
+        source = self.source
+        self.source = None
         self.changed = None
         if not self.ended:
             self.failed = True
@@ -158,10 +170,10 @@
                 source.abort()
         self._clear()
 
-    # ---- what is held ----------------------------------------------------------------------------
+    # ---- what is buffered ------------------------------------------------------------------------
 
-    def _let_go(self) -> None:
-        """Of what was taken."""
+    def _drop_taken(self) -> None:
+        """Forget the pieces that were taken."""
         if self.next:
             self.dropped = True
             self._count(-sum(map(len, self.pieces[: self.next])))
@@ -172,15 +184,15 @@
         self.dropped = True
         self.pieces.clear()
         self.next = 0
-        self._count(-self.held)
+        self._count(-self.buffered)
 
     def _count(self, size: int) -> None:
-        self.held += size
-        self.store.held += size
+        self.buffered += size
+        self.memory.buffered += size
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         if self.changed is not None:
             self.changed()
 
     def __del__(self) -> None:
-        self.store.held -= self.held
+        self.memory.buffered -= self.buffered
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -12,7 +12,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.body_stream import Body
 from loadbalancer.proxy.connection_phase import Phase
-from loadbalancer.proxy.http import LAST_CHUNK, Reading, chunk, end_to_end
+from loadbalancer.proxy.http import LAST_CHUNK, BufferedReader, chunk, end_to_end
 from loadbalancer.proxy.parse import (
     MAX_BODY,
     Headers,
@@ -40,13 +40,13 @@
 NOT_OURS = frozenset({b"x-deadline-ms"})
 
 
-class ClientConnection(Reading):
+class ClientConnection(BufferedReader):
     """One client's connection. It carries one request at a time."""
 
     def __init__(self, frontend: Frontend) -> None:
         self.frontend = frontend
         self.driver = frontend.driver
-        self.reader = RequestReader(store=frontend.store)
+        self.reader = RequestReader(memory=frontend.memory)
         self.ahead = bytearray()  # come, and not parsed yet
         self.transport: asyncio.Transport | None = None
         self.open: OpenRequest | None = None
@@ -303,14 +303,14 @@
             if stream.paused:
                 self.pause()
         if not self.driver.arrive(request):
-            self.refused(0)
+            self.reject(0)
 
     def _body_whole(self) -> None:
         self.upload = None
         self.frontend.busy(self)
         self._read_on()  # its end may have come while it was full
         if self.open is not None:
-            self.driver.body_whole(
+            self.driver.body_completed(
                 self.open, self._deadline(self.received_ns, self.wait_ns), self.received_ns
             )
 
@@ -343,7 +343,7 @@
 
     # ---- out -------------------------------------------------------------------------------------
 
-    def served(self, response: Response) -> None:
+    def serve(self, response: Response) -> None:
         rows = end_to_end(response.headers)
         if response.stream is not None and not self.is_head:
             self._begin(rows, response.stream)
@@ -355,11 +355,11 @@
         else:
             self._answer(200, rows, response.body)
 
-    def refused(self, retry_after_ns: int) -> None:
+    def reject(self, retry_after_ns: int) -> None:
         headers = [(b"Retry-After", b"%.3f" % (retry_after_ns / 1e9))] if retry_after_ns > 0 else []
         self._answer(503, headers, b"refused\n")
 
-    def failed(self, status: int) -> None:
+    def fail(self, status: int) -> None:
         self._answer(status, [], b"failed\n")
 
     def _reject(self, status: int, why: str) -> None:
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -15,10 +15,11 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery_watch import CALL_S, Call, Calls, End
 from loadbalancer.proxy.endpoint_staleness import ListAge
-from loadbalancer.proxy.http import Connection, Exchange
+from loadbalancer.proxy.exchange import Exchange, ExpectedResponse
 from loadbalancer.proxy.parse import Response, message
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Endpoint, number_of
+from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from loadbalancer.settings import Json, Malformed, maybe, need, split_address, typed, word
 
 log = logging.getLogger(__name__)
@@ -110,7 +111,7 @@
         self.age = ListAge(driver)
         self.version = -1
         self.answered_s = 0.0  # when it last said something, be it that nothing changed
-        self.connection: Connection | None = None
+        self.connection: UpstreamConnection | None = None
         self.watching = False
         self.task: asyncio.Task[None] | None = None  # the one that calls: a watch, or for one list
 
@@ -226,7 +227,7 @@
         if self.connection is None or not self.connection.clear:
             if self.connection is not None:
                 self.connection.abort()
-            connection = Connection(lambda c: None, lambda c: None)
+            connection = UpstreamConnection(lambda c: None, lambda c: None)
             try:
                 async with asyncio.timeout_at(by):
                     await loop.create_connection(lambda: connection, *self.address)
@@ -244,7 +245,7 @@
 
         host = f"{self.address[0]}:{self.address[1]}".encode()
         request = message(b"GET %b HTTP/1.1" % target, [(b"Host", host)])
-        exchange = Exchange(request, ended, MAX_LIST)
+        exchange = Exchange(request, ended, expected=ExpectedResponse(MAX_LIST))
         exchange.expire_in(by - loop.time() if wait_s is None else wait_s)
         self.connection.start(exchange)
         try:
--- /dev/null
+++ b/loadbalancer/proxy/endpoint.py
@@ -0,0 +1,37 @@
+"""An upstream as discovery lists it: what the policy knows of it, and its address."""
+
+from __future__ import annotations
+
+import hashlib
+from dataclasses import dataclass
+
+from loadbalancer.policy import api
+
+NUMBER_BYTES = 8
+
+
+def number_of(name: str) -> int:
+    """The number by which the policy knows an upstream's id; the same on every balancer."""
+    digest = hashlib.blake2b(name.encode(), digest_size=NUMBER_BYTES).digest()
+    return int.from_bytes(digest, "big")
+
+
+@dataclass(frozen=True, slots=True)
+class Endpoint:
+    """An entry of the endpoint list.
+
+    Attributes:
+        entry: What the policy is given, but for the time of its start, which the driver works out
+            from `started_ms` by this process's clock.
+        started_ms: Unix time in milliseconds; 0: long ago.
+    """
+
+    entry: api.Upstream
+    host: str
+    port: int
+    started_ms: int = 0
+
+    @property
+    def process(self) -> tuple[str, int, int]:
+        """Identifies the process that a connection leads to; its successor's differs."""
+        return self.host, self.port, self.started_ms
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from loadbalancer.errnos import Cause, Operation, cause
-from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_phase import LIMIT_S, Phase
 from loadbalancer.proxy.listener import leave_to_successor, listen
@@ -42,10 +42,10 @@
     """The listening socket and its connections, kept under a cap."""
 
     def __init__(
-        self, driver: Driver, listener: socket.socket, max_clients: int, store: Store
+        self, driver: Driver, listener: socket.socket, max_clients: int, memory: BodyMemory
     ) -> None:
         self.driver = driver
-        self.store = store
+        self.memory = memory
         self.loop = asyncio.get_running_loop()
         self.listener = listener
         self.max_clients = max_clients
--- a/loadbalancer/proxy/parse.py
+++ b/loadbalancer/proxy/parse.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from loadbalancer.proxy.body_stream import MAX_LENGTH, Body, Store
+from loadbalancer.proxy.body_stream import MAX_LENGTH, Body, BodyMemory
 
 MAX_BODY = (
     64 * 1024
@@ -101,9 +101,9 @@
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None
     keeps = False  # a body in pieces is kept, to be sent again, as long as that is possible
 
-    def __init__(self, max_body: int, store: Store | None = None) -> None:
+    def __init__(self, max_body: int, memory: BodyMemory | None = None) -> None:
         self.max_body = max_body
-        self.store = store  # none: what is longer than that can't be taken
+        self.memory = memory  # none: what is longer than that can't be taken
         self.stream: Body | None = (
             None  # the body of the message under way, where it comes in pieces
         )
@@ -209,10 +209,10 @@
 
     def _in_pieces(self, head: Head, length: int | None) -> None:
         """It is too long to be held: it is handed on now, and what comes follows."""
-        if self.store is None or (length or 0) > MAX_LENGTH or not self._may_stream():
+        if self.memory is None or (length or 0) > MAX_LENGTH or not self._may_stream():
             self._fail(413, "the body is too large")
             return
-        self.stream = Body(length, self.store, self.keeps)
+        self.stream = Body(length, self.memory, self.keeps)
         self._complete(head, self.stream)
         if head.body:
             self.stream.put(bytes(head.body))
@@ -240,8 +240,8 @@
     parser: httptools.HttpRequestParser | None
     keeps = True
 
-    def __init__(self, max_body: int = MAX_BODY, store: Store | None = None) -> None:
-        super().__init__(max_body, store)
+    def __init__(self, max_body: int = MAX_BODY, memory: BodyMemory | None = None) -> None:
+        super().__init__(max_body, memory)
         self.parser = httptools.HttpRequestParser(self)
         self.continues = False  # the client waits to be told to go on
 
@@ -291,10 +291,12 @@
         self.headed = False  # such a one is complete
         self.until_close = False  # the one under way ends with its connection
 
-    def expect(self, max_body: int, store: Store | None = None, head_only: bool = False) -> None:
+    def expect(
+        self, max_body: int, memory: BodyMemory | None = None, head_only: bool = False
+    ) -> None:
         """The next answer may be so long, or come in pieces if it is longer."""
         self.max_body = max_body
-        self.store = store
+        self.memory = memory
         self.head_only = head_only
         self.interim = 0
 
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -1,8 +1,8 @@
-"""The driver: the one caller of `Balancer.handle`.
+"""The policy's driver: the one caller of `Balancer.handle`.
 
-Events go in as they came, on the monotonic clock; what one turn of the loop brings is handed over
-together. Actions are carried out in order. The driver owns timers, attempts and the table of
-requests.
+Events are handed over in the order in which they came, those of one turn of the event loop
+together, with the time of the monotonic clock. Actions are carried out in order. The driver owns
+the policy's timers, the attempts and the table of open requests.
 """
 
 from __future__ import annotations
@@ -13,34 +13,68 @@
 from collections.abc import Callable, Sequence
 from contextlib import suppress
 from dataclasses import replace
-from typing import Protocol
+from http import HTTPStatus
+from typing import NamedTuple, Protocol
 
 from loadbalancer.policy import Balancer, api
 from loadbalancer.policy.rules import Denied
-from loadbalancer.proxy.attempt import OutgoingAttempt
+from loadbalancer.proxy.attempt import AttemptLimits, OutgoingAttempt
+from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.parse import Response
 from loadbalancer.proxy.policy_violations import Denials
 from loadbalancer.proxy.requests import Client, OpenRequest
 from loadbalancer.proxy.timers import call_after
-from loadbalancer.proxy.upstream import Endpoint, Report, Timing, Upstreams, number_of
+from loadbalancer.proxy.upstream import (
+    Done,
+    Endpoint,
+    ExpectedBodies,
+    Report,
+    Timing,
+    Upstreams,
+    number_of,
+)
 from loadbalancer.wallclock import StartTimes
 
 log = logging.getLogger(__name__)
 
-OVERDUE_S = 0.008  # after its deadline a request that the module has not ended is ended here
+# After its deadline, a request that the policy has not ended is ended here.
+OVERDUE_S = 0.008
 
 
 class Discovery(Protocol):
-    def subscribe(self, on: bool) -> None: ...
+    """What the policy can ask of the service that lists the upstreams."""
 
-    def fetch(self) -> None: ...
+    def subscribe(self, on: bool) -> None:
+        """Open a watch, or close it."""
+
+    def fetch(self) -> None:
+        """Poll the complete list once."""
 
 
 class Peers(Protocol):
-    def tell(self, peer: int, data: bytes) -> None: ...
+    """Datagrams to the other balancers."""
+
+    def tell(self, peer: int, data: bytes) -> None:
+        """Send a datagram to one peer; -1: to all."""
+
+
+class _Outcome(NamedTuple):
+    """How an attempt ended, as the upstreams report it."""
+
+    result: api.AttemptResult
+    response: Response | None = None
+    report: Report = None
 
 
 class Driver:
+    """Runs the policy on the event loop.
+
+    Attributes:
+        open: Requests that are owed an answer.
+        told: Set when an endpoint list came.
+        tap: Called with the events of each turn, behind the policy.
+    """
+
     def __init__(self, settings: api.Settings, seed: int, upstreams: Upstreams) -> None:
         self.settings = settings
         self.upstreams = upstreams
@@ -51,37 +85,40 @@
         self.denials = Denials()
         self.starts = StartTimes()
         self.requests: dict[str, OpenRequest] = {}
-        self.open = 0  # requests that are owed an answer
+        self.open = 0
         self.waiting: list[api.Event] = []
-        self.told = asyncio.Event()  # a list came
-        self.tap: Callable[[int, Sequence[api.Event]], None] | None = (
-            None  # who else hears what came
-        )
+        self.told = asyncio.Event()
+        self.tap: Callable[[int, Sequence[api.Event]], None] | None = None
 
     @property
     def ready(self) -> bool:
-        """Can the module serve? It can once a list has named an upstream that is ready."""
+        """Whether the policy can serve: a list has named an upstream that is ready."""
         return any(t.keep for t in self.upstreams.targets.values())
 
     # ---- events ----------------------------------------------------------------------------------
 
     def post(self, event: api.Event) -> None:
+        """Hand an event to the policy on the loop's next turn."""
         if not self.waiting:
             self.loop.call_soon(self._hand_over)
         self.waiting.append(event)
 
     def arrive(self, request: OpenRequest) -> bool:
-        """Take a client's request; False if it can't be taken, and the caller answers."""
+        """Accept a client's request.
+
+        Returns:
+            False where too many are open; the caller answers then.
+        """
         if self.open >= self.settings.limits.max_open:
             return False
         self.requests[request.arrival.request] = request
         self.open += 1
-        self._limit(request)
+        self._watch_deadline(request)
         self.post(request.arrival)
         return True
 
-    def _limit(self, request: OpenRequest) -> None:
-        """From now on it is overdue at its deadline."""
+    def _watch_deadline(self, request: OpenRequest) -> None:
+        """Start, or move, the timer behind which the request is overdue."""
         if request.overdue is not None:
             request.overdue.cancel()
         left = (request.arrival.deadline_ns - time.monotonic_ns()) / 1e9
@@ -89,38 +126,40 @@
             max(0.0, left) + OVERDUE_S, self._soon_overdue, request
         )
 
-    def body_whole(self, request: OpenRequest, deadline_ns: int, received_ns: int) -> None:
-        """The last byte of its body came: its time runs from there, and that of its attempt."""
+    def body_completed(self, request: OpenRequest, deadline_ns: int, received_ns: int) -> None:
+        """Note the last byte of a body: the request's time and its attempt's run from there."""
         if request.over or request.stream is None:
             return
         request.arrival = request.arrival._replace(
             deadline_ns=deadline_ns, received_ns=received_ns, whole=True
         )
-        request.whole_ns = time.monotonic_ns()
-        self._limit(request)
+        request.completed_ns = time.monotonic_ns()
+        self._watch_deadline(request)
         for exchange in request.attempts:
             if exchange is not None:
-                exchange.expire_in(self._wait(request, request.timeout_ns) / 1e9)
+                exchange.expire_in(self._remaining_ns(request, request.timeout_ns) / 1e9)
         self.post(
             api.BodyCompleted(
-                request.arrival.request, deadline_ns, received_ns, request.stream.whole_again
+                request.arrival.request, deadline_ns, received_ns, request.stream.is_replayable
             )
         )
 
     @staticmethod
-    def _wait(request: OpenRequest, timeout_ns: int) -> int:
+    def _remaining_ns(request: OpenRequest, timeout_ns: int) -> int:
         """How long an attempt may take from now on."""
         left = max(0, request.arrival.deadline_ns - time.monotonic_ns())
         return min(timeout_ns or left, left)
 
     def client_gone(self, request: OpenRequest) -> None:
+        """End a request whose client has disconnected."""
         if self._end(request):
             if request.stream is not None and not request.stream.ended:
-                # and with it the attempt: its last byte will never be written
+                # The attempt fails with it: its last byte will never be written.
                 request.stream.fail()
             self.post(api.ClientDisconnected(request.arrival.request))
 
     def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
+        """Pass on an endpoint list, or the failure of a call for one."""
         if kind is not api.EndpointListKind.FAILED:
             now_ns = time.monotonic_ns()
             endpoints = [self._dated(e, now_ns) for e in endpoints]
@@ -131,18 +170,18 @@
         self.post(api.EndpointsUpdated(kind, [e.entry for e in endpoints]))
 
     def trust(self, on: bool) -> None:
-        """May the list be gone by? While not, nothing new begins at any upstream."""
-        self.upstreams.trusted = on
+        """Note whether the list may be relied on; while not, no attempt starts at any upstream."""
+        self.upstreams.trust(on)
         self.post(api.EndpointTrustChanged(on))
 
     def _dated(self, endpoint: Endpoint, now_ns: int) -> Endpoint:
-        """With the time of its start by this process's clock."""
+        """The endpoint, with the time of its start by this process's clock."""
         entry = endpoint.entry
         started_ns = self.starts.started_ns(entry.id, endpoint.started_ms, now_ns)
         return replace(endpoint, entry=entry._replace(started_ns=started_ns))
 
     async def can_serve(self, seconds: float) -> bool:
-        """Wait for that, so long at the most."""
+        """Wait until the policy can serve, so long at the most."""
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 while not self.ready:
@@ -151,49 +190,56 @@
         return self.ready
 
     def listed(self, name: str) -> bool:
-        """Did any list ever name this upstream?"""
+        """Whether any list has ever named this upstream."""
         return number_of(name) in self.upstreams.listed
 
     def ban(self, name: str, on: bool) -> None:
-        """Operators took an upstream out, or put it back."""
+        """Disable an upstream for operators, or enable it again."""
         self.upstreams.ban(number_of(name), on)
         self.post(api.UpstreamDisabled(number_of(name), on))
 
     def _hand_over(self) -> None:
-        events, self.waiting = self.waiting, []
+        events = self.waiting
+        self.waiting = []
         now = time.monotonic_ns()
-        try:
-            actions = self.balancer.handle(now, events)
-        except Exception:
-            self._blame("the decision module failed", events)
-            actions = []
+        actions = self._decide(now, events)
         if self.tap is not None:
             self.tap(now, events)
         for action in actions:
             try:
                 self._carry_out(action, now)
-            except Exception:
-                self._blame("an action failed", [action])
-        for (
-            event
-        ) in events:  # only now: the module may act for a request until it has heard of its end
+            except Exception as error:  # noqa: BLE001 (one action's fault must not take the others along)
+                self._blame("an action failed", [action], error)
+        # Only now: the policy may act for a request until it has been notified of its end.
+        for event in events:
             if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
                 self._forget(event.request)
 
-    def _blame(self, what: str, about: Sequence[api.Event | api.Action]) -> None:
-        """Called in an exception's handler: log it with its requests, and end these as failed."""
+    def _decide(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
+        try:
+            return self.balancer.handle(now, events)
+        except Exception as error:  # noqa: BLE001 (the process goes on without this turn's decisions)
+            self._blame("the policy failed", events, error)
+            return []
+
+    def _blame(self, what: str, about: Sequence[api.Event | api.Action], error: Exception) -> None:
+        """Log a fault with the requests concerned, and end these as failed."""
         names = [
             name for name in (getattr(item, "request", None) for item in about) if name is not None
         ]
-        log.exception("%s; requests %s", what, " ".join(names) or "-")
+        log.error("%s; requests %s", what, " ".join(names) or "-", exc_info=error)
         for name in names:
             request = self.requests.get(name)
-            if request is not None and self._answer(request, lambda client: client.failed(502)):
-                self.post(api.ClientDisconnected(name))
+            if request is not None:
+                self._fail_unanswered(request, HTTPStatus.BAD_GATEWAY)
 
     def _answer(self, request: OpenRequest, how: Callable[[Client], None]) -> bool:
-        """End a request with its final answer; False, and no answer, if it was over already. An
-        answer that can't be given must not take the events behind it along.
+        """End a request with its final answer.
+
+        An answer that can't be given must not take the events behind it along.
+
+        Returns:
+            False, and no answer is given, where the request was over already.
         """
         if not self._end(request):
             return False
@@ -213,21 +259,24 @@
         self.loop.call_soon(self._overdue, request)
 
     def _overdue(self, request: OpenRequest) -> None:
-        """The module owes an answer and the client's time is over: the rule is kept here, and
-        logged.
-        """
-        if self._answer(request, lambda client: client.failed(504)):
+        """Keep the rule that each request is answered where the policy has failed to."""
+        if self._fail_unanswered(request, HTTPStatus.GATEWAY_TIMEOUT):
             log.error("request %s was not answered by its deadline", request.arrival.request)
-            self.post(api.ClientDisconnected(request.arrival.request))
 
     def end_open(self) -> None:
-        """This process leaves now: whoever still waits is told that, and not left with a broken
-        connection. Requests that were taken before it was told to leave may have more time than it
-        has.
+        """Answer all that is open, as this process ends now.
+
+        Requests that came before the shutdown may have more time than the process has.
         """
         for request in list(self.requests.values()):
-            if self._answer(request, lambda client: client.failed(504)):
-                self.post(api.ClientDisconnected(request.arrival.request))
+            self._fail_unanswered(request, HTTPStatus.GATEWAY_TIMEOUT)
+
+    def _fail_unanswered(self, request: OpenRequest, status: int) -> bool:
+        """Answer with an error without the policy, which is notified as of a client that left."""
+        answered = self._answer(request, lambda client: client.fail(status))
+        if answered:
+            self.post(api.ClientDisconnected(request.arrival.request))
+        return answered
 
     # ---- actions ---------------------------------------------------------------------------------
 
@@ -236,42 +285,55 @@
             case api.StartAttempt():
                 self._send(action, now)
             case api.RejectRequest():
-                request = self.requests.get(action.request)
-                if request is not None and self._answer(
-                    request, lambda client: client.refused(action.retry_after_ns)
-                ):
-                    self._forget(action.request)
+                self._reject(action)
             case api.FailRequest():
-                request = self.requests.get(action.request)
-                if request is not None:
-                    status = 504 if request.timed_out else 502
-                    if self._answer(request, lambda client: client.failed(status)):
-                        self._forget(action.request)
+                self._fail(action)
             case api.CancelAttempt():
-                request = self.requests.get(action.request)
-                exchange = request.attempts[action.attempt] if request is not None else None
-                if exchange is not None:
-                    exchange.give_up(api.AttemptResult.CANCELLED)
+                self._cancel(action)
             case api.CheckHealth():
-                self._probe(action.upstream, now)
+                self._check_health(action.upstream, now)
             case api.SetTimer():
                 call_after(action.delay_ns / 1e9, self.post, api.TimerFired(action.name))
-            case api.SendGossip():
-                if self.peers is not None:
-                    self.peers.tell(action.peer, action.data)
-            case api.SubscribeEndpoints():
-                if self.discovery is not None:
-                    self.discovery.subscribe(action.on)
-            case api.FetchEndpoints():
-                if self.discovery is not None:
-                    self.discovery.fetch()
             case api.LogMessage():
                 log.info("%s", action.text)
+            case _:
+                self._call_others(action)
+
+    def _call_others(self, action: api.Action) -> None:
+        """Carry out an action of discovery or of gossip, where there is one."""
+        match action:
+            case api.SendGossip() if self.peers is not None:
+                self.peers.tell(action.peer, action.data)
+            case api.SubscribeEndpoints() if self.discovery is not None:
+                self.discovery.subscribe(action.on)
+            case api.FetchEndpoints() if self.discovery is not None:
+                self.discovery.fetch()
+
+    def _reject(self, action: api.RejectRequest) -> None:
+        request = self.requests.get(action.request)
+        if request is not None and self._answer(
+            request, lambda client: client.reject(action.retry_after_ns)
+        ):
+            self._forget(action.request)
+
+    def _fail(self, action: api.FailRequest) -> None:
+        request = self.requests.get(action.request)
+        if request is None:
+            return
+        status = HTTPStatus.GATEWAY_TIMEOUT if request.timed_out else HTTPStatus.BAD_GATEWAY
+        if self._answer(request, lambda client: client.fail(status)):
+            self._forget(action.request)
+
+    def _cancel(self, action: api.CancelAttempt) -> None:
+        request = self.requests.get(action.request)
+        exchange = request.attempts[action.attempt] if request is not None else None
+        if exchange is not None:
+            exchange.give_up(api.AttemptResult.CANCELLED)
 
     def _send(self, action: api.StartAttempt, now: int) -> None:
         request = self.requests.get(action.request)
         if request is None:
-            log.error("send for request %s, which is not open", action.request)
+            log.error("attempt for request %s, which is not open", action.request)
             return
         number = len(request.attempts)
         attempt = self._attempt(request, number, action, now)
@@ -283,69 +345,76 @@
             result: api.AttemptResult, response: Response | None = None, report: Report = None
         ) -> None:
             exchange = request.attempts[number]
-            # What an answer lay unread here is this program's time, not its upstream's.
-            began = max(now, request.whole_ns)
-            took = time.monotonic_ns() - began - (exchange.unread_ns if exchange is not None else 0)
-            self._ended(request, number, action.upstream, result, max(0, took), response, report)
+            # While an answer lay unread here, that was this program's time, not its upstream's.
+            unread_ns = exchange.unread_ns if exchange is not None else 0
+            started_ns = max(now, request.completed_ns)
+            duration_ns = max(0, time.monotonic_ns() - started_ns - unread_ns)
+            outcome = _Outcome(result, response, report)
+            self._ended(request, number, action.upstream, outcome, duration_ns)
 
         if isinstance(verdict, Denied):
-            attempt.denied(verdict, "decided")
+            attempt.report_denial(verdict, "decided")
             ended(api.AttemptResult.NOT_SENT)
         elif action.timeout_ns < 0:
             ended(api.AttemptResult.TIMEOUT)
         else:
-            try:
-                request.attempts[number] = self.upstreams.send(
-                    action.upstream,
-                    attempt,
-                    ended,
-                    self._timing(attempt, now, action.start_by_ns),
-                    request.stream,
-                    request.method == b"HEAD",
-                )
-            except Exception:  # it still has its one outcome, below
-                self._blame("an attempt could not start", [action])
+            timing = self._timing(attempt, now, action.start_by_ns)
+            request.attempts[number] = self._start(action, attempt, ended, timing)
             if request.attempts[number] is None:
                 ended(api.AttemptResult.NOT_SENT)
 
+    def _start(
+        self, action: api.StartAttempt, attempt: OutgoingAttempt, done: Done, timing: Timing
+    ) -> Exchange | None:
+        request = attempt.request
+        try:
+            return self.upstreams.send(
+                action.upstream,
+                attempt,
+                done,
+                timing,
+                ExpectedBodies(request.stream, request.method == b"HEAD"),
+            )
+        except Exception as error:  # noqa: BLE001 (the attempt still has its one outcome)
+            self._blame("an attempt could not start", [action], error)
+            return None
+
     def _attempt(
         self, request: OpenRequest, number: int, action: api.StartAttempt, now: int
     ) -> OutgoingAttempt:
         longest = self.settings.classes[request.arrival.class_name].deadline_ns
         timeout_ns = min(action.timeout_ns or longest, longest)
         request.timeout_ns = action.timeout_ns
-        return OutgoingAttempt(
-            request,
-            number,
+        limits = AttemptLimits(
             self.settings.limits,
-            self.denials,
-            self.client_gone,
             timeout_ns,
             now + timeout_ns,
             now + action.start_by_ns if action.start_by_ns else 0,
         )
+        return OutgoingAttempt(request, number, limits, self.denials, self.client_gone)
 
     def _timing(self, attempt: OutgoingAttempt, now: int, start_by_ns: int) -> Timing:
-        """Without a limit, it waits for a body that is still to come."""
+        """The attempt's timers; without a time-out it waits for a body that is still to come."""
         if not attempt.request.arrival.whole:
             return Timing(None, start_by_ns / 1e9)
-        return Timing(self._wait(attempt.request, attempt.until_ns - now) / 1e9, start_by_ns / 1e9)
+        remaining_ns = self._remaining_ns(attempt.request, attempt.limits.expires_ns - now)
+        return Timing(remaining_ns / 1e9, start_by_ns / 1e9)
 
     def _ended(
         self,
         request: OpenRequest,
         number: int,
         upstream: int,
-        result: api.AttemptResult,
+        outcome: _Outcome,
         duration_ns: int,
-        response: Response | None,
-        report: Report,
     ) -> None:
+        """Take in an attempt's one outcome, and answer the client where it was successful."""
+        result, response, report = outcome
         request.attempts[number] = None
         request.sent -= 1
         request.timed_out = result is api.AttemptResult.TIMEOUT
         if result is api.AttemptResult.OK and response is not None:
-            taken = self._answer(request, lambda client: client.served(response))
+            taken = self._answer(request, lambda client: client.serve(response))
             if response.stream is not None and not taken:
                 response.stream.drop()
         name = request.arrival.request
@@ -353,20 +422,20 @@
             api.AttemptFinished(name, number, upstream, result, duration_ns, request.over, report)
         )
 
-    def _probe(self, upstream: int, now: int) -> None:
+    def _check_health(self, upstream: int, now: int) -> None:
         def ended(result: api.AttemptResult, report: Report) -> None:
             self.post(api.HealthCheckFinished(upstream, result, time.monotonic_ns() - now, report))
 
         try:
             started = self.upstreams.probe(upstream, ended)
-        except Exception:  # it still has its one result: the module waits for it
-            self._blame("a probe could not start", [])
+        except Exception as error:  # noqa: BLE001 (it still has its one result: the policy waits for it)
+            self._blame("a health check could not start", [], error)
             started = False
         if not started:
             ended(api.AttemptResult.CONNECT_FAILED, None)
 
     def _end(self, request: OpenRequest) -> bool:
-        """Mark a request as over; False if it was already."""
+        """Mark a request as over; False where it was already."""
         if request.over:
             return False
         request.over = True
--- a/loadbalancer/proxy/requests.py
+++ b/loadbalancer/proxy/requests.py
@@ -1,4 +1,4 @@
-"""A client's request while it is owed an answer, and whoever waits for that."""
+"""A client's request while it is owed an answer, and the client that waits for it."""
 
 from __future__ import annotations
 
@@ -8,30 +8,44 @@
 
 from loadbalancer.policy import api
 from loadbalancer.proxy.body_stream import Body
-from loadbalancer.proxy.http import Exchange
+from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.parse import Headers, Response
 
 
 class Client(Protocol):
-    """Whoever waits for the one final answer."""
+    """Receives the one final answer of a request."""
 
-    def served(self, response: Response) -> None: ...
+    def serve(self, response: Response) -> None:
+        """Pass on an upstream's response."""
 
-    def refused(self, retry_after_ns: int) -> None: ...
+    def reject(self, retry_after_ns: int) -> None:
+        """Answer 503, which promises that the request had no effect."""
 
-    def failed(self, status: int) -> None: ...
+    def fail(self, status: int) -> None:
+        """Answer with an error, which promises nothing about the request's effect."""
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """Close the connection at once."""
 
     @property
     def gone(self) -> bool:
-        """Has it closed its connection, as far as the kernel knows?"""
+        """Whether the client has closed its connection, as far as the kernel knows."""
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """Times in nanoseconds, monotonic. `wait_ns`: how long its client waits from its last byte
-    on.
+    """A request and its attempts; times in nanoseconds of the monotonic clock.
+
+    Attributes:
+        wait_ns: How long its client waits, from the request's last byte on.
+        stream: The body, where it comes in pieces.
+        attempts: An exchange for each attempt; None: it is over, or was never sent.
+        sent: Attempts without an outcome.
+        over: It has been answered, or its client has disconnected.
+        timed_out: Its last outcome was a time-out.
+        completed_ns: When the last byte of a body in pieces came.
+        timeout_ns: The time-out of the attempt that waits for that byte.
+        overdue: Fires when the request was not answered by its deadline.
     """
 
     arrival: api.RequestArrived
@@ -41,15 +55,15 @@
     body: bytes
     client: Client
     wait_ns: int
-    stream: Body | None = None  # the body, where it comes in pieces
-    attempts: list[Exchange | None] = field(default_factory=list)  # None: over, or never sent
-    sent: int = 0  # attempts without an outcome
-    over: bool = False  # answered, or its client has gone
-    timed_out: bool = False  # the last outcome was a time-out
-    whole_ns: int = 0  # when the last byte of such a body came
-    timeout_ns: int = 0  # of the attempt that waits for it
+    stream: Body | None = None
+    attempts: list[Exchange | None] = field(default_factory=list)
+    sent: int = 0
+    over: bool = False
+    timed_out: bool = False
+    completed_ns: int = 0
+    timeout_ns: int = 0
     overdue: asyncio.TimerHandle | None = None
 
     def out_beside(self, number: int) -> int:
-        """Attempts but this one that have no outcome yet."""
+        """Count the attempts other than this one that have no outcome yet."""
         return self.sent - 1 if number < len(self.attempts) else self.sent
--- a/loadbalancer/proxy/resource_limits.py
+++ b/loadbalancer/proxy/resource_limits.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.process_handover import Siblings
 
 # Descriptors kept for the listener, discovery (an old and a new one), peers, the configuration and
@@ -59,25 +59,25 @@
         self.siblings = siblings
         self.clients: Holder | None = None
         self.upstreams: Holder | None = None
-        self.store: Store | None = None
+        self.memory: BodyMemory | None = None
         self.part = self._now()
 
     def _now(self) -> Part:
         return part_of(self.sockets, self.memory_mb, self.door, 1 if self.siblings.alone else 2)
 
-    def start(self, clients: Holder, upstreams: Holder, store: Store) -> None:
-        self.clients, self.upstreams, self.store = clients, upstreams, store
+    def start(self, clients: Holder, upstreams: Holder, memory: BodyMemory) -> None:
+        self.clients, self.upstreams, self.memory = clients, upstreams, memory
         self.siblings.changed.append(self.look)
 
     def look(self) -> None:
         """A process came or went: share out anew, and say so once what is held fits."""
-        assert self.clients is not None and self.upstreams is not None and self.store is not None
+        assert self.clients is not None and self.upstreams is not None and self.memory is not None
         part = self._now()
         if part != self.part:
             self.part = part
             self.clients.allow(part.clients)
             self.upstreams.allow(part.upstreams)
-            self.store.limit = part.bodies
+            self.memory.limit = part.bodies
         fits = self.clients.held <= part.clients and self.upstreams.held <= part.upstreams
         siblings = self.siblings
         siblings.publish(replace(siblings.note, shares=not siblings.alone and fits))
--- /dev/null
+++ b/loadbalancer/proxy/upstream_connection.py
@@ -0,0 +1,274 @@
+"""A kept connection to an upstream, which carries one exchange at a time."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import cast
+
+from loadbalancer.policy.api import AttemptResult
+from loadbalancer.policy.rules import ALLOWED, Denied, Reason, Verdict
+from loadbalancer.proxy.body_stream import Body
+from loadbalancer.proxy.exchange import Exchange
+from loadbalancer.proxy.http import LAST_CHUNK, BufferedReader, chunk
+from loadbalancer.proxy.parse import Response, ResponseReader
+from loadbalancer.proxy.tcp_state import readable, received
+
+# A connection on which a body stands still for so long, though there is capacity for more of it, is
+# given up.
+STALL_S = 10.0
+
+
+class UpstreamConnection(BufferedReader):
+    """A connection to an upstream's process.
+
+    Args:
+        released: Called when it is free for the next exchange.
+        lost: Called once when it has ended.
+
+    Attributes:
+        answer: The response whose body comes in pieces.
+        clean: Its request was written completely, so the connection can be used again.
+        noisy: Bytes came that nobody had requested.
+    """
+
+    def __init__(
+        self,
+        released: Callable[[UpstreamConnection], None],
+        lost: Callable[[UpstreamConnection], None],
+    ) -> None:
+        self.released = released
+        self.lost = lost
+        self.reader = ResponseReader()
+        self.transport: asyncio.Transport | None = None
+        self.exchange: Exchange | None = None
+        self.answer: Response | None = None
+        self.clean = False
+        self.stall: asyncio.TimerHandle | None = None
+        self.idle_since = 0.0
+        self.writable = True
+        self.closed = False
+        self.noisy = False
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)
+        if self.closed:  # given up while it came up
+            transport.abort()  # type: ignore[attr-defined]
+            return
+        # The buffer counts as full from its first byte on: `resume_writing` then means that all was
+        # written.
+        self.transport.set_write_buffer_limits(high=0)
+
+    @property
+    def clear(self) -> bool:
+        """Whether it is idle with nothing unread.
+
+        A late byte would be read as the next response; an end would break the next request.
+        """
+        transport = self.transport
+        return (
+            transport is not None
+            and not self.closed
+            and not transport.is_closing()
+            and not readable(transport.get_extra_info("socket"))
+        )
+
+    def start(self, exchange: Exchange, usable: Verdict = ALLOWED) -> None:
+        """Write an exchange's request, if it may still start.
+
+        Otherwise it ends as not sent on the loop's next turn, and the connection is free.
+
+        Args:
+            exchange: The exchange.
+            usable: Whether the upstream may be sent something new.
+        """
+        assert self.transport is not None
+        data = exchange.request.begin(usable)
+        if isinstance(data, Denied):
+            self.released(self)
+            result = (
+                AttemptResult.CONNECT_FAILED
+                if data.reason is Reason.UPSTREAM
+                else AttemptResult.NOT_SENT
+            )
+            asyncio.get_running_loop().call_soon(exchange.give_up, result)
+            return
+        self.exchange = exchange
+        exchange.connection = self
+        expected = exchange.expected
+        self.reader.expect(expected.max_body, expected.memory, expected.head_only)
+        self.writable = True
+        # Unless the transport calls `pause_writing`: then it could not take all.
+        exchange.written = exchange.body is None
+        self.transport.write(data)
+        if exchange.body is not None:
+            exchange.body.changed = self._pump
+            self._pump()
+
+    def pause_writing(self) -> None:
+        """Note that the transport holds bytes back; called by the event loop."""
+        self.writable = False
+        if self.exchange is not None:
+            self.exchange.written = False
+            if self.exchange.body is not None:
+                self._watch()
+
+    def resume_writing(self) -> None:
+        """Note that all was written; called by the event loop."""
+        self.writable = True
+        self._unwatch()
+        if self.exchange is not None:
+            if self.exchange.body is not None:
+                self._pump()
+            else:
+                self.exchange.written = True
+
+    def _pump(self) -> None:
+        """Pass on the request's body as far as it has come, while the upstream takes it."""
+        exchange = self.exchange
+        body = exchange.body if exchange is not None else None
+        if exchange is None or body is None or self.transport is None or exchange.written:
+            return
+        if body.failed:
+            self.abort()  # its last byte will never be written
+            return
+        while self.writable:
+            if body.ends_next and not exchange.request.may_finish():
+                self.abort()  # its last byte will never be written
+                return
+            piece = body.take()
+            if piece is None:
+                break
+            self.transport.write(piece if body.length is not None else chunk(piece))
+        if body.drained and self.writable and body.changed is not None:
+            self._finish_body(exchange, body)
+
+    def _finish_body(self, exchange: Exchange, body: Body) -> None:
+        assert self.transport is not None
+        body.changed = None
+        exchange.body = None
+        exchange.written = True
+        if body.length is None:
+            self.transport.write(LAST_CHUNK)
+
+    # ---- a stall ---------------------------------------------------------------------------------
+
+    def _watch(self) -> None:
+        self._unwatch()
+        self.stall = asyncio.get_running_loop().call_later(STALL_S, self.abort)
+
+    def _unwatch(self) -> None:
+        if self.stall is not None:
+            self.stall.cancel()
+            self.stall = None
+
+    # ---- the response ----------------------------------------------------------------------------
+
+    def data_received(self, data: bytes) -> None:
+        """Read a response, or more of one; called by the event loop."""
+        exchange = self.exchange
+        reader = self.reader
+        if self.answer is not None:
+            self._watch()
+            reader.feed(data)
+            self._continue_body(self.answer)
+            return
+        if exchange is None:
+            self.noisy = True
+            self.abort()
+            return
+        reader.feed(data)
+        if reader.ready:
+            self._complete(exchange, reader.ready.popleft())
+        elif reader.fault is not None:
+            # The upstream has answered, if with what can't be read: its work is done and it is no
+            # break of the network. Nothing on this connection can be relied on any more.
+            exchange.finish(AttemptResult.ERROR)
+            self.abort()
+
+    def eof_received(self) -> None:
+        """End the connection: a response under way is incomplete, unless it is framed by that."""
+        exchange = self.exchange
+        reader = self.reader
+        if reader.finish():
+            if self.answer is not None:
+                self._continue_body(self.answer)
+            elif exchange is not None and reader.ready:
+                self._complete(exchange, reader.ready.popleft())
+        self.abort()
+
+    def _complete(self, exchange: Exchange, response: Response) -> None:
+        assert self.transport is not None
+        exchange.unread_ns = received(self.transport.get_extra_info("socket"))[1]
+        self.exchange = None
+        self.clean = exchange.written
+        if exchange.body is not None:
+            exchange.body.changed = None  # answered ahead of its end: the rest is not wanted
+        if response.stream is not None:
+            self.answer = response
+            response.stream.source = self
+            self._watch()
+            if response.stream.paused:
+                self.pause()
+            self._continue_body(response)
+        else:
+            self._end_response(response)
+        exchange.finish(AttemptResult.OK, response)
+
+    def _continue_body(self, answer: Response) -> None:
+        """Handle more of a response's body."""
+        assert answer.stream is not None
+        if self.reader.fault is not None:
+            self.abort()
+        elif answer.stream.ended:
+            self._unwatch()
+            self.answer = None
+            self._end_response(answer)
+
+    def _end_response(self, response: Response) -> None:
+        """Free the connection behind a complete response.
+
+        What stands behind it, a second response or noise, would be read as the next request's.
+        """
+        reader = self.reader
+        self.noisy = bool(reader.ready or reader.begun or reader.fault)
+        if self.clean and response.keep_alive and not self.noisy:
+            self.released(self)
+        else:
+            self.abort()
+
+    def pause(self) -> None:
+        """Stop reading: the response's reader is behind, which is no stall of the upstream."""
+        self._unwatch()
+        if self.transport is not None and not self.transport.is_closing():
+            self.transport.pause_reading()
+
+    def resume(self) -> None:
+        """Read on."""
+        if self.transport is not None and not self.transport.is_closing():
+            self.transport.resume_reading()
+            self._watch()
+
+    def abort(self) -> None:
+        """Close at once; the exchange on it, if any, ends as broken."""
+        if not self.closed and self.transport is not None:
+            self.transport.abort()
+        self._end()
+
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (the loop's signature)
+        """Note the end; called by the event loop."""
+        self._end()
+
+    def _end(self) -> None:
+        if self.closed:
+            return
+        self.closed = True
+        self._unwatch()
+        self.reader.close()  # a body under way fails
+        self.answer = None
+        exchange = self.exchange
+        self.exchange = None
+        self.lost(self)
+        if exchange is not None:
+            exchange.connection_broken()
--- /dev/null
+++ b/loadbalancer/proxy/upstream_response.py
@@ -0,0 +1,57 @@
+"""What an upstream's answer means, and the load report that it carries."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Collection, Mapping
+from http import HTTPStatus
+
+from loadbalancer.policy import api
+from loadbalancer.proxy.parse import Response
+
+LOAD_HEADER = b"x-load"
+NOT_RUN_HEADER = b"x-not-run"
+# Statuses that, with the header above, promise that the request was not run.
+NOT_RUN_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+Report = Mapping[str, float] | None
+
+
+def attempt_result(result: api.AttemptResult, response: Response | None) -> api.AttemptResult:
+    """The result of an attempt, given how its exchange ended and the response, if there is one."""
+    if result is not api.AttemptResult.OK or response is None:
+        return result
+    if response.status == HTTPStatus.OK:
+        return api.AttemptResult.OK
+    if response.status in NOT_RUN_STATUSES and response.header(NOT_RUN_HEADER) == b"1":
+        return api.AttemptResult.REJECTED
+    return api.AttemptResult.ERROR
+
+
+def health_check_result(result: api.AttemptResult, response: Response) -> api.AttemptResult:
+    """The result of a health check: one that is answered 503 was rejected."""
+    if result is api.AttemptResult.OK and response.status == HTTPStatus.SERVICE_UNAVAILABLE:
+        return api.AttemptResult.REJECTED
+    return attempt_result(result, response)
+
+
+def read_report(text: bytes | None, columns: Collection[str]) -> Report:
+    """Read a load report such as `inflight=7,queue=2`.
+
+    Only columns that the settings name are taken, and only finite amounts: comparisons with
+    not-a-number hold for nobody, so one must not reach the policy.
+
+    Returns:
+        The figures by column; None where there are none.
+    """
+    if text is None:
+        return None
+    report = {}
+    for field in text.decode("latin-1").split(","):
+        name, _, value = field.strip().partition("=")
+        try:
+            figure = float(value)
+        except ValueError:
+            continue
+        if name in columns and math.isfinite(figure) and figure >= 0:
+            report[name] = figure
+    return report or None
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -13,9 +13,10 @@
 
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy import policy_driver
-from loadbalancer.proxy.http import Connection, Exchange
+from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.parse import Response, message
 from loadbalancer.proxy.upstream import read_report
+from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from tests.fakes import CLASSES, SETTINGS, Heard, answer, free_port, never, read_message, run, world
 
 R = api.AttemptResult
@@ -209,7 +210,7 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        connection = Connection(lambda c: None, lambda c: None)
+        connection = UpstreamConnection(lambda c: None, lambda c: None)
         await loop.create_connection(lambda: connection, *server.sockets[0].getsockname())
         request = message(b"POST / HTTP/1.1", [(b"Content-Length", b"%d" % size)], b"x" * size)
         connection.start(Exchange(request, lambda r, response: ended.set_result(r)))
@@ -384,14 +385,14 @@
 ) -> None:
     from loadbalancer.proxy.client_connection import ClientConnection
 
-    served = ClientConnection.served
+    serve = ClientConnection.serve
 
     def fails(self: ClientConnection, response: Response) -> None:
         if response.body == b"bad":
             raise RuntimeError("no")
-        served(self, response)
+        serve(self, response)
 
-    monkeypatch.setattr(ClientConnection, "served", fails)
+    monkeypatch.setattr(ClientConnection, "serve", fails)
 
     async def test() -> None:
         async with world() as w:
--- a/tests/proxy/test_body_stream.py
+++ b/tests/proxy/test_body_stream.py
@@ -18,7 +18,7 @@
 
 from loadbalancer.policy import api
 from loadbalancer.proxy import connection_phase, frontend
-from loadbalancer.proxy.body_stream import HIGH, Body, Store
+from loadbalancer.proxy.body_stream import MAX_BUFFERED, Body, BodyMemory
 from loadbalancer.proxy.connection_phase import Phase
 from loadbalancer.proxy.parse import MAX_BODY, RequestReader, ResponseReader
 from tests.fakes import SETTINGS, Client, Heard, free_port, read_message, run, world
@@ -397,36 +397,36 @@
 
 
 def test_a_full_body_pauses_its_sender_and_is_counted_in_all() -> None:
-    store, link = Store(1 << 20), Link()
+    store, link = BodyMemory(1 << 20), Link()
     body = Body(None, store)
     body.source = link
-    body.put(bytes(HIGH))
-    assert link.told == ["pause"] and store.held == HIGH
-    assert body.take() == bytes(HIGH)
-    assert link.told == ["pause", "resume"] and store.held == 0
+    body.put(bytes(MAX_BUFFERED))
+    assert link.told == ["pause"] and store.buffered == MAX_BUFFERED
+    assert body.take() == bytes(MAX_BUFFERED)
+    assert link.told == ["pause", "resume"] and store.buffered == 0
     body.put(b"a")
     body.drop()
-    assert link.told[-1] == "abort" and store.held == 0
+    assert link.told[-1] == "abort" and store.buffered == 0
     # Where all of them hold much, each may hold little, but something.
-    scarce = Store(0)
+    scarce = BodyMemory(0)
     small = Body(None, scarce)
     small.source = link = Link()
-    small.put(bytes(HIGH // 4))
+    small.put(bytes(MAX_BUFFERED // 4))
     assert link.told == ["pause"]
     small.take()
     assert link.told == ["pause", "resume"]
 
 
 def test_a_body_that_is_kept_can_be_read_again_until_it_overflows() -> None:
-    body = Body(None, Store(1 << 20), keep=True)
+    body = Body(None, BodyMemory(1 << 20), keep=True)
     body.put(b"ab")
     body.put(b"cd")
     assert [body.take(), body.take(), body.take()] == [b"ab", b"cd", None]
-    assert body.whole_again
+    assert body.is_replayable
     body.rewind()
     assert body.take() == b"ab"
-    body.put(bytes(HIGH))
-    assert not body.whole_again
+    body.put(bytes(MAX_BUFFERED))
+    assert not body.is_replayable
 
 
 # ---- cut anywhere --------------------------------------------------------------------------------
@@ -480,10 +480,10 @@
 def test_messages_cut_anywhere_come_out_the_same(
     bodies: list[bytes], sizes: list[int] | None, cuts: list[int]
 ) -> None:
-    store = Store(1 << 30)
+    memory = BodyMemory(1 << 30)
     asked = b"".join(post(f"r{i}")[:-2] + frame(body, sizes) for i, body in enumerate(bodies))
-    assert collect(RequestReader(store=store), cut(asked, cuts)) == bodies
+    assert collect(RequestReader(memory=memory), cut(asked, cuts)) == bodies
     answered = b"".join(b"HTTP/1.1 200 OK\r\n" + frame(body, sizes) for body in bodies)
     reader = ResponseReader()
-    reader.expect(MAX_BODY, store)
+    reader.expect(MAX_BODY, memory)
     assert collect(reader, cut(answered, cuts)) == bodies
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -17,13 +17,14 @@
 
 from loadbalancer.policy import api
 from loadbalancer.policy.rules import ALLOWED, Denied, Verdict
-from loadbalancer.proxy.attempt import OutgoingAttempt
-from loadbalancer.proxy.body_stream import Body, Store
+from loadbalancer.proxy.attempt import AttemptLimits, OutgoingAttempt
+from loadbalancer.proxy.body_stream import Body, BodyMemory
+from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.frontend import Frontend
-from loadbalancer.proxy.http import Connection, Exchange
 from loadbalancer.proxy.parse import Response
 from loadbalancer.proxy.policy_violations import Denials
 from loadbalancer.proxy.requests import OpenRequest
+from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from tests.fakes import (
     MS,
     SECOND,
@@ -47,13 +48,13 @@
 def begun(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
     """When the first byte of each attempt was written, ns."""
     times: list[int] = []
-    start = Connection.start
+    start = UpstreamConnection.start
 
-    def noted(connection: Connection, exchange: Exchange, *usable: Verdict) -> None:
+    def noted(connection: UpstreamConnection, exchange: Exchange, *usable: Verdict) -> None:
         times.append(time.monotonic_ns())
         start(connection, exchange, *usable)
 
-    monkeypatch.setattr(Connection, "start", noted)
+    monkeypatch.setattr(UpstreamConnection, "start", noted)
     yield times
 
 
@@ -78,7 +79,7 @@
                         b"X-Deadline-Ms: 2800\r\n\r\n"
                     )
                     await held_connection(made[0])
-                    while not made[0].driver.upstreams.connecting:
+                    while not made[0].driver.upstreams.pool.connecting:
                         await asyncio.sleep(0)
                     await asyncio.sleep(0.2)  # its SYN finds the queue full meanwhile
                     link = await asyncio.to_thread(admit)
@@ -119,16 +120,16 @@
     """Its upstream reads slowly: the client's time runs on from its last byte, while that waits
     here.
     """
-    started: list[tuple[Connection, Body]] = []
-    start = Connection.start
+    started: list[tuple[UpstreamConnection, Body]] = []
+    start = UpstreamConnection.start
 
-    def keep(connection: Connection, exchange: Exchange, *usable: Verdict) -> None:
+    def keep(connection: UpstreamConnection, exchange: Exchange, *usable: Verdict) -> None:
         if exchange.body is not None:
             started.append((connection, exchange.body))
         start(connection, exchange, *usable)
 
-    monkeypatch.setattr(Connection, "start", keep)
-    go_on = Connection.resume_writing
+    monkeypatch.setattr(UpstreamConnection, "start", keep)
+    go_on = UpstreamConnection.resume_writing
 
     async def test() -> None:
         async with world(settings=PATIENT) as w:
@@ -139,7 +140,7 @@
                 await asyncio.sleep(0)
             started[0][0].pause_writing()
             client.writer.write(b"x")
-            monkeypatch.setattr(Connection, "resume_writing", lambda connection: None)
+            monkeypatch.setattr(UpstreamConnection, "resume_writing", lambda connection: None)
             await heard.until(lambda: heard.of(api.BodyCompleted))
             await asyncio.sleep(0.3)  # time that goes by is what is tested
             go_on(started[0][0])
@@ -192,11 +193,11 @@
 
     gone = False
 
-    def served(self, response: Response) -> None: ...
+    def serve(self, response: Response) -> None: ...
 
-    def refused(self, retry_after_ns: int) -> None: ...
+    def reject(self, retry_after_ns: int) -> None: ...
 
-    def failed(self, status: int) -> None: ...
+    def fail(self, status: int) -> None: ...
 
     def abort(self) -> None: ...
 
@@ -237,7 +238,7 @@
     wait_ns, whole = wait_ms * MS, not in_pieces
     deadline_ns = start_ns + wait_ns if whole else start_ns + 600 * SECOND
     arrival = api.RequestArrived("r1", "pay", "ash", deadline_ns, received_ns=start_ns, whole=whole)
-    body = Body(10, Store(1024), True) if in_pieces else None
+    body = Body(10, BodyMemory(1024), True) if in_pieces else None
     request = OpenRequest(
         arrival,
         b"POST",
@@ -253,9 +254,8 @@
     limits = api.Limits(max_attempts=2, may_hedge=not in_pieces)
     now_ns = start_ns + decided_ms * MS
     timeout_ns = (timeout_ms or 4000) * MS
-    attempt = OutgoingAttempt(
-        request, number, limits, Denials(), lambda r: None, timeout_ns, now_ns + timeout_ns, 0
-    )
+    attempt_limits = AttemptLimits(limits, timeout_ns, now_ns + timeout_ns, 0)
+    attempt = OutgoingAttempt(request, number, attempt_limits, Denials(), lambda r: None)
     clock = now_ns + connect_ms * MS
     with mock.patch("loadbalancer.proxy.attempt.time.monotonic_ns", lambda: clock):
         data = attempt.begin(ALLOWED)
--- a/tests/proxy/test_event_loop_waits.py
+++ b/tests/proxy/test_event_loop_waits.py
@@ -14,9 +14,9 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy import connection_phase, frontend, policy_driver
 from loadbalancer.proxy.connection_phase import Phase
+from loadbalancer.proxy.connection_pool import IDLE_FRACTION, ConnectionPool
 from loadbalancer.proxy.frontend import Frontend
 from loadbalancer.proxy.resource_limits import RESERVE
-from loadbalancer.proxy.upstream import IDLE_PART, Upstreams
 from tests.fakes import SECOND, SETTINGS, never, run, world
 
 # Parts of the loop's ticks, of which it makes nothing or one too few.
@@ -73,19 +73,20 @@
 ) -> None:
     """The same at the two timers that serve whole tables of connections."""
     sweeps: list[float] = []
-    kind: Any = Frontend if what == "a client's" else Upstreams
-    sweep = kind._sweep
+    kind: Any = Frontend if what == "a client's" else ConnectionPool
+    method = "_sweep" if what == "a client's" else "_close_old_idle"
+    sweep = getattr(kind, method)
 
     def counted(*args: Any) -> None:
         sweeps.append(time.monotonic())
         sweep(*args)
 
-    monkeypatch.setattr(kind, "_sweep", counted)
+    monkeypatch.setattr(kind, method, counted)
     limits = SETTINGS.limits
     if what == "a client's":
         monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, part_s)
     else:
-        limits = replace(limits, conn_idle_ns=int(part_s / IDLE_PART * SECOND))
+        limits = replace(limits, conn_idle_ns=int(part_s / IDLE_FRACTION * SECOND))
 
     async def test() -> None:
         async with world(settings=replace(SETTINGS, limits=limits)) as w:
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -24,12 +24,12 @@
 from loadbalancer.proxy import (
     client_connection,
     connection_phase,
+    connection_pool,
     discovery,
     discovery_watch,
     frontend,
-    upstream,
 )
-from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_phase import Phase
 from loadbalancer.proxy.discovery import read_endpoint
@@ -292,7 +292,7 @@
                     client.send(REQUEST)
                     connection = await held_connection(made[0])
                     upstreams = made[0].driver.upstreams
-                    while not upstreams.connecting:
+                    while not upstreams.pool.connecting:
                         await asyncio.sleep(0)
                     if what == "its client goes unread":
                         assert connection.transport is not None
@@ -311,7 +311,7 @@
                         upstreams.learn([read_endpoint({**row, "started_ms": 7})], full=False)
                     accepted = await asyncio.to_thread(admit)
                     with accepted:
-                        while upstreams.connecting:
+                        while upstreams.pool.connecting:
                             await asyncio.sleep(0)
                         accepted.settimeout(0.2)
                         with suppress(TimeoutError):
@@ -333,7 +333,7 @@
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
-            upstreams = Upstreams(SETTINGS.limits, 4, (), Store(1024))
+            upstreams = Upstreams(SETTINGS.limits, 4, (), BodyMemory(1024))
             row = {"id": "s-0", "addr": "{}:{}".format(*server.getsockname()), "state": "Ready"}
             upstreams.learn([read_endpoint(row)], full=True)
             ended: asyncio.Queue[tuple[api.AttemptResult, bytes]] = asyncio.Queue()
@@ -745,7 +745,7 @@
     def __init__(self, server: socket.socket) -> None:
         server.setblocking(False)
         self.server = server
-        self.upstreams = Upstreams(SETTINGS.limits, 8, (), Store(1024))
+        self.upstreams = Upstreams(SETTINGS.limits, 8, (), BodyMemory(1024))
         row = {"id": "s-0", "addr": "{}:{}".format(*server.getsockname()), "state": "Ready"}
         self.upstreams.learn([read_endpoint(row)], full=True)
         self.ended: asyncio.Queue[bytes] = asyncio.Queue()
@@ -774,7 +774,7 @@
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
         one = OneUpstream(server)
-        one.upstreams.wary_until_s = loop.time() + 60.0 * seen_before
+        one.upstreams.pool.cautious_until_s = loop.time() + 60.0 * seen_before
         one.ask()
         with await one.link() as link:
             await loop.sock_sendall(link, answer(200, b"first"))
@@ -815,7 +815,7 @@
                 await loop.sock_sendall(link, answer(200, b"second"))
                 assert await one.ended.get() == b"second"
                 await asyncio.sleep(
-                    2 * upstream.SETTLE_S
+                    2 * connection_pool.SETTLE_S
                 )  # a connection that rests for so long is used else
                 one.ask()
                 with await one.link() as other:
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -13,7 +13,7 @@
 import loadbalancer.__main__ as main
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy import discovery, discovery_watch, policy_driver
-from loadbalancer.proxy.body_stream import Store
+from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.discovery import read_endpoint
 from loadbalancer.proxy.parse import message
 from loadbalancer.proxy.policy_driver import Driver
@@ -210,7 +210,7 @@
             driver = Driver(
                 replace(SETTINGS, instance_count=balancers),
                 1,
-                Upstreams(SETTINGS.limits, 4, (), Store(1)),
+                Upstreams(SETTINGS.limits, 4, (), BodyMemory(1)),
             )
             watch = discovery.Discovery(driver, ("127.0.0.1", 1), 1)
             assert balancers / (watch.calls.hold_ms / 1000) < calls_s
@@ -370,7 +370,7 @@
             await upstream.until(lambda: upstream.ended >= 30)
             assert (await w.ask("last")).status == 200
             assert len(balancer.upstreams.targets) == len(balancer.balancer.fleet.servers) == 1
-            assert balancer.upstreams.connections <= 2 and not balancer.upstreams.connecting
+            assert balancer.upstreams.held <= 2 and not balancer.upstreams.pool.connecting
             assert not balancer.requests and not balancer.open and not balancer.balancer.requests
 
     run(test())
@@ -381,7 +381,7 @@
         upstream = FakeUpstream("s-0")
         upstream.script = [never]
         await upstream.start()
-        upstreams = Upstreams(SETTINGS.limits, 1, (), Store(1024))
+        upstreams = Upstreams(SETTINGS.limits, 1, (), BodyMemory(1024))
         upstreams.learn([read_endpoint(upstream.row())], full=True)
         ended: asyncio.Queue[api.AttemptResult] = asyncio.Queue()
         request = message(b"GET /quote HTTP/1.1", [(b"Host", b"h")])
