--- a/loadbalancer/proxy/admin_api.py
+++ b/loadbalancer/proxy/admin_api.py
@@ -148,8 +148,8 @@
             self.door.run(self, reader.ready.popleft())
         elif reader.fault is not None:
             self.answer(HTTPStatus(reader.fault.status), str(reader.fault))
-        elif reader.continues and self.transport is not None:
-            reader.continues = False
+        elif reader.expects_continue and self.transport is not None:
+            reader.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def eof_received(self) -> bool:
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: requests in, one at a time, and each one's final answer out."""
+"""A client's connection: requests in, one at a time, and the final answer to each out."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Request,
     RequestReader,
     Response,
-    Unacceptable,
+    UnacceptableMessageError,
     message,
 )
 from loadbalancer.proxy.request_head import read_terms
@@ -30,44 +30,62 @@
     from loadbalancer.proxy.frontend import Frontend
 
 ANSWER_NS = 3_000_000  # kept of each deadline for the answer's way to the client
-# Parts of the cap above which an answer ends its connection: one that is no upstream's, and any.
-# Idle ones are left their 2 s, so that with many clients they would fill all places, and newcomers
-# wait for seconds.
-CROWDED, FULL = 0.5, 0.6
+# Fractions of the cap on connections above which an answer ends its connection: one that came from
+# no upstream, and any. Idle connections are left their 2 s, so that with many clients they would
+# take all of the capacity, and new ones wait for seconds.
+CLOSE_REJECTED_FRACTION = 0.5
+CLOSE_FRACTION = 0.6
 UPLOAD_NS = 600_000_000_000  # longer than the longest body takes that comes as slowly as is allowed
-QUANTUM = 16 * 1024  # bytes of a body that count as progress
-SLICE = 16 * 1024  # bytes parsed at a time: what is sent ahead of answers waits unparsed, and small
-NOT_OURS = frozenset({b"x-deadline-ms"})
+PROGRESS_BYTES = 16 * 1024  # bytes of a body that count as progress
+PARSE_BYTES = 16 * 1024  # parsed at a time: what is sent ahead of answers waits unparsed, and small
+REPLACED_HEADERS = frozenset({b"x-deadline-ms"})
+READY_PATH = b"/ready"
 
 
 class ClientConnection(BufferedReader):
-    """One client's connection. It carries one request at a time."""
+    """One client's connection, which carries one request at a time.
+
+    Attributes:
+        ahead: Bytes that came and are not parsed yet.
+        open: The request that is owed an answer.
+        upload: The body of the open request, as long as it comes.
+        progress: Bytes of a body that came since progress was last counted.
+        answer: The body that goes out in pieces.
+        in_chunks: These pieces are chunks.
+        last: The connection ends behind the answer.
+        wait_ns: How long its client waits once the body is complete.
+        received_ns: When what is being parsed came.
+        phase: The frontend's table that it stands in; None: it is busy with a request.
+        end_at: Overdue since it was first found so, it ends then, whatever lies unread.
+        lingering: Its last answer is given: what it sends is dropped.
+        blocked: The client does not read its answers.
+    """
 
     def __init__(self, frontend: Frontend) -> None:
         self.frontend = frontend
         self.driver = frontend.driver
         self.reader = RequestReader(memory=frontend.memory)
-        self.ahead = bytearray()  # come, and not parsed yet
+        self.ahead = bytearray()
         self.transport: asyncio.Transport | None = None
         self.open: OpenRequest | None = None
-        self.upload: Body | None = None  # the body of the open request, as long as it comes
-        self.progress = 0  # bytes of a body that came since that was last counted
-        self.answer: Body | None = None  # what goes out in pieces
-        self.in_chunks = False  # these are chunks
-        self.last = False  # the connection ends behind it
-        self.wait_ns = 0  # how long its client waits once the body is whole
-        self.received_ns = 0  # when what is being parsed came
-        self.phase: Phase | None = None  # the table of the frontend that it stands in
-        self.end_at = 0.0  # overdue since it was first seen so, it ends then, whatever lies unread
-        self.lingering = False  # its last answer is given: what it sends is not read any more
-        self.blocked = False  # it does not read its answers
+        self.upload: Body | None = None
+        self.progress = 0
+        self.answer: Body | None = None
+        self.in_chunks = False
+        self.last = False
+        self.wait_ns = 0
+        self.received_ns = 0
+        self.phase: Phase | None = None
+        self.end_at = 0.0
+        self.lingering = False
+        self.blocked = False
         self.keep_alive = True
         self.is_head = False
-        self.latest = True  # the client speaks HTTP/1.1
+        self.is_http_1_1 = True
 
     @property
     def unread(self) -> bool:
-        """Did something come, at rest, that nobody has looked at yet?"""
+        """Whether something came on an idle connection that was not read yet."""
         if self.has_data:
             return self.phase is Phase.IDLE  # sent ahead, and about to be parsed
         return (
@@ -78,14 +96,15 @@
 
     @property
     def unsent(self) -> bool:
-        """Is part of what was written still held here?"""
+        """Whether part of what was written is still buffered here."""
         transport = self._live
         return transport is not None and transport.get_write_buffer_size() > 0
 
     @property
     def gone(self) -> bool:
-        """Has the client closed its connection, read or not? A loop that is late, or is not reading
-        from it, has not heard of it yet; the kernel has.
+        """Whether the client has closed its connection, as far as the kernel knows.
+
+        A loop that is late, or does not read from it, has not been notified of that yet.
         """
         return self._live is None or received(self._socket)[0]
 
@@ -102,14 +121,16 @@
 
     @property
     def has_data(self) -> bool:
-        """Part of a request has come."""
+        """Whether part of a request has come."""
         return self.reader.begun or bool(self.reader.ready or self.ahead)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
         self.frontend.wait(self, Phase.NEW)
 
     def data_received(self, data: bytes) -> None:
+        """Read requests; called by the event loop."""
         if self.lingering:
             return
         # Deadlines count from the client's send. What waited in the backlog, or for a loop that was
@@ -120,47 +141,51 @@
             self.abort()
             return
         self.received_ns = time.monotonic_ns() - ago_ns
-        self.frontend.heard(self)
+        self.frontend.note_progress(self)
         self._count(len(data))
         if not self.reading and len(self.ahead) > MAX_BODY:
-            self.abort()  # one request at a time: what floods in behind it would fill the memory
+            # One request at a time: what floods in behind it would fill the memory.
+            self.abort()
             return
         self.ahead += data
         self._parse()
 
     def pause_writing(self) -> None:
+        """Note that the client does not read; called by the event loop."""
         self.blocked = True
 
     def resume_writing(self) -> None:
+        """Write on, and read on; called by the event loop."""
         self.blocked = False
         self._pass_on()
         self._parse()
 
     @property
     def reading(self) -> bool:
-        """Is what comes looked at, or does it wait for an answer to end?"""
+        """Whether what comes is parsed; otherwise it waits for an answer to end."""
         if self.lingering or self.blocked or self.answer is not None:
             return False
         return self.open is None or self.upload is not None
 
     def _count(self, size: int) -> None:
-        """Who sends slowly is left the time that it takes, as long as it goes on."""
+        """Leave a client that sends slowly its time, as long as it goes on."""
         if self.phase not in (Phase.NEW, Phase.BODY) or not self.reader.in_body:
             return
         self.progress += size
-        if self.progress >= QUANTUM:
+        if self.progress >= PROGRESS_BYTES:
             self.progress = 0
             self.frontend.wait(self, Phase.BODY)
 
-    # ---- a body in pieces: called by it ----------------------------------------------------------
+    # ---- a body in pieces: called by the body ---------------------------------------------
 
     def pause(self) -> None:
-        """What was read of it waits for its upstream: that is not its client's time."""
+        """Stop reading: what was read waits for the upstream, which is not the client's time."""
         self.frontend.busy(self)
         if (transport := self._live) is not None:
             transport.pause_reading()
 
     def resume(self) -> None:
+        """Read on."""
         self.progress = 0
         self.frontend.wait(self, Phase.BODY)
         self._read_on()
@@ -171,63 +196,65 @@
             transport.resume_reading()
 
     def eof_received(self) -> bool:
-        self._ended()
+        """Note that the client has ended its sending; called by the event loop."""
+        self._client_left()
         return False
 
-    def connection_lost(self, error: Exception | None) -> None:
-        self._ended()
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (a callback)
+        """Note the connection's end; called by the event loop."""
+        self._client_left()
         self.reader.close()
         self.frontend.lost(self)
 
-    def _ended(self) -> None:
-        """Its client has ended it: what it sent ahead is not looked at any more."""
+    def _client_left(self) -> None:
+        """Drop what its client has sent ahead, and the open request."""
         self.lingering = True
         self._drop()
 
     def _drop(self) -> None:
-        """Nobody waits any more for the answer of the open request."""
+        """Drop the open request: nobody waits for its answer any more."""
         self.upload = None
-        answer, self.answer = self.answer, None
+        answer = self.answer
+        self.answer = None
         if answer is not None:
             answer.drop()
-        request, self.open = self.open, None
+        request = self.open
+        self.open = None
         if request is not None:
             self.driver.client_gone(request)
 
     def too_late(self) -> None:
-        """It has been in its phase for as long as it may."""
+        """End it, as it has been in its phase for as long as it may."""
         if self.phase in (Phase.NEW, Phase.BODY) and self.has_data:
             self._drop()  # of an open request only the end was still to come
-            self._reject(408, "the request did not come in time")
+            self._reject_input(408, "the request did not come in time")
         elif self.phase in (Phase.NEW, Phase.IDLE):
             self._linger()
         else:
             self.abort()
 
     def leave(self) -> None:
-        """This process ends. A request that is not whole yet was not begun, and may go
-        elsewhere.
-        """
+        """Answer a request that is incomplete as this process ends: it may go elsewhere."""
         if self.has_data and self.open is None:
-            self._reject(503, "not taken")
+            self._reject_input(503, "not taken")
 
     def cut(self) -> None:
-        """This process has ended. An answer that is not whole must not seem so, even one without a
-        length.
-        """
+        """Close it as this process ends; an incomplete answer must not seem complete."""
         if self.answer is not None:
             self._reset()
         else:
             self.abort()
 
     def abort(self) -> None:
+        """Close the connection at once."""
         self.frontend.busy(self)
         if self.transport is not None:
             self.transport.abort()
 
     def _reset(self) -> None:
-        """End it so that its client can tell that the answer is not whole, even one without a
-        length.
+        """Close it so that its client can tell that the answer is incomplete.
+
+        A reset is no orderly end, and so no end of an answer without a length.
         """
         if self._live is not None:
             linger = struct.pack("ii", 1, 0)
@@ -239,21 +266,21 @@
     # ---- in --------------------------------------------------------------------------------------
 
     def _parse(self) -> None:
-        """Read on, unless a request is open, or answers pile up that are not read."""
+        """Parse on, unless a request is open, or answers pile up that are not read."""
         reader = self.reader
         while self.reading:
             if self.upload is not None and self.upload.ended:
-                self._body_whole()
+                self._body_completed()
             elif reader.ready:
-                self._whole(reader.ready.popleft())
+                self._take(reader.ready.popleft())
             elif reader.fault is not None:
                 self._drop()
-                self._reject(reader.fault.status, str(reader.fault))
+                self._reject_input(reader.fault.status, str(reader.fault))
             elif self.upload is not None and self.upload.paused:
                 return
             elif self.ahead:
-                data = bytes(self.ahead[:SLICE])
-                del self.ahead[:SLICE]
+                data = bytes(self.ahead[:PARSE_BYTES])
+                del self.ahead[:PARSE_BYTES]
                 reader.feed(data)
             else:
                 self._continue()
@@ -262,28 +289,27 @@
                 return
 
     def _continue(self) -> None:
-        if self.reader.continues:
-            self.reader.continues = False
+        if self.reader.expects_continue:
+            self.reader.expects_continue = False
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _whole(self, head: Request) -> None:
-        """A request has come, but for a body in pieces: of that only the beginning has."""
-        self.is_head, self.keep_alive, self.latest = (
-            head.method == b"HEAD",
-            head.keep_alive,
-            head.latest,
-        )
+    def _take(self, head: Request) -> None:
+        """Take a request that is complete, but for the rest of a body in pieces."""
+        self.is_head = head.method == b"HEAD"
+        self.keep_alive = head.keep_alive
+        self.is_http_1_1 = head.is_http_1_1
         stream = head.stream
-        if head.target.partition(b"?")[0] == b"/ready":
+        if head.target.partition(b"?")[0] == READY_PATH:
             ready = self.frontend.ready
             self._answer(200 if ready else 503, [], b"ready\n" if ready else b"not ready\n")
             return
         try:
             arrival = self._arrival(head)
-        except Unacceptable as error:  # if the message is whole, the connection can go on
+        except UnacceptableMessageError as error:
+            # Behind a complete message the connection can go on.
             self._answer(error.status, [], f"{error}\n".encode(), last=stream is not None)
             return
-        headers = [row for row in end_to_end(head.headers) if row[0] not in NOT_OURS]
+        headers = [row for row in end_to_end(head.headers) if row[0] not in REPLACED_HEADERS]
         request = OpenRequest(
             arrival,
             head.method,
@@ -299,13 +325,14 @@
             self.frontend.busy(self)
         else:
             self._continue()
-            self.upload, stream.source = stream, self
+            self.upload = stream
+            stream.source = self
             if stream.paused:
                 self.pause()
         if not self.driver.arrive(request):
             self.reject(0)
 
-    def _body_whole(self) -> None:
+    def _body_completed(self) -> None:
         self.upload = None
         self.frontend.busy(self)
         self._read_on()  # its end may have come while it was full
@@ -315,9 +342,7 @@
             )
 
     def _deadline(self, received_ns: int, wait_ns: int) -> int:
-        """By then its answer must be given: so that it arrives in time, and before this process
-        leaves.
-        """
+        """When its answer must be given, to arrive in time and before this process ends."""
         deadline = received_ns + max(0, wait_ns - ANSWER_NS)
         if self.frontend.draining:
             deadline = min(deadline, self.frontend.last_answer_ns)
@@ -328,7 +353,7 @@
         self.wait_ns = terms.wait_ns
         deadline_ns = self._deadline(self.received_ns, terms.wait_ns)
         if head.stream is not None:
-            deadline_ns = self.received_ns + UPLOAD_NS  # until it is whole
+            deadline_ns = self.received_ns + UPLOAD_NS  # until it is complete
         return api.RequestArrived(
             terms.request,
             terms.class_name,
@@ -344,25 +369,27 @@
     # ---- out -------------------------------------------------------------------------------------
 
     def serve(self, response: Response) -> None:
+        """Pass on an upstream's response."""
         rows = end_to_end(response.headers)
         if response.stream is not None and not self.is_head:
             self._begin(rows, response.stream)
         elif self.is_head:
-            # The length that a GET would be answered with; a 0 of this program's own would be
-            # wrong.
+            # The length that a GET would be answered with: one of 0 would be wrong.
             length = response.header(b"content-length")
             self._answer(200, rows, b"", length=length)
         else:
             self._answer(200, rows, response.body)
 
     def reject(self, retry_after_ns: int) -> None:
+        """Answer 503, which promises that the request had no effect."""
         headers = [(b"Retry-After", b"%.3f" % (retry_after_ns / 1e9))] if retry_after_ns > 0 else []
         self._answer(503, headers, b"refused\n")
 
     def fail(self, status: int) -> None:
+        """Answer with an error, which promises nothing about the request's effect."""
         self._answer(status, [], b"failed\n")
 
-    def _reject(self, status: int, why: str) -> None:
+    def _reject_input(self, status: int, why: str) -> None:
         """Answer bad input, and read no more of it."""
         self._answer(status, [], f"{why}\n".encode(), last=True)
 
@@ -379,9 +406,11 @@
         self._answered()
 
     def _head(self, status: int, rows: Headers, last: bool, body: bytes = b"") -> None:
-        """Give the answer's head, and all of its body where that is at hand."""
-        served, self.open = self.open is not None, None
-        upload, self.upload = self.upload, None
+        """Write the answer's head, and all of its body where that is at hand."""
+        was_open = self.open is not None
+        self.open = None
+        upload = self.upload
+        self.upload = None
         if upload is not None and not upload.ended:
             last = True  # what still comes of its body would be read as the next request
             upload.source = None
@@ -390,14 +419,14 @@
             last
             or not self.keep_alive
             or self.frontend.draining
-            or self.frontend.crowded(FULL if served else CROWDED)
+            or self.frontend.is_loaded(CLOSE_FRACTION if was_open else CLOSE_REJECTED_FRACTION)
         )
         if self.last:
             rows = [*rows, (b"Connection", b"close")]
         self._write(message(STARTS.get(status) or start_line(status), rows, body))
 
     def _answered(self) -> None:
-        """The answer is given as a whole."""
+        """Go on behind a complete answer, or end the connection."""
         if self.last:
             self._linger()
             return
@@ -406,8 +435,8 @@
             self.frontend.loop.call_soon(self._parse)
 
     def _begin(self, rows: Headers, body: Body) -> None:
-        """Give an answer whose body comes in pieces."""
-        self.in_chunks = body.length is None and self.latest
+        """Begin an answer whose body comes in pieces."""
+        self.in_chunks = body.length is None and self.is_http_1_1
         if body.length is not None:
             rows = [*rows, (b"Content-Length", b"%d" % body.length)]
         elif self.in_chunks:
@@ -419,7 +448,7 @@
         self._pass_on()
 
     def _pass_on(self) -> None:
-        """Write on, as long as the client reads."""
+        """Write the answer's body on, as long as the client reads."""
         body = self.answer
         if body is None:
             return
@@ -442,10 +471,10 @@
             self.frontend.wait(self, Phase.ANSWER)
 
     def _linger(self) -> None:
-        """Lingering close: end the sending behind the last answer, and read and drop what comes
-        until the client ends too, or its time is over. Closed at once, over bytes that lie unread
-        here or in the kernel or that are still on their way, the connection would be reset, and the
-        answer lost with it.
+        """End the sending behind the last answer, and drop what comes until the client ends too.
+
+        Closed at once over bytes that are unread or on their way, the connection would be reset,
+        and the answer lost with it. The phase's limit ends the wait.
         """
         self.lingering = True
         self.ahead.clear()
@@ -459,6 +488,7 @@
 
 
 def start_line(status: int) -> bytes:
+    """The first line of an answer."""
     return b"HTTP/1.1 %d %b" % (status, HTTPStatus(status).phrase.encode())
 
 
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listener, whom it takes and who makes room, and the end of the process."""
+"""The clients' side: the listener, the cap on connections, and the end of the process."""
 
 from __future__ import annotations
 
@@ -19,27 +19,41 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024  # newcomers that the kernel holds while there is no room: dropped, they wait for 1 s
+BACKLOG = 1024  # connections that the kernel queues while there is no capacity
 # After SIGTERM a process has the longest deadline, or this if that is longer, and a little more.
-LONGEST_NS, LEAVE_NS = 3_000_000_000, 550_000_000
-DRAIN_S = 0.5  # after SIGTERM new connections are still dealt out for almost this long
-ACCEPT_PAUSE_S = 0.05  # behind an accept that failed for want of something on this machine
-QUEUE_S = 0.01  # between two looks at an accept queue that could not be emptied for want of places
-
-
-# At the cap these make room, in this order: one that has lingered for so long, one that sent
-# nothing for so long though its request is not whole, one that has been idle for the 2 s that
-# clients count on. At last it is whoever has been silent longest, but for the time in which an
+MAX_ANSWER_NS = 3_000_000_000
+LEAVE_NS = 550_000_000
+DRAIN_S = 0.5  # after SIGTERM new connections are still accepted for almost this long
+ACCEPT_PAUSE_S = 0.05  # behind an accept that failed by this machine's fault
+QUEUE_POLL_S = 0.01  # between two tries to empty the accept queue where there is no capacity
+# At the cap connections are closed in this order: one that has lingered for so long, one that sent
+# nothing for so long though its request is incomplete, one that has been idle for the 2 s that
+# clients count on. At last it is the one that has been silent longest, but for the time in which an
 # honest client begins.
-LEFT_S, SILENT_S, KEPT_S, BEGIN_S = 0.1, 0.5, 2.0, 0.05
-# A connection at rest is not ended over something that lies unread, but no longer than the first: a
-# timer runs ahead of the sockets, and where the loop is late, as on a crowded core, what came
-# meanwhile is read only behind it, on the same turn. Then the connection is looked at again.
-UNREAD_S, LOOK_AGAIN_S = 0.3, 0.004
+EVICT_LINGERING_S = 0.1
+EVICT_SILENT_S = 0.5
+EVICT_IDLE_S = 2.0
+EVICT_NEW_S = 0.05
+# An idle connection is not closed over something unread for so long: a timer runs ahead of the
+# sockets, and where the loop is late, as on a crowded core, what came meanwhile is read only behind
+# it, on the same turn. Then the connection is checked again.
+UNREAD_S = 0.3
+RECHECK_S = 0.004
 
 
 class Frontend:
-    """The listening socket and its connections, kept under a cap."""
+    """The listening socket and the clients' connections, kept under a cap.
+
+    Attributes:
+        waiting: Connections without an open request, and since when, the longest first, so that
+            one timer serves them all.
+        unfinished: Of these, those whose request is incomplete, the longest silent first.
+        timer_at: When the timer is due.
+        opening: Tasks; they are kept here, or they might be collected.
+        drained: Set at SIGTERM.
+        leave_ns: How long after SIGTERM the last answer is given.
+        left: Set when no connection is open any more.
+    """
 
     def __init__(
         self, driver: Driver, listener: socket.socket, max_clients: int, memory: BodyMemory
@@ -50,26 +64,23 @@
         self.listener = listener
         self.max_clients = max_clients
         self.clients: set[ClientConnection] = set()
-        # Those without an open request, and since when: the longest first, so that one timer serves
-        # them all.
         self.waiting: dict[Phase, dict[ClientConnection, float]] = {phase: {} for phase in Phase}
-        # Of these, whose request is not whole: who has been silent longest comes first.
         self.unfinished: dict[ClientConnection, float] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_at = 0.0  # when it is due
-        self.opening: set[asyncio.Task[None]] = set()  # kept, or they may be collected
-        self.drained = asyncio.Event()  # SIGTERM has come
-        self.drained_ns = 0  # and when
-        longest = max((c.deadline_ns for c in driver.settings.classes.values()), default=0)
-        self.leave_ns = min(LONGEST_NS, longest) + LEAVE_NS  # so long after it, the last answer
+        self.timer_at = 0.0
+        self.opening: set[asyncio.Task[None]] = set()
+        self.drained = asyncio.Event()
+        self.drained_ns = 0
+        longest_ns = max((c.deadline_ns for c in driver.settings.classes.values()), default=0)
+        self.leave_ns = min(MAX_ANSWER_NS, longest_ns) + LEAVE_NS
         self.closed = False
-        self.left = asyncio.Event()  # nothing is open any more
+        self.left = asyncio.Event()
         listener.setblocking(False)
         self.started = False
         self.listening = False
 
     def start(self) -> None:
-        """Take clients, unless the end has been told already."""
+        """Accept clients, unless the shutdown has begun already."""
         if not self.draining:
             listen(self.listener, BACKLOG)
             self.started = True
@@ -77,26 +88,28 @@
 
     @property
     def held(self) -> int:
+        """Connections of clients."""
         return len(self.clients)
 
     def allow(self, connections: int) -> None:
-        """From now on so many. Where there are more, each ends with its next answer."""
+        """Set the cap; where there are more connections, each ends with its next answer."""
         self.max_clients = connections
         if connections > len(self.clients):
             self._listen()
 
     @property
     def draining(self) -> bool:
+        """Whether the shutdown has begun."""
         return self.drained.is_set()
 
     @property
     def last_answer_ns(self) -> int:
-        """After SIGTERM, an answer that is not given by then is not given."""
+        """When, after SIGTERM, the last answer is given."""
         return self.drained_ns + self.leave_ns
 
     @property
     def ready(self) -> bool:
-        """Are clients taken, and can they be served?"""
+        """Whether clients are accepted and can be served."""
         return self.started and self.driver.ready and not self.draining
 
     def _listen(self) -> None:
@@ -105,7 +118,7 @@
             self.loop.add_reader(self.listener, self._accept)
 
     def _pause(self, seconds: float | None = None) -> None:
-        """Stop accepting: for so long, or until a connection comes to rest or ends."""
+        """Stop accepting: for so long, or until a connection becomes idle or ends."""
         if self.listening:
             self.listening = False
             self.loop.remove_reader(self.listener)
@@ -113,14 +126,18 @@
                 self.loop.call_later(seconds, self._listen)
 
     def _accept(self) -> bool:
-        """Take what waits; True if nothing is left. At the cap, connections without a request make
-        room; if none can yet, the backlog holds the newcomers: one that was accepted is owed an
-        answer, so none is taken to be dropped.
+        """Accept the connections that wait.
+
+        At the cap, one without an open request is closed; where none may be yet, the backlog holds
+        the new ones: one that was accepted is owed an answer, so none is accepted to be dropped.
+
+        Returns:
+            Whether none is left in the queue.
         """
         if len(self.clients) >= self.max_clients:
-            self._room()
+            self._evict()
             return False
-        # No further than to the cap: whether anybody waits beyond it is seen next turn.
+        # No further than to the cap: whether more wait beyond it shows next turn.
         for _ in range(self.max_clients - len(self.clients)):
             try:
                 sock, _ = self.listener.accept()
@@ -129,9 +146,8 @@
             except OSError as error:
                 if cause(Operation.ACCEPT, error) is Cause.TRANSIENT:
                     continue
-                log.error(
-                    "accept: %s", error
-                )  # out of descriptors: a later connection's end makes room
+                # Out of descriptors, for example: a later connection's end frees one.
+                log.error("accept: %s", error)
                 self._pause(ACCEPT_PAUSE_S)
                 return False
             if received(sock)[0]:
@@ -147,30 +163,30 @@
             task.add_done_callback(self.opening.discard)
         return False
 
-    def _room(self) -> None:
-        """At the cap: end one that has no request open. Its place is free on the loop's next turn,
-        which looks at the listener again. Where all are too fresh for that, wait until the first is
-        not.
+    def _evict(self) -> None:
+        """Close a connection that has no request open.
+
+        Its capacity is free on the loop's next turn, which looks at the listener again. Where all
+        are too fresh to be closed, wait until the first is not.
         """
-        now = self.loop.time()
-        heads = []
-        kept_s = (
-            0.0 if self.draining else KEPT_S
-        )  # clients of one that leaves open connections elsewhere
+        now_s = self.loop.time()
+        dues_s = []
+        # Clients of a process that shuts down open connections elsewhere.
+        idle_s = 0.0 if self.draining else EVICT_IDLE_S
         for table, seconds in (
-            (self.waiting[Phase.LINGERING], LEFT_S),
-            (self.unfinished, SILENT_S),
-            (self.waiting[Phase.IDLE], kept_s),
-            (self.unfinished, BEGIN_S),
+            (self.waiting[Phase.LINGERING], EVICT_LINGERING_S),
+            (self.unfinished, EVICT_SILENT_S),
+            (self.waiting[Phase.IDLE], idle_s),
+            (self.unfinished, EVICT_NEW_S),
         ):
             client = next(iter(table), None)
             if client is not None:
-                due = table[client] + seconds
-                if due <= now and not (client.unread or client.unsent):
+                due_s = table[client] + seconds
+                if due_s <= now_s and not (client.unread or client.unsent):
                     client.abort()
                     return
-                heads.append(max(due, now + LOOK_AGAIN_S))
-        self._pause(min(heads) - now if heads else None)
+                dues_s.append(max(due_s, now_s + RECHECK_S))
+        self._pause(min(dues_s) - now_s if dues_s else None)
 
     async def _open(self, client: ClientConnection, sock: socket.socket) -> None:
         try:
@@ -180,28 +196,29 @@
             sock.close()
             self.lost(client)
 
-    def crowded(self, part: float) -> bool:
-        return len(self.clients) >= part * self.max_clients
+    def is_loaded(self, fraction: float) -> bool:
+        """Whether so large a fraction of the cap is used."""
+        return len(self.clients) >= fraction * self.max_clients
 
     def wait(self, client: ClientConnection, phase: Phase) -> None:
-        """It has no request open from now on, and can make room: listen again, should that have
-        stopped.
-        """
+        """Note that it has no request open from now on, and may be closed at the cap."""
         self.busy(client)
-        client.phase, client.end_at = phase, 0.0
+        client.phase = phase
+        client.end_at = 0.0
         self.waiting[phase][client] = self.loop.time()
-        self.heard(client)
+        self.note_progress(client)
         self._sweep_at(self.loop.time() + self._limit_s(phase))
         if len(self.clients) >= self.max_clients:
             self._listen()
 
-    def heard(self, client: ClientConnection) -> None:
-        """It is there, and goes on sending its request."""
+    def note_progress(self, client: ClientConnection) -> None:
+        """Note that it goes on sending its request."""
         if client.phase in (Phase.NEW, Phase.BODY):
             self.unfinished.pop(client, None)
             self.unfinished[client] = self.loop.time()
 
     def busy(self, client: ClientConnection) -> None:
+        """Note that it is in no phase of waiting any more."""
         if client.phase is not None:
             del self.waiting[client.phase][client]
             self.unfinished.pop(client, None)
@@ -212,10 +229,11 @@
         if self.timer is None or when < self.timer_at:
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer, self.timer_at = call_after(when - self.loop.time(), self._sweep), when
+            self.timer = call_after(when - self.loop.time(), self._sweep)
+            self.timer_at = when
 
     def _sweep(self) -> None:
-        """End what has waited too long, and look again when the next one will have."""
+        """End connections that have waited too long, and set the timer for the next one."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -231,15 +249,16 @@
             for client in late:
                 client.end_at = client.end_at or now + UNREAD_S
                 if now < client.end_at and client.unread:
-                    self._sweep_at(now + LOOK_AGAIN_S)
+                    self._sweep_at(now + RECHECK_S)
                 else:
                     client.too_late()
 
     def _limit_s(self, phase: Phase) -> float:
-        """Once nothing new is taken, no connection is kept for a further request."""
+        """How long a phase may last; no connection is kept for a request that is not accepted."""
         return 0.0 if phase is Phase.IDLE and self.closed else LIMIT_S[phase]
 
     def lost(self, client: ClientConnection) -> None:
+        """Forget a connection that has ended."""
         self.clients.discard(client)
         self.busy(client)
         self._listen()
@@ -248,8 +267,10 @@
     # ---- the end ---------------------------------------------------------------------------------
 
     def drain(self) -> None:
-        """SIGTERM: new connections come for a while, and old ones are used. All are answered, then
-        closed.
+        """Begin the graceful shutdown, at SIGTERM.
+
+        New connections are accepted for a while, and open ones are used. All requests are answered,
+        then their connections closed.
         """
         if not self.draining:
             self.drained.set()
@@ -259,32 +280,29 @@
             self.loop.call_later(DRAIN_S, self._stop)
 
     def _stop(self) -> None:
-        """What is in the accept queue was taken, and closing the listener would reset it: first it
-        is emptied, as far as places allow, and what is at rest makes room for it.
-        """
+        """Close the listener, once its accept queue is empty: closing it resets the rest."""
         if self.closed:
             return
         self._listen()
         if self.started and not self._accept():
-            self.loop.call_later(QUEUE_S, self._stop)
+            self.loop.call_later(QUEUE_POLL_S, self._stop)
             return
         self._pause()
         self.closed = True
         self.listener.close()
-        # A new connection is left its time all the same: its client has no reason yet to send
+        # A new connection is left its time all the same: its client has no reason yet to go
         # elsewhere.
         self._sweep()
         self.check_left()
 
     def end_open(self) -> None:
-        """This process ends: who still waits is told so, and so is who has sent part of a
-        request.
-        """
+        """Answer all open and all incomplete requests, as this process ends."""
         self.driver.end_open()
         for client in list(self.unfinished):
             client.leave()
 
     def close(self) -> None:
+        """Close the listener and all connections at once."""
         self._pause()
         self.closed = True
         self.listener.close()
@@ -294,12 +312,13 @@
             client.cut()
 
     async def has_left(self, until_ns: int) -> bool:
-        """Wait for the last client to go, until then (ns, monotonic) at the most."""
+        """Wait for the last connection to end, until then (ns, monotonic) at the most."""
         with suppress(TimeoutError):
             async with asyncio.timeout((until_ns - time.monotonic_ns()) / 1e9):
                 await self.left.wait()
         return self.left.is_set()
 
     def check_left(self) -> None:
+        """Note when the last connection has ended."""
         if self.closed and not self.clients:
             self.left.set()
--- a/loadbalancer/proxy/parse.py
+++ b/loadbalancer/proxy/parse.py
@@ -1,7 +1,7 @@
-"""Bytes in, whole HTTP/1.1 messages out; no socket.
+"""HTTP/1.1 parser: bytes in, complete messages out, without a socket.
 
 `httptools` (llhttp) reads them, and is strict: bare line feeds, folded headers, two lengths or a
-length and a coding, and bad chunks are errors. What it lets pass is seen to here.
+length and a coding, and bad chunks are errors. What it accepts beyond that is checked here.
 """
 
 from __future__ import annotations
@@ -15,16 +15,18 @@
 
 from loadbalancer.proxy.body_stream import MAX_LENGTH, Body, BodyMemory
 
-MAX_BODY = (
-    64 * 1024
-)  # a longer one is not held whole, but passed on in pieces where that is possible
+MAX_BODY = 64 * 1024  # a longer body is passed on in pieces where that is possible
 MAX_HEAD = 16 * 1024  # bytes ahead of a body; the parser sets no bound of its own
-OVERHEAD = 8  # times the longest body, a message may have in all: small chunks are mostly framing
-MAX_INTERIM = 8  # 1xx answers ahead of the one that counts: more are no answer that will ever end
+MAX_LENGTH_DIGITS = 15
+# A message may have so many times the bytes of the longest body: small chunks are mostly framing.
+MAX_OVERHEAD = 8
+MAX_INTERIM = 8  # 1xx responses ahead of the final one
+SUCCESS = 200
+FIRST_FINAL_STATUS = 200
+STATUSES_WITHOUT_BODY = (204, 304)
 Headers = Sequence[tuple[bytes, bytes]]
 
-# Of these one decides and the other might be believed further on: a request that repeats one is
-# ambiguous.
+# A request that repeats one of these is ambiguous: here one would count, further on the other.
 SINGLE = frozenset(
     {
         b"host",
@@ -41,8 +43,8 @@
 )
 
 
-class Unacceptable(Exception):
-    """What came can't be taken; of a request, with what status it is answered."""
+class UnacceptableMessageError(Exception):
+    """A message can't be accepted; a request is answered with `status`."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -51,33 +53,56 @@
 
 @dataclass(slots=True)
 class Request:
+    """A request.
+
+    Attributes:
+        keep_alive: Its connection stays open behind it.
+        is_http_1_1: Its client speaks HTTP/1.1, and so reads chunks.
+        stream: The body, where it comes in pieces.
+    """
+
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    keep_alive: bool  # its connection goes on behind it
-    latest: bool = True  # its client speaks HTTP/1.1, and so reads chunks
-    stream: Body | None = None  # the body, where it comes in pieces
+    keep_alive: bool
+    is_http_1_1: bool = True
+    stream: Body | None = None
 
 
 @dataclass(slots=True)
 class Response:
+    """A final response.
+
+    Attributes:
+        keep_alive: Its connection stays open behind it.
+        stream: The body, where it comes in pieces.
+    """
+
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
     keep_alive: bool = True
-    stream: Body | None = None  # the body, where it comes in pieces
+    stream: Body | None = None
 
     def header(self, name: bytes) -> bytes | None:
+        """The first value of a header, given its lower-case name."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 Message = TypeVar("Message", Request, Response)
 
 
-class Head:
-    """A message under way. One is made for every message there is: no dataclass, whose factories
-    cost more than all the rest of it.
+class MessageHead:
+    """A message under way.
+
+    One is made for every message there is: no dataclass, whose factories cost more than all the
+    rest of it.
+
+    Attributes:
+        passed: Bytes of its body.
+        size: Bytes read for it; those that also held another message's end are not counted.
+        complete: Its headers are complete: what comes as a header now is a trailer.
     """
 
     __slots__ = ("body", "complete", "headers", "passed", "size", "target")
@@ -86,42 +111,46 @@
         self.target = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
-        self.passed = 0  # bytes of its body
-        self.size = (
-            0  # bytes read for it; those that also held another message's end are not counted
-        )
-        self.complete = False  # its headers are: what comes as a header now is a trailer
+        self.passed = 0
+        self.size = 0
+        self.complete = False
 
 
-class Reader(Generic[Message]):
-    """What both directions share: it collects what the parser calls out. A message that can't be
-    taken is the last: `fault` says why, and nothing is read behind it.
+class MessageReader(Generic[Message]):
+    """Collects what the parser calls out, in either direction.
+
+    A message that can't be accepted is the last: `fault` says why, and nothing is read behind it.
+
+    Attributes:
+        replayable_bodies: A body in pieces is kept, to be sent again as long as that is possible.
+        memory: Counts the bytes of bodies in pieces; None: a longer body can't be accepted.
+        stream: The body of the message under way, where it comes in pieces.
+        ready: Complete messages.
     """
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None
-    keeps = False  # a body in pieces is kept, to be sent again, as long as that is possible
+    replayable_bodies = False
 
     def __init__(self, max_body: int, memory: BodyMemory | None = None) -> None:
         self.max_body = max_body
-        self.memory = memory  # none: what is longer than that can't be taken
-        self.stream: Body | None = (
-            None  # the body of the message under way, where it comes in pieces
-        )
+        self.memory = memory
+        self.stream: Body | None = None
         self.ready: deque[Message] = deque()
-        self.fault: Unacceptable | None = None
-        self.head: Head | None = None
+        self.fault: UnacceptableMessageError | None = None
+        self.head: MessageHead | None = None
 
     @property
     def begun(self) -> bool:
-        """Part of a message has come."""
+        """Whether part of a message has come."""
         return self.head is not None
 
     @property
     def in_body(self) -> bool:
-        """The head of the message under way is complete."""
+        """Whether the head of the message under way is complete."""
         return self.head is not None and self.head.complete
 
     def feed(self, data: bytes) -> None:
+        """Read bytes; what they complete is appended to `ready`."""
         if self.fault is not None or self.parser is None:
             return
         before = self.head
@@ -129,9 +158,8 @@
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             if self.ready:
-                self.ready[
-                    -1
-                ].keep_alive = False  # the wish may be ignored, but the parser reads no further
+                # The upgrade may be ignored, but the parser reads no further.
+                self.ready[-1].keep_alive = False
             else:
                 self._fail(400, "no other protocol is spoken here")
         except httptools.HttpParserError as error:
@@ -141,58 +169,71 @@
             head.size += len(data)
             if not head.complete and head.size > MAX_HEAD:
                 self._fail(431, "the head is too large")
-            elif head.size > OVERHEAD * max(self.max_body, head.passed):
+            elif head.size > MAX_OVERHEAD * max(self.max_body, head.passed):
                 self._fail(413, "the message is too large")
 
     def close(self) -> None:
-        """Parser and reader hold each other: without this, memory waits for the collector."""
+        """Stop reading.
+
+        Parser and reader refer to each other: without this, memory waits for the collector.
+        """
         self.parser = None
         if self.stream is not None:
             self.stream.fail()
 
     def _fail(self, status: int, why: str) -> None:
-        self.fault = self.fault or Unacceptable(status, why)
+        self.fault = self.fault or UnacceptableMessageError(status, why)
         if self.stream is not None:
             self.stream.fail()
 
     # ---- called by the parser --------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        self.head = Head()
+        """Begin a message."""
+        self.head = MessageHead()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header; trailers are dropped."""
         assert self.head is not None
         if not self.head.complete:
             self.head.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        assert self.head is not None and self.parser is not None
-        self.head.complete = True
-        size, length, coding = len(self.head.target), None, []
-        for name, value in self.head.headers:
+        """Check a complete head, and begin a body in pieces where it is a long one."""
+        head = self.head
+        assert head is not None
+        assert self.parser is not None
+        head.complete = True
+        size = len(head.target)
+        length: bytes | None = None
+        codings: list[bytes] = []
+        for name, value in head.headers:
             size += len(name) + len(value)
             if name == b"content-length":
                 length = value if length is None else length
             elif name == b"transfer-encoding":
-                coding.append(value.lower())
+                codings.append(value.lower())
         if size > MAX_HEAD:
             self._fail(431, "the head is too large")
         if self.parser.get_http_version() not in ("1.0", "1.1"):
             self._fail(400, "not HTTP/1.1")
-        if coding and coding != [b"chunked"]:
+        if codings and codings != [b"chunked"]:
             self._fail(400, "no such transfer coding")
-        length = b"0" if length is None else length
-        if not length.isdigit() or len(length) > 15:
+        self._check_length(head, b"0" if length is None else length)
+
+    def _check_length(self, head: MessageHead, length: bytes) -> None:
+        if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
             self._fail(400, "Content-Length is not a whole number")
             return
-        self._check(self.head)
+        self._check(head)
         if self.fault is None and int(length) > self.max_body:
-            self._in_pieces(self.head, int(length))
+            self._begin_stream(head, int(length))
 
-    def _check(self, head: Head) -> None:
-        """Of a head that is complete, and can be read."""
+    def _check(self, head: MessageHead) -> None:
+        """Check a head that is complete and can be read."""
 
     def on_body(self, data: bytes) -> None:
+        """Take part of a body."""
         head = self.head
         assert head is not None
         if self.fault is not None:
@@ -205,81 +246,102 @@
         else:
             head.body += data
             if head.passed > self.max_body:
-                self._in_pieces(head, None)
+                self._begin_stream(head, None)
 
-    def _in_pieces(self, head: Head, length: int | None) -> None:
-        """It is too long to be held: it is handed on now, and what comes follows."""
+    def _begin_stream(self, head: MessageHead, length: int | None) -> None:
+        """Hand on a message whose body is too long to be buffered; the body follows in pieces."""
         if self.memory is None or (length or 0) > MAX_LENGTH or not self._may_stream():
             self._fail(413, "the body is too large")
             return
-        self.stream = Body(length, self.memory, self.keeps)
+        self.stream = Body(length, self.memory, self.replayable_bodies)
         self._complete(head, self.stream)
         if head.body:
             self.stream.put(bytes(head.body))
             head.body.clear()
 
     def on_message_complete(self) -> None:
-        head, self.head = self.head, None
+        """End a message."""
+        head = self.head
+        self.head = None
         assert head is not None
         if self.fault is not None:
             return
         if self.stream is None:
             self._complete(head, None)
         else:
-            stream, self.stream = self.stream, None
+            stream = self.stream
+            self.stream = None
             stream.end()
 
     def _may_stream(self) -> bool:
         return True
 
-    def _complete(self, head: Head, stream: Body | None) -> None:
+    def _complete(self, head: MessageHead, stream: Body | None) -> None:
         raise NotImplementedError
 
 
-class RequestReader(Reader[Request]):
+class RequestReader(MessageReader[Request]):
+    """Reads the requests of one client's connection.
+
+    Attributes:
+        expects_continue: The client waits for 100 Continue.
+    """
+
     parser: httptools.HttpRequestParser | None
-    keeps = True
+    replayable_bodies = True
 
     def __init__(self, max_body: int = MAX_BODY, memory: BodyMemory | None = None) -> None:
         super().__init__(max_body, memory)
         self.parser = httptools.HttpRequestParser(self)
-        self.continues = False  # the client waits to be told to go on
+        self.expects_continue = False
 
     def on_url(self, target: bytes) -> None:
+        """Take part of the request's target."""
         assert self.head is not None
         self.head.target += target
 
-    def _check(self, head: Head) -> None:
+    def _check(self, head: MessageHead) -> None:
         assert self.parser is not None
-        seen: set[bytes] = set()
-        expected = []
+        found: set[bytes] = set()
+        expectations = []
         for name, value in head.headers:
             if name in SINGLE:
-                if name in seen:
+                if name in found:
                     self._fail(400, f"{name.decode()} stands there twice")
-                seen.add(name)
+                found.add(name)
             elif name == b"expect":
-                expected.append(value.lower())
-        if b"host" not in seen and self.parser.get_http_version() == "1.1":
+                expectations.append(value.lower())
+        if b"host" not in found and self.parser.get_http_version() == "1.1":
             self._fail(400, "no Host")
         if self.parser.get_method() in (b"CONNECT", b"TRACE"):
             self._fail(405, "no such method here")
-        if expected not in ([], [b"100-continue"]):
+        if expectations not in ([], [b"100-continue"]):
             self._fail(417, "no such expectation")
-        self.continues = bool(expected) and self.fault is None
+        self.expects_continue = bool(expectations) and self.fault is None
 
-    def _complete(self, head: Head, stream: Body | None) -> None:
+    def _complete(self, head: MessageHead, stream: Body | None) -> None:
         assert self.parser is not None
-        self.continues = self.continues and stream is not None and not head.passed
-        latest = self.parser.get_http_version() == "1.1"
-        keep = self.parser.should_keep_alive() and latest
+        self.expects_continue = self.expects_continue and stream is not None and not head.passed
+        is_http_1_1 = self.parser.get_http_version() == "1.1"
+        keep_alive = self.parser.should_keep_alive() and is_http_1_1
         method = self.parser.get_method()
         body = b"" if stream is not None else bytes(head.body)
-        self.ready.append(Request(method, head.target, head.headers, body, keep, latest, stream))
+        self.ready.append(
+            Request(method, head.target, head.headers, body, keep_alive, is_http_1_1, stream)
+        )
+
 
+class ResponseReader(MessageReader[Response]):
+    """Reads the responses of one upstream's connection.
 
-class ResponseReader(Reader[Response]):
-    """`ready` holds at most the answer and what should not have come behind it."""
+    `ready` holds at most the response and what should not have come behind it.
+
+    Attributes:
+        interim: 1xx responses ahead of the final one.
+        head_only: The response is to a HEAD request: it names a length, and has no body.
+        headed: Such a response is complete.
+        until_close: The response under way ends with its connection.
+    """
 
     parser: httptools.HttpResponseParser | None
 
@@ -287,64 +349,78 @@
         super().__init__(MAX_BODY)
         self.parser = httptools.HttpResponseParser(self)
         self.interim = 0
-        self.head_only = False  # the answer to a HEAD: it tells a length, and has no body
-        self.headed = False  # such a one is complete
-        self.until_close = False  # the one under way ends with its connection
+        self.head_only = False
+        self.headed = False
+        self.until_close = False
 
     def expect(
         self, max_body: int, memory: BodyMemory | None = None, head_only: bool = False
     ) -> None:
-        """The next answer may be so long, or come in pieces if it is longer."""
+        """Prepare for the next response, which comes in pieces where it is longer than this."""
         self.max_body = max_body
         self.memory = memory
         self.head_only = head_only
         self.interim = 0
 
     def feed(self, data: bytes) -> None:
+        """Read bytes; what they complete is appended to `ready`."""
         super().feed(data)
         if self.headed and self.fault is None:
             # The parser does not know of HEAD and waits for a body: another one reads the next
-            # answer.
+            # response.
             self.headed = False
             self.head = None
             self.parser = httptools.HttpResponseParser(self)
 
     def on_headers_complete(self) -> None:
-        if self.head_only and self.parser is not None and self.parser.get_status_code() >= 200:
-            assert self.head is not None
-            self.headed = True
-            self._complete(self.head, None)
-            return
+        """Check a complete head; to a HEAD request it is the complete response."""
+        if self.head_only and self.parser is not None:
+            status = self.parser.get_status_code()
+            if status >= FIRST_FINAL_STATUS:
+                assert self.head is not None
+                self.headed = True
+                self._complete(self.head, None)
+                return
         super().on_headers_complete()
 
     def on_body(self, data: bytes) -> None:
+        """Take part of a body, which the response to a HEAD request may not have."""
         if self.headed:
             self._fail(502, "a body where there is none")
             return
         super().on_body(data)
 
     def on_message_complete(self) -> None:
+        """End a response."""
         if not self.headed:
             super().on_message_complete()
 
-    def _check(self, head: Head) -> None:
-        """Only an answer that tells its own end, and in one way, can be told from one that was cut
-        off: by a length, by chunks, or by saying that its connection closes behind it. One that is
-        said to be too large is not read to find out.
+    def _check(self, head: MessageHead) -> None:
+        """Accept only a response that frames its own end, in one way.
+
+        By a length, by chunks, or by saying that its connection closes behind it: any other can't
+        be told from one that was cut off. One that is said to be too large is not read to find out.
         """
         assert self.parser is not None
         status = self.parser.get_status_code()
-        framed = sum(name in (b"content-length", b"transfer-encoding") for name, _ in head.headers)
+        framings = sum(
+            name in (b"content-length", b"transfer-encoding") for name, _ in head.headers
+        )
         closes = any(
             name == b"connection" and b"close" in value.lower().replace(b",", b" ").split()
             for name, value in head.headers
         )
-        self.until_close = not framed and closes and status >= 200 and status not in (204, 304)
-        if framed != 1 and status >= 200 and status not in (204, 304) and not self.until_close:
+        may_have_body = status >= FIRST_FINAL_STATUS and status not in STATUSES_WITHOUT_BODY
+        self.until_close = not framings and closes and may_have_body
+        if framings != 1 and may_have_body and not self.until_close:
             self._fail(502, "no length, or two")
 
     def finish(self) -> bool:
-        """The connection was closed in order. Does that end an answer?"""
+        """Note that the connection was closed in order.
+
+        Returns:
+            Whether that completes a response.
+        """
         if (
             not self.until_close
             or self.head is None
@@ -356,16 +432,16 @@
         return True
 
     def _may_stream(self) -> bool:
-        """Nobody wants the long body of an error."""
-        return self.parser is not None and self.parser.get_status_code() == 200
+        """Whether its body may come in pieces: only that of a success is of use to a client."""
+        return self.parser is not None and self.parser.get_status_code() == SUCCESS
 
-    def _complete(self, head: Head, stream: Body | None) -> None:
+    def _complete(self, head: MessageHead, stream: Body | None) -> None:
         assert self.parser is not None
         status = self.parser.get_status_code()
-        if status >= 200:
-            keep = self.parser.should_keep_alive() and not self.until_close
+        if status >= FIRST_FINAL_STATUS:
+            keep_alive = self.parser.should_keep_alive() and not self.until_close
             body = b"" if stream is not None else bytes(head.body)
-            self.ready.append(Response(status, head.headers, body, keep, stream))
+            self.ready.append(Response(status, head.headers, body, keep_alive, stream))
             return
         self.interim += 1
         if self.interim > MAX_INTERIM:
@@ -373,8 +449,6 @@
 
 
 def message(start: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
-    """A message as it is written. What stands in it has been read by a parser, or is this program's
-    own.
-    """
+    """Serialize a message, whose parts a parser has read or this program has made."""
     rows = b"".join(b"%b: %b\r\n" % row for row in headers)
     return b"%b\r\n%b\r\n%b" % (start, rows, body)
--- a/loadbalancer/proxy/request_head.py
+++ b/loadbalancer/proxy/request_head.py
@@ -7,7 +7,7 @@
 from urllib.parse import unquote_plus
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.parse import Request, Unacceptable
+from loadbalancer.proxy.parse import Request, UnacceptableMessageError
 
 MAX_ID = 128  # bytes of a request's id: it is a key of tables and stands in the log
 MS, US = 1_000_000, 1_000
@@ -27,18 +27,18 @@
 
 
 def read_terms(head: Request, settings: api.Settings, open_requests: Container[str]) -> Terms:
-    """Raises Unacceptable where it can't be taken so."""
+    """Raises UnacceptableMessageError where it can't be taken so."""
     headers = dict(head.headers)
     path, _, query = head.target.decode("latin-1").partition("?")
     class_name = _class_of(path, headers, settings)
     _check_method(head, settings.classes[class_name])
     request = headers.get(b"x-request-id", b"").decode("latin-1")
     if not request:
-        raise Unacceptable(400, "no X-Request-Id")
+        raise UnacceptableMessageError(400, "no X-Request-Id")
     if len(request) > MAX_ID:
-        raise Unacceptable(400, "X-Request-Id is too long")
+        raise UnacceptableMessageError(400, "X-Request-Id is too long")
     if request in open_requests:
-        raise Unacceptable(409, "a request with this X-Request-Id is open")
+        raise UnacceptableMessageError(409, "a request with this X-Request-Id is open")
     # Nobody waits longer than the class allows, whatever the header says: SIGTERM counts on it.
     longest_ns = settings.classes[class_name].deadline_ns
     wait_ns = min(longest_ns, _whole_number(headers, b"x-deadline-ms", longest_ns // MS) * MS)
@@ -57,18 +57,20 @@
     first = path.strip("/").partition("/")[0]
     name = headers.get(b"x-class", first.encode("latin-1")).decode("latin-1")
     if first not in settings.classes or name not in settings.classes:
-        raise Unacceptable(404, "no such class")
+        raise UnacceptableMessageError(404, "no such class")
     if b"host" not in headers:
-        raise Unacceptable(400, "no Host")
+        raise UnacceptableMessageError(400, "no Host")
     return name
 
 
 def _check_method(head: Request, cls: api.RequestClass) -> None:
     safe = cls.effect is api.Effect.IDEMPOTENT
     if head.method not in ((b"GET", b"HEAD") if safe else (b"POST",)):
-        raise Unacceptable(405, f"{'GET' if safe else 'POST'} is the method of this class")
+        raise UnacceptableMessageError(
+            405, f"{'GET' if safe else 'POST'} is the method of this class"
+        )
     if safe and (head.body or head.stream is not None):
-        raise Unacceptable(400, "a GET has no body")
+        raise UnacceptableMessageError(400, "a GET has no body")
 
 
 def key_of(query: str) -> str:
@@ -85,5 +87,5 @@
     if text is None:
         return default
     if not text.isdigit() or len(text) > 15:
-        raise Unacceptable(400, f"{name.decode()} is not a whole number")
+        raise UnacceptableMessageError(400, f"{name.decode()} is not a whole number")
     return int(text)
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -451,7 +451,7 @@
                 elif end == "swept":
                     front._sweep()
                 else:
-                    front._room()
+                    front._evict()
                 assert (await loop.sock_recv(used, 4096)).startswith(b"HTTP/1.1 200 ")
                 for client in table:
                     table[client] -= 60.0
--- a/tests/proxy/test_parse.py
+++ b/tests/proxy/test_parse.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loadbalancer.proxy.parse import MAX_BODY, MAX_HEAD, OVERHEAD, RequestReader, ResponseReader
+from loadbalancer.proxy.parse import MAX_BODY, MAX_HEAD, MAX_OVERHEAD, RequestReader, ResponseReader
 
 HEAD = b"POST /pay HTTP/1.1\r\nHost: h\r\n"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -70,7 +70,7 @@
             CHUNKED
             + b"1\r\nx\r\n" * (MAX_BODY - 1)
             + b"0\r\n"
-            + b"X-T: t\r\n" * OVERHEAD * MAX_BODY,
+            + b"X-T: t\r\n" * MAX_OVERHEAD * MAX_BODY,
             413,
         ),
         (HEAD + b"X-Odd: " + b"x" * MAX_HEAD, 431),
@@ -103,9 +103,9 @@
 def test_a_client_that_waits_to_be_told_to_go_on() -> None:
     reader = RequestReader()
     reader.feed(HEAD + b"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
-    assert reader.continues and not reader.ready
+    assert reader.expects_continue and not reader.ready
     reader.feed(b"body")
-    assert not reader.continues and reader.ready[0].body == b"body"
+    assert not reader.expects_continue and reader.ready[0].body == b"body"
 
 
 @pytest.mark.parametrize(
