--- a/loadbalancer/cli/config.py
+++ b/loadbalancer/cli/config.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.cli.console import out
 from loadbalancer.cli.store import At, Authority, Cert, Key, client, using
-from loadbalancer.daemon.documents import check
+from loadbalancer.daemon.documents import find_error
 from loadbalancer.settings import Malformed
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
@@ -75,7 +75,7 @@
         raise Malformed(f"{file}: {getattr(error, 'strerror', None) or error}") from None
     made = using(
         client(at, certificate, key, authority),
-        lambda c: documents.put(c, name, text, check, version, _author(), note),
+        lambda c: documents.put(c, name, text, find_error, version, _author(), note),
     )
     out.print(f"{name}: version {made}")
 
@@ -139,6 +139,6 @@
     """Put an older version there again, as a new one."""
     made = using(
         client(at, certificate, key, authority),
-        lambda c: documents.rollback(c, name, version, check, _author()),
+        lambda c: documents.rollback(c, name, version, find_error, _author()),
     )
     out.print(f"{name}: version {made}")
--- a/loadbalancer/cli/hollow.py
+++ b/loadbalancer/cli/hollow.py
@@ -13,7 +13,12 @@
 
 from loadbalancer.changefeed.messages import Row
 from loadbalancer.daemon import row_codec
-from loadbalancer.daemon.persisted import SavedList, decoded, load_list, save_list
+from loadbalancer.daemon.persisted import (
+    SavedEndpointList,
+    decode_row,
+    load_endpoints,
+    save_endpoints,
+)
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.wire.protocol import Row as StoreRow
 from loadbalancer.testbed.size import parties
@@ -28,26 +33,26 @@
     """Upstreams as the daemon writes them down."""
 
     def service(self, name: str) -> bytes:
-        return row_codec.pack(row_codec.ServiceRow(name))
+        return row_codec.encode(row_codec.ServiceRow(name))
 
     def row(self, endpoint: Endpoint) -> bytes:
-        return row_codec.packed(endpoint)
+        return row_codec.encode_upstream(endpoint)
 
     def check(self, scope: str, row: Row) -> str:
         """Kinds that the daemon has no types for yet are taken as they are."""
-        return row_codec.check(scope, row) if row.key.startswith(TYPED) else ""
+        return row_codec.find_row_error(scope, row) if row.key.startswith(TYPED) else ""
 
     def endpoint(self, value: bytes) -> Endpoint:
-        return row_codec.endpoint_of(row_codec.unpack_upstream(value))
+        return row_codec.to_endpoint(row_codec.decode_upstream(value))
 
     def document(self, endpoints: Sequence[Endpoint]) -> bytes:
         return msgspec.json.encode(
-            SavedList(round(unix_s(), 3), save_list(list(endpoints)), 1, 1, 1)
+            SavedEndpointList(round(unix_s(), 3), save_endpoints(list(endpoints)), 1, 1, 1)
         )
 
     def endpoints(self, row: StoreRow) -> list[Endpoint]:
-        saved = decoded(row, SavedList)
-        return [] if saved is None else load_list(saved)
+        saved = decode_row(row, SavedEndpointList)
+        return [] if saved is None else load_endpoints(saved)
 
 
 if __name__ == "__main__":
--- a/loadbalancer/cli/roll.py
+++ b/loadbalancer/cli/roll.py
@@ -16,10 +16,19 @@
 
 from loadbalancer.cli.console import out
 from loadbalancer.cli.store import At, Authority, Cert, Key, client, using
-from loadbalancer.daemon.endpoint_rows import StoredList
-from loadbalancer.daemon.persisted import decoded
-from loadbalancer.daemon.rolling_restart import Box, Phase, Roll, State, held_up, wrong
-from loadbalancer.daemon.rolling_restart_controller import Ages, Keys, look
+from loadbalancer.daemon.persisted import decode_row
+from loadbalancer.daemon.rolling_restart import explain_wait, find_error
+from loadbalancer.daemon.rolling_restart_controller import (
+    RollingRestartKeys,
+    RollingRestartReader,
+)
+from loadbalancer.daemon.rolling_restart_state import (
+    UNKNOWN_RATIO,
+    Phase,
+    RollingRestart,
+    State,
+    UpstreamRestart,
+)
 from loadbalancer.leases import table
 from loadbalancer.proxy.upstream import number_of
 from loadbalancer.settings import Malformed
@@ -59,11 +68,11 @@
 ) -> None:
     """Begin a roll; it goes on whatever becomes of this command."""
     names = [name.strip() for part in pick for name in part.split(",") if name.strip()]
-    boxes = tuple(Box(name, number_of(name)) for name in names)
+    boxes = tuple(UpstreamRestart(name, number_of(name)) for name in names)
     by = "unknown"
     with suppress(KeyError, OSError):
         by = getpass.getuser()
-    roll = Roll(
+    roll = RollingRestart(
         uuid.uuid4().hex[:8],
         boxes,
         at_once,
@@ -71,23 +80,27 @@
         least,
         warm,
         wait,
-        by=by,
-        began_ms=unix_ms(),
-        door=door,
+        started_by=by,
+        started_ms=unix_ms(),
+        restart_path=door,
     )
-    why = wrong(roll)
+    why = find_error(roll)
     if why:
         raise Malformed(why)
 
     async def work(c: Client) -> str:
-        row = (await c.get(Keys(service).roll)).rows[0]
-        old = decoded(row, Roll)
+        row = (await c.get(RollingRestartKeys(service).restart)).rows[0]
+        old = decode_row(row, RollingRestart)
         if old is not None and old.state is not State.ENDED:
             raise Malformed(
-                f"roll {old.id} of {old.by} is not over: `loadbalancer roll status` shows it"
+                f"roll {old.id} of {old.started_by} is not over:"
+                " `loadbalancer roll status` shows it"
             )
         await c.put(
-            Keys(service).roll, msgspec.json.encode(roll), row.version, note=f"begun by {by}"
+            RollingRestartKeys(service).restart,
+            msgspec.json.encode(roll),
+            row.version,
+            note=f"begun by {by}",
         )
         return f"roll {roll.id} of {len(boxes)} boxes has begun"
 
@@ -101,46 +114,53 @@
     """Where it stands, and what holds it up."""
 
     async def work(c: Client) -> None:
-        _, _, roll, view = await look(c, Keys(service), Ages(), StoredList(c, service))
+        observation = await RollingRestartReader(c, service).read()
+        roll, view = observation.restart, observation.view
         if roll is None:
             out.print("there never was a roll")
             return
-        state = roll.state.value + (f": {roll.why}" if roll.why else "")
+        state = roll.state.value + (f": {roll.pause_reason}" if roll.pause_reason else "")
         out.print(
-            f"roll {roll.id} by {roll.by}: {state}; {roll.at_once} at once, step {roll.steps}",
+            f"roll {roll.id} by {roll.started_by}: {state};"
+            f" {roll.max_unavailable} at once, step {roll.step_count}",
             soft_wrap=True,
         )
         rows = Table()
         for column in ("box", "phase", "for", "listed"):
             rows.add_column(column)
-        for box in roll.boxes:
-            listed = view.boxes.get(box.number)
+        for box in roll.upstreams:
+            listed = view.upstreams.get(box.number)
             rows.add_row(
                 box.name,
                 box.phase.value,
                 f"{(view.now_ms - box.since_ms) / 1000:.0f} s" if box.since_ms else "",
-                "no" if listed is None else "ready" if listed.ready else "draining",
+                "no" if listed is None else "ready" if listed.is_ready else "draining",
             )
         out.print(rows)
-        why = held_up(roll, view)
+        why = explain_wait(roll, view)
         if why and roll.state is State.RUNNING:
             out.print(f"waits: {why}", soft_wrap=True)
 
     using(client(at, certificate, key, authority), work)
 
 
-def _change(service: str, made: Client, change: Callable[[Roll], Roll], note: str) -> None:
+def _change(
+    service: str, made: Client, change: Callable[[RollingRestart], RollingRestart], note: str
+) -> None:
     """An operator's word, merged into what the owner does meanwhile. Raises Malformed."""
 
     async def work(c: Client) -> str:
         while True:
-            row = (await c.get(Keys(service).roll)).rows[0]
-            roll = decoded(row, Roll)
+            row = (await c.get(RollingRestartKeys(service).restart)).rows[0]
+            roll = decode_row(row, RollingRestart)
             if roll is None or roll.state is State.ENDED:
                 raise Malformed("there is no roll under way")
             with suppress(Conflict):
                 await c.put(
-                    Keys(service).roll, msgspec.json.encode(change(roll)), row.version, note=note
+                    RollingRestartKeys(service).restart,
+                    msgspec.json.encode(change(roll)),
+                    row.version,
+                    note=note,
                 )
                 return f"roll {roll.id}: {note}"
 
@@ -159,7 +179,7 @@
         lambda r: msgspec.structs.replace(
             r,
             state=State.PAUSED if r.state is State.RUNNING else r.state,
-            why="an operator paused it",
+            pause_reason="an operator paused it",
         ),
         "paused",
     )
@@ -174,7 +194,10 @@
         service,
         client(at, certificate, key, authority),
         lambda r: msgspec.structs.replace(
-            r, state=State.RUNNING if r.state is State.PAUSED else r.state, why="", served=-1.0
+            r,
+            state=State.RUNNING if r.state is State.PAUSED else r.state,
+            pause_reason="",
+            success_ratio=UNKNOWN_RATIO,
         ),
         "goes on",
     )
@@ -188,7 +211,9 @@
     _change(
         service,
         client(at, certificate, key, authority),
-        lambda r: msgspec.structs.replace(r, state=State.ABORTING, why="an operator aborted it"),
+        lambda r: msgspec.structs.replace(
+            r, state=State.ABORTING, pause_reason="an operator aborted it"
+        ),
         "aborting",
     )
 
@@ -205,7 +230,7 @@
     """Say that a balancer which is silent will not come back, and has nothing under way."""
 
     async def work(c: Client) -> str:
-        keys = Keys(service)
+        keys = RollingRestartKeys(service)
         report, name = (await c.get(keys.reports + balancer, keys.names + balancer)).rows
         if report.value is None:
             raise Malformed(f"{balancer}: it never reported")
@@ -228,13 +253,14 @@
 ) -> None:
     """Say that a box which is quiet was restarted, where no discovery tells it."""
 
-    def change(roll: Roll) -> Roll:
-        if not any(b.name == box and b.phase is Phase.QUIET for b in roll.boxes):
+    def change(roll: RollingRestart) -> RollingRestart:
+        if not any(b.name == box and b.phase is Phase.DRAINED for b in roll.upstreams):
             raise Malformed(f"{box}: it is not quiet in this roll")
         return msgspec.structs.replace(
             roll,
-            boxes=tuple(
-                msgspec.structs.replace(b, word=True) if b.name == box else b for b in roll.boxes
+            upstreams=tuple(
+                msgspec.structs.replace(b, is_confirmed=True) if b.name == box else b
+                for b in roll.upstreams
             ),
         )
 
--- a/loadbalancer/cli/serve.py
+++ b/loadbalancer/cli/serve.py
@@ -17,17 +17,17 @@
 ) -> None:
     """Run a balancer until SIGTERM. SIGHUP reads the file again."""
     from loadbalancer.daemon.bootstrap import (
-        read_boot,  # the store's libraries only where one is named
+        read_bootstrap,  # the store's libraries only where one is named
     )
 
-    boot = read_boot(settings)
+    bootstrap = read_bootstrap(settings)
     if check:
-        if boot is None:
+        if bootstrap is None:
             read_file(settings)
-        elif boot.cache is None:
-            boot.read()
+        elif bootstrap.copy_path is None:
+            bootstrap.read()
         typer.echo(f"{settings}: good")
         return
-    if boot is None:
+    if bootstrap is None:
         raise typer.Exit(run(lambda: read_file(settings)))
-    raise typer.Exit(run(boot.read, boot.companion))
+    raise typer.Exit(run(bootstrap.read, bootstrap.create_state_sync))
--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -15,11 +15,9 @@
 
 from loadbalancer.cli.console import out
 from loadbalancer.cli.store import At, Authority, Cert, Key, client, using
-from loadbalancer.daemon.endpoint_rows import StoredList
-from loadbalancer.daemon.persisted import decoded
-from loadbalancer.daemon.rolling_restart_controller import Ages
-from loadbalancer.daemon.site_agent import PlanDoc, SiteKeys, course_of, with_course
-from loadbalancer.daemon.site_controller import Looked, look
+from loadbalancer.daemon.persisted import decode_row
+from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
+from loadbalancer.daemon.site_reader import SiteObservation, SiteReader
 from loadbalancer.failover.plan import (
     CLASSES,
     EXCESS,
@@ -37,7 +35,6 @@
 from loadbalancer.store.client import Client, Conflict
 from loadbalancer.store.commands import LEASES
 from loadbalancer.units import duration
-from loadbalancer.wallclock import StartTimes
 
 app = typer.Typer(
     no_args_is_help=True, help="Sites: what is lost, where its load goes, how it comes back."
@@ -69,9 +66,9 @@
     return f"{a.part:.0%} of {name}" + (" and all before it" if a.rung > EXCESS else "")
 
 
-async def _looked(c: Client, service: str) -> Looked:
+async def _looked(c: Client, service: str) -> SiteObservation:
     """Raises StoreError, Malformed."""
-    return await look(c, service, None, Ages(), {}, StoredList(c, service), StartTimes())
+    return await SiteReader(c, service).read()
 
 
 @app.command()
@@ -104,7 +101,7 @@
         for column in ("site", "seen as", "aim", "stage", "gets", "since it failed", "why"):
             rows.add_column(column)
         for name in seen.sites:
-            course, v = course_of(seen.doc, name), verdicts[name]
+            course, v = seen.plan.state_of(name), verdicts[name]
             rows.add_row(
                 name,
                 v.state.value,
@@ -115,7 +112,7 @@
                 course.why or v.why,
             )
         out.print(rows)
-        o = seen.doc.orders
+        o = seen.plan.orders
         if o.excess or o.repeats or o.classes or not o.copies:
             classes = ", ".join(f"{part:.0%} of {k}" for k, part in o.classes.items())
             out.print(
@@ -161,7 +158,7 @@
         )
         what, fleet = heard(seen.look.rows), seen.fleet
         for name in seen.sites:
-            part.labels(name).set(course_of(seen.doc, name).part)
+            part.labels(name).set(seen.plan.state_of(name).part)
             now = verdict(
                 name, what, seen.look.listed.get(name, 0), seen.look.usual.get(name, 0)
             ).state
@@ -169,7 +166,7 @@
             if fleet.loads and len(seen.sites) > 1:
                 t = table(fleet, [name])
                 left.labels(name).set(t.worth / max(1e-9, t.usual))
-        o = seen.doc.orders
+        o = seen.plan.orders
         for rung, value in (
             ("excess", o.excess),
             ("repeats", o.repeats),
@@ -272,7 +269,7 @@
                 else seen.look.blind
             )
         if aim is not Aim.IN and not force and fleet.loads:
-            out_ = {x.site for x in seen.doc.courses if x.part < 1} | {name}
+            out_ = {x.site for x in seen.plan.site_states if x.part < 1} | {name}
             if out_ >= set(seen.sites):
                 raise Malformed("all sites would be out")
             t = table(fleet, out_)
@@ -284,13 +281,13 @@
                 )
         while True:
             row = (await c.get(SiteKeys(service).plan)).rows[0]
-            doc = decoded(row, PlanDoc) or PlanDoc()
+            doc = decode_row(row, SitePlanDocument) or SitePlanDocument()
             try:
-                course = ordered(course_of(doc, name), aim, by, over_s, hold_s)
+                course = ordered(doc.state_of(name), aim, by, over_s, hold_s)
             except ValueError as error:
                 raise Malformed(str(error)) from None
             with suppress(Conflict):
-                value = msgspec.json.encode(with_course(doc, course))
+                value = msgspec.json.encode(doc.with_state(course))
                 await c.put(SiteKeys(service).plan, value, row.version, note=course.why[:200])
                 return f"site {name}: {course.why}"
 
--- a/loadbalancer/cli/sizelab.py
+++ b/loadbalancer/cli/sizelab.py
@@ -16,8 +16,8 @@
 import loadbalancer
 from loadbalancer.cli import sizefleet
 from loadbalancer.cli.console import out
-from loadbalancer.daemon.documents import parsed
-from loadbalancer.daemon.persisted import SavedList, load_list, save_list
+from loadbalancer.daemon.documents import parse
+from loadbalancer.daemon.persisted import SavedEndpointList, load_endpoints, save_endpoints
 from loadbalancer.daemon.settings import read_raw
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.testbed import results
@@ -142,11 +142,13 @@
 
 
 def _encoded(endpoints: list[Endpoint]) -> bytes:
-    return msgspec.json.encode(SavedList(unix_s(), save_list(endpoints), 1, 1, 1, "127.0.0.1:8500"))
+    return msgspec.json.encode(
+        SavedEndpointList(unix_s(), save_endpoints(endpoints), 1, 1, 1, "127.0.0.1:8500")
+    )
 
 
 def _decoded(data: bytes) -> list[Endpoint]:
-    return load_list(msgspec.json.decode(data, type=SavedList))
+    return load_endpoints(msgspec.json.decode(data, type=SavedEndpointList))
 
 
 @app.command()
@@ -204,7 +206,7 @@
                 slopes += measure.fleets(program, given, told, heard)
             case "settings":
                 reading = measure.Reading(
-                    lambda text: parsed("size", text), lambda raw: read_raw(raw, "size")
+                    lambda text: parse("size", text), lambda raw: read_raw(raw, "size")
                 )
                 slopes += measure.settings(reading, given, told._replace(suffix=""), heard)
             case "stored":
--- a/loadbalancer/cli/sizestore.py
+++ b/loadbalancer/cli/sizestore.py
@@ -15,7 +15,7 @@
 from loadbalancer.cli.clusters import Keep, folder
 from loadbalancer.cli.console import out
 from loadbalancer.cli.sizelab import Json_, Plot, Record, give, today
-from loadbalancer.daemon.state_sync import Keeper
+from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.store.client import Client
 from loadbalancer.store.durable.state import EVENTS
 from loadbalancer.testbed.size import keepers, sessions, storecommits, storefeed, storenode
@@ -77,8 +77,8 @@
 Measure = Callable[[Path, Sizes, storenode.Heard], Awaitable[list[Series]]]
 
 
-def keeper(client: Client, service: str, name: str, parts: Parts) -> Keeper:
-    return Keeper(client, service, name, "", None, parts, sites=True)
+def keeper(client: Client, service: str, name: str, parts: Parts) -> StateSync:
+    return StateSync(client, parts, StateSyncOptions(service, name, has_site_failover=True))
 
 
 async def _rest(where: Path, s: Sizes, heard: storenode.Heard) -> list[Series]:
--- a/loadbalancer/daemon/__init__.py
+++ b/loadbalancer/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: a running process put together from the operators' own settings."""
+"""Assembles a running `serve` process: settings, store client, state sync and controllers."""
--- a/loadbalancer/daemon/address_map.py
+++ b/loadbalancer/daemon/address_map.py
@@ -1,7 +1,7 @@
-"""Upstreams behind address translation: at which address all know one, and at which it is dialled
-from here.
+"""Address translation between the fleet's canonical addresses and those dialed from this host.
 
-The list that balancers share says the first; each dials by its own `[store.reach]`. Pure.
+The shared endpoint list holds canonical addresses; each balancer dials by its own
+`[store.reach]` table. Pure.
 """
 
 from __future__ import annotations
@@ -12,28 +12,41 @@
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.settings import split_address
 
+Address = tuple[str, int]
 
-class Reach:
-    def __init__(self, reach: Mapping[str, str]) -> None:
-        """`reach`: HOST:PORT as all know it -> as dialled from here; what is not named is dialled
-        so.
-        """
-        pairs = [(split_address(known), split_address(here)) for known, here in reach.items()]
-        self._here = dict(pairs)
-        self._known = {here: known for known, here in pairs}
-
-    def dialled(self, known: tuple[str, int]) -> tuple[str, int]:
-        return self._here.get(known, known)
 
-    def from_here(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """With the addresses to dial."""
-        return [_at(e, self._here) for e in endpoints]
+class AddressMap:
+    """Translates endpoint addresses in both directions; an unlisted address stands for itself."""
 
-    def as_known(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """With the addresses that all know, for the list that is shared."""
-        return [_at(e, self._known) for e in endpoints]
+    def __init__(self, dialed_by_canonical: Mapping[str, str]) -> None:
+        """Parses the table.
 
-
-def _at(e: Endpoint, where: Mapping[tuple[str, int], tuple[str, int]]) -> Endpoint:
-    found = where.get((e.host, e.port))
-    return e if found is None else replace(e, host=found[0], port=found[1])
+        Args:
+            dialed_by_canonical: Canonical HOST:PORT -> HOST:PORT to dial from this host.
+        """
+        pairs = [
+            (split_address(canonical), split_address(dialed))
+            for canonical, dialed in dialed_by_canonical.items()
+        ]
+        self._dialed = dict(pairs)
+        self._canonical = {dialed: canonical for canonical, dialed in pairs}
+
+    def dialed_address(self, canonical: Address) -> Address:
+        """Returns the address to dial for a canonical one."""
+        return self._dialed.get(canonical, canonical)
+
+    def to_dialed(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
+        """Returns the endpoints with the addresses to dial."""
+        return [_translate(endpoint, self._dialed) for endpoint in endpoints]
+
+    def to_canonical(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
+        """Returns the endpoints with canonical addresses, for the shared list."""
+        return [_translate(endpoint, self._canonical) for endpoint in endpoints]
+
+
+def _translate(endpoint: Endpoint, table: Mapping[Address, Address]) -> Endpoint:
+    translated = table.get((endpoint.host, endpoint.port))
+    if translated is None:
+        return endpoint
+    host, port = translated
+    return replace(endpoint, host=host, port=port)
--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -1,14 +1,16 @@
-"""How a daemon with a store begins: where the store is, and which document holds the rest of its
-settings.
-
-[store] addresses = ["127.0.0.1:7101", "127.0.0.1:7102"] service = "orders" balancer = "accra-1"
-document = "balancer/orders"     # without it, the rest of the settings stands in this file folder =
-"state"                 # for a copy of the document lease = "10s"                    # work of the
-fleet passes on after an owner's silence of so long sites = true                     # take part
-when a site is lost, emptied or comes back; `zone` is needed rows = true                      # the
-box list goes out as rows of the feed, change by change # documents = true               # and as a
-document, too, while balancers are there that know no rows # reach = {"10.0.0.1:7101" =
-"127.0.0.1:9001"}   # behind address translation
+"""Startup of a balancer whose settings name a store.
+
+[store]
+addresses = ["127.0.0.1:7101", "127.0.0.1:7102"]
+service = "orders"
+balancer = "accra-1"
+document = "balancer/orders"   # holds all other settings; without it they stand in this file
+folder = "state"               # for the local copy of the document
+lease = "10s"                  # a leader that is silent for so long is replaced
+sites = true                   # take part in site failover; `zone` is needed
+rows = true                    # publish the endpoint list as rows of the changefeed
+# documents = true             # and as a document, too, while some balancers know no rows
+# reach = {"10.0.0.1:7101" = "127.0.0.1:9001"}   # behind address translation
 """
 
 from __future__ import annotations
@@ -23,7 +25,7 @@
 from loadbalancer.__main__ import Config, Parts
 from loadbalancer.daemon import documents
 from loadbalancer.daemon.settings import read_raw, read_table
-from loadbalancer.daemon.state_sync import LEASE_S, Keeper
+from loadbalancer.daemon.state_sync import LEASE_S, StateSync, StateSyncOptions
 from loadbalancer.leases.table import NAME
 from loadbalancer.proxy.atomic_files import write_whole
 from loadbalancer.settings import Json, Malformed, split_address
@@ -34,157 +36,199 @@
 
 log = logging.getLogger(__name__)
 
-MOST_NAME = 80  # of a service and of a balancer
-LEAST_LEASE, MOST_LEASE = 500_000_000, 600_000_000_000
-ASK_S, FIRST_S = (
-    0.4,
-    3.0,
-)  # a start waits so long for the store: with a copy of its settings, and without one
+MAX_NAME_LENGTH = 80  # of a service and of a balancer
+MAX_SHOWN_NAME = 60
+MIN_LEASE_NS = 500_000_000
+MAX_LEASE_NS = 600_000_000_000
+RANK_LIMIT = 1000
+NS_PER_S = 1e9
+# How long a start waits for the store, with and without a local copy of its settings.
+FETCH_TIMEOUT_S = 0.4
+FIRST_FETCH_TIMEOUT_S = 3.0
 
 
-class StoreTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The `[store]` table."""
+
     addresses: list[str]
     service: str
     balancer: str = "balancer"
     document: str = ""
     folder: str = ""
-    lease: Duration = Duration(
-        int(LEASE_S * 1e9)
-    )  # work of the fleet passes on after an owner's silence
-    rank: int = 0  # the lower, the sooner this one owns it
-    reach: dict[
-        str, str
-    ] = {}  # where a node or an upstream that is known at one address is dialled instead
-    sites: bool = (
-        False  # take part in what the fleet does when a site is lost, emptied or comes back
-    )
-    rows: bool = False  # the list of upstreams is rows of the feed, in place of a document
-    documents: bool = False  # beside rows: the document, for balancers that know none
+    lease: Duration = Duration(int(LEASE_S * NS_PER_S))
+    rank: int = 0  # of the candidates for a lease, the lowest rank gets it first
+    # Canonical address of a node or an upstream -> the address dialed in its place.
+    address_map: dict[str, str] = msgspec.field(name="reach", default_factory=dict)
+    sites: bool = False
+    rows: bool = False
+    documents: bool = False
     tls: Keys | None = None
 
 
-class Boot:
-    """Settings that name a store."""
+class Bootstrap:
+    """Reads the settings of a balancer with a store, and creates its state sync."""
+
+    def __init__(self, path: Path, store: StoreSettings, other_settings: Json) -> None:
+        """Validates the settings and creates the folder of the local copy.
 
-    def __init__(self, path: Path, table: StoreTable, rest: Json) -> None:
-        """Raises Malformed."""
+        Args:
+            path: The settings file.
+            store: Its `[store]` table.
+            other_settings: All other settings in the file.
+
+        Raises:
+            Malformed: The settings are not valid.
+        """
+        _validate(path, store)
+        _validate_combination(path, store, other_settings)
         self.path = path
-        self.table = table
-        if not table.addresses:
-            raise Malformed(f"{path}: store.addresses: at least one is needed")
-        for address in (*table.addresses, *table.reach, *table.reach.values()):
-            split_address(address)
-        for what, name in (("service", table.service), ("balancer", table.balancer)):
-            if len(name) > MOST_NAME or not NAME.match(name):
-                raise Malformed(
-                    f"{path}: store.{what}: {name[:60]!r} is no name: a letter or digit, then"
-                    f" letters, digits and ._:@-, {MOST_NAME} characters at most"
-                )
-        if not LEAST_LEASE <= table.lease <= MOST_LEASE:
-            raise Malformed(f"{path}: store.lease: must be 500ms to 10m")
-        if not 0 <= table.rank < 1000:
-            raise Malformed(f"{path}: store.rank: must be 0 to 999")
-        if table.documents and not table.rows:
-            raise Malformed(
-                f"{path}: store.documents: goes with rows alone: without them the list is a"
-                " document anyway"
-            )
-        if table.rows and "server" in rest:
-            raise Malformed(
-                f"{path}: store.rows: the list of upstreams is written down in server: there are"
-                " no rows of it"
-            )
-        if table.document and rest:
-            raise Malformed(
-                f"{path}: {sorted(rest)[0]}: the rest of the settings stands in the document"
-                f" {table.document}"
-            )
-        if table.document and not table.folder:
-            raise Malformed(f"{path}: store.folder: is needed, for a copy of the document")
-        folder = path.parent / table.folder
-        self.cache = folder / "settings.toml" if table.document else None
-        if self.cache is not None:
+        self.store = store
+        folder = path.parent / store.folder
+        self.copy_path = folder / "settings.toml" if store.document else None
+        if self.copy_path is not None:
             try:
                 folder.mkdir(parents=True, exist_ok=True)
             except OSError as error:
                 raise Malformed(f"{folder}: {error.strerror}") from None
-        self.tls = table.tls.beside(path.parent) if table.tls else None
-        self.fetched = False
+        self.tls = store.tls.beside(path.parent) if store.tls else None
+        self.is_fetched = False
 
-    def client(self) -> Client:
-        def context() -> ssl.SSLContext | None:
+    def create_client(self) -> Client:
+        """Returns a new client of the store."""
+
+        def tls_context() -> ssl.SSLContext | None:
             return self.tls.context(False) if self.tls else None
 
-        return Client(self.table.addresses, context, self.table.balancer, reach=self.table.reach)
+        return Client(
+            self.store.addresses, tls_context, self.store.balancer, reach=self.store.address_map
+        )
 
     def read(self) -> Config:
-        """The configuration; from the store the first time, then from the copy that the keeper
-        replaces. Raises Malformed.
+        """Returns the configuration.
+
+        A document is fetched from the store the first time, and later read from the local copy,
+        which the state sync keeps up to date.
+
+        Raises:
+            Malformed: The settings are not valid, or there is neither a store nor a copy.
         """
-        if self.cache is None:
+        if self.copy_path is None:
             raw = read_table(self.path)
             raw.pop("store", None)
             return read_raw(raw, str(self.path))
-        if not self.fetched:
-            self.fetched = True
-            asyncio.run(self._fetch())
+        if not self.is_fetched:
+            self.is_fetched = True
+            timeout_s = FETCH_TIMEOUT_S if self.copy_path.exists() else FIRST_FETCH_TIMEOUT_S
+            asyncio.run(self._fetch(self.copy_path, timeout_s))
         try:
-            text = self.cache.read_text(encoding="utf-8")
+            text = self.copy_path.read_text(encoding="utf-8")
         except OSError:
             raise Malformed(
-                f"{self.table.document}: no store tells it, and there is no copy of it"
+                f"{self.store.document}: not available from the store, and no local copy exists"
             ) from None
-        return documents.read(self.table.document, text)
+        return documents.read_balancer(self.store.document, text)
 
-    async def _fetch(self) -> None:
-        """The document as a majority has it; where none is there, what the nearest node knows is
-        still newer than a copy here. With a copy, a start does not wait for long.
+    async def _fetch(self, copy_path: Path, timeout_s: float) -> None:
+        """Updates the local copy.
+
+        The document is the committed one; failing that, the nearest node's, which is still newer
+        than the local copy.
         """
-        assert self.cache is not None
-        name, patience = self.table.document, ASK_S if self.cache.exists() else FIRST_S
-        clients = self.client(), self.client()
-        linear = asyncio.ensure_future(clients[0].get(key(name), within_s=patience))
-        stale = asyncio.ensure_future(clients[1].get(key(name), stale=True, within_s=patience))
-        await asyncio.wait((linear, stale))
+        document = self.store.document
+        clients = self.create_client(), self.create_client()
+        linearizable = asyncio.ensure_future(clients[0].get(key(document), within_s=timeout_s))
+        stale = asyncio.ensure_future(clients[1].get(key(document), stale=True, within_s=timeout_s))
+        await asyncio.wait((linearizable, stale))
         for client in clients:
             await client.close()
-        for found in (linear, stale):
-            if found.exception() is None:
-                row = found.result().rows[0]
-                if row.value is not None:
-                    try:
-                        write_whole(self.cache, row.value)
-                    except (
-                        OSError
-                    ) as error:  # the copy spares a start the store, so this one goes on
-                        log.error("%s: %s", self.cache, error)
+        for read in (linearizable, stale):
+            if read.exception() is None:
+                value = read.result().rows[0].value
+                if value is not None:
+                    _write_copy(copy_path, value)
                 return
-        log.warning("%s: %s: the copy is used", name, linear.exception())
-
-    def companion(self, parts: Parts) -> Keeper:
-        return Keeper(
-            self.client(),
-            self.table.service,
-            self.table.balancer,
-            self.table.document,
-            self.cache,
-            parts,
-            self.table.lease / 1e9,
-            self.table.rank,
-            self.table.reach,
-            self.table.sites,
-            self.table.rows,
-            self.table.documents,
+        log.warning(
+            "store not available, using the local copy of the settings: document=%s error=%s",
+            document,
+            linearizable.exception(),
         )
 
+    def create_state_sync(self, parts: Parts) -> StateSync:
+        """Returns the state sync of a balancer."""
+        options = StateSyncOptions(
+            service=self.store.service,
+            balancer=self.store.balancer,
+            document=self.store.document,
+            settings_copy=self.copy_path,
+            lease_s=self.store.lease / NS_PER_S,
+            rank=self.store.rank,
+            address_map=self.store.address_map,
+            has_site_failover=self.store.sites,
+            publishes_rows=self.store.rows,
+            publishes_documents=self.store.documents,
+        )
+        return StateSync(self.create_client(), parts, options)
 
-def read_boot(path: Path) -> Boot | None:
-    """None where the file names no store. Raises Malformed."""
+
+def read_bootstrap(path: Path) -> Bootstrap | None:
+    """Reads a settings file.
+
+    Returns:
+        None where the file names no store.
+
+    Raises:
+        Malformed: The settings are not valid.
+    """
     raw = read_table(path)
     if "store" not in raw:
         return None
     table = raw.pop("store")
     try:
-        return Boot(path, convert(table, StoreTable), raw)
+        return Bootstrap(path, convert(table, StoreSettings), raw)
     except ValueError as error:
         raise Malformed(f"{path}: store: {error}") from None
+
+
+def _validate(path: Path, store: StoreSettings) -> None:
+    if not store.addresses:
+        raise Malformed(f"{path}: store.addresses: at least one is needed")
+    for address in (*store.addresses, *store.address_map, *store.address_map.values()):
+        split_address(address)
+    for field, name in (("service", store.service), ("balancer", store.balancer)):
+        if len(name) > MAX_NAME_LENGTH or not NAME.match(name):
+            raise Malformed(
+                f"{path}: store.{field}: {name[:MAX_SHOWN_NAME]!r} is no name: a letter or digit,"
+                f" then letters, digits and ._:@-, {MAX_NAME_LENGTH} characters at most"
+            )
+    if not MIN_LEASE_NS <= store.lease <= MAX_LEASE_NS:
+        raise Malformed(f"{path}: store.lease: must be 500ms to 10m")
+    if not 0 <= store.rank < RANK_LIMIT:
+        raise Malformed(f"{path}: store.rank: must be 0 to {RANK_LIMIT - 1}")
+
+
+def _validate_combination(path: Path, store: StoreSettings, other_settings: Json) -> None:
+    if store.documents and not store.rows:
+        raise Malformed(
+            f"{path}: store.documents: goes with rows alone: without them the list is a"
+            " document anyway"
+        )
+    if store.rows and "server" in other_settings:
+        raise Malformed(
+            f"{path}: store.rows: the list of upstreams is written down in server: there are"
+            " no rows of it"
+        )
+    if store.document and other_settings:
+        raise Malformed(
+            f"{path}: {min(other_settings)}: the rest of the settings stands in the document"
+            f" {store.document}"
+        )
+    if store.document and not store.folder:
+        raise Malformed(f"{path}: store.folder: is needed, for a copy of the document")
+
+
+def _write_copy(path: Path, value: bytes) -> None:
+    """A failure is only logged: the copy serves later starts, and this one can go on."""
+    try:
+        write_whole(path, value)
+    except OSError as error:
+        log.error("settings copy not written: path=%s error=%s", path, error)
--- a/loadbalancer/daemon/documents.py
+++ b/loadbalancer/daemon/documents.py
@@ -1,4 +1,4 @@
-"""Which configuration documents there are, and what is checked of each before it is proposed."""
+"""Configuration documents of the store, and the validation of each before it is proposed."""
 
 from __future__ import annotations
 
@@ -13,37 +13,49 @@
 BALANCER = "balancer"  # and `balancer/NAME`: the operators' settings of balancers
 
 
-def parsed(name: str, text: str) -> Json:
-    """Raises Malformed."""
+def parse(name: str, text: str) -> Json:
+    """Parses a document's TOML.
+
+    Raises:
+        Malformed: The text is not TOML.
+    """
     try:
         return tomllib.loads(text)
     except ValueError as error:
         raise Malformed(f"{name}: {error}") from None
 
 
-def read(name: str, text: str) -> Config:
-    """A document of a balancer's settings. Raises Malformed."""
-    return read_raw(parsed(name, text), name)
+def read_balancer(name: str, text: str) -> Config:
+    """Reads a document of balancer settings.
+
+    Raises:
+        Malformed: The document is not valid.
+    """
+    return read_raw(parse(name, text), name)
+
 
+def read_sites(name: str, text: str) -> dict[str, Place]:
+    """Reads a document that describes the sites.
 
-def sites(name: str, text: str) -> dict[str, Place]:
-    """A document of what operators say of their sites. Raises Malformed."""
-    raw = parsed(name, text)
+    Raises:
+        Malformed: The document is not valid.
+    """
+    raw = parse(name, text)
     try:
         return site_config.read(raw)
     except ValueError as error:
         raise Malformed(f"{name}: {error}") from None
 
 
-def check(name: str, text: str) -> str:
-    """The first thing wrong with a document, in one line; empty: nothing."""
+def find_error(name: str, text: str) -> str:
+    """Returns the first error of a document, in one line; empty if it is valid."""
     try:
         if name == BALANCER or name.startswith(BALANCER + "/"):
-            read(name, text)
+            read_balancer(name, text)
         elif name.startswith(site_config.DOCUMENT + "/"):
-            sites(name, text)
+            read_sites(name, text)
         else:
-            parsed(name, text)
+            parse(name, text)
     except Malformed as error:
         return str(error).removeprefix(f"{name}: ")
     return ""
--- /dev/null
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -0,0 +1,288 @@
+"""A balancer's endpoint list as a follower of the list's leader.
+
+    list/SERVICE      the list as a document, with the leader's token and count of lists
+    listed/SERVICE    the leader's confirmations that the list still matches discovery
+
+The list may also be rows of the changefeed, in place of the document or beside it. A balancer that
+knows rows goes by whichever of the two the later leader wrote.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import random
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from loadbalancer.changefeed.messages import Row as FeedRow
+from loadbalancer.changefeed.subscription import Apply
+from loadbalancer.daemon import row_codec
+from loadbalancer.daemon.address_map import AddressMap
+from loadbalancer.daemon.endpoint_rows import RowTable, position_of
+from loadbalancer.daemon.endpoint_source import EndpointSource
+from loadbalancer.daemon.persisted import (
+    LeaderConfirmation,
+    SavedEndpointList,
+    decode_row,
+    load_endpoints,
+)
+from loadbalancer.leases.fence import FencedReceiver, FencingPosition
+from loadbalancer.leases.table import format_token
+from loadbalancer.policy import api
+from loadbalancer.proxy.discovery import Discovery
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store.client import Client
+from loadbalancer.store.lease_client import Owner, clock_ns
+from loadbalancer.store.wire.protocol import Row
+from loadbalancer.wallclock import age_s, shown_age
+
+log = logging.getLogger(__name__)
+
+REJECTION_LOG_INTERVAL_S = 10.0
+MAX_CACHED_LIST_AGE_S = 24 * 3600.0  # an older list is not used to start with
+MIN_POLL_CHECK_S = 0.05
+MAX_POLL_CHECK_S = 1.0
+NS_PER_S = 1e9
+
+
+class ListKeys:
+    """Store keys of one service's endpoint list as a document."""
+
+    def __init__(self, service: str) -> None:
+        self.list = f"list/{service}"
+        self.confirmation = f"listed/{service}"
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListContext:
+    """What the leader's and the follower's half of the endpoint list work with."""
+
+    driver: Driver
+    discovery: Discovery
+    client: Client
+    owner: Owner  # the lease of the list's leader
+    service: str
+    address_map: AddressMap
+
+
+class EndpointFollower:
+    """Puts the leader's lists in force, and polls discovery while the leader is silent."""
+
+    def __init__(
+        self,
+        context: EndpointListContext,
+        has_rows: bool,
+        on_document_while_leading: Callable[[Row, SavedEndpointList | None], None],
+    ) -> None:
+        """Creates the follower.
+
+        Args:
+            context: What it works with.
+            has_rows: Whether it follows rows, too.
+            on_document_while_leading: Called with each list document that is seen while this
+                process is the leader.
+        """
+        self.driver = context.driver
+        self.discovery = context.discovery
+        self.client = context.client
+        self.owner = context.owner
+        self.address_map = context.address_map
+        self.keys = ListKeys(context.service)
+        self.table = RowTable(context.service) if has_rows else None
+        self.on_document_while_leading = on_document_while_leading
+        self.source = EndpointSource(
+            self.driver.settings.instance_count, random.Random(os.urandom(8)), clock_ns()
+        )
+        # Whether the list in force is the table's, so that a delta of its rows is enough.
+        self.mirrors_table = False
+        self.rejection_logged_s = -REJECTION_LOG_INTERVAL_S
+
+    # ---- the store -------------------------------------------------------------------------------
+
+    async def follow_list(self) -> None:
+        """Takes the committed list first, then each change after it.
+
+        Raises:
+            StoreError: The store did not serve a read or the watch.
+        """
+        keys = [self.keys.list, self.keys.confirmation]
+        if self.table is not None:
+            keys.append(self.table.keys.list)
+        found = await self.client.get(*keys)
+        now = clock_ns()
+        document = decode_row(found.rows[0], SavedEndpointList)
+        position = (
+            FencingPosition(document.token, document.sequence) if document else FencingPosition()
+        )
+        self.source.learn_committed(position, now)
+        if self.table is not None:
+            self.source.learn_committed(position_of(found.rows[2]), now)
+        self._receive_document(found.rows[0])
+        if self.table is not None:
+            self.apply_table(None)
+        # With rows, only this service's key: the lists of all services are too much for each
+        # balancer.
+        await self._watch("list" if self.table is None else self.keys.list, found.revision)
+
+    async def follow_confirmations(self) -> None:
+        """Watches the confirmations, which `follow_list` does not where there are rows.
+
+        Raises:
+            StoreError: The store did not serve a read or the watch.
+        """
+        found = await self.client.get(self.keys.confirmation, stale=True)
+        self._receive_confirmation(found.rows[0])
+        await self._watch(self.keys.confirmation, found.revision)
+
+    async def _watch(self, prefix: str, revision: int) -> None:
+        async for event in self.client.watch(prefix, revision):
+            for change in event.changes:
+                row = Row(change.key, change.value, change.version, change.revision)
+                if change.key == self.keys.list:
+                    self._receive_document(row)
+                elif change.key == self.keys.confirmation:
+                    self._receive_confirmation(row)
+
+    def _receive_document(self, row: Row) -> None:
+        saved = decode_row(row, SavedEndpointList)
+        if self.owner.working:
+            self.on_document_while_leading(row, saved)
+            return
+        if saved is None or not saved.token:
+            return  # written by a program without leases
+        if self.table is not None and self.table.position.token >= saved.token:
+            return  # the rows are of this leader or a later one
+        if self._accepts(row.key, FencingPosition(saved.token, saved.sequence)):
+            self.mirrors_table = False
+            self._learn(api.EndpointListKind.FULL, load_endpoints(saved))
+
+    def _receive_confirmation(self, row: Row) -> None:
+        confirmation = decode_row(row, LeaderConfirmation)
+        if confirmation is not None:
+            position = FencingPosition(confirmation.token, confirmation.sequence)
+            self.source.confirm(position, confirmation.heartbeat, clock_ns())
+
+    def _accepts(self, key: str, position: FencingPosition) -> bool:
+        if self.source.accept_list(position, clock_ns()):
+            return True
+        log_stale_message(key, position, self.source.receiver)
+        return False
+
+    # ---- the changefeed --------------------------------------------------------------------------
+
+    def check_row(self, scope: str, row: FeedRow) -> str:
+        """Returns why this program can't use a row; empty if it can.
+
+        The changefeed client reports the answer to the node.
+        """
+        error = row_codec.find_row_error(scope, row)
+        now_s = time.monotonic()
+        if error and now_s - self.rejection_logged_s >= REJECTION_LOG_INTERVAL_S:
+            self.rejection_logged_s = now_s
+            log.warning(
+                "row rejected, keeping its previous value: key=%s scope=%s version=%d error=%s",
+                row.key,
+                scope,
+                row.version,
+                error,
+            )
+        return error
+
+    def apply_rows(self, update: Apply) -> None:
+        """Handles rows from the changefeed."""
+        if self.table is None or update.scope != self.table.keys.scope:
+            return
+        delta = self.table.update(update.whole, update.rows)
+        self.apply_table(None if update.whole else delta)
+
+    def apply_table(self, delta: list[Endpoint] | None) -> None:
+        """Puts the table in force.
+
+        Args:
+            delta: What changed in it; None: anything.
+        """
+        table = self.table
+        if table is None or self.owner.working:
+            return
+        if table.list_row is None or not table.endpoints:
+            # A list without any upstream is not believed; nor does the leader publish one.
+            self.mirrors_table = False
+            return
+        if not self.source.receiver.is_initialized:
+            self._start_from(table)
+        elif not self._accepts(table.keys.list, table.position):
+            self.mirrors_table = False
+        elif delta is None or not self.mirrors_table:
+            self.mirrors_table = True
+            self._learn(api.EndpointListKind.FULL, table.all())
+        elif delta:
+            self._learn(api.EndpointListKind.DELTA, delta)
+
+    def _start_from(self, table: RowTable) -> None:
+        """Uses a table that may not be committed, where nothing else is known."""
+        if table.list_row is None:
+            return
+        endpoints = table.all()
+        if start_from_cache(self.driver, table.list_row.written_at_s, self._dialed(endpoints)):
+            log.info(
+                "endpoint list loaded from rows: upstreams=%d age=%s",
+                len(endpoints),
+                shown_age(age_s(table.list_row.written_at_s)),
+            )
+
+    def _learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
+        self.driver.learn(kind, self._dialed(endpoints))
+
+    def _dialed(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+        return self.address_map.to_dialed(endpoints)
+
+    # ---- discovery -------------------------------------------------------------------------------
+
+    async def poll_while_leader_is_silent(self) -> None:
+        """Polls discovery where the leader's messages are old or missing."""
+        was_polling = False
+        while True:
+            if self.source.take_due_poll(clock_ns()):
+                self.discovery.fetch()
+            if self.source.is_polling is not was_polling:
+                was_polling = self.source.is_polling
+                log.info(
+                    "endpoint list leader silent, polling discovery"
+                    if was_polling
+                    else "endpoint list leader active again"
+                )
+            wait_s = (self.source.wake_ns - clock_ns()) / NS_PER_S
+            await asyncio.sleep(min(MAX_POLL_CHECK_S, max(MIN_POLL_CHECK_S, wait_s)))
+
+
+def log_stale_message(key: str, position: FencingPosition, receiver: FencedReceiver) -> None:
+    """Logs that a message of an earlier leader was ignored."""
+    log.info(
+        "stale message ignored: key=%s token=%s highest_token=%s",
+        key,
+        format_token(position.token),
+        format_token(receiver.highest.token),
+    )
+
+
+def start_from_cache(driver: Driver, saved_at_s: float, endpoints: list[Endpoint]) -> bool:
+    """Gives the driver a list from before its start, unless it has one or this one is too old.
+
+    Args:
+        driver: The driver.
+        saved_at_s: Unix time of the list.
+        endpoints: The list, with the addresses to dial.
+
+    Returns:
+        Whether the driver was given the list.
+    """
+    age = age_s(saved_at_s)
+    is_recent = age is None or age < MAX_CACHED_LIST_AGE_S
+    if not is_recent or driver.told.is_set() or driver.upstreams.targets:
+        return False
+    driver.learn(api.EndpointListKind.CACHED, endpoints)
+    return True
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -1,21 +1,21 @@
-"""The list of upstreams as rows of the feed: its owner writes those that differ, the others keep a
-table.
+"""The endpoint list as rows of the changefeed: written by its leader, followed by the others.
 
-The store refuses a write that bears an old token, and the feed never goes back: so of two rows the
-later one is the word of the later owner. What a deposed owner had not yet written is written by the
-next one, which compares with what stands.
+The store rejects a write with an old token, and the changefeed never goes back: so of two rows
+the later one is from the later leader. What a deposed leader had not written yet is written by
+the next one, which compares with what is stored.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
 from typing import TypeVar
 
 from loadbalancer.changefeed.messages import Row
 from loadbalancer.daemon import row_codec
-from loadbalancer.daemon.persisted import SavedList, decoded, save_list
-from loadbalancer.daemon.row_codec import Keys, ListRow, differences
+from loadbalancer.daemon.persisted import SavedEndpointList, decode_row, save_endpoints
+from loadbalancer.daemon.row_codec import ListRow, RowKeys, plan_writes
 from loadbalancer.leases.fence import FencingPosition
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.client import Client
@@ -25,40 +25,67 @@
 from loadbalancer.wallclock import unix_s
 
 T = TypeVar("T")
-OWN = 2  # of a write's operations: the owner's word, and the service where it is not there
+
+# Operations of a write beside the upstreams: the list's row, and the service's where it is missing.
+OVERHEAD_OPERATIONS = 2
+
+ListedEndpoints = Callable[[Iterable[int] | None], Iterable[Endpoint]]
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoveryVersion:
+    """Version of an endpoint list, as counted by one discovery server."""
+
+    version: int
+    source: str
 
 
 class RowWriter:
-    """As the owner. It knows what stands from reading it once a term, and from its own writes."""
+    """Writes rows as the leader.
 
-    def __init__(self, client: Client, owner: Owner, service: str, most: int = MOST_OPS) -> None:
+    It knows the stored rows from one read a term and from its own writes.
+
+    Args:
+        client: Client of the store.
+        owner: The lease under which rows are written.
+        service: The service's name.
+        max_operations: Operations of one write.
+    """
+
+    def __init__(
+        self, client: Client, owner: Owner, service: str, max_operations: int = MOST_OPS
+    ) -> None:
         self.client = client
         self.owner = owner
         self.service = service
-        self.keys = Keys(service)
-        self.most = most - OWN
-        self.stored: dict[str, tuple[int, bytes]] = {}
-        self.versions: dict[str, int] = {}  # of the service's row and the list's; 0: not there
-        self.word: ListRow | None = None
-        self.read_there = False  # is what stands known?
-        self.touched: set[int] | None = (
-            None  # upstreams that may differ from what stands; None: any
-        )
-        self.number = 0  # of this owner's writes
-
-    def began(self) -> None:
-        self.number = 0
+        self.keys = RowKeys(service)
+        self.max_upstreams = max_operations - OVERHEAD_OPERATIONS
+        self.stored: dict[str, tuple[int, bytes]] = {}  # upstreams: version and value by key
+        self.versions: dict[str, int] = {}  # of the service's row and the list's; 0: missing
+        self.last_position: ListRow | None = None
+        self.is_synchronized = False  # whether `stored` is what the store has
+        self.touched: set[int] | None = None  # upstreams that may differ; None: any
+        self.sequence = 0  # of this leader's writes
+
+    def begin_term(self) -> None:
+        """Starts counting writes anew."""
+        self.sequence = 0
 
     def touch(self, numbers: Iterable[int] | None) -> None:
-        """These may have changed; None: any."""
+        """Notes upstreams that may have changed; None: any."""
         if numbers is None:
             self.touched = None
         elif self.touched is not None:
             self.touched.update(numbers)
 
     async def read(self) -> ListRow | None:
-        """What stands, and the last owner's word. Read after the token was granted: nobody before
-        can change it any more. Raises StoreError.
+        """Reads all rows, once the lease is acquired: no earlier leader can change them any more.
+
+        Returns:
+            The last leader's position.
+
+        Raises:
+            StoreError: The store did not serve a read.
         """
         found = await self.client.get(self.keys.service, self.keys.list)
         scanned = await self.client.scan(self.keys.upstreams)
@@ -66,149 +93,193 @@
         self.stored = {
             row.key: (row.version, row.value) for row in scanned.rows if row.value is not None
         }
-        self.word = _word(found.rows[1])
-        if self.word is not None and self.word.token == self.owner.working:
-            self.number = max(self.number, self.word.number)
-        self.touched, self.read_there = None, True
-        return self.word
-
-    async def put(
-        self,
-        known: Callable[[Iterable[int] | None], Iterable[Endpoint]],
-        token: int,
-        version: int,
-        source: str,
-    ) -> bool:
-        """Make the rows those of the list, as discovery at `source` told it at its `version`; was
-        there anything to write? `known`: what is listed of some upstreams, None: of all, with the
-        addresses that all know. Raises StoreError, and Malformed where one can't be a row: then
-        nothing is written.
+        position = _read_list(found.rows[1])
+        if position is not None and position.token == self.owner.working:
+            self.sequence = max(self.sequence, position.sequence)
+        self.last_position = position
+        self.touched = None
+        self.is_synchronized = True
+        return position
+
+    async def write(self, listed: ListedEndpoints, token: int, discovery: DiscoveryVersion) -> bool:
+        """Writes the rows that differ from the list.
+
+        Args:
+            listed: Returns the listed endpoints of some numbers, or all, with canonical addresses.
+            token: The lease's token.
+            discovery: Version of the list.
+
+        Returns:
+            Whether there was anything to write.
+
+        Raises:
+            StoreError: The store did not serve a read or a write.
+            Malformed: An endpoint can't be a row; nothing is written.
         """
-        if not self.read_there:
+        if not self.is_synchronized:
             await self.read()
-        wanted = {self.keys.upstream(e.entry.id): row_codec.packed(e) for e in known(self.touched)}
-        stored: Mapping[str, tuple[int, bytes]] = self.stored
-        if self.touched is not None:
-            names = map(self.keys.upstream, self.touched)
-            stored = {name: self.stored[name] for name in names if name in self.stored}
-        batches = differences(stored, wanted, self.most)
-        if not batches and (self.word is None or self.word.token != token):
-            batches = [()]  # the new owner's word, at least: its later ones are bound to it
+        batches = self._plan(listed)
+        is_new_term = self.last_position is None or self.last_position.token != token
+        if not batches and is_new_term:
+            batches = [()]  # the new leader's position, at least: its later ones build on it
         self.touched = set()
-        self.read_there = False  # until all is written
+        self.is_synchronized = False  # until all is written
         for batch in batches:
-            await self._write(
-                batch, ListRow(token, self.number + 1, version, source, int(unix_s()))
+            position = ListRow(
+                token, self.sequence + 1, discovery.version, discovery.source, int(unix_s())
             )
-        self.read_there = True
+            await self._write_batch(batch, position)
+        self.is_synchronized = True
         return bool(batches)
 
-    async def _write(self, batch: row_codec.Batch, word: ListRow) -> None:
-        service, listed = self.keys.service, self.keys.list
-        ops = [*batch, Op(listed, row_codec.pack(word), self.versions[listed])]
-        refs: list[tuple[str, ...]] = [(service,) if op.value is not None else () for op in ops]
-        if not self.versions[service]:
-            ops.append(Op(service, row_codec.pack(row_codec.ServiceRow(self.service)), 0))
-            refs.append(())
-        result = await self.owner.write_rows(ops, refs)
-        for op, version in zip(ops, result.versions, strict=True):
-            if op.key in self.versions:
-                self.versions[op.key] = version
-            elif op.value is None:
-                del self.stored[op.key]
+    def _plan(self, listed: ListedEndpoints) -> list[row_codec.Batch]:
+        desired = {
+            self.keys.upstream(endpoint.entry.id): row_codec.encode_upstream(endpoint)
+            for endpoint in listed(self.touched)
+        }
+        stored: Mapping[str, tuple[int, bytes]] = self.stored
+        if self.touched is not None:
+            keys = map(self.keys.upstream, self.touched)
+            stored = {key: self.stored[key] for key in keys if key in self.stored}
+        return plan_writes(stored, desired, self.max_upstreams)
+
+    async def _write_batch(self, batch: row_codec.Batch, position: ListRow) -> None:
+        service_key, list_key = self.keys.service, self.keys.list
+        operations = [*batch, Op(list_key, row_codec.encode(position), self.versions[list_key])]
+        references: list[tuple[str, ...]] = [
+            (service_key,) if operation.value is not None else () for operation in operations
+        ]
+        if not self.versions[service_key]:
+            service_row = row_codec.encode(row_codec.ServiceRow(self.service))
+            operations.append(Op(service_key, service_row, 0))
+            references.append(())
+        result = await self.owner.write_rows(operations, references)
+        for operation, version in zip(operations, result.versions, strict=True):
+            if operation.key in self.versions:
+                self.versions[operation.key] = version
+            elif operation.value is None:
+                del self.stored[operation.key]
             else:
-                self.stored[op.key] = version, op.value
-        self.word, self.number = word, word.number
+                self.stored[operation.key] = version, operation.value
+        self.last_position = position
+        self.sequence = position.sequence
 
 
 class RowTable:
-    """As one of the others: the service's rows as the feed tells them."""
+    """A follower's copy of the service's rows, as the changefeed delivers them."""
 
     def __init__(self, service: str) -> None:
-        self.keys = Keys(service)
-        self.endpoints: dict[str, Endpoint] = {}  # by KIND/NAME, with the addresses that all know
-        self.word: ListRow | None = None
-        self.came = asyncio.Event()
+        self.keys = RowKeys(service)
+        self.endpoints: dict[str, Endpoint] = {}  # by KIND/NAME, with canonical addresses
+        self.list_row: ListRow | None = None
+        self.received = asyncio.Event()
 
     @property
-    def said(self) -> FencingPosition:
-        return _order(self.word)
+    def position(self) -> FencingPosition:
+        """Position of the leader's last write."""
+        return _position_of(self.list_row)
 
-    def take(self, whole: bool, changed: Iterable[Row]) -> list[Endpoint]:
-        """The upstreams that changed, those that went as gone; rows are such as `rows.check` let
-        through.
+    def update(self, is_snapshot: bool, changed: Iterable[Row]) -> list[Endpoint]:
+        """Takes rows that `find_row_error` accepted.
+
+        Args:
+            is_snapshot: Whether the rows are all that exist.
+            changed: The rows.
+
+        Returns:
+            The endpoints that changed; those deleted in state REMOVED.
         """
-        if whole:
-            self.endpoints, self.word = {}, None
-        told: list[Endpoint] = []
+        if is_snapshot:
+            self.endpoints = {}
+            self.list_row = None
+        delta: list[Endpoint] = []
         for row in changed:
             kind = row.key.partition("/")[0]
             if kind == "list":
-                self.word = row_codec.unpack_list(row.value) if row.value is not None else None
+                self.list_row = row_codec.decode_list(row.value) if row.value is not None else None
             elif kind == "upstream" and row.value is not None:
-                told.append(row_codec.endpoint_of(row_codec.unpack_upstream(row.value)))
-                self.endpoints[row.key] = told[-1]
+                endpoint = row_codec.to_endpoint(row_codec.decode_upstream(row.value))
+                self.endpoints[row.key] = endpoint
+                delta.append(endpoint)
             elif row.key in self.endpoints:
-                told.append(row_codec.gone(self.endpoints.pop(row.key).entry.id))
-        self.came.set()
-        return told
+                delta.append(row_codec.removed_endpoint(self.endpoints.pop(row.key).entry.id))
+        self.received.set()
+        return delta
 
     def all(self) -> list[Endpoint]:
+        """Returns all endpoints, ordered by key."""
         return [self.endpoints[key] for key in sorted(self.endpoints)]
 
 
-class StoredList:
-    """The list as the store has it, for who only looks at it now and then: rows or document,
-    whichever is the later owner's. Rows are read anew only where the owner has written since.
+class EndpointListReader:
+    """Reads the stored list now and then: rows or document, whichever the later leader wrote.
+
+    Rows are read again only if the leader has written since.
     """
 
     def __init__(self, client: Client, service: str) -> None:
         self.client = client
-        self.keys = Keys(service)
+        self.keys = RowKeys(service)
         self.version = 0
-        self.saved: SavedList | None = None
+        self.from_rows: SavedEndpointList | None = None
+
+    async def read(
+        self, document_row: protocol.Row, list_row: protocol.Row, stale: bool = False
+    ) -> SavedEndpointList | None:
+        """Returns the list.
+
+        Args:
+            document_row: The row of `list/SERVICE`.
+            list_row: The row of the leader's position.
+            stale: Whether any node's answer will do.
 
-    async def of(
-        self, document: protocol.Row, word: protocol.Row, stale: bool = False
-    ) -> SavedList | None:
-        """`document` and `word`: the rows of `list/SERVICE` and of the owner's word. Raises
-        StoreError.
+        Raises:
+            StoreError: The store did not serve a read.
         """
-        saved: SavedList | None = decoded(document, SavedList)
-        said = _word(word)
-        if said is None or (saved is not None and saved.token > said.token):
-            return saved
-        if self.saved is None or self.version != word.version:
+        document = decode_row(document_row, SavedEndpointList)
+        position = _read_list(list_row)
+        if position is None or (document is not None and document.token > position.token):
+            return document
+        if self.from_rows is None or self.version != list_row.version:
             found = await self.client.scan(self.keys.upstreams, stale=stale)
-            endpoints = [e for e in map(_endpoint, found.rows) if e is not None]
-            self.saved = SavedList(
-                said.at, save_list(endpoints), said.token, said.number, said.version, said.source
+            endpoints = filter(None, map(_read_endpoint, found.rows))
+            self.from_rows = SavedEndpointList(
+                position.written_at_s,
+                save_endpoints(endpoints),
+                position.token,
+                position.sequence,
+                position.discovery_version,
+                position.source,
             )
-            self.version = word.version
-        return self.saved
+            self.version = list_row.version
+        return self.from_rows
 
 
-def said(row: protocol.Row) -> FencingPosition:
-    """Of the owner's word, as it stands in the store, its place among others."""
-    return _order(_word(row))
+def position_of(row: protocol.Row) -> FencingPosition:
+    """Returns the position of the leader's last write from the list's row in the store."""
+    return _position_of(_read_list(row))
 
 
-def _order(word: ListRow | None) -> FencingPosition:
-    return FencingPosition(word.token, word.number) if word is not None else FencingPosition()
+def _position_of(list_row: ListRow | None) -> FencingPosition:
+    return (
+        FencingPosition(list_row.token, list_row.sequence)
+        if list_row is not None
+        else FencingPosition()
+    )
 
 
-def _word(row: protocol.Row) -> ListRow | None:
-    return _read(row, row_codec.unpack_list)
+def _read_list(row: protocol.Row) -> ListRow | None:
+    return _read(row, row_codec.decode_list)
 
 
-def _endpoint(row: protocol.Row) -> Endpoint | None:
-    found = _read(row, row_codec.unpack_upstream)
-    return row_codec.endpoint_of(found) if found is not None else None
+def _read_endpoint(row: protocol.Row) -> Endpoint | None:
+    upstream = _read(row, row_codec.decode_upstream)
+    return row_codec.to_endpoint(upstream) if upstream is not None else None
 
 
-def _read(row: protocol.Row, unpack: Callable[[bytes], T]) -> T | None:
-    """None where it is not there or does not read."""
+def _read(row: protocol.Row, decode: Callable[[bytes], T]) -> T | None:
+    """Returns None where the row does not exist or can't be decoded."""
     try:
-        return unpack(row.value) if row.value is not None else None
+        return decode(row.value) if row.value is not None else None
     except ValueError:
         return None
--- a/loadbalancer/daemon/endpoint_source.py
+++ b/loadbalancer/daemon/endpoint_source.py
@@ -1,8 +1,9 @@
-"""By whose word a balancer knows the list of upstreams, and when it asks discovery itself. Pure.
+"""Decides where a balancer takes the endpoint list from, and when it polls discovery. Pure.
 
-One owner watches discovery and puts the list into the store; the others go by that. Where the
-owner's word is missing or old, each asks by itself, at times drawn so that all of them together
-make no more calls than `CALLS_S` a second: nobody can count the others when the store is away.
+One leader watches discovery and publishes the list to the store; the other balancers follow it.
+Where the leader is silent or unknown, each balancer polls discovery itself, at times drawn so
+that all of them together make at most `FLEET_POLLS_PER_S` calls: no balancer can count the others
+while the store is unavailable.
 """
 
 from __future__ import annotations
@@ -12,74 +13,86 @@
 from loadbalancer.leases.fence import FencedReceiver, FencingPosition
 
 SECOND = 1_000_000_000
-OLD_NS = 12 * SECOND  # three times what the owner's watch of discovery may be silent
-# A balancer that knows of no upstream waits no longer for the first word, and its first call is
-# spread over the second at most: a restart routes within two seconds, store or no store.
-FIRST_NS, FIRST_SPREAD_NS = SECOND // 4, SECOND // 2
-CALLS_S = 10.0  # of all balancers together, where the owner is silent
-LEAST_NS = SECOND  # between two calls of one
+LEADER_TIMEOUT_NS = 12 * SECOND  # three times the longest silence of the leader's discovery watch
+# A balancer without any upstream waits less for the first message, and its first poll is spread
+# over half a second at most: a restart routes within two seconds, store or no store.
+INITIAL_TIMEOUT_NS = SECOND // 4
+INITIAL_SPREAD_NS = SECOND // 2
+FLEET_POLLS_PER_S = 10.0  # of all balancers together, while the leader is silent
+MIN_POLL_INTERVAL_NS = SECOND
+POLL_JITTER = (0.8, 1.2)
 
 
-class Follower:
-    def __init__(self, balancers: int, rng: random.Random, now: int) -> None:
+class EndpointSource:
+    """Follows the leader's messages, and plans own polls of discovery while there are none."""
+
+    def __init__(self, balancer_count: int, rng: random.Random, now: int) -> None:
         self.rng = rng
         self.receiver = FencedReceiver(FencingPosition())
-        self.beat = 0  # how often the owner said that its list stands
-        self.heard_ns = now  # the owner's last new word
-        self.owner = False
-        self.empty = True  # nothing is known yet
-        self.every_ns = max(LEAST_NS, int(balancers / CALLS_S * SECOND))
-        self.ask_ns = 0  # the next call of its own; 0: none is planned
-
-    def owns(self, on: bool, now: int) -> None:
-        self.owner = on
-        self.heard_ns, self.ask_ns = now, 0
-
-    def learn(self, word: FencingPosition, now: int) -> None:
-        """What a majority has: heard before any other word is heeded."""
-        self.receiver.learn(word)
-        if word.token:
-            self._fresh(now)
-
-    def listed(self, word: FencingPosition, now: int) -> bool:
-        """A list came. May it be gone by?"""
-        if not self.receiver.accept(word):
+        self.heartbeat = 0  # the leader's last count of its confirmations
+        self.last_message_ns = now  # the leader's last new message
+        self.is_leader = False
+        self.is_empty = True  # no list is known yet
+        self.poll_interval_ns = max(
+            MIN_POLL_INTERVAL_NS, int(balancer_count / FLEET_POLLS_PER_S * SECOND)
+        )
+        self.next_poll_ns: int | None = None
+
+    def set_leader(self, is_leader: bool, now: int) -> None:
+        """Notes that this process became the leader, or no longer is."""
+        self.is_leader = is_leader
+        self._reset_timeout(now)
+
+    def learn_committed(self, position: FencingPosition, now: int) -> None:
+        """Takes the position that a majority holds, before any other message is accepted."""
+        self.receiver.learn(position)
+        if position.token:
+            self._reset_timeout(now)
+
+    def accept_list(self, position: FencingPosition, now: int) -> bool:
+        """Returns whether a list that was received may be used."""
+        if not self.receiver.accept(position):
             return False
-        self.empty = False
-        self._fresh(now)
+        self.is_empty = False
+        self._reset_timeout(now)
         return True
 
-    def stands(self, word: FencingPosition, beat: int, now: int) -> None:
-        """The owner said that its list is still discovery's."""
-        if word == self.receiver.highest and beat > self.beat:
-            self._fresh(now)
-        self.beat = beat
+    def confirm(self, position: FencingPosition, heartbeat: int, now: int) -> None:
+        """Handles the leader's confirmation that its list still matches discovery."""
+        if position == self.receiver.highest and heartbeat > self.heartbeat:
+            self._reset_timeout(now)
+        self.heartbeat = heartbeat
 
-    def _fresh(self, now: int) -> None:
-        self.heard_ns, self.ask_ns = now, 0
+    def _reset_timeout(self, now: int) -> None:
+        self.last_message_ns = now
+        self.next_poll_ns = None
 
-    def asks(self, now: int) -> bool:
-        """Is it time for a call of its own?"""
-        if self.owner:
+    def take_due_poll(self, now: int) -> bool:
+        """Returns whether to poll discovery now; if so, plans the next poll."""
+        if self.is_leader or now < self._timeout_ns:
             return False
-        old = self.heard_ns + (FIRST_NS if self.empty else OLD_NS)
-        if now < old:
+        if self.next_poll_ns is None:
+            # All balancers notice the silence at once: the first round is spread like the others.
+            spread_ns = self.poll_interval_ns
+            if self.is_empty:
+                spread_ns = min(spread_ns, INITIAL_SPREAD_NS)
+            self.next_poll_ns = now + int(self.rng.random() * spread_ns)
+        if now < self.next_poll_ns:
             return False
-        if not self.ask_ns:
-            # All learn at once that the owner is silent: spread over the first round as over the
-            # others.
-            first = min(self.every_ns, FIRST_SPREAD_NS) if self.empty else self.every_ns
-            self.ask_ns = now + int(self.rng.random() * first)
-        if now < self.ask_ns:
-            return False
-        self.ask_ns = now + int(self.every_ns * self.rng.uniform(0.8, 1.2))
+        self.next_poll_ns = now + int(self.poll_interval_ns * self.rng.uniform(*POLL_JITTER))
         return True
 
     @property
-    def alone(self) -> bool:
-        """Does it go by its own calls for now?"""
-        return not self.owner and self.ask_ns > 0
+    def is_polling(self) -> bool:
+        """Whether this balancer goes by its own polls for now."""
+        return not self.is_leader and self.next_poll_ns is not None
 
     @property
     def wake_ns(self) -> int:
-        return self.ask_ns or self.heard_ns + (FIRST_NS if self.empty else OLD_NS)
+        """When `take_due_poll` is to be called next."""
+        return self._timeout_ns if self.next_poll_ns is None else self.next_poll_ns
+
+    @property
+    def _timeout_ns(self) -> int:
+        """When the leader counts as silent."""
+        return self.last_message_ns + (INITIAL_TIMEOUT_NS if self.is_empty else LEADER_TIMEOUT_NS)
--- /dev/null
+++ b/loadbalancer/daemon/identity.py
@@ -0,0 +1,13 @@
+"""Identity of a balancer in the store."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class BalancerIdentity:
+    """The service that a balancer serves, and its own name; both are parts of store keys."""
+
+    service: str
+    balancer: str
--- a/loadbalancer/daemon/leased_task.py
+++ b/loadbalancer/daemon/leased_task.py
@@ -1,57 +1,82 @@
-"""A work of the fleet as its owner does it: one turn after the other for as long as the lease is
-held.
-"""
+"""Base of a controller that runs on one process of the fleet at a time, under a lease."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+from abc import ABC, abstractmethod
+from collections.abc import Callable
+from typing import Protocol
 
 from loadbalancer.store.client import Conflict, StoreError
 from loadbalancer.store.lease_client import NotOwner, Owner
 
 log = logging.getLogger(__name__)
 
-AGAIN_S = 0.5  # after what went wrong
-CHANGED_S = 0.02  # after somebody changed meanwhile what a turn had read
+ERROR_RETRY_S = 0.5
+CONFLICT_RETRY_S = 0.02  # another process changed meanwhile what a step had read
+MIN_WAIT_S = 0.01
 
 
-class OwnedWork:
-    def __init__(self, owner: Owner, what: str) -> None:
-        """`what` it is called in logs."""
-        self.owner = owner
-        self.what = what
-        self.working: asyncio.Task[None] | None = None
-        owner.began, owner.ended = self.began, self.ended
+class LeaseFactory(Protocol):
+    """Creates the client of one lease, with the callbacks for acquiring and losing it."""
 
-    def anew(self) -> None:
-        """Forget what this process saw as an owner of before: it is old."""
-        raise NotImplementedError
+    def __call__(self, on_acquired: Callable[[int], None], on_lost: Callable[[], None]) -> Owner:
+        """Returns a new lease client."""
+        ...
 
-    async def turn(self) -> float:
-        """One look and at most one step; seconds until the next. Raises StoreError."""
-        raise NotImplementedError
 
-    def began(self, token: int) -> None:
-        self.anew()
-        self.working = asyncio.get_running_loop().create_task(self._work())
+class LeasedTask(ABC):
+    """Runs `step` again and again for as long as the lease is held."""
 
-    def ended(self) -> None:
-        if self.working is not None:
-            self.working.cancel()
-            self.working = None
+    def __init__(self, lease_factory: LeaseFactory, name: str) -> None:
+        """Creates the lease; it is started by its creator.
 
-    async def _work(self) -> None:
+        Args:
+            lease_factory: Creates the lease with this task's callbacks.
+            name: Name of the task in log lines.
+        """
+        self.owner = lease_factory(self.on_lease_acquired, self.on_lease_lost)
+        self.name = name
+        self.running: asyncio.Task[None] | None = None
+
+    @abstractmethod
+    def reset(self) -> None:
+        """Drops all state of an earlier term: it is out of date."""
+
+    @abstractmethod
+    async def step(self) -> float:
+        """Observes once and makes at most one write.
+
+        Returns:
+            Seconds until the next step.
+
+        Raises:
+            StoreError: The store did not serve a read or a write.
+        """
+
+    def on_lease_acquired(self, _token: int) -> None:
+        """Begins a term."""
+        self.reset()
+        self.running = asyncio.get_running_loop().create_task(self._run())
+
+    def on_lease_lost(self) -> None:
+        """Ends the term."""
+        if self.running is not None:
+            self.running.cancel()
+            self.running = None
+
+    async def _run(self) -> None:
         while True:
-            wait = AGAIN_S
+            wait_s = ERROR_RETRY_S
             try:
-                wait = await self.turn()
+                wait_s = await self.step()
             except NotOwner:
                 return
             except Conflict:
-                wait = CHANGED_S
+                wait_s = CONFLICT_RETRY_S
             except StoreError as error:
-                log.warning("%s: %s", self.what, error)
+                log.warning("step failed: task=%s error=%s", self.name, error)
             except Exception:
-                log.exception("%s", self.what)
-            await asyncio.sleep(max(0.01, wait))
+                log.exception("step failed: task=%s", self.name)
+            await asyncio.sleep(max(MIN_WAIT_S, wait_s))
--- /dev/null
+++ b/loadbalancer/daemon/observation.py
@@ -0,0 +1,49 @@
+"""What a controller reads repeatedly from the store: ages of rows, names held, list freshness."""
+
+from __future__ import annotations
+
+import time
+
+from loadbalancer.leases import table
+from loadbalancer.store.client import Client
+from loadbalancer.store.wire.protocol import Row
+
+NEVER_AGE_S = 1e9  # age of an endpoint list that does not exist
+
+
+class RowAges:
+    """How long each row has stood as it is, by this process's own clock: no other is trusted."""
+
+    def __init__(self) -> None:
+        self.first_seen: dict[str, tuple[int, float]] = {}
+
+    def age_s(self, key: str, version: int) -> float:
+        """Returns the time since the key was first seen at this version."""
+        now_s = time.monotonic()
+        if self.first_seen.get(key, (-1, 0.0))[0] != version:
+            self.first_seen[key] = version, now_s
+        return now_s - self.first_seen[key][1]
+
+    def retain(self, keys: set[str]) -> None:
+        """Forgets all other keys."""
+        for removed in self.first_seen.keys() - keys:
+            del self.first_seen[removed]
+
+
+async def read_live_balancers(client: Client, prefix: str, stale: bool = False) -> set[str]:
+    """Returns the names of the balancers that hold their name's lease.
+
+    Args:
+        client: Client of the store.
+        prefix: Key prefix of the name leases.
+        stale: Whether any node's answer will do.
+
+    Raises:
+        StoreError: The store did not serve the read.
+    """
+    names = await client.scan(prefix, stale=stale)
+    return {row.key.removeprefix(prefix) for row in names.rows if _is_held(row)}
+
+
+def _is_held(row: Row) -> bool:
+    return row.value is not None and table.unpack(row.value).is_held
--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -1,12 +1,14 @@
-"""Lists and learnt state as they stand in the store: with clock time in place of a process's
-own.
+"""Endpoint lists and learned state as they stand in the store.
+
+Stored times are wall-clock times, in place of the monotonic clock of one process. Field names in
+the store are those given by `msgspec.field(name=...)`.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Mapping
-from typing import Any
+from collections.abc import Iterable, Mapping
+from typing import TypeVar
 
 import msgspec
 
@@ -18,10 +20,14 @@
 log = logging.getLogger(__name__)
 
 SAME_START_S = 0.1  # an older program saved starts rounded to this
+MS_PER_S = 1000
+NS_PER_S = 1e9
+
+T = TypeVar("T")
 
 
-class Located(msgspec.Struct, frozen=True):
-    """An upstream, as the module numbers it, and where it is, as all balancers know it."""
+class UpstreamLocation(msgspec.Struct, frozen=True):
+    """An upstream's number in the policy and its canonical address."""
 
     id: int
     host: str
@@ -31,132 +37,155 @@
     cell: int
 
 
-class SavedEndpoint(Located, frozen=True):
-    """An entry of a list, with clock time in place of this process's."""
+class SavedEndpoint(UpstreamLocation, frozen=True):
+    """An entry of a stored list. `started_s`: Unix time; 0: long ago."""
 
     weight: float
-    started: float  # Unix time; 0: long ago
-    draining: bool
+    started_s: float = msgspec.field(name="started")
+    is_draining: bool = msgspec.field(name="draining")
+
 
+class SavedEndpointList(msgspec.Struct, frozen=True):
+    """A stored endpoint list.
 
-class SavedList(msgspec.Struct, frozen=True):
-    """`token`: of the owner that put it, and its count of lists; 0 where a program without owners
-    did. `version`: discovery's own, which counts for itself at each `source`.
+    `token` is that of the leader that published it, `sequence` its count of lists; both are 0
+    where a program without leases wrote it. `discovery_version` counts separately at each `source`.
     """
 
-    at: float
-    servers: list[SavedEndpoint]
+    saved_at_s: float = msgspec.field(name="at")
+    endpoints: list[SavedEndpoint] = msgspec.field(name="servers")
     token: int = 0
-    number: int = 0
-    version: int = -1
+    sequence: int = msgspec.field(name="number", default=0)
+    discovery_version: int = msgspec.field(name="version", default=-1)
     source: str = ""
 
 
-class SavedLearnt(msgspec.Struct, frozen=True):
-    """`paces`: by upstream, its pace and Unix time of the start that it was learnt of."""
+class SavedLearnedState(msgspec.Struct, frozen=True):
+    """What the policy learned.
 
-    at: float
+    `relative_speeds`: by upstream, its relative service time and the Unix time of the start that
+    it was learned of.
+    """
+
+    saved_at_s: float = msgspec.field(name="at")
     rate: float
     demands: dict[str, float]
-    taken: dict[str, float]
+    service_times_ns: dict[str, float] = msgspec.field(name="taken")
     per_request_ns: float = msgspec.field(name="each_ns")
     calm: float
     window: float
-    paces: dict[int, tuple[float, float]]
-
-
-def save_list(endpoints: list[Endpoint]) -> list[SavedEndpoint]:
-    """In a fixed order, so that equal lists are equal bytes."""
-    return sorted(
-        (
-            SavedEndpoint(
-                e.entry.id,
-                e.host,
-                e.port,
-                e.entry.zone,
-                e.entry.kind,
-                e.entry.cell,
-                e.entry.weight,
-                e.started_ms / 1000,
-                e.entry.state is api.UpstreamState.DRAINING,
-            )
-            for e in endpoints
-        ),
-        key=lambda s: s.id,
+    relative_speeds: dict[int, tuple[float, float]] = msgspec.field(name="paces")
+
+
+class LeaderConfirmation(msgspec.Struct, frozen=True):
+    """A leader's confirmation that what it published as `sequence` still stands."""
+
+    token: int
+    sequence: int = msgspec.field(name="number")
+    heartbeat: int = msgspec.field(name="beat")
+
+
+def save_endpoints(endpoints: Iterable[Endpoint]) -> list[SavedEndpoint]:
+    """Returns the endpoints in their stored form, ordered so that equal lists are equal bytes."""
+    return sorted(map(_save_endpoint, endpoints), key=lambda saved: saved.id)
+
+
+def _save_endpoint(endpoint: Endpoint) -> SavedEndpoint:
+    entry = endpoint.entry
+    return SavedEndpoint(
+        entry.id,
+        endpoint.host,
+        endpoint.port,
+        entry.zone,
+        entry.kind,
+        entry.cell,
+        entry.weight,
+        endpoint.started_ms / MS_PER_S,
+        entry.state is api.UpstreamState.DRAINING,
     )
 
 
-def load_list(saved: SavedList) -> list[Endpoint]:
-    """The endpoints as they were listed."""
-    return [
-        Endpoint(
-            api.Upstream(
-                s.id,
-                api.UpstreamState.DRAINING if s.draining else api.UpstreamState.READY,
-                s.zone,
-                s.cell,
-                s.weight,
-                kind=s.kind,
-            ),
-            s.host,
-            s.port,
-            round(s.started * 1000),
-        )
-        for s in saved.servers
-    ]
-
-
-def save_learnt(learnt: api.LearnedState, listed: Mapping[int, Endpoint]) -> SavedLearnt:
-    """`listed`: the upstreams as they are listed; what was learnt of others is not kept."""
-    paces = {
-        n: (round(pace, 4), listed[n].started_ms / 1000)
-        for n, (pace, _) in learnt.paces.items()
-        if n in listed
+def load_endpoints(saved: SavedEndpointList) -> list[Endpoint]:
+    """Returns the endpoints as they were listed."""
+    return [_load_endpoint(endpoint) for endpoint in saved.endpoints]
+
+
+def _load_endpoint(saved: SavedEndpoint) -> Endpoint:
+    state = api.UpstreamState.DRAINING if saved.is_draining else api.UpstreamState.READY
+    entry = api.Upstream(saved.id, state, saved.zone, saved.cell, saved.weight, kind=saved.kind)
+    return Endpoint(entry, saved.host, saved.port, round(saved.started_s * MS_PER_S))
+
+
+def save_learned_state(
+    learned: api.LearnedState, endpoints: Mapping[int, Endpoint]
+) -> SavedLearnedState:
+    """Returns learned state in its stored form.
+
+    Args:
+        learned: The policy's state.
+        endpoints: The endpoints as listed now; what was learned of others is dropped.
+    """
+    relative_speeds = {
+        number: (round(speed, 4), endpoints[number].started_ms / MS_PER_S)
+        for number, (speed, _) in learned.paces.items()
+        if number in endpoints
     }
-    return SavedLearnt(
+    return SavedLearnedState(
         unix_s(),
-        learnt.rate,
-        dict(learnt.demands),
-        dict(learnt.taken),
-        learnt.per_request_ns,
-        learnt.calm,
-        learnt.window,
-        paces,
+        learned.rate,
+        dict(learned.demands),
+        dict(learned.taken),
+        learned.per_request_ns,
+        learned.calm,
+        learned.window,
+        relative_speeds,
     )
 
 
-def load_learnt(saved: SavedLearnt, listed: Mapping[int, Endpoint]) -> api.LearnedState | None:
-    """`listed`: upstreams as they are listed now; what was learnt of an earlier start is left out.
-    None where nobody can tell how old it is: the clock was stepped.
+def load_learned_state(
+    saved: SavedLearnedState, endpoints: Mapping[int, Endpoint]
+) -> api.LearnedState | None:
+    """Returns learned state for the policy.
+
+    Args:
+        saved: The stored form.
+        endpoints: The endpoints as listed now; what was learned of an earlier start is dropped.
+
+    Returns:
+        None where its age is unknown, as the wall clock was stepped.
     """
-    age = age_s(saved.at)
+    age = age_s(saved.saved_at_s)
     if age is None:
         return None
-    paces = {
-        n: (pace, listed[n].entry.started_ns)
-        for n, (pace, started) in saved.paces.items()
-        if n in listed and abs(listed[n].started_ms / 1000 - started) < SAME_START_S
+    relative_speeds = {
+        number: (speed, endpoints[number].entry.started_ns)
+        for number, (speed, started_s) in saved.relative_speeds.items()
+        if number in endpoints
+        and abs(endpoints[number].started_ms / MS_PER_S - started_s) < SAME_START_S
     }
     return api.LearnedState(
-        int(age * 1e9),
+        int(age * NS_PER_S),
         saved.rate,
         saved.demands,
-        saved.taken,
+        saved.service_times_ns,
         saved.per_request_ns,
         saved.calm,
         saved.window,
-        paces,
+        relative_speeds,
     )
 
 
-def decoded(row: Row, kind: type[Any]) -> Any:
-    """None where there is none, or it does not read: another version of the program may have
-    written it.
+def decode_row(row: Row, kind: type[T]) -> T | None:
+    """Decodes a row's JSON value.
+
+    Returns:
+        None where the row does not exist or can't be decoded: another version of the program may
+        have written it.
     """
     if row.value is None:
         return None
     try:
         return msgspec.json.decode(row.value, type=kind)
     except ValueError as error:
-        log.warning("store: %s is left aside: %s", row.key, error)
+        log.warning("store row ignored: key=%s error=%s", row.key, error)
         return None
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -1,382 +1,378 @@
-"""A roll: boxes taken out of use for a restart, a few at a time, and put back. Pure: from the roll
-as it stands and what is seen comes the next step, which is one write of the store or nothing.
-
-The state is the roll's document and the set of disabled upstreams; both change in the same write,
-under the owner's token and at the versions that were read. So an owner may die before, during or
-after any step, and the next one goes on from what stands: no box is out twice, none forgotten,
-never more than `at_once` out.
-
-    waiting -> out -> quiet -> back -> done        (each box)
-    out:   in the set; balancers may still have attempts there
-    quiet: every balancer said that it heard, and has nothing under way there: it may be restarted
-    back:  restarted, out of the set again, cold
+"""Decides the next step of a rolling restart. Pure.
+
+From the state in the store and the observed fleet comes the next step, which is one write or
+nothing. The state consists of the rolling restart's document and of the set of disabled
+upstreams; both change in one write, under the leader's token and at the versions that were read.
+So a leader may fail before, during or after any step, and the next one continues from the stored
+state: no upstream is restarted twice, none is forgotten, and never more than `max_unavailable`
+are out of service.
 """
 
 from __future__ import annotations
 
 import re
-from collections.abc import Mapping
+from collections import Counter
 from dataclasses import dataclass, field
-from enum import Enum
 from typing import Any
 
 import msgspec
 
-MOST_BOXES = 1000
-OLD_S = 10.0  # a report or a list older than this is not gone by
-PATIENCE_S = 60.0  # what is old for so long stops the roll
-SERVICE_PART = 0.9  # of the part that was served when the roll began; below it the roll stops
-APART_S = 1.0  # two starts of a box are further apart: clocks are only so exact
-DOOR = re.compile(r"/[A-Za-z0-9._~/-]{0,199}\Z")
-FEW = 5.0  # attempts a second, below which a part tells nothing
+from loadbalancer.daemon.rolling_restart_state import (
+    FleetView,
+    ListedUpstream,
+    Phase,
+    RollingRestart,
+    State,
+    Step,
+    UpstreamRestart,
+)
+
+MAX_UPSTREAMS = 1000
+MAX_EVIDENCE_AGE_S = 10.0  # no step is taken on an older report or endpoint list
+PATIENCE_S = 60.0  # of waiting for evidence, for attempts to end or for an upstream to be listed
+MIN_SUCCESS_FRACTION = 0.9  # of the success ratio at the start; below it the restart pauses
+# Two starts of an upstream are further apart: clocks are only so exact.
+MIN_START_DISTANCE_S = 1.0
+RESTART_PATH = re.compile(r"/[A-Za-z0-9._~/-]{0,199}\Z")
+MIN_ATTEMPTS_PER_S = 5.0  # a success ratio of fewer attempts is not meaningful
 
 
-class Phase(Enum):
-    WAITING = "waiting"
-    OUT = "out"
-    QUIET = "quiet"
-    BACK = "back"
-    DONE = "done"
-
-
-class State(Enum):
-    RUNNING = "running"
-    PAUSED = "paused"  # by an operator, or by itself: `why` says
-    ABORTING = "aborting"  # what is out is put back, nothing more is taken
-    ENDED = "ended"
-
-
-class Box(msgspec.Struct, frozen=True):
-    """`since_ms`: when it came into this phase; `before`: its start as listed when it was taken
-    out, Unix time; `word`: an operator said that it is restarted; `asked`: the owner's token under
-    which it was last meant to be asked to restart, 0: never.
-    """
-
-    name: str
-    number: int
-    phase: Phase = Phase.WAITING
-    since_ms: int = 0
-    before: float = 0.0
-    word: bool = False
-    asked: int = 0
-
-
-class Roll(msgspec.Struct, frozen=True):
-    """The document. `least`: part of the listed boxes that stays in use; `served`: what part of the
-    attempts was served when it began; `door`: the path at which a box is asked to restart, empty:
-    operators do it.
-    """
-
-    id: str
-    boxes: tuple[Box, ...]
-    at_once: int
-    per_site: int = 0  # 0: no bound of its own
-    least: float = 0.7
-    warm_s: float = 30.0
-    wait_s: float = 900.0  # for the restart of a box
-    state: State = State.RUNNING
-    why: str = ""
-    by: str = ""
-    began_ms: int = 0
-    served: float = -1.0
-    steps: int = 0
-    door: str = ""
-
-
-class Report(msgspec.Struct, frozen=True):
-    """What a balancer says: the set's version that it goes by, which of the boxes in it still have
-    attempts of its own, and attempts a second that it sent and that were served. `count` grows with
-    each report.
-    """
-
-    version: int
-    busy: tuple[str, ...]
-    sent: float
-    served: float
-    count: int
+@dataclass(slots=True)
+class _Draft:
+    """A step that is being put together."""
+
+    restart: RollingRestart
+    disabled: set[str]
+    changes: list[str] = field(default_factory=list)
+
+    def enter_phase(
+        self, upstream: UpstreamRestart, phase: Phase, now_ms: int, **changes: Any
+    ) -> None:
+        """Moves an upstream into a phase."""
+        changed = msgspec.structs.replace(upstream, phase=phase, since_ms=now_ms, **changes)
+        self.replace(changed, f"{upstream.name} is {phase.value}")
+
+    def replace(self, changed: UpstreamRestart, summary: str) -> None:
+        """Replaces the upstream of the same name."""
+        upstreams = tuple(
+            changed if upstream.name == changed.name else upstream
+            for upstream in self.restart.upstreams
+        )
+        self.restart = msgspec.structs.replace(self.restart, upstreams=upstreams)
+        self.changes.append(summary)
+
+    @property
+    def summary(self) -> str:
+        """All changes, in one line."""
+        return "; ".join(self.changes)
+
+
+def find_error(restart: RollingRestart) -> str:
+    """Returns why a rolling restart can't begin, in one line; empty if it can."""
+    names = [upstream.name for upstream in restart.upstreams]
+    error = ""
+    if not names or len(names) > MAX_UPSTREAMS:
+        error = f"a rolling restart has 1 to {MAX_UPSTREAMS} upstreams"
+    elif len(set(names)) < len(names):
+        duplicate = next(name for name in names if names.count(name) > 1)
+        error = f"{duplicate} is named twice"
+    elif restart.max_unavailable < 1 or restart.max_per_site < 0:
+        error = "at least one upstream at a time"
+    elif restart.restart_path and not RESTART_PATH.match(restart.restart_path):
+        error = f"{restart.restart_path!r} is no path of an upstream's admin API"
+    elif not 0 <= restart.min_available <= 1:
+        error = "the fraction that stays in use is 0 to 1"
+    elif restart.warm_up_s < 0 or restart.restart_timeout_s <= 0:
+        error = "times must not be negative"
+    return error
+
+
+def success_ratio(view: FleetView) -> float | None:
+    """Returns the fraction of the fleet's attempts that succeed; None: too few attempts."""
+    reports = [observed.report for observed in view.balancers.values() if observed.is_live]
+    sent = sum(report.sent for report in reports)
+    served = sum(report.served for report in reports)
+    return min(1.0, served / sent) if sent >= MIN_ATTEMPTS_PER_S else None
+
+
+def find_missing_evidence(view: FleetView) -> str:
+    """Returns what is too old or unknown to take a step; empty if nothing is."""
+    if not view.balancers:
+        return "no balancer reports"
+    if view.list_age_s > MAX_EVIDENCE_AGE_S:
+        return f"the endpoint list is {view.list_age_s:.0f} s old"
+    for name, observed in sorted(view.balancers.items()):
+        if not observed.is_live:
+            return f"balancer {name} is silent: its attempts in flight are unknown"
+        if observed.age_s > MAX_EVIDENCE_AGE_S:
+            return f"balancer {name} has not reported for {observed.age_s:.0f} s"
+    return ""
 
 
-@dataclass(frozen=True, slots=True)
-class Seen:
-    """A report and for how long it has stood, by the reader's clock. `live`: the balancer holds its
-    name.
-    """
+def is_drained(upstream: UpstreamRestart, view: FleetView) -> bool:
+    """Returns whether every balancer has it disabled and has no attempt there."""
+    return all(
+        observed.report.disabled_version >= view.disabled_version
+        and upstream.name not in observed.report.busy_upstreams
+        for observed in view.balancers.values()
+    )
 
-    report: Report
-    age_s: float
-    live: bool
 
+def count_unavailable(view: FleetView, restart: RollingRestart) -> int:
+    """Counts upstreams out of use for any reason: disabled, draining, or warming up from this."""
+    warming_up = {
+        upstream.number for upstream in restart.upstreams if upstream.phase is Phase.WARMING_UP
+    }
+    disabled = {upstream.number for upstream in restart.upstreams if upstream.name in view.disabled}
+    own_names = {upstream.name for upstream in restart.upstreams}
+    disabled_by_others = len(view.disabled) - len(own_names & view.disabled)
+    not_ready = {number for number, listed in view.upstreams.items() if not listed.is_ready}
+    return len(not_ready | disabled | warming_up) + disabled_by_others
 
-@dataclass(frozen=True, slots=True)
-class Listed:
-    site: str
-    started: float  # Unix time; 0: long ago
-    ready: bool
-    address: tuple[str, int] = ("", 0)
 
+def next_step(
+    restart: RollingRestart, view: FleetView, without_evidence_s: float = 0.0
+) -> Step | None:
+    """Returns the next step, if there is one now.
 
-@dataclass(frozen=True, slots=True)
-class View:
-    """All that is seen at one time. `now_ms`: Unix time, noted for people. `version`: of the set of
-    disabled names. `ages_s`: by name, how long each box has been in its phase, by this owner's own
-    clock: one that took over counts from then on.
+    Args:
+        restart: The stored state.
+        view: The observed fleet.
+        without_evidence_s: For how long evidence has been missing by now.
     """
+    if restart.state is State.ENDED:
+        return None
+    if restart.state is State.ABORTING:
+        return _abort(restart, view)
+    missing = find_missing_evidence(view)
+    if missing:
+        # Without evidence nothing is disabled or taken for drained; what is disabled stays so.
+        is_overdue = restart.state is State.RUNNING and without_evidence_s > PATIENCE_S
+        return _pause(restart, missing) if is_overdue else None
+    draft = _advance(restart, view)
+    if draft.changes:
+        return Step(_count_step(draft.restart), frozenset(draft.disabled), draft.summary)
+    return _continue(restart, view)
+
+
+def _continue(restart: RollingRestart, view: FleetView) -> Step | None:
+    """Returns the step where no upstream under way can advance."""
+    if restart.state is State.PAUSED:
+        return None
+    fault = _find_fault(restart, view)
+    if fault:
+        return _pause(restart, fault)
+    return _measure(restart, view) or _take_next(restart, view)
+
+
+def _abort(restart: RollingRestart, view: FleetView) -> Step:
+    draft = _Draft(restart, set(view.disabled))
+    for upstream in restart.upstreams:
+        if upstream.is_out_of_service:
+            draft.disabled.discard(upstream.name)
+            draft.enter_phase(upstream, Phase.WAITING, view.now_ms)
+    return _end(draft, view, "aborted: all upstreams that it disabled are enabled")
+
+
+def _advance(restart: RollingRestart, view: FleetView) -> _Draft:
+    """Moves each upstream that is under way as far as the evidence permits."""
+    draft = _Draft(restart, set(view.disabled))
+    for upstream in restart.upstreams:
+        listed = view.upstreams.get(upstream.number)
+        if upstream.phase is Phase.DRAINING and is_drained(upstream, view):
+            draft.enter_phase(upstream, Phase.DRAINED, view.now_ms)
+        elif listed is None or not listed.is_ready:
+            continue
+        elif upstream.phase is Phase.DRAINED and _is_restarted(upstream, listed):
+            draft.disabled.discard(upstream.name)
+            draft.enter_phase(upstream, Phase.WARMING_UP, view.now_ms)
+        elif (
+            upstream.phase is Phase.WARMING_UP
+            and view.phase_ages_s.get(upstream.name, 0.0) >= restart.warm_up_s
+        ):
+            draft.enter_phase(upstream, Phase.DONE, view.now_ms)
+    return draft
 
-    now_ms: int
-    disabled: frozenset[str]
-    version: int
-    balancers: Mapping[str, Seen]
-    boxes: Mapping[int, Listed]
-    list_age_s: float
-    ages_s: Mapping[str, float]
-
-
-@dataclass(frozen=True, slots=True)
-class Step:
-    """What the next write makes of the roll and of the set (None: it stays). `say`: in one line."""
 
-    roll: Roll
-    disabled: frozenset[str] | None
-    say: str
+def _is_restarted(upstream: UpstreamRestart, listed: ListedUpstream) -> bool:
+    has_later_start = listed.started_s > upstream.previous_start_s + MIN_START_DISTANCE_S
+    return has_later_start or upstream.is_confirmed
 
 
-@dataclass(slots=True)
-class Draft:
-    roll: Roll
-    say: list[str] = field(default_factory=list)
-
-    def set(self, box: Box, phase: Phase, now_ms: int, **more: Any) -> None:
-        changed = msgspec.structs.replace(box, phase=phase, since_ms=now_ms, **more)
-        boxes = tuple(changed if b.name == box.name else b for b in self.roll.boxes)
-        self.roll = msgspec.structs.replace(self.roll, boxes=boxes)
-        self.say.append(f"{box.name} is {phase.value}")
-
-
-def wrong(roll: Roll) -> str:
-    """What can't be about a roll that is to begin, in one line; empty: nothing."""
-    names = [b.name for b in roll.boxes]
-    if not names or len(names) > MOST_BOXES:
-        return f"a roll has 1 to {MOST_BOXES} boxes"
-    if len(set(names)) < len(names):
-        return f"{next(n for n in names if names.count(n) > 1)} stands there twice"
-    if roll.at_once < 1 or roll.per_site < 0:
-        return "at least one box at once"
-    if roll.door and not DOOR.match(roll.door):
-        return f"{roll.door!r} is no path of a box's door"
-    if not 0 <= roll.least <= 1:
-        return "the part that stays in use is 0 to 1"
-    if roll.warm_s < 0 or roll.wait_s <= 0:
-        return "times must not be negative"
+def _find_fault(restart: RollingRestart, view: FleetView) -> str:
+    """Returns why it must pause; empty if it may go on."""
+    current = success_ratio(view)
+    if (
+        restart.success_ratio >= 0
+        and current is not None
+        and current < MIN_SUCCESS_FRACTION * restart.success_ratio
+    ):
+        return (
+            f"{current:.1%} of attempts succeed, and {restart.success_ratio:.1%} did when it began"
+        )
+    for upstream in restart.upstreams:
+        fault = _find_upstream_fault(restart, upstream, view)
+        if fault:
+            return fault
     return ""
 
 
-def served(view: View) -> float:
-    """The part of the fleet's attempts that is served; under 0: too few to tell."""
-    sent = sum(s.report.sent for s in view.balancers.values() if s.live)
-    good = sum(s.report.served for s in view.balancers.values() if s.live)
-    return min(1.0, good / sent) if sent >= FEW else -1.0
-
-
-def blind(view: View) -> str:
-    """What is too old, or not seen, to take a step by; empty: nothing."""
-    if not view.balancers:
-        return "no balancer reports"
-    if view.list_age_s > OLD_S:
-        return f"the list of boxes is {view.list_age_s:.0f} s old"
-    for name, seen in sorted(view.balancers.items()):
-        if not seen.live:
-            return f"balancer {name} is silent: what it has under way can't be seen"
-        if seen.age_s > OLD_S:
-            return f"balancer {name} has not reported for {seen.age_s:.0f} s"
+def _find_upstream_fault(
+    restart: RollingRestart, upstream: UpstreamRestart, view: FleetView
+) -> str:
+    age_s = view.phase_ages_s.get(upstream.name, 0.0)
+    if upstream.phase is Phase.DRAINING and age_s > PATIENCE_S:
+        return f"{upstream.name} still has attempts in flight after {age_s:.0f} s"
+    if upstream.phase is Phase.DRAINED and age_s > restart.restart_timeout_s:
+        return f"{upstream.name} was not restarted in {restart.restart_timeout_s:.0f} s"
+    is_unlisted = upstream.number not in view.upstreams
+    if (
+        upstream.phase is Phase.WARMING_UP
+        and is_unlisted
+        and age_s > restart.warm_up_s + PATIENCE_S
+    ):
+        return f"{upstream.name} is no longer listed, {age_s:.0f} s after it was enabled"
+    if upstream.is_out_of_service and upstream.name not in view.disabled:
+        return f"{upstream.name} was enabled by an operator during its restart"
     return ""
 
 
-def quiet(box: Box, view: View) -> bool:
-    """Did every balancer hear that it is out, and has none an attempt there?"""
-    return all(
-        s.report.version >= view.version and box.name not in s.report.busy
-        for s in view.balancers.values()
-    )
-
-
-def unusable(view: View, roll: Roll) -> int:
-    """Boxes that are out of use for any reason: disabled, drained, or cold from this roll."""
-    cold = {b.number for b in roll.boxes if b.phase is Phase.BACK}
-    by_name = {b.number for b in roll.boxes if b.name in view.disabled}
-    others = len(view.disabled) - len({b.name for b in roll.boxes} & view.disabled)
-    down = {n for n, b in view.boxes.items() if not b.ready}
-    return len(down | by_name | cold) + others
-
-
-def decide(roll: Roll, view: View, blind_s: float = 0.0) -> Step | None:
-    """The next step, if there is one now. `blind_s`: for how long nothing could be seen by now."""
-    draft, disabled = Draft(roll), set(view.disabled)
-    if roll.state is State.ENDED:
+def _measure(restart: RollingRestart, view: FleetView) -> Step | None:
+    """Notes the success ratio, as soon as it is known, for later comparison."""
+    current = success_ratio(view)
+    if restart.success_ratio >= 0 or current is None:
         return None
-    if roll.state is State.ABORTING:
-        for box in roll.boxes:
-            if box.phase in (Phase.OUT, Phase.QUIET):
-                disabled.discard(box.name)
-                draft.set(box, Phase.WAITING, view.now_ms)
-        return _ended(draft, disabled, view, "aborted: all that it had taken out is back")
-    why = blind(view)
-    if why:
-        # Nothing is taken out or said to be quiet by what is old; what is out stays out.
-        return _pause(roll, why) if roll.state is State.RUNNING and blind_s > PATIENCE_S else None
-    _onward(draft, disabled, view)
-    if draft.say:
-        return Step(_counted(draft.roll), frozenset(disabled), "; ".join(draft.say))
-    if roll.state is State.PAUSED:
-        return None
-    stop = _guard(roll, view)
-    if stop:
-        return _pause(roll, stop)
-    if roll.served < 0 and (now := served(view)) >= 0:
-        return Step(
-            msgspec.structs.replace(roll, served=now), None, f"{now:.1%} of attempts are served"
+    measured = msgspec.structs.replace(restart, success_ratio=current)
+    return Step(measured, None, f"{current:.1%} of attempts succeed")
+
+
+def _take_next(restart: RollingRestart, view: FleetView) -> Step | None:
+    """Disables the next upstream, or ends the rolling restart after the last one."""
+    draft = _Draft(restart, set(view.disabled))
+    upstream = _next_upstream(restart, view)
+    if upstream is not None:
+        draft.disabled.add(upstream.name)
+        draft.enter_phase(
+            upstream,
+            Phase.DRAINING,
+            view.now_ms,
+            previous_start_s=view.upstreams[upstream.number].started_s,
+            is_confirmed=False,
         )
-    following = _next(roll, view)
-    if following is not None:
-        disabled.add(following.name)
-        before = view.boxes[following.number].started
-        draft.set(following, Phase.OUT, view.now_ms, before=before, word=False)
-        return Step(_counted(draft.roll), frozenset(disabled), draft.say[0])
-    if all(b.phase is Phase.DONE for b in roll.boxes):
-        return _ended(draft, disabled, view, "all boxes are done")
+        return Step(_count_step(draft.restart), frozenset(draft.disabled), draft.summary)
+    if all(upstream.phase is Phase.DONE for upstream in restart.upstreams):
+        return _end(draft, view, "all upstreams are done")
     return None
 
 
-def _onward(draft: Draft, disabled: set[str], view: View) -> None:
-    """Boxes that are under way, each as far as what is seen bears."""
-    for box in draft.roll.boxes:
-        listed = view.boxes.get(box.number)
-        age_s = view.ages_s.get(box.name, 0.0)
-        if box.phase is Phase.OUT and quiet(box, view):
-            draft.set(box, Phase.QUIET, view.now_ms)
-        elif box.phase is Phase.QUIET:
-            restarted = (
-                listed is not None and listed.ready and listed.started > box.before + APART_S
-            )
-            if restarted or (box.word and listed is not None and listed.ready):
-                disabled.discard(box.name)
-                draft.set(box, Phase.BACK, view.now_ms)
-        elif (
-            box.phase is Phase.BACK
-            and age_s >= draft.roll.warm_s
-            and listed is not None
-            and listed.ready
-        ):
-            draft.set(box, Phase.DONE, view.now_ms)
-
-
-def _guard(roll: Roll, view: View) -> str:
-    """Why it must not go on by itself; empty: it may."""
-    now = served(view)
-    if roll.served >= 0 and 0 <= now < SERVICE_PART * roll.served:
-        return f"{now:.1%} of attempts are served, and {roll.served:.1%} were when it began"
-    for box in roll.boxes:
-        age_s = view.ages_s.get(box.name, 0.0)
-        if box.phase is Phase.OUT and age_s > PATIENCE_S:
-            return f"{box.name} still has attempts under way after {age_s:.0f} s"
-        if box.phase is Phase.QUIET and age_s > roll.wait_s:
-            return f"{box.name} was not restarted in {roll.wait_s:.0f} s"
-        if (
-            box.phase is Phase.BACK
-            and box.number not in view.boxes
-            and age_s > roll.warm_s + PATIENCE_S
-        ):
-            return f"{box.name} is not listed any more, {age_s:.0f} s after it was put back"
-        if box.phase in (Phase.OUT, Phase.QUIET) and box.name not in view.disabled:
-            return f"somebody put {box.name} back while it was out for this roll"
-    return ""
-
-
-def _next(roll: Roll, view: View) -> Box | None:
-    """The next to take out, where that leaves enough."""
-    under = [b for b in roll.boxes if b.phase in (Phase.OUT, Phase.QUIET, Phase.BACK)]
-    if len(under) >= roll.at_once or unusable(view, roll) >= roll.at_once:
+def _next_upstream(restart: RollingRestart, view: FleetView) -> UpstreamRestart | None:
+    """Returns the next upstream to disable, where that leaves enough in use."""
+    under_way = [upstream for upstream in restart.upstreams if upstream.is_under_way]
+    if len(under_way) >= restart.max_unavailable or _find_capacity_limit(restart, view):
         return None
-    total = len(view.boxes)
-    if total - unusable(view, roll) - 1 < roll.least * total:
-        return None
-    sites: dict[str, int] = {}
-    for b in under:
-        site = view.boxes[b.number].site if b.number in view.boxes else ""
-        sites[site] = sites.get(site, 0) + 1
-    for box in roll.boxes:
-        listed = view.boxes.get(box.number)
-        if (
-            box.phase is not Phase.WAITING
-            or listed is None
-            or not listed.ready
-            or box.name in view.disabled
-        ):
+    site_counts = Counter(
+        view.upstreams[upstream.number].site if upstream.number in view.upstreams else ""
+        for upstream in under_way
+    )
+    for upstream in restart.upstreams:
+        listed = view.upstreams.get(upstream.number)
+        is_candidate = upstream.phase is Phase.WAITING and upstream.name not in view.disabled
+        if not is_candidate or listed is None or not listed.is_ready:
             continue
-        if not roll.per_site or sites.get(listed.site, 0) < roll.per_site:
-            return box
+        if not restart.max_per_site or site_counts[listed.site] < restart.max_per_site:
+            return upstream
     return None
 
 
-def held_up(roll: Roll, view: View) -> str:
-    """Why nothing more is taken out just now, for people; empty: nothing holds it up."""
-    why = blind(view)
-    if why or roll.state is not State.RUNNING:
-        return why or roll.why
-    waiting = [b for b in roll.boxes if b.phase is Phase.WAITING]
-    if not waiting or _next(roll, view) is not None:
-        return ""
-    out = unusable(view, roll)
-    if out >= roll.at_once:
-        return f"{out} of {len(view.boxes)} boxes are out of use, and {roll.at_once} at once may be"
-    if len(view.boxes) - out - 1 < roll.least * len(view.boxes):
+def _find_capacity_limit(restart: RollingRestart, view: FleetView) -> str:
+    """Returns which limit forbids disabling one more upstream; empty if none does."""
+    unavailable = count_unavailable(view, restart)
+    total = len(view.upstreams)
+    if unavailable >= restart.max_unavailable:
+        return (
+            f"{unavailable} of {total} upstreams are out of use,"
+            f" and at most {restart.max_unavailable} may be"
+        )
+    if total - unavailable - 1 < restart.min_available * total:
         return (
-            f"{out} of {len(view.boxes)} boxes are out of use, and {roll.least:.0%} must stay in it"
+            f"{unavailable} of {total} upstreams are out of use,"
+            f" and {restart.min_available:.0%} must stay in use"
         )
-    return "no box that waits is listed as ready, enabled, and free by its site"
+    return ""
+
+
+def explain_wait(restart: RollingRestart, view: FleetView) -> str:
+    """Returns why no further upstream is disabled now, for people; empty if nothing prevents it."""
+    missing = find_missing_evidence(view)
+    if missing or restart.state is not State.RUNNING:
+        return missing or restart.pause_reason
+    waiting = [upstream for upstream in restart.upstreams if upstream.phase is Phase.WAITING]
+    if not waiting or _next_upstream(restart, view) is not None:
+        return ""
+    return _find_capacity_limit(restart, view) or (
+        "no waiting upstream is listed as ready, enabled, and within its site's limit"
+    )
+
 
+def announce_requests(
+    restart: RollingRestart, token: int, held_s: float, lease_s: float
+) -> Step | None:
+    """Returns the write that announces which upstreams are about to be asked to restart.
 
-def meant(roll: Roll, token: int, owned_s: float, lease_s: float) -> Step | None:
-    """The write that says which boxes are about to be asked to restart, and by whom: it stands
-    before the act, so that whoever comes next knows that one may be on its way. A box that an owner
-    of before meant to ask is asked again only when a lease's time has gone by since: what that one
-    still sends is late.
+    It is stored before the request is sent, so that the next leader knows that one may be on its
+    way. An upstream that an earlier leader announced is asked again only after a lease's time:
+    what that leader still sends is late.
+
+    Args:
+        restart: The stored state.
+        token: This leader's token.
+        held_s: For how long this leader has held the lease.
+        lease_s: Duration of the lease.
     """
-    draft = Draft(roll)
-    for box in roll.boxes if roll.door and roll.state is not State.ABORTING else ():
-        if (
-            box.phase is Phase.QUIET
-            and box.asked != token
-            and (not box.asked or owned_s >= lease_s)
-        ):
-            draft.set(box, Phase.QUIET, box.since_ms, asked=token)
-            draft.say[-1] = f"{box.name} is to be asked to restart"
-    return Step(_counted(draft.roll), None, "; ".join(draft.say)) if draft.say else None
+    if not restart.restart_path or restart.state is State.ABORTING:
+        return None
+    draft = _Draft(restart, set())
+    for upstream in restart.upstreams:
+        is_unannounced = upstream.phase is Phase.DRAINED and upstream.request_token != token
+        if is_unannounced and (not upstream.request_token or held_s >= lease_s):
+            draft.replace(
+                msgspec.structs.replace(upstream, request_token=token),
+                f"{upstream.name} is to be asked to restart",
+            )
+    return Step(_count_step(draft.restart), None, draft.summary) if draft.changes else None
 
 
-def to_ask(roll: Roll, token: int) -> list[Box]:
-    """Boxes that this owner said it would ask to restart, and that are not seen to have done so.
-    Asked under one name however often, so that a box does it once.
+def pending_requests(restart: RollingRestart, token: int) -> list[UpstreamRestart]:
+    """Returns the upstreams that this leader announced and that have not restarted yet.
+
+    All requests of a restart bear one name, so that an upstream restarts once.
     """
-    if not roll.door or roll.state in (State.ABORTING, State.ENDED):
+    if not restart.restart_path or restart.state in {State.ABORTING, State.ENDED}:
         return []
-    return [b for b in roll.boxes if b.phase is Phase.QUIET and b.asked == token]
+    return [
+        upstream
+        for upstream in restart.upstreams
+        if upstream.phase is Phase.DRAINED and upstream.request_token == token
+    ]
 
 
-def name_of(roll: Roll, box: Box) -> str:
-    """Of the one restart of a box in a roll, whoever asks for it."""
-    return f"{roll.id}/{box.name}"
+def restart_name(restart: RollingRestart, upstream: UpstreamRestart) -> str:
+    """Returns the idempotency key of an upstream's restart, the same for every leader."""
+    return f"{restart.id}/{upstream.name}"
 
 
-def _counted(roll: Roll) -> Roll:
-    return msgspec.structs.replace(roll, steps=roll.steps + 1)
+def _count_step(restart: RollingRestart) -> RollingRestart:
+    return msgspec.structs.replace(restart, step_count=restart.step_count + 1)
 
 
-def _pause(roll: Roll, why: str) -> Step:
-    paused = msgspec.structs.replace(roll, state=State.PAUSED, why=why)
-    return Step(paused, None, f"it stops by itself: {why}")
+def _pause(restart: RollingRestart, reason: str) -> Step:
+    paused = msgspec.structs.replace(restart, state=State.PAUSED, pause_reason=reason)
+    return Step(paused, None, f"paused: {reason}")
 
 
-def _ended(draft: Draft, disabled: set[str], view: View, say: str) -> Step:
-    roll = msgspec.structs.replace(_counted(draft.roll), state=State.ENDED, why=say)
-    changed = frozenset(disabled) if disabled != view.disabled else None
-    return Step(roll, changed, say)
+def _end(draft: _Draft, view: FleetView, reason: str) -> Step:
+    ended = msgspec.structs.replace(
+        _count_step(draft.restart), state=State.ENDED, pause_reason=reason
+    )
+    has_changed = draft.disabled != view.disabled
+    return Step(ended, frozenset(draft.disabled) if has_changed else None, reason)
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -1,9 +1,9 @@
-"""A roll as a work of the fleet: its owner reads, decides with `rolling` and writes, one step at a
-time; every balancer reports what it has under way while there is a roll.
+"""Runs a rolling restart under a lease, and reports of the balancers while there is one.
 
-    roll/SERVICE               the roll's document; operators begin, pause and abort it, its owner
-    goes on
-    report/SERVICE/BALANCER    what a balancer has under way; gone when it leaves as it should
+The leader reads, asks `rolling_restart` for the next step and writes it, one step at a time.
+
+    roll/SERVICE               the document; operators start, pause and abort, the leader proceeds
+    report/SERVICE/BALANCER    a balancer's attempts in flight; deleted at a graceful shutdown
 """
 
 from __future__ import annotations
@@ -12,31 +12,36 @@
 import logging
 import time
 from contextlib import suppress
+from dataclasses import dataclass
 
 import msgspec
 
 from loadbalancer.daemon import upstream_admin
-from loadbalancer.daemon.address_map import Reach
-from loadbalancer.daemon.endpoint_rows import StoredList
-from loadbalancer.daemon.leased_task import OwnedWork
-from loadbalancer.daemon.persisted import decoded
+from loadbalancer.daemon.address_map import AddressMap
+from loadbalancer.daemon.endpoint_rows import EndpointListReader
+from loadbalancer.daemon.identity import BalancerIdentity
+from loadbalancer.daemon.leased_task import LeasedTask, LeaseFactory
+from loadbalancer.daemon.observation import NEVER_AGE_S, RowAges, read_live_balancers
+from loadbalancer.daemon.persisted import SavedEndpointList, decode_row
 from loadbalancer.daemon.rolling_restart import (
-    Box,
-    Listed,
+    announce_requests,
+    find_missing_evidence,
+    next_step,
+    pending_requests,
+    restart_name,
+)
+from loadbalancer.daemon.rolling_restart_state import (
+    NO_REPORT,
+    BalancerReport,
+    FleetView,
+    ListedUpstream,
+    ObservedReport,
     Phase,
-    Report,
-    Roll,
-    Seen,
+    RollingRestart,
     State,
     Step,
-    View,
-    blind,
-    decide,
-    meant,
-    name_of,
-    to_ask,
+    UpstreamRestart,
 )
-from loadbalancer.leases import table
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import number_of
@@ -49,261 +54,341 @@
 log = logging.getLogger(__name__)
 
 PHASES = list(Phase)
-LOOK_S = 0.5  # between two looks of the owner, and two reports of a balancer that changed nothing
-ASK_AGAIN_S = 5.0  # a box that was asked to restart and is not seen to
-IDLE_S = 2.0  # while there is no roll
-REPORT_S, REPORT_EACH_S, REPORT_MOST_S = (
-    2.0,
-    0.025,
-    5.0,
-)  # of one among many, longer: half of what is old
-
-
-class Ages:
-    """For how long each thing has stood as it is, by this process's own clock: no other clock is
-    believed.
-    """
-
-    def __init__(self) -> None:
-        self.seen: dict[str, tuple[int, float]] = {}
+STEP_INTERVAL_S = 0.5  # of the leader, and between checks of a balancer for a changed report
+IDLE_INTERVAL_S = 2.0  # while there is no rolling restart
+RESTART_REQUEST_INTERVAL_S = 5.0  # until an upstream that was asked is seen to restart
+# A balancer's report is repeated after this, the longer the more balancers there are; at most
+# after half of the age at which it is no longer evidence.
+MIN_REPORT_INTERVAL_S = 2.0
+REPORT_INTERVAL_PER_BALANCER_S = 0.025
+MAX_REPORT_INTERVAL_S = 5.0
+REMOVE_TIMEOUT_S = 0.3
+MAX_NOTE_LENGTH = 200
 
-    def age_s(self, key: str, version: int) -> float:
-        """Since the key was first seen at this version."""
-        now = time.monotonic()
-        if self.seen.get(key, (-1, 0.0))[0] != version:
-            self.seen[key] = version, now
-        return now - self.seen[key][1]
 
-    def keep(self, keys: set[str]) -> None:
-        for gone in self.seen.keys() - keys:
-            del self.seen[gone]
+class RollingRestartKeys:
+    """Store keys of one service's rolling restarts."""
 
-
-class Keys:
     def __init__(self, service: str) -> None:
-        self.roll = f"roll/{service}"
+        self.restart = f"roll/{service}"
         self.disabled = f"disabled/{service}"
         self.list = f"list/{service}"
-        self.standing = f"listed/{service}"
+        self.confirmation = f"listed/{service}"
         self.reports = f"report/{service}/"
         self.names = f"{LEASES}name/{service}/"
 
 
-async def look(
-    client: Client, keys: Keys, ages: Ages, stored: StoredList, linear: bool = True
-) -> tuple[Row, Row, Roll | None, View]:
-    """The roll's row, the set's, the roll and what is seen. Raises StoreError."""
-    stale = not linear
-    found = await client.get(
-        keys.roll, keys.disabled, keys.list, keys.standing, stored.keys.list, stale=stale
-    )
-    roll_row, disabled_row, list_row, standing, word = found.rows
-    roll = decoded(roll_row, Roll)
-    reports = await client.scan(keys.reports, stale=stale)
-    names = await client.scan(keys.names, stale=stale)
-    live = set()
-    for row in names.rows:
-        if row.value is not None and table.unpack(row.value).is_held:
-            live.add(row.key.removeprefix(keys.names))
-    seen: dict[str, Seen] = {}
-    for row in reports.rows:
-        report = decoded(row, Report)
-        name = row.key.removeprefix(keys.reports)
-        if report is not None:
-            seen[name] = Seen(report, ages.age_s(row.key, row.version), name in live)
-    for name in live - seen.keys():  # it holds its name and says nothing yet
-        seen[name] = Seen(Report(0, (), 0.0, 0.0, 0), ages.age_s(keys.reports + name, 0), True)
-    saved = await stored.of(list_row, word, stale)
-    boxes = (
-        {s.id: Listed(s.zone, s.started, not s.draining, (s.host, s.port)) for s in saved.servers}
-        if saved
-        else {}
-    )
-    # A list is as old as the last word that it stands; one that operators wrote down stands by
-    # itself.
-    fixed = saved is not None and not saved.source
-    list_age = (
-        ages.age_s(keys.standing, standing.version + list_row.version + word.version)
-        if saved
-        else 1e9
-    )
-    list_age = 0.0 if fixed else list_age
-    names_out = frozenset(
-        msgspec.json.decode(disabled_row.value, type=list[str])
-        if disabled_row.value is not None
-        else []
-    )
-    phases = {b.name: f"phase/{roll.id}/{b.name}" for b in roll.boxes} if roll is not None else {}
-    phase_ages = {
-        b.name: ages.age_s(phases[b.name], PHASES.index(b.phase))
-        for b in (roll.boxes if roll is not None else ())
-    }
-    ages.keep(
-        {
-            keys.standing,
-            *(keys.reports + n for n in seen),
-            *(r.key for r in reports.rows),
-            *phases.values(),
+@dataclass(frozen=True, slots=True)
+class Observation:
+    """The rows read at one time, and what they say."""
+
+    restart_row: Row
+    disabled_row: Row
+    restart: RollingRestart | None
+    view: FleetView
+
+
+class RollingRestartReader:
+    """Reads the state of a rolling restart and of the fleet.
+
+    Args:
+        client: Client of the store.
+        service: The service's name.
+        linearizable: Whether reads must be; an observer that writes nothing needs none.
+    """
+
+    def __init__(self, client: Client, service: str, linearizable: bool = True) -> None:
+        self.client = client
+        self.keys = RollingRestartKeys(service)
+        self.stale = not linearizable
+        self.ages = RowAges()
+        self.list_reader = EndpointListReader(client, service)
+
+    async def read(self) -> Observation:
+        """Reads all rows.
+
+        Raises:
+            StoreError: The store did not serve a read.
+        """
+        keys = self.keys
+        found = await self.client.get(
+            keys.restart,
+            keys.disabled,
+            keys.list,
+            keys.confirmation,
+            self.list_reader.keys.list,
+            stale=self.stale,
+        )
+        restart_row, disabled_row, list_row, confirmation_row, position_row = found.rows
+        restart = decode_row(restart_row, RollingRestart)
+        reports = await self._read_reports()
+        saved = await self.list_reader.read(list_row, position_row, self.stale)
+        list_version = confirmation_row.version + list_row.version + position_row.version
+        view = FleetView(
+            now_ms=unix_ms(),
+            disabled=_disabled_names(disabled_row),
+            disabled_version=disabled_row.version,
+            balancers=reports,
+            upstreams=_listed_upstreams(saved),
+            list_age_s=self._list_age_s(saved, list_version),
+            phase_ages_s=self._phase_ages_s(restart),
+        )
+        self._forget_removed(restart, reports)
+        return Observation(restart_row, disabled_row, restart, view)
+
+    async def _read_reports(self) -> dict[str, ObservedReport]:
+        reports = await self.client.scan(self.keys.reports, stale=self.stale)
+        live = await read_live_balancers(self.client, self.keys.names, self.stale)
+        observed: dict[str, ObservedReport] = {}
+        for row in reports.rows:
+            report = decode_row(row, BalancerReport)
+            name = row.key.removeprefix(self.keys.reports)
+            if report is not None:
+                age_s = self.ages.age_s(row.key, row.version)
+                observed[name] = ObservedReport(report, age_s, name in live)
+        for name in live - observed.keys():  # it holds its name and has not reported yet
+            age_s = self.ages.age_s(self.keys.reports + name, 0)
+            observed[name] = ObservedReport(NO_REPORT, age_s, True)
+        return observed
+
+    def _list_age_s(self, saved: SavedEndpointList | None, version: int) -> float:
+        """A list is as old as its last confirmation; a fixed one needs none."""
+        if saved is None:
+            return NEVER_AGE_S
+        age_s = self.ages.age_s(self.keys.confirmation, version)
+        return age_s if saved.source else 0.0
+
+    def _phase_ages_s(self, restart: RollingRestart | None) -> dict[str, float]:
+        if restart is None:
+            return {}
+        return {
+            upstream.name: self.ages.age_s(
+                _phase_key(restart, upstream), PHASES.index(upstream.phase)
+            )
+            for upstream in restart.upstreams
         }
-    )
-    return (
-        roll_row,
-        disabled_row,
-        roll,
-        View(unix_ms(), names_out, disabled_row.version, seen, boxes, list_age, phase_ages),
-    )
-
-
-class Roller(OwnedWork):
-    def __init__(self, client: Client, owner: Owner, service: str, reach: Reach) -> None:
-        super().__init__(owner, "roll")
+
+    def _forget_removed(
+        self, restart: RollingRestart | None, reports: dict[str, ObservedReport]
+    ) -> None:
+        upstreams = restart.upstreams if restart is not None else ()
+        self.ages.retain(
+            {
+                self.keys.confirmation,
+                *(self.keys.reports + name for name in reports),
+                *(_phase_key(restart, upstream) for upstream in upstreams if restart is not None),
+            }
+        )
+
+
+def _phase_key(restart: RollingRestart, upstream: UpstreamRestart) -> str:
+    return f"phase/{restart.id}/{upstream.name}"
+
+
+def _disabled_names(row: Row) -> frozenset[str]:
+    if row.value is None:
+        return frozenset()
+    return frozenset(msgspec.json.decode(row.value, type=list[str]))
+
+
+def _listed_upstreams(saved: SavedEndpointList | None) -> dict[int, ListedUpstream]:
+    if saved is None:
+        return {}
+    return {
+        endpoint.id: ListedUpstream(
+            endpoint.zone,
+            endpoint.started_s,
+            not endpoint.is_draining,
+            (endpoint.host, endpoint.port),
+        )
+        for endpoint in saved.endpoints
+    }
+
+
+class RollingRestartController(LeasedTask):
+    """Takes the steps of a rolling restart while this process holds the lease."""
+
+    def __init__(
+        self, client: Client, lease_factory: LeaseFactory, service: str, address_map: AddressMap
+    ) -> None:
+        super().__init__(lease_factory, "rolling restart")
         self.client = client
-        self.reach = reach
+        self.address_map = address_map
         self.service = service
-        self.keys = Keys(service)
-        self.anew()
-
-    def anew(self) -> None:
-        self.ages = Ages()
-        self.stored = StoredList(self.client, self.service)
-        self.blind_s = 0.0  # since when nothing could be seen
-        self.owned_s = time.monotonic()  # since when it is owned
-        self.asked: dict[
-            str, float
-        ] = {}  # restarts by name, and when this owner last asked for them
-
-    async def turn(self) -> float:
-        """One look and at most one step; seconds until the next. Raises StoreError."""
-        roll_row, disabled_row, roll, view = await look(
-            self.client, self.keys, self.ages, self.stored
-        )
-        if roll is None or roll.state is State.ENDED:
-            return IDLE_S
-        if blind(view):
-            self.blind_s = self.blind_s or time.monotonic()
-        else:
-            self.blind_s = 0.0
-        step = decide(roll, view, time.monotonic() - self.blind_s if self.blind_s else 0.0)
+        self.keys = RollingRestartKeys(service)
+        self.reset()
+
+    def reset(self) -> None:
+        """Drops all state of an earlier term."""
+        self.reader = RollingRestartReader(self.client, self.service)
+        self.without_evidence_since_s: float | None = None
+        self.acquired_s = time.monotonic()
+        self.requested_s: dict[str, float] = {}  # restart name -> when it was last requested
+
+    async def step(self) -> float:
+        """Observes once and writes at most one step.
+
+        Returns:
+            Seconds until the next step.
+
+        Raises:
+            StoreError: The store did not serve a read or a write.
+        """
+        observation = await self.reader.read()
+        restart = observation.restart
+        if restart is None or restart.state is State.ENDED:
+            return IDLE_INTERVAL_S
+        step = next_step(restart, observation.view, self._without_evidence_s(observation.view))
         token = self.owner.token()
         if step is None:
-            step = meant(roll, token, time.monotonic() - self.owned_s, self.owner.ttl_s)
+            held_s = time.monotonic() - self.acquired_s
+            step = announce_requests(restart, token, held_s, self.owner.ttl_s)
         if step is None:
-            for box in to_ask(roll, token):
-                await self._ask(roll, box, view)
-            return LOOK_S
-        await self._write(step, roll_row, disabled_row)
-        log.info("roll %s: %s", roll.id, step.say)
+            for upstream in pending_requests(restart, token):
+                await self._request_restart(restart, upstream, observation.view)
+            return STEP_INTERVAL_S
+        await self._write(step, observation)
+        log.info("rolling restart step: id=%s step=%s", restart.id, step.summary)
         return 0.0
 
-    async def _ask(self, roll: Roll, box: Box, view: View) -> None:
-        """Its own door, which checks no token: at once after a look at the clock, and under a name
-        that makes a second time the same as the first.
+    def _without_evidence_s(self, view: FleetView) -> float:
+        if not find_missing_evidence(view):
+            self.without_evidence_since_s = None
+            return 0.0
+        now_s = time.monotonic()
+        if self.without_evidence_since_s is None:
+            self.without_evidence_since_s = now_s
+        return now_s - self.without_evidence_since_s
+
+    async def _request_restart(
+        self, restart: RollingRestart, upstream: UpstreamRestart, view: FleetView
+    ) -> None:
+        """Asks an upstream's admin API to restart it.
+
+        That API checks no token: so the lease is checked just before the request is sent, and the
+        request's name makes a second one have no effect.
         """
-        name, listed = name_of(roll, box), view.boxes.get(box.number)
-        now = time.monotonic()
-        if listed is None or now - self.asked.get(name, -ASK_AGAIN_S) < ASK_AGAIN_S:
+        name = restart_name(restart, upstream)
+        listed = view.upstreams.get(upstream.number)
+        now_s = time.monotonic()
+        requested_s = self.requested_s.get(name, -RESTART_REQUEST_INTERVAL_S)
+        if listed is None or now_s - requested_s < RESTART_REQUEST_INTERVAL_S:
             return
-        self.asked[name] = now
+        self.requested_s[name] = now_s
         try:
-            said = await upstream_admin.ask(
-                self.reach.dialled(listed.address),
-                roll.door,
+            error = await upstream_admin.request_restart(
+                self.address_map.dialed_address(listed.address),
+                restart.restart_path,
                 name,
-                lambda: self.owner.token() == box.asked,
+                lambda: self.owner.token() == upstream.request_token,
             )
-        except (OSError, TimeoutError) as error:
+        except (OSError, TimeoutError) as failure:
+            error = f"not reached: {str(failure) or 'timed out'}"
+        if error:
             log.warning(
-                "roll %s: %s was not reached at its door: %s",
-                roll.id,
-                box.name,
-                error or "no answer in time",
+                "restart request failed: id=%s upstream=%s error=%s",
+                restart.id,
+                upstream.name,
+                error,
             )
-            return
-        if said:
-            log.warning("roll %s: %s was asked to restart: %s", roll.id, box.name, said)
 
-    async def _write(self, step: Step, roll_row: Row, disabled_row: Row) -> None:
-        ops = [Op(self.keys.roll, msgspec.json.encode(step.roll), roll_row.version)]
+    async def _write(self, step: Step, observation: Observation) -> None:
+        restart_row, disabled_row = observation.restart_row, observation.disabled_row
+        operations = [Op(self.keys.restart, msgspec.json.encode(step.restart), restart_row.version)]
         checks = []
         if step.disabled is not None:
             names = msgspec.json.encode(sorted(step.disabled))
-            ops.append(Op(self.keys.disabled, names, disabled_row.version))
+            operations.append(Op(self.keys.disabled, names, disabled_row.version))
         else:
             checks.append((self.keys.disabled, disabled_row.version))
-        await self.owner.write(ops, checks, note=step.say[:200])
+        await self.owner.write(operations, checks, note=step.summary[:MAX_NOTE_LENGTH])
 
 
-class Reporter:
-    """A balancer's reports, while there is a roll that is not over."""
+class BalancerReporter:
+    """Writes a balancer's reports while a rolling restart is under way."""
 
     def __init__(
         self,
         driver: Driver,
         disabled: DisabledUpstreams,
-        client: Client,
-        name: Owner,
-        service: str,
-        balancer: str,
+        name_lease: Owner,
+        identity: BalancerIdentity,
     ) -> None:
         self.driver = driver
         self.disabled = disabled
-        self.client = client
-        self.name = name
-        self.keys = Keys(service)
-        self.key = self.keys.reports + balancer
-        self.version = 0  # of the set that this balancer goes by
-        self.active = False
-        self.count = 0
-        self.more = asyncio.Event()
-        self.there = False  # a report of this process stands in the store
-        balancers = driver.settings.instance_count
-        self.every_s = min(REPORT_MOST_S, max(REPORT_S, REPORT_EACH_S * balancers))
-
-    def took(self, version: int) -> None:
-        """The set of this version holds here."""
-        self.version = version
-        self.more.set()
-
-    async def rolled(self, value: bytes | None, version: int) -> None:
-        """The roll's document changed."""
-        roll = decoded(Row(self.keys.roll, value, version, 0), Roll)
-        self.active = roll is not None and roll.state is not State.ENDED
-        self.more.set()
-
-    def busy(self) -> tuple[str, ...]:
-        """Disabled upstreams that still have attempts of this balancer."""
-        numbers = {number_of(name): name for name in self.disabled.names}
-        found = {
-            numbers[a.server.id]
-            for r in self.driver.balancer.requests.values()
-            for a in r.attempts
-            if a.result is None and a.server.id in numbers
+        self.name_lease = name_lease
+        self.keys = RollingRestartKeys(identity.service)
+        self.key = self.keys.reports + identity.balancer
+        self.disabled_version = 0  # of the set in force on this balancer
+        self.is_active = False
+        self.sequence = 0
+        self.changed = asyncio.Event()
+        self.has_report = False  # a report of this process stands in the store
+        balancer_count = driver.settings.instance_count
+        self.interval_s = min(
+            MAX_REPORT_INTERVAL_S,
+            max(MIN_REPORT_INTERVAL_S, REPORT_INTERVAL_PER_BALANCER_S * balancer_count),
+        )
+
+    def set_disabled_version(self, version: int) -> None:
+        """Notes which version of the disabled set is in force here."""
+        self.disabled_version = version
+        self.changed.set()
+
+    async def on_restart_changed(self, value: bytes | None, version: int) -> None:
+        """Handles a change of the rolling restart's document."""
+        restart = decode_row(Row(self.keys.restart, value, version, 0), RollingRestart)
+        self.is_active = restart is not None and restart.state is not State.ENDED
+        self.changed.set()
+
+    def busy_upstreams(self) -> tuple[str, ...]:
+        """Returns the disabled upstreams that still have attempts of this balancer."""
+        names = {number_of(name): name for name in self.disabled.names}
+        busy = {
+            names[attempt.server.id]
+            for request in self.driver.balancer.requests.values()
+            for attempt in request.attempts
+            if attempt.result is None and attempt.server.id in names
         }
-        return tuple(sorted(found))
+        return tuple(sorted(busy))
 
     async def run(self) -> None:
-        """Raises StoreError."""
-        said: tuple[int, tuple[str, ...]] = -1, ()
-        at = 0.0
+        """Reports each change, and again after each interval.
+
+        Raises:
+            StoreError: The store did not serve a write.
+        """
+        reported: tuple[int, tuple[str, ...]] | None = None
+        reported_s = 0.0
         while True:
-            now = self.version, self.busy()
-            due = now != said or time.monotonic() - at >= self.every_s
-            if self.active and due and self.name.token():
-                self.count += 1
-                rate = self.driver.balancer.rate
-                report = Report(
-                    *now, round(rate.sent, 2), round(min(rate.served, rate.sent), 2), self.count
-                )
+            current = self.disabled_version, self.busy_upstreams()
+            is_due = current != reported or time.monotonic() - reported_s >= self.interval_s
+            if self.is_active and is_due and self.name_lease.token():
+                report = self._next_report(*current)
                 with suppress(NotOwner):
-                    await self.name.write([Op(self.key, msgspec.json.encode(report))])
-                    said, at, self.there = now, time.monotonic(), True
-            self.more.clear()
+                    await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
+                    reported = current
+                    reported_s = time.monotonic()
+                    self.has_report = True
+            self.changed.clear()
             with suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_S if self.active else IDLE_S):
-                    await self.more.wait()
+                async with asyncio.timeout(STEP_INTERVAL_S if self.is_active else IDLE_INTERVAL_S):
+                    await self.changed.wait()
 
-    async def leave(self) -> None:
-        """Nothing is under way here any more. Raises StoreError."""
-        if self.there and self.name.token():
+    def _next_report(self, disabled_version: int, busy: tuple[str, ...]) -> BalancerReport:
+        self.sequence += 1
+        rate = self.driver.balancer.rate
+        served = min(rate.served, rate.sent)
+        return BalancerReport(
+            disabled_version, busy, round(rate.sent, 2), round(served, 2), self.sequence
+        )
+
+    async def remove(self) -> None:
+        """Deletes the report: no attempt of this balancer is in flight any more.
+
+        Raises:
+            StoreError: The store did not serve the write.
+        """
+        if self.has_report and self.name_lease.token():
             with suppress(NotOwner):
-                await self.name.write([Op(self.key, None)], within_s=0.3)
+                await self.name_lease.write([Op(self.key, None)], within_s=REMOVE_TIMEOUT_S)
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -1,13 +1,11 @@
-"""What stands in the rows of the feed that a balancer goes by, and which rows have to be written.
-Pure.
+"""Encoding of an endpoint list as rows of the changefeed, and the planning of writes. Pure.
 
-    feed/service:SERVICE/service/SERVICE     the service; every other row of its scope names it
-    feed/service:SERVICE/list/SERVICE        the list owner's last word: each of its writes has one
-    feed/service:SERVICE/upstream/ID         an upstream; ID is its number in lower-case hex, 16
-    digits
+    feed/service:SERVICE/service/SERVICE     the service; every other row of its scope refers to it
+    feed/service:SERVICE/list/SERVICE        the leader's last position: part of each of its writes
+    feed/service:SERVICE/upstream/ID         an upstream; ID is its number in 16 hex digits
 
-Values are msgpack arrays. Fields are only ever added at the end: what knows fewer reads the ones it
-knows.
+Values are msgpack arrays. Fields are only ever added at the end: a program that knows fewer of
+them reads those it knows.
 """
 
 from __future__ import annotations
@@ -19,94 +17,109 @@
 import msgspec
 
 from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, SERVICE, Row
-from loadbalancer.daemon.persisted import Located
+from loadbalancer.daemon.persisted import UpstreamLocation
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery import LATEST_MS
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.settings import Malformed
 from loadbalancer.store.commands import MOST_OPS, Op
 
-Batch = tuple[Op, ...]  # of one write
+Batch = tuple[Op, ...]  # the operations of one write
 
+PORT_LIMIT = 1 << 16
+ID_LIMIT = 1 << 64
+MAX_SHOWN_NAME = 80
+MAX_SHOWN_KIND = 40
 
-class UpstreamRow(Located, frozen=True, array_like=True):
-    """id, host (an IP address), port, zone, kind, cell; `started_ms`: Unix time, 0: long ago."""
+
+class UpstreamRow(UpstreamLocation, frozen=True, array_like=True):
+    """An upstream with its canonical address. `started_ms`: Unix time, 0: long ago."""
 
     weight: int | float
     started_ms: int
-    draining: bool
+    is_draining: bool
 
 
 class ServiceRow(msgspec.Struct, frozen=True, array_like=True):
-    """There is such a service: what names it refers to something."""
+    """Declares a service, so that references to it resolve."""
 
     name: str
 
 
 class ListRow(msgspec.Struct, frozen=True, array_like=True):
-    """The list's owner has written under `token` so often (`number`), the last time at `at` (Unix
-    seconds), as discovery at `source` told it at its `version`.
+    """Position of the leader's last write.
+
+    `sequence` counts its writes under `token`; `discovery_version` is what discovery at `source`
+    reported; `written_at_s` is Unix time.
     """
 
     token: int
-    number: int
-    version: int
+    sequence: int
+    discovery_version: int
     source: str
-    at: int
+    written_at_s: int
 
 
-_upstreams = msgspec.msgpack.Decoder(UpstreamRow)
-_services = msgspec.msgpack.Decoder(ServiceRow)
-_lists = msgspec.msgpack.Decoder(ListRow)
-pack = msgspec.msgpack.Encoder().encode
+_upstream_decoder = msgspec.msgpack.Decoder(UpstreamRow)
+_service_decoder = msgspec.msgpack.Decoder(ServiceRow)
+_list_decoder = msgspec.msgpack.Decoder(ListRow)
+encode = msgspec.msgpack.Encoder().encode
 
 
-class Keys:
-    """Of one service."""
+class RowKeys:
+    """Store keys of one service's rows."""
 
     def __init__(self, service: str) -> None:
         self.scope = SERVICE + service
-        self.within = f"{PREFIX}{self.scope}/"
-        self.upstreams = f"{self.within}upstream/"
-        self.service = f"{self.within}service/{service}"
-        self.list = f"{self.within}list/{service}"
+        self.prefix = f"{PREFIX}{self.scope}/"
+        self.upstreams = f"{self.prefix}upstream/"
+        self.service = f"{self.prefix}service/{service}"
+        self.list = f"{self.prefix}list/{service}"
 
     def upstream(self, number: int) -> str:
+        """Returns the key of an upstream's row."""
         return f"{self.upstreams}{number:016x}"
 
 
 # ---- an upstream's row ---------------------------------------------------------------------------
 
 
-def row_of(endpoint: Endpoint) -> UpstreamRow:
-    """An upstream with the address that all know. Equal in every process that heard the same of it.
-    Raises Malformed where no balancer would take the row.
+def upstream_row(endpoint: Endpoint) -> UpstreamRow:
+    """Returns the row of an endpoint with its canonical address.
+
+    Every process that knows the same of an endpoint makes an equal row.
+
+    Raises:
+        Malformed: No balancer would accept the row.
     """
-    e = endpoint.entry
-    weight = (
-        int(e.weight) if e.weight == int(e.weight) else e.weight
-    )  # a whole one takes a byte, not nine
+    entry = endpoint.entry
+    # A whole number takes one byte in place of nine.
+    weight = int(entry.weight) if entry.weight == int(entry.weight) else entry.weight
     row = UpstreamRow(
-        e.id,
+        entry.id,
         endpoint.host,
         endpoint.port,
-        e.zone,
-        e.kind,
-        e.cell,
+        entry.zone,
+        entry.kind,
+        entry.cell,
         weight,
         endpoint.started_ms,
-        e.state is api.UpstreamState.DRAINING,
+        entry.state is api.UpstreamState.DRAINING,
     )
-    wrong = _wrong(row)
-    if wrong:
-        raise Malformed(wrong)
+    error = _find_upstream_error(row)
+    if error:
+        raise Malformed(error)
     return row
 
 
-def packed(endpoint: Endpoint) -> bytes:
-    """Raises Malformed, in one line."""
+def encode_upstream(endpoint: Endpoint) -> bytes:
+    """Returns the encoded row of an endpoint.
+
+    Raises:
+        Malformed: The endpoint can't be a row; the message is one line.
+    """
     try:
-        value = pack(row_of(endpoint))
+        value = encode(upstream_row(endpoint))
     except (Malformed, ValueError, OverflowError) as error:
         raise Malformed(f"upstream {endpoint.entry.id:016x}: {error}") from None
     if len(value) > MOST_ROW:
@@ -117,82 +130,106 @@
     return value
 
 
-def unpack_upstream(value: bytes) -> UpstreamRow:
-    """Raises ValueError."""
-    return _upstreams.decode(value)
+def decode_upstream(value: bytes) -> UpstreamRow:
+    """Decodes an upstream's row.
 
+    Raises:
+        ValueError: The value is not such a row.
+    """
+    return _upstream_decoder.decode(value)
 
-def unpack_list(value: bytes) -> ListRow:
-    """Raises ValueError."""
-    return _lists.decode(value)
 
+def decode_list(value: bytes) -> ListRow:
+    """Decodes the list's row.
 
-def endpoint_of(row: UpstreamRow) -> Endpoint:
-    state = api.UpstreamState.DRAINING if row.draining else api.UpstreamState.READY
+    Raises:
+        ValueError: The value is not such a row.
+    """
+    return _list_decoder.decode(value)
+
+
+def to_endpoint(row: UpstreamRow) -> Endpoint:
+    """Returns the endpoint that a row describes."""
+    state = api.UpstreamState.DRAINING if row.is_draining else api.UpstreamState.READY
     entry = api.Upstream(row.id, state, row.zone, row.cell, float(row.weight), kind=row.kind)
     return Endpoint(entry, row.host, row.port, row.started_ms)
 
 
-def gone(number: int) -> Endpoint:
-    """What is told of an upstream whose row was deleted."""
+def removed_endpoint(number: int) -> Endpoint:
+    """Returns the delta entry of an upstream whose row was deleted."""
     return Endpoint(api.Upstream(number, api.UpstreamState.REMOVED), "", 0)
 
 
-# ---- what a balancer takes -----------------------------------------------------------------------
+# ---- validation of received rows -----------------------------------------------------------------
 
 
-def check(scope: str, row: Row) -> str:
-    """Why this program can't go by the row, in one line; empty: it can."""
+def find_row_error(scope: str, row: Row) -> str:
+    """Returns why this program can't use a row, in one line; empty if it can."""
     if row.value is None:
         return ""
     kind, _, name = row.key.partition("/")
     service = scope.removeprefix(SERVICE) if scope.startswith(SERVICE) else ""
+    if not service or kind not in {"upstream", "service", "list"}:
+        return f"this program knows no {kind[:MAX_SHOWN_KIND]} here"
     try:
-        if kind == "upstream" and service:
-            found = unpack_upstream(row.value)
-            return _wrong(found) or (
-                "" if name == f"{found.id:016x}" else f"its id is {found.id:016x}"
-            )
-        if kind == "service" and service:
-            named = _services.decode(row.value).name
-            return "" if name == named == service else f"it says {named[:80]!r}"
-        if kind == "list" and service:
-            unpack_list(row.value)
-            return "" if name == service else f"it is not {service}'s"
+        if kind == "upstream":
+            return _find_named_upstream_error(name, row.value)
+        if kind == "service":
+            declared = _service_decoder.decode(row.value).name
+            return "" if name == declared == service else f"it says {declared[:MAX_SHOWN_NAME]!r}"
+        decode_list(row.value)
     except ValueError as error:
         return " ".join(str(error).split())
-    return f"this program knows no {kind[:40]} here"
+    return "" if name == service else f"it is not {service}'s"
+
+
+def _find_named_upstream_error(name: str, value: bytes) -> str:
+    row = decode_upstream(value)
+    error = _find_upstream_error(row)
+    if error:
+        return error
+    return "" if name == f"{row.id:016x}" else f"its id is {row.id:016x}"
 
 
-def _wrong(row: UpstreamRow) -> str:
+def _find_upstream_error(row: UpstreamRow) -> str:
     try:
         ipaddress.ip_address(row.host)
     except ValueError as error:
         return f"host: {error}"
-    if not 0 < row.port < 65536:
+    if not 0 < row.port < PORT_LIMIT:
         return "port: must be 1 to 65535"
-    if not 0 <= row.id < 1 << 64:
+    if not 0 <= row.id < ID_LIMIT:
         return "id: must have 64 bits"
     if not (math.isfinite(row.weight) and 0 <= row.started_ms <= LATEST_MS):
         return "weight or started_ms is out of range"
     return ""
 
 
-# ---- what is to be written -----------------------------------------------------------------------
+# ---- planning of writes --------------------------------------------------------------------------
 
 
-def differences(
-    stored: Mapping[str, tuple[int, bytes]], wanted: Mapping[str, bytes], most: int = MOST_OPS
+def plan_writes(
+    stored: Mapping[str, tuple[int, bytes]],
+    desired: Mapping[str, bytes],
+    max_operations: int = MOST_OPS,
 ) -> list[Batch]:
-    """The writes that turn what stands, version and value by key, into what is wanted: only what
-    differs, in the order of keys, so that equal work is equal writes; what goes is deleted after
-    all else is there. Each operation is bound to the version that stands, none has more than
-    `most`.
+    """Plans the writes that turn the stored rows into the desired ones.
+
+    Only rows that differ are written, in the order of their keys, so that equal work makes equal
+    writes; deletions come after all else. Each operation is conditional on the stored version.
+
+    Args:
+        stored: Version and value by key.
+        desired: Value by key.
+        max_operations: Operations of one write.
     """
-    ops = [
+    operations = [
         Op(key, value, stored[key][0] if key in stored else 0)
-        for key, value in sorted(wanted.items())
+        for key, value in sorted(desired.items())
         if key not in stored or stored[key][1] != value
     ]
-    ops += [Op(key, None, stored[key][0]) for key in sorted(stored.keys() - wanted.keys())]
-    return [tuple(ops[at : at + most]) for at in range(0, len(ops), most)]
+    operations += [Op(key, None, stored[key][0]) for key in sorted(stored.keys() - desired.keys())]
+    return [
+        tuple(operations[start : start + max_operations])
+        for start in range(0, len(operations), max_operations)
+    ]
--- a/loadbalancer/daemon/settings.py
+++ b/loadbalancer/daemon/settings.py
@@ -1,9 +1,12 @@
-"""The operators' settings: a TOML file that stands in for the platform's JSON. Unknown keys,
-missing units and contradictions are one-line errors that name the file and the key.
+"""The operators' settings: a TOML file in place of the platform's JSON.
+
+Unknown keys, missing units and contradictions are one-line errors that name the file and the key.
+Where a field's name differs from its TOML key, `msgspec.field(name=...)` gives the key.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Iterator
 from pathlib import Path
 from typing import Literal
 
@@ -16,29 +19,33 @@
 from loadbalancer.units import Duration, PerSecond, Size, convert, read_toml, repeated
 
 MS = 1_000_000
-LEAST_MEMORY = 32 << 20
+MIN_MEMORY_BYTES = 32 << 20
+
 
+class SettingsTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Base of the file's tables."""
 
-class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file."""
 
+class ClassSettings(SettingsTable, frozen=True):
+    """A `[[class]]`: a request class."""
 
-class Class(Part, frozen=True):
     name: str
-    aim: Duration
+    latency_objective: Duration = msgspec.field(name="aim")
     deadline: Duration
     effect: Literal["safe", "unsafe"] = "unsafe"
-    worth: float = 1.0
+    priority_weight: float = msgspec.field(name="worth", default=1.0)
+
 
+class TenantSettings(SettingsTable, frozen=True):
+    """A `[[tenant]]`."""
 
-class Tenant(Part, frozen=True):
     name: str
     share: float
     quota: PerSecond = PerSecond(0)
 
 
-class Server(Part, frozen=True):
-    """An upstream of a fixed list."""
+class ServerSettings(SettingsTable, frozen=True):
+    """A `[[server]]`: an upstream of a fixed list."""
 
     id: str
     address: str
@@ -47,14 +54,18 @@
     cell: int = 0
 
 
-class Retries(Part, frozen=True):
+class RetrySettings(SettingsTable, frozen=True):
+    """`[retries]`: attempts, hedged requests, Retry-After."""
+
     attempts: int = 3
-    second_copies: bool = True
-    tell_when_to_return: bool = True
-    longest_told: Duration = Duration(1500 * MS)
+    hedging: bool = msgspec.field(name="second_copies", default=True)
+    send_retry_after: bool = msgspec.field(name="tell_when_to_return", default=True)
+    max_retry_after: Duration = msgspec.field(name="longest_told", default=Duration(1500 * MS))
+
 
+class LimitSettings(SettingsTable, frozen=True):
+    """`[limits]`."""
 
-class Limits(Part, frozen=True):
     descriptors: int = SOCKETS
     memory: Size = Size(MEMORY_MB << 20)
     open_requests: int = 20_000
@@ -62,165 +73,204 @@
     idle_connections: Duration = Duration(15_000 * MS)
 
 
-class Drains(Part, frozen=True):
+class DrainSettings(SettingsTable, frozen=True):
+    """`[drains]`: draining upstreams, and the slow start of new ones."""
+
     grace: Duration = Duration(500 * MS)
-    cold_from: float = 0.3
-    cold: Duration = Duration(0)
+    slow_start_capacity: float = msgspec.field(name="cold_from", default=0.3)
+    slow_start: Duration = msgspec.field(name="cold", default=Duration(0))
 
 
-class File(Part, frozen=True):
-    """The whole file."""
+class SettingsFile(SettingsTable, frozen=True):
+    """The complete file."""
 
     listen: str
-    classes: list[Class] = msgspec.field(name="class")
+    classes: list[ClassSettings] = msgspec.field(name="class")
     name: str = "lanelift"
     discovery: str = ""
-    ask: bool = True  # discovery is asked, it does not push
-    operators: str = ""  # their door
+    poll_discovery: bool = msgspec.field(name="ask", default=True)  # False: discovery pushes
+    admin_listen: str = msgspec.field(name="operators", default="")
     zone: str = ""
-    number: int = 0  # this balancer's, of `of`
-    of: int = 1
+    instance_index: int = msgspec.field(name="number", default=0)
+    instance_count: int = msgspec.field(name="of", default=1)
     seed: int = 0
-    state: str = ""  # a folder that outlives the process
+    state_folder: str = msgspec.field(name="state", default="")  # outlives the process
     probes: bool = False
-    tenants: list[Tenant] = msgspec.field(name="tenant", default_factory=list)
-    servers: list[Server] = msgspec.field(name="server", default_factory=list)
-    retries: Retries = Retries()
-    limits: Limits = Limits()
-    drains: Drains = Drains()
-
-
-def contradictions(f: File) -> str:
-    """The first thing that can't be, as `key: why`; empty if there is none."""
-    if bool(f.discovery) == bool(f.servers):
-        return "discovery and [[server]]: exactly one of the two tells which upstreams there are"
-    if not f.classes:
-        return "class: at least one is needed"
-    for what, names in (
-        ("class", [c.name for c in f.classes]),
-        ("tenant", [t.name for t in f.tenants]),
-        ("server", [s.id for s in f.servers]),
-    ):
-        twice = repeated(names)
-        if twice:
-            return f"{what}: {twice} stands there twice"
-    for c in f.classes:
-        if not 0 < c.aim <= c.deadline:
-            return f"class {c.name}: aim must be more than nothing and no longer than deadline"
-    for t in f.tenants:
-        if t.share <= 0:
-            return f"tenant {t.name}: share must be more than nothing"
-    if not 0 <= f.number < f.of:
-        return "number: must be below of"
-    if f.limits.descriptors < 2 * RESERVE:
-        return f"limits.descriptors: must be {2 * RESERVE} at least"
-    if f.limits.memory < LEAST_MEMORY:
-        return "limits.memory: must be 32MiB at least"
-    if f.operators and f.operators == f.listen:
-        return "operators: must be an address of its own"
-    if f.retries.attempts < 1:
-        return "retries.attempts: must be 1 at least"
-    if not 0 < f.drains.cold_from <= 1:
-        return "drains.cold_from: must be over 0 and at most 1"
-    return ""
+    tenants: list[TenantSettings] = msgspec.field(name="tenant", default_factory=list)
+    servers: list[ServerSettings] = msgspec.field(name="server", default_factory=list)
+    retries: RetrySettings = RetrySettings()
+    limits: LimitSettings = LimitSettings()
+    drains: DrainSettings = DrainSettings()
+
+
+def find_contradiction(file: SettingsFile) -> str:
+    """Returns the first contradiction, as `key: why`; empty if there is none."""
+    return next(_contradictions(file), "")
+
+
+def _contradictions(file: SettingsFile) -> Iterator[str]:
+    if bool(file.discovery) == bool(file.servers):
+        yield "discovery and [[server]]: exactly one of the two tells which upstreams there are"
+    if not file.classes:
+        yield "class: at least one is needed"
+    yield from _duplicate_name("class", (entry.name for entry in file.classes))
+    yield from _duplicate_name("tenant", (tenant.name for tenant in file.tenants))
+    yield from _duplicate_name("server", (server.id for server in file.servers))
+    for entry in file.classes:
+        if not 0 < entry.latency_objective <= entry.deadline:
+            yield f"class {entry.name}: aim must be more than nothing and no longer than deadline"
+    for tenant in file.tenants:
+        if tenant.share <= 0:
+            yield f"tenant {tenant.name}: share must be more than nothing"
+    yield from _limit_contradictions(file)
+
+
+def _duplicate_name(key: str, names: Iterable[str]) -> Iterator[str]:
+    duplicate = repeated(names)
+    if duplicate:
+        yield f"{key}: {duplicate} stands there twice"
+
+
+def _limit_contradictions(file: SettingsFile) -> Iterator[str]:
+    if not 0 <= file.instance_index < file.instance_count:
+        yield "number: must be below of"
+    if file.limits.descriptors < 2 * RESERVE:
+        yield f"limits.descriptors: must be {2 * RESERVE} at least"
+    if file.limits.memory < MIN_MEMORY_BYTES:
+        yield "limits.memory: must be 32MiB at least"
+    if file.admin_listen and file.admin_listen == file.listen:
+        yield "operators: must be an address of its own"
+    if file.retries.attempts < 1:
+        yield "retries.attempts: must be 1 at least"
+    if not 0 < file.drains.slow_start_capacity <= 1:
+        yield "drains.cold_from: must be over 0 and at most 1"
 
 
 def read_file(path: Path) -> Config:
-    """The configuration from the operators' file. Raises Malformed with one line."""
+    """Returns the configuration of a settings file.
+
+    Raises:
+        Malformed: The file is not valid; the message is one line.
+    """
     return read_raw(read_table(path), str(path))
 
 
 def read_table(path: Path) -> Json:
-    """The file as parsed TOML. Raises Malformed with one line."""
+    """Returns a file as parsed TOML.
+
+    Raises:
+        Malformed: The file can't be read or is not TOML; the message is one line.
+    """
     try:
         return read_toml(path)
     except ValueError as error:
         raise Malformed(f"{path}: {error}") from None
 
 
-def read_raw(raw: Json, where: str) -> Config:
-    """The configuration from the operators' settings, parsed TOML; `where` they stand is told in
-    errors. Raises Malformed.
+def read_raw(raw: Json, origin: str) -> Config:
+    """Returns the configuration of parsed settings.
+
+    Args:
+        raw: Parsed TOML.
+        origin: File or document that errors name.
+
+    Raises:
+        Malformed: The settings are not valid; the message is one line.
     """
     try:
-        file = convert(raw, File)
-        wrong = contradictions(file)
-        if wrong:
-            raise Malformed(wrong)
-        return config(file)
+        file = convert(raw, SettingsFile)
+        contradiction = find_contradiction(file)
+        if contradiction:
+            raise Malformed(contradiction)
+        return to_config(file)
     except (ValueError, Malformed) as error:
-        raise Malformed(f"{where}: {error}") from None
-
-
-def config(f: File) -> Config:
-    fixed: Json | None = None
-    if f.servers:
-        fixed = {
-            "version": 1,
-            "full": True,
-            "servers": [
-                {
-                    "id": s.id,
-                    "addr": s.address,
-                    "zone": s.zone,
-                    "kind": s.kind,
-                    "cell": s.cell,
-                    "state": "Ready",
-                }
-                for s in f.servers
-            ],
-        }
-        for server in f.servers:
-            split_address(server.address)
-        if len(read_list(fixed)[2]) != len(f.servers):
-            raise Malformed("server: an address must be IP:PORT")
-    listen = split_address(f.listen)
-    discovery = split_address(f.discovery) if f.discovery else ("", 0)
+        raise Malformed(f"{origin}: {error}") from None
+
+
+def to_config(file: SettingsFile) -> Config:
+    """Returns the configuration of a balancer.
+
+    Raises:
+        Malformed: An address is not valid.
+    """
+    fixed = _fixed_list(file.servers) if file.servers else None
     return Config(
-        listen,
-        discovery,
-        f.seed,
-        f.limits.descriptors,
-        read_settings(settings(f)),
+        split_address(file.listen),
+        split_address(file.discovery) if file.discovery else ("", 0),
+        file.seed,
+        file.limits.descriptors,
+        read_settings(to_platform_settings(file)),
         None,
         None,
         [],
         None,
-        split_address(f.operators) if f.operators else None,
-        f.name,
-        f.limits.memory >> 20,
-        Path(f.state) if f.state else None,
+        split_address(file.admin_listen) if file.admin_listen else None,
+        file.name,
+        file.limits.memory >> 20,
+        Path(file.state_folder) if file.state_folder else None,
         fixed,
     )
 
 
-def settings(f: File) -> Json:
-    """The settings object in the platform's form."""
+def _fixed_list(servers: list[ServerSettings]) -> Json:
+    """Returns the upstreams as discovery would list them."""
+    fixed: Json = {
+        "version": 1,
+        "full": True,
+        "servers": [
+            {
+                "id": server.id,
+                "addr": server.address,
+                "zone": server.zone,
+                "kind": server.kind,
+                "cell": server.cell,
+                "state": "Ready",
+            }
+            for server in servers
+        ],
+    }
+    for server in servers:
+        split_address(server.address)
+    if len(read_list(fixed)[2]) != len(servers):
+        raise Malformed("server: an address must be IP:PORT")
+    return fixed
+
+
+def to_platform_settings(file: SettingsFile) -> Json:
+    """Returns the settings object in the platform's form."""
     return {
-        "me": f.number,
-        "replicas_of_me": f.of,
-        "locality": f.zone,
-        "registry_mode": "ask" if f.discovery and f.ask else "push",
+        "me": file.instance_index,
+        "replicas_of_me": file.instance_count,
+        "locality": file.zone,
+        "registry_mode": "ask" if file.discovery and file.poll_discovery else "push",
         "profiles": [
-            write_class(c.name, c.effect == "safe", c.aim, c.deadline, c.worth) for c in f.classes
+            write_class(
+                entry.name,
+                entry.effect == "safe",
+                entry.latency_objective,
+                entry.deadline,
+                entry.priority_weight,
+            )
+            for entry in file.classes
         ],
         "realms": [
-            {"name": t.name, "share": t.share, "quota_per_s": float(t.quota)} for t in f.tenants
+            {"name": tenant.name, "share": tenant.share, "quota_per_s": float(tenant.quota)}
+            for tenant in file.tenants
         ],
         "limits": {
-            "send_cap": f.retries.attempts,
-            "second_copies": f.retries.second_copies,
+            "send_cap": file.retries.attempts,
+            "second_copies": file.retries.hedging,
             "may_cancel": True,
-            "probes": f.probes,
-            "retry_after": f.retries.tell_when_to_return,
-            "max_retry_after_ns": int(f.retries.longest_told),
-            "max_open": f.limits.open_requests,
-            "connect_timeout_ns": int(f.limits.connect),
-            "conn_idle_ns": int(f.limits.idle_connections),
+            "probes": file.probes,
+            "retry_after": file.retries.send_retry_after,
+            "max_retry_after_ns": int(file.retries.max_retry_after),
+            "max_open": file.limits.open_requests,
+            "connect_timeout_ns": int(file.limits.connect),
+            "conn_idle_ns": int(file.limits.idle_connections),
         },
         "rules": {
-            "stop_sending_within_ns": int(f.drains.grace),
-            "cold_from": f.drains.cold_from,
-            "cold_ns": int(f.drains.cold),
+            "stop_sending_within_ns": int(file.drains.grace),
+            "cold_from": file.drains.slow_start_capacity,
+            "cold_ns": int(file.drains.slow_start),
         },
     }
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -1,13 +1,7 @@
-"""A balancer's part in what the fleet does about its sites, on the store and the wire: the
-decisions are `loadbalancer.failover.observer`'s.
+"""A balancer's part in site failover: it reports evidence and follows the leader's plan.
 
-    site/SERVICE/row/BALANCER    what this balancer sees, some times a minute
-    site/SERVICE/plan            courses and orders; their one owner puts them, and operators change
-    courses
-    site/SERVICE/stands          that the plan still stands
-    site/SERVICE/tables          for each loss of a site, and of two, where the load goes: worked
-    out
-    beforehand
+The decisions are those of `loadbalancer.failover.observer`; this module connects them to the
+driver and to the store (`site_documents`).
 """
 
 from __future__ import annotations
@@ -22,259 +16,229 @@
 
 import msgspec
 
-from loadbalancer.daemon.persisted import decoded
+from loadbalancer.daemon.endpoint_follower import log_stale_message
+from loadbalancer.daemon.identity import BalancerIdentity
+from loadbalancer.daemon.persisted import LeaderConfirmation, decode_row
+from loadbalancer.daemon.site_documents import LossTablesDocument, SiteKeys, SitePlanDocument
 from loadbalancer.failover.evidence import Said
 from loadbalancer.failover.observer import Member
-from loadbalancer.failover.site_reports import Row as Own
-from loadbalancer.failover.site_state import Aim, Course
-from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.failover.site_reports import Row as SiteReport
+from loadbalancer.failover.site_state import Aim
 from loadbalancer.leases.fence import FencedReceiver, FencingPosition
-from loadbalancer.leases.table import format_token
 from loadbalancer.policy import api
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Report
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import LEASES, Op
+from loadbalancer.store.commands import Op
 from loadbalancer.store.lease_client import NotOwner, Owner, clock_ns
 from loadbalancer.store.wire.protocol import Row
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.25
-SILENT = 2  # renewals in a row that failed: the store does not answer
+STEP_INTERVAL_S = 0.25
+REPORT_JITTER = (0.5, 1.0)
+MAX_RENEWAL_FAILURES = 2  # in a row; from then on the store counts as unavailable
+REMOVE_TIMEOUT_S = 0.3
 
 
-class PlanDoc(msgspec.Struct, frozen=True):
-    """As it stands in the store. `number` counts the owner's words under its token; `sites`: those
-    that it is for; what operators change of `courses` leaves both as they are.
-    """
-
-    token: int = 0
-    number: int = 0
-    sites: tuple[str, ...] = ()
-    courses: tuple[Course, ...] = ()
-    orders: Orders = Orders()
-    at: float = 0.0
-
-
-class Stands(msgspec.Struct, frozen=True):
-    token: int
-    number: int
-    beat: int
-
-
-class TableRow(msgspec.Struct, frozen=True):
-    """One loss beforehand. `fill` is by site, worth a second."""
-
-    lost: tuple[str, ...]
-    shares: dict[str, dict[str, float]]
-    rung: int
-    part: float
-    fill: dict[str, float]
-    worth: float
-    usual: float
-    orders: Orders
-
-
-class TablesDoc(msgspec.Struct, frozen=True):
-    token: int
-    number: int
-    at: float
-    sites: tuple[str, ...]
-    tables: tuple[TableRow, ...]
-    shares: dict[str, dict[str, float]] = {}  # the same in each of them, so they stand here once
-
-
-class SiteKeys:
-    def __init__(self, service: str) -> None:
-        self.rows = f"site/{service}/row/"
-        self.plan = f"site/{service}/plan"
-        self.stands = f"site/{service}/stands"
-        self.tables = f"site/{service}/tables"
-        self.prefix = f"site/{service}"
-        self.names = f"{LEASES}name/{service}/"
-
-
-class SiteWatch:
-    """Beside a driver; nothing of it holds the balancer up."""
+class SiteAgent:
+    """Runs beside a driver and never holds it up."""
 
     def __init__(
         self,
         driver: Driver,
         client: Client,
-        name: Owner,
-        service: str,
-        balancer: str,
+        name_lease: Owner,
+        identity: BalancerIdentity,
         rng: random.Random,
     ) -> None:
+        settings = driver.settings
         self.driver = driver
         self.client = client
-        self.name = name
-        self.balancer = balancer
-        self.keys = SiteKeys(service)
-        self.key = self.keys.rows + balancer
+        self.name_lease = name_lease
+        self.balancer = identity.balancer
+        self.keys = SiteKeys(identity.service)
+        self.key = self.keys.rows + identity.balancer
         self.member = Member(
-            driver.settings.zone, balancer, driver.settings.instance_count, rng, clock_ns()
+            settings.zone, identity.balancer, settings.instance_count, rng, clock_ns()
         )
         self.receiver = FencedReceiver(FencingPosition())
-        self.doc = PlanDoc()
-        self.beat = 0
-        self.fresh = False
-        self.there = False  # a row of this process stands in the store
-        driver.tap = self._tap
+        self.plan = SitePlanDocument()
+        self.heartbeat = 0
+        self.is_following_plan = False
+        self.has_report = False  # a report of this process stands in the store
+        driver.tap = self._on_events
 
-    # ---- what is seen ----------------------------------------------------------------------------
+    # ---- observation -----------------------------------------------------------------------------
 
-    def _tap(self, now: int, events: Sequence[api.Event]) -> None:
-        """Beside the module, after each turn. Never raises: the balancer goes on without it."""
+    def _on_events(self, now: int, events: Sequence[api.Event]) -> None:  # noqa: ARG002 (Driver.tap)
+        """Sees the policy's events. Never raises: the balancer goes on without the agent."""
         try:
-            for e in events:
-                if type(e) is api.RequestArrived:
-                    self.member.arrived(e)
-                elif type(e) is api.AttemptFinished:
-                    request = self.driver.requests.get(e.request)
-                    if request is not None:
-                        cls = self.driver.settings.classes[request.arrival.class_name]
-                        usual = self.driver.balancer.crowding.taken.get(cls.name, 0.0)
-                        self.member.tried(e, cls.latency_objective_ns, usual, clock_ns())
+            for event in events:
+                if type(event) is api.RequestArrived:
+                    self.member.arrived(event)
+                elif type(event) is api.AttemptFinished:
+                    self._on_attempt_finished(event)
         except Exception:
-            log.exception("sites")
+            log.exception("site agent failed")
+
+    def _on_attempt_finished(self, event: api.AttemptFinished) -> None:
+        request = self.driver.requests.get(event.request)
+        if request is None:
+            return
+        request_class = self.driver.settings.classes[request.arrival.class_name]
+        usual_ns = self.driver.balancer.crowding.taken.get(request_class.name, 0.0)
+        self.member.tried(event, request_class.latency_objective_ns, usual_ns, clock_ns())
 
-    async def look(self) -> None:
-        """Judge what was seen, sound what is not used, and have the module follow."""
+    async def observe(self) -> None:
+        """Judges the evidence, probes unused sites and gives the policy its traffic plan."""
         while True:
-            self._turn()
-            await asyncio.sleep(TICK_S)
+            self._step()
+            await asyncio.sleep(STEP_INTERVAL_S)
 
-    def _turn(self) -> None:
+    def _step(self) -> None:
         now = clock_ns()
-        boxes = {
-            n: t.endpoint.entry.zone
-            for n, t in self.driver.upstreams.targets.items()
-            if t.endpoint.entry.state is api.UpstreamState.READY and t.endpoint.entry.zone
-        }
-        if boxes.keys() != self.member.evidence.boxes.keys():
-            self.member.evidence.listed(boxes, now)
-        turn = self.member.turn(now, self.name.holder.failures < SILENT)
-        for name, verdict in turn.changes:
-            log.info("site %s: %s: %s", name, verdict.state.value, verdict.why)
-        for number in turn.sounds:
-            self.driver.upstreams.probe(number, partial(self._sounded, number))
-        if turn.plan is not None:
-            self.driver.post(turn.plan)
-        owned = self.member.owned(now)
-        if owned is not self.fresh and self.member.heard_ns:
+        self._update_upstreams(now)
+        is_store_available = self.name_lease.holder.failures < MAX_RENEWAL_FAILURES
+        step = self.member.turn(now, is_store_available)
+        for site, verdict in step.changes:
+            log.info(
+                "site verdict changed: site=%s state=%s reason=%s",
+                site,
+                verdict.state.value,
+                verdict.why,
+            )
+        for number in step.sounds:
+            self.driver.upstreams.probe(number, partial(self._on_probe_finished, number))
+        if step.plan is not None:
+            self.driver.post(step.plan)
+        is_following_plan = self.member.owned(now)
+        if is_following_plan is not self.is_following_plan and self.member.heard_ns:
             log.info(
-                "sites: the owner's plan is %s",
-                "followed" if owned else "old, or for other sites: going by what is seen here",
+                "site plan of the leader followed"
+                if is_following_plan
+                else "site plan of the leader old or for other sites, using local evidence"
             )
-        self.fresh = owned
+        self.is_following_plan = is_following_plan
 
-    def _sounded(self, number: int, result: api.AttemptResult, report: Report) -> None:
+    def _update_upstreams(self, now: int) -> None:
+        sites = {
+            number: target.endpoint.entry.zone
+            for number, target in self.driver.upstreams.targets.items()
+            if target.endpoint.entry.state is api.UpstreamState.READY and target.endpoint.entry.zone
+        }
+        if sites.keys() != self.member.evidence.boxes.keys():
+            self.member.evidence.listed(sites, now)
+
+    def _on_probe_finished(self, number: int, result: api.AttemptResult, _report: Report) -> None:
         self.member.sounded(number, result, clock_ns())
 
-    async def tell(self) -> None:
-        """Raises StoreError."""
+    async def report(self) -> None:
+        """Writes each report that is due.
+
+        Raises:
+            StoreError: The store did not serve a write.
+        """
         while True:
-            if self.member.row_due(clock_ns()) and self.name.token():
-                row = self.member.row(self.driver.balancer.crowding.taken, clock_ns())
+            if self.member.row_due(clock_ns()) and self.name_lease.token():
+                report = self.member.row(self.driver.balancer.crowding.taken, clock_ns())
                 with suppress(NotOwner):
-                    await self.name.write([Op(self.key, msgspec.json.encode(row))])
-                    self.there = True
-            await asyncio.sleep(TICK_S * self.member.rng.uniform(0.5, 1.0))
+                    await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
+                    self.has_report = True
+            await asyncio.sleep(STEP_INTERVAL_S * self.member.rng.uniform(*REPORT_JITTER))
+
+    async def remove(self) -> None:
+        """Deletes this balancer's report.
 
-    async def leave(self) -> None:
-        """Raises StoreError."""
-        if self.there and self.name.token():
+        Raises:
+            StoreError: The store did not serve the write.
+        """
+        if self.has_report and self.name_lease.token():
             with suppress(NotOwner):
-                await self.name.write([Op(self.key, None)], within_s=0.3)
+                await self.name_lease.write([Op(self.key, None)], within_s=REMOVE_TIMEOUT_S)
 
-    # ---- the plan --------------------------------------------------------------------------------
+    # ---- the leader's plan -----------------------------------------------------------------------
 
     async def follow(self) -> None:
-        """First what a majority has, then each change behind it. Raises StoreError."""
-        found = await self.client.get(self.keys.plan, self.keys.stands, self.keys.tables)
-        doc = decoded(found.rows[0], PlanDoc)
-        self.receiver.learn(FencingPosition(doc.token, doc.number) if doc else FencingPosition())
-        self._planned(found.rows[0])
-        self._tabled(found.rows[2])
-        async for told in self.client.watch(self.keys.prefix, found.revision):
-            for change in told.changes:
-                row = Row(change.key, change.value, change.version, change.revision)
-                if change.key == self.keys.plan:
-                    self._planned(row)
-                elif change.key == self.keys.stands:
-                    self._stands(row)
-                elif change.key == self.keys.tables:
-                    self._tabled(row)
-                elif change.key.startswith(self.keys.rows):
-                    self._others(row)
-
-    def _planned(self, row: Row) -> None:
-        doc = decoded(row, PlanDoc)
-        if doc is None:
+        """Takes the committed plan first, then each change after it.
+
+        Raises:
+            StoreError: The store did not serve a read or the watch.
+        """
+        found = await self.client.get(self.keys.plan, self.keys.confirmation, self.keys.tables)
+        plan_row, _, tables_row = found.rows
+        plan = decode_row(plan_row, SitePlanDocument)
+        self.receiver.learn(
+            FencingPosition(plan.token, plan.sequence) if plan else FencingPosition()
+        )
+        self._receive_plan(plan_row)
+        self._receive_tables(tables_row)
+        async for event in self.client.watch(self.keys.prefix, found.revision):
+            for change in event.changes:
+                self._receive(Row(change.key, change.value, change.version, change.revision))
+
+    def _receive(self, row: Row) -> None:
+        if row.key == self.keys.plan:
+            self._receive_plan(row)
+        elif row.key == self.keys.confirmation:
+            self._receive_confirmation(row)
+        elif row.key == self.keys.tables:
+            self._receive_tables(row)
+        elif row.key.startswith(self.keys.rows):
+            self._receive_report(row)
+
+    def _receive_plan(self, row: Row) -> None:
+        plan = decode_row(row, SitePlanDocument)
+        if plan is None:
             return
-        if not self.receiver.accept(FencingPosition(doc.token, doc.number)):
-            log.info(
-                "%s: the word of token %s is not heeded: token %s was heard",
-                row.key,
-                format_token(doc.token),
-                format_token(self.receiver.highest.token),
-            )
+        position = FencingPosition(plan.token, plan.sequence)
+        if not self.receiver.accept(position):
+            log_stale_message(row.key, position, self.receiver)
             return
-        for course in doc.courses:
-            was = course_of(self.doc, course.site)
-            if was.count != course.count:
+        for state in plan.site_states:
+            if self.plan.state_of(state.site).count != state.count:
                 log.info(
-                    "site %s: %s at %.0f%%: %s",
-                    course.site,
-                    course.stage.value,
-                    100 * course.part,
-                    course.why,
+                    "site state changed: site=%s stage=%s share=%.0f%% reason=%s",
+                    state.site,
+                    state.stage.value,
+                    100 * state.part,
+                    state.why,
                 )
-        self.doc = doc
-        held = {c.site: c.by for c in doc.courses if c.aim is not Aim.IN and c.part <= 0}
-        self.member.ordered(doc.orders, frozenset(doc.sites), held, clock_ns())
-
-    def _stands(self, row: Row) -> None:
-        stands = decoded(row, Stands)
-        if stands is not None:
-            if (
-                FencingPosition(stands.token, stands.number) == self.receiver.highest
-                and stands.beat != self.beat
-            ):
-                self.member.stands(clock_ns())
-            self.beat = stands.beat
+        self.plan = plan
+        drained = {
+            state.site: state.by
+            for state in plan.site_states
+            if state.aim is not Aim.IN and state.part <= 0
+        }
+        self.member.ordered(plan.orders, frozenset(plan.sites), drained, clock_ns())
 
-    def _tabled(self, row: Row) -> None:
-        doc = decoded(row, TablesDoc)
-        if doc is not None and not FencingPosition(doc.token).is_before(
+    def _receive_confirmation(self, row: Row) -> None:
+        confirmation = decode_row(row, LeaderConfirmation)
+        if confirmation is None:
+            return
+        position = FencingPosition(confirmation.token, confirmation.sequence)
+        if position == self.receiver.highest and confirmation.heartbeat != self.heartbeat:
+            self.member.stands(clock_ns())
+        self.heartbeat = confirmation.heartbeat
+
+    def _receive_tables(self, row: Row) -> None:
+        document = decode_row(row, LossTablesDocument)
+        if document is None or FencingPosition(document.token).is_before(
             FencingPosition(self.receiver.highest.token)
         ):
-            self.member.tables = {
-                frozenset(t.lost): replace(t.orders, shares=doc.shares) for t in doc.tables
-            }
-            self.member.tabled = frozenset(doc.sites)
+            return
+        self.member.tables = {
+            frozenset(table.lost): replace(table.orders, shares=document.shares)
+            for table in document.tables
+        }
+        self.member.tabled = frozenset(document.sites)
 
-    def _others(self, row: Row) -> None:
-        name = row.key.removeprefix(self.keys.rows)
-        own = decoded(row, Own)
+    def _receive_report(self, row: Row) -> None:
+        balancer = row.key.removeprefix(self.keys.rows)
+        report = decode_row(row, SiteReport)
         evidence = self.member.evidence
-        if own is None or name == self.balancer or own.alone:
-            evidence.said.pop(name, None)
+        if report is None or balancer == self.balancer or report.alone:
+            evidence.said.pop(balancer, None)
             return
-        evidence.heard(
-            name, Said(own.site, frozenset(own.answers), frozenset(own.silent)), 0, clock_ns()
-        )
-
-
-def with_course(doc: PlanDoc, course: Course) -> PlanDoc:
-    """The document with this course in place of its site's."""
-    courses = tuple(course if c.site == course.site else c for c in doc.courses)
-    if course not in courses:
-        courses += (course,)
-    return msgspec.structs.replace(doc, courses=courses)
-
-
-def course_of(doc: PlanDoc, site: str) -> Course:
-    return next((c for c in doc.courses if c.site == site), Course(site))
+        statement = Said(report.site, frozenset(report.answers), frozenset(report.silent))
+        evidence.heard(balancer, statement, 0, clock_ns())
