--- a/loadbalancer/daemon/site_config.py
+++ b/loadbalancer/daemon/site_config.py
@@ -1,10 +1,10 @@
-"""What operators say of their sites, as a document of the store: `config/sites/SERVICE`.
+"""The operators' description of their sites, a store document at `config/sites/SERVICE`.
 
 [[site]]
 name = "tema"
-bears = "400/s"        # requests of the usual mix that its boxes serve in time, warm
-burst = 0.2            # by so much more than usual may come at a time
-prices = {kasoa = 0.03}   # part of its worth that a request costs which comes from there
+bears = "400/s"           # requests of the usual mix served in time by its warmed-up upstreams
+burst = 0.2               # fraction above the usual load that may arrive at a time
+prices = {kasoa = 0.03}   # fraction of its value that a request from there costs
 """
 
 from __future__ import annotations
@@ -16,44 +16,66 @@
 from loadbalancer.failover.plan import Place
 from loadbalancer.units import PerSecond, convert, repeated
 
-DOCUMENT = "sites"  # and a service's name behind it
-MOST = 32
+DOCUMENT = "sites"  # followed by / and the service's name
+MAX_SITES = 32
+MAX_BURST = 5
 
 
-class Described(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SiteDescription(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One `[[site]]` table."""
+
     name: str
-    bears: PerSecond
+    capacity: PerSecond = msgspec.field(name="bears")
     burst: float = 0.2
     prices: dict[str, float] = {}
-    connections: PerSecond = PerSecond(
-        0.0
-    )  # requests a second that its free connections allow; 0: enough
+    # Requests a second that the site's free connections allow; 0: enough.
+    connections: PerSecond = PerSecond(0.0)
 
 
-class Sites(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole document."""
+class SitesDocument(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The complete document."""
 
-    sites: list[Described] = msgspec.field(name="site")
+    sites: list[SiteDescription] = msgspec.field(name="site")
 
 
 def read(raw: Any) -> dict[str, Place]:
-    """Raises ValueError, in one line."""
-    found: Sites = convert(raw, Sites)
-    names = [s.name for s in found.sites]
-    if not 1 <= len(names) <= MOST:
-        raise ValueError(f"site: 1 to {MOST} are told")
-    twice = repeated(names)
-    if twice:
-        raise ValueError(f"site: {twice} stands there twice")
-    for s in found.sites:
-        if not s.name or s.bears <= 0 or not 0 <= s.burst <= 5 or s.connections < 0:
-            raise ValueError(f"site {s.name!r}: needs a name, bears over 0/s and a burst of 0 to 5")
-        for other, price in s.prices.items():
-            if other not in names or price < 0:
-                raise ValueError(
-                    f"site {s.name}: prices: {other} is no site, or its price is negative"
-                )
+    """Reads a parsed document.
+
+    Returns:
+        The sites by name.
+
+    Raises:
+        ValueError: The document is not valid; the message is one line.
+    """
+    document: SitesDocument = convert(raw, SitesDocument)
+    _validate(document)
     return {
-        s.name: Place(s.name, float(s.bears), s.burst, s.prices, float(s.connections))
-        for s in found.sites
+        site.name: Place(
+            site.name, float(site.capacity), site.burst, site.prices, float(site.connections)
+        )
+        for site in document.sites
     }
+
+
+def _validate(document: SitesDocument) -> None:
+    names = [site.name for site in document.sites]
+    if not 1 <= len(names) <= MAX_SITES:
+        raise ValueError(f"site: 1 to {MAX_SITES} are told")
+    duplicate = repeated(names)
+    if duplicate:
+        raise ValueError(f"site: {duplicate} stands there twice")
+    for site in document.sites:
+        _validate_site(site, names)
+
+
+def _validate_site(site: SiteDescription, names: list[str]) -> None:
+    has_valid_rates = site.capacity > 0 and site.connections >= 0
+    if not site.name or not has_valid_rates or not 0 <= site.burst <= MAX_BURST:
+        raise ValueError(
+            f"site {site.name!r}: needs a name, bears over 0/s and a burst of 0 to {MAX_BURST}"
+        )
+    for other, price in site.prices.items():
+        if other not in names or price < 0:
+            raise ValueError(
+                f"site {site.name}: prices: {other} is no site, or its price is negative"
+            )
--- /dev/null
+++ b/loadbalancer/daemon/site_documents.py
@@ -0,0 +1,79 @@
+"""Site failover as it stands in the store: keys, documents and their field names.
+
+site/SERVICE/row/BALANCER    what a balancer observes, several times a minute
+site/SERVICE/plan            site states and orders; the leader writes it, operators change states
+site/SERVICE/stands          the leader's confirmations of the plan
+site/SERVICE/tables          where the load goes after each loss of a site or two, precomputed
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from loadbalancer.failover.site_state import Course
+from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.store.commands import LEASES
+
+
+class SiteKeys:
+    """Store keys of one service's sites."""
+
+    def __init__(self, service: str) -> None:
+        self.rows = f"site/{service}/row/"
+        self.plan = f"site/{service}/plan"
+        self.confirmation = f"site/{service}/stands"
+        self.tables = f"site/{service}/tables"
+        self.prefix = f"site/{service}"
+        self.names = f"{LEASES}name/{service}/"
+
+
+class SitePlanDocument(msgspec.Struct, frozen=True):
+    """The plan.
+
+    `sequence` counts the leader's plans under its token; `sites` are those that the plan is for.
+    An operator's change of `site_states` leaves both unchanged.
+    """
+
+    token: int = 0
+    sequence: int = msgspec.field(name="number", default=0)
+    sites: tuple[str, ...] = ()
+    site_states: tuple[Course, ...] = msgspec.field(name="courses", default=())
+    orders: Orders = Orders()
+    written_at_s: float = msgspec.field(name="at", default=0.0)
+
+    def state_of(self, site: str) -> Course:
+        """Returns a site's state, the usual one where the plan has none."""
+        return next((state for state in self.site_states if state.site == site), Course(site))
+
+    def with_state(self, state: Course) -> SitePlanDocument:
+        """Returns the plan with this state in place of its site's."""
+        states = tuple(
+            state if current.site == state.site else current for current in self.site_states
+        )
+        if state not in states:
+            states += (state,)
+        return msgspec.structs.replace(self, site_states=states)
+
+
+class LossTable(msgspec.Struct, frozen=True):
+    """What would follow from one loss. `fill` is by site; values are request values a second."""
+
+    lost: tuple[str, ...]
+    shares: dict[str, dict[str, float]]
+    rung: int
+    fraction: float = msgspec.field(name="part")
+    fill: dict[str, float]
+    value: float = msgspec.field(name="worth")
+    usual_value: float = msgspec.field(name="usual")
+    orders: Orders
+
+
+class LossTablesDocument(msgspec.Struct, frozen=True):
+    """All precomputed losses. `shares` are the same in each table's orders, so stored once."""
+
+    token: int
+    sequence: int = msgspec.field(name="number")
+    written_at_s: float = msgspec.field(name="at")
+    sites: tuple[str, ...]
+    tables: tuple[LossTable, ...]
+    shares: dict[str, dict[str, float]] = {}
--- /dev/null
+++ b/loadbalancer/daemon/snapshot_sync.py
@@ -0,0 +1,153 @@
+"""Saves what outlives a balancer's process, and restores it at its start.
+
+list/SERVICE               the last endpoint list; written here only where it is a fixed one
+learnt/SERVICE/BALANCER    what the policy learned; the one process of that name writes it
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from contextlib import suppress
+
+import msgspec
+
+from loadbalancer.daemon.address_map import AddressMap
+from loadbalancer.daemon.endpoint_follower import start_from_cache
+from loadbalancer.daemon.endpoint_rows import RowTable
+from loadbalancer.daemon.identity import BalancerIdentity
+from loadbalancer.daemon.persisted import (
+    SavedEndpoint,
+    SavedEndpointList,
+    SavedLearnedState,
+    decode_row,
+    load_endpoints,
+    load_learned_state,
+    save_endpoints,
+    save_learned_state,
+)
+from loadbalancer.daemon.store_monitor import StoreMonitor
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.store.commands import Op
+from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.wire.protocol import Row
+from loadbalancer.wallclock import age_s, shown_age, unix_s
+
+log = logging.getLogger(__name__)
+
+START_TIMEOUT_S = 1.0  # a start waits no longer for the store
+
+
+class SnapshotSync:
+    """Saves and restores the endpoint list and the learned state."""
+
+    def __init__(
+        self,
+        monitor: StoreMonitor,
+        driver: Driver,
+        identity: BalancerIdentity,
+        name_lease: Owner,
+        address_map: AddressMap,
+    ) -> None:
+        self.monitor = monitor
+        self.driver = driver
+        self.name_lease = name_lease
+        self.address_map = address_map
+        self.list_key = f"list/{identity.service}"
+        self.learned_key = f"learnt/{identity.service}/{identity.balancer}"
+        self.saved_endpoints: list[SavedEndpoint] = []  # as this process wrote a fixed list
+
+    # ---- at the start ----------------------------------------------------------------------------
+
+    async def restore(self, table: RowTable | None) -> None:
+        """Restores the last list, where discovery has not answered yet, and the learned state.
+
+        Any node's answer will do.
+
+        Args:
+            table: The rows of the list; None: the list is a document.
+
+        Raises:
+            StoreError: The store did not serve the read.
+        """
+        if table is not None:
+            # The list comes first: the learned state is about its upstreams.
+            with suppress(TimeoutError):
+                async with asyncio.timeout(START_TIMEOUT_S):
+                    await table.received.wait()
+        found = await self.monitor.client.get(
+            self.list_key, self.learned_key, stale=True, within_s=START_TIMEOUT_S
+        )
+        self.monitor.mark_available()
+        list_row, learned_row = found.rows
+        self._restore_list(list_row)
+        self._restore_learned_state(learned_row)
+
+    def _restore_list(self, row: Row) -> None:
+        saved = decode_row(row, SavedEndpointList)
+        if saved is None:
+            return
+        endpoints = self.address_map.to_dialed(load_endpoints(saved))
+        if start_from_cache(self.driver, saved.saved_at_s, endpoints):
+            log.info(
+                "endpoint list loaded from document: upstreams=%d age=%s",
+                len(endpoints),
+                shown_age(age_s(saved.saved_at_s)),
+            )
+
+    def _restore_learned_state(self, row: Row) -> None:
+        saved = decode_row(row, SavedLearnedState)
+        if saved is None:
+            return
+        learned = load_learned_state(saved, endpoints_of(self.driver))
+        if learned is not None:
+            self.driver.post(learned)
+        log.info(
+            "learned state loaded: age=%s used=%s",
+            shown_age(age_s(saved.saved_at_s)),
+            "yes" if learned is not None else "no",
+        )
+
+    # ---- saving ----------------------------------------------------------------------------------
+
+    async def save_fixed_list(self, list_lease: Owner, within_s: float = 0.0) -> None:
+        """Writes a list that no discovery reports, if this process leads and it changed.
+
+        Raises:
+            StoreError: The store did not serve the write.
+        """
+        if not list_lease.token():
+            return
+        targets = self.driver.upstreams.targets
+        endpoints = save_endpoints(
+            self.address_map.to_canonical(target.endpoint for target in targets.values())
+        )
+        if not endpoints or endpoints == self.saved_endpoints:
+            return
+        saved = SavedEndpointList(unix_s(), endpoints, list_lease.token())
+        with suppress(NotOwner):
+            await list_lease.write(
+                [Op(self.list_key, msgspec.json.encode(saved))], within_s=within_s
+            )
+            self.saved_endpoints = endpoints
+
+    async def save_learned_state(self, within_s: float = 0.0) -> None:
+        """Writes the learned state, if this process holds its name.
+
+        Raises:
+            StoreError: The store did not serve the write.
+        """
+        learned = self.driver.balancer.learnt()
+        if not learned.taken or not self.name_lease.token():
+            return
+        with suppress(NotOwner):
+            saved = save_learned_state(learned, endpoints_of(self.driver))
+            await self.name_lease.write(
+                [Op(self.learned_key, msgspec.json.encode(saved))], within_s=within_s
+            )
+
+
+def endpoints_of(driver: Driver) -> dict[int, Endpoint]:
+    """Returns the endpoints as they are listed now, by number."""
+    return {number: target.endpoint for number, target in driver.upstreams.targets.items()}
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -1,13 +1,8 @@
-"""What a balancer keeps in the store, and takes from it: its settings, the upstreams that operators
-took out, the last box list, and what the module learnt. It never holds up the balancer: without a
-store, or one without a leader, the balancer goes on with what it has, and the log says since when.
-
-    config/DOCUMENT            the operators' settings, TOML
-    disabled/SERVICE           names, JSON
-    list/SERVICE               the last box list; its one owner puts it
-    learnt/SERVICE/BALANCER    what its module learnt; the one process of that name puts it
-    site/SERVICE/...           what the fleet does about its sites, where it is switched on
-    feed/service:SERVICE/...   the box list as rows, where they are switched on
+"""Connects a balancer to the store: assembles all synchronization and all leased controllers.
+
+Nothing here holds up the balancer. Each part documents its own store keys: `settings_sync`,
+`disabled_sync`, `snapshot_sync`, `endpoint_publisher`, `row_codec`, `rolling_restart_controller`
+and `site_documents`.
 """
 
 from __future__ import annotations
@@ -16,383 +11,297 @@
 import logging
 import os
 import random
-import time
 from collections.abc import Awaitable, Callable, Mapping
 from contextlib import suppress
+from dataclasses import dataclass, field
 from pathlib import Path
 
-import msgspec
-
 from loadbalancer.__main__ import Parts
 from loadbalancer.changefeed.messages import GLOBAL
-from loadbalancer.daemon.address_map import Reach
-from loadbalancer.daemon.endpoint_publisher import OLDEST_S, FleetList
-from loadbalancer.daemon.endpoint_rows import RowWriter
-from loadbalancer.daemon.persisted import (
-    SavedEndpoint,
-    SavedLearnt,
-    SavedList,
-    decoded,
-    load_learnt,
-    load_list,
-    save_learnt,
-    save_list,
+from loadbalancer.daemon.address_map import AddressMap
+from loadbalancer.daemon.disabled_sync import DisabledSync
+from loadbalancer.daemon.endpoint_follower import EndpointListContext
+from loadbalancer.daemon.endpoint_publisher import EndpointPublisher
+from loadbalancer.daemon.endpoint_rows import RowTable, RowWriter
+from loadbalancer.daemon.identity import BalancerIdentity
+from loadbalancer.daemon.leased_task import LeaseFactory
+from loadbalancer.daemon.rolling_restart_controller import (
+    BalancerReporter,
+    RollingRestartController,
 )
-from loadbalancer.daemon.rolling_restart_controller import Reporter, Roller
-from loadbalancer.daemon.site_agent import SiteWatch
-from loadbalancer.daemon.site_controller import SiteWorks
+from loadbalancer.daemon.settings_sync import SettingsSync
+from loadbalancer.daemon.site_agent import SiteAgent
+from loadbalancer.daemon.site_controller import SiteController
+from loadbalancer.daemon.snapshot_sync import SnapshotSync
+from loadbalancer.daemon.store_monitor import StoreMonitor
 from loadbalancer.leases.table import Lease
-from loadbalancer.policy import api
-from loadbalancer.proxy.atomic_files import write_whole
 from loadbalancer.proxy.discovery import Discovery
-from loadbalancer.proxy.policy_driver import Driver
-from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.changefeed_client import FeedClient
-from loadbalancer.store.client import Client, Compacted, Conflict, StoreError
-from loadbalancer.store.commands import Op
-from loadbalancer.store.documents import PREFIX
-from loadbalancer.store.lease_client import NotOwner, Owner
-from loadbalancer.wallclock import age_s, shown_age, unix_s
+from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.lease_client import Owner
 
 log = logging.getLogger(__name__)
 
-SAVE_S = 5.0  # between two looks at what is to be saved
-ASK_S = 1.0  # a start waits no longer for the store
-RETRY_S = 0.5
-CACHE_MOST_S = 5.0  # the longest pause where the copy of the settings can't be written
 LEASE_S = 10.0
-SILENT = 2  # claims in a row that failed: the store does not answer
-
-
-class Keeper:
-    def __init__(
-        self,
-        client: Client,
-        service: str,
-        balancer: str,
-        document: str,
-        cache: Path | None,
-        parts: Parts,
-        lease_s: float = LEASE_S,
-        rank: int = 0,
-        reach: Mapping[str, str] | None = None,
-        sites: bool = False,
-        rows: bool = False,
-        documents: bool = False,
-    ) -> None:
-        """`rows`: the box list is rows of the feed; `documents`: beside them it is a document,
-        too.
-        """
+SAVE_INTERVAL_S = 5.0
+CLOSE_SAVE_TIMEOUT_S = 0.5
+MAX_RENEWAL_FAILURES = 2  # in a row; from then on the store counts as unavailable
+
+Work = Callable[[], Awaitable[None]]
+
+
+@dataclass(frozen=True, slots=True)
+class StateSyncOptions:
+    """What is synchronized.
+
+    Attributes:
+        service: The service's name.
+        balancer: This balancer's name.
+        document: Name of the settings document; empty: the settings are a local file.
+        settings_copy: Local copy of that document.
+        lease_s: Duration of the leases.
+        rank: Of the candidates for a lease, the lowest rank gets it first.
+        address_map: Canonical address -> the address dialed from this host.
+        has_site_failover: Whether it takes part in site failover.
+        publishes_rows: Whether the endpoint list is rows of the changefeed.
+        publishes_documents: Whether it is a document beside the rows.
+    """
+
+    service: str
+    balancer: str
+    document: str = ""
+    settings_copy: Path | None = None
+    lease_s: float = LEASE_S
+    rank: int = 0
+    address_map: Mapping[str, str] = field(default_factory=dict)
+    has_site_failover: bool = False
+    publishes_rows: bool = False
+    publishes_documents: bool = False
+
+    @property
+    def identity(self) -> BalancerIdentity:
+        """Identity of this balancer."""
+        return BalancerIdentity(self.service, self.balancer)
+
+
+class StateSync:
+    """Everything of a balancer that needs the store."""
+
+    def __init__(self, client: Client, parts: Parts, options: StateSyncOptions) -> None:
+        service = options.service
         self.client = client
-        self.balancer = balancer
-        self.document = document
-        self.cache = cache
-        self.reach = Reach(reach or {})
         self.parts = parts
-        self.keys = f"disabled/{service}", f"list/{service}", f"learnt/{service}/{balancer}"
-        self.asked: list[
-            tuple[str, bool]
-        ] = []  # what operators changed here and the store has not yet
-        self.more = asyncio.Event()
-        self.saved: list[SavedEndpoint] = []  # as this owner put it, where the list is a fixed one
-        self.lost_s = 0.0  # since when the store does not answer
+        self.options = options
+        self.address_map = AddressMap(options.address_map)
+        self.monitor = StoreMonitor(client)
         self.tasks: list[asyncio.Task[None]] = []
-        parts.disabled.heard.append(self._heard)
-        # Of one name, what is learnt has one writer; a name that two processes were given is told.
-        self.name = Owner(client, f"name/{service}/{balancer}", balancer, lease_s, seen=self._named)
-        self.named_s = 0.0
-        self.list: FleetList | None = None
-        self.lister = Owner(client, f"work/list/{service}", balancer, lease_s, rank)
-        self.reporter = Reporter(parts.driver, parts.disabled, client, self.name, service, balancer)
-        self.roller = Owner(client, f"work/roll/{service}", balancer, lease_s, rank)
-        Roller(client, self.roller, service, self.reach)
-        self.sites: SiteWatch | None = None
-        self.site_owner = Owner(client, f"work/site/{service}", balancer, lease_s, rank)
-        if sites:
-            rng = random.Random(os.urandom(8))
-            self.sites = SiteWatch(parts.driver, client, self.name, service, balancer, rng)
-            SiteWorks(client, self.site_owner, service, parts.driver.settings)
-        self.feed: FeedClient | None = None
-        discovery = parts.driver.discovery
-        if isinstance(discovery, Discovery):
-            writer = RowWriter(client, self.lister, service) if rows else None
-            self.list = FleetList(
-                parts.driver,
-                discovery,
-                client,
-                self.lister,
-                service,
-                self.reach,
-                writer,
-                documents or not rows,
-            )
-            self.lister.began, self.lister.ended = self.list.began, self.list.ended
-            discovery.subscribe(False)
-            parts.driver.discovery = self.list
-        elif rows:
-            log.warning(
-                "store.rows: the list of upstreams is written down in the settings: there are "
-                "no rows"
-                " of it"
-            )
-        if self.list is not None and self.list.table is not None:
-            self.feed = FeedClient(
-                client.addresses,
-                client.tls,
-                balancer,
-                [self.list.table.keys.scope, GLOBAL],
-                self.list.check,
-                self.list.apply,
-                reach=client.reach,
+        # One process of a name writes its learned state; a name given to two is logged.
+        self.has_logged_name_conflict = False
+        self.name_lease = Owner(
+            client,
+            f"name/{service}/{options.balancer}",
+            options.balancer,
+            options.lease_s,
+            seen=self._on_name_lease_seen,
+        )
+        self.list_lease = self._lease_factory("list")(
+            self._on_list_lease_acquired, self._on_list_lease_lost
+        )
+        self.reporter = BalancerReporter(
+            parts.driver, parts.disabled, self.name_lease, options.identity
+        )
+        self.disabled_sync = DisabledSync(
+            self.monitor, parts.disabled, service, self.reporter.set_disabled_version
+        )
+        self.settings_sync = self._create_settings_sync()
+        self.snapshot_sync = SnapshotSync(
+            self.monitor, parts.driver, options.identity, self.name_lease, self.address_map
+        )
+        self.rolling_restart = RollingRestartController(
+            client, self._lease_factory("roll"), service, self.address_map
+        )
+        self.site_agent: SiteAgent | None = None
+        self.site_controller: SiteController | None = None
+        if options.has_site_failover:
+            self._create_site_failover()
+        self.publisher = self._create_publisher()
+        self.feed = self._create_feed()
+
+    # ---- assembly --------------------------------------------------------------------------------
+
+    def _lease_factory(self, work: str) -> LeaseFactory:
+        """Returns a factory of the lease of one of the fleet's controllers."""
+
+        def create(on_acquired: Callable[[int], None], on_lost: Callable[[], None]) -> Owner:
+            options = self.options
+            return Owner(
+                self.client,
+                f"work/{work}/{options.service}",
+                options.balancer,
+                options.lease_s,
+                options.rank,
+                began=on_acquired,
+                ended=on_lost,
             )
 
-    def start(self) -> None:
-        loop = asyncio.get_running_loop()
-        works = [
-            self._begin,
-            self._watch_disabled,
-            self._tell_disabled,
-            self._save,
-            self.reporter.run,
-            self._watch_roll,
-        ]
-        if self.list is not None:
-            works += [self.list.follow, self.list.look]
-        if self.list is not None and self.feed is not None:
-            works.append(self.list.follow_beat)
-            self.feed.start()
-        if self.document:
-            works.append(self._watch_document)
-        owners = [self.name, self.lister, self.roller]
-        if self.sites is not None:
-            works += [self.sites.look, self.sites.tell, self.sites.follow]
-            owners.append(self.site_owner)
-        self.tasks = [loop.create_task(self._kept(work)) for work in works]
-        for owner in owners:
-            owner.start()
-
-    def _named(self, lease: Lease) -> None:
-        """Another process has this name, and none of the two is taking over from the other."""
-        if not lease.is_held or lease.claim == self.name.holder.claim or self.named_s:
-            return
-        if self.parts.disabled.siblings.alone:
-            self.named_s = time.monotonic()
-            log.warning(
-                "the name %s belongs to %s: what is learnt here is not kept while it does",
-                self.balancer,
-                lease.note,
-            )
+        return create
 
-    async def _kept(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Whatever goes wrong here is told, tried again, and does the balancer no harm."""
-        while True:
-            try:
-                await work()
-                return
-            except StoreError as error:
-                self._lost(str(error))
-            except Exception:
-                log.exception("the store's keeper")
-            await asyncio.sleep(RETRY_S)
-
-    def _lost(self, why: str) -> None:
-        if not self.lost_s:
-            self.lost_s = time.monotonic()
-            log.warning("the store does not answer (%s): going on with what is known", why)
-
-    def _found(self) -> None:
-        if self.lost_s:
-            log.info("the store answers again after %.1f s", time.monotonic() - self.lost_s)
-            self.lost_s = 0.0
-
-    async def _follow(self, key: str, take: Callable[[bytes | None, int], Awaitable[None]]) -> None:
-        """Hand over what a key is, as the nearest node knows it, and each value and version that it
-        gets; None where it is not there, at version 0 where it never changed while this looked.
-        """
-        while True:
-            found = await self.client.get(key, stale=True)
-            self._found()
-            await take(found.rows[0].value, found.rows[0].version)
-            with suppress(Compacted):
-                async for told in self.client.watch(key, found.revision):
-                    self._found()
-                    for change in told.changes:
-                        if change.key == key:
-                            await take(change.value, change.version)
-
-    # ---- at the start ----------------------------------------------------------------------------
-
-    async def _begin(self) -> None:
-        """The last list, where discovery has not told one, and what was learnt; from whichever node
-        is there.
-        """
+    def _create_settings_sync(self) -> SettingsSync | None:
+        options = self.options
+        if not options.document or options.settings_copy is None:
+            return None
+        return SettingsSync(
+            self.monitor, options.document, options.settings_copy, self.parts.reload
+        )
+
+    def _create_site_failover(self) -> None:
         driver = self.parts.driver
-        if self.list is not None and self.list.table is not None:
-            with suppress(TimeoutError):  # the list first: what was learnt is of its upstreams
-                async with asyncio.timeout(ASK_S):
-                    await self.list.table.came.wait()
-        found = await self.client.get(*self.keys, stale=True, within_s=ASK_S)
-        self._found()
-        _, listed, learnt = found.rows
-        saved = decoded(listed, SavedList)
-        if saved is not None:
-            age = age_s(saved.at)
-            young = age is None or age < OLDEST_S
-            if young and not driver.told.is_set() and not driver.upstreams.targets:
-                endpoints = self.reach.from_here(load_list(saved))
-                driver.learn(api.EndpointListKind.CACHED, endpoints)
-                log.info("store: %d upstreams from a list %s old", len(endpoints), shown_age(age))
-        past = decoded(learnt, SavedLearnt)
-        if past is not None:
-            recalled = load_learnt(past, endpoints_of(driver))
-            if recalled is not None:
-                driver.post(recalled)
-            log.info(
-                "store: what was learnt is %s old%s",
-                shown_age(age_s(past.at)),
-                "" if recalled is not None else ", and left aside",
-            )
+        rng = random.Random(os.urandom(8))
+        identity = self.options.identity
+        self.site_agent = SiteAgent(driver, self.client, self.name_lease, identity, rng)
+        self.site_controller = SiteController(
+            self.client, self._lease_factory("site"), identity.service, driver.settings
+        )
 
-    # ---- what operators took out -----------------------------------------------------------------
+    def _create_publisher(self) -> EndpointPublisher | None:
+        """Puts a publisher in discovery's place, where there is discovery."""
+        options = self.options
+        driver = self.parts.driver
+        discovery = driver.discovery
+        if not isinstance(discovery, Discovery):
+            if options.publishes_rows:
+                log.warning("store.rows has no effect: the upstreams are listed in the settings")
+            return None
+        context = EndpointListContext(
+            driver, discovery, self.client, self.list_lease, options.service, self.address_map
+        )
+        writer = None
+        if options.publishes_rows:
+            writer = RowWriter(self.client, self.list_lease, options.service)
+        publishes_documents = options.publishes_documents or not options.publishes_rows
+        publisher = EndpointPublisher(context, writer, publishes_documents)
+        discovery.subscribe(False)
+        driver.discovery = publisher
+        return publisher
+
+    @property
+    def _table(self) -> RowTable | None:
+        return self.publisher.follower.table if self.publisher is not None else None
+
+    def _create_feed(self) -> FeedClient | None:
+        if self.publisher is None or self._table is None:
+            return None
+        follower = self.publisher.follower
+        return FeedClient(
+            self.client.addresses,
+            self.client.tls,
+            self.options.balancer,
+            [self._table.keys.scope, GLOBAL],
+            follower.check_row,
+            follower.apply_rows,
+            reach=self.client.reach,
+        )
 
-    def _heard(self, name: str, on: bool) -> None:
-        self.asked.append((name, on))
-        self.more.set()
+    # ---- leases ----------------------------------------------------------------------------------
 
-    def _with_asked(self, names: frozenset[str]) -> frozenset[str]:
-        for name, on in self.asked:
-            names = names | {name} if on else names - {name}
-        return names
+    @property
+    def _leases(self) -> list[Owner]:
+        leases = [self.name_lease, self.list_lease, self.rolling_restart.owner]
+        if self.site_controller is not None:
+            leases.append(self.site_controller.owner)
+        return leases
 
-    async def _watch_disabled(self) -> None:
-        await self._follow(self.keys[0], self._take_disabled)
+    def _on_list_lease_acquired(self, token: int) -> None:
+        if self.publisher is not None:
+            self.publisher.on_lease_acquired(token)
 
-    async def _take_disabled(self, value: bytes | None, version: int) -> None:
-        if value is not None or version:
-            await self.parts.disabled.adopt(self._with_asked(_names(value or b"[]")))
-            self.reporter.took(version)
-        elif self.parts.disabled.names and not self.asked:
-            # The store never heard of a set: it begins with this one.
-            self.asked = [(name, True) for name in sorted(self.parts.disabled.names)]
-            self.more.set()
+    def _on_list_lease_lost(self) -> None:
+        if self.publisher is not None:
+            self.publisher.on_lease_lost()
 
-    async def _tell_disabled(self) -> None:
-        """Each change of the operators here, merged into what the others have."""
-        key = self.keys[0]
-        while True:
-            await self.more.wait()
-            self.more.clear()
-            while self.asked:
-                done = len(self.asked)
-                try:
-                    row = (await self.client.get(key)).rows[0]
-                    names = self._with_asked(_names(row.value or b"[]"))
-                    await self.client.put(key, msgspec.json.encode(sorted(names)), row.version)
-                except Conflict:
-                    continue
-                except StoreError as error:
-                    self._lost(str(error))
-                    await asyncio.sleep(RETRY_S)
-                    continue
-                del self.asked[:done]
-
-    async def _watch_roll(self) -> None:
-        await self._follow(self.reporter.keys.roll, self.reporter.rolled)
-
-    # ---- settings --------------------------------------------------------------------------------
-
-    async def _watch_document(self) -> None:
-        await self._follow(PREFIX + self.document, self._take_document)
-
-    async def _take_document(self, value: bytes | None, version: int) -> None:
-        if (
-            value is None
-            or self.cache is None
-            or (self.cache.exists() and self.cache.read_bytes() == value)
-        ):
+    def _on_name_lease_seen(self, lease: Lease) -> None:
+        """Logs that another process has this name, unless one takes over from the other."""
+        is_own = lease.claim == self.name_lease.holder.claim
+        if not lease.is_held or is_own or self.has_logged_name_conflict:
             return
-        await self._cached(self.cache, value)
-        log.info("store: %s is at version %d", self.document, version)
-        self.parts.reload()
-
-    async def _cached(self, path: Path, value: bytes) -> None:
-        """Written until it is written: the reload behind it reads this file."""
-        pause_s = RETRY_S
-        while True:
-            try:
-                write_whole(path, value)
-                return
-            except OSError as error:
-                log.error("%s is not written yet: %s", path, error)
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, CACHE_MOST_S)
+        if self.parts.disabled.siblings.alone:
+            self.has_logged_name_conflict = True
+            log.warning(
+                "balancer name belongs to another process, learned state is not saved: "
+                "name=%s holder=%s",
+                self.options.balancer,
+                lease.note,
+            )
 
-    # ---- saving ----------------------------------------------------------------------------------
+    # ---- running ---------------------------------------------------------------------------------
 
-    async def _save(self) -> None:
+    def start(self) -> None:
+        """Starts all background work."""
+        loop = asyncio.get_running_loop()
+        if self.feed is not None:
+            self.feed.start()
+        self.tasks = [loop.create_task(self.monitor.run(work)) for work in self._works()]
+        for lease in self._leases:
+            lease.start()
+
+    def _works(self) -> list[Work]:
+        works: list[Work] = [
+            self._restore,
+            self.disabled_sync.follow,
+            self.disabled_sync.publish,
+            self._save_periodically,
+            self.reporter.run,
+            self._follow_rolling_restart,
+        ]
+        if self.publisher is not None:
+            follower = self.publisher.follower
+            works += [follower.follow_list, follower.poll_while_leader_is_silent]
+            if self.feed is not None:
+                works.append(follower.follow_confirmations)
+        if self.settings_sync is not None:
+            works.append(self.settings_sync.follow)
+        if self.site_agent is not None:
+            works += [self.site_agent.observe, self.site_agent.report, self.site_agent.follow]
+        return works
+
+    async def _restore(self) -> None:
+        await self.snapshot_sync.restore(self._table)
+
+    async def _follow_rolling_restart(self) -> None:
+        await self.monitor.follow(self.reporter.keys.restart, self.reporter.on_restart_changed)
+
+    async def _save_periodically(self) -> None:
         while True:
-            await asyncio.sleep(SAVE_S)
+            await asyncio.sleep(SAVE_INTERVAL_S)
             await self.save()
 
     async def save(self, within_s: float = 0.0) -> None:
-        """What this process owns. Raises StoreError."""
-        driver = self.parts.driver
-        _, listed, learnt = self.keys
-        if self.list is None and self.lister.token():
-            servers = save_list(
-                self.reach.as_known(t.endpoint for t in driver.upstreams.targets.values())
-            )
-            if servers and servers != self.saved:
-                saved = SavedList(unix_s(), servers, self.lister.token())
-                with suppress(NotOwner):
-                    await self.lister.write(
-                        [Op(listed, msgspec.json.encode(saved))], within_s=within_s
-                    )
-                    self.saved = servers
-        known = driver.balancer.learnt()
-        if known.taken and self.name.token():
-            with suppress(NotOwner):
-                value = msgspec.json.encode(save_learnt(known, endpoints_of(driver)))
-                await self.name.write([Op(learnt, value)], within_s=within_s)
-        if self.name.holder.failures >= SILENT:
-            self._lost(self.name.holder.reason)
+        """Saves what this process is the one writer of.
+
+        Raises:
+            StoreError: The store did not serve a write.
+        """
+        if self.publisher is None:
+            await self.snapshot_sync.save_fixed_list(self.list_lease, within_s)
+        await self.snapshot_sync.save_learned_state(within_s)
+        holder = self.name_lease.holder
+        if holder.failures >= MAX_RENEWAL_FAILURES:
+            self.monitor.mark_unavailable(holder.reason)
         else:
-            self._found()
+            self.monitor.mark_available()
 
     async def close(self) -> None:
+        """Stops all work, saves once more and releases the leases."""
         for task in self.tasks:
             task.cancel()
-        if self.list is not None:
-            self.list.close()
+        if self.publisher is not None:
+            self.publisher.close()
         if self.feed is not None:
             await self.feed.close()
         with suppress(StoreError):
-            await self.save(0.5)
-            await self.reporter.leave()
-            if self.sites is not None:
-                await self.sites.leave()
-        await asyncio.gather(
-            *(
-                owner.close()
-                for owner in (
-                    self.name,
-                    self.lister,
-                    self.roller,
-                    *([self.site_owner] if self.sites is not None else []),
-                )
-            )
-        )
+            await self.save(CLOSE_SAVE_TIMEOUT_S)
+            await self.reporter.remove()
+            if self.site_agent is not None:
+                await self.site_agent.remove()
+        await asyncio.gather(*(lease.close() for lease in self._leases))
         await self.client.close()
-
-
-def endpoints_of(driver: Driver) -> dict[int, Endpoint]:
-    """The upstreams as they are listed now, by their numbers."""
-    return {number: target.endpoint for number, target in driver.upstreams.targets.items()}
-
-
-def _names(value: bytes) -> frozenset[str]:
-    try:
-        return frozenset(msgspec.json.decode(value, type=list[str]))
-    except ValueError as error:
-        log.error("store: the set of disabled upstreams does not read: %s", error)
-        return frozenset()
--- /dev/null
+++ b/loadbalancer/daemon/store_monitor.py
@@ -0,0 +1,77 @@
+"""Background work on the store that never holds up the balancer.
+
+Without a store, or with one that has no leader, the balancer goes on with its last known state; the
+log says since when.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+
+from loadbalancer.store.client import Client, Compacted, StoreError
+
+log = logging.getLogger(__name__)
+
+RETRY_S = 0.5
+
+OnValue = Callable[[bytes | None, int], Awaitable[None]]
+
+
+class StoreMonitor:
+    """Runs work on the store, retries it, and logs when the store is unavailable."""
+
+    def __init__(self, client: Client) -> None:
+        self.client = client
+        self.unavailable_since_s: float | None = None
+
+    def mark_unavailable(self, error: str) -> None:
+        """Notes that the store did not serve a request."""
+        if self.unavailable_since_s is None:
+            self.unavailable_since_s = time.monotonic()
+            log.warning("store unavailable, using last known state: error=%s", error)
+
+    def mark_available(self) -> None:
+        """Notes that the store served a request."""
+        if self.unavailable_since_s is not None:
+            unavailable_s = time.monotonic() - self.unavailable_since_s
+            log.info("store available again: unavailable_s=%.1f", unavailable_s)
+            self.unavailable_since_s = None
+
+    async def run(self, work: Callable[[], Awaitable[None]]) -> None:
+        """Runs work until it returns; an error is logged, and the work begins again."""
+        while True:
+            try:
+                await work()
+                return
+            except StoreError as error:
+                self.mark_unavailable(str(error))
+            except Exception:
+                log.exception("state sync failed")
+            await asyncio.sleep(RETRY_S)
+
+    async def follow(self, key: str, on_value: OnValue) -> None:
+        """Passes on a key's value as the nearest node knows it, and each later one.
+
+        Args:
+            key: The key.
+            on_value: Called with value and version; the value is None where the key does not
+                exist, and the version 0 where it never changed while this followed.
+
+        Raises:
+            StoreError: The store did not serve a read or the watch.
+        """
+        while True:
+            found = await self.client.get(key, stale=True)
+            self.mark_available()
+            row = found.rows[0]
+            await on_value(row.value, row.version)
+            with suppress(Compacted):
+                async for event in self.client.watch(key, found.revision):
+                    self.mark_available()
+                    for change in event.changes:
+                        if change.key == key:
+                            await on_value(change.value, change.version)
--- a/loadbalancer/daemon/upstream_admin.py
+++ b/loadbalancer/daemon/upstream_admin.py
@@ -1,51 +1,82 @@
-"""A box's own door: `POST PATH` with an `Idempotency-Key`, the name of a restart, which a box does
-once.
+"""Client of an upstream's own admin API, which restarts it on request.
+
+The request is `POST PATH` with an `Idempotency-Key` that names the restart; an upstream carries
+out a named restart once.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 
 from loadbalancer.policy.api import AttemptResult
 from loadbalancer.proxy.http import Connection, Exchange
 from loadbalancer.proxy.parse import Response, message
 
-ASK_S = 2.0  # to connect, and to be answered
-MOST = 64 << 10  # of an answer
+REQUEST_TIMEOUT_S = 2.0  # to connect, and again for the response
+MAX_RESPONSE_BYTES = 64 << 10
+
+
+async def request_restart(
+    address: tuple[str, int], path: str, restart_name: str, may_send: Callable[[], bool]
+) -> str:
+    """Asks one upstream to restart.
+
+    Args:
+        address: Where the upstream's admin API is dialed.
+        path: Path of the restart endpoint.
+        restart_name: Idempotency key.
+        may_send: Checked after all waiting, just before the first byte is written, so that a
+            leader deposed meanwhile sends nothing.
 
+    Returns:
+        Why the request failed, in one line; empty if it was accepted.
 
-async def ask(address: tuple[str, int], path: str, name: str, may: Callable[[], bool]) -> str:
-    """What was wrong, in one line; empty: it was taken. `may` is asked after all waiting, just
-    before the first byte leaves: an owner that was stopped meanwhile asks nothing. Raises OSError,
-    TimeoutError.
+    Raises:
+        OSError: The upstream could not be connected to.
+        TimeoutError: The connection took too long.
     """
-    connection = Connection(lambda c: None, lambda c: None)
+    connection = Connection(_ignore_connection, _ignore_connection)
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(ASK_S):
+    async with asyncio.timeout(REQUEST_TIMEOUT_S):
         await loop.create_connection(lambda: connection, *address)
-    ended: asyncio.Future[tuple[AttemptResult, Response | None]] = loop.create_future()
+    finished: asyncio.Future[tuple[AttemptResult, Response | None]] = loop.create_future()
 
-    def done(result: AttemptResult, response: Response | None) -> None:
-        if not ended.done():
-            ended.set_result((result, response))
+    def on_finished(result: AttemptResult, response: Response | None) -> None:
+        if not finished.done():
+            finished.set_result((result, response))
 
-    host = f"{address[0]}:{address[1]}".encode()
-    request = message(
-        b"POST %b HTTP/1.1" % path.encode(),
-        [(b"Host", host), (b"Idempotency-Key", b'"%b"' % name.encode()), (b"Content-Length", b"0")],
-    )
-    exchange = Exchange(request, done, MOST)
-    exchange.expire_in(ASK_S)
-    if not may():
+    request = _restart_request(address, path, restart_name)
+    exchange = Exchange(request, on_finished, MAX_RESPONSE_BYTES)
+    exchange.expire_in(REQUEST_TIMEOUT_S)
+    if not may_send():
         connection.abort()
-        return "not owned any more: nothing was sent"
+        return "lease lost: request not sent"
     connection.start(exchange)
     try:
-        result, response = await ended
+        result, response = await finished
     finally:
         exchange.give_up(AttemptResult.CANCELLED)
         connection.abort()
     if response is None:
-        return f"no answer: {result.value}"
-    return "" if 200 <= response.status < 300 else f"it answered {response.status}"
+        return f"no response: {result.value}"
+    if HTTPStatus.OK <= response.status < HTTPStatus.MULTIPLE_CHOICES:
+        return ""
+    return f"response status {response.status}"
+
+
+def _ignore_connection(_connection: Connection) -> None:
+    """The connection serves one exchange: it is neither pooled nor reported when lost."""
+
+
+def _restart_request(address: tuple[str, int], path: str, restart_name: str) -> bytes:
+    host = f"{address[0]}:{address[1]}".encode()
+    return message(
+        b"POST %b HTTP/1.1" % path.encode(),
+        [
+            (b"Host", host),
+            (b"Idempotency-Key", b'"%b"' % restart_name.encode()),
+            (b"Content-Length", b"0"),
+        ],
+    )
--- a/loadbalancer/testbed/rig/run.py
+++ b/loadbalancer/testbed/rig/run.py
@@ -157,6 +157,7 @@
         if (
             "owned under token" in line
             or "refused" in line
+            or "row rejected" in line
             or "belongs to" in line
             or "rests" in line
             or ("site" in line and ("INFO" in line or "WARNING" in line))
@@ -573,7 +574,7 @@
             for _, line in process.lines:
                 if (
                     "Traceback" in line
-                    or "the store's keeper" in line
+                    or "state sync failed" in line
                     or "decision module failed" in line
                 ):
                     books.say(f"{name}: {line}")
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -89,9 +89,9 @@
 
 
 class Keeper(Protocol):
-    """The daemon's, with sites. `name`: the lease of its name."""
+    """The daemon's, with sites. `name_lease`: the lease of its name."""
 
-    name: Owner
+    name_lease: Owner
 
     def start(self) -> None: ...
 
@@ -156,7 +156,7 @@
                 for one in keepers:
                     one.start()
                 async with asyncio.timeout(NAMED_S):
-                    while not all(k.name.token() for k in keepers):
+                    while not all(k.name_lease.token() for k in keepers):
                         await asyncio.sleep(POLL_S)
                 await asyncio.sleep(settle_s)
                 leader = await cluster.leader()
@@ -176,7 +176,7 @@
                 size.add(count, (crowd.bytes - bytes_) / took)
                 leader_cpu.add(count, spent[0])
                 follower_cpu.add(count, sum(spent[1:]) / len(spent[1:]))
-                owned = sum(bool(k.name.token()) for k in keepers)
+                owned = sum(bool(k.name_lease.token()) for k in keepers)
                 heard(
                     f"{count} balancers, {'each its own service' if apart else 'one service'}: "
                     f"{owned}"
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -20,22 +20,23 @@
 from loadbalancer.__main__ import Parts
 from loadbalancer.changefeed.messages import MOST_ROW, Row, split
 from loadbalancer.changefeed.subscription import Apply
-from loadbalancer.daemon import endpoint_publisher, rolling_restart_controller, row_codec
-from loadbalancer.daemon.address_map import Reach
-from loadbalancer.daemon.bootstrap import read_boot
-from loadbalancer.daemon.endpoint_publisher import FleetList
-from loadbalancer.daemon.endpoint_rows import RowWriter, StoredList
-from loadbalancer.daemon.rolling_restart_controller import Ages, look
+from loadbalancer.daemon import endpoint_publisher, row_codec
+from loadbalancer.daemon.address_map import AddressMap
+from loadbalancer.daemon.bootstrap import read_bootstrap
+from loadbalancer.daemon.endpoint_follower import EndpointListContext
+from loadbalancer.daemon.endpoint_publisher import EndpointPublisher, Publication
+from loadbalancer.daemon.endpoint_rows import RowWriter
+from loadbalancer.daemon.rolling_restart_controller import RollingRestartReader
 from loadbalancer.daemon.row_codec import (
-    Keys,
     ListRow,
+    RowKeys,
     ServiceRow,
     UpstreamRow,
-    check,
-    differences,
-    pack,
+    encode,
+    find_row_error,
+    plan_writes,
 )
-from loadbalancer.daemon.state_sync import Keeper
+from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.leases.fence import FencingPosition
 from loadbalancer.policy import api
 from loadbalancer.proxy import discovery_watch
@@ -54,7 +55,7 @@
 from tests.fakes import FakeDiscovery, FakeUpstream, Watched, free_port, run
 from tests.store.test_node import Cluster, cluster
 
-KEYS = Keys("orders")
+KEYS = RowKeys("orders")
 SCOPE = "service:orders"
 BOX = {
     "id": "box-7",
@@ -77,15 +78,15 @@
 
 def test_a_row_holds_what_discovery_told_and_is_the_same_each_time() -> None:
     box = upstream(state="Terminating", weight=0.35)
-    value = row_codec.packed(box)
-    assert row_codec.endpoint_of(row_codec.unpack_upstream(value)) == box
-    assert {row_codec.packed(upstream(state="Terminating", weight=0.35)) for _ in range(100)} == {
-        value
-    }
-    assert row_codec.unpack_upstream(value).started_ms == BOX["started_ms"]
+    value = row_codec.encode_upstream(box)
+    assert row_codec.to_endpoint(row_codec.decode_upstream(value)) == box
+    assert {
+        row_codec.encode_upstream(upstream(state="Terminating", weight=0.35)) for _ in range(100)
+    } == {value}
+    assert row_codec.decode_upstream(value).started_ms == BOX["started_ms"]
     assert (
-        row_codec.endpoint_of(
-            row_codec.unpack_upstream(row_codec.packed(upstream(started_ms=0)))
+        row_codec.to_endpoint(
+            row_codec.decode_upstream(row_codec.encode_upstream(upstream(started_ms=0)))
         ).entry.started_ns
         == 0
     )
@@ -101,30 +102,30 @@
     "value, why",
     [
         (b"\xc1", "MessagePack"),
-        (pack(("x",)), "length"),
-        (pack(UpstreamRow(7, "name.svc", 80, "", "", 0, 1, 0, False)), "host: 'name.svc'"),
-        (pack(UpstreamRow(7, "::1", 0, "", "", 0, 1, 0, False)), "port"),
-        (pack(UpstreamRow(7, "::1", 80, "", "", 0, float("inf"), 0, False)), "weight"),
-        (pack(UpstreamRow(8, "::1", 80, "", "", 0, 1, 0, False)), "its id is 0000000000000008"),
+        (encode(("x",)), "length"),
+        (encode(UpstreamRow(7, "name.svc", 80, "", "", 0, 1, 0, False)), "host: 'name.svc'"),
+        (encode(UpstreamRow(7, "::1", 0, "", "", 0, 1, 0, False)), "port"),
+        (encode(UpstreamRow(7, "::1", 80, "", "", 0, float("inf"), 0, False)), "weight"),
+        (encode(UpstreamRow(8, "::1", 80, "", "", 0, 1, 0, False)), "its id is 0000000000000008"),
     ],
 )
 def test_a_row_that_does_not_read_is_refused_in_one_line(value: bytes, why: str) -> None:
-    said = check(SCOPE, Row(f"upstream/{7:016x}", 1, value))
+    said = find_row_error(SCOPE, Row(f"upstream/{7:016x}", 1, value))
     assert why in said and "\n" not in said
 
 
 def test_a_later_programs_row_is_taken_where_what_is_known_of_it_reads() -> None:
-    value = pack((*msgspec.msgpack.decode(row_codec.packed(upstream())), "rack-9"))
+    value = encode((*msgspec.msgpack.decode(row_codec.encode_upstream(upstream())), "rack-9"))
     key = f"upstream/{number_of('box-7'):016x}"
-    assert check(SCOPE, Row(key, 1, value)) == ""
-    assert row_codec.endpoint_of(row_codec.unpack_upstream(value)) == upstream()
-    assert check(SCOPE, Row("service/orders", 1, pack(ServiceRow("orders")))) == ""
-    assert check(SCOPE, Row("list/orders", 1, pack(ListRow(1, 2, 3, "a", 4)))) == ""
-    assert check(SCOPE, Row(key, 2, None)) == ""
+    assert find_row_error(SCOPE, Row(key, 1, value)) == ""
+    assert row_codec.to_endpoint(row_codec.decode_upstream(value)) == upstream()
+    assert find_row_error(SCOPE, Row("service/orders", 1, encode(ServiceRow("orders")))) == ""
+    assert find_row_error(SCOPE, Row("list/orders", 1, encode(ListRow(1, 2, 3, "a", 4)))) == ""
+    assert find_row_error(SCOPE, Row(key, 2, None)) == ""
     # Of another kind it can't say that it is in force here.
-    assert "knows no route" in check(SCOPE, Row("route/a", 1, b"\x90"))
-    assert "knows no upstream" in check("global", Row(key, 1, value))
-    assert "'carts'" in check(SCOPE, Row("service/orders", 1, pack(ServiceRow("carts"))))
+    assert "knows no route" in find_row_error(SCOPE, Row("route/a", 1, b"\x90"))
+    assert "knows no upstream" in find_row_error("global", Row(key, 1, value))
+    assert "'carts'" in find_row_error(SCOPE, Row("service/orders", 1, encode(ServiceRow("carts"))))
 
 
 @pytest.mark.parametrize(
@@ -133,7 +134,7 @@
 )
 def test_an_upstream_that_can_be_no_row_is_one_line(bad: Endpoint) -> None:
     with pytest.raises(Malformed, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
-        row_codec.packed(bad)
+        row_codec.encode_upstream(bad)
 
 
 # ---- which are written ---------------------------------------------------------------------------
@@ -141,15 +142,15 @@
 
 def test_only_what_differs_is_written_in_a_fixed_order_and_what_goes_goes_last() -> None:
     stored = {"a": (3, b"1"), "b": (9, b"2"), "c": (1, b"3")}
-    (batch,) = differences(stored, {"d": b"4", "c": b"3", "b": b"5"})
+    (batch,) = plan_writes(stored, {"d": b"4", "c": b"3", "b": b"5"})
     assert batch == (Op("b", b"5", 9), Op("d", b"4", 0), Op("a", None, 3))
-    assert differences(stored, {k: v for k, (_, v) in stored.items()}) == []
+    assert plan_writes(stored, {k: v for k, (_, v) in stored.items()}) == []
 
 
 def test_a_zone_that_goes_takes_few_writes() -> None:
     stored = {f"{n:05}": (1, b"x") for n in range(5000)}
     wanted = {key: value for key, (_, value) in stored.items() if int(key) >= 2200}
-    batches = differences(stored, wanted)
+    batches = plan_writes(stored, wanted)
     assert len(batches) == 9 and all(len(b) <= MOST_OPS for b in batches)
 
 
@@ -164,7 +165,7 @@
     versions = 0
     for _ in range(30):
         wanted = {f"{n:02}": rng.randbytes(1) for n in rng.sample(range(40), rng.randrange(1, 40))}
-        batches = differences(stored, wanted, most=rng.randrange(1, 9))
+        batches = plan_writes(stored, wanted, max_operations=rng.randrange(1, 9))
         kept = {key for key in wanted if key in stored}
         for batch in batches[: rng.randrange(len(batches) + 1)]:
             for op in batch:
@@ -175,13 +176,13 @@
                 else:
                     stored[op.key] = versions, op.value
             assert kept <= stored.keys()  # none is missing on the way
-    for batch in differences(stored, wanted, most=5):
+    for batch in plan_writes(stored, wanted, max_operations=5):
         for op in batch:
             stored.pop(op.key, None)
             if op.value is not None:
                 stored[op.key] = 1, op.value
     assert {key: value for key, (_, value) in stored.items()} == wanted
-    assert api.UpstreamState.REMOVED is row_codec.gone(7).entry.state
+    assert api.UpstreamState.REMOVED is row_codec.removed_endpoint(7).entry.state
 
 
 # ---- balancers over a store ----------------------------------------------------------------------
@@ -215,7 +216,7 @@
 
 
 class Bank(Watched):
-    """A balancer's keeper and list. Without a discovery it knows only what the store says."""
+    """A balancer's state_sync and list. Without a discovery it knows only what the store says."""
 
     def __init__(
         self,
@@ -232,22 +233,28 @@
         self.driver.discovery = cast(Any, self.discovery)
         disabled = DisabledUpstreams(None, name, Siblings(None), cast(Any, self.driver))
         parts = Parts(cast(Any, None), cast(Any, self.driver), disabled, lambda: None)
-        self.keeper = k = Keeper(
-            c.client(), "orders", name, "", None, parts, LEASE_S, rows=rows, documents=documents
+        options = StateSyncOptions(
+            "orders",
+            name,
+            lease_s=LEASE_S,
+            publishes_rows=rows,
+            publishes_documents=documents,
         )
-        assert k.list is not None
-        self.list = k.list
-        k.lister.began, k.lister.ended = self.began, self.ended
+        self.state_sync = StateSync(c.client(), parts, options)
+        assert self.state_sync.publisher is not None
+        self.publisher = self.state_sync.publisher
+        list_lease = self.state_sync.list_lease
+        list_lease.began, list_lease.ended = self.began, self.ended
         if discovery is None:  # it does not ask for the list's lease
-            k.lister.start = lambda: None  # type: ignore[method-assign]
-        k.start()
+            list_lease.start = lambda: None  # type: ignore[method-assign]
+        self.state_sync.start()
 
     def began(self, token: int) -> None:
-        self.list.began(token)
+        self.publisher.on_lease_acquired(token)
         self.poke()
 
     def ended(self) -> None:
-        self.list.ended()
+        self.publisher.on_lease_lost()
         self.poke()
 
     @property
@@ -255,7 +262,7 @@
         return {n: t.endpoint.entry.state for n, t in self.driver.upstreams.targets.items()}
 
     async def owns(self) -> Bank:
-        await self.until(lambda: self.keeper.lister.working)
+        await self.until(lambda: self.state_sync.list_lease.working)
         return self
 
     async def knows(self, *rows: Json) -> None:
@@ -264,19 +271,23 @@
 
     async def close(self) -> None:
         self.discovery.close()
-        await self.keeper.close()
+        await self.state_sync.close()
 
     async def die(self) -> None:
         """As a process that is killed: nothing is given back."""
         self.discovery.close()
-        self.list.close()
-        owners = self.keeper.name, self.keeper.lister, self.keeper.roller
-        for task in (*self.keeper.tasks, *(t for owner in owners for t in owner.tasks)):
+        self.publisher.close()
+        owners = (
+            self.state_sync.name_lease,
+            self.state_sync.list_lease,
+            self.state_sync.rolling_restart.owner,
+        )
+        for task in (*self.state_sync.tasks, *(t for owner in owners for t in owner.tasks)):
             task.cancel()
-        if self.keeper.feed is not None:
-            await self.keeper.feed.close()
-        if self.keeper.client.wire is not None:
-            self.keeper.client.wire.abort()
+        if self.state_sync.feed is not None:
+            await self.state_sync.feed.close()
+        if self.state_sync.client.wire is not None:
+            self.state_sync.client.wire.abort()
 
 
 def told(word: ListRow, *boxes: Json, whole: bool = False) -> Apply:
@@ -286,11 +297,13 @@
         Row(
             split(KEYS.upstream(e.entry.id))[1],
             1,
-            row_codec.packed(e) if e.entry.state is not api.UpstreamState.REMOVED else None,
+            row_codec.encode_upstream(e)
+            if e.entry.state is not api.UpstreamState.REMOVED
+            else None,
         )
         for e in listed
     ]
-    return Apply(SCOPE, whole, (*put, Row("list/orders", 1, pack(word))), 1)
+    return Apply(SCOPE, whole, (*put, Row("list/orders", 1, encode(word))), 1)
 
 
 def test_what_a_balancer_makes_of_rows() -> None:
@@ -298,15 +311,16 @@
         driver, owner = RowDriver(lambda: None), SimpleNamespace(working=0)
         discovery = Discovery(cast(Any, driver), ("127.0.0.1", 1), 1)
         writer = RowWriter(cast(Any, None), cast(Any, owner), "orders")
-        follows = FleetList(
+        context = EndpointListContext(
             cast(Any, driver),
             discovery,
             cast(Any, None),
             cast(Any, owner),
             "orders",
-            Reach({"127.0.0.1:9001": "127.0.0.2:19001"}),
-            writer,
+            AddressMap({"127.0.0.1:9001": "127.0.0.2:19001"}),
         )
+        publisher = EndpointPublisher(context, writer)
+        follower = publisher.follower
 
         def kinds() -> list[tuple[api.EndpointListKind, int]]:
             found = [(kind, len(endpoints)) for kind, endpoints in driver.lists]
@@ -317,34 +331,34 @@
             return ListRow(token, number, 1, "a", int(time.time()))
 
         # Before a majority was heard it is something to begin with, and after it a list.
-        follows.apply(told(word(3, 7), box("s-1"), whole=True))
-        follows.apply(told(word(3, 8), box("s-2")))
+        follower.apply_rows(told(word(3, 7), box("s-1"), whole=True))
+        follower.apply_rows(told(word(3, 8), box("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
-        follows.follower.learn(FencingPosition(3, 7), clock_ns())
-        follows.apply(told(word(3, 9), box("s-3")))
-        follows.apply(told(word(3, 10), box("s-3", "Gone"), box("never there", "Gone")))
+        follower.source.learn_committed(FencingPosition(3, 7), clock_ns())
+        follower.apply_rows(told(word(3, 9), box("s-3")))
+        follower.apply_rows(told(word(3, 10), box("s-3", "Gone"), box("never there", "Gone")))
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
         dialled = driver.upstreams.targets[number_of("s-1")].endpoint
         assert (dialled.host, dialled.port) == ("127.0.0.2", 19001)
         # Of an owner of before, as from a node that lags, nothing is taken; nor is a list without
         # any.
-        follows.apply(told(word(2, 99), box("s-4"), whole=True))
-        follows.apply(told(word(3, 11), whole=True))
+        follower.apply_rows(told(word(2, 99), box("s-4"), whole=True))
+        follower.apply_rows(told(word(3, 11), whole=True))
         assert kinds() == []
-        follows.apply(told(word(3, 12), box("s-1"), whole=True))
+        follower.apply_rows(told(word(3, 12), box("s-1"), whole=True))
         assert kinds() == [(api.EndpointListKind.FULL, 1)]
         # What comes while it owns the list itself, and is the next owner's, counts once it does
         # not.
-        owner.working, follows.put = 4, (4, 1, [])
-        follows.apply(told(word(4, 1), box("s-5")))
-        follows.apply(told(word(5, 1), box("s-6")))
+        owner.working, publisher.published = 4, Publication(4, 1, [])
+        follower.apply_rows(told(word(4, 1), box("s-5")))
+        follower.apply_rows(told(word(5, 1), box("s-6")))
         assert kinds() == []
         owner.working = 0
-        follows.ended()
-        assert kinds() == [(api.EndpointListKind.FULL, 3)] and follows.mirrors
-        follows.put = 6, 1, []
-        follows.ended()  # its own rows are no news
-        assert kinds() == [] and not follows.mirrors
+        publisher.on_lease_lost()
+        assert kinds() == [(api.EndpointListKind.FULL, 3)] and follower.mirrors_table
+        publisher.published = Publication(6, 1, [])
+        publisher.on_lease_lost()  # its own rows are no news
+        assert kinds() == [] and not follower.mirrors_table
 
     run(test())
 
@@ -364,24 +378,24 @@
     async def until(self, holds: Callable[[], object]) -> None:
         if holds():
             return
-        async for told in self.client.watch(KEYS.within, self.revision):
+        async for told in self.client.watch(KEYS.prefix, self.revision):
             self.revision = told.revision
             for change in told.changes:
                 if change.key == KEYS.list and change.value is not None:
-                    self.token = row_codec.unpack_list(change.value).token
+                    self.token = row_codec.decode_list(change.value).token
                 if change.key.startswith(KEYS.upstreams):
                     self.writes[change.revision] = self.writes.get(change.revision, 0) + 1
                     number = int(change.key.removeprefix(KEYS.upstreams), 16)
                     if change.value is None:
                         del self.rows[number]
                     else:
-                        self.rows[number] = row_codec.unpack_upstream(change.value)
+                        self.rows[number] = row_codec.decode_upstream(change.value)
             if holds():
                 return
 
     async def are(self, *wanted: Json) -> None:
         """Wait until just these stand."""
-        now = {e.entry.id: row_codec.row_of(e) for e in map(read_endpoint, wanted)}
+        now = {e.entry.id: row_codec.upstream_row(e) for e in map(read_endpoint, wanted)}
         await self.until(lambda: self.rows == now)
 
 
@@ -405,15 +419,8 @@
             assert two.driver.lists[-1][0] is api.EndpointListKind.FULL
             await stored.are(*discovery.rows)
             lists, writes = len(two.driver.lists), len(stored.writes)
-            client, looks = c.client(), StoredList(c.client(), "orders")
-            assert (
-                len(
-                    (await look(client, rolling_restart_controller.Keys("orders"), Ages(), looks))[
-                        3
-                    ].boxes
-                )
-                == 40
-            )
+            client, reader = c.client(), RollingRestartReader(c.client(), "orders")
+            assert len((await reader.read()).view.upstreams) == 40
             discovery.change(box("s-7", "Terminating"))
             await two.knows(*discovery.rows)
             discovery.change(box("s-8", "Gone"), box("s-new"))
@@ -432,8 +439,8 @@
                 number_of("s-new"): api.UpstreamState.READY,
             }
             # Whoever only looks sees the same; there is no document.
-            view = (await look(client, rolling_restart_controller.Keys("orders"), Ages(), looks))[3]
-            assert {n: b.ready for n, b in view.boxes.items()} == {
+            view = (await reader.read()).view
+            assert {n: b.is_ready for n, b in view.upstreams.items()} == {
                 n: state is api.UpstreamState.READY for n, state in two.known.items()
             }
             assert (await client.get("list/orders")).rows[0].value is None
@@ -454,13 +461,13 @@
             two = Bank(c, "two", None)
             await two.knows(*discovery.rows)
             for _ in range(2):
-                heard = two.list.follower.heard_ns
-                await until(lambda: two.list.follower.heard_ns > heard)  # noqa: B023
-            assert len(stored.writes) <= 1 and not two.list.follower.alone
+                heard = two.publisher.follower.source.last_message_ns
+                await until(lambda: two.publisher.follower.source.last_message_ns > heard)  # noqa: B023
+            assert len(stored.writes) <= 1 and not two.publisher.follower.source.is_polling
             for bank in (one, two):
                 await bank.close()
 
-    monkeypatch.setattr(endpoint_publisher, "BEAT_S", 0.05)
+    monkeypatch.setattr(endpoint_publisher, "HEARTBEAT_INTERVAL_S", 0.05)
     monkeypatch.setattr(discovery_watch, "HOLD_MS", 50)
     monkeypatch.setattr(discovery_watch, "HOLD_LEAST_MS", 50)
     monkeypatch.setattr(discovery_watch, "SPREAD_EACH_MS", 0)
@@ -487,7 +494,7 @@
     be set for it to go on.
     """
     stopped, on, count = asyncio.Event(), asyncio.Event(), 0
-    client = bank.keeper.client
+    client = bank.state_sync.client
     write_rows = client.write_rows
 
     async def stop(*args: Any, **more: Any) -> Result:
@@ -518,7 +525,7 @@
             three = Bank(c, "three", discovery)
             await two.close()
             await three.owns()
-            await stored.until(lambda: stored.token == three.keeper.lister.working)
+            await stored.until(lambda: stored.token == three.state_sync.list_lease.working)
             assert len(stored.writes) == 3  # nothing but its own word
             await three.close()
 
@@ -534,7 +541,7 @@
             await one.close()
             discovery.version, discovery.rows = 1, [box("s-1")]  # as a replica of it that lags
             two = await Bank(c, "two", discovery).owns()
-            await until(lambda: two.discovery.version == 1 and two.list.floor == 2)
+            await until(lambda: two.discovery.version == 1 and two.publisher.min_version == 2)
             discovery.change(box("s-2"), box("s-3"))
             await stored.are(*discovery.rows)
             assert sum(stored.writes.values()) == 3  # s-2 did not go meanwhile
@@ -553,14 +560,14 @@
             stopped, on = stopped_at(one, 1)
             discovery.change(box("s-1", "Terminating"))
             await stopped.wait()  # it looked at its clock, and its write is still to leave
-            owned = one.list.working
+            owned = one.publisher.running
             assert owned is not None
-            one.list.working = (
+            one.publisher.running = (
                 None  # nobody tells it to stop, as where the whole process stands still
             )
             two = Bank(c, "two", discovery)
             await c.client().release(
-                Release("work/list/orders", one.keeper.lister.holder.claim), 5.0
+                Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
             )
             await two.owns()
             discovery.change(box("s-1"), box("s-2", "Gone"))
@@ -568,7 +575,7 @@
             writes = len(stored.writes)
             on.set()
             await asyncio.wait((owned,))
-            assert one.keeper.lister.refused == 1
+            assert one.state_sync.list_lease.refused == 1
             await stored.are(box("s-1"))
             assert len(stored.writes) == writes
             await one.close()
@@ -589,7 +596,7 @@
             await two.knows(*first.rows)
             first.silent = True
             await c.client().release(
-                Release("work/list/orders", one.keeper.lister.holder.claim), 5.0
+                Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
             )
             await two.owns()
             await one.knows(*second.rows)
@@ -621,7 +628,7 @@
             await two.knows(*discovery.rows)
             client = c.client()
             key = KEYS.upstream(number_of("s-1"))
-            await client.write_rows([Op(key, pack(("of", "another", "program")))], [()])
+            await client.write_rows([Op(key, encode(("of", "another", "program")))], [()])
             discovery.change(box("s-2", "Terminating"))
             await two.knows(box("s-1"), box("s-2", "Terminating"))
             async with asyncio.timeout(10):
@@ -633,7 +640,7 @@
                 await bank.close()
 
     run(test())
-    assert "what was taken before stands" in caplog.text
+    assert "keeping its previous value" in caplog.text
 
 
 def test_a_restart_takes_the_rows_from_the_node_and_an_upstream_that_cant_be_one_stops_all(
@@ -644,7 +651,7 @@
             one = await Bank(c, "one", discovery).owns()
             await stored.are(*discovery.rows)
             discovery.change(box("s-2"), box("s-3", zone="z" * MOST_ROW))
-            await until(lambda: bool(one.list.bad))
+            await until(lambda: bool(one.publisher.last_error))
             two = Bank(c, "two", None)
             await two.knows(box("s-1"))
             discovery.change(box("s-3"))
@@ -660,7 +667,7 @@
                 ],
             )
             module.crowding.taken["q"], module.fleet.servers[number_of("s-2")].pace = 5e6, 3.0
-            await until(lambda: bool(two.keeper.name.token()))
+            await until(lambda: bool(two.state_sync.name_lease.token()))
             await one.close()
             await two.close()
             again = Bank(c, "two", None)
@@ -675,7 +682,7 @@
             await again.close()
 
     run(test())
-    assert caplog.text.count("nothing of it is put: upstream") == 1
+    assert caplog.text.count("endpoint list not published: key=list/orders error=upstream") == 1
 
 
 def test_a_restored_store_is_gone_by_from_its_new_owners_word_on(tmp_path: Path) -> None:
@@ -828,4 +835,4 @@
     path = tmp_path / "b.toml"
     path.write_text(f"[store]\naddresses = ['127.0.0.1:1']\nservice = 'orders'\n{text}\n")
     with pytest.raises(Malformed, match=rf"{why}[^\n]*\Z"):
-        read_boot(path)
+        read_bootstrap(path)
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -19,8 +19,8 @@
 from loadbalancer.__main__ import Parts
 from loadbalancer.cli.main import application
 from loadbalancer.daemon import documents as docs
-from loadbalancer.daemon.site_agent import PlanDoc, SiteKeys
-from loadbalancer.daemon.state_sync import Keeper
+from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
+from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.failover.traffic_shares import Orders
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
@@ -99,13 +99,20 @@
         self.driver = SiteDriver(zone)
         disabled = DisabledUpstreams(None, name, Siblings(None), self.driver)
         parts = Parts(cast(Any, None), cast(Any, self.driver), disabled, lambda: None)
-        self.keeper = Keeper(c.client(), "orders", name, "", None, parts, lease_s=0.6, sites=True)
-        self.keeper.start()
+        self.state_sync = StateSync(
+            c.client(), parts, StateSyncOptions("orders", name, lease_s=0.6, has_site_failover=True)
+        )
+        self.state_sync.start()
         self.asking = asyncio.create_task(self.driver.ask(40.0))
 
+    @property
+    def owns_sites(self) -> bool:
+        controller = self.state_sync.site_controller
+        return controller is not None and bool(controller.owner.working)
+
     async def close(self) -> None:
         self.asking.cancel()
-        await self.keeper.close()
+        await self.state_sync.close()
 
 
 async def command(c: Cluster, *words: str) -> tuple[int, str]:
@@ -117,9 +124,13 @@
     return result.exit_code, said
 
 
-async def doc(client: Client) -> PlanDoc:
+async def doc(client: Client) -> SitePlanDocument:
     row = (await client.get(SiteKeys("orders").plan)).rows[0]
-    return msgspec.json.decode(row.value, type=PlanDoc) if row.value is not None else PlanDoc()
+    return (
+        msgspec.json.decode(row.value, type=SitePlanDocument)
+        if row.value is not None
+        else SitePlanDocument()
+    )
 
 
 def test_a_site_is_described_held_and_let_back_by_word_and_lost_by_what_is_seen(
@@ -130,12 +141,18 @@
             client = c.client()
             assert "no document" in (await command(c, "plan"))[1]
             one, two = Sited(c, "one", "a"), Sited(c, "two", "b")
-            await until(lambda: "the work rests: there is no document sites/orders" in caplog.text)
-            await documents.put(client, "sites/orders", SITES, docs.check, 0, "test")
             await until(
                 lambda: (
-                    bool(one.keeper.sites and one.keeper.sites.fresh)
-                    and bool(two.keeper.sites and two.keeper.sites.fresh)
+                    "site controller idle: reason=there is no document sites/orders" in caplog.text
+                )
+            )
+            await documents.put(client, "sites/orders", SITES, docs.find_error, 0, "test")
+            await until(
+                lambda: (
+                    bool(one.state_sync.site_agent and one.state_sync.site_agent.is_following_plan)
+                    and bool(
+                        two.state_sync.site_agent and two.state_sync.site_agent.is_following_plan
+                    )
                 )
             )
             async with asyncio.timeout(15):
@@ -158,16 +175,16 @@
                 beside.driver.gone = {e.entry.id for e in BOXES if e.entry.zone == "b"}
             await until(lambda: one.driver.plans[-1].zones.get("b") == 0.0)
             async with asyncio.timeout(15):
-                while all(x.part > 0 for x in (await doc(client)).courses):
+                while all(x.part > 0 for x in (await doc(client)).site_states):
                     await asyncio.sleep(0.05)
             token = (await doc(client)).token
             for beside in (one, two):
                 beside.driver.gone = set()
-            owner, other = (one, two) if one.keeper.site_owner.working else (two, one)
+            owner, other = (one, two) if one.owns_sites else (two, one)
             await owner.close()  # the next one goes on from what stands
             async with asyncio.timeout(40):
                 while (now := await doc(client)).token == token or any(
-                    not x.well for x in now.courses
+                    not x.well for x in now.site_states
                 ):
                     await asyncio.sleep(0.05)
             await until(lambda: other.driver.plans[-1].zones.get("b") is None)
@@ -176,7 +193,7 @@
             await client.put(
                 SiteKeys("orders").plan, msgspec.json.encode(old)
             )  # of an owner that wakes late
-            await until(lambda: "is not heeded" in caplog.text)
+            await until(lambda: "stale message ignored" in caplog.text)
             assert other.driver.plans[-1].zones.get("b") is None
             await other.close()
 
@@ -198,5 +215,5 @@
     ],
 )
 def test_a_wrong_document_of_sites_is_one_line(text: str, why: str) -> None:
-    said = docs.check("sites/orders", text)
+    said = docs.find_error("sites/orders", text)
     assert why in said and "\n" not in said
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -17,9 +17,9 @@
 import pytest
 
 from loadbalancer.__main__ import Parts
-from loadbalancer.daemon.documents import check
-from loadbalancer.daemon.persisted import SavedLearnt, load_learnt, save_learnt
-from loadbalancer.daemon.state_sync import Keeper
+from loadbalancer.daemon.documents import find_error
+from loadbalancer.daemon.persisted import SavedLearnedState, load_learned_state, save_learned_state
+from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.process_handover import Siblings
@@ -89,27 +89,31 @@
                 "document = 'balancer/orders'\nfolder = 'copy'\n"
             )
             process = await begin(boot)
-            await heard(process, "no store tells it, and there is no copy")
+            await heard(process, "not available from the store, and no local copy exists")
             assert await process.wait() == 2
-            await documents.put(client, "balancer/orders", settings(port, first), check, 0, "me")
+            await documents.put(
+                client, "balancer/orders", settings(port, first), find_error, 0, "me"
+            )
             process = await begin(boot)
             asked = await answered(port)
             assert (await asked.ask("r1")).body == b"s-0"
             with pytest.raises(Rejected, match="missing required field"):
                 await documents.put(
-                    client, "balancer/orders", "listen = 'x'\n[[class]]\n", check, 1, "me"
+                    client, "balancer/orders", "listen = 'x'\n[[class]]\n", find_error, 1, "me"
                 )
             with pytest.raises(Conflict):
                 await documents.put(
-                    client, "balancer/orders", settings(port, second), check, 9, "me"
+                    client, "balancer/orders", settings(port, second), find_error, 9, "me"
                 )
-            await documents.put(client, "balancer/orders", settings(port, second), check, 1, "me")
+            await documents.put(
+                client, "balancer/orders", settings(port, second), find_error, 1, "me"
+            )
             await heard(process, "reloaded: 1 upstreams")
             assert (await asked.ask("r2")).body == b"s-1"
             # The store goes: the balancer goes on, says so, and even starts again.
             await client.close()
             await store.kill(store.members[0], signal.SIGKILL)
-            await heard(process, "the store does not answer")
+            await heard(process, "store unavailable, using last known state")
             assert (await asked.ask("r3")).body == b"s-1"
             process.terminate()
             assert await process.wait() == 0
@@ -128,7 +132,7 @@
 
 
 class FakeDriver:
-    """What a keeper needs of a driver."""
+    """What a state sync needs of a driver."""
 
     def __init__(self) -> None:
         self.told = asyncio.Event()
@@ -161,14 +165,14 @@
 
 
 class Beside:
-    """A keeper with a driver of its own."""
+    """A state sync with a driver of its own."""
 
     def __init__(self, c: Cluster, name: str) -> None:
         self.driver = FakeDriver()
         self.disabled = DisabledUpstreams(None, name, Siblings(None), self.driver)
         parts = Parts(cast(Any, None), cast(Any, self.driver), self.disabled, lambda: None)
-        self.keeper = Keeper(c.client(), "orders", name, "", None, parts)
-        self.keeper.start()
+        self.state_sync = StateSync(c.client(), parts, StateSyncOptions("orders", name))
+        self.state_sync.start()
 
 
 def test_what_operators_take_out_on_one_balancer_is_out_on_all(tmp_path: Path) -> None:
@@ -185,7 +189,7 @@
             late = Beside(c, "late")
             await until(lambda: late.driver.banned == {"box-1": True})
             for beside in (one, two, late):
-                await beside.keeper.close()
+                await beside.state_sync.close()
 
     run(test())
 
@@ -199,13 +203,13 @@
             await c.stop(0)
             await one.disabled.disable("box-1")
             assert one.driver.banned == {"box-1": True}
-            await until(lambda: "the store does not answer" in caplog.text)
+            await until(lambda: "store unavailable, using last known state" in caplog.text)
             await c.begin(0)
             two = Beside(c, "two")
             await until(lambda: two.driver.banned == {"box-1": True})
-            await until(lambda: "the store answers again after" in caplog.text)
-            await one.keeper.close()
-            await two.keeper.close()
+            await until(lambda: "store available again" in caplog.text)
+            await one.state_sync.close()
+            await two.state_sync.close()
 
     with caplog.at_level(logging.INFO):
         run(test())
@@ -233,9 +237,13 @@
             )
             one.driver.module.crowding.taken["q"] = 5e6
             one.driver.module.fleet.servers[2].pace = 3.0
-            await until(lambda: bool(one.keeper.lister.token() and one.keeper.name.token()))
-            await one.keeper.save()
-            await one.keeper.close()
+            await until(
+                lambda: bool(
+                    one.state_sync.list_lease.token() and one.state_sync.name_lease.token()
+                )
+            )
+            await one.state_sync.save()
+            await one.state_sync.close()
             two = Beside(c, "one")
             await until(lambda: bool(two.driver.posted))
             ((kind, listed),) = two.driver.lists
@@ -250,7 +258,7 @@
             update = api.EndpointsUpdated(api.EndpointListKind.CACHED, [e.entry for e in listed])
             two.driver.module.handle(now, [update, learnt])
             assert 2.5 < two.driver.module.fleet.servers[2].pace <= 3.0
-            await two.keeper.close()
+            await two.state_sync.close()
 
     run(test())
 
@@ -284,10 +292,10 @@
     learnt = api.LearnedState(
         0, 9.0, {"a": 1.0}, {"q": 2.0}, 3.0, 0.1, 2.0, {1: (2.0, 0), 2: (2.0, 10**9)}
     )
-    saved = save_learnt(learnt, old)
+    saved = save_learned_state(learnt, old)
     again = {1: old[1], 2: Endpoint(api.Upstream(2), "", 0)}
-    back = load_learnt(
-        SavedLearnt(**{f: getattr(saved, f) for f in saved.__struct_fields__}), again
+    back = load_learned_state(
+        SavedLearnedState(**{f: getattr(saved, f) for f in saved.__struct_fields__}), again
     )
     assert back is not None and back.paces == {1: (2.0, 0)} and back.rate == 9.0
 
@@ -297,8 +305,8 @@
     step_s: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is left aside, or believed as little as what is an hour old."""
-    saved = save_learnt(api.LearnedState(0, 9.0, {}, {"q": 2.0}, 3.0, 0.1, 2.0, {}), {})
+    saved = save_learned_state(api.LearnedState(0, 9.0, {}, {"q": 2.0}, 3.0, 0.1, 2.0, {}), {})
     now_s = time.time()
     monkeypatch.setattr(time, "time", lambda: now_s + step_s)
-    back = load_learnt(saved, {})
+    back = load_learned_state(saved, {})
     assert back is None if step_s < 0 else back is not None and back.age_ns > 3000 * 10**9
--- a/tests/proxy/test_state_folder.py
+++ b/tests/proxy/test_state_folder.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from loadbalancer.daemon import state_sync
+from loadbalancer.daemon import settings_sync
 from loadbalancer.proxy.admin_api import No
 from loadbalancer.proxy.disabled_upstreams import FILE
 from loadbalancer.proxy.process_handover import Siblings
@@ -248,7 +248,7 @@
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The reload behind it reads this file."""
-    monkeypatch.setattr(state_sync, "RETRY_S", 0.01)
+    monkeypatch.setattr(settings_sync, "WRITE_RETRY_S", 0.01)
     module, name = CALLS[call]
     plain, left = getattr(module, name), [2]
 
@@ -262,7 +262,7 @@
         path = tmp_path / "settings.toml"
         path.write_bytes(b"old")
         monkeypatch.setattr(module, name, fail_twice)
-        await state_sync.Keeper._cached(object.__new__(state_sync.Keeper), path, b"new")
+        await settings_sync.write_copy(path, b"new")
         assert path.read_bytes() == b"new" and left == [0]
         assert [entry.name for entry in tmp_path.iterdir()] == [path.name]
 
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -18,7 +18,7 @@
 import pytest
 
 from loadbalancer.daemon import bootstrap
-from loadbalancer.daemon.persisted import SavedLearnt, SavedList, load_list
+from loadbalancer.daemon.persisted import SavedEndpointList, SavedLearnedState, load_endpoints
 from loadbalancer.testbed import results
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import run
@@ -112,10 +112,12 @@
     found = asyncio.run(read())
     assert found == expected
     values = {key: value for key, _, value in found["items"]}
-    [first, second] = load_list(msgspec.json.decode(values["list/orders"], type=SavedList))
+    [first, second] = load_endpoints(
+        msgspec.json.decode(values["list/orders"], type=SavedEndpointList)
+    )
     assert (first.entry.id, first.port, second.entry.zone) == (7, 8001, "b")
-    learned = msgspec.json.decode(values["learnt/orders/b-1"], type=SavedLearnt)
-    assert learned.paces == {7: (1.25, 1790000000.25)}
+    learned = msgspec.json.decode(values["learnt/orders/b-1"], type=SavedLearnedState)
+    assert learned.relative_speeds == {7: (1.25, 1790000000.25)}
 
 
 def test_a_balancer_reads_the_recorded_state_folder(stored: Path) -> None:
@@ -136,7 +138,7 @@
         '[store]\naddresses = ["127.0.0.1:1"]\nservice = "orders"\nbalancer = "accra-1"\n'
         f'document = "balancer/orders"\nfolder = "{stored / "balancer"}"\n'
     )
-    made = bootstrap.read_boot(settings)
+    made = bootstrap.read_bootstrap(settings)
     assert made is not None
     assert set(made.read().settings.classes) == {"lookup", "book-delivery"}
 
