--- a/loadbalancer/daemon/upstream_admin.py
+++ b/loadbalancer/daemon/upstream_admin.py
@@ -11,8 +11,9 @@
 from http import HTTPStatus
 
 from loadbalancer.policy.api import AttemptResult
-from loadbalancer.proxy.http import Connection, Exchange
+from loadbalancer.proxy.exchange import Exchange, ExpectedResponse
 from loadbalancer.proxy.parse import Response, message
+from loadbalancer.proxy.upstream_connection import UpstreamConnection
 
 REQUEST_TIMEOUT_S = 2.0  # to connect, and again for the response
 MAX_RESPONSE_BYTES = 64 << 10
@@ -37,28 +38,35 @@
         OSError: The upstream could not be connected to.
         TimeoutError: The connection took too long.
     """
-    connection = Connection(_ignore_connection, _ignore_connection)
+    connection = UpstreamConnection(_ignore_connection, _ignore_connection)
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(REQUEST_TIMEOUT_S):
         await loop.create_connection(lambda: connection, *address)
-    finished: asyncio.Future[tuple[AttemptResult, Response | None]] = loop.create_future()
+    try:
+        if not may_send():
+            return "lease lost: request not sent"
+        return await _exchange(connection, _restart_request(address, path, restart_name))
+    finally:
+        connection.abort()
+
+
+async def _exchange(connection: UpstreamConnection, request: bytes) -> str:
+    """Sends the request; returns why it failed, empty if it was accepted."""
+    finished: asyncio.Future[tuple[AttemptResult, Response | None]] = (
+        asyncio.get_running_loop().create_future()
+    )
 
     def on_finished(result: AttemptResult, response: Response | None) -> None:
         if not finished.done():
             finished.set_result((result, response))
 
-    request = _restart_request(address, path, restart_name)
-    exchange = Exchange(request, on_finished, MAX_RESPONSE_BYTES)
+    exchange = Exchange(request, on_finished, expected=ExpectedResponse(MAX_RESPONSE_BYTES))
     exchange.expire_in(REQUEST_TIMEOUT_S)
-    if not may_send():
-        connection.abort()
-        return "lease lost: request not sent"
     connection.start(exchange)
     try:
         result, response = await finished
     finally:
         exchange.give_up(AttemptResult.CANCELLED)
-        connection.abort()
     if response is None:
         return f"no response: {result.value}"
     if HTTPStatus.OK <= response.status < HTTPStatus.MULTIPLE_CHOICES:
@@ -66,7 +74,7 @@
     return f"response status {response.status}"
 
 
-def _ignore_connection(_connection: Connection) -> None:
+def _ignore_connection(_connection: UpstreamConnection) -> None:
     """The connection serves one exchange: it is neither pooled nor reported when lost."""
 
 
