--- a/tests/proxy/test_event_loop_waits.py
+++ b/tests/proxy/test_event_loop_waits.py
@@ -117,8 +117,8 @@
         return accept(front)
 
     monkeypatch.setattr(Frontend, "_accept", counted)
-    monkeypatch.setattr(frontend, "BEGIN_S", 60.0)
-    monkeypatch.setattr(frontend, "SILENT_S", 60.0)
+    monkeypatch.setattr(frontend, "EVICT_NEW_S", 60.0)
+    monkeypatch.setattr(frontend, "EVICT_SILENT_S", 60.0)
 
     async def test() -> None:
         async with world(sockets=RESERVE + 2 * 2) as w:  # two clients
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -138,7 +138,7 @@
 def test_at_the_cap_idle_clients_make_room_and_busy_ones_are_kept(
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    monkeypatch.setattr(frontend, "KEPT_S", 0.0)
+    monkeypatch.setattr(frontend, "EVICT_IDLE_S", 0.0)
 
     async def test() -> None:
         async with world(sockets=RESERVE + 2 * 2) as w:  # two clients, two connections to upstreams
@@ -182,7 +182,7 @@
 def test_at_the_cap_the_silent_make_room_and_a_slow_writer_is_left_its_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend, "SILENT_S", 0.2)
+    monkeypatch.setattr(frontend, "EVICT_SILENT_S", 0.2)
 
     async def test() -> None:
         async with world(sockets=RESERVE + 4 * 2) as w:
@@ -203,8 +203,8 @@
 
 
 def test_at_the_cap_an_idle_client_is_left_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "KEPT_S", 1000.0)
-    monkeypatch.setattr(frontend, "SILENT_S", 0.0)
+    monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
+    monkeypatch.setattr(frontend, "EVICT_SILENT_S", 0.0)
     monkeypatch.setitem(
         connection_phase.LIMIT_S, Phase.NEW, 0.1
     )  # the last newcomer is driven out by nobody
@@ -226,7 +226,7 @@
 ) -> None:
     # Idle connections are left their 2 s: with more clients than places, each newcomer waited for
     # that.
-    for limit in ("KEPT_S", "SILENT_S", "BEGIN_S"):
+    for limit in ("EVICT_IDLE_S", "EVICT_SILENT_S", "EVICT_NEW_S"):
         monkeypatch.setattr(frontend, limit, 1000.0)
 
     async def test() -> None:
@@ -467,7 +467,7 @@
     """Taken before SIGTERM, with a deadline behind the process's own end: it ended over the open
     request.
     """
-    monkeypatch.setattr(frontend, "LONGEST_NS", 100_000_000)
+    monkeypatch.setattr(frontend, "MAX_ANSWER_NS", 100_000_000)
     monkeypatch.setattr(frontend, "LEAVE_NS", 100_000_000)
 
     async def test() -> None:
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -380,7 +380,7 @@
 
 
 def short_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "LONGEST_NS", SECOND // 10)
+    monkeypatch.setattr(frontend, "MAX_ANSWER_NS", SECOND // 10)
     monkeypatch.setattr(frontend, "LEAVE_NS", SECOND // 10)
 
 
@@ -531,9 +531,9 @@
 def test_while_it_leaves_idle_clients_make_room_for_those_in_the_queue(
     made: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend, "KEPT_S", 1000.0)
-    monkeypatch.setattr(client_connection, "CROWDED", 9.0)
-    monkeypatch.setattr(client_connection, "FULL", 9.0)
+    monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
+    monkeypatch.setattr(client_connection, "CLOSE_REJECTED_FRACTION", 9.0)
+    monkeypatch.setattr(client_connection, "CLOSE_FRACTION", 9.0)
 
     async def test() -> None:
         async with world(sockets=RESERVE + 2 * 2) as w:  # places for two clients
