--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.settings import Malformed
 from loadbalancer.store.client import StoreError
-from loadbalancer.store.durable.journal import Damaged, Full
+from loadbalancer.store.durable.errors import DamagedError, DiskFullError
 from loadbalancer.testbed.topology import Unusable
 
 # These start without the lab's libraries.
@@ -64,7 +64,7 @@
     except (Unusable, Malformed) as error:
         print(f"loadbalancer: {error}", file=sys.stderr)
         sys.exit(2)
-    except (StoreError, Damaged, Full) as error:
+    except (StoreError, DamagedError, DiskFullError) as error:
         print(f"loadbalancer: {error}", file=sys.stderr)
         sys.exit(1)
     except KeyboardInterrupt:
--- a/loadbalancer/cli/sizestore.py
+++ b/loadbalancer/cli/sizestore.py
@@ -17,7 +17,7 @@
 from loadbalancer.cli.sizelab import Json_, Plot, Record, give, today
 from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.store.client import Client
-from loadbalancer.store.durable.state import EVENTS
+from loadbalancer.store.durable.watch_events import MAX_EVENTS
 from loadbalancer.testbed.size import keepers, sessions, storecommits, storefeed, storenode
 from loadbalancer.testbed.size.series import Series
 from loadbalancer.testbed.topology import Unusable
@@ -125,8 +125,8 @@
     told = {name: y for s in found if not s.line for name, y in s.figures().items()}
     for s in found:
         if s.name.startswith("store.rest.") and s.name.endswith("_changes"):
-            told[f"{s.name}, seconds of changes kept at {DESIGNED_FOR} balancers"] = EVENTS / max(
-                1e-9, s.slope("", "").at(DESIGNED_FOR).value
+            told[f"{s.name}, seconds of changes kept at {DESIGNED_FOR} balancers"] = (
+                MAX_EVENTS / max(1e-9, s.slope("", "").at(DESIGNED_FOR).value)
             )
     return told
 
--- a/loadbalancer/cli/store.py
+++ b/loadbalancer/cli/store.py
@@ -17,7 +17,7 @@
 from loadbalancer.settings import Malformed
 from loadbalancer.store import run as running
 from loadbalancer.store.client import Client
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import state_files
 from loadbalancer.store.durable.state_directory import STATE
 from loadbalancer.store.feed_progress import ASK_S, Members
 from loadbalancer.store.security import Tls
@@ -335,7 +335,7 @@
             index, _, size, checksum = using(
                 client(at, certificate, key, authority), lambda c: c.copy(file.write, within)
             )
-        if fresh.stat().st_size != size or states.checksum(fresh) != checksum:
+        if fresh.stat().st_size != size or state_files.file_checksum(fresh) != checksum:
             raise Malformed(f"{copy}: it did not come whole: try again")
         fresh.rename(copy)
     finally:
@@ -371,11 +371,11 @@
     if settings is not None:
         wrong += running.verify(read_store(settings))
     if copy is not None:
-        why = states.verify(copy)
+        why = state_files.verify(copy)
         if why:
             wrong.append(f"{copy}: {why}")
         else:
-            meta = states.describe(copy)
+            meta = state_files.describe_snapshot(copy)
             out.print(f"{copy}: entries up to {meta.index}, {meta.size} bytes")
     if settings is None and copy is None:
         raise Malformed("--settings or --copy: one of them is needed")
--- a/loadbalancer/store/changefeed_server.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -20,7 +20,7 @@
 from loadbalancer.changefeed.fanout import BadWord, Fanout, FanoutLimits, FeedChange, Send
 from loadbalancer.changefeed.messages import PREFIX, Bookmark, unpack_told
 from loadbalancer.changefeed.status import FeedStatus
-from loadbalancer.store.durable.rows import Event, Loaded
+from loadbalancer.store.durable.rows import LoadedRows, WatchEvent
 from loadbalancer.store.durable.state import State
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
         if self.node.replica.state.scan(PREFIX, "", 1):
             self._load()
 
-    def applied(self, revision: int, events: Sequence[Event]) -> None:
+    def applied(self, revision: int, events: Sequence[WatchEvent]) -> None:
         """In the turn of the loop in which it was."""
         if self.fanout is None and self.held is None:
             if events:
@@ -247,11 +247,11 @@
             self.timer.cancel()
 
 
-def _changes(events: Sequence[Event]) -> list[FeedChange]:
+def _changes(events: Sequence[WatchEvent]) -> list[FeedChange]:
     return [FeedChange(one.revision, one.key, one.version, one.value) for one in events]
 
 
-def _fill(fanout: Fanout, loaded: Loaded) -> None:
+def _fill(fanout: Fanout, loaded: LoadedRows) -> None:
     fanout.load(
         loaded.revision, loaded.rows, loaded.base, _changes(loaded.events), time.monotonic_ns()
     )
--- a/loadbalancer/store/durable/__init__.py
+++ b/loadbalancer/store/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What is on disk: log segments, state, snapshots."""
+"""What a store node keeps on disk: the journal of its log, the state in SQLite, and snapshots."""
--- /dev/null
+++ b/loadbalancer/store/durable/lease_records.py
@@ -0,0 +1,146 @@
+"""Leases in the state: their keys, and how often each claim was renewed."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from loadbalancer.leases import table
+from loadbalancer.leases.expiry import ActiveClaim
+from loadbalancer.leases.table import Candidate, Lease, Outcome
+from loadbalancer.store.commands import LEASES, Claim, Code, Lapse, Op, Release, Result, Write
+from loadbalancer.store.durable.items import Items
+from loadbalancer.store.durable.schema import LEASES_FORMAT, prefix_end
+
+MAX_LEASES = 5_000
+CANDIDATE_TTLS: Final = 2  # a candidate that does not renew for so many of its TTLs is gone
+LeaseCommand = Claim | Release | Lapse
+# Parts of the replicated state: changing one is a change of format.
+LEASES_NOT_YET: Final = "not all nodes of the store know leases yet"
+RENEWED_SINCE: Final = "it was renewed since"
+
+
+def _ttls(lease: Lease) -> dict[int, int]:
+    """The claims of a lease, and how long each lasts without a renewal, in ms."""
+    found = {c.claim: CANDIDATE_TTLS * c.ttl_ms for c in lease.candidates}
+    if lease.holder:
+        ttl_ms = lease.ttl_ms
+        found[lease.claim] = int(ttl_ms * table.OFFER_FRACTION) if lease.is_offered else ttl_ms
+    return found
+
+
+class LeaseRecords(Items):
+    """The leases, and the table of renewals."""
+
+    def active_claims(self) -> list[ActiveClaim]:
+        """Return every claim with its TTL."""
+        return [
+            ActiveClaim(lease.name, claim, self._round(lease.name, claim), ttl_ms)
+            for lease in self._stored_leases()
+            for claim, ttl_ms in _ttls(lease).items()
+        ]
+
+    def _reload_leases(self) -> None:
+        self.leases = {lease.name: lease for lease in self._stored_leases()}
+
+    def _stored_leases(self) -> list[Lease]:
+        if self.format < LEASES_FORMAT:
+            return []
+        return [
+            table.unpack(row[0])
+            for row in self.db.execute(
+                "SELECT value FROM items WHERE key >= ? AND key < ? ORDER BY key",
+                (LEASES, prefix_end(LEASES)),
+            ).fetchall()
+        ]
+
+    def _stored_lease(self, name: str) -> Lease:
+        row = self.db.execute("SELECT value FROM items WHERE key = ?", (LEASES + name,)).fetchone()
+        return table.unpack(row[0]) if row else Lease(name)
+
+    def _put_lease(self, lease: Lease, index: int, time_ms: int) -> None:
+        command = Write(0, 0, 0, (), time_ms=time_ms, author=lease.holder)
+        self._apply_op(Op(LEASES + lease.name, table.pack(lease)), command, index, 0)
+        self.leases[lease.name] = lease
+
+    # ---- commands --------------------------------------------------------------------------------
+
+    def _apply_lease_command(self, command: LeaseCommand, index: int) -> Result:
+        if self.format < LEASES_FORMAT:
+            return Result(Code.REFUSED, index, (), LEASES_NOT_YET)
+        fault = self._lease_command_fault(command)
+        if fault:
+            return Result(Code.REFUSED, index, (), fault)
+        lease = self._stored_lease(command.lease)
+        if isinstance(command, Claim) and not lease.token and not self._has_room_for_lease():
+            return Result(Code.REFUSED, index, (), f"there are {MAX_LEASES} leases already")
+        if (
+            isinstance(command, Lapse)
+            and self._round(command.lease, command.claim) != command.round
+        ):
+            return Result(Code.DONE, index, (), RENEWED_SINCE)
+        outcome = self._lease_outcome(lease, command)
+        if outcome.is_granted:
+            self.counters.tokens += 1
+            self._set_meta(tokens=self.counters.tokens)
+        if outcome.lease != lease and (lease.token or outcome.is_granted):
+            self._put_lease(outcome.lease, index, command.time_ms)
+        self._record_rounds(lease, outcome.lease, command)
+        versions = (outcome.token, outcome.queue_position)
+        return Result(Code.DONE, index, versions, outcome.reason)
+
+    @staticmethod
+    def _lease_command_fault(command: LeaseCommand) -> str:
+        """The reason why no state takes this command; empty: there is none."""
+        if isinstance(command, Claim):
+            return table.claim_fault(
+                command.lease, command.holder, command.claim, command.ttl_ms, command.note
+            )
+        if len(command.lease) > table.MAX_NAME_CHARS or not table.NAME.match(command.lease):
+            return "it is no name"
+        return ""
+
+    def _lease_outcome(self, lease: Lease, command: LeaseCommand) -> Outcome:
+        next_token = self.counters.tokens + 1
+        match command:
+            case Claim():
+                candidate = Candidate(
+                    command.holder, command.claim, command.rank, command.ttl_ms, command.note
+                )
+                return table.claim(lease, candidate, next_token, command.time_ms)
+            case Release():
+                return table.release(
+                    lease, command.claim, command.token, next_token, command.time_ms
+                )
+            case Lapse():
+                return table.lapse(lease, command.claim, next_token, command.time_ms)
+
+    def _has_room_for_lease(self) -> bool:
+        row = self.db.execute(
+            "SELECT count(*) FROM items WHERE key >= ? AND key < ?", (LEASES, prefix_end(LEASES))
+        ).fetchone()
+        return int(row[0]) < MAX_LEASES
+
+    # ---- renewals --------------------------------------------------------------------------------
+
+    def _round(self, lease: str, claim: int) -> int:
+        row = self.db.execute(
+            "SELECT round FROM rounds WHERE lease = ? AND claim = ?", (lease, claim)
+        ).fetchone()
+        return int(row[0]) if row else 0
+
+    def _record_rounds(self, before: Lease, after: Lease, command: LeaseCommand) -> None:
+        """An ended claim has no round; one that claimed, or was offered the lease, has the next."""
+        old = _ttls(before)
+        new = _ttls(after)
+        for claim in old.keys() - new.keys():
+            self.db.execute("DELETE FROM rounds WHERE lease = ? AND claim = ?", (after.name, claim))
+            self.changed_claims.append(ActiveClaim(after.name, claim, 0, 0))
+        for claim, ttl_ms in new.items():
+            is_renewed = isinstance(command, Claim) and command.claim == claim
+            if old.get(claim) == ttl_ms and not is_renewed:
+                continue
+            count = self._round(after.name, claim) + 1
+            self.db.execute(
+                "INSERT OR REPLACE INTO rounds VALUES (?, ?, ?)", (after.name, claim, count)
+            )
+            self.changed_claims.append(ActiveClaim(after.name, claim, count, ttl_ms))
--- a/loadbalancer/store/durable/rows.py
+++ b/loadbalancer/store/durable/rows.py
@@ -1,65 +1,85 @@
-"""Rows of the feed within the state, from its format 3 on: which of them names which, and all that
-a node begins to tell them with.
-"""
+"""Rows of the feed within the state, from its format 3 on: references, and what a node loads."""
 
 from __future__ import annotations
 
 import sqlite3
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from loadbalancer.changefeed.messages import PREFIX
 from loadbalancer.store.commands import RowsWrite, refs_of
-
-BEHIND = PREFIX + "\U0010ffff"  # after all of their keys
-TABLES_3 = """
-CREATE TABLE refs (key TEXT, ref TEXT, PRIMARY KEY (key, ref)) WITHOUT ROWID;
-CREATE INDEX refs_ref ON refs (ref, key);
-"""
+from loadbalancer.store.durable.schema import prefix_end
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
-    """A change that a watcher is told; `value` is None where the key was deleted."""
+class WatchEvent:
+    """A change of a key."""
 
     revision: int
     key: str
     version: int
-    value: bytes | None
+    value: bytes | None  # None: the key was deleted
+
+
+class StoredRow(NamedTuple):
+    """A row as it stands."""
+
+    key: str
+    version: int
+    value: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedRows:
     """All rows as of `revision`, and each change in (base, revision]."""
 
     revision: int
-    rows: list[tuple[str, int, bytes]]  # key, version, value
+    rows: list[StoredRow]
     base: int
-    events: list[Event]
+    events: list[WatchEvent]
 
 
-def dangling(db: sqlite3.Connection, command: RowsWrite) -> str:
-    """What would name nothing after this write; empty: all is well. It looks before anything is
-    written.
+def dangling_reference(db: sqlite3.Connection, command: RowsWrite) -> str:
+    """Return which reference would have no target after this write; empty: none.
+
+    It is called before anything is written.
     """
-    there = {op.key for op in command.ops if op.value is not None}
-    gone = {op.key for op in command.ops if op.value is None}
+    written = {op.key for op in command.ops if op.value is not None}
+    deleted = {op.key for op in command.ops if op.value is None}
+    return _missing_target(db, command, written, deleted) or _remaining_reference(
+        db, command, written | deleted
+    )
+
+
+def _missing_target(
+    db: sqlite3.Connection, command: RowsWrite, written: set[str], deleted: set[str]
+) -> str:
     for op, refs in refs_of(command):
         for ref in refs:
-            if ref not in there and (
-                ref in gone
-                or db.execute("SELECT 1 FROM items WHERE key = ?", (ref,)).fetchone() is None
-            ):
+            if ref in written:
+                continue
+            if ref in deleted or not _exists(db, ref):
                 return f"{op.key} names {ref}, which is not there"
+    return ""
+
+
+def _exists(db: sqlite3.Connection, key: str) -> bool:
+    return db.execute("SELECT 1 FROM items WHERE key = ?", (key,)).fetchone() is not None
+
+
+def _remaining_reference(db: sqlite3.Connection, command: RowsWrite, changed: set[str]) -> str:
+    """Rows that this write changes need no check here: their new references are checked above."""
     for op in command.ops:
         if op.value is not None:
             continue
         for (name,) in db.execute("SELECT key FROM refs WHERE ref = ? ORDER BY key", (op.key,)):
-            if name not in there and name not in gone:  # those were looked at above, or go as well
+            if name not in changed:
                 return f"{name} still names {op.key}"
     return ""
 
 
-def note_refs(db: sqlite3.Connection, command: RowsWrite) -> None:
+def record_references(db: sqlite3.Connection, command: RowsWrite) -> None:
+    """Replace the references of the rows that a write changes."""
     db.executemany("DELETE FROM refs WHERE key = ?", [(op.key,) for op in command.ops])
     db.executemany(
         "INSERT INTO refs VALUES (?, ?)",
@@ -67,14 +87,17 @@
     )
 
 
-def load(db: sqlite3.Connection, revision: int, base: int) -> Loaded:
-    """`base`: changes up to there are gone."""
+def load_rows(db: sqlite3.Connection, revision: int, base: int) -> LoadedRows:
+    """Return all rows as of a revision, and the changes after `base`."""
+    end = prefix_end(PREFIX)
     rows = db.execute(
-        "SELECT key, version, value FROM items WHERE key >= ? AND key < ?", (PREFIX, BEHIND)
+        "SELECT key, version, value FROM items WHERE key >= ? AND key < ?", (PREFIX, end)
     )
     events = db.execute(
         "SELECT revision, key, version, value FROM events WHERE revision > ? AND key >= ?"
         " AND key < ? ORDER BY revision, place",
-        (base, PREFIX, BEHIND),
+        (base, PREFIX, end),
+    )
+    return LoadedRows(
+        revision, [StoredRow(*row) for row in rows], base, [WatchEvent(*row) for row in events]
     )
-    return Loaded(revision, rows.fetchall(), base, [Event(*row) for row in events])
--- /dev/null
+++ b/loadbalancer/store/durable/state_files.py
@@ -0,0 +1,195 @@
+"""Files of the state: created, opened, synced, copied and checked."""
+
+from __future__ import annotations
+
+import os
+import sqlite3
+from pathlib import Path
+from typing import Final
+
+import google_crc32c
+
+from loadbalancer.leases import table
+from loadbalancer.store.commands import FORMAT
+from loadbalancer.store.durable.errors import DamagedError
+from loadbalancer.store.durable.schema import LEASES_FORMAT, connect, create_tables
+from loadbalancer.store.durable.state import State
+from loadbalancer.store.raft.messages import Members, SnapshotMeta, pack, unpack_members
+
+CHECKSUM_READ_BYTES: Final = 1 << 20
+EXPORT_LOCK_TIMEOUT_S: Final = 5
+
+
+def _one_line(error: Exception) -> str:
+    return " ".join(str(error).split())
+
+
+# ---- opening -------------------------------------------------------------------------------------
+
+
+def load_state(db: sqlite3.Connection, name: str) -> State:
+    """Return the state in an open database.
+
+    Raises:
+        DamagedError: It does not read, or is of a newer format; in one line.
+    """
+    try:
+        version = db.execute("SELECT value FROM meta WHERE name = 'format'").fetchone()
+        if version is None or version[0] > FORMAT:
+            raise DamagedError(
+                f"{name}: format {version[0] if version else '?'} is newer than {FORMAT}, "
+                "which this program knows"
+            )
+        return State(db)
+    except (sqlite3.Error, ValueError) as error:
+        raise DamagedError(f"{name}: {_one_line(error)}") from None
+
+
+def create_state(path: Path, cluster: str, members: Members) -> State:
+    """Make a new, empty state."""
+    db = connect(str(path))
+    create_tables(db, cluster, members)
+    db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    return State(db)
+
+
+def open_state(path: Path) -> State:
+    """Open an existing state.
+
+    Raises:
+        DamagedError: It is not there, does not read, or is of a newer format.
+    """
+    if not path.exists():
+        raise DamagedError(f"{path.name} is not there")
+    try:
+        db = connect(str(path))
+    except sqlite3.Error as error:
+        raise DamagedError(f"{path.name}: {error}") from None
+    return load_state(db, path.name)
+
+
+def adopt_copy(path: Path, cluster: str, members: Members, unix_s: int) -> State:
+    """Make a copy the state of another cluster.
+
+    Args:
+        path: The copy.
+        cluster: The other cluster's name.
+        members: Its members.
+        unix_s: The operator's clock, for the epoch of its fencing tokens.
+
+    Raises:
+        DamagedError: The copy does not read, or is of a newer format.
+    """
+    old = open_state(path)
+    db = old.db
+    db.execute("BEGIN IMMEDIATE")
+    if old.format >= LEASES_FORMAT:
+        db.execute(
+            "UPDATE meta SET value = ? WHERE name = 'tokens'",
+            (table.next_epoch(old.tokens, unix_s),),
+        )
+    db.executemany(
+        "UPDATE meta SET value = ? WHERE name = ?",
+        [(pack(members), "members"), (cluster, "cluster")],
+    )
+    db.execute("COMMIT")
+    state = State(db)
+    flush(state)
+    return state
+
+
+# ---- syncing and checking ------------------------------------------------------------------------
+
+
+def flush(state: State) -> int:
+    """Sync what was applied; return the index up to which the state is durable now.
+
+    Raises:
+        sqlite3.Error: It can't be synced now.
+    """
+    applied = state.applied
+    busy, _, _ = state.db.execute("PRAGMA wal_checkpoint(FULL)").fetchone()
+    if busy:
+        raise sqlite3.OperationalError("a reader holds the state: it can't be synced now")
+    return applied
+
+
+def verify(path: Path) -> str:
+    """Read all of a state's file; return its first fault, empty where there is none."""
+    try:
+        db = sqlite3.connect(f"file:{path}?mode=ro", uri=True)
+        try:
+            found = db.execute("PRAGMA integrity_check(1)").fetchone()[0]
+            return "" if found == "ok" else str(found)
+        finally:
+            db.close()
+    except sqlite3.Error as error:
+        return str(error)
+
+
+# ---- snapshots -----------------------------------------------------------------------------------
+
+
+def export_snapshot(source: Path, target: Path) -> SnapshotMeta:
+    """Copy the state as of one entry, while it goes on changing; the copy is durable.
+
+    It uses a connection of its own.
+
+    Raises:
+        sqlite3.Error: The copy can't be made.
+        OSError: It can't be synced.
+    """
+    target.unlink(missing_ok=True)
+    db = sqlite3.connect(f"file:{source}?mode=ro", uri=True, timeout=EXPORT_LOCK_TIMEOUT_S)
+    try:
+        db.execute("VACUUM INTO ?", (str(target),))
+    finally:
+        db.close()
+    descriptor = os.open(target, os.O_RDONLY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
+    return describe_snapshot(target)
+
+
+def describe_snapshot(path: Path) -> SnapshotMeta:
+    """Return what a snapshot's file holds.
+
+    Raises:
+        DamagedError: It is no snapshot, or of a newer format.
+    """
+    try:
+        db = sqlite3.connect(f"file:{path}?mode=ro&immutable=1", uri=True)
+        try:
+            meta = dict(db.execute("SELECT name, value FROM meta"))
+        finally:
+            db.close()
+        if meta["format"] > FORMAT:
+            raise DamagedError(
+                f"{path.name}: format {meta['format']} is newer than {FORMAT}, which this program"
+                " knows"
+            )
+        return SnapshotMeta(
+            int(meta["applied"]),
+            int(meta["term"]),
+            unpack_members(meta["members"]),
+            path.stat().st_size,
+            file_checksum(path),
+        )
+    except (sqlite3.Error, KeyError, ValueError) as error:
+        raise DamagedError(f"{path.name}: no snapshot: {_one_line(error)}") from None
+
+
+def checksum(data: bytes) -> int:
+    """Return the CRC-32C of data."""
+    return int(google_crc32c.value(data))
+
+
+def file_checksum(path: Path) -> int:
+    """Return the CRC-32C of a file."""
+    total = 0
+    with open(path, "rb") as file:
+        while chunk := file.read(CHECKSUM_READ_BYTES):
+            total = google_crc32c.extend(total, chunk)
+    return int(total)
--- a/loadbalancer/store/housekeeping.py
+++ b/loadbalancer/store/housekeeping.py
@@ -27,8 +27,12 @@
     def leads(self, term: int, state: State, now: int) -> None:
         """This node leads, in this term: a new leader lets every claim run its full time again."""
         if term != self.term:
-            state.take_claimed()
-            self.term, self.expiry, self.asked = term, LeaseExpiry(state.running(), now), (0, 0)
+            state.take_changed_claims()
+            self.term, self.expiry, self.asked = (
+                term,
+                LeaseExpiry(state.active_claims(), now),
+                (0, 0),
+            )
 
     def follows(self) -> None:
         self.term, self.expiry = 0, None
--- a/loadbalancer/store/node.py
+++ b/loadbalancer/store/node.py
@@ -12,6 +12,7 @@
 import logging
 import os
 import random
+import sqlite3
 import ssl
 import time
 from collections import deque
@@ -23,11 +24,11 @@
 from loadbalancer.settings import Malformed
 from loadbalancer.store.changefeed_server import Feeding
 from loadbalancer.store.commands import FORMAT, Result, pack
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable.errors import DamagedError, DiskFullError, SyncFailedError
 from loadbalancer.store.durable.files import Folder
-from loadbalancer.store.durable.journal import Broken, Damaged, Full, Journal
+from loadbalancer.store.durable.journal import Journal
 from loadbalancer.store.durable.state import State
-from loadbalancer.store.durable.state_directory import DiskVault
+from loadbalancer.store.durable.state_directory import DiskStateDirectory
 from loadbalancer.store.housekeeping import Steward, behind
 from loadbalancer.store.link import Link
 from loadbalancer.store.raft.errors import BusyError, NotLeaderError
@@ -126,7 +127,7 @@
 
     @classmethod
     def open(cls, settings: StoreSettings) -> Node:
-        """Raises Damaged, Malformed."""
+        """Raises DamagedError, Malformed."""
         lock = locked(settings)
         try:
             files = Folder(settings.folder)
@@ -135,7 +136,7 @@
             replica = Replica.open(
                 identity,
                 journal,
-                DiskVault(settings.folder),
+                DiskStateDirectory(settings.folder),
                 settings.config,
                 time.monotonic_ns(),
                 random.Random(os.urandom(8)),
@@ -238,7 +239,7 @@
         """What nobody thought of ends the node, not silently one of its tasks."""
         try:
             await work
-        except (Broken, Damaged) as error:
+        except (SyncFailedError, DamagedError) as error:
             self.fail(str(error))
         except Exception as error:
             log.exception("the store's node fails")
@@ -366,7 +367,7 @@
 
     def _send_pieces(self) -> None:
         for to, meta, offset, round_ in self.core.take_chunk_requests():
-            data = self.replica.vault.read_piece(
+            data = self.replica.state_directory.read_chunk(
                 meta, offset, self.settings.config.snapshot_chunk_bytes
             )
             if data is None:
@@ -401,7 +402,7 @@
                 installed, seconds = await self.loop.run_in_executor(
                     self.disk, self._timed_write, batch
                 )
-            except Full as error:
+            except DiskFullError as error:
                 self._note_full("log", error)
                 await asyncio.sleep(FULL_S)
                 continue
@@ -438,7 +439,7 @@
                             self.state, self.replica.apply, entries
                         )
                         break
-                    except states.Failed as error:
+                    except sqlite3.Error as error:
                         if "full" not in str(error):
                             raise
                         self._note_full("state", error)
@@ -452,7 +453,7 @@
         """A few are sooner done than handed to a thread."""
         try:
             results = self.replica.apply(entries)
-        except states.Failed:  # the thread tries again, and can wait
+        except sqlite3.Error:  # the thread tries again, and can wait
             self.applying = True
             self.task(self._apply(entries))
         else:
@@ -467,9 +468,9 @@
                 else:
                     waiting.future.set_exception(Unknown("another entry took its place"))
         self.core.mark_applied(entries[-1].index)
-        self.steward.applied(self.replica.state.take_claimed(), time.monotonic_ns())
-        self.feeding.applied(entries[-1].index, self.replica.state.take_fed())
-        self.poke(self.replica.state.take_touched())
+        self.steward.applied(self.replica.state.take_changed_claims(), time.monotonic_ns())
+        self.feeding.applied(entries[-1].index, self.replica.state.take_row_events())
+        self.poke(self.replica.state.take_changed_keys())
 
     def poke(self, keys: Collection[str] | None = None) -> None:
         """These keys changed, or nobody knows which: whoever watches one of them looks. A renewal
@@ -483,10 +484,12 @@
 
     async def _export(self) -> None:
         try:
-            meta = await self.loop.run_in_executor(self.copies, self.replica.vault.export)
+            meta = await self.loop.run_in_executor(
+                self.copies, self.replica.state_directory.export_snapshot
+            )
             self.figures.exports += 1
             self.core.snapshot_exported(meta)
-        except Full as error:
+        except DiskFullError as error:
             log.error("%s", error)
             await asyncio.sleep(FULL_S)
         finally:
@@ -500,9 +503,9 @@
                 # The journal belongs to the disk's thread; the core, to this one.
                 index = self.replica.cut_index()
                 self.core.compact(index)
-                await self.loop.run_in_executor(self.disk, self.replica.journal.cut, index)
-            await self.loop.run_in_executor(self.disk, self.replica.journal.mark)
-        except Full as error:
+                await self.loop.run_in_executor(self.disk, self.replica.journal.compact, index)
+            await self.loop.run_in_executor(self.disk, self.replica.journal.write_end_mark)
+        except DiskFullError as error:
             log.error("%s", error)
             await asyncio.sleep(FULL_S)
         finally:
@@ -558,10 +561,12 @@
 
     async def manage(self, what: str, node: int, address: str, within_s: float) -> str:
         """Learn, promote, remove, transfer, snapshot; says what was done. Raises NotLeaderError,
-        BusyError, MembershipError, Late, Full.
+        BusyError, MembershipError, Late, DiskFullError.
         """
         if what == "snapshot":
-            meta = await self.loop.run_in_executor(self.copies, self.replica.vault.export)
+            meta = await self.loop.run_in_executor(
+                self.copies, self.replica.state_directory.export_snapshot
+            )
             await self._flush_now()
             return f"snapshot up to entry {meta.index}, {meta.size} bytes"
         until = time.monotonic() + within_s
--- a/loadbalancer/store/read_requests.py
+++ b/loadbalancer/store/read_requests.py
@@ -6,7 +6,9 @@
 import time
 from typing import TYPE_CHECKING
 
-from loadbalancer.store.durable.state import Compacted, Item, State
+from loadbalancer.store.durable.errors import CompactedError
+from loadbalancer.store.durable.items import Item
+from loadbalancer.store.durable.state import State
 from loadbalancer.store.node import Late
 from loadbalancer.store.wire import protocol
 from loadbalancer.store.wire.protocol import Change, Changes, Row, Trouble, Watch
@@ -59,7 +61,7 @@
                 )
             except Late:
                 return  # its connection closes
-            except Compacted as error:
+            except CompactedError as error:
                 self.connection.fail(self.id, Trouble.COMPACTED, str(error))
                 self.connection.watches.pop(self.id, None)
                 self.stop()
--- a/loadbalancer/store/replica.py
+++ b/loadbalancer/store/replica.py
@@ -14,10 +14,11 @@
 import msgspec
 
 from loadbalancer.store.commands import Result
-from loadbalancer.store.durable.files import Files, write_whole
-from loadbalancer.store.durable.journal import Damaged, Journal
+from loadbalancer.store.durable.errors import DamagedError
+from loadbalancer.store.durable.files import Files, replace_file
+from loadbalancer.store.durable.journal import Journal
 from loadbalancer.store.durable.state import State
-from loadbalancer.store.durable.state_directory import Vault
+from loadbalancer.store.durable.state_directory import StateDirectory
 from loadbalancer.store.raft.config import RaftConfig
 from loadbalancer.store.raft.log import Log
 from loadbalancer.store.raft.messages import ArrayStruct, Entry, Members
@@ -50,24 +51,26 @@
 
 
 def write_identity(files: Files, identity: Identity) -> None:
-    write_whole(files, IDENTITY, msgspec.json.encode(identity))
+    replace_file(files, IDENTITY, msgspec.json.encode(identity))
 
 
 def read_identity(files: Files) -> Identity:
-    """Raises Damaged."""
+    """Raises DamagedError."""
     try:
         raw = files.read(IDENTITY)
     except FileNotFoundError:
-        raise Damaged(f"there is no {IDENTITY}: this folder belongs to no cluster yet") from None
+        raise DamagedError(
+            f"there is no {IDENTITY}: this folder belongs to no cluster yet"
+        ) from None
     try:
         version = msgspec.json.decode(raw)["format"]
         if version > FORMAT:
-            raise Damaged(
+            raise DamagedError(
                 f"{IDENTITY}: format {version} is newer than {FORMAT}, which this program knows"
             )
         return msgspec.json.decode(raw, type=Identity)
     except (ValueError, KeyError, TypeError) as error:
-        raise Damaged(f"{IDENTITY}: {error}") from None
+        raise DamagedError(f"{IDENTITY}: {error}") from None
 
 
 class Replica:
@@ -75,14 +78,14 @@
         self,
         identity: Identity,
         journal: Journal,
-        vault: Vault,
+        state_directory: StateDirectory,
         state: State,
         core: RaftNode,
         boundaries: Boundaries,
     ) -> None:
         self.identity = identity
         self.journal = journal
-        self.vault = vault
+        self.state_directory = state_directory
         self.state = state
         self.core = core
         self.boundaries = boundaries
@@ -93,49 +96,49 @@
         cls,
         identity: Identity,
         journal: Journal,
-        vault: Vault,
+        state_directory: StateDirectory,
         config: RaftConfig,
         now: int,
         rng: random.Random,
         boundaries: Boundaries = Boundaries(),  # noqa: B008 (it can't be changed)
         make: type[RaftNode] = RaftNode,
     ) -> Replica:
-        """From what is on disk. Raises Damaged."""
+        """From what is on disk. Raises DamagedError."""
         found = journal.open()
-        state = vault.open()
+        state = state_directory.open()
         if found.install is not None and found.install.index > state.applied:
             # Power went between the word in the log and the deed.
-            state = vault.swap(state, found.install)
+            state = state_directory.install_incoming(state, found.install)
         if state.cluster != identity.cluster:
-            raise Damaged(f"the state belongs to cluster {state.cluster}")
-        if state.applied < found.base:
-            raise Damaged(
-                f"the state ends at entry {state.applied}, the log begins after {found.base}"
+            raise DamagedError(f"the state belongs to cluster {state.cluster}")
+        if state.applied < found.base_index:
+            raise DamagedError(
+                f"the state ends at entry {state.applied}, the log begins after {found.base_index}"
             )
-        log = Log(found.base, found.base_term, found.entries)
+        log = Log(found.base_index, found.base_term, found.entries)
         if state.applied > log.last_index:
-            raise Damaged(
+            raise DamagedError(
                 f"the log ends at entry {log.last_index}, the state holds {state.applied}"
             )
-        stored = StoredState(found.hard, log, state.members, state.applied)
+        stored = StoredState(found.hard_state, log, state.members, state.applied)
         core = make(identity.node, config, stored, now, rng)
         core.compact(state.applied - boundaries.keep)
-        return cls(identity, journal, vault, state, core, boundaries)
+        return cls(identity, journal, state_directory, state, core, boundaries)
 
     def write(self, batch: Batch) -> bool:
         """Make a batch durable; False where the snapshot in it is not whole. Raises Full, and may
         be called again with the same batch; raises Broken.
         """
         for piece in batch.chunks:
-            self.vault.write_piece(piece.offset, piece.data)
+            self.state_directory.write_chunk(piece.offset, piece.data)
         if batch.hard_state is not None or batch.entries:
             self.journal.write(batch.hard_state, batch.entries)
         if batch.install is None:
             return True
-        if not self.vault.arrived(batch.install):
+        if not self.state_directory.verify_incoming(batch.install):
             return False
         self.journal.write(None, (), batch.install)
-        self.state = self.vault.swap(self.state, batch.install)
+        self.state = self.state_directory.install_incoming(self.state, batch.install)
         return True
 
     def apply(self, entries: Sequence[Entry]) -> list[Result]:
@@ -150,7 +153,7 @@
 
     def flush(self) -> int:
         """Sync the state. Raises Full."""
-        self.flushed = self.vault.flush(self.state)
+        self.flushed = self.state_directory.flush(self.state)
         return self.flushed
 
     def cut_index(self) -> int:
@@ -167,12 +170,12 @@
     def cut(self) -> None:
         index = self.cut_index()
         self.core.compact(index)
-        self.journal.cut(index)
+        self.journal.compact(index)
 
     def close(self) -> None:
         self.journal.close()
         self.state.close()
-        self.vault.close()
+        self.state_directory.close()
 
 
 def members_of(node: int, address: str) -> Members:
--- a/loadbalancer/store/run.py
+++ b/loadbalancer/store/run.py
@@ -15,10 +15,10 @@
 from loadbalancer.settings import Malformed
 from loadbalancer.store import metrics
 from loadbalancer.store import replica as replicas
-from loadbalancer.store.durable import state as states
-from loadbalancer.store.durable import state_directory
+from loadbalancer.store.durable import state_directory, state_files
+from loadbalancer.store.durable.errors import DamagedError
 from loadbalancer.store.durable.files import Folder
-from loadbalancer.store.durable.journal import Damaged, Journal
+from loadbalancer.store.durable.journal import Journal
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.node import Node, locked
 from loadbalancer.store.raft.messages import Members
@@ -56,22 +56,27 @@
     """A new cluster of this one node. Raises Malformed."""
     identity = Identity(replicas.FORMAT, cluster or new_cluster(), new_number(), name)
     members = members_of(identity.node, settings.advertise)
-    return _fill(settings, identity, lambda path: states.create(path, identity.cluster, members))
+    return _fill(
+        settings, identity, lambda path: state_files.create_state(path, identity.cluster, members)
+    )
 
 
 def prepare(settings: StoreSettings, cluster: str, name: str = "") -> Identity:
     """A folder for a node that will join. Raises Malformed."""
     identity = Identity(replicas.FORMAT, cluster, new_number(), name)
-    return _fill(settings, identity, lambda path: states.create(path, cluster, Members()))
+    return _fill(
+        settings, identity, lambda path: state_files.create_state(path, cluster, Members())
+    )
 
 
 def restore(settings: StoreSettings, copy: Path, cluster: str = "", name: str = "") -> Identity:
     """A new cluster of this one node with what a copy, or another node's state, holds. It has a
-    name of its own, so that members of the old one can't speak to it. Raises Malformed, Damaged.
+    name of its own, so that members of the old one can't speak to it. Raises Malformed,
+    DamagedError.
     """
-    why = states.verify(copy)
+    why = state_files.verify(copy)
     if why:
-        raise Damaged(f"{copy}: {why}")
+        raise DamagedError(f"{copy}: {why}")
     identity = Identity(replicas.FORMAT, cluster or new_cluster(), new_number(), name)
 
     def copied(path: Path) -> State:
@@ -79,7 +84,7 @@
         wal = Path(f"{copy}-wal")  # of a node that was killed: its last entries
         if wal.exists():
             shutil.copyfile(wal, f"{path}-wal")
-        return states.adopt(
+        return state_files.adopt_copy(
             path, identity.cluster, members_of(identity.node, settings.advertise), int(unix_s())
         )
 
@@ -115,13 +120,14 @@
         try:
             identity = read_identity(files)
             found = Journal(files, identity.cluster, identity.node).open(repair=False)
-            if found.cut:
+            if found.torn_bytes:
                 wrong.append(
-                    f"the log ends in a torn tail of {found.cut} bytes; the next start cuts it off"
+                    f"the log ends in a torn tail of {found.torn_bytes} bytes; the next start cuts"
+                    " it off"
                 )
-        except Damaged as error:
+        except DamagedError as error:
             wrong.append(str(error))
-        why = states.verify(settings.folder / state_directory.STATE)
+        why = state_files.verify(settings.folder / state_directory.STATE)
         if why:
             wrong.append(f"{state_directory.STATE}: {why}")
         return wrong
@@ -133,7 +139,7 @@
     """A node and its listeners."""
 
     def __init__(self, settings: StoreSettings) -> None:
-        """Raises Damaged, Malformed."""
+        """Raises DamagedError, Malformed."""
         self.settings = settings
         self.node = Node.open(settings)
         self.server = Server(self.node)
@@ -156,7 +162,7 @@
 async def serve(
     settings: StoreSettings, started: Callable[[Running], None] = lambda running: None
 ) -> str:
-    """Run a node until SIGTERM; why it ended, empty where it was asked to. Raises Damaged,
+    """Run a node until SIGTERM; why it ended, empty where it was asked to. Raises DamagedError,
     Malformed.
     """
     loop = asyncio.get_running_loop()
--- a/loadbalancer/store/server.py
+++ b/loadbalancer/store/server.py
@@ -20,7 +20,7 @@
 from loadbalancer.settings import Malformed
 from loadbalancer.store import commands
 from loadbalancer.store.commands import Result
-from loadbalancer.store.durable.journal import Full
+from loadbalancer.store.durable.errors import DiskFullError
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.node import Late, Node, Unknown
 from loadbalancer.store.raft.errors import BusyError, MembershipError, NotLeaderError
@@ -412,13 +412,13 @@
         self.send(Info(r.id, msgspec.json.encode({"done": done})))
 
     async def _copy(self, r: Copy) -> None:
-        vault, loop = self.node.replica.vault, self.node.loop
+        state_directory, loop = self.node.replica.state_directory, self.node.loop
         if r.offset == 0:
-            meta = await loop.run_in_executor(self.node.copies, vault.export)
+            meta = await loop.run_in_executor(self.node.copies, state_directory.export_snapshot)
         else:
             index, term, size, checksum = r.meta_id
             meta = SnapshotMeta(index, term, self.node.core.members, size, checksum)
-        data = vault.read_piece(meta, r.offset, COPY_BYTES)
+        data = state_directory.read_chunk(meta, r.offset, COPY_BYTES)
         if data is None:
             self.fail(r.id, Trouble.UNKNOWN, "another copy was made meanwhile: begin anew")
         else:
@@ -471,7 +471,7 @@
             self.fail(number, Trouble.UNKNOWN, str(error), self.node.core.leader_id)
         except Late as error:
             self.fail(number, Trouble.LATE, str(error))
-        except Full as error:
+        except DiskFullError as error:
             self.fail(number, Trouble.FULL, str(error))
         finally:
             self.open -= 1
--- a/loadbalancer/testbed/cluster/disk.py
+++ b/loadbalancer/testbed/cluster/disk.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import schema, state_files
+from loadbalancer.store.durable.errors import DamagedError, DiskFullError
 from loadbalancer.store.durable.files import File
-from loadbalancer.store.durable.journal import Damaged, Full
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.raft.messages import Members, SnapshotMeta
 
@@ -191,7 +191,7 @@
         pass
 
 
-class MemoryVault:
+class MemoryStateDirectory:
     """The state as an SQLite database in memory whose commits since the last flush may be lost,
     newest first; snapshots as bytes, the incoming one on the disk.
     """
@@ -199,7 +199,7 @@
     def __init__(self, disk: Disk, cluster: str, members: Members) -> None:
         self.disk = disk
         db = sqlite3.connect(":memory:", isolation_level=None)
-        states.fill(db, cluster, members)
+        schema.create_tables(db, cluster, members)
         self.durable = db.serialize()
         self.since: list[bytes] = []
         self.state = State(db)
@@ -224,55 +224,55 @@
         self.state.close()
         db = sqlite3.connect(":memory:", isolation_level=None)
         db.deserialize(data)
-        self.state = states.checked(db, "state.db")
+        self.state = state_files.load_state(db, "state.db")
 
     def flush(self, state: State) -> int:
         self.disk.trip()
         if self.disk.full:
-            raise Full("no space left on device")
+            raise DiskFullError("no space left on device")
         if self.since:
             self.durable = self.since[-1]
             self.since.clear()
         self.disk.trip()
         return state.applied
 
-    def export(self) -> SnapshotMeta:
+    def export_snapshot(self) -> SnapshotMeta:
         self.disk.trip()
         if self.disk.full:
-            raise Full("no space left on device")
+            raise DiskFullError("no space left on device")
         data = self.state.db.serialize()
         meta = SnapshotMeta(
             self.state.applied,
             self.state.term,
             self.state.members,
             len(data),
-            states.of_bytes(data),
+            state_files.checksum(data),
         )
         self.outgoing = meta, data
         return meta
 
-    def read_piece(self, meta: SnapshotMeta, offset: int, size: int) -> bytes | None:
-        if self.outgoing is None or self.outgoing[0].id != meta.id:
+    def read_chunk(self, snapshot: SnapshotMeta, offset: int, size: int) -> bytes | None:
+        if self.outgoing is None or self.outgoing[0].id != snapshot.id:
             return None
         return self.outgoing[1][offset : offset + size]
 
-    def write_piece(self, offset: int, data: bytes) -> None:
+    def write_chunk(self, offset: int, data: bytes) -> None:
         try:
             file = self.disk.create(INCOMING) if offset == 0 else self.disk.open(INCOMING)
             file.write(data, offset)
         except OSError as error:
-            raise Full(str(error)) from error
+            raise DiskFullError(str(error)) from error
 
-    def arrived(self, meta: SnapshotMeta) -> bool:
+    def verify_incoming(self, snapshot: SnapshotMeta) -> bool:
         self.disk.open(INCOMING).sync()
         self.disk.sync_folder()
         data = self.disk.read(INCOMING)
-        return len(data) == meta.size and states.of_bytes(data) == meta.checksum
+        return len(data) == snapshot.size and state_files.checksum(data) == snapshot.checksum
 
     def close(self) -> None:
         pass
 
-    def swap(self, state: State | None, meta: SnapshotMeta) -> State:
+    def install_incoming(self, state: State | None, snapshot: SnapshotMeta) -> State:
         if INCOMING in self.disk.files:
             data = self.disk.read(INCOMING)
             self.disk.trip()
@@ -283,8 +283,8 @@
             self.disk.trip()
             self.disk.remove(INCOMING)
             self.disk.sync_folder()
-        if self.state.applied < meta.index:
-            raise Damaged(
-                f"the snapshot up to entry {meta.index} that the log speaks of is not there"
+        if self.state.applied < snapshot.index:
+            raise DamagedError(
+                f"the snapshot up to entry {snapshot.index} that the log speaks of is not there"
             )
         return self.state
--- a/loadbalancer/testbed/cluster/plans.py
+++ b/loadbalancer/testbed/cluster/plans.py
@@ -137,7 +137,7 @@
         voters = leader.replica.core.members.voters
         alive = [n.id for n in self.cluster.up() if n.id in voters and n is not node]
         journal = node.replica.journal
-        name, end = journal.segments[-1].name, journal.newest
+        name, end = journal.segments[-1].name, journal.last_frame_offset
         if len(alive) <= len(voters) // 2 + 1 or end <= 0:
             return
         self.cluster.stop(node, False)
--- a/loadbalancer/testbed/cluster/rowed.py
+++ b/loadbalancer/testbed/cluster/rowed.py
@@ -23,7 +23,7 @@
     RowsWrite,
     Upgrade,
 )
-from loadbalancer.store.durable.rows import Event
+from loadbalancer.store.durable.rows import WatchEvent
 from loadbalancer.store.durable.state import State
 from loadbalancer.testbed.cluster.checks import Broken
 from loadbalancer.testbed.cluster.plans import CALM, STORM, Outcome, Storm, describe, level, mend
@@ -121,7 +121,7 @@
         self.of: dict[int, Follower] = {}
         self.loads = 0
 
-    def applied(self, node: Node, state: State, events: list[Event]) -> None:
+    def applied(self, node: Node, state: State, events: list[WatchEvent]) -> None:
         """`events`: what the node fed since it last said so."""
         mine = self.of.setdefault(node.id, Follower())
         if mine.state is not state:  # begun anew, or a snapshot came
--- a/loadbalancer/testbed/cluster/sim.py
+++ b/loadbalancer/testbed/cluster/sim.py
@@ -14,9 +14,10 @@
 
 from loadbalancer.store import commands, replica
 from loadbalancer.store.commands import AnyCommand, Result
-from loadbalancer.store.durable import journal as journals
-from loadbalancer.store.durable.journal import Damaged, Full, Journal
-from loadbalancer.store.durable.state import Event, State
+from loadbalancer.store.durable.errors import DamagedError, DiskFullError, SyncFailedError
+from loadbalancer.store.durable.journal import Journal
+from loadbalancer.store.durable.rows import WatchEvent
+from loadbalancer.store.durable.state import State
 from loadbalancer.store.housekeeping import Steward
 from loadbalancer.store.raft.config import RaftConfig
 from loadbalancer.store.raft.errors import BusyError, MembershipError, NotLeaderError
@@ -34,7 +35,7 @@
 from loadbalancer.store.raft.state import Role
 from loadbalancer.store.replica import Boundaries, Identity, Replica
 from loadbalancer.testbed.cluster.checks import Broken, Checks
-from loadbalancer.testbed.cluster.disk import Disk, MemoryVault, PowerLost
+from loadbalancer.testbed.cluster.disk import Disk, MemoryStateDirectory, PowerLost
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -69,7 +70,7 @@
 class Node:
     id: int
     disk: Disk
-    vault: MemoryVault
+    state_directory: MemoryStateDirectory
     rng: random.Random
     replica: Replica | None = None  # None: it is down
     epoch: int = 0  # of its life: what was meant for an earlier one is dropped
@@ -105,7 +106,7 @@
             False  # a leader proposes what it does by itself: the state's next format, and lapses
         )
         # What a node applied, and which rows it said were changed by it.
-        self.fed: Callable[[Node, State, list[Event]], None] = lambda node, state, events: None
+        self.fed: Callable[[Node, State, list[WatchEvent]], None] = lambda node, state, events: None
         self.checks = Checks()
         self.nodes: dict[int, Node] = {}
         self.make = make
@@ -139,8 +140,8 @@
         """A fresh folder; a newcomer's `members` are empty until it hears of them."""
         rng = random.Random(f"{self.seed}/node/{number}")
         disk = Disk()
-        vault = MemoryVault(disk, "sim", members)
-        node = self.nodes[number] = Node(number, disk, vault, rng)
+        state_directory = MemoryStateDirectory(disk, "sim", members)
+        node = self.nodes[number] = Node(number, disk, state_directory, rng)
         identity = Identity(replica.FORMAT, "sim", number)
         fresh = self._journal(node)
         fresh.create()
@@ -167,14 +168,14 @@
             node.replica = Replica.open(
                 identity,
                 self._journal(node),
-                node.vault,
+                node.state_directory,
                 self.config,
                 self.clock(node),
                 node.rng,
                 BOUNDARIES,
                 self.make,
             )
-        except Damaged as error:
+        except DamagedError as error:
             node.dead = str(error)
             self.counts["damaged"] += 1
             return
@@ -200,7 +201,7 @@
         self.counts["power lost" if power else "kills"] += 1
         if power:
             node.disk.lose_power(node.rng)
-        node.vault.restart(node.rng if power else None)
+        node.state_directory.restart(node.rng if power else None)
         for _, answer in node.waiting.values():
             answer("unknown", None)
         for _, _, answer in node.reads.values():
@@ -220,7 +221,7 @@
             except PowerLost:
                 self.stop(node, True)
                 self.at(self.between((50 * MS, 2 * SECOND)), lambda: self.start(node))
-            except journals.Broken:
+            except SyncFailedError:
                 self.stop(node, False)
 
         return go
@@ -235,7 +236,7 @@
             for to, message in core.take_messages():
                 self.send(node, to, message)
             for to, meta, offset, round_ in core.take_chunk_requests():
-                data = r.vault.read_piece(meta, offset, self.config.snapshot_chunk_bytes)
+                data = r.state_directory.read_chunk(meta, offset, self.config.snapshot_chunk_bytes)
                 if data is None:
                     core.snapshot_lost()
                     break
@@ -302,7 +303,7 @@
             return
         try:
             installed = r.write(batch)
-        except Full:
+        except DiskFullError:
             self.counts["full disk"] += 1
             self._later_write(node, batch, 100 * MS)
             return
@@ -314,7 +315,7 @@
 
     def _apply(self, node: Node, r: Replica, entries: list[Any]) -> None:
         results = r.apply(entries)
-        node.vault.committed()
+        node.state_directory.committed()
         for entry, result in zip(entries, results, strict=True):
             self.checks.applied(node.id, entry.index, commands.pack(result))
             term, answer = node.waiting.pop(entry.index, (0, None))
@@ -324,15 +325,15 @@
                 else:
                     answer("unknown", None)
         r.core.mark_applied(entries[-1].index)
-        node.steward.applied(r.state.take_claimed(), self.clock(node))
-        self.fed(node, r.state, r.state.take_fed())
+        node.steward.applied(r.state.take_changed_claims(), self.clock(node))
+        self.fed(node, r.state, r.state.take_row_events())
         node.applying = False
         if r.wants_cut:
             try:
                 r.flush()
                 r.cut()
                 self.counts["cuts"] += 1
-            except Full:
+            except DiskFullError:
                 pass
         self.turn(node)
 
@@ -342,8 +343,8 @@
             return
         node.exporting = False
         try:
-            r.core.snapshot_exported(r.vault.export())
-        except Full:
+            r.core.snapshot_exported(r.state_directory.export_snapshot())
+        except DiskFullError:
             return
         self.turn(node)
 
--- a/loadbalancer/testbed/rig/writers.py
+++ b/loadbalancer/testbed/rig/writers.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.store.client import Client, Conflict, StoreError, Undecided
 from loadbalancer.store.commands import Op
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import state_files
 from loadbalancer.store.durable.state_directory import STATE
 
 PREFIX = "churn/"
@@ -150,7 +150,7 @@
 
 def digest(folder: Path) -> tuple[int, int]:
     """Of a node that does not run: what it applied, and a checksum of all that it holds."""
-    state = states.open_state(folder / STATE)
+    state = state_files.open_state(folder / STATE)
     try:
         return state.applied, state.digest()
     finally:
--- a/loadbalancer/testbed/size/sessions.py
+++ b/loadbalancer/testbed/size/sessions.py
@@ -8,7 +8,8 @@
 from pathlib import Path
 
 from loadbalancer.store.commands import Code, Op, OpenSession, Write, pack
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import state_files
+from loadbalancer.store.durable.state import State
 from loadbalancer.store.raft.messages import Entry, EntryKind, Members
 from loadbalancer.testbed.size.series import Series
 from loadbalancer.testbed.size.storenode import ROW, Heard
@@ -23,12 +24,12 @@
     """
     expired = Series("store.sessions.expired", "of writes", "balancers", line=False)
     for size in sizes:
-        state = states.create(folder / f"sessions-{size}.db", "lab", Members())
+        state = state_files.create_state(folder / f"sessions-{size}.db", "lab", Members())
         try:
             lost = 0
             numbers = [0] * size
 
-            def commit(command: OpenSession | Write, state: states.State = state) -> int:
+            def commit(command: OpenSession | Write, state: State = state) -> int:
                 entry = Entry(1, state.applied + 1, EntryKind.COMMAND, pack(command))
                 return state.apply([entry])[0].code
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -26,7 +26,7 @@
     Upgrade,
     Write,
 )
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import lease_records, state_files
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.raft.messages import Entry, EntryKind, Members
 from loadbalancer.testbed.cluster import owners
@@ -73,7 +73,7 @@
 
 @pytest.fixture
 def log(tmp_path: Path) -> Log:
-    log = Log(states.create(tmp_path / "state.db", "c", MEMBERS))
+    log = Log(state_files.create_state(tmp_path / "state.db", "c", MEMBERS))
     log.do(Upgrade(2))
     log.do(OpenSession(7))
     return log
@@ -123,7 +123,7 @@
 def test_with_no_room_for_a_further_lease_the_existing_ones_go_on(
     log: Log, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(states, "MOST_LEASES", 2)
+    monkeypatch.setattr(lease_records, "MAX_LEASES", 2)
     assert log.claim("a", 11) == (1, 0)
     assert log.do(Claim("last", "a", 12, 1000)).versions == (2, 0)
     full = log.do(Claim("one-more", "a", 13, 1000))
@@ -153,15 +153,15 @@
     log.claim("a", 11)
     log.do(Release("work", 11))
     before = log.claim("b", 12)[0]
-    states.flush(log.state)
+    state_files.flush(log.state)
     copy = tmp_path / "copy.db"
-    states.export(tmp_path / "state.db", copy)
-    restored = Log(states.adopt(copy, "other", MEMBERS, 5_000))
+    state_files.export_snapshot(tmp_path / "state.db", copy)
+    restored = Log(state_files.adopt_copy(copy, "other", MEMBERS, 5_000))
     assert restored.lease().token == before  # who held it then may go on, or be waited out
-    restored.do(Lapse("work", 12, restored.state.running()[0].round))
+    restored.do(Lapse("work", 12, restored.state.active_claims()[0].round))
     after = restored.claim("c", 13)[0]
     assert after > before and table.format_token(after) == "5000.1"
-    again = states.adopt(copy, "third", MEMBERS, 6_000)
+    again = state_files.adopt_copy(copy, "third", MEMBERS, 6_000)
     assert again.tokens > after, (
         "two clusters restored from one copy must not grant the same tokens"
     )
@@ -170,7 +170,7 @@
 def test_a_folder_of_format_1_is_read_and_upgraded_in_place(tmp_path: Path) -> None:
     with tarfile.open(KEPT) as kept:
         kept.extractall(tmp_path, filter="data")
-    log = Log(states.open_state(tmp_path / "state.db"))
+    log = Log(state_files.open_state(tmp_path / "state.db"))
     assert log.state.format == 1
     assert [i.note for i in log.state.history("config/balancer/orders")] == ["second", "first"]
     assert log.do(Claim("work", "a", 11, 1000)).code == Code.REFUSED
@@ -181,11 +181,11 @@
     assert log.claim("a", 11) == (1, 0)
     assert log.state.digest() != was
     log.state.close()
-    assert states.open_state(tmp_path / "state.db").format == 2
+    assert state_files.open_state(tmp_path / "state.db").format == 2
 
 
 def test_a_run_of_entries_that_fails_leaves_no_token_and_no_format_behind(tmp_path: Path) -> None:
-    state = states.create(tmp_path / "state.db", "c", MEMBERS)
+    state = state_files.create_state(tmp_path / "state.db", "c", MEMBERS)
     entries = [
         Entry(1, 1, EntryKind.COMMAND, commands.pack(Upgrade(2))),
         Entry(1, 2, EntryKind.COMMAND, commands.pack(Claim("work", "a", 11, 1000))),
@@ -193,7 +193,7 @@
     ]
     with pytest.raises(ValueError):
         state.apply(entries)
-    assert (state.format, state.tokens, state.claimed, state.applied) == (1, 0, [], 0)
+    assert (state.format, state.tokens, state.changed_claims, state.applied) == (1, 0, [], 0)
     assert [r.code for r in state.apply(entries[:2])] == [Code.DONE, Code.DONE]
 
 
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -22,7 +22,7 @@
 from loadbalancer.store.changefeed_client import FeedClient
 from loadbalancer.store.client import Client, Rejected, Unavailable, Undecided
 from loadbalancer.store.commands import Op
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import watch_events
 from loadbalancer.store.security import Tls
 from loadbalancer.store.server import Connection
 from loadbalancer.store.wire import protocol
@@ -257,7 +257,7 @@
             one = Balancer([c.settings[0].advertise], [ORDERS, CARTS])
             await one.has(ORDERS, "upstream/a", b"1")
             await c.stop(0)
-            monkeypatch.setattr(states, "EVENTS", 2)
+            monkeypatch.setattr(watch_events, "MAX_EVENTS", 2)
             await c.begin(0)
             for number in range(2, 9):
                 await put(client, ORDERS, b"%d" % number, "a")
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -23,9 +23,9 @@
     Wire,
 )
 from loadbalancer.store.commands import Op, OpenSession, Result, Write, pack
-from loadbalancer.store.durable import state as states
-from loadbalancer.store.durable.files import RealFile
-from loadbalancer.store.durable.journal import Damaged
+from loadbalancer.store.durable import state_files, watch_events
+from loadbalancer.store.durable.errors import DamagedError
+from loadbalancer.store.durable.files import DiskFile
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.node import Late
 from loadbalancer.store.raft.messages import Entry, RequestVote
@@ -241,7 +241,7 @@
 def test_a_watch_whose_history_is_gone_says_so(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(states, "EVENTS", 3)
+    monkeypatch.setattr(watch_events, "MAX_EVENTS", 3)
 
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
@@ -406,7 +406,7 @@
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
                 index, _, size, checksum = await client.copy(file.write)
-            assert copy.stat().st_size == size and states.checksum(copy) == checksum
+            assert copy.stat().st_size == size and state_files.file_checksum(copy) == checksum
             made = running.restore(c.read(1), copy, "d")
             await c.begin(1)
             other = c.client(only=1)
@@ -446,9 +446,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     full = {"log": False, "state": False}
-    write, apply = RealFile.write, State.apply
+    write, apply = DiskFile.write, State.apply
 
-    def write_or_not(self: RealFile, data: bytes, at: int) -> None:
+    def write_or_not(self: DiskFile, data: bytes, at: int) -> None:
         if full["log"]:
             raise OSError(28, "No space left on device")
         write(self, data, at)
@@ -458,7 +458,7 @@
             raise sqlite3.OperationalError("database or disk is full")
         return apply(self, entries)
 
-    monkeypatch.setattr(RealFile, "write", write_or_not)
+    monkeypatch.setattr(DiskFile, "write", write_or_not)
     monkeypatch.setattr(State, "apply", apply_or_not)
 
     async def test() -> None:
@@ -496,14 +496,14 @@
         await Running(settings).close()
 
     (tmp_path / "n0" / "identity.json").rename(tmp_path / "kept")
-    with pytest.raises(Damaged, match="belongs to no cluster yet"):
+    with pytest.raises(DamagedError, match="belongs to no cluster yet"):
         run(open_)
     (tmp_path / "kept").rename(tmp_path / "n0" / "identity.json")
     log = next((tmp_path / "n0").glob("log-*"))
     data = bytearray(log.read_bytes())
     data[40] ^= 1
     log.write_bytes(data)
-    with pytest.raises(Damaged, match="head does not read"):
+    with pytest.raises(DamagedError, match="head does not read"):
         run(open_)
     assert len(running.verify(settings)) == 1
 
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -1,6 +1,4 @@
-"""Rows in the store's state: they name only what is there, are written whole or not at all, and
-begin with format 3.
-"""
+"""Rows in the store's state: references have targets, writes are atomic; from format 3 on."""
 
 from __future__ import annotations
 
@@ -28,8 +26,9 @@
     Write,
 )
 from loadbalancer.store.durable import rows as stored
-from loadbalancer.store.durable import state as states
-from loadbalancer.store.durable.state import Event, State
+from loadbalancer.store.durable import state_files, watch_events
+from loadbalancer.store.durable.rows import WatchEvent
+from loadbalancer.store.durable.state import State
 from loadbalancer.store.housekeeping import AGAIN_NS, Steward
 from loadbalancer.store.raft.messages import Entry, EntryKind
 from loadbalancer.testbed.cluster import rowed
@@ -95,10 +94,10 @@
     assert rows(log, (ACME, None, ())).code == Code.DONE, "what is gone names nothing"
 
 
-def test_a_write_of_rows_is_made_whole_or_not_at_all(log: Log) -> None:
+def test_a_write_of_rows_is_atomic(log: Log) -> None:
     rows(log, (ACME, b"t", ()))
-    before = log.state.take_fed()
-    assert before == [Event(log.state.applied, ACME, 1, b"t")]
+    before = log.state.take_row_events()
+    assert before == [WatchEvent(log.state.applied, ACME, 1, b"t")]
     assert (
         rows(log, (ACME, b"t2", ()), (ROUTE, b"r", ("feed/global/tenant/none",))).code
         == Code.REFUSED
@@ -107,11 +106,13 @@
         rows(log, (ACME, b"t2", ()), ("config/a", b"x", ()), checks=(("b", 1),)).code
         == Code.CONFLICT
     )
-    assert (log.state.get(ACME) or pytest.fail()).value == b"t" and log.state.take_fed() == []
+    assert (
+        log.state.get(ACME) or pytest.fail()
+    ).value == b"t" and log.state.take_row_events() == []
     assert rows(log, (ROUTE, b"r", (ACME,)), ("config/a", b"x", ())).code == Code.DONE, (
         "other keys with it"
     )
-    assert [e.key for e in log.state.take_fed()] == [ROUTE], "and only rows are fed"
+    assert [e.key for e in log.state.take_row_events()] == [ROUTE], "and only rows are fed"
     assert len(log.state.history(ROUTE)) == 0 and len(log.state.history("config/a")) == 1
 
 
@@ -154,10 +155,10 @@
 
 
 def test_before_format_3_there_are_no_rows_and_what_stood_there_goes(tmp_path: Path) -> None:
-    log = upgraded(states.create(tmp_path / "state.db", "c", MEMBERS), 2)
+    log = upgraded(state_files.create_state(tmp_path / "state.db", "c", MEMBERS), 2)
     assert rows(log, (ACME, b"x", ())).text == "not all nodes of the store know rows yet"
     assert plain(log, Op(ACME, b"x"), Op("feed/b", b"y"), Op("feeds", b"z")).code == Code.DONE
-    assert log.state.take_fed() == [] and log.state.rows().rows == []
+    assert log.state.take_row_events() == [] and log.state.rows().rows == []
     was = log.state.digest()
     log.do(Upgrade(3))
     assert [i.key for i in log.state.scan("feed")] == ["feeds"] and log.state.digest() != was
@@ -168,13 +169,13 @@
     assert rows(log, (ACME, b"x", ())).versions == (3,), "versions go on counting"
     assert log.state.rows().rows == [(ACME, 3, b"x")]
     log.state.close()
-    assert states.open_state(tmp_path / "state.db").format == 3
+    assert state_files.open_state(tmp_path / "state.db").format == 3
 
 
 def test_a_folder_of_format_1_comes_to_format_3_step_by_step(tmp_path: Path) -> None:
     with tarfile.open(KEPT) as kept:
         kept.extractall(tmp_path, filter="data")
-    log = Log(states.open_state(tmp_path / "state.db"))
+    log = Log(state_files.open_state(tmp_path / "state.db"))
     log.do(Upgrade(3))
     assert log.state.format == 1, "no step is left out"
     steward, formats = Steward(), {1: 3, 2: 3}
@@ -217,12 +218,14 @@
     ]
     with pytest.raises(ValueError):
         state.apply(entries)
-    assert (state.format, state.rows_from, state.fed, state.applied) == (2, 0, [], at)
+    assert (state.format, state.rows_from, state.row_events, state.applied) == (2, 0, [], at)
     assert [r.code for r in state.apply(entries[:2])] == [Code.DONE, Code.DONE]
-    assert state.rows_from == at + 1 and [e.key for e in state.take_fed()] == [ACME]
+    assert state.rows_from == at + 1 and [e.key for e in state.take_row_events()] == [ACME]
 
 
-def test_what_a_node_begins_to_tell_with(log: Log, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_what_a_node_loads_before_it_serves_the_feed(
+    log: Log, monkeypatch: pytest.MonkeyPatch
+) -> None:
     for number in range(8):
         rows(
             log,
@@ -233,13 +236,13 @@
     loaded = log.state.rows()
     assert loaded.base == log.state.rows_from and loaded.revision == log.state.applied
     assert loaded.rows == [(ACME, 8, b"7"), (ROUTE, 7, b"r")], "what was not there is not deleted"
-    assert loaded.events == log.state.take_fed() and len(loaded.events) == 15
-    monkeypatch.setattr(states, "EVENTS", 5)
+    assert loaded.events == log.state.take_row_events() and len(loaded.events) == 15
+    monkeypatch.setattr(watch_events, "MAX_EVENTS", 5)
     rows(log, (ACME, b"8", ()))
     cut = log.state.rows()
     assert cut.base == log.state.forgotten > loaded.base
     assert cut.events == [
-        e for e in [*loaded.events, *log.state.take_fed()] if e.revision > cut.base
+        e for e in [*loaded.events, *log.state.take_row_events()] if e.revision > cut.base
     ]
 
 
@@ -316,25 +319,25 @@
     )
 
 
-def deaf_to_deletions(self: State) -> list[Event]:
+def deaf_to_deletions(self: State) -> list[WatchEvent]:
     return [event for event in TAKE_FED(self) if event.value is not None]
 
 
 def made_again(self: State, command: Write, index: int) -> Result:
-    return self._write(command, index)
+    return self._apply_write(command, index)
 
 
-DANGLING, TAKE_FED = stored.dangling, State.take_fed
+DANGLING, TAKE_FED = stored.dangling_reference, State.take_row_events
 PLANTS: dict[str, tuple[object, str, object]] = {
-    "deleted though named": (stored, "dangling", deleted_though_named),
-    "refs pile up": (stored, "note_refs", refs_pile_up),
-    "each alone": (stored, "dangling", each_alone),
-    "deaf to deletions": (State, "take_fed", deaf_to_deletions),
-    "made again": (State, "_once", made_again),
+    "deleted though named": (stored, "dangling_reference", deleted_though_named),
+    "refs pile up": (stored, "record_references", refs_pile_up),
+    "each alone": (stored, "dangling_reference", each_alone),
+    "deaf to deletions": (State, "take_row_events", deaf_to_deletions),
+    "made again": (State, "_apply_write_once", made_again),
 }
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
-def test_a_planted_bug_of_rows_is_caught(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_seeded_bug_of_rows_is_caught(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(*PLANTS[name])
     assert any(rowed.play(seed).broken for seed in range(1, 6))
--- a/tests/store/test_state.py
+++ b/tests/store/test_state.py
@@ -1,4 +1,4 @@
-"""The state that the log builds: all or nothing, once, alike on every node."""
+"""The state that the log builds: atomic, applied once, the same on every node."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     Result,
     Write,
 )
-from loadbalancer.store.durable import state as states
-from loadbalancer.store.durable.journal import Damaged
-from loadbalancer.store.durable.state import Compacted, State
+from loadbalancer.store.durable import schema, sessions, state_files, watch_events
+from loadbalancer.store.durable.errors import CompactedError, DamagedError
+from loadbalancer.store.durable.state import State
 from loadbalancer.store.raft.messages import Entry, EntryKind, Members, pack
 
 MEMBERS = Members((1,), (), {1: "a"})
@@ -30,7 +30,7 @@
 
 def fresh() -> State:
     db = sqlite3.connect(":memory:", isolation_level=None)
-    states.fill(db, "c", MEMBERS)
+    schema.create_tables(db, "c", MEMBERS)
     return State(db)
 
 
@@ -51,7 +51,7 @@
     return Write(session, number, answered, ops, **rest)  # type: ignore[arg-type]
 
 
-def test_a_write_that_comes_twice_is_made_once() -> None:
+def test_a_write_that_is_sent_twice_is_applied_once() -> None:
     log = Log(fresh())
     log.do(OpenSession(5))
     first, again = log.do(write(1, Op("a", b"1")), write(1, Op("a", b"1")))
@@ -62,7 +62,7 @@
     assert late.code == Code.EXPIRED and log.state.get("a").version == 2  # type: ignore[union-attr]
 
 
-def test_all_of_a_write_or_nothing() -> None:
+def test_a_write_is_atomic() -> None:
     log = Log(fresh())
     log.do(OpenSession(5), write(1, Op("a", b"1"), Op("b", b"1")))
     result = log.do(write(2, Op("a", b"2"), Op("b", b"2", 7)))[0]
@@ -92,7 +92,7 @@
     ]
 
 
-def test_a_session_that_is_unknown_or_closed_is_told_so() -> None:
+def test_a_write_of_an_unknown_or_closed_session_expires() -> None:
     log = Log(fresh())
     results = log.do(
         write(1, Op("a", b"1")),
@@ -110,18 +110,20 @@
     ]
 
 
-def test_the_least_lately_used_session_goes_when_there_are_too_many(
+def test_the_least_recently_used_session_is_closed_when_there_are_too_many(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(states, "SESSIONS", 3)
+    monkeypatch.setattr(sessions, "MAX_SESSIONS", 3)
     log = Log(fresh())
     log.do(*[OpenSession(i) for i in (1, 2, 3)], write(1, Op("a", b"1"), session=1), OpenSession(4))
     codes = [log.do(write(9, Op("a", b"2"), session=i))[0].code for i in (1, 2, 3, 4)]
     assert codes == [Code.DONE, Code.EXPIRED, Code.DONE, Code.DONE]
 
 
-def test_a_watcher_is_told_everything_or_that_it_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(states, "EVENTS", 5)
+def test_a_watcher_gets_all_events_or_an_error_that_they_are_compacted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(watch_events, "MAX_EVENTS", 5)
     log = Log(fresh())
     log.do(OpenSession(5))
     log.do(*[write(i, Op(f"k/{i % 2}", b"%d" % i), Op("other", b"x")) for i in range(1, 9)])
@@ -130,7 +132,7 @@
         "k/", events[-1].revision
     ) == []
     assert log.state.events("", 8, 1)[0].revision == 9 == log.state.events("", 8, 1)[-1].revision
-    with pytest.raises(Compacted):
+    with pytest.raises(CompactedError):
         log.state.events("k/", log.state.forgotten - 1)
 
 
@@ -145,13 +147,13 @@
         Op("", b""),
     ],
 )
-def test_what_breaks_a_limit_is_refused_by_every_node_alike(op: Op) -> None:
+def test_a_write_beyond_a_limit_is_rejected_by_every_node_alike(op: Op) -> None:
     log = Log(fresh())
     assert log.do(OpenSession(5), write(1, op))[1].code == Code.REFUSED
     assert log.do(write(2, Op("a", b"1"), Op("a", b"2")))[0].code == Code.REFUSED
 
 
-def test_an_entry_that_does_not_read_stops_nobody() -> None:
+def test_an_entry_that_does_not_decode_is_rejected_and_later_ones_are_applied() -> None:
     state = fresh()
     result = state.apply(
         [
@@ -163,22 +165,22 @@
     assert result[0].code == Code.REFUSED and state.members.voters == (1, 2) and state.applied == 3
 
 
-def test_a_run_that_breaks_off_leaves_nothing_of_itself(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_run_of_entries_that_fails_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     log = Log(fresh())
     log.do(OpenSession(5), write(1, Op("a", b"1")))
     before = log.state.digest()
-    real = State._op
+    real = State._apply_op
 
     def breaks(self: State, op: Op, *rest: object) -> int:
         if op.key == "c":
             raise sqlite3.OperationalError("disk I/O error")
         return real(self, op, *rest)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(State, "_op", breaks)
+    monkeypatch.setattr(State, "_apply_op", breaks)
     with pytest.raises(sqlite3.OperationalError):
         log.do(write(2, Op("b", b"1")), write(3, Op("c", b"1")))
     assert log.state.digest() == before and log.state.applied == 2
-    monkeypatch.setattr(State, "_op", real)
+    monkeypatch.setattr(State, "_apply_op", real)
     assert [r.code for r in log.do(write(2, Op("b", b"1")), write(3, Op("c", b"1")))] == [0, 0]
 
 
@@ -199,7 +201,9 @@
 
 
 @given(st.lists(SAID, max_size=30), st.randoms())
-def test_one_log_one_state_however_it_is_cut_into_runs(said: list[AnyCommand], rng: object) -> None:
+def test_one_log_gives_one_state_however_it_is_split_into_runs(
+    said: list[AnyCommand], rng: object
+) -> None:
     log = [Entry(1, i + 1, EntryKind.COMMAND, commands.pack(c)) for i, c in enumerate(said)]
     one, other = fresh(), fresh()
     answers: list[Result] = []
@@ -209,29 +213,31 @@
     assert answers == [r for e in log for r in other.apply([e])] and one.digest() == other.digest()
 
 
-def test_a_copy_is_of_one_entry_and_checked(tmp_path: Path) -> None:
-    state = states.create(tmp_path / "state.db", "c", MEMBERS)
+def test_a_snapshot_is_of_one_entry_and_has_a_checksum(tmp_path: Path) -> None:
+    state = state_files.create_state(tmp_path / "state.db", "c", MEMBERS)
     log = Log(state)
     log.do(OpenSession(5), *[write(i, Op(f"k{i}", bytes(500))) for i in range(1, 50)])
-    meta = states.export(tmp_path / "state.db", tmp_path / "copy.db")
+    meta = state_files.export_snapshot(tmp_path / "state.db", tmp_path / "copy.db")
     log.do(write(50, Op("later", b"1")))
-    assert (meta.index, meta.members) == (50, MEMBERS) and states.verify(tmp_path / "copy.db") == ""
-    copy = states.open_state(tmp_path / "copy.db")
+    assert (meta.index, meta.members) == (50, MEMBERS) and state_files.verify(
+        tmp_path / "copy.db"
+    ) == ""
+    copy = state_files.open_state(tmp_path / "copy.db")
     assert copy.get("k49") is not None and copy.get("later") is None
     copy.close()
     raw = bytearray((tmp_path / "copy.db").read_bytes())
     raw[4096:5200] = bytes(1104)
     (tmp_path / "copy.db").write_bytes(raw)
-    assert states.verify(tmp_path / "copy.db") != ""
-    assert states.checksum(tmp_path / "copy.db") != meta.checksum
+    assert state_files.verify(tmp_path / "copy.db") != ""
+    assert state_files.file_checksum(tmp_path / "copy.db") != meta.checksum
 
 
-def test_a_state_of_a_newer_format_is_refused_in_one_line(tmp_path: Path) -> None:
-    state = states.create(tmp_path / "state.db", "c", MEMBERS)
+def test_a_state_of_a_newer_format_is_rejected_in_one_line(tmp_path: Path) -> None:
+    state = state_files.create_state(tmp_path / "state.db", "c", MEMBERS)
     state.db.execute("UPDATE meta SET value = 9 WHERE name = 'format'")
     state.close()
-    with pytest.raises(Damaged, match="format 9 is newer than 3"):
-        states.open_state(tmp_path / "state.db")
+    with pytest.raises(DamagedError, match="format 9 is newer than 3"):
+        state_files.open_state(tmp_path / "state.db")
     (tmp_path / "state.db").write_bytes(b"no database" * 1000)
-    with pytest.raises(Damaged):
-        states.open_state(tmp_path / "state.db")
+    with pytest.raises(DamagedError):
+        state_files.open_state(tmp_path / "state.db")
--- a/tests/testbed/test_size_store.py
+++ b/tests/testbed/test_size_store.py
@@ -15,7 +15,7 @@
 from loadbalancer.cli import sizestore
 from loadbalancer.cli.main import application
 from loadbalancer.store.commands import Op
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import sessions as stored_sessions
 from loadbalancer.testbed.size import keepers, process, sessions, storecommits, storefeed, storenode
 from loadbalancer.testbed.size.crowd import Crowd
 from loadbalancer.testbed.size.process import Meter
@@ -142,7 +142,7 @@
 def test_one_balancer_more_than_sessions_are_kept_and_no_write_finds_its_own(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(states, "SESSIONS", 20)
+    monkeypatch.setattr(stored_sessions, "MAX_SESSIONS", 20)
     found = sessions.sessions(tmp_path, (19, 20, 21), print)
     assert [y for _, y in found[0].points] == [0.0, 0.0, 1.0]
 
