--- /dev/null
+++ b/loadbalancer/changefeed/acknowledgement.py
@@ -0,0 +1,72 @@
+"""When a subscription acknowledges patches, and the refusals that it reports."""
+
+from __future__ import annotations
+
+from loadbalancer.changefeed.limits import SubscriptionLimits
+from loadbalancer.changefeed.messages import MAX_REFUSALS, Acknowledge, Refusal
+from loadbalancer.changefeed.scope_table import ScopeTable
+
+
+class Acknowledger:
+    """Coalesces acknowledgements: one after `ack_ns`, or after `ack_bytes` of patches.
+
+    Attributes:
+        due_ns: When an acknowledgement is due; None where there is nothing to acknowledge.
+    """
+
+    def __init__(self, limits: SubscriptionLimits) -> None:
+        self._limits = limits
+        self.due_ns: int | None = None
+        self._bytes = 0
+        self._refusing: dict[str, ScopeTable] = {}
+        self._reported: tuple[Refusal, ...] = ()
+
+    def reset(self) -> None:
+        """Begin a connection."""
+        self.due_ns = None
+        self._bytes = 0
+        self._reported = ()
+
+    def cancel(self) -> None:
+        """The connection ended: nothing is due."""
+        self.due_ns = None
+
+    def add_patch(self, size: int, now: int) -> None:
+        """Count a patch that was received."""
+        if self.due_ns is None:
+            self.due_ns = now + self._limits.ack_ns
+        self._bytes += size
+
+    @property
+    def is_due_by_size(self) -> bool:
+        """So much was received that it is acknowledged at once."""
+        return self.due_ns is not None and self._bytes >= self._limits.ack_bytes
+
+    def track(self, table: ScopeTable) -> None:
+        """Note whether a table refuses rows."""
+        if table.refused:
+            self._refusing[table.scope] = table
+        else:
+            self._refusing.pop(table.scope, None)
+
+    def forget(self, scope: str) -> None:
+        """Drop the refusals of a scope that is no longer subscribed."""
+        self._refusing.pop(scope, None)
+
+    def schedule_refusals(self, now: int) -> None:
+        """Schedule an acknowledgement where the refusals differ from those reported."""
+        if self.due_ns is None and self._refusals() != self._reported:
+            self.due_ns = now + self._limits.ack_ns
+
+    def _refusals(self) -> tuple[Refusal, ...]:
+        refusals: list[Refusal] = []
+        for table in self._refusing.values():
+            refusals += list(table.refused.values())[: MAX_REFUSALS - len(refusals)]
+        return tuple(refusals)
+
+    def take(self, sequence: int) -> Acknowledge:
+        """Return the acknowledgement of all patches up to `sequence`."""
+        self.due_ns = None
+        self._bytes = 0
+        self._reported = self._refusals()
+        return Acknowledge(sequence, self._reported)
--- /dev/null
+++ b/loadbalancer/changefeed/audit.py
@@ -0,0 +1,72 @@
+"""Audit of large scopes: their rows are hashed in steps and compared with the digest."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Iterator
+
+from loadbalancer.changefeed import digest
+from loadbalancer.changefeed.limits import SubscriptionLimits
+from loadbalancer.changefeed.messages import Row
+from loadbalancer.changefeed.scope_table import ScopeTable
+
+
+class _Audit:
+    """The state of one audit."""
+
+    def __init__(self, table: ScopeTable) -> None:
+        self.table = table
+        self.change_count = table.change_count
+        self.rows: Iterator[Row] = iter(list(table.rows.values()))
+        self.hash_sum = 0
+
+
+class Auditor:
+    """Audits tables one after another, `audit_rows` rows every `audit_ns`.
+
+    Args:
+        limits: Its steps and their interval.
+        is_subscribed: Whether a table is still the subscription's.
+    """
+
+    def __init__(
+        self, limits: SubscriptionLimits, is_subscribed: Callable[[ScopeTable], bool]
+    ) -> None:
+        self._limits = limits
+        self._is_subscribed = is_subscribed
+        self._audits: deque[_Audit] = deque()
+        self._next_step_ns = 0
+
+    @property
+    def due_ns(self) -> int | None:
+        """When the next step is due; None where nothing is audited."""
+        return self._next_step_ns if self._audits else None
+
+    def begin(self, table: ScopeTable, now: int) -> None:
+        """Queue a table, unless it is queued already."""
+        if all(audit.table is not table for audit in self._audits):
+            self._audits.append(_Audit(table))
+            self._next_step_ns = max(self._next_step_ns, now)
+
+    def step(self, now: int) -> ScopeTable | None:
+        """Do one step; return the table that was found corrupt, if this step found one.
+
+        An audit ends when its table changes; the next bookmark begins it again.
+        """
+        self._next_step_ns = now + self._limits.audit_ns
+        audit = self._audits[0]
+        table = audit.table
+        if (
+            not self._is_subscribed(table)
+            or not table.is_known
+            or audit.change_count != table.change_count
+        ):
+            self._audits.popleft()
+            return None
+        for _ in range(self._limits.audit_rows):
+            row = next(audit.rows, None)
+            if row is None:
+                self._audits.popleft()
+                return table if audit.hash_sum & digest.MASK != table.digest else None
+            audit.hash_sum += digest.of_row(row)
+        return None
--- a/loadbalancer/changefeed/cache.py
+++ b/loadbalancer/changefeed/cache.py
@@ -1,4 +1,4 @@
-"""All scopes of a node: rows and the last changes, within bounds (Kubernetes' watch cache)."""
+"""Watch cache of a node: rows and the last changes of all scopes, within bounds."""
 
 from __future__ import annotations
 
@@ -6,115 +6,138 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from loadbalancer.changefeed.messages import Row, split
-from loadbalancer.changefeed.scope import FeedChange, Scope, size_of
+from loadbalancer.changefeed.limits import FanoutLimits
+from loadbalancer.changefeed.messages import Row, split_key
+from loadbalancer.changefeed.scope import FeedChange, size_of
+from loadbalancer.changefeed.subscriber import WatchedScope
 
 
-class Changed(NamedTuple):
-    """`after`: where the scope stood; `first`: the first revision that changed it since."""
+class StoreSnapshot(NamedTuple):
+    """The store's rows as of a revision.
+
+    Attributes:
+        rows: Key, version and value of each row.
+        base: `changes` holds all changes in (base, revision].
+    """
+
+    revision: int
+    rows: Iterable[tuple[str, int, bytes]]
+    base: int
+    changes: Iterable[FeedChange]
+
+
+class ScopeChange(NamedTuple):
+    """How a write touched a scope.
+
+    Attributes:
+        after: The scope's revision before.
+        first: The first revision that changed it since.
+    """
 
     after: int
     first: int
 
 
 class WatchCache:
-    """`changes`, `size`: most in the logs of all scopes together, and bytes; `scope_changes`: in
-    one's.
-    """
+    """All scopes of a node, with the bounds of their logs."""
 
-    def __init__(self, changes: int, size: int, scope_changes: int) -> None:
-        self.scopes: dict[str, Scope] = {}
+    def __init__(self, limits: FanoutLimits) -> None:
+        self.scopes: dict[str, WatchedScope] = {}
         self.revision = 0
-        self._most_changes, self._most_bytes, self._scope_changes = changes, size, scope_changes
+        self._limits = limits
         self._base = 0  # of scopes of which nothing is known
-        self._log: deque[tuple[Scope, int, int]] = deque()  # changes of all logs: revision, bytes
+        # The changes of all logs in order: scope, revision and bytes of each.
+        self._log: deque[tuple[WatchedScope, int, int]] = deque()
         self._log_bytes = 0
 
-    def scope(self, name: str) -> Scope:
+    def scope(self, name: str) -> WatchedScope:
+        """Return a scope, created where it is not there yet."""
         scope = self.scopes.get(name)
         if scope is None:
-            scope = self.scopes[name] = Scope(name, self._base)
+            scope = self.scopes[name] = WatchedScope(name, self._base)
         return scope
 
-    def needs(self, name: str, cursor: int) -> int:
-        """Bytes of a snapshot for who stands there, one at least; 0 where the log goes on from
-        it.
+    def snapshot_bytes_needed(self, name: str, cursor: int) -> int:
+        """Return the size of the snapshot that a cursor needs, at least 1; 0 if a delta is enough.
+
+        Args:
+            name: Of the scope.
+            cursor: 0 where nothing is known.
         """
         scope = self.scopes.get(name)
         if scope is None:
             return 0 if cursor and cursor >= self._base else 1
-        return 0 if cursor and scope.covers(cursor) else scope.bytes + 1
-
-    def load(
-        self,
-        revision: int,
-        rows: Iterable[tuple[str, int, bytes]],
-        base: int,
-        events: Iterable[FeedChange],
-    ) -> dict[str, Scope]:
-        """Everything anew; the scopes that were there, whose watchers are still to be moved."""
-        old, stood = self.scopes, self.revision
-        self.scopes, self._base, self.revision = {}, base, revision
+        return 0 if cursor and scope.covers(cursor) else scope.size_bytes + 1
+
+    def load(self, snapshot: StoreSnapshot) -> dict[str, WatchedScope]:
+        """Replace everything; return the old scopes, whose watchers are still to be moved."""
+        old = self.scopes
+        old_revision = self.revision
+        self.scopes = {}
+        self._base = snapshot.base
+        self.revision = snapshot.revision
         self._log.clear()
         self._log_bytes = 0
-        for key, version, value in rows:
-            name, short = split(key)
-            self.scope(name).keep(Row(short, version, value))
-        for change in events:
-            if base < change.revision <= revision:
-                name, short = split(change.key)
-                self._note(
+        for key, version, value in snapshot.rows:
+            name, short = split_key(key)
+            self.scope(name).put(Row(short, version, value))
+        for change in snapshot.changes:
+            if snapshot.base < change.revision <= snapshot.revision:
+                name, short = split_key(change.key)
+                self._append(
                     self.scope(name), change.revision, Row(short, change.version, change.value)
                 )
         for name, before in old.items():
             scope = self.scope(name)
-            if stood and not scope.log and before.digest == scope.digest:
-                scope.bridge = (before.revision, stood)
+            if old_revision and not scope.log and before.digest == scope.digest:
+                scope.bridge = range(before.revision, old_revision + 1)
         return old
 
-    def apply(self, revision: int, changes: Sequence[FeedChange]) -> dict[Scope, Changed]:
-        """Whole revisions; the scopes changed. `trim` is due once those who stood there were
-        told.
+    def apply(
+        self, revision: int, changes: Sequence[FeedChange]
+    ) -> dict[WatchedScope, ScopeChange]:
+        """Apply complete revisions; return the scopes that changed.
+
+        `trim` is due once those who watch them were notified.
         """
         self.revision = revision
-        touched: dict[Scope, Changed] = {}
+        touched: dict[WatchedScope, ScopeChange] = {}
         for change in changes:
-            name, short = split(change.key)
+            name, short = split_key(change.key)
             scope = self.scope(name)
             if scope not in touched:
-                touched[scope] = Changed(scope.revision, change.revision)
+                touched[scope] = ScopeChange(scope.revision, change.revision)
             row = Row(short, change.version, change.value)
-            scope.keep(row)
-            self._note(scope, change.revision, row)
+            scope.put(row)
+            self._append(scope, change.revision, row)
         return touched
 
-    def _note(self, scope: Scope, revision: int, row: Row) -> None:
-        scope.note(revision, row)
+    def _append(self, scope: WatchedScope, revision: int, row: Row) -> None:
+        scope.append(revision, row)
         size = size_of(row)
         self._log.append((scope, revision, size))
         self._log_bytes += size
 
-    def trim(self, touched: Iterable[Scope]) -> None:
-        """The oldest revisions leave the logs until all are within their bounds."""
+    def trim(self, touched: Iterable[WatchedScope]) -> None:
+        """Drop the oldest revisions until all logs are within their bounds."""
+        limits = self._limits
         for scope in touched:
-            while scope.logged > self._scope_changes:
-                scope.forget()
-        while len(self._log) > self._most_changes or self._log_bytes > self._most_bytes:
+            while scope.log_length > limits.scope_changes:
+                scope.drop_oldest()
+        while len(self._log) > limits.log_changes or self._log_bytes > limits.log_bytes:
             scope, revision, size = self._log.popleft()
             self._log_bytes -= size
             while scope.log and scope.log[0].revision <= revision:
-                scope.forget()
-            self.tidy(scope)
+                scope.drop_oldest()
+            self.discard_if_idle(scope)
 
-    def tidy(self, scope: Scope) -> None:
-        """Away with what nobody asks for; what its log no longer told is remembered for all
-        such.
-        """
-        if scope.idle and self.scopes.get(scope.name) is scope:
+    def discard_if_idle(self, scope: WatchedScope) -> None:
+        """Remove a scope without rows, log and watchers; its base holds for unknown scopes."""
+        if scope.is_idle and self.scopes.get(scope.name) is scope:
             del self.scopes[scope.name]
             self._base = max(self._base, scope.base)
 
     @property
-    def logged(self) -> tuple[int, int]:
+    def log_size(self) -> tuple[int, int]:
         """Changes and bytes in the logs."""
         return len(self._log), self._log_bytes
--- a/loadbalancer/changefeed/messages.py
+++ b/loadbalancer/changefeed/messages.py
@@ -1,25 +1,29 @@
-"""What a balancer asks of a node's feed, and what it is told. Msgpack arrays with a tag; fields are
-only ever added at the end, with a default.
+"""Messages between a node's changefeed and its subscribers.
 
-A row is a key of the store, `feed/SCOPE/KIND/NAME`; SCOPE is `global` or `service:NAME`. Within its
-scope it goes by `KIND/NAME`. Revisions are the store's: the entry of its log that made the change.
+Each message is a msgpack array with a tag. Fields are only ever added at the end, with a default;
+they are encoded by position, so their names in code are free.
+
+A row is a key of the store, `feed/SCOPE/KIND/NAME`, where SCOPE is `global` or `service:NAME`.
+Within its scope a row goes by `KIND/NAME`. Revisions are the store's: the index of the log entry
+that made the change.
 """
 
 from __future__ import annotations
 
 import re
+from typing import Final
 
 import msgspec
 
-PREFIX = "feed/"
-GLOBAL = "global"
-SERVICE = "service:"
-MOST_ROW = 4096  # bytes of a row's value
-MOST_SCOPES = 4096  # of one subscription
-MOST_REFUSALS = 16  # that one word holds
-MOST_NAME = 200  # characters of a subscriber's name
-MOST_WHY = 200  # characters
-MOST_REFUSAL = 2_000  # with its scope and key
+PREFIX: Final = "feed/"
+GLOBAL: Final = "global"
+SERVICE: Final = "service:"
+MAX_ROW_BYTES: Final = 4096
+MAX_SCOPES: Final = 4096  # of one subscription
+MAX_REFUSALS: Final = 16  # in one acknowledgement
+MAX_NAME_LENGTH: Final = 200  # characters of a subscriber's name
+MAX_REASON_LENGTH: Final = 200  # characters
+MAX_REFUSAL_LENGTH: Final = 2_000  # characters of reason, scope and key together
 _KEY = re.compile(
     r"feed/(global|service:[A-Za-z0-9][A-Za-z0-9._:@-]*)/"
     r"([A-Za-z0-9][A-Za-z0-9._:@-]*/[A-Za-z0-9][A-Za-z0-9._:@-]*)\Z"
@@ -27,13 +31,17 @@
 _SCOPE = re.compile(r"(global|service:[A-Za-z0-9][A-Za-z0-9._:@-]*)\Z")
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """One message of either side."""
+class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
+    """One message in either direction."""
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """`key`: KIND/NAME within its scope; `value` is None where it was deleted. Versions of a key go
-    on counting over a deletion.
+    """One row of a scope.
+
+    Attributes:
+        key: KIND/NAME within the scope.
+        version: Counts the writes of the key; it continues after a deletion.
+        value: None where the row was deleted.
     """
 
     key: str
@@ -42,17 +50,21 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, array_like=True):
-    """A row that a balancer can't take; what it took before stands."""
+    """A row that a subscriber can't apply; the last version that it could stays in force."""
 
     scope: str
     key: str
     version: int
-    why: str
+    reason: str
 
 
-class Subscribe(Word, frozen=True, tag=1):
-    """The first word. `cursors`: scopes, and the revision up to which each is known within `epoch`;
-    0: not at all. `name`: of the balancer, for the status. Its generation is 1.
+class Subscribe(Message, frozen=True, tag=1):
+    """The first message of a subscriber. Its generation is 1.
+
+    Attributes:
+        name: The balancer's name, for the status.
+        epoch: The store's epoch that the cursors belong to.
+        cursors: Scopes, each with the revision up to which it is known; 0 where nothing is.
     """
 
     name: str
@@ -60,84 +72,110 @@
     cursors: tuple[tuple[str, int], ...]
 
 
-class Rescope(Word, frozen=True, tag=2):
-    """Other scopes. `generation` is one more than before. To add one that stands there already is
-    to take it anew from that cursor.
+class UpdateScopes(Message, frozen=True, tag=2):
+    """Changes the subscription's scopes.
+
+    Attributes:
+        generation: One more than before.
+        add: Scopes with their cursors. Adding a subscribed scope restarts it from that cursor.
+        remove: Scopes that are no longer subscribed.
     """
 
     generation: int
     add: tuple[tuple[str, int], ...]
-    drop: tuple[str, ...]
+    remove: tuple[str, ...]
 
 
-class Reached(Word, frozen=True, tag=3):
-    """All patches up to this sequence number are in force, but for the rows refused, as they now
-    stand. Parts whose last is not among them are only kept: with them the node's window moves on,
-    and nothing else.
+class Acknowledge(Message, frozen=True, tag=3):
+    """All patches up to a sequence number are in force.
+
+    Patches whose last chunk has not arrived are only buffered: acknowledging their chunks opens the
+    node's window and nothing else.
+
+    Attributes:
+        sequence: Of the last patch received.
+        refused: The rows that are not in force, as they stand now.
     """
 
     sequence: int
     refused: tuple[Refusal, ...] = ()
 
 
-class Patch(Word, frozen=True, tag=4):
-    """Rows of one scope. A delta holds the last value of each key that changed in (after,
-    revision]; where it is `whole`, after is 0 and it replaces all rows. One of many bytes comes in
-    parts of the same after and revision, in force together at the `last`. `digest`: of the scope's
-    rows as of `revision`.
+class Patch(Message, frozen=True, tag=4):
+    """Rows of one scope: a delta or a snapshot, possibly one chunk of several.
+
+    A delta holds the last value of each key that changed in (after, revision]. A snapshot replaces
+    all rows, and its `after` is 0. A large patch is sent in chunks of the same `after` and
+    `revision`, which come into force together with the last one.
+
+    Attributes:
+        digest: Of the scope's rows as of `revision`.
     """
 
     scope: str
     after: int
     revision: int
-    whole: bool
-    last: bool
+    is_snapshot: bool
+    is_last_chunk: bool
     digest: int
     rows: tuple[Row, ...]
 
 
-class Bookmark(Word, frozen=True, tag=5):
-    """There is nothing else to tell up to `revision`; `digests` of the subscription's scopes."""
+class Bookmark(Message, frozen=True, tag=5):
+    """Nothing else is to be sent up to `revision`; `digests` of some of the subscribed scopes."""
 
     revision: int
     digests: tuple[tuple[str, int], ...]
 
 
-class Later(Word, frozen=True, tag=6):
-    """Too many come at once: the subscription is not taken, and may be asked for again then."""
+class RetryLater(Message, frozen=True, tag=6):
+    """The node is overloaded: the subscription is not accepted and may be retried after a while."""
 
     after_ms: int
 
 
-class Behind(Word, frozen=True, tag=7):
-    """This node knows the store only up to `revision`, less than a cursor says. The subscription is
-    kept, and hears more once the node has caught up.
+class ReplicaBehind(Message, frozen=True, tag=7):
+    """The node has applied the store only up to `revision`, which is less than a cursor.
+
+    The subscription is kept, and continues once the node has caught up.
     """
 
     revision: int
 
 
-AnyAsk = Subscribe | Rescope | Reached
-AnyTold = Patch | Bookmark | Later | Behind
-_asks = msgspec.msgpack.Decoder(AnyAsk)
-_tolds = msgspec.msgpack.Decoder(AnyTold)
+ClientMessage = Subscribe | UpdateScopes | Acknowledge
+ServerMessage = Patch | Bookmark | RetryLater | ReplicaBehind
+_client_decoder = msgspec.msgpack.Decoder(ClientMessage)
+_server_decoder = msgspec.msgpack.Decoder(ServerMessage)
 pack = msgspec.msgpack.Encoder().encode
 
 
-def unpack_ask(data: bytes) -> AnyAsk:
-    """Raises ValueError."""
-    found: AnyAsk = _asks.decode(data)
-    return found
+def unpack_client_message(data: bytes) -> ClientMessage:
+    """Decode a message of a subscriber.
+
+    Raises:
+        ValueError: The bytes are not such a message.
+    """
+    message: ClientMessage = _client_decoder.decode(data)
+    return message
 
 
-def unpack_told(data: bytes) -> AnyTold:
-    """Raises ValueError."""
-    found: AnyTold = _tolds.decode(data)
-    return found
+def unpack_server_message(data: bytes) -> ServerMessage:
+    """Decode a message of a node.
 
+    Raises:
+        ValueError: The bytes are not such a message.
+    """
+    message: ServerMessage = _server_decoder.decode(data)
+    return message
 
-def split(key: str) -> tuple[str, str]:
-    """Scope, and KIND/NAME within it. Raises ValueError where the key is no row's."""
+
+def split_key(key: str) -> tuple[str, str]:
+    """Return the scope of a store key, and KIND/NAME within it.
+
+    Raises:
+        ValueError: The key is not that of a row.
+    """
     found = _KEY.match(key)
     if found is None:
         raise ValueError(
@@ -146,5 +184,6 @@
     return found[1], found[2]
 
 
-def is_scope(name: str) -> bool:
+def is_scope_name(name: str) -> bool:
+    """Return whether `name` is a well-formed scope."""
     return _SCOPE.match(name) is not None
--- a/loadbalancer/changefeed/scope.py
+++ b/loadbalancer/changefeed/scope.py
@@ -1,26 +1,24 @@
-"""One scope as a node keeps it: its rows, its last changes and their digest (Kubernetes' watch
-cache), and the patches made of them, each encoded once for all who stand at the same place.
-"""
+"""The rows of one scope and the log of its last changes (Kubernetes' watch cache)."""
 
 from __future__ import annotations
 
-from collections import OrderedDict, deque
-from collections.abc import Iterable, Iterator
-from typing import TYPE_CHECKING, NamedTuple
+from collections import deque
+from typing import Final, NamedTuple
 
 from loadbalancer.changefeed import digest
-from loadbalancer.changefeed.messages import Patch, Row, pack
+from loadbalancer.changefeed.messages import Row
 
-if TYPE_CHECKING:
-    from loadbalancer.changefeed.subscriber import Subscriber
-
-UNKNOWN = -1  # a cursor: nothing is known
-ROW_OVERHEAD = 24  # bytes of a row beside its key and value, in a message and in the log's count
+UNKNOWN: Final = -1  # a cursor: nothing is known
+ROW_OVERHEAD_BYTES: Final = 24  # of a row beside its key and value, in a message and in the log
+NO_BRIDGE: Final = range(0)
 
 
 class FeedChange(NamedTuple):
-    """One change of a row by the store's log. `key` is whole; `value` is None where it was
-    deleted.
+    """One change of a row in the store's log.
+
+    Attributes:
+        key: The complete store key.
+        value: None where the row was deleted.
     """
 
     revision: int
@@ -29,13 +27,6 @@
     value: bytes | None
 
 
-class Encoded(NamedTuple):
-    """A patch's words, in order, and the scope's revision that they lead to."""
-
-    revision: int
-    parts: tuple[bytes, ...]
-
-
 class Entry(NamedTuple):
     """What one revision changed in a scope."""
 
@@ -44,93 +35,104 @@
 
 
 def size_of(row: Row) -> int:
-    return len(row.key) + len(row.value or b"") + ROW_OVERHEAD
+    """Return the bytes of a row in a message, roughly."""
+    return len(row.key) + len(row.value or b"") + ROW_OVERHEAD_BYTES
 
 
 class Scope:
-    """`revision`: of the last change, or one after which there was none. The log covers (base,
-    revision]; who stands at or past `base` goes on from it. So does who stands within `bridge`, two
-    revisions between which and `base` nothing changed, though the log does not tell.
+    """Rows, digest and log of one scope.
+
+    The log covers (base, revision]: a cursor at or past `base` continues from it. So does a cursor
+    within `bridge`, a range of earlier revisions after which nothing changed up to `base`, although
+    the log does not show it.
+
+    Attributes:
+        size_bytes: Of the rows, as messages carry them.
+        revision: Of the last change, or a later one since which there was none.
+        log_length: Changes in the log.
     """
 
     __slots__ = (
-        "name",
-        "rows",
-        "digest",
-        "bytes",
-        "revision",
         "base",
         "bridge",
+        "digest",
         "log",
-        "logged",
-        "watchers",
+        "log_length",
+        "name",
+        "revision",
+        "rows",
+        "size_bytes",
     )
 
     def __init__(self, name: str, base: int) -> None:
         self.name = name
         self.rows: dict[str, Row] = {}
         self.digest = 0
-        self.bytes = 0  # of the rows, as messages carry them
-        self.revision = self.base = base
-        self.bridge = (0, UNKNOWN)
+        self.size_bytes = 0
+        self.revision = base
+        self.base = base
+        self.bridge = NO_BRIDGE
         self.log: deque[Entry] = deque()
-        self.logged = 0  # changes in the log
-        self.watchers: dict[Subscriber, None] = {}
+        self.log_length = 0
 
-    def keep(self, row: Row) -> None:
-        """Into the rows alone, without the log."""
+    def put(self, row: Row) -> None:
+        """Store a row, or delete it, without logging the change."""
         old = self.rows.get(row.key)
-        self.digest = digest.moved(self.digest, old, row)
+        self.digest = digest.replaced(self.digest, old, row)
         if old is not None:
-            self.bytes -= size_of(old)
+            self.size_bytes -= size_of(old)
         if row.value is None:
             self.rows.pop(row.key, None)
         else:
             self.rows[row.key] = row
-            self.bytes += size_of(row)
+            self.size_bytes += size_of(row)
 
-    def note(self, revision: int, row: Row) -> None:
-        """Into the log alone."""
+    def append(self, revision: int, row: Row) -> None:
+        """Log a change without storing the row."""
         if self.log and self.log[-1].revision == revision:
             self.log[-1].rows.append(row)
         else:
             self.log.append(Entry(revision, [row]))
-        self.logged += 1
+        self.log_length += 1
         self.revision = revision
 
-    def forget(self) -> Entry:
-        """The oldest revision leaves the log."""
+    def drop_oldest(self) -> None:
+        """Remove the oldest revision from the log."""
         entry = self.log.popleft()
-        self.logged -= len(entry.rows)
+        self.log_length -= len(entry.rows)
         self.base = entry.revision
-        self.bridge = (0, UNKNOWN)
-        return entry
+        self.bridge = NO_BRIDGE
 
     def covers(self, cursor: int) -> bool:
-        return cursor >= self.base or self.bridge[0] <= cursor <= self.bridge[1]
+        """Return whether the log has all changes after a cursor."""
+        return cursor >= self.base or cursor in self.bridge
+
+    def log_position(self, cursor: int) -> int:
+        """Return the last revision of the log up to a cursor that it covers.
 
-    def place(self, cursor: int) -> int:
-        """The last revision up to `cursor` that the log knows: who stand between two changes stand
-        alike.
+        Cursors between the same two changes have the same position, and so share a delta.
         """
         if cursor < self.base:
-            return self.bridge[0]
+            return self.bridge.start
         for entry in reversed(self.log):
             if entry.revision <= cursor:
                 return entry.revision
         return self.base
 
-    def first_after(self, cursor: int) -> int:
-        """The first change that the log holds past this cursor; 0: none."""
-        first = 0
+    def last_revision_before_change(self, cursor: int) -> int:
+        """Return the last revision that is as good as a cursor: before the next logged change.
+
+        Where the log holds no change past the cursor this is the cursor itself.
+        """
+        first = cursor + 1
         for entry in reversed(self.log):
             if entry.revision <= cursor:
                 break
             first = entry.revision
-        return first
+        return first - 1
 
-    def since(self, cursor: int) -> list[Row]:
-        """The last of each key that changed past this cursor, which the log covers."""
+    def changes_since(self, cursor: int) -> list[Row]:
+        """Return the last value of each key that changed past a cursor that the log covers."""
         last: dict[str, Row] = {}
         for entry in reversed(self.log):
             if entry.revision <= cursor:
@@ -138,85 +140,3 @@
             for row in reversed(entry.rows):
                 last.setdefault(row.key, row)
         return list(last.values())[::-1]
-
-    @property
-    def idle(self) -> bool:
-        return not (self.rows or self.log or self.watchers)
-
-
-def _cut(rows: Iterable[Row], part_bytes: int) -> Iterator[tuple[Row, ...]]:
-    """One part at least, and each of one row at least."""
-    part: list[Row] = []
-    size = 0
-    for row in rows:
-        more = size_of(row)
-        if part and size + more > part_bytes:
-            yield tuple(part)
-            part, size = [], 0
-        part.append(row)
-        size += more
-    yield tuple(part)
-
-
-def encode(scope: Scope, after: int, revision: int, part_bytes: int) -> Encoded:
-    """All rows where `after` is UNKNOWN, else what changed past it."""
-    whole = after == UNKNOWN
-    rows = scope.rows.values() if whole else scope.since(after)
-    cut = list(_cut(rows, part_bytes))
-    since = 0 if whole else after
-    return Encoded(
-        revision,
-        tuple(
-            pack(Patch(scope.name, since, revision, whole, at == len(cut) - 1, scope.digest, part))
-            for at, part in enumerate(cut)
-        ),
-    )
-
-
-class Patches:
-    """The encoded patches, kept while they may be asked for again, the last used longest, within
-    `most` bytes. `encoded` counts those that were made.
-    """
-
-    def __init__(self, most: int, part_bytes: int) -> None:
-        self._most, self._part_bytes = most, part_bytes
-        self._kept: OrderedDict[tuple[str, int], Encoded] = OrderedDict()
-        self.bytes = 0
-        self.encoded = 0
-
-    def delta(self, scope: Scope, after: int) -> Encoded:
-        """From a `place` of the scope's log to its end."""
-        found = self._kept.get((scope.name, after))
-        if found is not None and found.revision == scope.revision:
-            self._kept.move_to_end((scope.name, after))
-            return found
-        return self._make(scope, after, scope.revision)
-
-    def whole(self, scope: Scope, asked: int, revision: int) -> Encoded:
-        """All rows, as of `revision`, where the store stands now, or of an earlier one that is not
-        before `asked` and since which the scope did not change.
-        """
-        found = self._kept.get((scope.name, UNKNOWN))
-        if found is not None and found.revision >= max(asked, scope.revision):
-            self._kept.move_to_end((scope.name, UNKNOWN))
-            return found
-        return self._make(scope, UNKNOWN, revision)
-
-    def _make(self, scope: Scope, after: int, revision: int) -> Encoded:
-        self._drop((scope.name, after))
-        made = encode(scope, after, revision, self._part_bytes)
-        self.encoded += 1
-        self._kept[scope.name, after] = made
-        self.bytes += sum(map(len, made.parts))
-        while self.bytes > self._most and len(self._kept) > 1:
-            self._drop(next(iter(self._kept)))
-        return made
-
-    def _drop(self, key: tuple[str, int]) -> None:
-        found = self._kept.pop(key, None)
-        if found is not None:
-            self.bytes -= sum(map(len, found.parts))
-
-    def clear(self) -> None:
-        self._kept.clear()
-        self.bytes = 0
--- a/loadbalancer/changefeed/scope_table.py
+++ b/loadbalancer/changefeed/scope_table.py
@@ -1,138 +1,162 @@
-"""One scope as a balancer keeps it: rows as they were told, and for those that it can't take the
-last that it could.
-"""
+"""One scope as a balancer holds it: rows as received, and the last accepted of refused ones."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
 
 from loadbalancer.changefeed import digest
-from loadbalancer.changefeed.messages import MOST_WHY, Patch, Refusal, Row
+from loadbalancer.changefeed.messages import MAX_REASON_LENGTH, Patch, Refusal, Row
 
-Check = Callable[[str, Row], str]  # of a scope's row: why it can't be taken; empty: it can
+RowCheck = Callable[[str, Row], str]  # of a scope's row: why it is refused; empty: it is accepted
 
 
-class Stage:
-    """The parts of one patch, until its last is there. What each row of a whole scope costs is
-    spent as its part comes, so that the last has not to do it for all.
+class PatchBuffer:
+    """The chunks of one patch, until its last one is there.
+
+    The work for each row of a snapshot is done as its chunk arrives, so that the last chunk does
+    not have to do it for all.
     """
 
-    __slots__ = ("after", "revision", "whole", "rows", "sum", "refused")
+    __slots__ = ("after", "hash_sum", "is_snapshot", "refused", "revision", "rows")
 
     def __init__(self, patch: Patch) -> None:
-        self.after, self.revision, self.whole = patch.after, patch.revision, patch.whole
+        self.after = patch.after
+        self.revision = patch.revision
+        self.is_snapshot = patch.is_snapshot
         self.rows: dict[str, Row] = {}
-        self.sum = 0
+        self.hash_sum = 0
         self.refused: dict[str, str] = {}
 
-    def holds(self, patch: Patch) -> bool:
-        return (self.after, self.revision, self.whole) == (patch.after, patch.revision, patch.whole)
+    def is_for(self, patch: Patch) -> bool:
+        """Return whether a chunk belongs to this patch."""
+        return (
+            self.after == patch.after
+            and self.revision == patch.revision
+            and self.is_snapshot == patch.is_snapshot
+        )
 
-    def add(self, scope: str, rows: tuple[Row, ...], check: Check) -> None:
+    def add(self, scope: str, rows: tuple[Row, ...], check_row: RowCheck) -> None:
+        """Add the rows of one chunk."""
         for row in rows:
             self.rows[row.key] = row
-            if self.whole:
-                self.sum += digest.of_row(row)
-            if row.value is not None and (why := check(scope, row)):
-                self.refused[row.key] = why[:MOST_WHY]
+            if self.is_snapshot:
+                self.hash_sum += digest.of_row(row)
+            if row.value is not None and (reason := check_row(scope, row)):
+                self.refused[row.key] = reason[:MAX_REASON_LENGTH]
             elif self.refused:
                 self.refused.pop(row.key, None)
 
 
 class ScopeTable:
-    """`rows`: as told, refused ones among them. `cursor`: the revision up to which they are known;
-    it never falls within an epoch. `known`: they were told whole and their digest was right; else
-    the scope is asked for anew, and the rows stand meanwhile. `generation`: words of an earlier one
-    are not about this table.
+    """The rows of one scope.
+
+    Attributes:
+        rows: As received, refused ones among them.
+        cursor: The revision up to which they are known; it never falls within an epoch.
+        is_known: A snapshot was received and its digest was right; else the scope is requested
+            anew, and the rows stay meanwhile.
+        generation: Messages of an earlier one are not about this table.
+        change_count: Grows with each change of the rows, so that an audit notices.
     """
 
     def __init__(self, scope: str, generation: int) -> None:
         self.scope = scope
         self.generation = generation
-        self.known = False
+        self.is_known = False
         self.cursor = 0
         self.rows: dict[str, Row] = {}
         self.digest = 0
         self.refused: dict[str, Refusal] = {}
-        self._good: dict[
-            str, Row
-        ] = {}  # what stands in the place of a refused row, where anything does
-        self._stage: Stage | None = None
-        self.changes = 0  # of the rows, so that who looks through them in pieces notices
-
-    def ask_from(self) -> int:
-        return self.cursor if self.known else 0
-
-    def unstage(self) -> None:
-        """What came of a patch whose rest does not come."""
-        self._stage = None
-
-    def staged(self, patch: Patch, check: Check) -> Stage | None:
-        """The whole patch, once its last part is there."""
-        stage = self._stage
-        if stage is None or not stage.holds(patch):
-            stage = self._stage = Stage(patch)
-        stage.add(self.scope, patch.rows, check)
-        if not patch.last:
+        self.change_count = 0
+        self._accepted: dict[str, Row] = {}  # the last accepted of refused rows, where any was
+        self._buffer: PatchBuffer | None = None
+
+    def resume_cursor(self) -> int:
+        """Return the cursor to subscribe from; 0 where nothing is known."""
+        return self.cursor if self.is_known else 0
+
+    def discard_chunks(self) -> None:
+        """Forget the chunks of a patch whose rest does not come."""
+        self._buffer = None
+
+    def add_chunk(self, patch: Patch, check_row: RowCheck) -> PatchBuffer | None:
+        """Buffer one chunk; return the complete patch once its last chunk is there."""
+        buffer = self._buffer
+        if buffer is None or not buffer.is_for(patch):
+            buffer = self._buffer = PatchBuffer(patch)
+        buffer.add(self.scope, patch.rows, check_row)
+        if not patch.is_last_chunk:
             return None
-        self._stage = None
-        return stage
+        self._buffer = None
+        return buffer
+
+    def apply_delta(self, patch: PatchBuffer, expected_digest: int) -> list[Row] | None:
+        """Apply a delta.
 
-    def delta(self, stage: Stage, expected: int) -> list[Row] | None:
-        """What is to be applied; None, and nothing changed, where the digest comes out
-        otherwise.
+        Returns:
+            The rows that come into force; None, with nothing changed, where the digest is wrong.
         """
-        after = self.digest
-        for row in stage.rows.values():
-            after = digest.moved(after, self.rows.get(row.key), row)
-        if after != expected:
+        new_digest = self.digest
+        for row in patch.rows.values():
+            new_digest = digest.replaced(new_digest, self.rows.get(row.key), row)
+        if new_digest != expected_digest:
             return None
-        taken = []
-        for key, row in stage.rows.items():
-            why = stage.refused.get(key)
-            if why:
-                old = self.rows.get(key)
-                if old is not None and key not in self.refused:
-                    self._good[key] = old
-                self.refused[key] = Refusal(self.scope, key, row.version, why)
+        accepted = []
+        for key, row in patch.rows.items():
+            reason = patch.refused.get(key)
+            if reason:
+                self._refuse(row, reason)
             else:
                 self.refused.pop(key, None)
-                self._good.pop(key, None)
-                taken.append(row)
+                self._accepted.pop(key, None)
+                accepted.append(row)
             if row.value is None:
                 self.rows.pop(key, None)
             else:
                 self.rows[key] = row
-        self._stands(stage.revision, after)
-        return taken
+        self._advance(patch.revision, new_digest)
+        return accepted
+
+    def _refuse(self, row: Row, reason: str) -> None:
+        old = self.rows.get(row.key)
+        if old is not None and row.key not in self.refused:
+            self._accepted[row.key] = old
+        self.refused[row.key] = Refusal(self.scope, row.key, row.version, reason)
 
-    def whole(self, stage: Stage, expected: int) -> list[Row] | None:
-        """As `delta`; what is to be applied are all rows that stand now."""
-        if stage.sum & digest.MASK != expected:
+    def apply_snapshot(self, patch: PatchBuffer, expected_digest: int) -> list[Row] | None:
+        """Replace all rows.
+
+        Returns:
+            All rows in force; None, with nothing changed, where the digest is wrong.
+        """
+        if patch.hash_sum & digest.MASK != expected_digest:
             return None
         refused: dict[str, Refusal] = {}
-        good: dict[str, Row] = {}
-        for key, why in stage.refused.items():
-            refused[key] = Refusal(self.scope, key, stage.rows[key].version, why)
-            stood = self._good.get(key) if key in self.refused else self.rows.get(key)
-            if stood is not None:
-                good[key] = stood
-        self.rows, self.refused, self._good = stage.rows, refused, good
-        self.known = True
-        self._stands(stage.revision, expected)
-        return list(self.standing())
-
-    def _stands(self, revision: int, after: int) -> None:
-        self.cursor, self.digest = max(self.cursor, revision), after
-        self.changes += 1
-
-    def standing(self) -> Iterator[Row]:
-        """The rows in force: as told, or the last good one."""
+        accepted: dict[str, Row] = {}
+        for key, reason in patch.refused.items():
+            refused[key] = Refusal(self.scope, key, patch.rows[key].version, reason)
+            last = self._accepted.get(key) if key in self.refused else self.rows.get(key)
+            if last is not None:
+                accepted[key] = last
+        self.rows = patch.rows
+        self.refused = refused
+        self._accepted = accepted
+        self.is_known = True
+        self._advance(patch.revision, expected_digest)
+        return list(self.rows_in_force())
+
+    def _advance(self, revision: int, new_digest: int) -> None:
+        self.cursor = max(self.cursor, revision)
+        self.digest = new_digest
+        self.change_count += 1
+
+    def rows_in_force(self) -> Iterator[Row]:
+        """Iterate over the rows, with the last accepted in the place of refused ones."""
         if not self.refused:
             yield from self.rows.values()
             return
         for key, row in self.rows.items():
             if key not in self.refused:
                 yield row
-            elif key in self._good:
-                yield self._good[key]
+            elif key in self._accepted:
+                yield self._accepted[key]
--- a/loadbalancer/changefeed/snapshot_rate.py
+++ b/loadbalancer/changefeed/snapshot_rate.py
@@ -1,59 +1,78 @@
-"""How fast a node gives out snapshots, and when it asks those to come back for whom it has no
-room.
-"""
+"""Rate limit of a node's snapshots, and retry times for subscribers that find the queue full."""
 
 from __future__ import annotations
 
-NS = 1_000_000_000
-MS = 1_000_000
-GOLDEN = (
-    0.6180339887498949  # successive multiples, modulo 1, are spread evenly however many there are
-)
+from typing import Final
+
+from loadbalancer.changefeed.limits import MILLISECOND_NS, SECOND_NS
+
+# Successive multiples, modulo 1, are spread evenly however many there are.
+GOLDEN_RATIO: Final = 0.6180339887498949
 
 
 class TokenBucket:
-    """Bytes, by the clock that is handed in. What is asked for is given as long as anything is
-    left, so a piece larger than the burst passes too, and is paid for afterwards.
+    """Token bucket of bytes that may be overdrawn.
+
+    A request is granted as long as any token is left, so that a message larger than the burst
+    passes too; it is paid for afterwards.
     """
 
     def __init__(self, bytes_s: int, burst: int, now: int) -> None:
-        self._rate, self._burst, self._left, self._at = bytes_s, burst, float(burst), now
+        self._rate = bytes_s
+        self._burst = burst
+        self._tokens = float(burst)
+        self._filled_at = now
 
     def _fill(self, now: int) -> None:
-        if now > self._at:
-            self._left = min(float(self._burst), self._left + (now - self._at) * self._rate / NS)
-            self._at = now
+        if now > self._filled_at:
+            earned = (now - self._filled_at) * self._rate / SECOND_NS
+            self._tokens = min(float(self._burst), self._tokens + earned)
+            self._filled_at = now
 
-    def ready(self, now: int) -> bool:
+    def is_ready(self, now: int) -> bool:
+        """Return whether any token is left."""
         self._fill(now)
-        return self._left > 0
+        return self._tokens > 0
 
     def take(self, size: int, now: int) -> None:
+        """Spend tokens, also such as are not there yet."""
         self._fill(now)
-        self._left -= size
+        self._tokens -= size
 
     def ready_at(self, now: int) -> int:
-        """When there is something again."""
+        """Return when a token is left again."""
         self._fill(now)
-        return now if self._left > 0 else self._at + int((1 - self._left) * NS / self._rate) + 1
+        if self._tokens > 0:
+            return now
+        return self._filled_at + int((1 - self._tokens) * SECOND_NS / self._rate) + 1
 
 
-class Slots:
-    """Moments at which those come back who found the queue full: one after another, as far apart as
-    serving each takes. Past `most_ms` they are spread over its later half.
+class RetrySlots:
+    """Times at which subscribers retry that found the queue full.
+
+    They follow each other at the distance that serving each takes. Past `max_ms` they are spread
+    over its later half.
     """
 
-    def __init__(self, bytes_s: int, least_ms: int, most_ms: int) -> None:
-        self._rate, self._least_ms, self._most_ms = bytes_s, least_ms, most_ms
-        self._next = 0
+    def __init__(self, bytes_s: int, min_ms: int, max_ms: int) -> None:
+        self._rate = bytes_s
+        self._min_ms = min_ms
+        self._max_ms = max_ms
+        self._next_ns = 0
         self._spread = 0.0
 
-    def draw(self, waiting_bytes: int, needs_bytes: int, now: int) -> int:
-        """ms from now, for who needs so many bytes when so many are waited for already."""
-        slot = max(self._next, now + waiting_bytes * NS // self._rate)
-        after_ms = (slot - now) // MS
-        if after_ms >= self._most_ms:
-            self._spread = (self._spread + GOLDEN) % 1
-            return int(self._most_ms * (0.5 + 0.5 * self._spread))
-        self._next = slot + max(needs_bytes * NS // self._rate, MS)
-        return max(self._least_ms, after_ms)
+    def draw(self, queued_bytes: int, needed_bytes: int, now: int) -> int:
+        """Return the milliseconds after which to retry.
+
+        Args:
+            queued_bytes: Snapshots that others wait for already.
+            needed_bytes: Snapshots that this subscriber needs.
+            now: The clock in nanoseconds.
+        """
+        slot = max(self._next_ns, now + queued_bytes * SECOND_NS // self._rate)
+        after_ms = (slot - now) // MILLISECOND_NS
+        if after_ms >= self._max_ms:
+            self._spread = (self._spread + GOLDEN_RATIO) % 1
+            return int(self._max_ms * (0.5 + 0.5 * self._spread))
+        self._next_ns = slot + max(needed_bytes * SECOND_NS // self._rate, MILLISECOND_NS)
+        return max(self._min_ms, after_ms)
--- a/loadbalancer/changefeed/subscriber.py
+++ b/loadbalancer/changefeed/subscriber.py
@@ -1,120 +1,178 @@
-"""What a node keeps of one subscriber. Nothing for a scope in which it stands where the node does
-but its place among the scope's watchers.
+"""A node's state of one subscriber, and scopes with the subscribers that watch them.
+
+A scope in which the subscriber is up to date costs nothing but its entry among the scope's
+watchers.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from typing import Final
 
 import msgspec
 from msgspec import structs
 
 from loadbalancer.changefeed.messages import Refusal
-from loadbalancer.changefeed.scope import Encoded, Scope
+from loadbalancer.changefeed.patches import EncodedPatch
+from loadbalancer.changefeed.scope import UNKNOWN, Scope
+
+NO_FLOOR: Final = 1 << 62  # past any revision
+
+
+class WatchedScope(Scope):
+    """A scope and its watchers, in the order in which they subscribed."""
+
+    __slots__ = ("watchers",)
+
+    def __init__(self, name: str, base: int) -> None:
+        super().__init__(name, base)
+        self.watchers: dict[Subscriber, None] = {}
+
+    @property
+    def is_idle(self) -> bool:
+        """Nothing is known of the scope and nobody watches it."""
+        return not (self.rows or self.log or self.watchers)
 
 
 class Unacknowledged(msgspec.Struct, frozen=True, gc=False):
-    """A patch under way. `floor`: up to this revision the scope was in force before it."""
+    """A patch in flight.
+
+    Attributes:
+        floor: The revision up to which the scope was in force before the patch.
+    """
 
     sequence: int
     size: int
     floor: int
-    at: int
+    sent_at_ns: int
     scope: str
 
 
-class Late:
-    """A scope in which a subscriber does not stand where the node does. `cursor`: what it knows;
-    UNKNOWN where only a snapshot helps. `floor`: the last revision up to which it was told all,
-    since `since`. `asked`: a snapshot is not to be older. `stream`: the patch whose first `index`
-    parts were sent.
+class ScopeLag:
+    """A scope in which a subscriber is not up to date.
+
+    Attributes:
+        cursor: The revision that the subscriber knows; UNKNOWN where only a snapshot helps.
+        floor: The last revision up to which everything was sent.
+        since_ns: When the subscriber stopped being up to date.
+        min_revision: A snapshot is not to be older.
+        snapshot_bytes: Size of the snapshot that is owed; 0 for a delta.
+        patch: The patch that is being sent.
+        next_chunk: Index of the next chunk to send.
     """
 
-    __slots__ = ("cursor", "floor", "since", "asked", "size", "stream", "index")
+    __slots__ = (
+        "cursor",
+        "floor",
+        "min_revision",
+        "next_chunk",
+        "patch",
+        "since_ns",
+        "snapshot_bytes",
+    )
+
+    def __init__(self, cursor: int, floor: int, since_ns: int) -> None:
+        self.cursor = cursor
+        self.floor = floor
+        self.since_ns = since_ns
+        self.min_revision = 0
+        self.snapshot_bytes = 0
+        self.patch: EncodedPatch | None = None
+        self.next_chunk = 0
 
-    def __init__(self, cursor: int, floor: int, since: int, asked: int = 0, size: int = 0) -> None:
-        self.cursor, self.floor, self.since, self.asked, self.size = (
-            cursor,
-            floor,
-            since,
-            asked,
-            size,
-        )
-        self.stream: Encoded | None = None
-        self.index = 0
+    def require_snapshot(self, min_revision: int, snapshot_bytes: int) -> None:
+        """Only a snapshot helps any more."""
+        self.cursor = UNKNOWN
+        self.min_revision = min_revision
+        self.snapshot_bytes = snapshot_bytes
 
 
 class Subscriber:
-    """`dirty`: scopes that a delta brings up; `pending`: those that want a snapshot; both in the
-    order in which they are served. `parked`: cursors of one that knows more than the node; it hears
-    nothing.
+    """One subscriber of a node.
+
+    Attributes:
+        number: Of its connection.
+        dirty: Scopes that a delta brings up to date, in the order in which they are served.
+        pending: Scopes that need a snapshot, in the order in which they are served.
+        pending_bytes: Size of the snapshots that are owed.
+        is_writable: Its connection accepts more.
+        parked_cursors: Cursors of one that is ahead of the node, to which nothing is sent; else
+            None.
+        bookmark_due: A bookmark is sent as soon as everything else was.
+        is_queued: It stands in the queue for snapshots.
+        next_digest: Index of the scope whose digest is sent next.
     """
 
     __slots__ = (
-        "number",
-        "name",
-        "generation",
-        "sequence",
         "acknowledged",
-        "scopes",
+        "bookmark_due",
         "dirty",
+        "generation",
+        "is_queued",
+        "is_writable",
+        "name",
+        "next_digest",
+        "number",
+        "parked_at_ns",
+        "parked_cursors",
         "pending",
         "pending_bytes",
+        "refusals",
+        "scopes",
+        "sequence",
         "unacknowledged",
         "unacknowledged_bytes",
-        "writable",
-        "parked",
-        "refused",
-        "announce",
-        "queued",
-        "turn",
-        "parked_at",
     )
 
     def __init__(self, number: int, name: str) -> None:
-        self.number, self.name = number, name
+        self.number = number
+        self.name = name
         self.generation = 1
-        self.sequence = self.acknowledged = 0
-        self.scopes: dict[str, Scope] = {}
-        self.dirty: dict[str, Late] = {}
-        self.pending: dict[str, Late] = {}
+        self.sequence = 0
+        self.acknowledged = 0
+        self.scopes: dict[str, WatchedScope] = {}
+        self.dirty: dict[str, ScopeLag] = {}
+        self.pending: dict[str, ScopeLag] = {}
         self.pending_bytes = 0
         self.unacknowledged: deque[Unacknowledged] = deque()
         self.unacknowledged_bytes = 0
-        self.writable = True
-        self.parked: dict[str, int] | None = None
-        self.parked_at = 0
-        self.refused: tuple[Refusal, ...] = ()
-        self.announce = True  # a bookmark is owed as soon as all was told
-        self.queued = False
-        self.turn = 0  # whose digest is told next
-
-    def told(self) -> int | None:
-        """Up to where all was told; None: as far as the node knows."""
-        floors = [late.floor for late in self.dirty.values()]
-        floors += [late.floor for late in self.pending.values()]
+        self.is_writable = True
+        self.parked_cursors: dict[str, int] | None = None
+        self.parked_at_ns = 0
+        self.refusals: tuple[Refusal, ...] = ()
+        self.bookmark_due = True
+        self.is_queued = False
+        self.next_digest = 0
+
+    def delivered_revision(self) -> int | None:
+        """Return the revision up to which everything was sent; None: as far as the node knows."""
+        floors = [lag.floor for lag in self.dirty.values()]
+        floors += [lag.floor for lag in self.pending.values()]
         return min(floors) if floors else None
 
     def lag(self) -> tuple[int, int] | None:
-        """Up to where all is in force, and since when it is not where the node is; None: it is
-        there.
+        """Return the revision that is in force, and since when it is not the node's.
+
+        None: everything that the node knows is in force.
         """
-        if self.parked is not None:
-            return min(self.parked.values(), default=0), self.parked_at
-        behind = [(late.floor, late.since) for late in self.dirty.values()]
-        behind += [(late.floor, late.since) for late in self.pending.values()]
-        behind += [(one.floor, one.at) for one in self.unacknowledged]
+        if self.parked_cursors is not None:
+            return min(self.parked_cursors.values(), default=0), self.parked_at_ns
+        behind = [(lag.floor, lag.since_ns) for lag in self.dirty.values()]
+        behind += [(lag.floor, lag.since_ns) for lag in self.pending.values()]
+        behind += [(patch.floor, patch.sent_at_ns) for patch in self.unacknowledged]
         return min(behind) if behind else None
 
-    def disregard(self, scope: str) -> None:
-        """What is under way of a scope that was dropped, or is taken anew, holds back nothing any
-        more.
-        """
-        if any(one.scope == scope for one in self.unacknowledged):
+    def acknowledge(self, sequence: int) -> None:
+        """Take patches up to a sequence number out of the window."""
+        self.acknowledged = sequence
+        in_flight = self.unacknowledged
+        while in_flight and in_flight[0].sequence <= sequence:
+            self.unacknowledged_bytes -= in_flight.popleft().size
+
+    def ignore_in_flight(self, scope: str) -> None:
+        """Patches in flight of a removed or restarted scope no longer count as lag."""
+        if any(patch.scope == scope for patch in self.unacknowledged):
             self.unacknowledged = deque(
-                structs.replace(one, floor=FAR) if one.scope == scope else one
-                for one in self.unacknowledged
+                structs.replace(patch, floor=NO_FLOOR) if patch.scope == scope else patch
+                for patch in self.unacknowledged
             )
-
-
-FAR = 1 << 62  # past any revision
--- a/loadbalancer/changefeed/subscription.py
+++ b/loadbalancer/changefeed/subscription.py
@@ -1,468 +1,395 @@
-"""A balancer's side of the feed: what it knows of its scopes, and what it says to a node to hear
-the rest.
-
-Pure: words of the node and the clock go in, words for it, dials and rows to apply come out.
-Promised: a scope's rows are those of one revision of the store, but for rows refused, of which the
-last that was taken stands; that revision never falls while the store's epoch stays. Not promised:
-that two scopes stand at one revision, even where one write changed both; and that the node which
-says that there is nothing newer knows itself of all that there is: `age` counts from the last word
-of a node, not from the store's last write.
+"""A balancer's side of the changefeed: what it knows of its scopes, and how it gets the rest.
+
+Pure: messages of the node and the clock go in; messages for it, dials and rows to apply come out.
+
+Guaranteed: a scope's rows are those of one revision of the store, except for refused rows, of which
+the last accepted stays; that revision never falls while the store's epoch stays. Not guaranteed:
+that two scopes are at the same revision, even where one write changed both; and that a node which
+sends a bookmark knows everything itself: `age_ns` counts from the last message of a node, not from
+the store's last write.
+
+All times are those of a monotonic clock, in nanoseconds.
 """
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Collection, Iterator
-from enum import Enum
-from random import Random
-
-import msgspec
+from collections.abc import Collection
+from typing import Final
 
 from loadbalancer.changefeed import digest
+from loadbalancer.changefeed.acknowledgement import Acknowledger
+from loadbalancer.changefeed.actions import Action, Apply, Dial, Disconnect, SendMessage
+from loadbalancer.changefeed.audit import Auditor
+from loadbalancer.changefeed.limits import MILLISECOND_NS, SubscriptionLimits
 from loadbalancer.changefeed.messages import (
-    MOST_REFUSALS,
-    MOST_SCOPES,
-    AnyAsk,
-    Behind,
+    MAX_SCOPES,
     Bookmark,
-    Later,
+    ClientMessage,
     Patch,
-    Reached,
-    Refusal,
-    Rescope,
+    ReplicaBehind,
+    RetryLater,
     Row,
     Subscribe,
-    is_scope,
+    UpdateScopes,
+    is_scope_name,
     pack,
-    unpack_told,
+    unpack_server_message,
 )
-from loadbalancer.changefeed.scope_table import Check, ScopeTable, Stage
+from loadbalancer.changefeed.scope_table import PatchBuffer, RowCheck, ScopeTable
+from loadbalancer.changefeed.subscription_options import SubscriptionOptions, SubscriptionState
 
 __all__ = [
     "Action",
     "Apply",
-    "Check",
     "Dial",
-    "HangUp",
-    "Say",
+    "Disconnect",
+    "RowCheck",
     "ScopeTable",
-    "State",
+    "SendMessage",
     "Subscription",
     "SubscriptionLimits",
+    "SubscriptionOptions",
+    "SubscriptionState",
 ]
-MS = 1_000_000
-NS = 1_000_000_000
-
-
-class SubscriptionLimits(msgspec.Struct, frozen=True):
-    """`dial_ns`: a connection takes so long at most. `silent_ns`: a node that says nothing for so
-    long is left; several of its bookmarks. `behind_ns`: so long a node that is behind is waited
-    for. `backoff_ns` doubles to `backoff_most_ns`, and any part of it is drawn. `later_most`: so
-    often in a row a node may put it off, each time for `later_ns` at most. `ack_ns`, `ack_bytes`:
-    an acknowledgement waits so long, or for so many bytes. `audit_rows`: so many rows are hashed at
-    one look, every `audit_ns`; a scope of more is looked through in pieces, at a bookmark that
-    tells its digest.
-    """
-
-    dial_ns: int = 5 * NS
-    silent_ns: int = 16 * NS
-    behind_ns: int = 3 * NS
-    backoff_ns: int = 200 * MS
-    backoff_most_ns: int = 5 * NS
-    later_most: int = 5
-    later_ns: int = 60 * NS
-    ack_ns: int = 50 * MS
-    ack_bytes: int = 128 << 10
-    audit_rows: int = 512
-    audit_ns: int = 20 * MS
-
-
-class State(Enum):
-    RESTING = "resting"  # until the next dial
-    DIALLING = "dialling"
-    SUBSCRIBING = "subscribing"  # asked, and nothing heard yet
-    PARKED = "parked"  # the node is behind
-    FOLLOWING = "following"
-
-
-class Say(msgspec.Struct, frozen=True):
-    word: bytes
-
-
-class Dial(msgspec.Struct, frozen=True):
-    """A new connection, to the address of this turn, modulo how many there are."""
-
-    turn: int
-
-
-class HangUp(msgspec.Struct, frozen=True):
-    """The connection, or the dial, is given up; nothing of it is to be handed in any more."""
-
-    why: str
-
-
-class Apply(msgspec.Struct, frozen=True):
-    """Rows that came into force. `whole`: they are all of the scope; else the last of each that
-    changed, deleted ones with None. Rows refused are not among them; in a whole scope the last that
-    was taken is.
-    """
-
-    scope: str
-    whole: bool
-    rows: tuple[Row, ...]
-    revision: int
-
-
-Action = Say | Dial | HangUp | Apply
-
+MAX_BACKOFF_DOUBLINGS: Final = 20
+RETRY_LATER_REASON: Final = "the node asks to retry later"
 
-class _Audit:
-    """A look through a scope's rows in pieces."""
 
-    def __init__(self, table: ScopeTable) -> None:
-        self.table = table
-        self.changes = table.changes
-        self.rows: Iterator[Row] = iter(list(table.rows.values()))
-        self.sum = 0
+class Subscription:
+    """A subscription to some scopes.
 
+    It dials when it is created, and again after each loss, as `tick` is called.
 
-class Subscription:
-    """It dials as soon as it is there, and again after each loss, as long as it is asked
-    (`tick`).
+    Attributes:
+        epoch: Of the store, as the last node had it.
+        disconnect_reason: Why the last connection ended.
+        resyncs: Times that a scope was requested anew because its digest was wrong.
     """
 
     def __init__(
-        self,
-        name: str,
-        scopes: Collection[str],
-        check: Check,
-        limits: SubscriptionLimits,
-        rng: Random,
-        now: int,
+        self, name: str, scopes: Collection[str], options: SubscriptionOptions, now: int
     ) -> None:
-        self.name, self.limits = name, limits
-        self.state = State.RESTING
+        self.name = name
+        self.limits = options.limits
+        self.state = SubscriptionState.BACKING_OFF
         self.epoch = ""
-        self.why = ""  # the last connection ended
+        self.disconnect_reason = ""
         self.scopes: dict[str, ScopeTable] = {}
         self.generation = 1
-        self.mended = 0  # times that a scope was taken anew, as its digest was wrong
-        self._check, self._rng = check, rng
-        self._turn = 0
-        self._tries = 0  # connections in a row that brought nothing
-        self._laters = 0  # in a row
-        self._until = now  # when the state ends by itself
+        self.resyncs = 0
+        self._check_row = options.check_row
+        self._rng = options.rng
+        self._address_index = 0
+        self._failed_dials = 0  # connections in a row that brought nothing
+        self._retry_laters = 0  # in a row
+        self._state_deadline_ns = now
         self._sequence = 0  # of the last patch
-        self._heard_generation = 1
-        self._acknowledged = 0
-        self._ack_at = 0  # 0: nothing to acknowledge
-        self._ack_bytes = 0
-        self._refusing: dict[str, ScopeTable] = {}
-        self._told: tuple[Refusal, ...] = ()  # refusals
-        self._current = False  # a bookmark of this connection showed that all was told
-        self._current_at = now
-        self._audits: deque[_Audit] = deque()
-        self._audit_at = 0
-        self._out: list[Action] = []
-        self.want(scopes, (), now)
+        self._received_generation = 1
+        self._acknowledger = Acknowledger(options.limits)
+        self._auditor = Auditor(options.limits, lambda table: self.scopes.get(table.scope) is table)
+        self._is_current = False  # a bookmark of this connection showed that all was sent
+        self._current_at_ns = now
+        self._actions: list[Action] = []
+        self.update_scopes(scopes, (), now)
         self.tick(now)
 
-    # What is wanted, and how it stands
+    # Scopes
+
+    def update_scopes(self, add: Collection[str], remove: Collection[str], now: int) -> None:
+        """Change the scopes, with one message. Those that are there, or not, stay so.
 
-    def want(self, add: Collection[str], drop: Collection[str], now: int) -> None:
-        """Other scopes: all in one word. Those that are there, or not, stay so. Raises
-        ValueError.
+        Raises:
+            ValueError: A scope is malformed, or there are too many.
         """
-        new = [scope for scope in dict.fromkeys(add) if scope not in self.scopes or scope in drop]
-        old = [scope for scope in dict.fromkeys(drop) if scope in self.scopes]
-        wrong = [scope for scope in new if not is_scope(scope)]
-        if wrong:
-            raise ValueError(f"{wrong[0][:80]!r} is no scope")
-        if len(self.scopes) - len(old) + len(new) > MOST_SCOPES:
-            raise ValueError(f"more than {MOST_SCOPES} scopes")
-        if new or old:
-            self._rescope(new, old, now)
-
-    def _rescope(self, new: list[str], old: list[str], now: int) -> None:
-        if self._connected:
+        added = [
+            scope for scope in dict.fromkeys(add) if scope not in self.scopes or scope in remove
+        ]
+        removed = [scope for scope in dict.fromkeys(remove) if scope in self.scopes]
+        malformed = [scope for scope in added if not is_scope_name(scope)]
+        if malformed:
+            raise ValueError(f"{malformed[0][:80]!r} is no scope")
+        if len(self.scopes) - len(removed) + len(added) > MAX_SCOPES:
+            raise ValueError(f"more than {MAX_SCOPES} scopes")
+        if added or removed:
+            self._replace_scopes(added, removed, now)
+
+    def _replace_scopes(self, added: list[str], removed: list[str], now: int) -> None:
+        if self._is_connected:
             self.generation += 1
-        for scope in old:
+        for scope in removed:
             del self.scopes[scope]
-            self._refusing.pop(scope, None)
-        for scope in new:
+            self._acknowledger.forget(scope)
+        for scope in added:
             self.scopes[scope] = ScopeTable(scope, self.generation)
-        self._say_scopes([(scope, 0) for scope in new], old)
-        self._refusals(now)
+        self._send_update([(scope, 0) for scope in added], removed)
+        self._schedule_refusals(now)
 
-    def _say_scopes(self, add: list[tuple[str, int]], drop: list[str]) -> None:
-        if self._connected:
-            self._say(Rescope(self.generation, tuple(add), tuple(scope for scope in drop)))
+    def _send_update(self, add: list[tuple[str, int]], remove: list[str]) -> None:
+        if self._is_connected:
+            self._send(UpdateScopes(self.generation, tuple(add), tuple(remove)))
 
     @property
-    def ready(self) -> bool:
-        """Every scope was told."""
-        return all(table.known for table in self.scopes.values())
+    def is_ready(self) -> bool:
+        """Every scope was received."""
+        return all(table.is_known for table in self.scopes.values())
+
+    def age_ns(self, now: int) -> int:
+        """Return the time since a node last showed that it had sent everything.
 
-    def age(self, now: int) -> int:
-        """ns since a node last showed that it had nothing else to tell; since the start where none
-        did.
+        Where none did it is the time since the start.
         """
-        return now - self._current_at
+        return now - self._current_at_ns
 
     @property
-    def _connected(self) -> bool:
-        return self.state not in (State.RESTING, State.DIALLING)
+    def _is_connected(self) -> bool:
+        return self.state not in (SubscriptionState.BACKING_OFF, SubscriptionState.DIALLING)
 
     # The connection
 
-    def connected(self, epoch: str, now: int) -> None:
-        """The dial came through, to a node of this epoch."""
-        if self.state is not State.DIALLING:
+    def on_connected(self, epoch: str, now: int) -> None:
+        """Handle a dial that succeeded, to a node of this epoch."""
+        if self.state is not SubscriptionState.DIALLING:
             return
         if epoch != self.epoch:
             self.epoch = epoch
             for table in self.scopes.values():
-                table.known, table.cursor = False, 0
-        self.state = State.SUBSCRIBING
-        self._until = now + self.limits.silent_ns
-        self.generation = self._heard_generation = 1
-        self._sequence = self._acknowledged = self._ack_at = self._ack_bytes = 0
-        self._current = False
-        self._told = ()
+                table.is_known = False
+                table.cursor = 0
+        self.state = SubscriptionState.SUBSCRIBING
+        self._state_deadline_ns = now + self.limits.silent_ns
+        self.generation = 1
+        self._received_generation = 1
+        self._sequence = 0
+        self._acknowledger.reset()
+        self._is_current = False
         for table in self.scopes.values():
             table.generation = 1
-            table.unstage()
-        self._say(
-            Subscribe(
-                self.name,
-                epoch,
-                tuple((scope, table.ask_from()) for scope, table in self.scopes.items()),
-            )
-        )
-        self._refusals(now)
-
-    def lost(self, why: str, now: int) -> None:
-        """The connection or the dial ended by itself."""
-        if self.state is not State.RESTING:
-            self._rest(why, now)
-
-    def _hang_up(self, why: str, now: int) -> None:
-        self._out.append(HangUp(why))
-        self._rest(why, now)
-
-    def _rest(self, why: str, now: int) -> None:
-        """To the next node, after a while that is drawn."""
-        most = min(self.limits.backoff_most_ns, self.limits.backoff_ns << min(self._tries, 20))
-        self._tries += 1
-        self._laters = 0
-        self._turn += 1
-        self._wait(why, now + int(self._rng.random() * most) + 1)
-
-    def _wait(self, why: str, until: int) -> None:
-        self.state, self.why, self._until = State.RESTING, why, until
-        self._ack_at = 0
-        self._current = False
+            table.discard_chunks()
+        cursors = tuple((scope, table.resume_cursor()) for scope, table in self.scopes.items())
+        self._send(Subscribe(self.name, epoch, cursors))
+        self._schedule_refusals(now)
+
+    def on_disconnected(self, reason: str, now: int) -> None:
+        """Handle a connection or a dial that ended by itself."""
+        if self.state is not SubscriptionState.BACKING_OFF:
+            self._back_off(reason, now)
+
+    def _disconnect(self, reason: str, now: int) -> None:
+        self._actions.append(Disconnect(reason))
+        self._back_off(reason, now)
+
+    def _back_off(self, reason: str, now: int) -> None:
+        """Go on to the next node, after a random delay."""
+        doublings = min(self._failed_dials, MAX_BACKOFF_DOUBLINGS)
+        max_delay_ns = min(self.limits.backoff_most_ns, self.limits.backoff_ns << doublings)
+        self._failed_dials += 1
+        self._retry_laters = 0
+        self._address_index += 1
+        self._wait(reason, now + int(self._rng.random() * max_delay_ns) + 1)
+
+    def _wait(self, reason: str, until_ns: int) -> None:
+        self.state = SubscriptionState.BACKING_OFF
+        self.disconnect_reason = reason
+        self._state_deadline_ns = until_ns
+        self._acknowledger.cancel()
+        self._is_current = False
 
     def tick(self, now: int) -> None:
-        if self._until <= now:
-            if self.state is State.RESTING:
-                self.state, self._until = State.DIALLING, now + self.limits.dial_ns
-                self._out.append(Dial(self._turn))
-            elif self.state is State.DIALLING:
-                self._hang_up("the connection took too long", now)
-            elif self.state is State.PARKED:
-                self._hang_up("the node is behind, and stays so", now)
-            else:
-                self._hang_up("the node is silent", now)
-        if self._ack_at and self._ack_at <= now:
+        """Do what is due: dial, time out, acknowledge, audit."""
+        if self._state_deadline_ns <= now:
+            self._on_state_deadline(now)
+        ack_due_ns = self._acknowledger.due_ns
+        if ack_due_ns is not None and ack_due_ns <= now:
             self._acknowledge()
-        if self._audits and self._audit_at <= now:
-            self._audit(now)
+        audit_due_ns = self._auditor.due_ns
+        if audit_due_ns is not None and audit_due_ns <= now:
+            corrupt = self._auditor.step(now)
+            if corrupt is not None:
+                self._resync(corrupt)
+
+    def _on_state_deadline(self, now: int) -> None:
+        if self.state is SubscriptionState.BACKING_OFF:
+            self.state = SubscriptionState.DIALLING
+            self._state_deadline_ns = now + self.limits.dial_ns
+            self._actions.append(Dial(self._address_index))
+        elif self.state is SubscriptionState.DIALLING:
+            self._disconnect("the connection took too long", now)
+        elif self.state is SubscriptionState.PARKED:
+            self._disconnect("the node is behind, and stays so", now)
+        else:
+            self._disconnect("the node is silent", now)
 
     @property
     def wake_ns(self) -> int:
         """When `tick` has something to do."""
-        due = self._until
-        if self._ack_at:
-            due = min(due, self._ack_at)
-        if self._audits:
-            due = min(due, self._audit_at)
+        due = self._state_deadline_ns
+        if self._acknowledger.due_ns is not None:
+            due = min(due, self._acknowledger.due_ns)
+        if self._auditor.due_ns is not None:
+            due = min(due, self._auditor.due_ns)
         return due
 
-    # What the node says
+    # Messages of the node
+
+    def receive(self, generation: int, sequence: int, payload: bytes, now: int) -> None:
+        """Handle a message of the node.
 
-    def heard(self, generation: int, sequence: int, word: bytes, now: int) -> None:
-        if not self._connected:
+        Args:
+            generation: Of the subscription when the node sent it.
+            sequence: Of a patch; 0 for any other message.
+            payload: The message.
+            now: The clock.
+        """
+        if not self._is_connected:
             return
         try:
-            told = unpack_told(word)
+            message = unpack_server_message(payload)
         except ValueError as error:
-            self._hang_up(f"no word of the feed: {error}", now)
+            self._disconnect(f"invalid message: {error}", now)
             return
-        if not self._heard_generation <= generation <= self.generation:
-            self._hang_up(f"generation {generation} of {self.generation}", now)
+        if not self._received_generation <= generation <= self.generation:
+            self._disconnect(f"generation {generation} of {self.generation}", now)
             return
-        self._heard_generation = generation
-        if isinstance(told, Later):
-            self._put_off(told.after_ms, now)
+        self._received_generation = generation
+        if isinstance(message, RetryLater):
+            self._on_retry_later(message.after_ms, now)
             return
-        if isinstance(told, Behind):
-            if self.state is not State.PARKED:
-                self._until = now + self.limits.behind_ns
-            self.state = State.PARKED
+        if isinstance(message, ReplicaBehind):
+            if self.state is not SubscriptionState.PARKED:
+                self._state_deadline_ns = now + self.limits.behind_ns
+            self.state = SubscriptionState.PARKED
             return
-        self.state = State.FOLLOWING
-        self._until = now + self.limits.silent_ns
-        if isinstance(told, Bookmark):
-            self._bookmark(generation, told, now)
+        self.state = SubscriptionState.FOLLOWING
+        self._state_deadline_ns = now + self.limits.silent_ns
+        if isinstance(message, Bookmark):
+            self._on_bookmark(generation, message, now)
         elif sequence != self._sequence + 1:
-            self._hang_up(f"patch {sequence} after {self._sequence}", now)
+            self._disconnect(f"patch {sequence} after {self._sequence}", now)
         else:
             self._sequence = sequence
-            self._patch(generation, told, len(word), now)
-        if self._current and self._connected:
-            self._current_at = now
-
-    def _put_off(self, after_ms: int, now: int) -> None:
-        self._out.append(HangUp("the node asks to come later"))
-        self._laters += 1
-        if self._laters > self.limits.later_most:
-            self._laters = 0
-            self._turn += 1
-        self._wait(
-            "the node asks to come later", now + min(max(after_ms, 1) * MS, self.limits.later_ns)
-        )
-
-    def _bookmark(self, generation: int, told: Bookmark, now: int) -> None:
-        self._tries = self._laters = 0
-        mine = [
+            self._on_patch(generation, message, len(payload), now)
+        if self._is_current and self._is_connected:
+            self._current_at_ns = now
+
+    def _on_retry_later(self, after_ms: int, now: int) -> None:
+        self._actions.append(Disconnect(RETRY_LATER_REASON))
+        self._retry_laters += 1
+        if self._retry_laters > self.limits.later_most:
+            self._retry_laters = 0
+            self._address_index += 1
+        delay_ns = min(max(after_ms, 1) * MILLISECOND_NS, self.limits.later_ns)
+        self._wait(RETRY_LATER_REASON, now + delay_ns)
+
+    def _on_bookmark(self, generation: int, bookmark: Bookmark, now: int) -> None:
+        self._failed_dials = 0
+        self._retry_laters = 0
+        current = [
             table
             for table in self.scopes.values()
-            if table.generation <= generation and table.known
+            if table.generation <= generation and table.is_known
         ]
-        for table in mine:
-            table.cursor = max(table.cursor, told.revision)
-        for scope, expected in told.digests:
-            table_ = self.scopes.get(scope)
-            if table_ is None or table_.generation > generation:
-                continue
-            if not table_.known or table_.digest != expected or not self._sound(table_):
-                self._anew(table_, now)
-            elif len(table_.rows) > self.limits.audit_rows:
-                self._begin_audit(table_, now)
-        whole = bool(told.digests) or not self.scopes  # else something is still to be told
-        self._current = whole and len(mine) == len(self.scopes) and self.ready
-
-    def _patch(self, generation: int, patch: Patch, size: int, now: int) -> None:
-        if not self._ack_at:
-            self._ack_at = now + self.limits.ack_ns
-        self._ack_bytes += size
+        for table in current:
+            table.cursor = max(table.cursor, bookmark.revision)
+        for scope, expected_digest in bookmark.digests:
+            self._compare_digest(generation, scope, expected_digest, now)
+        # A bookmark without digests means that something is still to be sent.
+        is_complete = bool(bookmark.digests) or not self.scopes
+        self._is_current = is_complete and len(current) == len(self.scopes) and self.is_ready
+
+    def _compare_digest(self, generation: int, scope: str, expected: int, now: int) -> None:
+        table = self.scopes.get(scope)
+        if table is None or table.generation > generation:
+            return
+        if not table.is_known or table.digest != expected or not self._digest_matches(table):
+            self._resync(table)
+        elif len(table.rows) > self.limits.audit_rows:
+            self._auditor.begin(table, now)
+
+    def _on_patch(self, generation: int, patch: Patch, size: int, now: int) -> None:
+        self._acknowledger.add_patch(size, now)
         table = self.scopes.get(patch.scope)
         if table is not None and table.generation <= generation:
-            stage = table.staged(patch, self._check)
-            if stage is not None:
-                self._take(table, patch, stage, now)
-        if self._ack_bytes >= self.limits.ack_bytes and self._ack_at:
+            complete = table.add_chunk(patch, self._check_row)
+            if complete is not None:
+                self._apply_patch(table, patch, complete, now)
+        if self._acknowledger.is_due_by_size:
             self._acknowledge()
 
-    def _take(self, table: ScopeTable, patch: Patch, stage: Stage, now: int) -> None:
-        """A patch that is there whole."""
-        if patch.whole:
-            if patch.revision < table.cursor:
-                self._hang_up(
-                    f"{table.scope} went back from {table.cursor} to {patch.revision}", now
-                )
-                return
-            taken = table.whole(stage, patch.digest)
-            if taken is None:  # made so: another node is to be asked
-                self._hang_up(f"rows of {table.scope} do not have their digest", now)
-                return
-        else:
-            if not table.known or patch.revision <= table.cursor:
-                return
-            if patch.after > table.cursor:
-                self._anew(table, now)
-                return
-            taken = table.delta(stage, patch.digest)
-            if taken is None or not self._sound(table):
-                self._anew(table, now)
-                return
-        if table.refused:
-            self._refusing[table.scope] = table
+    def _apply_patch(
+        self, table: ScopeTable, patch: Patch, complete: PatchBuffer, now: int
+    ) -> None:
+        """Apply a complete patch; `patch` is its last chunk."""
+        if patch.is_snapshot:
+            accepted = self._apply_snapshot(table, patch, complete, now)
         else:
-            self._refusing.pop(table.scope, None)
-        if taken or patch.whole:
-            self._out.append(Apply(table.scope, patch.whole, tuple(taken), table.cursor))
-        self._refusals(now)
-
-    # What is acknowledged
-
-    def _refusals(self, now: int) -> None:
-        """Told with the next acknowledgement, where they are others than before."""
-        if self._connected and not self._ack_at and self._refused() != self._told:
-            self._ack_at = now + self.limits.ack_ns
-
-    def _refused(self) -> tuple[Refusal, ...]:
-        found: list[Refusal] = []
-        for table in self._refusing.values():
-            found += list(table.refused.values())[: MOST_REFUSALS - len(found)]
-        return tuple(found)
+            accepted = self._apply_delta(table, patch, complete)
+        if accepted is None:
+            return
+        self._acknowledger.track(table)
+        if accepted or patch.is_snapshot:
+            self._actions.append(
+                Apply(table.scope, patch.is_snapshot, tuple(accepted), table.cursor)
+            )
+        self._schedule_refusals(now)
+
+    def _apply_snapshot(
+        self, table: ScopeTable, patch: Patch, complete: PatchBuffer, now: int
+    ) -> list[Row] | None:
+        if patch.revision < table.cursor:
+            self._disconnect(
+                f"{table.scope} went back from {table.cursor} to {patch.revision}", now
+            )
+            return None
+        accepted = table.apply_snapshot(complete, patch.digest)
+        if accepted is None:  # the node itself is corrupt: another one is to be tried
+            self._disconnect(f"rows of {table.scope} do not have their digest", now)
+        return accepted
+
+    def _apply_delta(
+        self, table: ScopeTable, patch: Patch, complete: PatchBuffer
+    ) -> list[Row] | None:
+        if not table.is_known or patch.revision <= table.cursor:
+            return None
+        if patch.after > table.cursor:
+            self._resync(table)
+            return None
+        accepted = table.apply_delta(complete, patch.digest)
+        if accepted is None or not self._digest_matches(table):
+            self._resync(table)
+            return None
+        return accepted
+
+    # Acknowledgements and resynchronisation
+
+    def _schedule_refusals(self, now: int) -> None:
+        if self._is_connected:
+            self._acknowledger.schedule_refusals(now)
 
     def _acknowledge(self) -> None:
-        self._ack_at = self._ack_bytes = 0
-        self._acknowledged = self._sequence
-        self._told = self._refused()
-        self._say(Reached(self._sequence, self._told))
-
-    def _say(self, ask: AnyAsk) -> None:
-        self._out.append(Say(pack(ask)))
+        self._send(self._acknowledger.take(self._sequence))
 
-    # What is wrong
+    def _send(self, message: ClientMessage) -> None:
+        self._actions.append(SendMessage(pack(message)))
 
-    def _anew(self, table: ScopeTable, now: int) -> None:
-        """Rows of a scope are not what the node has: all of them anew; what is there stands
-        meanwhile.
-        """
-        self.mended += 1
-        if self._connected:
+    def _resync(self, table: ScopeTable) -> None:
+        """Request all rows of a scope, as they are not the node's; the old ones stay meanwhile."""
+        self.resyncs += 1
+        if self._is_connected:
             self.generation += 1
             table.generation = self.generation
-        table.known = False
-        table.unstage()
-        self._current = False
-        self._say_scopes([(table.scope, 0)], [])
+        table.is_known = False
+        table.discard_chunks()
+        self._is_current = False
+        self._send_update([(table.scope, 0)], [])
 
-    def _sound(self, table: ScopeTable) -> bool:
-        """Do the rows still sum up to their digest? Of large scopes only an audit says."""
+    def _digest_matches(self, table: ScopeTable) -> bool:
+        """Return whether the rows have their digest. Of large scopes only an audit can tell."""
         if len(table.rows) > self.limits.audit_rows:
             return True
         return digest.of_rows(table.rows.values()) == table.digest
 
-    def _begin_audit(self, table: ScopeTable, now: int) -> None:
-        if all(audit.table is not table for audit in self._audits):
-            self._audits.append(_Audit(table))
-            self._audit_at = max(self._audit_at, now)
-
-    def _audit(self, now: int) -> None:
-        self._audit_at = now + self.limits.audit_ns
-        audit = self._audits[0]
-        table = audit.table
-        if (
-            self.scopes.get(table.scope) is not table
-            or not table.known
-            or audit.changes != table.changes
-        ):
-            self._audits.popleft()  # the next bookmark begins it again
-            return
-        for _ in range(self.limits.audit_rows):
-            row = next(audit.rows, None)
-            if row is None:
-                self._audits.popleft()
-                if audit.sum & digest.MASK != table.digest:
-                    self._anew(table, now)
-                return
-            audit.sum += digest.of_row(row)
-
-    def take_out(self) -> list[Action]:
-        out, self._out = self._out, []
-        return out
+    def take_actions(self) -> list[Action]:
+        """Return and forget what is to be done, in order."""
+        actions = self._actions
+        self._actions = []
+        return actions
--- a/loadbalancer/cli/feed.py
+++ b/loadbalancer/cli/feed.py
@@ -163,7 +163,7 @@
     for row in total.refused:
         out.print(
             f"  {row.name}: {row.refusal.scope} {row.refusal.key} at version {row.refusal.version}:"
-            f" {row.refusal.why}",
+            f" {row.refusal.reason}",
             soft_wrap=True,
         )
 
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -376,8 +376,8 @@
         """Rows came."""
         if self.table is None or told.scope != self.table.keys.scope:
             return
-        changed = self.table.take(told.whole, told.rows)
-        self._settle(None if told.whole else changed)
+        changed = self.table.take(told.is_snapshot, told.rows)
+        self._settle(None if told.is_snapshot else changed)
 
     def _settle(self, changed: list[Endpoint] | None) -> None:
         """Go by the table, of which this changed; None: anything."""
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, SERVICE, Row
+from loadbalancer.changefeed.messages import MAX_ROW_BYTES, PREFIX, SERVICE, Row
 from loadbalancer.daemon.persisted import Located
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery import LATEST_MS
@@ -109,9 +109,9 @@
         value = pack(row_of(endpoint))
     except (Malformed, ValueError, OverflowError) as error:
         raise Malformed(f"upstream {endpoint.entry.id:016x}: {error}") from None
-    if len(value) > MOST_ROW:
+    if len(value) > MAX_ROW_BYTES:
         raise Malformed(
-            f"upstream {endpoint.entry.id:016x}: a row has {MOST_ROW} bytes at most,"
+            f"upstream {endpoint.entry.id:016x}: a row has {MAX_ROW_BYTES} bytes at most,"
             f" not {len(value)}"
         )
     return value
--- a/loadbalancer/store/changefeed_client.py
+++ b/loadbalancer/store/changefeed_client.py
@@ -12,12 +12,13 @@
 
 from loadbalancer.changefeed.subscription import (
     Apply,
-    Check,
     Dial,
-    HangUp,
-    Say,
+    Disconnect,
+    RowCheck,
+    SendMessage,
     Subscription,
     SubscriptionLimits,
+    SubscriptionOptions,
 )
 from loadbalancer.settings import Malformed, split_address
 from loadbalancer.store import handshake
@@ -63,7 +64,7 @@
         tls: Callable[[], ssl.SSLContext | None],
         name: str,
         scopes: Collection[str],
-        check: Check,
+        check: RowCheck,
         apply: Callable[[Apply], None],
         reach: Mapping[str, str] | None = None,
         rng: random.Random | None = None,
@@ -78,7 +79,9 @@
         self.tls, self.name, self.apply = tls, name, apply
         self.reach = reach or {}
         self.at = ""  # the node that it is connected to, or dials
-        self.subscription = Subscription(name, scopes, check, limits, self.rng, time.monotonic_ns())
+        self.subscription = Subscription(
+            name, scopes, SubscriptionOptions(check, limits, self.rng), time.monotonic_ns()
+        )
         self.wire: FeedWire | None = None
         self.dialling: asyncio.Task[None] | None = None
         self.closed = True
@@ -97,7 +100,7 @@
 
     def want(self, add: Collection[str], drop: Collection[str]) -> None:
         """Other scopes. Raises ValueError."""
-        self.subscription.want(add, drop, time.monotonic_ns())
+        self.subscription.update_scopes(add, drop, time.monotonic_ns())
         if not self.closed:
             self._wake()
 
@@ -126,17 +129,17 @@
         if self.subscription.wake_ns <= now:
             self.subscription.tick(now)
         words: list[bytes] = []
-        for action in self.subscription.take_out():
+        for action in self.subscription.take_actions():
             match action:
-                case Say():
-                    words.append(action.word)
+                case SendMessage():
+                    words.append(action.payload)
                 case Apply():
                     self._apply(action)
                 case Dial():
                     words.clear()
                     self._leave()
-                    self.dialling = self.loop.create_task(self._dial(action.turn))
-                case HangUp():
+                    self.dialling = self.loop.create_task(self._dial(action.address_index))
+                case Disconnect():
                     words.clear()
                     self._leave()
         if words and self.wire is not None:
@@ -192,12 +195,12 @@
             self._lost(why)
             return
         self.wire = wire
-        self.subscription.connected(welcome.cluster, time.monotonic_ns())
+        self.subscription.on_connected(welcome.cluster, time.monotonic_ns())
         self._wake()
 
     def told(self, wire: FeedWire, fed: Fed) -> None:
         if wire is self.wire:
-            self.subscription.heard(fed.generation, fed.sequence, fed.word, time.monotonic_ns())
+            self.subscription.receive(fed.generation, fed.sequence, fed.word, time.monotonic_ns())
             self._wake()
 
     def ended(self, wire: FeedWire) -> None:
@@ -207,7 +210,7 @@
 
     def _lost(self, why: str) -> None:
         log.debug("feed: %s", why)
-        self.subscription.lost(why, time.monotonic_ns())
+        self.subscription.on_disconnected(why, time.monotonic_ns())
         self._wake()
 
     def _leave(self) -> None:
--- a/loadbalancer/store/changefeed_server.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -17,8 +17,15 @@
 import msgspec
 from msgspec import structs
 
-from loadbalancer.changefeed.fanout import BadWord, Fanout, FanoutLimits, FeedChange, Send
-from loadbalancer.changefeed.messages import PREFIX, Bookmark, unpack_told
+from loadbalancer.changefeed.fanout import (
+    Fanout,
+    FanoutLimits,
+    FeedChange,
+    FeedProtocolError,
+    Send,
+    StoreSnapshot,
+)
+from loadbalancer.changefeed.messages import PREFIX, Bookmark, unpack_server_message
 from loadbalancer.changefeed.status import FeedStatus
 from loadbalancer.store.durable.rows import Event, Loaded
 from loadbalancer.store.durable.state import State
@@ -76,7 +83,7 @@
 
         def act(fanout: Fanout, now: int) -> None:
             if revision > fanout.revision:
-                fanout.applied(revision, changes, now)
+                fanout.apply(revision, changes, now)
 
         self._do(act)
 
@@ -151,18 +158,18 @@
         def act(fanout: Fanout, now: int) -> None:
             try:
                 if number in self.hearers:
-                    fanout.heard(number, word, now)
-            except BadWord as error:
+                    fanout.receive(number, word, now)
+            except FeedProtocolError as error:
                 self.hearers[number].end(str(error))
 
         self._do(act)
 
     def writable(self, number: int, on: bool) -> None:
-        self._do(lambda fanout, now: fanout.writable(number, on, now))
+        self._do(lambda fanout, now: fanout.set_writable(number, on, now))
 
     def gone(self, number: int) -> None:
         if self.hearers.pop(number, None) is not None:
-            self._do(lambda fanout, now: fanout.gone(number, now))
+            self._do(lambda fanout, now: fanout.remove(number, now))
 
     # ---- the loop's turn -------------------------------------------------------------------------
 
@@ -193,19 +200,23 @@
 
     def _carry_out(self, fanout: Fanout) -> None:
         now = time.monotonic_ns()
-        if 0 < fanout.wake_ns <= now:
+        wake_ns = fanout.wake_ns
+        if wake_ns is not None and wake_ns <= now:
             fanout.tick(now)
         by: dict[int, list[Send]] = {}
-        for send in fanout.take_out():
-            if self.alone and isinstance(unpack_told(send.word), Bookmark):
+        for send in fanout.take_sends():
+            if self.alone and isinstance(unpack_server_message(send.payload), Bookmark):
                 continue
             by.setdefault(send.subscriber, []).append(send)
         for number, sends in by.items():
             hearer = self.hearers.get(number)
             if hearer is not None:
                 hearer.tell(sends)
-        wake_ns = max(fanout.wake_ns, now + LEAST_NS) if fanout.wake_ns else 0
-        if wake_ns and (self.timer is None or wake_ns < self.timer_ns):
+        wake_ns = fanout.wake_ns
+        if wake_ns is None:
+            return
+        wake_ns = max(wake_ns, now + LEAST_NS)
+        if self.timer is None or wake_ns < self.timer_ns:
             if self.timer is not None:
                 self.timer.cancel()
             self.timer_ns = wake_ns
@@ -235,7 +246,9 @@
                 len(self.hearers),
             )
             return self._told(
-                structs.replace(empty, subscribers=count, reached=((0, count),) if count else ())
+                structs.replace(
+                    empty, subscribers=count, acknowledged=((0, count),) if count else ()
+                )
             )
         return self.last
 
@@ -252,6 +265,7 @@
 
 
 def _fill(fanout: Fanout, loaded: Loaded) -> None:
+    changes = _changes(loaded.events)
     fanout.load(
-        loaded.revision, loaded.rows, loaded.base, _changes(loaded.events), time.monotonic_ns()
+        StoreSnapshot(loaded.revision, loaded.rows, loaded.base, changes), time.monotonic_ns()
     )
--- a/loadbalancer/store/commands.py
+++ b/loadbalancer/store/commands.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, split
+from loadbalancer.changefeed.messages import MAX_ROW_BYTES, PREFIX, split_key
 from loadbalancer.store.raft.messages import Array
 from loadbalancer.store.raft.messages import pack as pack
 
@@ -219,13 +219,17 @@
     for op, refs in refs_of(command):
         try:
             for row in (*([op.key] if op.key.startswith(PREFIX) else ()), *refs):
-                split(row)
+                split_key(row)
         except ValueError as error:
             return str(error)
         if refs and (op.value is None or not op.key.startswith(PREFIX)):
             return f"{op.key}: only a row that is put names others"
         if len(refs) > MOST_REFS or len(set(refs)) < len(refs):
             return f"{op.key}: a row names {MOST_REFS} others at most, each once"
-        if op.key.startswith(PREFIX) and op.value is not None and not 0 < len(op.value) <= MOST_ROW:
-            return f"{op.key}: a row has 1 to {MOST_ROW} bytes"
+        if (
+            op.key.startswith(PREFIX)
+            and op.value is not None
+            and not 0 < len(op.value) <= MAX_ROW_BYTES
+        ):
+            return f"{op.key}: a row has 1 to {MAX_ROW_BYTES} bytes"
     return ""
--- a/loadbalancer/store/feed_progress.py
+++ b/loadbalancer/store/feed_progress.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from loadbalancer.changefeed.status import FeedStatus, Refused
+from loadbalancer.changefeed.status import FeedStatus, RefusedRow
 from loadbalancer.store.client import Client, StoreError
 
 ASK_S = 2.0  # a member that has not answered by then is told as one that does not
@@ -84,7 +84,7 @@
     reached: int
     late: tuple[Late, ...]
     refusals: int
-    refused: tuple[Refused, ...]
+    refused: tuple[RefusedRow, ...]
     trailing: tuple[str, ...]
     silent: tuple[str, ...]
 
@@ -105,7 +105,7 @@
             first = self.refused[0]
             found.append(
                 f"where {self.refusals} rows are refused: {first.name} has {first.refusal.scope}"
-                f" {first.refusal.key} at version {first.refusal.version}: {first.refusal.why}"
+                f" {first.refusal.key} at version {first.refusal.version}: {first.refusal.reason}"
             )
         return f"revision {self.revision} is not in force " + "; ".join(found) if found else ""
 
@@ -124,7 +124,7 @@
     }  # one may have several addresses
     revision = revision or max((s["applied"] for s in by_node.values()), default=0)
     late: list[Late] = []
-    refused: list[Refused] = []
+    refused: list[RefusedRow] = []
     trailing: list[str] = []
     balancers = reached = refusals = 0
     for number, s in by_node.items():
@@ -169,9 +169,9 @@
     those that are not listed have come further than the last that is, and count once that has come
     so far.
     """
-    below = sum(count for reached, count in feed.reached if reached < revision)
-    unlisted = feed.subscribers - sum(count for _, count in feed.reached)
-    if unlisted and feed.reached and feed.reached[-1][0] < revision:
+    below = sum(count for reached, count in feed.acknowledged if reached < revision)
+    unlisted = feed.subscribers - sum(count for _, count in feed.acknowledged)
+    if unlisted and feed.acknowledged and feed.acknowledged[-1][0] < revision:
         below += unlisted
     return below
 
--- a/loadbalancer/store/server.py
+++ b/loadbalancer/store/server.py
@@ -442,7 +442,7 @@
             self.transport.write(
                 b"".join(
                     self.sender.frame(
-                        protocol.pack(Fed(self.feed_id, one.generation, one.sequence, one.word))
+                        protocol.pack(Fed(self.feed_id, one.generation, one.sequence, one.payload))
                     )
                     for one in sends
                 )
--- a/loadbalancer/testbed/feed/herd.py
+++ b/loadbalancer/testbed/feed/herd.py
@@ -14,9 +14,16 @@
 from random import Random
 from typing import Any
 
-from loadbalancer.changefeed.fanout import Fanout, FanoutLimits
+from loadbalancer.changefeed.fanout import Fanout, FanoutLimits, StoreSnapshot
 from loadbalancer.changefeed.messages import Row
-from loadbalancer.changefeed.subscription import Dial, HangUp, Say, Subscription, SubscriptionLimits
+from loadbalancer.changefeed.subscription import (
+    Dial,
+    Disconnect,
+    SendMessage,
+    Subscription,
+    SubscriptionLimits,
+    SubscriptionOptions,
+)
 
 SECOND = 1_000_000_000
 DELAY = 2_000_000  # ns of a word's way
@@ -36,7 +43,10 @@
     def __init__(self, herd: Herd, number: int, scopes: list[str], order: list[int]) -> None:
         self.herd, self.order = herd, order
         self.subscription = Subscription(
-            f"balancer-{number}", scopes, _takes, SubscriptionLimits(), Random(number), herd.now
+            f"balancer-{number}",
+            scopes,
+            SubscriptionOptions(_takes, SubscriptionLimits(), Random(number)),
+            herd.now,
         )
         self.node: Fanout | None = None
         self.link = 0
@@ -46,25 +56,28 @@
 
     def act(self) -> None:
         herd, subscription = self.herd, self.subscription
-        for action in subscription.take_out():
+        for action in subscription.take_actions():
             if isinstance(action, Dial):
-                herd.at(herd.now + 2 * DELAY, lambda turn=action.turn: self._dialled(turn))  # type: ignore[misc]
-            elif self.node is not None and isinstance(action, Say):
+                herd.at(
+                    herd.now + 2 * DELAY,
+                    lambda index=action.address_index: self._dialled(index),  # type: ignore[misc]
+                )
+            elif self.node is not None and isinstance(action, SendMessage):
                 herd.to_node(
                     self.node,
-                    lambda node, link=self.link, word=action.word: (  # type: ignore[misc]
-                        node.heard(link, word, herd.now)
+                    lambda node, link=self.link, payload=action.payload: (  # type: ignore[misc]
+                        node.receive(link, payload, herd.now)
                     ),
                 )
-            elif self.node is not None and isinstance(action, HangUp):
+            elif self.node is not None and isinstance(action, Disconnect):
                 herd.to_node(
                     self.node,
                     lambda node, link=self.link: (  # type: ignore[misc]
-                        node.gone(link, herd.now)
+                        node.remove(link, herd.now)
                     ),
                 )
                 self.node = None
-        if self.current is None and subscription.ready and subscription.age(herd.now) == 0:
+        if self.current is None and subscription.is_ready and subscription.age_ns(herd.now) == 0:
             self.current = herd.now
         due = subscription.wake_ns
         if not self._wake or due < self._wake:
@@ -77,19 +90,19 @@
         self.subscription.tick(self.herd.now)
         self.act()
 
-    def _dialled(self, turn: int) -> None:
-        node = self.herd.nodes[self.order[turn % len(self.order)]]
+    def _dialled(self, address_index: int) -> None:
+        node = self.herd.nodes[self.order[address_index % len(self.order)]]
         if node is None:
-            self.subscription.lost("refused", self.herd.now)
+            self.subscription.on_disconnected("refused", self.herd.now)
         else:
             self.node = node
             self.link = self.herd.linked(self)
-            self.subscription.connected(node.epoch, self.herd.now)
+            self.subscription.on_connected(node.epoch, self.herd.now)
         self.act()
 
     def lose(self) -> None:
         self.node = self.current = None
-        self.subscription.lost("reset", self.herd.now)
+        self.subscription.on_disconnected("reset", self.herd.now)
         self.act()
 
 
@@ -122,7 +135,7 @@
         self.nodes: list[Fanout | None] = []
         for _ in range(nodes):
             node = Fanout("epoch", limits, 0)
-            node.load(len(rows), rows, len(rows), [], 0)
+            node.load(StoreSnapshot(len(rows), rows, len(rows), []), 0)
             self.nodes.append(node)
         self.members: list[Member] = []
         for number in range(balancers):
@@ -149,17 +162,17 @@
         self.at(self.now + DELAY, told)
 
     def _out(self, node: Fanout) -> None:
-        for send in node.take_out():
+        for send in node.take_sends():
             member = self._links[send.subscriber]
             if member.link == send.subscriber and member.node is node:
                 self.at(
                     self.now + DELAY,
                     lambda member=member, send=send: self._hears(  # type: ignore[misc]
-                        member, send.subscriber, send.generation, send.sequence, send.word
+                        member, send.subscriber, send.generation, send.sequence, send.payload
                     ),
                 )
         due = node.wake_ns
-        if due and due < self._wakes.get(id(node), 1 << 62):
+        if due is not None and due < self._wakes.get(id(node), 1 << 62):
             self._wakes[id(node)] = due
             self.at(due, lambda: self._ticks(node))
 
@@ -173,7 +186,7 @@
         self, member: Member, link: int, generation: int, sequence: int, word: bytes
     ) -> None:
         if member.link == link and member.node is not None:
-            member.subscription.heard(generation, sequence, word, self.now)
+            member.subscription.receive(generation, sequence, word, self.now)
             member.act()
 
     def run(self, seconds: float) -> None:
@@ -207,7 +220,7 @@
                 if there
             },
             **{key: value - before[key] for key, value in self._sums().items()},
-            "mended": sum(member.subscription.mended for member in self.members),
+            "mended": sum(member.subscription.resyncs for member in self.members),
             "cpu_s_of_all": round(cpu, 2),
         }
 
--- a/loadbalancer/testbed/feed/measure.py
+++ b/loadbalancer/testbed/feed/measure.py
@@ -14,9 +14,15 @@
 from random import Random
 from statistics import median
 
-from loadbalancer.changefeed.fanout import Fanout, FanoutLimits, FeedChange
-from loadbalancer.changefeed.messages import Reached, Row, Subscribe, pack
-from loadbalancer.changefeed.subscription import Dial, Say, Subscription, SubscriptionLimits
+from loadbalancer.changefeed.fanout import Fanout, FanoutLimits, FeedChange, StoreSnapshot
+from loadbalancer.changefeed.messages import Acknowledge, Row, Subscribe, pack
+from loadbalancer.changefeed.subscription import (
+    Dial,
+    SendMessage,
+    Subscription,
+    SubscriptionLimits,
+    SubscriptionOptions,
+)
 from loadbalancer.testbed.size.fit import Slope, fit
 
 SECOND = 1_000_000_000
@@ -44,7 +50,7 @@
 
 def loaded(count: int, scopes: int) -> Fanout:
     fanout = Fanout("epoch", LIMITS, SECOND)
-    fanout.load(count + 1, rows(count, scopes), count + 1, [], SECOND)
+    fanout.load(StoreSnapshot(count + 1, rows(count, scopes), count + 1, []), SECOND)
     return fanout
 
 
@@ -54,16 +60,16 @@
         ask = Subscribe(
             f"balancer-{number}", "epoch", tuple((scope, 0) for scope in scopes(number))
         )
-        fanout.heard(number, pack(ask), SECOND)
+        fanout.receive(number, pack(ask), SECOND)
         acknowledge(fanout)
 
 
 def acknowledge(fanout: Fanout) -> int:
-    last = {send.subscriber: send.sequence for send in fanout.take_out() if send.sequence}
-    words = [(number, pack(Reached(sequence))) for number, sequence in last.items()]
+    last = {send.subscriber: send.sequence for send in fanout.take_sends() if send.sequence}
+    words = [(number, pack(Acknowledge(sequence))) for number, sequence in last.items()]
     began = time.process_time_ns()
     for number, word in words:
-        fanout.heard(number, word, SECOND)
+        fanout.receive(number, word, SECOND)
     return time.process_time_ns() - began
 
 
@@ -76,14 +82,14 @@
         revision = fanout.revision + 1
         changes = [FeedChange(revision, "feed/service:orders-0/upstream/x", at + 1, bytes(VALUE))]
         began = time.process_time_ns()
-        fanout.applied(revision, changes, SECOND)
-        sends = fanout.take_out()
+        fanout.apply(revision, changes, SECOND)
+        sends = fanout.take_sends()
         told.append((time.process_time_ns() - began) / 1_000)
         assert len(sends) == subscribers
-        words = [(send.subscriber, pack(Reached(send.sequence))) for send in sends]
+        words = [(send.subscriber, pack(Acknowledge(send.sequence))) for send in sends]
         began = time.process_time_ns()
         for number, word in words:
-            fanout.heard(number, word, SECOND)
+            fanout.receive(number, word, SECOND)
         heard.append((time.process_time_ns() - began) / 1_000)
     return {"told_us": median(told), "heard_us": median(heard)}
 
@@ -101,7 +107,7 @@
         began = time.process_time_ns()
         for second in range(10):
             fanout.tick((2 + round_ * 10 + second) * SECOND)
-            fanout.take_out()
+            fanout.take_sends()
         spent.append((time.process_time_ns() - began) / 10_000)
     return {"rest_us_s": median(spent), "rest_bytes_s": (fanout.status().sent_bytes - before) / 200}
 
@@ -140,8 +146,8 @@
         fanout = loaded(10_000, 500)
         began = time.process_time_ns()
         for number, ask in enumerate(asks):
-            fanout.heard(number, ask, SECOND)
-        fanout.take_out()
+            fanout.receive(number, ask, SECOND)
+        fanout.take_sends()
         spent.append((time.process_time_ns() - began) / 1_000)
     return {"resume_us": median(spent)}
 
@@ -151,7 +157,7 @@
     told = rows(count, 2_900)
     before = resident()
     fanout = Fanout("epoch", LIMITS, SECOND)
-    fanout.load(count + 1, told, count + 1, [], SECOND)
+    fanout.load(StoreSnapshot(count + 1, told, count + 1, []), SECOND)
     after = resident()
     assert fanout.revision
     return {"row_bytes": after - before}
@@ -173,20 +179,20 @@
     """Until neither has anything to say; ns that the subscription took."""
     spent = 0
     while True:
-        sends = fanout.take_out()
+        sends = fanout.take_sends()
         began = time.process_time_ns()
         for send in sends:
-            subscription.heard(send.generation, send.sequence, send.word, now)
+            subscription.receive(send.generation, send.sequence, send.payload, now)
         subscription.tick(now)
-        actions = subscription.take_out()
+        actions = subscription.take_actions()
         spent += time.process_time_ns() - began
         if not sends and not actions:
             return spent
         for action in actions:
             if isinstance(action, Dial):
-                subscription.connected("epoch", now)
-            elif isinstance(action, Say):
-                fanout.heard(1, action.word, now)
+                subscription.on_connected("epoch", now)
+            elif isinstance(action, SendMessage):
+                fanout.receive(1, action.payload, now)
 
 
 def balancer(count: int) -> dict[str, float]:
@@ -195,7 +201,10 @@
     """
     fanout = loaded(count, 1)
     subscription = Subscription(
-        "balancer", ["service:orders-0"], _takes, SubscriptionLimits(), Random(1), 0
+        "balancer",
+        ["service:orders-0"],
+        SubscriptionOptions(_takes, SubscriptionLimits(), Random(1)),
+        0,
     )
     now = SECOND
     follow(subscription, fanout, now)
@@ -203,10 +212,10 @@
     for at in range(300):
         now += SECOND
         revision = fanout.revision + 1
-        fanout.applied(revision, [FeedChange(revision, name, count + at, bytes(VALUE))], now)
+        fanout.apply(revision, [FeedChange(revision, name, count + at, bytes(VALUE))], now)
         took = follow(subscription, fanout, now) + follow(subscription, fanout, now + SECOND // 10)
         spent.append(took / 1_000)
-    assert subscription.ready and not subscription.mended
+    assert subscription.is_ready and not subscription.resyncs
     return {"delta_us": median(spent)}
 
 
@@ -220,13 +229,11 @@
     subscription = Subscription(
         "balancer",
         [f"service:orders-{at}" for at in range(scopes)],
-        _takes,
-        SubscriptionLimits(),
-        Random(1),
+        SubscriptionOptions(_takes, SubscriptionLimits(), Random(1)),
         0,
     )
     spent = follow(subscription, fanout, SECOND)
-    assert subscription.ready
+    assert subscription.is_ready
     return {"table_bytes": resident() - before, "whole_us": spent / 1_000}
 
 
@@ -264,7 +271,7 @@
     "row_bytes": ("feed.row.memory", "bytes", "rows"),
     "delta_us": ("feed.delta.taken", "us", "rows"),
     "table_bytes": ("feed.table.memory", "bytes", "rows"),
-    "whole_us": ("feed.whole.taken", "us", "rows"),
+    "whole_us": ("feed.is_snapshot.taken", "us", "rows"),
 }
 
 
--- a/loadbalancer/testbed/feed/planted.py
+++ b/loadbalancer/testbed/feed/planted.py
@@ -7,16 +7,21 @@
 from typing import Any, NamedTuple
 
 from loadbalancer.changefeed import digest
+from loadbalancer.changefeed.delivery import Delivery
 from loadbalancer.changefeed.fanout import Fanout
 from loadbalancer.changefeed.messages import Patch, Row
 from loadbalancer.changefeed.scope import Scope
-from loadbalancer.changefeed.scope_table import ScopeTable, Stage
-from loadbalancer.changefeed.subscriber import Subscriber
+from loadbalancer.changefeed.scope_table import PatchBuffer, ScopeTable
+from loadbalancer.changefeed.subscriber import Subscriber, WatchedScope
 from loadbalancer.changefeed.subscription import Subscription
 from loadbalancer.testbed.feed.sim import Options, Outcome, play
 
-_patch, _rescope, _delta = Subscription._patch, Subscription._rescope, ScopeTable.delta
-_since, _keep, _serve = Scope.since, Scope.keep, Fanout._serve
+_on_patch = Subscription._on_patch
+_replace_scopes = Subscription._replace_scopes
+_apply_delta = ScopeTable.apply_delta
+_changes_since = Scope.changes_since
+_put = Scope.put
+_serve = Delivery.serve
 
 
 def _cursor_before_last_part(
@@ -24,15 +29,15 @@
 ) -> None:
     """A scope's cursor moves on with the first part of a patch."""
     table = self.scopes.get(patch.scope)
-    if table is not None and table.generation <= generation and not patch.last:
-        table.cursor, table.known = max(table.cursor, patch.revision), True
-    _patch(self, generation, patch, size, now)
+    if table is not None and table.generation <= generation and not patch.is_last_chunk:
+        table.cursor, table.is_known = max(table.cursor, patch.revision), True
+    _on_patch(self, generation, patch, size, now)
 
 
 def _keeps_dropped(self: Subscription, new: list[str], old: list[str], now: int) -> None:
     tables = self.__dict__.setdefault("dropped", {})
     tables.update({scope: self.scopes[scope] for scope in old})
-    _rescope(self, new, old, now)
+    _replace_scopes(self, new, old, now)
 
 
 def _applies_dropped(
@@ -41,10 +46,10 @@
     """What is under way of a dropped scope is applied."""
     dropped = self.__dict__.get("dropped", {}).get(patch.scope)
     if patch.scope in self.scopes or dropped is None:
-        _patch(self, generation, patch, size, now)
+        _on_patch(self, generation, patch, size, now)
         return
     self.scopes[patch.scope] = dropped
-    _patch(self, generation, patch, size, now)
+    _on_patch(self, generation, patch, size, now)
     self.scopes.pop(patch.scope, None)
 
 
@@ -60,21 +65,21 @@
 
 def _without_deletes(self: Scope, cursor: int) -> list[Row]:
     """Deletions are not told where other rows are."""
-    rows = _since(self, cursor)
+    rows = _changes_since(self, cursor)
     return [row for row in rows if row.value is not None] or rows
 
 
 def _digest_keeps_deleted(self: Scope, row: Row) -> None:
     before = self.digest
-    _keep(self, row)
+    _put(self, row)
     if row.value is None:
         self.digest = before
 
 
 def _counted_at_send(self: Subscriber) -> tuple[int, int] | None:
     """What was sent counts as in force."""
-    told = self.told()
-    return None if told is None else (told, 0)
+    delivered = self.delivered_revision()
+    return None if delivered is None else (delivered, 0)
 
 
 def _always_covered(self: Scope, cursor: int) -> bool:
@@ -87,28 +92,30 @@
     self._begin(subscriber, cursors, now)
 
 
-def _served_while_parked(self: Fanout, subscriber: Subscriber, now: int) -> None:
+def _served_while_parked(self: Delivery, subscriber: Subscriber, now: int) -> None:
     """What a parked subscriber says is answered with a bookmark."""
-    parked, subscriber.parked = subscriber.parked, None
+    parked, subscriber.parked_cursors = subscriber.parked_cursors, None
     _serve(self, subscriber, now)
-    subscriber.parked = parked
+    subscriber.parked_cursors = parked
 
 
-def _no_more(self: Fanout, subscriber: Subscriber, scope: Scope, revision: int, now: int) -> None:
+def _no_more(
+    self: Delivery, subscriber: Subscriber, scope: WatchedScope, revision: int, now: int
+) -> None:
     """What changes while a snapshot is under way is not told after it."""
 
 
-def _no_window(self: Fanout, subscriber: Subscriber, size: int) -> bool:
+def _no_window(self: Delivery, subscriber: Subscriber, size: int) -> bool:
     """As much is sent as there is."""
-    return subscriber.writable
+    return subscriber.is_writable
 
 
-def _blind(self: ScopeTable, stage: Stage, expected: int) -> list[Row] | None:
+def _blind(self: ScopeTable, stage: PatchBuffer, expected: int) -> list[Row] | None:
     """No digest finds anything, so the books have to."""
     after = self.digest
     for row in stage.rows.values():
-        after = digest.moved(after, self.rows.get(row.key), row)
-    taken = _delta(self, stage, after)
+        after = digest.replaced(after, self.rows.get(row.key), row)
+    taken = _apply_delta(self, stage, after)
     self.digest = expected
     return taken
 
@@ -119,24 +126,27 @@
     put: Callable[..., Any]
 
 
-BLIND = Plant(ScopeTable, "delta", _blind), Plant(Subscription, "_sound", lambda self, table: True)
+BLIND = (
+    Plant(ScopeTable, "apply_delta", _blind),
+    Plant(Subscription, "_digest_matches", lambda self, table: True),
+)
 PLANTS: dict[str, tuple[Plant, ...]] = {
-    "cursor-before-last-part": (Plant(Subscription, "_patch", _cursor_before_last_part),),
+    "cursor-before-last-part": (Plant(Subscription, "_on_patch", _cursor_before_last_part),),
     "dropped-scope-applied": (
-        Plant(Subscription, "_rescope", _keeps_dropped),
-        Plant(Subscription, "_patch", _applies_dropped),
+        Plant(Subscription, "_replace_scopes", _keeps_dropped),
+        Plant(Subscription, "_on_patch", _applies_dropped),
     ),
-    "stale-coalescing": (Plant(Scope, "since", _first_of_each),),
-    "lost-delete": (Plant(Scope, "since", _without_deletes),),
-    "stale-coalescing-unseen-by-digests": (Plant(Scope, "since", _first_of_each), *BLIND),
-    "lost-delete-unseen-by-digests": (Plant(Scope, "since", _without_deletes), *BLIND),
-    "digest-keeps-deleted": (Plant(Scope, "keep", _digest_keeps_deleted),),
+    "stale-coalescing": (Plant(Scope, "changes_since", _first_of_each),),
+    "lost-delete": (Plant(Scope, "changes_since", _without_deletes),),
+    "stale-coalescing-unseen-by-digests": (Plant(Scope, "changes_since", _first_of_each), *BLIND),
+    "lost-delete-unseen-by-digests": (Plant(Scope, "changes_since", _without_deletes), *BLIND),
+    "digest-keeps-deleted": (Plant(Scope, "put", _digest_keeps_deleted),),
     "reached-at-send": (Plant(Subscriber, "lag", _counted_at_send),),
     "resumed-past-the-log": (Plant(Scope, "covers", _always_covered),),
     "never-parked": (Plant(Fanout, "_park", _never_parked),),
-    "bookmark-while-parked": (Plant(Fanout, "_serve", _served_while_parked),),
-    "lost-under-a-snapshot": (Plant(Fanout, "_streamed", _no_more),),
-    "no-window": (Plant(Fanout, "_room", _no_window),),
+    "bookmark-while-parked": (Plant(Delivery, "serve", _served_while_parked),),
+    "lost-under-a-snapshot": (Plant(Delivery, "_requeue_if_changed", _no_more),),
+    "no-window": (Plant(Delivery, "_has_window", _no_window),),
 }
 
 
--- a/loadbalancer/testbed/feed/sim.py
+++ b/loadbalancer/testbed/feed/sim.py
@@ -16,15 +16,22 @@
 
 from msgspec import structs
 
-from loadbalancer.changefeed.fanout import BadWord, Fanout, FanoutLimits, FeedChange
-from loadbalancer.changefeed.messages import MOST_REFUSALS, Bookmark, Patch, unpack_told
+from loadbalancer.changefeed.fanout import (
+    Fanout,
+    FanoutLimits,
+    FeedChange,
+    FeedProtocolError,
+    StoreSnapshot,
+)
+from loadbalancer.changefeed.messages import MAX_REFUSALS, Bookmark, Patch, unpack_server_message
 from loadbalancer.changefeed.subscription import (
     Apply,
     Dial,
-    HangUp,
-    Say,
+    Disconnect,
+    SendMessage,
     Subscription,
     SubscriptionLimits,
+    SubscriptionOptions,
 )
 from loadbalancer.testbed.cluster.checks import Broken
 from loadbalancer.testbed.feed.books import REFUSED, Book, History
@@ -39,7 +46,7 @@
     waiting_most=2,
     later_least_ms=50,
     later_most_ms=1_500,
-    part_bytes=500,
+    chunk_bytes=500,
     log_changes=80,
     log_bytes=16_000,
     scope_changes=20,
@@ -200,7 +207,7 @@
         while waiting and (not self.storms or self.rng.random() < 0.9):
             some = min(len(waiting), self.rng.choice((1, 1, 1, 3)))
             until = waiting[some - 1]
-            fanout.applied(until, self._changes(fanout.revision, until), self.now)
+            fanout.apply(until, self._changes(fanout.revision, until), self.now)
             waiting = waiting[some:]
         self._out(node)
 
@@ -224,7 +231,7 @@
         ]
         self.counts["loads"] += 1
         self.counts["loads past the log"] += 0 < fanout.revision < base
-        fanout.load(revision, rows, base, self._changes(base, revision), self.now)
+        fanout.load(StoreSnapshot(revision, rows, base, self._changes(base, revision)), self.now)
         self._out(node)
 
     # Nodes
@@ -255,8 +262,8 @@
         self.counts["restores"] += 1
 
     def _node_wakes(self, node: Node) -> None:
-        due = node.fanout.wake_ns if node.fanout is not None else 0
-        if due and (not node.wakes or due < node.wakes):
+        due = node.fanout.wake_ns if node.fanout is not None else None
+        if due is not None and (not node.wakes or due < node.wakes):
             node.wakes = due
             self.at(due, lambda: self._node_ticks(node, due))
 
@@ -272,32 +279,32 @@
         fanout = node.fanout
         if fanout is None:
             return
-        for send in fanout.take_out():
+        for send in fanout.take_sends():
             link = node.links.get(send.subscriber)
             if link is None:
                 continue
-            link.buffered += len(send.word)
+            link.buffered += len(send.payload)
             if link.buffered > BUFFER and not link.full:
                 link.full = True
                 self.counts["full"] += 1
-                fanout.writable(link.number, False, self.now)
+                fanout.set_writable(link.number, False, self.now)
             link.last_down = max(link.last_down, self.now + self.delay())
             self.at(
                 link.last_down,
                 lambda link=link, send=send: self._arrives(  # type: ignore[misc]
-                    link, send.generation, send.sequence, send.word
+                    link, send.generation, send.sequence, send.payload
                 ),
             )
         self._bounds(fanout)
         self._node_wakes(node)
 
     def _bounds(self, fanout: Fanout) -> None:
-        changes, size = fanout.cache.logged
-        most = max(NODE_LIMITS.window_bytes, 2 * NODE_LIMITS.part_bytes)
+        changes, size = fanout.cache.log_size
+        most = max(NODE_LIMITS.window_bytes, 2 * NODE_LIMITS.chunk_bytes)
         if changes > NODE_LIMITS.log_changes or size > NODE_LIMITS.log_bytes:
             raise Broken("bounds", f"a log of {changes} changes, {size} bytes")
-        if fanout.patches.bytes > NODE_LIMITS.cache_bytes + len(KEYS) * 400:
-            raise Broken("bounds", f"{fanout.patches.bytes} bytes of patches are kept")
+        if fanout.patches.size_bytes > NODE_LIMITS.cache_bytes + len(KEYS) * 400:
+            raise Broken("bounds", f"{fanout.patches.size_bytes} bytes of patches are kept")
         for subscriber in fanout.subscribers.values():
             under_way = sum(one.size for one in subscriber.unacknowledged)
             if under_way != subscriber.unacknowledged_bytes or under_way > most:
@@ -316,15 +323,15 @@
         if link.full and link.buffered <= BUFFER // 2:
             link.full = False
             if link.open_up and link.node.fanout is link.fanout:
-                link.fanout.writable(link.number, True, self.now)
+                link.fanout.set_writable(link.number, True, self.now)
                 self._out(link.node)
-        told = unpack_told(word)
+        told = unpack_server_message(word)
         self.counts[type(told).__name__] += 1
         if isinstance(told, Patch):
-            self.counts["parts"] += not told.last
-            self.counts["whole"] += told.whole
+            self.counts["parts"] += not told.is_last_chunk
+            self.counts["whole"] += told.is_snapshot
             self.counts["of another generation"] += generation != balancer.subscription.generation
-        balancer.subscription.heard(generation, sequence, word, self.now)
+        balancer.subscription.receive(generation, sequence, word, self.now)
         self._acts(balancer)
         if isinstance(told, Patch | Bookmark):
             self._tables(balancer)
@@ -333,8 +340,8 @@
         if not link.open_up or link.node.fanout is not link.fanout:
             return
         try:
-            link.fanout.heard(link.number, word, self.now)
-        except BadWord as error:
+            link.fanout.receive(link.number, word, self.now)
+        except FeedProtocolError as error:
             raise Broken("bad word", f"{link.balancer.book.name}: {error}") from None
         self._out(link.node)
         self._statuses(link.node)
@@ -357,14 +364,14 @@
         link.open_up = False
         link.node.links.pop(link.number, None)
         if link.node.fanout is link.fanout:
-            link.fanout.gone(link.number, self.now)
+            link.fanout.remove(link.number, self.now)
             self._out(link.node)
 
     def _balancer_drops(self, link: Link) -> None:
         balancer = link.balancer
         if balancer.link is link:
             balancer.link = None
-            balancer.subscription.lost("cut", self.now)
+            balancer.subscription.on_disconnected("cut", self.now)
             self._acts(balancer)
 
     # Balancers
@@ -378,9 +385,11 @@
         subscription = Subscription(
             book.name,
             scopes,
-            lambda scope, row: "" if book.takes(row) else "no such thing is known here",
-            LIMITS,
-            Random(self.rng.random()),
+            SubscriptionOptions(
+                lambda scope, row: "" if book.takes(row) else "no such thing is known here",
+                LIMITS,
+                Random(self.rng.random()),
+            ),
             self.now,
         )
         balancer = Balancer(book, subscription, order)
@@ -388,25 +397,25 @@
         return balancer
 
     def _acts(self, balancer: Balancer) -> None:
-        for action in balancer.subscription.take_out():
-            if isinstance(action, Say):
+        for action in balancer.subscription.take_actions():
+            if isinstance(action, SendMessage):
                 link = balancer.link
                 if link is not None:
                     link.last_up = max(link.last_up, self.now + self.delay())
                     self.at(
                         link.last_up,
-                        lambda link=link, word=action.word: self._hears(  # type: ignore
-                            link, word
+                        lambda link=link, payload=action.payload: self._hears(  # type: ignore
+                            link, payload
                         ),
                     )
             elif isinstance(action, Apply):
                 history = self.histories[balancer.subscription.epoch]
                 balancer.book.applied(
-                    history, action.scope, action.whole, action.rows, action.revision
+                    history, action.scope, action.is_snapshot, action.rows, action.revision
                 )
                 self.counts["applied"] += 1
-            elif isinstance(action, HangUp):
-                self.counts[f"hung up: {action.why.split(' ', 1)[0]}"] += 1
+            elif isinstance(action, Disconnect):
+                self.counts[f"hung up: {action.reason.split(' ', 1)[0]}"] += 1
                 link, balancer.link = balancer.link, None
                 balancer.dials += 1
                 if link is not None:
@@ -431,13 +440,13 @@
     def _dial(self, balancer: Balancer, action: Dial) -> None:
         balancer.dials += 1
         dial = balancer.dials
-        node = self.nodes[balancer.order[action.turn % len(balancer.order)]]
+        node = self.nodes[balancer.order[action.address_index % len(balancer.order)]]
 
         def through() -> None:
             if balancer.dials != dial or balancer.stopped:
                 return
             if node.fanout is None:
-                balancer.subscription.lost("refused", self.now)
+                balancer.subscription.on_disconnected("refused", self.now)
             else:
                 self._links += 1
                 link = balancer.link = node.links[self._links] = Link(
@@ -447,7 +456,7 @@
                     self.storms and self.rng.random() < 0.2
                 ):  # in the middle of what it is told first
                     self.at(self.now + self.rng.randint(1, 60) * MS, lambda: self._cut(link))
-                balancer.subscription.connected(node.fanout.epoch, self.now)
+                balancer.subscription.on_connected(node.fanout.epoch, self.now)
             self._acts(balancer)
 
         self.at(self.now + self.delay(), through)
@@ -467,7 +476,7 @@
         for link, generation, sequence, word in kept:
             self._arrives(link, generation, sequence, word)
         if balancer.link is None:
-            balancer.subscription.lost("stopped", self.now)
+            balancer.subscription.on_disconnected("stopped", self.now)
         balancer.subscription.tick(self.now)
         self._acts(balancer)
 
@@ -480,19 +489,19 @@
             add.append(drop[0])  # in one word, or in the next while that is under way
             if self.rng.random() < 0.5:
                 balancer.book.wanted([], drop)
-                balancer.subscription.want((), drop, self.now)
+                balancer.subscription.update_scopes((), drop, self.now)
                 self._acts(balancer)
                 drop = []
         balancer.book.wanted([], drop)
         balancer.book.wanted(add, [])
-        balancer.subscription.want(add, drop, self.now)
+        balancer.subscription.update_scopes(add, drop, self.now)
         self.counts["rescopes"] += 1
         self._acts(balancer)
 
     def _spoil(self, balancer: Balancer) -> None:
         """A row is lost, or stands there twice."""
         for table in balancer.subscription.scopes.values():
-            if table.known and table.rows:
+            if table.is_known and table.rows:
                 key = self.rng.choice(sorted(table.rows))
                 if self.rng.random() < 0.5:
                     del table.rows[key]
@@ -509,11 +518,11 @@
         subscription = balancer.subscription
         if self.options.spoil:
             return
-        if subscription.mended:
+        if subscription.resyncs:
             raise Broken("digest", f"{balancer.book.name} had to take a scope anew")
         history = self.histories[subscription.epoch]
         for scope, table in subscription.scopes.items():
-            if table.known and table.rows != history.rows(scope, table.cursor):
+            if table.is_known and table.rows != history.rows(scope, table.cursor):
                 raise Broken("table", f"{balancer.book.name}: {scope} is not as of {table.cursor}")
 
     def _statuses(self, node: Node) -> None:
@@ -522,7 +531,7 @@
         if fanout is None or self.rng.random() < 0.5:
             return
         status = fanout.status()
-        if sum(count for _, count in status.reached) != status.subscribers:
+        if sum(count for _, count in status.acknowledged) != status.subscribers:
             raise Broken("status", f"{status}")
         lags = {lag.name: lag.revision for lag in status.laggards}
         for link in node.links.values():
@@ -541,10 +550,12 @@
         last = self.history.revision
         for balancer in self.balancers:
             book, subscription = balancer.book, balancer.subscription
-            if not subscription.ready or subscription.epoch != self.history.epoch:
-                raise Broken("rest", f"{book.name} is {subscription.state}: {subscription.why}")
-            if subscription.age(self.now) > LIMITS.silent_ns:
-                raise Broken("rest", f"{book.name} is {subscription.age(self.now) // MS} ms old")
+            if not subscription.is_ready or subscription.epoch != self.history.epoch:
+                raise Broken(
+                    "rest", f"{book.name} is {subscription.state}: {subscription.disconnect_reason}"
+                )
+            if subscription.age_ns(self.now) > LIMITS.silent_ns:
+                raise Broken("rest", f"{book.name} is {subscription.age_ns(self.now) // MS} ms old")
             if set(subscription.scopes) != set(book.views):
                 raise Broken("rest", f"{book.name} has other scopes than it wants")
             for scope, view in book.views.items():
@@ -558,14 +569,14 @@
             assert node.fanout is not None
             status = node.fanout.status()
             refused += status.refusals
-            counted.update(dict(status.reached))
+            counted.update(dict(status.acknowledged))
             if status.parked or status.waiting or status.laggards:
                 raise Broken("rest", f"node {node.number}: {status}")
         if counted != {last: len(self.balancers)}:
             raise Broken("rest", f"reached by {dict(counted)}, not all by {last}")
         for balancer in self.balancers:
             expected += min(
-                MOST_REFUSALS,
+                MAX_REFUSALS,
                 sum(
                     not balancer.book.takes(row)
                     for scope in balancer.book.views
@@ -627,7 +638,7 @@
             self.counts["resumes"] += status.resumes
             self.counts["snapshots"] += status.snapshots
             self.counts["encoded"] += status.encoded
-        self.counts["mended"] += sum(balancer.subscription.mended for balancer in self.balancers)
+        self.counts["mended"] += sum(balancer.subscription.resyncs for balancer in self.balancers)
 
 
 def play(seed: int, options: Options | None = None) -> Outcome:
--- a/loadbalancer/testbed/size/hollow.py
+++ b/loadbalancer/testbed/size/hollow.py
@@ -197,7 +197,7 @@
         )
         self.inforce(
             told.scope,
-            told.whole,
+            told.is_snapshot,
             ((r.key, r.version, r.value) for r in told.rows),
             told.revision,
             entries,
--- a/loadbalancer/testbed/size/storefeed.py
+++ b/loadbalancer/testbed/size/storefeed.py
@@ -12,13 +12,13 @@
 from pathlib import Path
 
 from loadbalancer.changefeed.messages import (
+    Acknowledge,
     Bookmark,
-    Later,
     Patch,
-    Reached,
+    RetryLater,
     Subscribe,
     pack,
-    unpack_told,
+    unpack_server_message,
 )
 from loadbalancer.store.client import Client, StoreError
 from loadbalancer.store.commands import MOST_OPS, Op
@@ -67,14 +67,14 @@
     def replied(self, reply: AnyReply) -> None:
         if not isinstance(reply, Fed):
             return
-        word = unpack_told(reply.word)
+        word = unpack_server_message(reply.word)
         match word:
             case Patch():
-                self._say(pack(Reached(reply.sequence)))
-                self.told(word.last)
+                self._say(pack(Acknowledge(reply.sequence)))
+                self.told(word.is_last_chunk)
             case Bookmark() if word.digests:  # all was told, up to where the node is
                 self.ready(self)
-            case Later():
+            case RetryLater():
                 self.later += 1
                 asyncio.get_running_loop().call_later(word.after_ms / 1000, self.subscribe)
 
--- a/loadbalancer/testbed/size/writer.py
+++ b/loadbalancer/testbed/size/writer.py
@@ -253,6 +253,6 @@
     async def truth(self) -> dict[str, int]:
         found: dict[str, int] = {}
         for row in (await self.client.scan(feed.PREFIX, within_s=WITHIN_S)).rows:
-            scope, name = feed.split(row.key)
+            scope, name = feed.split_key(row.key)
             found[scope] = (found.get(scope, 0) + seal(name, row.version, row.value or b"")) & MASK
         return found
--- a/tests/changefeed/test_simulation.py
+++ b/tests/changefeed/test_simulation.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("spoil", [False, True])
-def test_nothing_breaks_in_many_storms(spoil: bool) -> None:
+def test_no_invariant_breaks_under_random_faults(spoil: bool) -> None:
     counts: Counter[str] = Counter()
     for seed in range(1, SEEDS + 1):
         outcome = play(seed, Options(spoil=spoil))
@@ -35,8 +35,8 @@
         "restores",
         "stopped",
         "rescopes",
-        "Behind",
-        "Later",
+        "ReplicaBehind",
+        "RetryLater",
         "loads past the log",
         "parts",
         "resumes",
@@ -51,18 +51,18 @@
     assert counts["encoded"] < counts["Patch"] / 5
 
 
-def test_a_seed_decides_all() -> None:
+def test_a_run_is_reproduced_by_its_seed() -> None:
     assert play(17) == play(17) != play(18)
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
-def test_a_planted_bug_is_caught(name: str) -> None:
+def test_a_seeded_bug_is_caught(name: str) -> None:
     found = catch(name, WITHIN)
     assert found is not None
     assert played(name, found.seed) == found and not play(found.seed).broken
 
 
-def test_the_command_plays_seeds_and_plants() -> None:
+def test_the_command_runs_seeds_and_seeded_bugs() -> None:
     def said(*words: str) -> tuple[int, str]:
         result = CliRunner().invoke(
             application(["lab"]), ["lab", "feed-sim", "--seconds", "5", *words]
@@ -89,7 +89,7 @@
     return made
 
 
-def test_the_books_know_each_revision() -> None:
+def test_the_history_knows_each_revision() -> None:
     made = history()
     assert [sorted(made.rows("global", at)) for at in range(1, 6)] == [
         [],
@@ -103,7 +103,7 @@
     assert made.rows("service:b", 5) == {} and made.changed("service:b", 5) == 0
 
 
-def test_the_books_find_what_can_not_be() -> None:
+def test_the_checker_finds_impossible_states() -> None:
     made = history()
     book = Book("b", old=False)
     book.wanted(["global"], [])
@@ -143,7 +143,7 @@
 # ---- many at once --------------------------------------------------------------------------------
 
 
-def test_a_herd_is_ready_soon_and_moves_from_a_dead_node_without_a_snapshot() -> None:
+def test_many_balancers_start_soon_and_fail_over_without_a_snapshot() -> None:
     limits = FanoutLimits(snapshot_bytes_s=200_000, snapshot_burst=20_000, waiting_most=4)
     herd = Herd(1, 3, 120, 5, limits, kinds=(("upstream", 2_000, 110),), services=50)
     started = herd.start()
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -18,7 +18,7 @@
 import pytest
 
 from loadbalancer.__main__ import Parts
-from loadbalancer.changefeed.messages import MOST_ROW, Row, split
+from loadbalancer.changefeed.messages import MAX_ROW_BYTES, Row, split_key
 from loadbalancer.changefeed.subscription import Apply
 from loadbalancer.daemon import endpoint_publisher, rolling_restart_controller, row_codec
 from loadbalancer.daemon.address_map import Reach
@@ -91,10 +91,10 @@
     )
     key = KEYS.upstream(box.entry.id)
     assert (
-        split(key) == (SCOPE, f"upstream/{number_of('box-7'):016x}")
-        and split(KEYS.list)[0] == SCOPE
+        split_key(key) == (SCOPE, f"upstream/{number_of('box-7'):016x}")
+        and split_key(KEYS.list)[0] == SCOPE
     )
-    assert len(key) + len(value) < 134 < len(key) + MOST_ROW
+    assert len(key) + len(value) < 134 < len(key) + MAX_ROW_BYTES
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,11 @@
 
 @pytest.mark.parametrize(
     "bad",
-    [upstream(zone="z" * MOST_ROW), upstream(cell=1 << 70), replace(upstream(), host="name.svc")],
+    [
+        upstream(zone="z" * MAX_ROW_BYTES),
+        upstream(cell=1 << 70),
+        replace(upstream(), host="name.svc"),
+    ],
 )
 def test_an_upstream_that_can_be_no_row_is_one_line(bad: Endpoint) -> None:
     with pytest.raises(Malformed, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
@@ -284,7 +288,7 @@
     listed = [read_endpoint(b) for b in boxes]
     put = [
         Row(
-            split(KEYS.upstream(e.entry.id))[1],
+            split_key(KEYS.upstream(e.entry.id))[1],
             1,
             row_codec.packed(e) if e.entry.state is not api.UpstreamState.REMOVED else None,
         )
@@ -628,7 +632,7 @@
                 while (feed := (await client.status())["feed"])["refusals"] < 2:
                     await asyncio.sleep(0.01)  # the acknowledgement is on its way
             told = [(r["name"], *r["refusal"][:2]) for r in feed["refused"]]
-            assert sorted(told) == [(name, SCOPE, split(key)[1]) for name in ("one", "two")]
+            assert sorted(told) == [(name, SCOPE, split_key(key)[1]) for name in ("one", "two")]
             for bank in (one, two):
                 await bank.close()
 
@@ -643,7 +647,7 @@
         async with fleet(tmp_path, box("s-1")) as (c, discovery, stored):
             one = await Bank(c, "one", discovery).owns()
             await stored.are(*discovery.rows)
-            discovery.change(box("s-2"), box("s-3", zone="z" * MOST_ROW))
+            discovery.change(box("s-2"), box("s-3", zone="z" * MAX_ROW_BYTES))
             await until(lambda: bool(one.list.bad))
             two = Bank(c, "two", None)
             await two.knows(box("s-1"))
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -14,7 +14,7 @@
 from typer.testing import CliRunner, Result
 
 from loadbalancer.changefeed.messages import Refusal
-from loadbalancer.changefeed.status import FeedStatus, Laggard, Refused
+from loadbalancer.changefeed.status import FeedStatus, Laggard, RefusedRow
 from loadbalancer.cli.main import application
 from loadbalancer.store.commands import Op
 from loadbalancer.store.feed_progress import add_up
@@ -173,7 +173,7 @@
         "laggards": (),
         "refusals": 0,
         "refused": (),
-        **dict.fromkeys(FeedStatus.__struct_fields__[7:], 0),
+        **dict.fromkeys(FeedStatus.__struct_encode_fields__[7:], 0),
         **feed,
     }
     members = [{"node": n, "address": f"h{n}:1", "here": n == node} for n in ("a", "b")]
@@ -208,7 +208,7 @@
     )
     assert add_up([a], 50).wrong(10) == ""
     refused = status(
-        "b", 100, refusals=1, refused=(Refused("x", Refusal(ORDERS, "u/a", 3, "why")),)
+        "b", 100, refusals=1, refused=(RefusedRow("x", Refusal(ORDERS, "u/a", 3, "why")),)
     )
     assert (
         add_up([a, refused], 50).wrong(despite_refusals=True)
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -69,7 +69,7 @@
 
     def apply(self, what: Apply) -> None:
         rows = self.rows.setdefault(what.scope, {})
-        if what.whole:
+        if what.is_snapshot:
             rows.clear()
         for row in what.rows:
             if row.value is None:
@@ -87,7 +87,7 @@
             await self.until(lambda: scope in self.rows and self.value(scope, key) == value)
 
     def wholes(self, scope: str) -> int:
-        return sum(what.whole for what in self.applied if what.scope == scope)
+        return sum(what.is_snapshot for what in self.applied if what.scope == scope)
 
     def goes_forward(self) -> bool:
         by: dict[str, list[int]] = {}
@@ -430,7 +430,10 @@
             await put(client, ORDERS, b"2", "a")
             await free.has(ORDERS, "upstream/a", b"2")
             assert free.client.at != here and free.goes_forward()
-            assert free.client.subscription.why == f"{here}: this node knows of no leader"
+            assert (
+                free.client.subscription.disconnect_reason
+                == f"{here}: this node knows of no leader"
+            )
             told, tell = list[int](), Connection.tell
 
             def noted(self: Connection, sends: Sequence[Send]) -> None:
@@ -445,8 +448,8 @@
                 while not fanout.subscribers:
                     await asyncio.sleep(0.005)
                 (back,) = fanout.subscribers.values()
-                came = fanout.status().sent_words
-                while fanout.status().sent_words < came + 3:  # bookmarks, as the fan-out thinks
+                came = fanout.status().sent_messages
+                while fanout.status().sent_messages < came + 3:  # bookmarks, as the fan-out thinks
                     await asyncio.sleep(0.02)
             assert told == [] and back.name == "bound" and bound.value(ORDERS, "upstream/a") == b"1"
             node.step = step  # type: ignore[method-assign]
@@ -557,7 +560,7 @@
             other = Balancer([c.settings[0].advertise], [ORDERS], tls=foreign)
             await one.has(ORDERS, "upstream/a", b"1")
             async with asyncio.timeout(20):
-                while not other.client.subscription.why:
+                while not other.client.subscription.disconnect_reason:
                     await asyncio.sleep(0.005)
             assert not other.applied
             await leave(one, other)
@@ -571,7 +574,7 @@
             wire, why = await greeted(c, Hello(1, "", 0))
             assert not why
             failed = await asyncio.wait_for(wire.ask(Feed(3, 0, b"\xc1")), 5)
-            assert isinstance(failed, protocol.Failed) and "no word of the feed" in failed.text
+            assert isinstance(failed, protocol.Failed) and "invalid message" in failed.text
             await asyncio.wait_for(wire.ended, 5)
             assert c.nodes[0].node.feeding.hearers == {}
             await put(c.client(), ORDERS, b"1", "a")
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from msgspec import structs
 
-from loadbalancer.changefeed.messages import MOST_ROW
+from loadbalancer.changefeed.messages import MAX_ROW_BYTES
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
     FORMAT,
@@ -123,7 +123,7 @@
         ((("feed/global/a/b/c", b"x", ()),), "is no row"),
         (((ACME, b"x", ("config/a",)),), "is no row"),
         (((ACME, b"", ()),), "a row has 1 to 4096 bytes"),
-        (((ACME, bytes(MOST_ROW + 1), ()),), "a row has 1 to 4096 bytes"),
+        (((ACME, bytes(MAX_ROW_BYTES + 1), ()),), "a row has 1 to 4096 bytes"),
         (((ACME, None, (ROUTE,)),), "only a row that is put names others"),
         ((("config/a", b"x", (ACME,)),), "only a row that is put names others"),
         (((ACME, b"x", (ROUTE, ROUTE)),), "each once"),
