--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -595,7 +595,7 @@
             await one.has(ORDERS, "upstream/a", b"1")
             fanout = c.nodes[0].node.feeding.fanout
             assert fanout is not None
-            monkeypatch.setattr(fanout, "applied", lambda *what: 1 / 0)
+            monkeypatch.setattr(fanout, "apply", lambda *what: 1 / 0)
             await put(client, ORDERS, b"2", "a")
             await one.has(ORDERS, "upstream/a", b"2")
             assert feed_of(c, 0)["failures"] == 1 and one.goes_forward()
