--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -6,13 +6,13 @@
 import socket
 import struct
 import time
-from http import HTTPStatus
-from typing import TYPE_CHECKING, cast
+from typing import cast
 
-from loadbalancer.policy import api
 from loadbalancer.proxy.body_stream import Body
+from loadbalancer.proxy.client_answer import AnswerWriter
+from loadbalancer.proxy.connection_host import ConnectionHost
 from loadbalancer.proxy.connection_phase import Phase
-from loadbalancer.proxy.http import LAST_CHUNK, BufferedReader, chunk, end_to_end
+from loadbalancer.proxy.http import BufferedReader, end_to_end
 from loadbalancer.proxy.parse import (
     MAX_BODY,
     Headers,
@@ -20,25 +20,18 @@
     RequestReader,
     Response,
     UnacceptableMessageError,
-    message,
 )
-from loadbalancer.proxy.request_head import read_terms
+from loadbalancer.proxy.request_intake import RequestIntake
 from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.tcp_state import Socket, readable, received
 
-if TYPE_CHECKING:
-    from loadbalancer.proxy.frontend import Frontend
-
-ANSWER_NS = 3_000_000  # kept of each deadline for the answer's way to the client
 # Fractions of the cap on connections above which an answer ends its connection: one that came from
 # no upstream, and any. Idle connections are left their 2 s, so that with many clients they would
 # take all of the capacity, and new ones wait for seconds.
 CLOSE_REJECTED_FRACTION = 0.5
 CLOSE_FRACTION = 0.6
-UPLOAD_NS = 600_000_000_000  # longer than the longest body takes that comes as slowly as is allowed
 PROGRESS_BYTES = 16 * 1024  # bytes of a body that count as progress
 PARSE_BYTES = 16 * 1024  # parsed at a time: what is sent ahead of answers waits unparsed, and small
-REPLACED_HEADERS = frozenset({b"x-deadline-ms"})
 READY_PATH = b"/ready"
 
 
@@ -50,18 +43,16 @@
         open: The request that is owed an answer.
         upload: The body of the open request, as long as it comes.
         progress: Bytes of a body that came since progress was last counted.
-        answer: The body that goes out in pieces.
-        in_chunks: These pieces are chunks.
+        writer: Writes the answers.
         last: The connection ends behind the answer.
-        wait_ns: How long its client waits once the body is complete.
+        intake: Opens requests.
         received_ns: When what is being parsed came.
         phase: The frontend's table that it stands in; None: it is busy with a request.
         end_at: Overdue since it was first found so, it ends then, whatever lies unread.
         lingering: Its last answer is given: what it sends is dropped.
-        blocked: The client does not read its answers.
     """
 
-    def __init__(self, frontend: Frontend) -> None:
+    def __init__(self, frontend: ConnectionHost) -> None:
         self.frontend = frontend
         self.driver = frontend.driver
         self.reader = RequestReader(memory=frontend.memory)
@@ -70,18 +61,13 @@
         self.open: OpenRequest | None = None
         self.upload: Body | None = None
         self.progress = 0
-        self.answer: Body | None = None
-        self.in_chunks = False
+        self.writer = AnswerWriter(self)
         self.last = False
-        self.wait_ns = 0
+        self.intake = RequestIntake(frontend)
         self.received_ns = 0
         self.phase: Phase | None = None
         self.end_at = 0.0
         self.lingering = False
-        self.blocked = False
-        self.keep_alive = True
-        self.is_head = False
-        self.is_http_1_1 = True
 
     @property
     def unread(self) -> bool:
@@ -152,18 +138,18 @@
 
     def pause_writing(self) -> None:
         """Note that the client does not read; called by the event loop."""
-        self.blocked = True
+        self.writer.is_blocked = True
 
     def resume_writing(self) -> None:
         """Write on, and read on; called by the event loop."""
-        self.blocked = False
-        self._pass_on()
+        self.writer.is_blocked = False
+        self.writer.pump()
         self._parse()
 
     @property
     def reading(self) -> bool:
         """Whether what comes is parsed; otherwise it waits for an answer to end."""
-        if self.lingering or self.blocked or self.answer is not None:
+        if self.lingering or self.writer.is_blocked or self.writer.body is not None:
             return False
         return self.open is None or self.upload is not None
 
@@ -214,10 +200,7 @@
     def _drop(self) -> None:
         """Drop the open request: nobody waits for its answer any more."""
         self.upload = None
-        answer = self.answer
-        self.answer = None
-        if answer is not None:
-            answer.drop()
+        self.writer.drop()
         request = self.open
         self.open = None
         if request is not None:
@@ -240,8 +223,8 @@
 
     def cut(self) -> None:
         """Close it as this process ends; an incomplete answer must not seem complete."""
-        if self.answer is not None:
-            self._reset()
+        if self.writer.body is not None:
+            self.reset()
         else:
             self.abort()
 
@@ -251,7 +234,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def _reset(self) -> None:
+    def reset(self) -> None:
         """Close it so that its client can tell that the answer is incomplete.
 
         A reset is no orderly end, and so no end of an answer without a length.
@@ -291,35 +274,22 @@
     def _continue(self) -> None:
         if self.reader.expects_continue:
             self.reader.expects_continue = False
-            self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
+            self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _take(self, head: Request) -> None:
         """Take a request that is complete, but for the rest of a body in pieces."""
-        self.is_head = head.method == b"HEAD"
-        self.keep_alive = head.keep_alive
-        self.is_http_1_1 = head.is_http_1_1
+        self.writer.expect(head)
         stream = head.stream
         if head.target.partition(b"?")[0] == READY_PATH:
             ready = self.frontend.ready
             self._answer(200 if ready else 503, [], b"ready\n" if ready else b"not ready\n")
             return
         try:
-            arrival = self._arrival(head)
+            request = self.intake.open(head, self, self.received_ns)
         except UnacceptableMessageError as error:
             # Behind a complete message the connection can go on.
             self._answer(error.status, [], f"{error}\n".encode(), last=stream is not None)
             return
-        headers = [row for row in end_to_end(head.headers) if row[0] not in REPLACED_HEADERS]
-        request = OpenRequest(
-            arrival,
-            head.method,
-            head.target,
-            headers,
-            head.body,
-            self,
-            max(0, self.wait_ns - ANSWER_NS),
-            stream,
-        )
         self.open = request
         if stream is None:
             self.frontend.busy(self)
@@ -337,43 +307,18 @@
         self.frontend.busy(self)
         self._read_on()  # its end may have come while it was full
         if self.open is not None:
-            self.driver.body_completed(
-                self.open, self._deadline(self.received_ns, self.wait_ns), self.received_ns
-            )
-
-    def _deadline(self, received_ns: int, wait_ns: int) -> int:
-        """When its answer must be given, to arrive in time and before this process ends."""
-        deadline = received_ns + max(0, wait_ns - ANSWER_NS)
-        if self.frontend.draining:
-            deadline = min(deadline, self.frontend.last_answer_ns)
-        return deadline
-
-    def _arrival(self, head: Request) -> api.RequestArrived:
-        terms = read_terms(head, self.driver.settings, self.driver.requests)
-        self.wait_ns = terms.wait_ns
-        deadline_ns = self._deadline(self.received_ns, terms.wait_ns)
-        if head.stream is not None:
-            deadline_ns = self.received_ns + UPLOAD_NS  # until it is complete
-        return api.RequestArrived(
-            terms.request,
-            terms.class_name,
-            terms.tenant,
-            deadline_ns,
-            terms.cost_hint_ns,
-            terms.key,
-            terms.retry,
-            self.received_ns,
-            head.stream is None,
-        )
+            deadline_ns = self.intake.deadline_ns(self.received_ns)
+            self.driver.body_completed(self.open, deadline_ns, self.received_ns)
 
     # ---- out -------------------------------------------------------------------------------------
 
     def serve(self, response: Response) -> None:
         """Pass on an upstream's response."""
         rows = end_to_end(response.headers)
-        if response.stream is not None and not self.is_head:
+        is_head = self.writer.is_head
+        if response.stream is not None and not is_head:
             self._begin(rows, response.stream)
-        elif self.is_head:
+        elif is_head:
             # The length that a GET would be answered with: one of 0 would be wrong.
             length = response.header(b"content-length")
             self._answer(200, rows, b"", length=length)
@@ -401,12 +346,17 @@
         last: bool = False,
         length: bytes | None = None,
     ) -> None:
-        framing = [(b"Content-Length", length or b"%d" % len(body))]
-        self._head(status, [*headers, *framing], last, b"" if self.is_head else body)
-        self._answered()
+        self._end_request(last)
+        self.writer.write_complete(status, headers, body, self.last, length)
+
+    def _begin(self, rows: Headers, body: Body) -> None:
+        """Begin an answer whose body comes in pieces."""
+        self.frontend.wait(self, Phase.ANSWER)
+        self._end_request(False)
+        self.writer.begin_body(rows, body, self.last)
 
-    def _head(self, status: int, rows: Headers, last: bool, body: bytes = b"") -> None:
-        """Write the answer's head, and all of its body where that is at hand."""
+    def _end_request(self, last: bool) -> None:
+        """Note that the open request is answered, and whether the connection ends behind it."""
         was_open = self.open is not None
         self.open = None
         upload = self.upload
@@ -417,15 +367,12 @@
             self._read_on()
         self.last = (
             last
-            or not self.keep_alive
+            or not self.writer.keep_alive
             or self.frontend.draining
             or self.frontend.is_loaded(CLOSE_FRACTION if was_open else CLOSE_REJECTED_FRACTION)
         )
-        if self.last:
-            rows = [*rows, (b"Connection", b"close")]
-        self._write(message(STARTS.get(status) or start_line(status), rows, body))
 
-    def _answered(self) -> None:
+    def answer_completed(self) -> None:
         """Go on behind a complete answer, or end the connection."""
         if self.last:
             self._linger()
@@ -434,41 +381,9 @@
         if self.has_data:
             self.frontend.loop.call_soon(self._parse)
 
-    def _begin(self, rows: Headers, body: Body) -> None:
-        """Begin an answer whose body comes in pieces."""
-        self.in_chunks = body.length is None and self.is_http_1_1
-        if body.length is not None:
-            rows = [*rows, (b"Content-Length", b"%d" % body.length)]
-        elif self.in_chunks:
-            rows = [*rows, (b"Transfer-Encoding", b"chunked")]
+    def answer_progressed(self) -> None:
+        """Count the phase's limit anew, as a part of an answer was written."""
         self.frontend.wait(self, Phase.ANSWER)
-        self._head(200, rows, False)
-        self.answer = body
-        body.changed = self._pass_on
-        self._pass_on()
-
-    def _pass_on(self) -> None:
-        """Write the answer's body on, as long as the client reads."""
-        body = self.answer
-        if body is None:
-            return
-        if body.failed:
-            self._reset()
-            return
-        wrote = False
-        while not self.blocked:
-            piece = body.take()
-            if piece is None:
-                break
-            self._write(chunk(piece) if self.in_chunks else piece)
-            wrote = True
-        if body.drained:
-            self.answer = None
-            if self.in_chunks:
-                self._write(LAST_CHUNK)
-            self._answered()
-        elif wrote:
-            self.frontend.wait(self, Phase.ANSWER)
 
     def _linger(self) -> None:
         """End the sending behind the last answer, and drop what comes until the client ends too.
@@ -482,14 +397,7 @@
             self.frontend.wait(self, Phase.LINGERING)
             transport.write_eof()
 
-    def _write(self, data: bytes | None) -> None:
+    def write(self, data: bytes) -> None:
+        """Write bytes, unless the connection is closing."""
         if data and (transport := self._live) is not None:
             transport.write(data)
-
-
-def start_line(status: int) -> bytes:
-    """The first line of an answer."""
-    return b"HTTP/1.1 %d %b" % (status, HTTPStatus(status).phrase.encode())
-
-
-STARTS = {status: start_line(status) for status in (200, 503, 502, 504)}
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -9,15 +9,19 @@
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from loadbalancer.policy.api import AttemptResult
 from loadbalancer.policy.rules import Denied, Verdict
 from loadbalancer.proxy.body_stream import Body, BodyMemory
 from loadbalancer.proxy.parse import MAX_BODY, Response
 
-if TYPE_CHECKING:
-    from loadbalancer.proxy.upstream_connection import UpstreamConnection
+
+class ExchangeConnection(Protocol):
+    """The connection that carries an exchange."""
+
+    def abort(self) -> None:
+        """Close it at once."""
 
 
 class Outgoing(Protocol):
@@ -101,7 +105,7 @@
         self.expected = expected
         self.done: Callable[[AttemptResult, Response | None], None] | None = done
         self.written = False
-        self.connection: UpstreamConnection | None = None
+        self.connection: ExchangeConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.start_timer: asyncio.TimerHandle | None = None
         self.unread_ns = 0
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -7,10 +7,12 @@
 import socket
 import time
 from contextlib import suppress
+from typing import cast
 
 from loadbalancer.errnos import Cause, Operation, cause
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.client_connection import ClientConnection
+from loadbalancer.proxy.connection_host import HostedConnection
 from loadbalancer.proxy.connection_phase import LIMIT_S, Phase
 from loadbalancer.proxy.listener import leave_to_successor, listen
 from loadbalancer.proxy.policy_driver import Driver
@@ -64,8 +66,8 @@
         self.listener = listener
         self.max_clients = max_clients
         self.clients: set[ClientConnection] = set()
-        self.waiting: dict[Phase, dict[ClientConnection, float]] = {phase: {} for phase in Phase}
-        self.unfinished: dict[ClientConnection, float] = {}
+        self.waiting: dict[Phase, dict[HostedConnection, float]] = {phase: {} for phase in Phase}
+        self.unfinished: dict[HostedConnection, float] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0.0
         self.opening: set[asyncio.Task[None]] = set()
@@ -200,7 +202,7 @@
         """Whether so large a fraction of the cap is used."""
         return len(self.clients) >= fraction * self.max_clients
 
-    def wait(self, client: ClientConnection, phase: Phase) -> None:
+    def wait(self, client: HostedConnection, phase: Phase) -> None:
         """Note that it has no request open from now on, and may be closed at the cap."""
         self.busy(client)
         client.phase = phase
@@ -211,13 +213,13 @@
         if len(self.clients) >= self.max_clients:
             self._listen()
 
-    def note_progress(self, client: ClientConnection) -> None:
+    def note_progress(self, client: HostedConnection) -> None:
         """Note that it goes on sending its request."""
         if client.phase in (Phase.NEW, Phase.BODY):
             self.unfinished.pop(client, None)
             self.unfinished[client] = self.loop.time()
 
-    def busy(self, client: ClientConnection) -> None:
+    def busy(self, client: HostedConnection) -> None:
         """Note that it is in no phase of waiting any more."""
         if client.phase is not None:
             del self.waiting[client.phase][client]
@@ -257,9 +259,9 @@
         """How long a phase may last; no connection is kept for a request that is not accepted."""
         return 0.0 if phase is Phase.IDLE and self.closed else LIMIT_S[phase]
 
-    def lost(self, client: ClientConnection) -> None:
+    def lost(self, client: HostedConnection) -> None:
         """Forget a connection that has ended."""
-        self.clients.discard(client)
+        self.clients.discard(cast(ClientConnection, client))
         self.busy(client)
         self._listen()
         self.check_left()
--- /dev/null
+++ b/loadbalancer/proxy/request_intake.py
@@ -0,0 +1,76 @@
+"""Turns the requests of one client's connection into open requests with deadlines."""
+
+from __future__ import annotations
+
+from loadbalancer.policy import api
+from loadbalancer.proxy.connection_host import ConnectionHost
+from loadbalancer.proxy.http import end_to_end
+from loadbalancer.proxy.parse import Request
+from loadbalancer.proxy.request_head import read_terms
+from loadbalancer.proxy.requests import Client, OpenRequest
+
+ANSWER_NS = 3_000_000  # kept of each deadline for the answer's way to the client
+UPLOAD_NS = 600_000_000_000  # longer than the longest body takes that comes as slowly as is allowed
+REPLACED_HEADERS = frozenset({b"x-deadline-ms"})
+
+
+class RequestIntake:
+    """Reads requests' terms.
+
+    Attributes:
+        wait_ns: How long the client of the last request waits once its body is complete.
+    """
+
+    def __init__(self, host: ConnectionHost) -> None:
+        self.host = host
+        self.wait_ns = 0
+
+    def open(self, head: Request, client: Client, received_ns: int) -> OpenRequest:
+        """Build the open request.
+
+        Args:
+            head: The request, complete but for the rest of a body in pieces.
+            client: Receives the answer.
+            received_ns: When its last byte came.
+
+        Raises:
+            UnacceptableMessageError: It can't be accepted.
+        """
+        arrival = self._arrival(head, received_ns)
+        headers = [row for row in end_to_end(head.headers) if row[0] not in REPLACED_HEADERS]
+        return OpenRequest(
+            arrival,
+            head.method,
+            head.target,
+            headers,
+            head.body,
+            client,
+            max(0, self.wait_ns - ANSWER_NS),
+            head.stream,
+        )
+
+    def deadline_ns(self, received_ns: int) -> int:
+        """When the answer must be given, to arrive in time and before this process ends."""
+        deadline_ns = received_ns + max(0, self.wait_ns - ANSWER_NS)
+        if self.host.draining:
+            deadline_ns = min(deadline_ns, self.host.last_answer_ns)
+        return deadline_ns
+
+    def _arrival(self, head: Request, received_ns: int) -> api.RequestArrived:
+        driver = self.host.driver
+        terms = read_terms(head, driver.settings, driver.requests)
+        self.wait_ns = terms.wait_ns
+        deadline_ns = self.deadline_ns(received_ns)
+        if head.stream is not None:
+            deadline_ns = received_ns + UPLOAD_NS  # until it is complete
+        return api.RequestArrived(
+            terms.request,
+            terms.class_name,
+            terms.tenant,
+            deadline_ns,
+            terms.cost_hint_ns,
+            terms.key,
+            terms.retry,
+            received_ns,
+            head.stream is None,
+        )
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -15,6 +15,7 @@
 
 from loadbalancer.policy import api
 from loadbalancer.proxy import connection_phase, frontend, parse
+from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_phase import Phase
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.proxy.tcp_state import received
@@ -437,7 +438,7 @@
                 [front] = made
                 table = front.waiting[Phase.IDLE]
                 [kept] = table
-                assert kept.transport is not None
+                assert isinstance(kept, ClientConnection) and kept.transport is not None
                 sock = kept.transport.get_extra_info("socket")
                 while received(sock)[1] < 30_000_000:  # the kernel counts in ticks
                     await asyncio.sleep(0)
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -38,6 +38,7 @@
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
+from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from loadbalancer.settings import Json
 from tests.bench import CELL, MS, Desk, arrival, of, settings
 from tests.fakes import (
@@ -96,15 +97,15 @@
             with await plain(w) as sock:
                 crossing = REQUEST.replace(b"r1", b"crossing")
                 if when == "behind the last answer":
-                    write = ClientConnection._write
+                    write = ClientConnection.write
 
-                    def cross(client: ClientConnection, data: bytes | None) -> None:
+                    def cross(client: ClientConnection, data: bytes) -> None:
                         write(client, data)
                         if sock.fileno() >= 0:  # not for the last request
                             sock.send(crossing)
 
                     sock.send(REQUEST.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-                    monkeypatch.setattr(ClientConnection, "_write", cross)
+                    monkeypatch.setattr(ClientConnection, "write", cross)
                 else:
                     if when == "at rest":
                         sock.send(REQUEST)
@@ -175,7 +176,7 @@
             request = connection.open
             assert request is not None and request.attempts[0] is not None
             upstream = request.attempts[0].connection
-            assert upstream is not None and upstream.transport is not None
+            assert isinstance(upstream, UpstreamConnection) and upstream.transport is not None
             for transport in (connection.transport, upstream.transport):
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -488,7 +489,7 @@
             monkeypatch.setattr(ClientConnection, "_begin", without_length(ClientConnection._begin))
             with await plain(w) as sock:
                 sock.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0"))
-                while not any(c.answer for c in made[0].clients):
+                while not any(c.writer.body for c in made[0].clients):
                     await asyncio.sleep(0)
                 made[0].drain()
                 with pytest.raises(ConnectionResetError):
