--- a/deploy/build.py
+++ b/deploy/build.py
@@ -20,6 +20,7 @@
 COMPILED = ROOT / ".compiled"
 HOT = (
     "loadbalancer/policy/*.py",
+    "loadbalancer/proxy/messages.py",
     "loadbalancer/proxy/parse.py",
 )
 # What the platform's `run` and `sim` need; the operators' larger program is installed by pip.
--- a/loadbalancer/daemon/upstream_admin.py
+++ b/loadbalancer/daemon/upstream_admin.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.policy.api import AttemptResult
 from loadbalancer.proxy.exchange import Exchange, ExpectedResponse
-from loadbalancer.proxy.parse import Response, message
+from loadbalancer.proxy.messages import Response, message
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
 
 REQUEST_TIMEOUT_S = 2.0  # to connect, and again for the response
--- a/loadbalancer/proxy/admin_api.py
+++ b/loadbalancer/proxy/admin_api.py
@@ -17,7 +17,8 @@
 from typing import Protocol, cast
 from urllib.parse import unquote
 
-from loadbalancer.proxy.parse import Headers, Request, RequestReader, message
+from loadbalancer.proxy.messages import Headers, Request, message
+from loadbalancer.proxy.parse import RequestReader
 
 log = logging.getLogger(__name__)
 
--- a/loadbalancer/proxy/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -13,7 +13,7 @@
 from loadbalancer.policy import api, rules
 from loadbalancer.policy.rules import Denied
 from loadbalancer.proxy.body_stream import Body
-from loadbalancer.proxy.parse import message
+from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.policy_violations import Denials
 from loadbalancer.proxy.requests import OpenRequest
 
--- a/loadbalancer/proxy/client_answer.py
+++ b/loadbalancer/proxy/client_answer.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.proxy.body_stream import Body
 from loadbalancer.proxy.http import LAST_CHUNK, chunk
-from loadbalancer.proxy.parse import Headers, Request, message
+from loadbalancer.proxy.messages import Headers, Request, message
 
 
 class AnswerSink(Protocol):
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -13,14 +13,8 @@
 from loadbalancer.proxy.connection_host import ConnectionHost
 from loadbalancer.proxy.connection_phase import Phase
 from loadbalancer.proxy.http import BufferedReader, end_to_end
-from loadbalancer.proxy.parse import (
-    MAX_BODY,
-    Headers,
-    Request,
-    RequestReader,
-    Response,
-    UnacceptableMessageError,
-)
+from loadbalancer.proxy.messages import Headers, Request, Response, UnacceptableMessageError
+from loadbalancer.proxy.parse import MAX_BODY, RequestReader
 from loadbalancer.proxy.request_intake import RequestIntake
 from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.tcp_state import Socket, readable, received
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -16,7 +16,7 @@
 from loadbalancer.proxy.discovery_watch import CALL_S, Call, Calls, End
 from loadbalancer.proxy.endpoint_staleness import ListAge
 from loadbalancer.proxy.exchange import Exchange, ExpectedResponse
-from loadbalancer.proxy.parse import Response, message
+from loadbalancer.proxy.messages import Response, message
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -14,7 +14,8 @@
 from loadbalancer.policy.api import AttemptResult
 from loadbalancer.policy.rules import Denied, Verdict
 from loadbalancer.proxy.body_stream import Body, BodyMemory
-from loadbalancer.proxy.parse import MAX_BODY, Response
+from loadbalancer.proxy.messages import Response
+from loadbalancer.proxy.parse import MAX_BODY
 
 
 class ExchangeConnection(Protocol):
--- a/loadbalancer/proxy/parse.py
+++ b/loadbalancer/proxy/parse.py
@@ -7,13 +7,12 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable, Sequence
-from dataclasses import dataclass
 from typing import Generic, TypeVar
 
 import httptools
 
 from loadbalancer.proxy.body_stream import MAX_LENGTH, Body, BodyMemory
+from loadbalancer.proxy.messages import Request, Response, UnacceptableMessageError
 
 MAX_BODY = 64 * 1024  # a longer body is passed on in pieces where that is possible
 MAX_HEAD = 16 * 1024  # bytes ahead of a body; the parser sets no bound of its own
@@ -24,7 +23,6 @@
 SUCCESS = 200
 FIRST_FINAL_STATUS = 200
 STATUSES_WITHOUT_BODY = (204, 304)
-Headers = Sequence[tuple[bytes, bytes]]
 
 # A request that repeats one of these is ambiguous: here one would count, further on the other.
 SINGLE = frozenset(
@@ -43,53 +41,6 @@
 )
 
 
-class UnacceptableMessageError(Exception):
-    """A message can't be accepted; a request is answered with `status`."""
-
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status = status
-
-
-@dataclass(slots=True)
-class Request:
-    """A request.
-
-    Attributes:
-        keep_alive: Its connection stays open behind it.
-        is_http_1_1: Its client speaks HTTP/1.1, and so reads chunks.
-        stream: The body, where it comes in pieces.
-    """
-
-    method: bytes
-    target: bytes
-    headers: list[tuple[bytes, bytes]]
-    body: bytes
-    keep_alive: bool
-    is_http_1_1: bool = True
-    stream: Body | None = None
-
-
-@dataclass(slots=True)
-class Response:
-    """A final response.
-
-    Attributes:
-        keep_alive: Its connection stays open behind it.
-        stream: The body, where it comes in pieces.
-    """
-
-    status: int
-    headers: list[tuple[bytes, bytes]]
-    body: bytes
-    keep_alive: bool = True
-    stream: Body | None = None
-
-    def header(self, name: bytes) -> bytes | None:
-        """The first value of a header, given its lower-case name."""
-        return next((value for key, value in self.headers if key == name), None)
-
-
 Message = TypeVar("Message", Request, Response)
 
 
@@ -446,9 +397,3 @@
         self.interim += 1
         if self.interim > MAX_INTERIM:
             self._fail(502, "1xx answers without end")
-
-
-def message(start: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
-    """Serialize a message, whose parts a parser has read or this program has made."""
-    rows = b"".join(b"%b: %b\r\n" % row for row in headers)
-    return b"%b\r\n%b\r\n%b" % (start, rows, body)
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -10,7 +10,7 @@
 import asyncio
 import logging
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from contextlib import suppress
 from dataclasses import replace
 from http import HTTPStatus
@@ -20,9 +20,10 @@
 from loadbalancer.policy.rules import Denied
 from loadbalancer.proxy.attempt import AttemptLimits, OutgoingAttempt
 from loadbalancer.proxy.exchange import Exchange
-from loadbalancer.proxy.parse import Response
+from loadbalancer.proxy.messages import Response
 from loadbalancer.proxy.policy_violations import Denials
-from loadbalancer.proxy.requests import Client, OpenRequest
+from loadbalancer.proxy.request_table import RequestTable
+from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.timers import call_after
 from loadbalancer.proxy.upstream import (
     Done,
@@ -37,9 +38,6 @@
 
 log = logging.getLogger(__name__)
 
-# After its deadline, a request that the policy has not ended is ended here.
-OVERDUE_S = 0.008
-
 
 class Discovery(Protocol):
     """What the policy can ask of the service that lists the upstreams."""
@@ -70,7 +68,7 @@
     """Runs the policy on the event loop.
 
     Attributes:
-        open: Requests that are owed an answer.
+        table: The open requests.
         told: Set when an endpoint list came.
         tap: Called with the events of each turn, behind the policy.
     """
@@ -84,9 +82,8 @@
         self.balancer = Balancer(settings, seed, time.monotonic_ns())
         self.denials = Denials()
         self.starts = StartTimes()
-        self.requests: dict[str, OpenRequest] = {}
-        self.open = 0
         self.waiting: list[api.Event] = []
+        self.table = RequestTable(settings.limits.max_open, self.post)
         self.told = asyncio.Event()
         self.tap: Callable[[int, Sequence[api.Event]], None] | None = None
 
@@ -95,6 +92,16 @@
         """Whether the policy can serve: a list has named an upstream that is ready."""
         return any(t.keep for t in self.upstreams.targets.values())
 
+    @property
+    def requests(self) -> Mapping[str, OpenRequest]:
+        """Requests by id."""
+        return self.table.requests
+
+    @property
+    def open(self) -> int:
+        """Requests that are owed an answer."""
+        return self.table.open
+
     # ---- events ----------------------------------------------------------------------------------
 
     def post(self, event: api.Event) -> None:
@@ -109,23 +116,11 @@
         Returns:
             False where too many are open; the caller answers then.
         """
-        if self.open >= self.settings.limits.max_open:
+        if not self.table.add(request):
             return False
-        self.requests[request.arrival.request] = request
-        self.open += 1
-        self._watch_deadline(request)
         self.post(request.arrival)
         return True
 
-    def _watch_deadline(self, request: OpenRequest) -> None:
-        """Start, or move, the timer behind which the request is overdue."""
-        if request.overdue is not None:
-            request.overdue.cancel()
-        left = (request.arrival.deadline_ns - time.monotonic_ns()) / 1e9
-        request.overdue = self.loop.call_later(
-            max(0.0, left) + OVERDUE_S, self._soon_overdue, request
-        )
-
     def body_completed(self, request: OpenRequest, deadline_ns: int, received_ns: int) -> None:
         """Note the last byte of a body: the request's time and its attempt's run from there."""
         if request.over or request.stream is None:
@@ -134,7 +129,7 @@
             deadline_ns=deadline_ns, received_ns=received_ns, whole=True
         )
         request.completed_ns = time.monotonic_ns()
-        self._watch_deadline(request)
+        self.table.watch_deadline(request)
         for exchange in request.attempts:
             if exchange is not None:
                 exchange.expire_in(self._remaining_ns(request, request.timeout_ns) / 1e9)
@@ -152,7 +147,7 @@
 
     def client_gone(self, request: OpenRequest) -> None:
         """End a request whose client has disconnected."""
-        if self._end(request):
+        if self.table.end(request):
             if request.stream is not None and not request.stream.ended:
                 # The attempt fails with it: its last byte will never be written.
                 request.stream.fail()
@@ -213,7 +208,7 @@
         # Only now: the policy may act for a request until it has been notified of its end.
         for event in events:
             if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
-                self._forget(event.request)
+                self.table.forget(event.request)
 
     def _decide(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
         try:
@@ -229,54 +224,13 @@
         ]
         log.error("%s; requests %s", what, " ".join(names) or "-", exc_info=error)
         for name in names:
-            request = self.requests.get(name)
+            request = self.table.get(name)
             if request is not None:
-                self._fail_unanswered(request, HTTPStatus.BAD_GATEWAY)
-
-    def _answer(self, request: OpenRequest, how: Callable[[Client], None]) -> bool:
-        """End a request with its final answer.
-
-        An answer that can't be given must not take the events behind it along.
-
-        Returns:
-            False, and no answer is given, where the request was over already.
-        """
-        if not self._end(request):
-            return False
-        try:
-            how(request.client)
-        except Exception:
-            log.exception("request %s: its answer failed", request.arrival.request)
-            request.client.abort()
-        if request.stream is not None and not request.stream.ended:
-            request.stream.fail()  # answered ahead of its end
-        return True
-
-    def _soon_overdue(self, request: OpenRequest) -> None:
-        # When the loop has stood still, the attempt's time-out is due on the same turn as this, and
-        # waits to be handed over: without one more turn a refusal with its Retry-After would come
-        # out as a failure.
-        self.loop.call_soon(self._overdue, request)
-
-    def _overdue(self, request: OpenRequest) -> None:
-        """Keep the rule that each request is answered where the policy has failed to."""
-        if self._fail_unanswered(request, HTTPStatus.GATEWAY_TIMEOUT):
-            log.error("request %s was not answered by its deadline", request.arrival.request)
+                self.table.fail_unanswered(request, HTTPStatus.BAD_GATEWAY)
 
     def end_open(self) -> None:
-        """Answer all that is open, as this process ends now.
-
-        Requests that came before the shutdown may have more time than the process has.
-        """
-        for request in list(self.requests.values()):
-            self._fail_unanswered(request, HTTPStatus.GATEWAY_TIMEOUT)
-
-    def _fail_unanswered(self, request: OpenRequest, status: int) -> bool:
-        """Answer with an error without the policy, which is notified as of a client that left."""
-        answered = self._answer(request, lambda client: client.fail(status))
-        if answered:
-            self.post(api.ClientDisconnected(request.arrival.request))
-        return answered
+        """Answer all that is open, as this process ends now."""
+        self.table.fail_all()
 
     # ---- actions ---------------------------------------------------------------------------------
 
@@ -310,28 +264,28 @@
                 self.discovery.fetch()
 
     def _reject(self, action: api.RejectRequest) -> None:
-        request = self.requests.get(action.request)
-        if request is not None and self._answer(
+        request = self.table.get(action.request)
+        if request is not None and self.table.answer(
             request, lambda client: client.reject(action.retry_after_ns)
         ):
-            self._forget(action.request)
+            self.table.forget(action.request)
 
     def _fail(self, action: api.FailRequest) -> None:
-        request = self.requests.get(action.request)
+        request = self.table.get(action.request)
         if request is None:
             return
         status = HTTPStatus.GATEWAY_TIMEOUT if request.timed_out else HTTPStatus.BAD_GATEWAY
-        if self._answer(request, lambda client: client.fail(status)):
-            self._forget(action.request)
+        if self.table.answer(request, lambda client: client.fail(status)):
+            self.table.forget(action.request)
 
     def _cancel(self, action: api.CancelAttempt) -> None:
-        request = self.requests.get(action.request)
+        request = self.table.get(action.request)
         exchange = request.attempts[action.attempt] if request is not None else None
         if exchange is not None:
             exchange.give_up(api.AttemptResult.CANCELLED)
 
     def _send(self, action: api.StartAttempt, now: int) -> None:
-        request = self.requests.get(action.request)
+        request = self.table.get(action.request)
         if request is None:
             log.error("attempt for request %s, which is not open", action.request)
             return
@@ -414,7 +368,7 @@
         request.sent -= 1
         request.timed_out = result is api.AttemptResult.TIMEOUT
         if result is api.AttemptResult.OK and response is not None:
-            taken = self._answer(request, lambda client: client.serve(response))
+            taken = self.table.answer(request, lambda client: client.serve(response))
             if response.stream is not None and not taken:
                 response.stream.drop()
         name = request.arrival.request
@@ -433,18 +387,3 @@
             started = False
         if not started:
             ended(api.AttemptResult.CONNECT_FAILED, None)
-
-    def _end(self, request: OpenRequest) -> bool:
-        """Mark a request as over; False where it was already."""
-        if request.over:
-            return False
-        request.over = True
-        self.open -= 1
-        if request.overdue is not None:
-            request.overdue.cancel()
-        return True
-
-    def _forget(self, name: str) -> None:
-        request = self.requests.get(name)
-        if request is not None and request.over and not request.sent:
-            del self.requests[name]
--- a/loadbalancer/proxy/request_head.py
+++ b/loadbalancer/proxy/request_head.py
@@ -7,7 +7,7 @@
 from urllib.parse import unquote_plus
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.parse import Request, UnacceptableMessageError
+from loadbalancer.proxy.messages import Request, UnacceptableMessageError
 
 MAX_ID = 128  # bytes of a request's id: it is a key of tables and stands in the log
 MS, US = 1_000_000, 1_000
--- a/loadbalancer/proxy/request_intake.py
+++ b/loadbalancer/proxy/request_intake.py
@@ -5,7 +5,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.connection_host import ConnectionHost
 from loadbalancer.proxy.http import end_to_end
-from loadbalancer.proxy.parse import Request
+from loadbalancer.proxy.messages import Request
 from loadbalancer.proxy.request_head import read_terms
 from loadbalancer.proxy.requests import Client, OpenRequest
 
--- a/loadbalancer/proxy/requests.py
+++ b/loadbalancer/proxy/requests.py
@@ -9,7 +9,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.body_stream import Body
 from loadbalancer.proxy.exchange import Exchange
-from loadbalancer.proxy.parse import Headers, Response
+from loadbalancer.proxy.messages import Headers, Response
 
 
 class Client(Protocol):
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -10,7 +10,8 @@
 from loadbalancer.proxy.connection_pool import ConnectionPool, Target
 from loadbalancer.proxy.endpoint import Endpoint, number_of
 from loadbalancer.proxy.exchange import Exchange, ExpectedResponse, Outgoing
-from loadbalancer.proxy.parse import MAX_BODY, Response, message
+from loadbalancer.proxy.messages import Response, message
+from loadbalancer.proxy.parse import MAX_BODY
 from loadbalancer.proxy.upstream_response import (
     LOAD_HEADER,
     Report,
--- a/loadbalancer/proxy/upstream_connection.py
+++ b/loadbalancer/proxy/upstream_connection.py
@@ -11,7 +11,8 @@
 from loadbalancer.proxy.body_stream import Body
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.http import LAST_CHUNK, BufferedReader, chunk
-from loadbalancer.proxy.parse import Response, ResponseReader
+from loadbalancer.proxy.messages import Response
+from loadbalancer.proxy.parse import ResponseReader
 from loadbalancer.proxy.tcp_state import readable, received
 
 # A connection on which a body stands still for so long, though there is capacity for more of it, is
--- a/loadbalancer/proxy/upstream_response.py
+++ b/loadbalancer/proxy/upstream_response.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.parse import Response
+from loadbalancer.proxy.messages import Response
 
 LOAD_HEADER = b"x-load"
 NOT_RUN_HEADER = b"x-not-run"
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -14,7 +14,7 @@
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy import policy_driver
 from loadbalancer.proxy.exchange import Exchange
-from loadbalancer.proxy.parse import Response, message
+from loadbalancer.proxy.messages import Response, message
 from loadbalancer.proxy.upstream import read_report
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from tests.fakes import CLASSES, SETTINGS, Heard, answer, free_port, never, read_message, run, world
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -21,7 +21,7 @@
 from loadbalancer.proxy.body_stream import Body, BodyMemory
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.frontend import Frontend
-from loadbalancer.proxy.parse import Response
+from loadbalancer.proxy.messages import Response
 from loadbalancer.proxy.policy_violations import Denials
 from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -34,7 +34,7 @@
 from loadbalancer.proxy.connection_phase import Phase
 from loadbalancer.proxy.discovery import read_endpoint
 from loadbalancer.proxy.frontend import Frontend
-from loadbalancer.proxy.parse import message
+from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -15,7 +15,7 @@
 from loadbalancer.proxy import discovery, discovery_watch, policy_driver
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.discovery import read_endpoint
-from loadbalancer.proxy.parse import message
+from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
 from loadbalancer.settings import Malformed, split_address
