--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -11,6 +11,7 @@
 import asyncio
 import logging
 from dataclasses import dataclass, field
+from functools import partial
 
 from loadbalancer.errnos import Cause, Operation, cause
 from loadbalancer.policy import api
@@ -173,7 +174,7 @@
         until_s = loop.time() + self.connect_timeout_s
         while True:
             connection = UpstreamConnection(
-                lambda c: self._release(target, c), lambda c: self._lost(target, c)
+                partial(self._release, target), partial(self._lost, target)
             )
             try:
                 await self._open(target.endpoint, connection, until_s)
--- a/loadbalancer/proxy/endpoint.py
+++ b/loadbalancer/proxy/endpoint.py
@@ -4,6 +4,7 @@
 
 import hashlib
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from loadbalancer.policy import api
 
@@ -16,6 +17,14 @@
     return int.from_bytes(digest, "big")
 
 
+class UpstreamProcess(NamedTuple):
+    """Identifies one run of an upstream's process."""
+
+    host: str
+    port: int
+    started_ms: int
+
+
 @dataclass(frozen=True, slots=True)
 class Endpoint:
     """An entry of the endpoint list.
@@ -32,6 +41,6 @@
     started_ms: int = 0
 
     @property
-    def process(self) -> tuple[str, int, int]:
-        """Identifies the process that a connection leads to; its successor's differs."""
-        return self.host, self.port, self.started_ms
+    def process(self) -> UpstreamProcess:
+        """The process that a connection leads to; its successor's differs."""
+        return UpstreamProcess(self.host, self.port, self.started_ms)
