--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -196,8 +196,8 @@
         """Handles rows from the changefeed."""
         if self.table is None or update.scope != self.table.keys.scope:
             return
-        delta = self.table.update(update.whole, update.rows)
-        self.apply_table(None if update.whole else delta)
+        delta = self.table.update(update.is_snapshot, update.rows)
+        self.apply_table(None if update.is_snapshot else delta)
 
     def apply_table(self, delta: list[Endpoint] | None) -> None:
         """Puts the table in force.
