--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -110,16 +110,16 @@
     """`listed`: the upstreams as they are listed; what was learnt of others is not kept."""
     paces = {
         n: (round(pace, 4), listed[n].started_ms / 1000)
-        for n, (pace, _) in learnt.paces.items()
+        for n, (pace, _) in learnt.relative_service_times.items()
         if n in listed
     }
     return SavedLearnt(
         unix_s(),
         learnt.rate,
         dict(learnt.demands),
-        dict(learnt.taken),
+        dict(learnt.service_times),
         learnt.per_request_ns,
-        learnt.calm,
+        learnt.baseline_latency_ratio,
         learnt.window,
         paces,
     )
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -274,10 +274,10 @@
         """Disabled upstreams that still have attempts of this balancer."""
         numbers = {number_of(name): name for name in self.disabled.names}
         found = {
-            numbers[a.server.id]
+            numbers[a.upstream.id]
             for r in self.driver.balancer.requests.values()
             for a in r.attempts
-            if a.result is None and a.server.id in numbers
+            if a.result is None and a.upstream.id in numbers
         }
         return tuple(sorted(found))
 
@@ -290,9 +290,12 @@
             due = now != said or time.monotonic() - at >= self.every_s
             if self.active and due and self.name.token():
                 self.count += 1
-                rate = self.driver.balancer.rate
+                rate = self.driver.balancer.rate_controller
                 report = Report(
-                    *now, round(rate.sent, 2), round(min(rate.served, rate.sent), 2), self.count
+                    *now,
+                    round(rate.finished_per_s, 2),
+                    round(min(rate.served_per_s, rate.finished_per_s), 2),
+                    self.count,
                 )
                 with suppress(NotOwner):
                     await self.name.write([Op(self.key, msgspec.json.encode(report))])
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -135,7 +135,7 @@
                     request = self.driver.requests.get(e.request)
                     if request is not None:
                         cls = self.driver.settings.classes[request.arrival.class_name]
-                        usual = self.driver.balancer.crowding.taken.get(cls.name, 0.0)
+                        usual = self.driver.balancer.concurrency.service_times.get(cls.name, 0.0)
                         self.member.tried(e, cls.latency_objective_ns, usual, clock_ns())
         except Exception:
             log.exception("sites")
@@ -177,7 +177,7 @@
         """Raises StoreError."""
         while True:
             if self.member.row_due(clock_ns()) and self.name.token():
-                row = self.member.row(self.driver.balancer.crowding.taken, clock_ns())
+                row = self.member.row(self.driver.balancer.concurrency.service_times, clock_ns())
                 with suppress(NotOwner):
                     await self.name.write([Op(self.key, msgspec.json.encode(row))])
                     self.there = True
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -129,7 +129,7 @@
     weight = sum(w for _, w in told)
     served = sum(s * w for s, w in told) / weight if weight > 0 else -1.0
     worths = (
-        {k: c.worth for k, c in settings.classes.items()}
+        {k: c.priority_weight for k, c in settings.classes.items()}
         if settings is not None
         else {kind: 1.0 for t in rows.values() for kind, *_ in t.row.loads}
     )
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -349,8 +349,8 @@
                         [Op(listed, msgspec.json.encode(saved))], within_s=within_s
                     )
                     self.saved = servers
-        known = driver.balancer.learnt()
-        if known.taken and self.name.token():
+        known = driver.balancer.learned_state()
+        if known.service_times and self.name.token():
             with suppress(NotOwner):
                 value = msgspec.json.encode(save_learnt(known, endpoints_of(driver)))
                 await self.name.write([Op(learnt, value)], within_s=within_s)
--- a/loadbalancer/failover/observer.py
+++ b/loadbalancer/failover/observer.py
@@ -89,7 +89,7 @@
     def arrived(self, e: api.RequestArrived) -> None:
         self.asked += 1
         self.came[e.class_name, e.tenant] += 1
-        self.repeats[e.class_name, e.tenant] += e.retry
+        self.repeats[e.class_name, e.tenant] += e.is_retry
 
     def tried(
         self, e: api.AttemptFinished, latency_objective_ns: int, usual_ns: float, now: int
@@ -173,7 +173,9 @@
             suspected = self.evidence.suspected(name)
             gone = site.state in (State.LOST, State.CUT)
             unused = (
-                gone or site.state is State.RETURNING or self.plan.zones.get(name, 1.0) < UNUSED
+                gone
+                or site.state is State.RETURNING
+                or self.plan.zone_fractions.get(name, 1.0) < UNUSED
             )
             if not (suspected or unused):
                 continue
@@ -190,7 +192,7 @@
     def _planned(self, now: int) -> api.TrafficPlan:
         owned = self.owned(now)
         base = self._of(self.orders) if owned else self._by_table()
-        zones = dict(base.zones)
+        zones = dict(base.zone_fractions)
         for name, site in self.evidence.sites.items():
             if site.state in (State.LOST, State.CUT):
                 self._stage(name, Return(name), now)
@@ -205,7 +207,7 @@
         reached = {s for s in self.evidence.sites if s}
         if reached and all(zones.get(n, 1.0) <= 0.0 for n in reached):
             zones = {}  # nothing is left: rather a try than none
-        return base._replace(zones=zones)
+        return base._replace(zone_fractions=zones)
 
     def _of(self, o: Orders) -> api.TrafficPlan:
         return api.TrafficPlan(
--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,11 +1,13 @@
-"""Every decision of loadbalancer, in modules of one job each. Pure: the types that they take and
-give are in `loadbalancer/policy/api.py`, what may be done at all is in
+"""Every decision of loadbalancer, a concern a module. Pure: no I/O, no clock, a seeded generator.
+
+Its events and actions are in `loadbalancer/policy/api.py`, what may be done at all is in
 `loadbalancer/policy/rules.py`.
 """
 
+from loadbalancer.policy.attempt import Attempt
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.requests import Attempt, Request
-from loadbalancer.policy.token_bucket import Throttle
-from loadbalancer.policy.upstream_stats import mixed
+from loadbalancer.policy.requests import Request
+from loadbalancer.policy.token_bucket import TokenBucket
+from loadbalancer.policy.upstream_stats import hash_id
 
-__all__ = ["Attempt", "Balancer", "Request", "Throttle", "mixed"]
+__all__ = ["Attempt", "Balancer", "Request", "TokenBucket", "hash_id"]
--- /dev/null
+++ b/loadbalancer/policy/admission.py
@@ -0,0 +1,171 @@
+"""Admission of requests: overload, the traffic plan, key ordering and the tenants' buckets."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from loadbalancer.policy import api
+from loadbalancer.policy.clock import SECOND
+from loadbalancer.policy.completion import Completion
+from loadbalancer.policy.context import PolicyContext
+from loadbalancer.policy.dispatch import Dispatcher
+from loadbalancer.policy.requests import KeyQueue, Request, WaitsFor
+from loadbalancer.policy.timers import KeyQueueTimer, QueueDeadlineTimer, TokenTimer
+from loadbalancer.policy.token_bucket import Offer, TokenBucket
+
+# Fractions of a request's spare time that may go by in the queue; the second for a tenant over its
+# share, which is rejected first.
+QUEUE_FRACTION: Final = 0.5
+OVER_SHARE_QUEUE_FRACTION: Final = 0.1
+
+
+class Admission:
+    """Admits requests to the queues, or rejects them."""
+
+    def __init__(
+        self, context: PolicyContext, completion: Completion, dispatcher: Dispatcher
+    ) -> None:
+        self.context = context
+        self.completion = completion
+        self.dispatcher = dispatcher
+        self.timers = context.timers
+        self.rate_controller = context.rate_controller
+        self.default_bucket = next(iter(context.buckets.values()))
+
+    def arrive(self, event: api.RequestArrived, now: int) -> None:
+        """Take a new request."""
+        request = self._request(event, now)
+        request_class = request.request_class
+        self.context.requests[request.id] = request
+        expected_ns = self.context.concurrency.expected_ns(request_class, request.cost_hint_ns)
+        if self._is_shed(request, now):
+            self.completion.give_up(request)
+            return
+        waited_ns = now - (event.received_ns or now)
+        is_late = expected_ns < request_class.latency_objective_ns < waited_ns + expected_ns
+        if is_late and not (request_class.late_weight or request_class.is_streaming):
+            # It waited unread for so long, the proxy being late itself, that its answer would come
+            # too late. Work on such requests would make the ones behind them late as well. This
+            # rejects too much where `expected_ns` is far too high.
+            self.completion.give_up(request)
+            return
+        self.dispatcher.set_queue_deadline(request, expected_ns, now)
+        # Whatever comes, a request that still waits is rejected then.
+        self.timers.schedule(request.queue_deadline_ns, QueueDeadlineTimer(request))
+        self._order_by_key(request)
+        if request.is_first_of_key(now):
+            self._offer(request, now)
+        else:
+            # It holds no token meanwhile, and only requests with its key wait behind it.
+            request.waits_for = WaitsFor.KEY_ORDER
+            assert request.key_queue is not None
+            self.timers.schedule(request.key_ready_ns, KeyQueueTimer(request.key_queue))
+
+    def _request(self, event: api.RequestArrived, now: int) -> Request:
+        request_class = self.context.settings.classes.get(event.class_name)
+        if request_class is None:
+            request_class = api.RequestClass(event.class_name, api.Effect.NON_IDEMPOTENT)
+        objective_ns = (event.received_ns or now) + request_class.latency_objective_ns
+        return Request(
+            event.request,
+            request_class,
+            self.context.buckets.get(event.tenant) or self.default_bucket,
+            self.dispatcher.queue(request_class),
+            event.deadline_ns,
+            min(objective_ns, event.deadline_ns),
+            # A wild guess must not keep its timers for years.
+            min(event.cost_hint_ns, request_class.deadline_ns),
+            event.is_retry,
+            event.body_complete,
+            key=event.key,
+        )
+
+    def _is_shed(self, request: Request, now: int) -> bool:
+        """Whether the traffic plan rejects the request; it rejects new requests only."""
+        plan = self.context.upstream_set.plan
+        rng = self.context.rng
+        if (
+            plan.excess_reject_fraction
+            and request.bucket.exceeds_plan(now)
+            and rng.random() < plan.excess_reject_fraction
+        ):
+            return True
+        if request.is_retry and rng.random() < plan.retry_reject_fraction:
+            return True
+        if not plan.class_reject_fractions:
+            return False
+        fraction = plan.class_reject_fractions.get(request.request_class.name, 0.0)
+        return rng.random() < fraction
+
+    def _order_by_key(self, request: Request) -> None:
+        if request.request_class.ordered_by_key and request.key:
+            key_queues = self.context.key_queues
+            key_queue = key_queues.setdefault(request.key, KeyQueue(request.key))
+            key_queue.waiting.append(request)
+            request.key_queue = key_queue
+            request.key_ready_ns = key_queue.ready_ns
+
+    def key_queue_due(self, key_queue: KeyQueue, now: int) -> None:
+        """Offer the next request of a key, or forget the key."""
+        if key_queue.waiting:
+            request = key_queue.waiting[0]
+            if request.waits_for is WaitsFor.KEY_ORDER and request.is_first_of_key(now):
+                self._offer(request, now)
+        elif now >= key_queue.ready_ns:
+            self.context.key_queues.pop(key_queue.key, None)
+
+    def queue_deadline_due(self, request: Request, now: int) -> None:
+        """Reject a request that has waited too long."""
+        if request.waits_for is not WaitsFor.NOTHING and now >= request.queue_deadline_ns:
+            self.rate_controller.unplaced_count += request.waits_for is WaitsFor.UPSTREAM
+            self.completion.give_up(request)
+
+    def token_due(self, bucket: TokenBucket[Request], now: int) -> None:
+        """Admit the buffered requests that have a token, when its timer is due."""
+        bucket.has_timer = False
+        self.release(bucket, now)
+
+    def release(self, bucket: TokenBucket[Request], now: int) -> None:
+        """Admit the buffered requests that have a token by now."""
+        for request in bucket.release(now):
+            self._admit(request, now)
+        if bucket.buffered and not bucket.has_timer:
+            bucket.has_timer = True
+            due_ns = now + int((1 - bucket.token_fraction) / bucket.rate * SECOND) + 1
+            self.timers.schedule(due_ns, TokenTimer(bucket))
+
+    def _offer(self, request: Request, now: int) -> None:
+        """Ask the tenant's bucket for a token."""
+        request.waits_for = WaitsFor.NOTHING
+        bucket = request.bucket
+        if not request.queue.pool.candidates:
+            offer = Offer.OVERFLOW  # there is no upstream that it may go to
+        elif request.is_retry:
+            # Clients' retries take spare tokens only: they must not starve fresh requests.
+            offer = Offer.ADMITTED if bucket.take_spare(now) else Offer.OVERFLOW
+        else:
+            offer = bucket.offer(request, now)
+        if offer is Offer.OVERFLOW:
+            self.completion.give_up(request)
+        elif offer is Offer.BUFFERED:
+            request.waits_for = WaitsFor.TOKEN
+            self.release(bucket, now)
+        else:
+            self._admit(request, now)
+
+    def _admit(self, request: Request, now: int) -> None:
+        """Put a request that has a token into its queue, unless that is too long."""
+        request.waits_for = WaitsFor.NOTHING
+        fraction = OVER_SHARE_QUEUE_FRACTION if request.bucket.is_over_share else QUEUE_FRACTION
+        # A class with much time must not make the queue too long for those with little.
+        spare_ns = min(request.queue_deadline_ns - now, self.context.shortest_objective_ns)
+        queue = request.queue
+        served_per_s = self.rate_controller.served_per_s
+        if (
+            queue.lacks_capacity
+            and len(queue.waiting) * SECOND > served_per_s * spare_ns * fraction
+        ):
+            self.rate_controller.unplaced_count += 1
+            self.completion.give_up(request)
+            return
+        self.dispatcher.enqueue(request, now)
--- a/loadbalancer/policy/api.py
+++ b/loadbalancer/policy/api.py
@@ -1,8 +1,8 @@
-"""The interface of the decision module: its settings, the events it takes, the actions it gives.
+"""The interface of the policy: its settings, the events it takes, the actions it returns.
 
-One `Balancer` (see `policy/balancer.py`) is one proxy. It is handed the clock and a seed; it opens
-no socket, reads no clock and keeps no thread. All times are whole nanoseconds on the caller's
-clock. Nothing here decides.
+One `Balancer` (see `policy/balancer.py`) is one proxy. It is given the time and a seed; it opens no
+socket, reads no clock and starts no thread. All times are whole nanoseconds on the caller's clock.
+Nothing here decides.
 """
 
 from __future__ import annotations
@@ -14,17 +14,16 @@
 
 
 class Effect(Enum):
-    """What repeating a request of a class may do."""
+    """What a repeated execution of a request may do."""
 
-    IDEMPOTENT = "safe"  # may be repeated and refused freely
-    IDEMPOTENT_WITH_KEY = (
-        "keyed"  # carries a key: one group of upstreams drops its repeats for a while
-    )
+    IDEMPOTENT = "safe"  # may be repeated and rejected freely
+    # It carries a key by which the upstreams of a scope drop its repeats for a while.
+    IDEMPOTENT_WITH_KEY = "keyed"
     NON_IDEMPOTENT = "unsafe"  # must never run twice
 
 
 class DeduplicationScope(Enum):
-    """Which upstreams drop the repeats of a keyed request."""
+    """Which upstreams drop the repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,7 +31,7 @@
 
 
 class UpstreamState(Enum):
-    """What discovery says of an upstream."""
+    """The state of an upstream, from discovery."""
 
     REMOVED = 0
     READY = 1
@@ -40,12 +39,12 @@
 
 
 class EndpointListKind(Enum):
-    """What a list event carries."""
+    """What an update of the endpoint list holds."""
 
     DELTA = 0  # only changed entries
-    FULL = 1  # the whole list
-    CACHED = 2  # the whole list as last known before a restart, maybe old
-    FAILED = 3  # a call failed or the subscription broke; no entries
+    FULL = 1  # the complete list
+    CACHED = 2  # the complete list as last known before a restart, maybe old
+    FAILED = 3  # a call or the subscription failed; no entries
 
 
 class AttemptResult(Enum):
@@ -57,7 +56,7 @@
     TIMEOUT = "timeout"  # may have run, may still run
     CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # called off; may have run
+    CANCELLED = "cancelled"  # may have run
     NOT_SENT = "moot"  # not sent at all; never ran
 
 
@@ -68,29 +67,35 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """Requests that are alike in what they may do and need."""
+
     name: str
     effect: Effect = Effect.IDEMPOTENT
     scope: DeduplicationScope = DeduplicationScope.ALL
-    window_ns: int = 0  # keyed: how long repeats are dropped, from the first send that may have run
-    latency_objective_ns: int = 1_000_000_000  # an answer within this earns the full worth
-    deadline_ns: int = 3_000_000_000  # the longest that its clients wait, over all their tries
-    worth: float = 1.0
-    late_weight: float = 0.0  # share of the worth for an answer after the aim
-    stream: bool = False
-    ordered_by_key: bool = False  # requests with one key run singly, in the order taken
+    window_ns: int = 0  # how long repeats are dropped, from the first attempt that may have run
+    latency_objective_ns: int = 1_000_000_000  # an answer within this has the full weight
+    deadline_ns: int = 3_000_000_000  # the longest that its clients wait, over all their retries
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # fraction of the weight for an answer after the latency objective
+    is_streaming: bool = False
+    ordered_by_key: bool = False  # requests with one key run singly, in the order of arrival
     zones: frozenset[str] = frozenset()  # the only zones it may go to; empty: any
     kinds: frozenset[str] = frozenset()  # the only kinds of machine it may go to; empty: any
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and its share of the capacity."""
+
     name: str
     share: float = 1.0
-    quota_per_s: float = 0.0  # over all proxies; 0: not told
+    quota_per_s: float = 0.0  # over all proxies; 0: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """What a proxy may do."""
+
     max_attempts: int = 1
     may_hedge: bool = False
     may_cancel: bool = False
@@ -99,25 +104,27 @@
     retry_after: bool = False
     max_retry_after_ns: int = 1_000_000_000
     connect_timeout_ns: int = 250_000_000
-    conn_idle_ns: int = (
-        15_000_000_000  # an upstream closes a connection that has stood idle for this long
-    )
+    conn_idle_ns: int = 15_000_000_000  # an upstream closes a connection that is idle so long
     max_open: int = 20_000  # requests that a proxy may have open
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficRules:
-    drain_grace_ns: int = 1_000_000_000  # sends to a draining upstream must end within this
-    list_expiry_ns: int = 10_000_000_000  # without news for this long, a proxy counts as told
-    slow_start_capacity: float = 0.3  # a started upstream begins at this share of its capacity
-    slow_start_ns: int = 0  # and is warm after this
-    overload_multiple: float = 3.0  # sent more than this many times what it can do
-    overload_window_ns: int = 2_000_000_000  # for this long, it falls over
-    key_order_gap_ns: int = 0  # a key in order rests this long after an attempt that may still run
+    """What upstreams require of proxies."""
+
+    drain_grace_ns: int = 1_000_000_000  # attempts at a draining upstream must end by then
+    list_expiry_ns: int = 10_000_000_000  # a change is taken as known after this
+    slow_start_capacity: float = 0.3  # fraction of its capacity at its start
+    slow_start_ns: int = 0  # full capacity after this
+    overload_multiple: float = 3.0  # more load than so many times its capacity
+    overload_window_ns: int = 2_000_000_000  # for so long makes it fail
+    key_order_gap_ns: int = 0  # gap within a key after an attempt that may still run
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
+    """What actions cost, in priority weight."""
+
     cross_zone: float = 0.0
     waste: float = 0.0
     probe: float = 0.0
@@ -128,7 +135,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    me: int = 0
+    """The settings of one proxy."""
+
+    instance_index: int = 0  # among `instance_count` proxies
     instance_count: int = 1
     zone: str = ""
     discovery_push: bool = True  # list changes come by themselves
@@ -142,7 +151,7 @@
 
 
 class Upstream(NamedTuple):
-    """An entry of the upstream list."""
+    """An entry of the endpoint list."""
 
     id: int
     state: UpstreamState = UpstreamState.READY
@@ -157,13 +166,16 @@
 
 
 class EndpointsUpdated(NamedTuple):
+    """The endpoint list, or what changed in it."""
+
     kind: EndpointListKind
     upstreams: Sequence[Upstream] = ()
 
 
 class EndpointTrustChanged(NamedTuple):
-    """May the list be gone by? Not where it is older than a change may go unknown: any upstream may
-    drain.
+    """Whether the endpoint list is recent enough to go by.
+
+    It is not where it is older than a change may go unknown: any upstream may be draining then.
     """
 
     trusted: bool
@@ -178,36 +190,34 @@
     deadline_ns: int
     cost_hint_ns: int = 0
     key: str = ""
-    retry: bool = False
+    is_retry: bool = False
     received_ns: int = 0  # when its last byte came, where that was earlier; 0: now
-    whole: bool = True  # False: the end of its body is still to come, and its time runs from there
+    body_complete: bool = True  # False: its time runs from the end of its body, still to come
 
 
 class BodyCompleted(NamedTuple):
-    """The last byte of a request that was taken before has come: an upstream starts to work only
-    now.
-    """
+    """The last byte of a request that had arrived has come: an upstream can start only now."""
 
     request: str
     deadline_ns: int
     received_ns: int
-    again: bool  # it could be sent once more: its body is still held whole
+    is_replayable: bool  # its body is held completely, for a further attempt
 
 
 class AttemptFinished(NamedTuple):
-    """How one attempt ended; every Send gets exactly one."""
+    """How one attempt ended; every StartAttempt gets exactly one."""
 
     request: str
     attempt: int
     upstream: int
     result: AttemptResult
     duration_ns: int
-    complete: bool = False  # the request is over
+    complete: bool = False  # the request has its final answer
     report: Mapping[str, float] | None = None
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed answer has begun; the request's deadline no longer runs."""
+    """A streamed answer has started; the request's deadline no longer runs."""
 
     request: str
     attempt: int
@@ -216,10 +226,14 @@
 
 
 class ClientDisconnected(NamedTuple):
+    """The client of a request has gone."""
+
     request: str
 
 
 class HealthCheckFinished(NamedTuple):
+    """The outcome of a health check."""
+
     upstream: int
     result: AttemptResult
     duration_ns: int
@@ -227,6 +241,8 @@
 
 
 class GossipReceived(NamedTuple):
+    """A message of another proxy."""
+
     sender: int
     data: bytes
 
@@ -238,48 +254,46 @@
 
 
 class UpstreamDisabled(NamedTuple):
-    """Operators took an upstream out, or put it back. What discovery says of it is another
-    matter.
-    """
+    """Operators disabled an upstream, or enabled it again, whatever discovery lists."""
 
     upstream: int
-    on: bool = True
+    is_disabled: bool = True
 
 
 class LearnedState(NamedTuple):
-    """What a proxy had learnt when it was asked (`Balancer.learnt`), told to it, or to its
-    successor, after a restart. The older it is, the less of it is believed.
+    """What a proxy had learned (`Balancer.learned_state`), for itself or its successor.
+
+    The older it is, the less of it is believed.
     """
 
     age_ns: int = 0
-    rate: float = 0.0  # requests a second that it let through at most; 0: not told
+    rate: float = 0.0  # requests a second that it admitted at most; 0: unknown
     demands: Mapping[str, float] = {}  # tenant -> requests a second
-    taken: Mapping[str, float] = {}  # class -> ns that a request takes
+    service_times: Mapping[str, float] = {}  # class -> ns
     per_request_ns: float = 0.0  # for each request that an upstream holds
-    calm: float = 0.0  # part of its aim that an answer takes in good times
-    window: float = 0.0  # own requests in flight for each upstream
-    # Upstream -> its time for a request against the fleet's, and the start of which that was
-    # learnt.
-    paces: Mapping[int, tuple[float, int]] = {}
+    baseline_latency_ratio: float = 0.0  # of answers to their latency objective, without overload
+    window: float = 0.0  # own attempts in flight for each upstream
+    # Upstream -> its service time against the mean of all, and the start at which that was learned.
+    relative_service_times: Mapping[int, tuple[float, int]] = {}
 
 
 class TrafficPlan(NamedTuple):
-    """What the fleet does while a site is lost, emptied or coming back; it stands until the next
-    one. The empty one is that of a fleet that is well.
+    """How all proxies handle traffic while a site is lost, drained or recovering.
+
+    It stands until the next one. The empty one is that of normal operation.
     """
 
-    # part of what its upstreams would be given; 0: none; not named: all of it
-    zones: Mapping[str, float] = {}
-    excess: float = 0.0  # part refused of what is beyond a tenant's share
-    shares: Mapping[str, float] = {}  # tenant -> requests a second within its share at this proxy
-    repeats: float = 0.0  # part refused of clients' repeats
-    copies: bool = True  # second copies and late looks
-    classes: Mapping[str, float] = {}  # class -> part refused of it, evenly over tenants
-    retry_window_ns: tuple[int, int] = (
-        0,
-        0,
-    )  # from when to when the refused shall try again; (0, 0): as usual
-    cold: Mapping[int, float] = {}  # cold upstream -> requests a second that this proxy may send it
+    # Fraction of the traffic that its upstreams would get; 0: none; not named: all.
+    zone_fractions: Mapping[str, float] = {}
+    excess_reject_fraction: float = 0.0  # of requests beyond a tenant's rate
+    tenant_rates: Mapping[str, float] = {}  # tenant -> requests a second within its share, here
+    retry_reject_fraction: float = 0.0  # of clients' retries
+    hedging_allowed: bool = True  # hedged requests, and waiting for late attempts
+    class_reject_fractions: Mapping[str, float] = {}  # class -> fraction, evenly over tenants
+    # From when to when the rejected shall retry; (0, 0): as usual.
+    retry_window_ns: tuple[int, int] = (0, 0)
+    # Upstream in slow start -> requests a second that this proxy may send it.
+    slow_start_rates_per_s: Mapping[int, float] = {}
 
 
 Event = (
@@ -302,18 +316,16 @@
 
 
 class StartAttempt(NamedTuple):
-    """Start an attempt. A request's attempts are numbered from 0 in the order of their sends."""
+    """Start an attempt. A request's attempts are numbered from 0 in the order of their starts."""
 
     request: str
     upstream: int
-    timeout_ns: int = 0  # 0: until the client gives up. It runs from the request's last byte
-    start_by_ns: int = (
-        0  # it may not begin later than this, as where a connection comes up late; 0: any time
-    )
+    timeout_ns: int = 0  # from the request's last byte; 0: until the client gives up
+    start_by_ns: int = 0  # latest start, as where a connection comes up late; 0: any time
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: turned away; trying again is harmless."""
+    """Final answer: rejected; a retry is harmless."""
 
     request: str
     retry_after_ns: int = 0
@@ -326,33 +338,45 @@
 
 
 class CancelAttempt(NamedTuple):
+    """Cancel an attempt that is in flight."""
+
     request: str
     attempt: int
 
 
 class CheckHealth(NamedTuple):
+    """Start a health check, which also reports the upstream's load."""
+
     upstream: int
 
 
 class SendGossip(NamedTuple):
+    """Send a message to other proxies."""
+
     data: bytes
     peer: int = -1  # -1: all peers
 
 
 class SubscribeEndpoints(NamedTuple):
-    on: bool = True
+    """Subscribe to the endpoint list, or unsubscribe."""
+
+    enabled: bool = True
 
 
 class FetchEndpoints(NamedTuple):
-    pass
+    """Fetch the endpoint list once."""
 
 
 class SetTimer(NamedTuple):
+    """Set a timer; TimerFired brings its name back."""
+
     delay_ns: int
     name: str
 
 
 class LogMessage(NamedTuple):
+    """Write a log line."""
+
     text: str
 
 
--- a/loadbalancer/policy/clock.py
+++ b/loadbalancer/policy/clock.py
@@ -1,4 +1,4 @@
-"""Units of time of the decisions: nanoseconds on the caller's clock."""
+"""Units of time of the policy: whole nanoseconds on the caller's clock."""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/loadbalancer/policy/completion.py
@@ -0,0 +1,72 @@
+"""The end of a request: its final answer, and what waits behind it."""
+
+from __future__ import annotations
+
+from loadbalancer.policy import api
+from loadbalancer.policy.clock import SECOND
+from loadbalancer.policy.context import PolicyContext
+from loadbalancer.policy.requests import KeyQueue, Request, WaitsFor
+from loadbalancer.policy.timers import KeyQueueTimer
+
+
+class Completion:
+    """Ends requests."""
+
+    def __init__(self, context: PolicyContext) -> None:
+        self.context = context
+        self.limits = context.settings.limits
+
+    def give_up(self, request: Request) -> None:
+        """Answer a request that is not served: rejected if a retry is harmless, else failed."""
+        context = self.context
+        if request.may_reject():
+            delay_ns = self._retry_after_ns()
+            context.actions.append(
+                api.RejectRequest(request.id, int(delay_ns) if self.limits.retry_after else 0)
+            )
+        else:
+            context.actions.append(api.FailRequest(request.id))
+        self.finish(request)
+
+    def _retry_after_ns(self) -> float:
+        rng = self.context.rng
+        longest_ns = self.limits.max_retry_after_ns
+        delay_ns = rng.uniform(0.25, 1.0) * min(longest_ns, SECOND)
+        first_ns, last_ns = self.context.upstream_set.plan.retry_window_ns
+        if last_ns:
+            delay_ns = min(longest_ns, first_ns + rng.random() * (last_ns - first_ns))
+        return delay_ns
+
+    def finish(self, request: Request) -> None:
+        """End a request that has its final answer or whose client has gone."""
+        if request.waits_for is WaitsFor.TOKEN:
+            request.bucket.remove(request)
+        elif request.waits_for is WaitsFor.UPSTREAM:
+            request.queue.waiting.remove(request)
+        request.waits_for = WaitsFor.NOTHING
+        request.is_finished = True
+        if self.limits.may_cancel:
+            for number, attempt in enumerate(request.attempts):
+                if attempt.result is None:
+                    self.context.actions.append(api.CancelAttempt(request.id, number))
+        self.forget_if_done(request)
+
+    def forget_if_done(self, request: Request) -> None:
+        """Forget a finished request once none of its attempts is in flight."""
+        if request.is_finished and not request.in_flight and request.id in self.context.requests:
+            del self.context.requests[request.id]
+            if request.key_queue:
+                self._advance(request.key_queue)
+
+    def _advance(self, key_queue: KeyQueue) -> None:
+        """Let the next request of a key follow those that are done."""
+        timers = self.context.timers
+        waiting = key_queue.waiting
+        while waiting and waiting[0].is_finished and not waiting[0].in_flight:
+            waiting.popleft()
+            if waiting:
+                waiting[0].key_ready_ns = key_queue.ready_ns
+                timers.schedule(key_queue.ready_ns, KeyQueueTimer(key_queue))
+        if not waiting:
+            # It is forgotten once its gap is over.
+            timers.schedule(key_queue.ready_ns, KeyQueueTimer(key_queue))
--- /dev/null
+++ b/loadbalancer/policy/context.py
@@ -0,0 +1,54 @@
+"""The state of one proxy that the parts of the policy share."""
+
+from __future__ import annotations
+
+import random
+from typing import Final
+
+from loadbalancer.policy import api
+from loadbalancer.policy.clock import SECOND
+from loadbalancer.policy.concurrency_limit import ConcurrencyLimit
+from loadbalancer.policy.rate_controller import RateController
+from loadbalancer.policy.requests import KeyQueue, Request
+from loadbalancer.policy.timers import TimerQueue
+from loadbalancer.policy.token_bucket import TokenBucket
+from loadbalancer.policy.upstream_set import UpstreamSet
+
+# How long an answer to a load query is waited for: this fraction of the shortest latency objective,
+# between the two bounds.
+LOAD_QUERY_FRACTION: Final = 0.04
+MIN_LOAD_QUERY_NS = SECOND // 333
+MAX_LOAD_QUERY_NS = SECOND // 100
+# Of the shortest latency objective: the most that each request at an upstream is thought to take at
+# first.
+MAX_START_PER_REQUEST: Final = 0.08
+
+
+class PolicyContext:
+    """The state of one proxy that the parts of the policy share."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        rng: random.Random,
+        buckets: dict[str, TokenBucket[Request]],
+        rate_controller: RateController,
+    ) -> None:
+        self.settings = settings
+        self.rng = rng
+        self.buckets = buckets
+        self.rate_controller = rate_controller
+        self.concurrency = ConcurrencyLimit()
+        self.upstream_set = UpstreamSet(settings, self.concurrency, rng)
+        self.timers = TimerQueue()
+        self.requests: dict[str, Request] = {}
+        self.key_queues: dict[str, KeyQueue] = {}
+        self.actions: list[api.Action] = []  # of the events that are being handled
+        self.shortest_objective_ns = min(
+            (cls.latency_objective_ns for cls in settings.classes.values()), default=SECOND
+        )
+        query_ns = LOAD_QUERY_FRACTION * self.shortest_objective_ns
+        self.load_query_ns = int(max(MIN_LOAD_QUERY_NS, min(MAX_LOAD_QUERY_NS, query_ns)))
+        self.concurrency.per_request_ns = min(
+            self.concurrency.per_request_ns, MAX_START_PER_REQUEST * self.shortest_objective_ns
+        )
--- /dev/null
+++ b/loadbalancer/policy/dispatch.py
@@ -0,0 +1,240 @@
+"""The queues of requests, the choice of an upstream for each, and the start of attempts."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from loadbalancer.policy import api
+from loadbalancer.policy.attempt import Attempt
+from loadbalancer.policy.availability import LOAD_QUERIES
+from loadbalancer.policy.completion import Completion
+from loadbalancer.policy.context import PolicyContext
+from loadbalancer.policy.requests import Request, RequestQueue, WaitsFor
+from loadbalancer.policy.timers import (
+    AttemptLateTimer,
+    AttemptOverdueTimer,
+    ServeQueuesTimer,
+)
+from loadbalancer.policy.upstream_stats import UpstreamStats
+
+# An attempt is overdue after its expected time, times this and so many mean deviations more.
+OVERDUE_FACTOR: Final = 1.3
+OVERDUE_DEVIATIONS: Final = 3
+
+
+class Dispatcher:
+    """Keeps the queues of requests, and starts attempts while upstreams have capacity."""
+
+    def __init__(self, context: PolicyContext, completion: Completion) -> None:
+        self.context = context
+        self.completion = completion
+        self.limits = context.settings.limits
+        self.timers = context.timers
+        self.concurrency = context.concurrency
+        self.upstream_set = context.upstream_set
+        self.availability = context.upstream_set.availability
+        self.queues: dict[tuple[frozenset[str], frozenset[str]], RequestQueue] = {}
+        self.main_queue = self.queue(api.RequestClass(""))
+        for request_class in context.settings.classes.values():
+            self.queue(request_class)
+
+    def queue(self, request_class: api.RequestClass) -> RequestQueue:
+        """Return the queue of all classes that may go to the same upstreams."""
+        key = (request_class.zones, request_class.kinds)
+        found = self.queues.get(key)
+        if found is None:
+            found = RequestQueue(self.upstream_set.pool(request_class))
+            self.queues[key] = found
+        return found
+
+    def set_queue_deadline(self, request: Request, expected_ns: float, now: int) -> None:
+        """Set how long the request may wait and still be answered in time, or a while at least."""
+        need_ns = expected_ns * (1 + self.concurrency.deviation)
+        request.queue_deadline_ns = max(
+            request.latency_objective_ns - int(need_ns), now + (request.deadline_ns - now) // 4
+        )
+
+    def enqueue(self, request: Request, now: int) -> None:
+        """Put a request at the end of its queue."""
+        request.queue.waiting.append(request)
+        self._begin_wait(request, now)
+
+    def enqueue_first(self, request: Request, now: int) -> None:
+        """Put a request at the head of its queue, for a further attempt."""
+        request.queue.waiting.appendleft(request)
+        self._begin_wait(request, now)
+
+    def _begin_wait(self, request: Request, now: int) -> None:
+        request.waits_for = WaitsFor.UPSTREAM
+        if self.availability.queries_load:
+            self._query_load(request, now)
+
+    def _query_load(self, request: Request, now: int) -> None:
+        """Query the load of a few upstreams; the request waits for the answers.
+
+        Own attempts say little where proxies are many. One query at a time is in flight at each
+        upstream: its answer serves all requests that wait for it. Where requests come faster than
+        answers, each would need a connection. An upstream that owes an answer for long is skipped.
+        """
+        query_ns = self.context.load_query_ns
+        drawn = dict.fromkeys(request.queue.pool.draw(LOAD_QUERIES, now))
+        request.queried = [
+            upstream
+            for upstream in drawn
+            if not upstream.load_query_ns or now < upstream.load_query_ns + query_ns
+        ]
+        request.queried_ns = now
+        for upstream in request.queried:
+            if not upstream.load_query_ns:
+                upstream.load_query_ns = now
+                upstream.sent_since_query = 0
+                self.context.actions.append(api.CheckHealth(upstream.id))
+        self.timers.schedule(now + query_ns, ServeQueuesTimer())
+
+    def record_load_report(self, event: api.HealthCheckFinished, now: int) -> None:
+        """Record the answer to a load query."""
+        upstream = self.upstream_set.upstreams.get(event.upstream)
+        if upstream is not None:
+            upstream.load_query_ns = 0
+            if event.report is not None:
+                reported = event.report.get("inflight", 0.0)
+                upstream.reported_load = reported + upstream.sent_since_query
+                upstream.load_reported_ns = now
+
+    def serve_queues(self, now: int) -> None:
+        """Serve each queue in order while an upstream has capacity."""
+        for queue in self.queues.values():
+            self._serve(queue, now)
+            if not queue.waiting:
+                queue.blocked_since_ns = 0
+
+    def _serve(self, queue: RequestQueue, now: int) -> None:
+        queue.lacks_capacity = False
+        available = queue.pool.available_count(now) if queue.waiting else 0
+        while queue.waiting:
+            if not self.availability.endpoints_trusted:
+                # Nothing may be sent anywhere until the list is known again.
+                queue.lacks_capacity = True
+                return
+            request = queue.waiting[0]
+            if self._awaits_load_reports(request, now):
+                return  # that is no want of capacity
+            queue.blocked_since_ns = queue.blocked_since_ns or now
+            if not self.concurrency.has_capacity(available):
+                queue.lacks_capacity = True
+                return
+            candidates = request.repeat_candidates() if request.attempts else None
+            reported = self._take_reported(request, now)
+            is_unsafe = request.request_class.effect is not api.Effect.IDEMPOTENT
+            upstream = queue.pool.pick(now, reported or candidates, is_unsafe, request.key)
+            if upstream is None and candidates is None:
+                queue.lacks_capacity = True
+                return
+            if upstream is None or (reported and self._is_too_loaded(request, upstream, now)):
+                # All that it may go to are busy, or would answer late: it must not block the queue.
+                self.context.rate_controller.unplaced_count += 1
+                self.completion.give_up(request)
+            else:
+                available -= self._dispatch_first(queue, upstream, now)
+
+    def _awaits_load_reports(self, request: Request, now: int) -> bool:
+        return bool(
+            request.queried
+            and now < request.queried_ns + self.context.load_query_ns
+            and any(upstream.load_reported_ns < request.queried_ns for upstream in request.queried)
+        )
+
+    def _take_reported(self, request: Request, now: int) -> list[UpstreamStats]:
+        """Return the queried upstreams that answered and accept an attempt.
+
+        Where there is another, not those that an attempt of the request failed at.
+        """
+        reported = [
+            upstream
+            for upstream in request.queried
+            if upstream.load_reported_ns >= request.queried_ns
+            and self.availability.accepts(upstream, now)
+        ]
+        failed = {attempt.upstream for attempt in request.attempts}
+        request.queried = []
+        return [upstream for upstream in reported if upstream not in failed] or reported
+
+    def _is_too_loaded(self, request: Request, upstream: UpstreamStats, now: int) -> bool:
+        """Whether the upstream reported so much load that its answer would be late."""
+        load = upstream.reported_load
+        left = (request.latency_objective_ns - now) / self.concurrency.per_request_ns
+        return load >= 1 and (load + 1.5) * upstream.relative_service_time > left
+
+    def _dispatch_first(self, queue: RequestQueue, upstream: UpstreamStats, now: int) -> int:
+        """Send the first request of a queue, if the rules allow it.
+
+        Returns:
+            The count of upstreams that are no longer available.
+        """
+        request = queue.waiting.popleft()
+        request.waits_for = WaitsFor.NOTHING
+        if not request.may_send(upstream, now, self.limits):
+            self.completion.give_up(request)
+            return 0
+        self.start_attempt(request, upstream, now)
+        return int(upstream.avoid_until_ns > now)  # in slow start: not the next one at once
+
+    def start_attempt(self, request: Request, upstream: UpstreamStats, now: int) -> None:
+        """Start an attempt, with the timers that belong to it."""
+        request_class = request.request_class
+        expected_ns = min(
+            max(
+                1.0,
+                self.concurrency.expected_ns(request_class, request.cost_hint_ns)
+                * upstream.relative_service_time,
+            ),
+            request_class.deadline_ns,
+        )
+        start_by_ns = request.start_by_ns(now)
+        number = len(request.attempts)
+        request.attempts.append(
+            Attempt(upstream, now, expected_ns, 1.0, awaits_body=not request.body_complete)
+        )
+        if request.body_complete:
+            self.begin_work(request, number, now)
+        if self.availability.is_in_slow_start(upstream, now):
+            gap_ns = self.availability.slow_start_gap_ns(upstream, now)
+            self.availability.avoid(upstream, now + gap_ns)
+            self.timers.schedule(upstream.avoid_until_ns, ServeQueuesTimer())
+        timeout_ns = self._limit_to_objective(request, number, now)
+        self.context.actions.append(
+            api.StartAttempt(request.id, upstream.id, timeout_ns, start_by_ns)
+        )
+
+    def _limit_to_objective(self, request: Request, number: int, now: int) -> int:
+        """Where a late answer is worth nothing, end the attempt at the latency objective.
+
+        Returns:
+            The attempt's timeout; 0: none, as a timer cancels it, or it may be late.
+        """
+        request_class = request.request_class
+        if request_class.late_weight or request_class.is_streaming:
+            return 0
+        if not request.body_complete:
+            return request_class.latency_objective_ns
+        if self.limits.may_cancel:
+            # Cancelled only while others wait for its capacity.
+            due_ns = max(now + 1, request.latency_objective_ns)
+            self.timers.schedule(due_ns, AttemptLateTimer(request, number))
+            return 0
+        return max(1, request.latency_objective_ns - now)
+
+    def begin_work(self, request: Request, number: int, now: int) -> None:
+        """Count an attempt from when its upstream has the complete request."""
+        attempt = request.attempts[number]
+        upstream = attempt.upstream
+        self.concurrency.in_flight += 1
+        upstream.in_flight += 1
+        upstream.reported_load += upstream.load_reported_ns > 0
+        upstream.sent_since_query += 1
+        attempt.opens_connection = upstream.in_flight > upstream.max_in_flight
+        upstream.max_in_flight = max(upstream.max_in_flight, upstream.in_flight)
+        attempt.load = max(upstream.reported_load, upstream.in_flight)
+        factor = OVERDUE_FACTOR + OVERDUE_DEVIATIONS * self.concurrency.deviation
+        due_ns = now + int(attempt.expected_ns * factor)
+        self.timers.schedule(due_ns, AttemptOverdueTimer(request, number))
--- a/loadbalancer/policy/learned_state.py
+++ b/loadbalancer/policy/learned_state.py
@@ -1,65 +1,64 @@
-"""What a proxy has learnt, told to its successor, and what that believes of it after a restart."""
+"""What a proxy has learned, for its successor, and what that believes of it after a restart."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from typing import Final
 
 from loadbalancer.policy import api
 from loadbalancer.policy.clock import SECOND
-from loadbalancer.policy.concurrency_limit import EASE, Crowding
-from loadbalancer.policy.rate_controller import EVIDENCE, Rate
-from loadbalancer.policy.token_bucket import START_RATE, Throttle
-from loadbalancer.policy.upstream_set import Fleet
+from loadbalancer.policy.concurrency_limit import MAX_OVERLOAD_RATIO
+from loadbalancer.policy.context import PolicyContext
+from loadbalancer.policy.rate_controller import MIN_OUTCOMES
+from loadbalancer.policy.token_bucket import START_RATE
 
-# What was learnt before a restart is believed by half after so long, and not at all below a part;
-# it counts as so many outcomes. R comes back with room on top, more the older it is: too low a
-# start starves tenants.
+# Trust in what was learned halves with its age, and ends at a minimum.
 HALF_LIFE_NS = 60 * SECOND
-LEAST_BELIEF: Final = 0.05
-RECALLED: Final = 20
-HEADROOM: Final = 1.3
+MIN_TRUST: Final = 0.05
+RESTORED_SAMPLES: Final = 20  # outcomes that it counts as
+# The rate comes back with headroom, more the older it is: too low a start starves tenants.
+RATE_HEADROOM: Final = 1.3
 
 
-def learnt(
-    throttles: Mapping[str, Throttle], rate: Rate, crowding: Crowding, fleet: Fleet
-) -> api.LearnedState:
-    """What it has learnt so far."""
-    demands = {name: t.demand for name, t in throttles.items()}
-    paces = {s.id: (s.pace, s.started_ns) for s in fleet.ready}
+def capture(context: PolicyContext) -> api.LearnedState:
+    """Return what the proxy has learned so far."""
+    concurrency = context.concurrency
+    rate = context.rate_controller.rate
     return api.LearnedState(
         0,
-        rate.value if rate.value < START_RATE else 0.0,
-        demands,
-        dict(crowding.taken),
-        crowding.each,
-        crowding.calm,
-        crowding.window,
-        paces,
+        rate if rate < START_RATE else 0.0,
+        {name: bucket.demand for name, bucket in context.buckets.items()},
+        dict(concurrency.service_times),
+        concurrency.per_request_ns,
+        concurrency.baseline_latency_ratio,
+        concurrency.window,
+        {
+            upstream.id: (upstream.relative_service_time, upstream.started_ns)
+            for upstream in context.upstream_set.ready
+        },
     )
 
 
-def recall(
-    e: api.LearnedState,
-    now: int,
-    throttles: Mapping[str, Throttle],
-    rate: Rate,
-    crowding: Crowding,
-    fleet: Fleet,
-) -> None:
-    """Begin with what was learnt before a restart. What this proxy has seen by itself stands."""
-    trust = 0.5 ** (max(0, e.age_ns) / HALF_LIFE_NS)
-    c = crowding
-    if trust < LEAST_BELIEF or c.seen >= EVIDENCE:
+def restore(context: PolicyContext, state: api.LearnedState, now: int) -> None:
+    """Start with what was learned before a restart; what this proxy has learned itself stands."""
+    trust = 0.5 ** (max(0, state.age_ns) / HALF_LIFE_NS)
+    concurrency = context.concurrency
+    if trust < MIN_TRUST or concurrency.sample_count >= MIN_OUTCOMES:
         return
-    for name, took in e.taken.items():
-        c.taken.setdefault(name, took)
-    if e.per_request_ns > 0:
-        c.each += trust * (e.per_request_ns - c.each)
-        c.calm += trust * (min(e.calm, EASE[1]) - c.calm)
-        c.window += trust * (min(e.window, c.widest) - c.window)
-        c.seen = max(c.seen, int(RECALLED * trust))
-    fleet.recall(e.paces, trust)
-    if e.rate:
-        demands = [(throttles[n], demand) for n, demand in e.demands.items() if n in throttles]
-        rate.recall(e.rate * HEADROOM / trust, demands, now)
+    for name, service_time in state.service_times.items():
+        concurrency.service_times.setdefault(name, service_time)
+    if state.per_request_ns > 0:
+        concurrency.per_request_ns += trust * (state.per_request_ns - concurrency.per_request_ns)
+        baseline = min(state.baseline_latency_ratio, MAX_OVERLOAD_RATIO)
+        concurrency.baseline_latency_ratio += trust * (
+            baseline - concurrency.baseline_latency_ratio
+        )
+        window = min(state.window, concurrency.max_window)
+        concurrency.window += trust * (window - concurrency.window)
+        concurrency.sample_count = max(concurrency.sample_count, int(RESTORED_SAMPLES * trust))
+    context.upstream_set.restore(state.relative_service_times, trust)
+    if state.rate:
+        buckets = context.buckets
+        demands = [
+            (buckets[name], demand) for name, demand in state.demands.items() if name in buckets
+        ]
+        context.rate_controller.restore(state.rate * RATE_HEADROOM / trust, demands, now)
--- a/loadbalancer/policy/rate_controller.py
+++ b/loadbalancer/policy/rate_controller.py
@@ -1,4 +1,4 @@
-"""The proxy's rate, learned from how attempts end, and its division among the tenants."""
+"""The proxy's admission rate, learned from how attempts end, and its division among tenants."""
 
 from __future__ import annotations
 
@@ -8,129 +8,187 @@
 from typing import Final
 
 from loadbalancer.policy.clock import SECOND
-from loadbalancer.policy.token_bucket import START_RATE, Throttle
+from loadbalancer.policy.requests import Request
+from loadbalancer.policy.token_bucket import START_RATE, TokenBucket
 
-BY_RATIO = attrgetter("ratio")
-BY_RATIO_AND_PLACE = attrgetter("ratio", "place")
+BY_DEMAND_RATIO = attrgetter("demand_ratio")
+BY_DEMAND_RATIO_AND_INDEX = attrgetter("demand_ratio", "index")
 FEEDBACK_NS = SECOND // 2
-SLACK: Final = (
-    0.2  # R comes down only when answers take this much more of their aim than is crowded
-)
-CLIMB = 1.1, 2.0  # of R in one interval: the second while nothing is crowded
-FEW_ASK: Final = 64  # tenants in one interval that are put into their order one by one
-CALM = -0.1  # stress is so far below crowded, and not one attempt in so many failed or was late
-FEW: Final = 8
-LEAST: Final = 0.2  # of what was served in good times, R keeps; forgotten in a minute
+MAX_FEEDBACK_NS = 4 * FEEDBACK_NS  # with too few outcomes
+MIN_OUTCOMES: Final = 8  # before a figure is believed
+# The rate comes down only when answers take this much more of their latency objective than the
+# overload ratio.
+OVERLOAD_SLACK: Final = 0.2
+# Factors of the rate in one interval: as a rule, and while nothing is overloaded.
+INCREASE_FACTOR: Final = 1.1
+FAST_INCREASE_FACTOR: Final = 2.0
+# Nothing is overloaded: latency is so far below the overload ratio, and not one attempt in so many
+# failed or was late.
+NO_OVERLOAD: Final = -0.1
+FAILURES_ONE_IN: Final = 8
+MAX_DECREASE: Final = 0.3  # of the rate in one interval
+MIN_RATE_FRACTION: Final = 0.2  # of what was served in good times, which is forgotten in a minute
 BEST_FADE: Final = 0.98
-DEEPEST_CUT: Final = 0.3  # of R in one feedback interval
-EVIDENCE: Final = 8  # outcomes before a figure is believed
-
-
-class Rate:
-    """The proxy's rate R, learned from how attempts end, and its division among the tenants."""
-
-    def __init__(self, throttles: list[Throttle], now: int) -> None:
-        self.throttles = throttles
-        for i, t in enumerate(throttles):
-            t.place = i
-        self.whole = sum(t.weight for t in throttles)
-        # Those that ever asked, by what they want for their weight, equals as they are listed.
-        self.order: list[Throttle] = []
-        self.value = START_RATE
-        self.since = now
-        self.sent = 0.0  # attempts ended a second
-        self.served = START_RATE  # and those of them in time
-        self.good = 0
-        self.unplaced = 0  # requests that no upstream had room for in time
-        self.bad = 0
-        self.best = 1.0  # served a second in good times, slowly forgotten
+MIN_TENANT_RATE: Final = 0.05
+MAX_SINGLE_INSERTS: Final = 64  # tenants in one interval that are put into their order one by one
+OVER_SHARE_FACTOR: Final = 1.1
+MIN_TOTAL_WEIGHT: Final = 1e-9
+
+
+class RateController:
+    """Learns the admission rate R from how attempts end, and divides it among the tenants.
+
+    Attributes:
+        rate: R, in requests a second.
+        finished_per_s: Attempts that ended in the last interval.
+        served_per_s: Those of them that ended in time.
+    """
+
+    def __init__(self, buckets: list[TokenBucket[Request]], now: int) -> None:
+        self.buckets = buckets
+        for index, bucket in enumerate(buckets):
+            bucket.index = index
+        self.total_weight = sum(bucket.weight for bucket in buckets)
+        # Those that ever had a request, by demand ratio, equals by index.
+        self.by_demand: list[TokenBucket[Request]] = []
+        self.rate = START_RATE
+        self.adjusted_ns = now
+        self.finished_per_s = 0.0
+        self.served_per_s = START_RATE
+        self.best_served_per_s = 1.0  # in good times, slowly forgotten
+        # Outcomes since the rate was last adjusted.
+        self.in_time_count = 0
+        self.failure_count = 0  # attempts that failed or were late
+        self.unplaced_count = 0  # requests that no upstream had capacity for in time
 
     def adjust(self, now: int, excess: float) -> None:
-        elapsed = now - self.since
-        total = self.good + self.bad + self.unplaced
+        """Adjust the rate, if the interval is over.
+
+        Args:
+            now: The time in nanoseconds.
+            excess: Latency ratio above the overload ratio.
+        """
+        elapsed = now - self.adjusted_ns
+        total = self.in_time_count + self.failure_count + self.unplaced_count
         # A proxy with little traffic waits for enough outcomes, but not for ever.
-        if elapsed < FEEDBACK_NS or (total < EVIDENCE and elapsed < 4 * FEEDBACK_NS):
+        if elapsed < FEEDBACK_NS or (total < MIN_OUTCOMES and elapsed < MAX_FEEDBACK_NS):
             return
-        self.served = self.good * SECOND / elapsed
-        self.sent = (self.good + self.bad) * SECOND / elapsed
-        self.best = max(self.served, self.best * BEST_FADE)
-        quick = excess < CALM
-        # Judged by what lately ended, not by this interval: of eight outcomes one is late on any
+        self.served_per_s = self.in_time_count * SECOND / elapsed
+        self.finished_per_s = (self.in_time_count + self.failure_count) * SECOND / elapsed
+        self.best_served_per_s = max(self.served_per_s, self.best_served_per_s * BEST_FADE)
+        is_quick = excess < NO_OVERLOAD
+        # Latency goes by recent answers, not by this interval: of eight outcomes one is late on any
         # good day.
-        excess += self.unplaced / max(1, total) - SLACK
+        excess += self.unplaced_count / max(1, total) - OVERLOAD_SLACK
         if excess > 0:
-            # After a shrink R stands far above what is served: come down to that first. But where
-            # what is sent is answered quickly, little was sent as little was let through, as in the
-            # rush of a start.
-            top = self.value if quick else min(self.value, 1.2 * self.sent + 1)
-            cut = top * (1 - min(DEEPEST_CUT, excess))
-            self.value = max(LEAST * self.best, 0.9 * self.served, cut)
-        elif total and any(t.short for t in self.throttles):
-            # Where nothing is crowded, what is short is R itself: it must not starve a fleet for
-            # seconds.
-            calm = excess < CALM - SLACK and FEW * self.bad <= self.good
-            climb = CLIMB[1] if calm else CLIMB[0]
-            self.value = min(START_RATE, self.value * climb + 0.5)
-        self._learn(elapsed)
-        self._share(now)
-        self.since, self.good, self.bad, self.unplaced = now, 0, 0, 0
-
-    def recall(self, value: float, demands: Iterable[tuple[Throttle, float]], now: int) -> None:
-        self.value = self.served = min(self.value, value)
-        for t, demand in demands:
-            t.demand = max(0.0, demand)
-        for t in self.throttles:
-            t.ratio, t.lent, t.fair = t.demand / t.weight, 0.0, 0.0
-        self.order = sorted([t for t in self.throttles if t.demand], key=BY_RATIO)
-        self._share(now)
-
-    def _learn(self, elapsed: int) -> None:
-        """What each wants. Those that did not ask keep their order, as all want half as much as
-        before.
+            self._decrease(excess, is_quick)
+        elif total and any(bucket.ran_short for bucket in self.buckets):
+            self._increase(excess)
+        self._update_demands(elapsed)
+        self._divide(now)
+        self.adjusted_ns = now
+        self.in_time_count = 0
+        self.failure_count = 0
+        self.unplaced_count = 0
+
+    def _decrease(self, excess: float, is_quick: bool) -> None:
+        # After upstreams are lost, the rate stands far above what is served: come down to that
+        # first. But where answers are quick, little was sent as little was admitted, as in the rush
+        # of a start.
+        top = self.rate if is_quick else min(self.rate, 1.2 * self.finished_per_s + 1)
+        decreased = top * (1 - min(MAX_DECREASE, excess))
+        self.rate = max(
+            MIN_RATE_FRACTION * self.best_served_per_s, 0.9 * self.served_per_s, decreased
+        )
+
+    def _increase(self, excess: float) -> None:
+        # Where nothing is overloaded, the rate itself is what is short: it must not starve the
+        # upstreams for seconds.
+        is_fast = (
+            excess < NO_OVERLOAD - OVERLOAD_SLACK
+            and FAILURES_ONE_IN * self.failure_count <= self.in_time_count
+        )
+        factor = FAST_INCREASE_FACTOR if is_fast else INCREASE_FACTOR
+        self.rate = min(START_RATE, self.rate * factor + 0.5)
+
+    def restore(
+        self, rate: float, demands: Iterable[tuple[TokenBucket[Request], float]], now: int
+    ) -> None:
+        """Start from a rate and demands that were learned before a restart."""
+        self.rate = min(self.rate, rate)
+        self.served_per_s = self.rate
+        for bucket, demand in demands:
+            bucket.demand = max(0.0, demand)
+        for bucket in self.buckets:
+            bucket.demand_ratio = bucket.demand / bucket.weight
+            bucket.granted_rate = 0.0
+            bucket.fair_rate = 0.0
+        with_demand = [bucket for bucket in self.buckets if bucket.demand]
+        self.by_demand = sorted(with_demand, key=BY_DEMAND_RATIO)
+        self._divide(now)
+
+    def _update_demands(self, elapsed: int) -> None:
+        """Update each tenant's demand, and the order by demand.
+
+        Tenants without a request keep their order, as the demand of all of them halves.
         """
-        asked = [t for t in self.throttles if t.asked]
-        order: list[Throttle] = []
-        sort, ratio, place = len(asked) > FEW_ASK, 0.0, -1
-        for t in self.order:
-            if not t.asked:
-                t.demand += 0.5 * (0.0 - t.demand)
-                t.ratio = t.demand / t.weight
-                sort = (
-                    sort or t.ratio < ratio or t.ratio == ratio and t.place < place
-                )  # rounded near nothing
-                ratio, place = t.ratio, t.place
-                order.append(t)
-        for t in asked:
-            t.demand += 0.5 * (t.asked * SECOND / elapsed - t.demand)
-            t.ratio = t.demand / t.weight
-            t.asked, t.short = 0, False
-            if sort:
-                order.append(t)
+        active = [bucket for bucket in self.buckets if bucket.request_count]
+        needs_sort = len(active) > MAX_SINGLE_INSERTS
+        order: list[TokenBucket[Request]] = []
+        last_ratio = 0.0
+        last_index = -1
+        for bucket in self.by_demand:
+            if not bucket.request_count:
+                bucket.demand += 0.5 * (0.0 - bucket.demand)
+                ratio = bucket.demand / bucket.weight
+                bucket.demand_ratio = ratio
+                # Very small demands are rounded, which may change their order.
+                needs_sort = (
+                    needs_sort
+                    or ratio < last_ratio
+                    or (ratio == last_ratio and bucket.index < last_index)
+                )
+                last_ratio = ratio
+                last_index = bucket.index
+                order.append(bucket)
+        for bucket in active:
+            bucket.demand += 0.5 * (bucket.request_count * SECOND / elapsed - bucket.demand)
+            bucket.demand_ratio = bucket.demand / bucket.weight
+            bucket.request_count = 0
+            bucket.ran_short = False
+            if needs_sort:
+                order.append(bucket)
             else:
-                bisect.insort(order, t, key=BY_RATIO_AND_PLACE)
-        if sort:
-            order.sort(key=BY_RATIO_AND_PLACE)
-        self.order = order
-
-    def _share(self, now: int) -> None:
-        """Fair shares of R by weight; what quiet tenants leave is lent to those who want more."""
-        lent, fair, weights = self.value, self.served, self.whole
-        for t in self.throttles:
-            if t.ratio == 0.0:
-                weights = max(1e-9, weights - t.weight)
-        for t in self.order:
-            t.lent = min(t.demand, lent * t.weight / weights)
-            t.fair = min(t.demand, fair * t.weight / weights)
-            lent, fair = max(0.0, lent - t.lent), max(0.0, fair - t.fair)
-            if t.ratio:
-                weights = max(1e-9, weights - t.weight)
-        # Each has its own phase of ticks, rounded at each step, which no sum of steps gives: so all
-        # take each step, also those that ask for nothing, and a step must be cheap.
-        last = None
-        for t in self.throttles:
-            rate = max(max(0.05, self.value * t.weight / self.whole), t.lent + lent)
-            t.set_rate(rate, now, last if last is not None and last.rate == rate else None)
-            last = t  # those of one weight that ask for nothing have the same
-            t.over = t.demand > 1.1 * (
-                t.fair + fair
-            )  # it asks more than its share of what is served
+                bisect.insort(order, bucket, key=BY_DEMAND_RATIO_AND_INDEX)
+        if needs_sort:
+            order.sort(key=BY_DEMAND_RATIO_AND_INDEX)
+        self.by_demand = order
+
+    def _divide(self, now: int) -> None:
+        """Set fair shares of the rate by weight; what a tenant leaves is lent to the others."""
+        rate_left = self.rate
+        served_left = self.served_per_s
+        weight_left = self.total_weight
+        for bucket in self.buckets:
+            if bucket.demand_ratio == 0.0:
+                weight_left = max(MIN_TOTAL_WEIGHT, weight_left - bucket.weight)
+        for bucket in self.by_demand:
+            granted = min(bucket.demand, rate_left * bucket.weight / weight_left)
+            fair = min(bucket.demand, served_left * bucket.weight / weight_left)
+            bucket.granted_rate = granted
+            bucket.fair_rate = fair
+            rate_left = max(0.0, rate_left - granted)
+            served_left = max(0.0, served_left - fair)
+            if bucket.demand_ratio:
+                weight_left = max(MIN_TOTAL_WEIGHT, weight_left - bucket.weight)
+        # Each has a phase of its own, rounded at each step, which no sum of steps gives: so all
+        # take each step, also those without requests, and a step must be cheap.
+        last: TokenBucket[Request] | None = None
+        for bucket in self.buckets:
+            minimum = max(MIN_TENANT_RATE, self.rate * bucket.weight / self.total_weight)
+            rate = max(minimum, bucket.granted_rate + rate_left)
+            bucket.set_rate(rate, now, last if last is not None and last.rate == rate else None)
+            last = bucket  # tenants of one weight that have no requests have the same rate
+            bucket.is_over_share = bucket.demand > OVER_SHARE_FACTOR * (
+                bucket.fair_rate + served_left
+            )
--- a/loadbalancer/policy/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -1,128 +1,147 @@
-"""One request and its attempts: what it may still do, and the order of the requests of one key."""
+"""One request and its attempts: what it may still do, the queue it waits in, and key ordering."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
+from enum import Enum
 
 from loadbalancer.policy import api, rules
+from loadbalancer.policy.attempt import Attempt
 from loadbalancer.policy.pool import Pool
 from loadbalancer.policy.rules import Denied, Reason
-from loadbalancer.policy.token_bucket import Throttle
-from loadbalancer.policy.upstream_stats import Server
+from loadbalancer.policy.token_bucket import TokenBucket
+from loadbalancer.policy.upstream_stats import UpstreamStats
 
 
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One send of a request."""
-
-    server: Server
-    sent_ns: int
-    expected: float
-    load: float  # what the upstream was thought to hold then, this one included
-    opens: bool = False  # more were out there than ever: it had to open a connection
-    result: api.AttemptResult | None = None
-    overdue: bool = False
-    late: bool = False  # its answer comes too late to be worth anything
-    waits: bool = False  # for the end of its request's body: its upstream has nothing to do yet
+class WaitsFor(Enum):
+    """What a request waits for."""
 
-    @property
-    def may_have_run(self) -> bool:
-        return self.result not in api.NEVER_RAN
+    NOTHING = 0
+    KEY_ORDER = 1  # an earlier request with its key
+    TOKEN = 2  # in its tenant's job buffer
+    UPSTREAM = 3  # in the queue of its pool
+
+
+class RequestQueue:
+    """The requests that wait for an upstream of one pool, in order."""
+
+    def __init__(self, pool: Pool) -> None:
+        self.pool = pool
+        self.waiting: deque[Request] = deque()
+        self.blocked_since_ns = 0  # no upstream was found since then; 0: not blocked
+        # No capacity is left: the first request waits for that, not for a load report.
+        self.lacks_capacity = False
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """What one request may still do: each send and refusal is proved legal here (rules 1 to 3, 5
-    and 6).
-    """
+    """What one request may still do: each attempt and rejection is checked against the rules."""
 
     id: str
-    cls: api.RequestClass
-    tenant: Throttle
-    pool: Pool
+    request_class: api.RequestClass
+    bucket: TokenBucket[Request]
+    queue: RequestQueue
     deadline_ns: int
-    latency_objective_ns: int  # an answer by then earns the full worth
-    hint: int
-    retry: bool = False  # the client's own repeat
-    whole: bool = True  # the end of its body has come
-    again: bool = True  # and all of it is there to be sent once more
-    turn: Turn | None = None  # the order of its key, where its class keeps one
+    latency_objective_ns: int  # an answer by then is in time
+    cost_hint_ns: int
+    is_retry: bool = False  # the client's own retry
+    body_complete: bool = True
+    is_replayable: bool = True  # its body is held completely, for a further attempt
+    key_queue: KeyQueue | None = None  # where its class is ordered by key
     attempts: list[Attempt] = field(default_factory=list)
-    over: bool = False
-    begun: bool = False  # its stream has begun
-    place: str = ""  # waiting for its "turn", "held" by its throttle, in the "line", or ""
-    turn_ns: int = 0  # its key rests until then
-    give_up_ns: int = 0  # waiting longer than this is of no use
+    is_finished: bool = False
+    response_started: bool = False
+    waits_for: WaitsFor = WaitsFor.NOTHING
+    key_ready_ns: int = 0  # requests with its key may not start before
+    queue_deadline_ns: int = 0  # waiting longer is of no use
     key: str = ""
-    asked: list[Server] = field(default_factory=list)  # asked for their load on its behalf
-    received_ns: int = 0
+    queried: list[UpstreamStats] = field(default_factory=list)  # load queries on its behalf
+    queried_ns: int = 0
 
     @property
-    def out(self) -> int:
-        return sum(a.result is None for a in self.attempts)
+    def in_flight(self) -> int:
+        """Attempts without a result."""
+        return sum(attempt.result is None for attempt in self.attempts)
 
-    def may_send(self, server: Server, now: int, limits: api.Limits) -> bool:
-        return not isinstance(self.verdict(server, now, limits), Denied)
+    def may_send(self, upstream: UpstreamStats, now: int, limits: api.Limits) -> bool:
+        """Whether an attempt at this upstream may start now."""
+        return not isinstance(self.verdict(upstream, now, limits), Denied)
 
-    def verdict(self, server: Server, now: int, limits: api.Limits) -> rules.Verdict:
-        """May it be sent to this upstream now?"""
+    def verdict(self, upstream: UpstreamStats, now: int, limits: api.Limits) -> rules.Verdict:
+        """Ask the rules whether an attempt at this upstream may start now."""
         attempt = rules.Attempt(
             now,
             self.deadline_ns,
             len(self.attempts),
-            self.out,
-            self.over,
-            stream_begun=self.begun,
-            body_at_hand=self.again or not self.attempts,
+            self.in_flight,
+            self.is_finished,
+            response_started=self.response_started,
+            body_available=self.is_replayable or not self.attempts,
         )
-        verdict = rules.may_attempt(attempt, limits, rules.most_out(limits))
+        verdict = rules.may_attempt(attempt, limits, rules.max_in_flight(limits))
         if isinstance(verdict, Denied):
             return verdict
-        if not server.usable:
-            return rules.DENIED[Reason.UPSTREAM]
-        if not rules.open_to(server.entry, self.cls):
-            return rules.DENIED[Reason.PLACE]
-        if not self.has_turn(now):
-            return rules.DENIED[Reason.TURN]
-        risky = [a for a in self.attempts if a.may_have_run]
+        if not upstream.is_usable:
+            return rules.DENIED[Reason.UPSTREAM_UNAVAILABLE]
+        if not rules.is_eligible(upstream.entry, self.request_class):
+            return rules.DENIED[Reason.UPSTREAM_NOT_ELIGIBLE]
+        if not self.is_first_of_key(now):
+            return rules.DENIED[Reason.KEY_ORDER]
+        return self._repeat_verdict(upstream, now)
+
+    def _repeat_verdict(self, upstream: UpstreamStats, now: int) -> rules.Verdict:
+        risky = [attempt for attempt in self.attempts if attempt.may_have_run]
         if not risky:
             return rules.ALLOWED
-        same_group = all(self._same_group(a.server, server) for a in risky)
-        return rules.may_repeat(self.cls, now - risky[0].sent_ns, same_group)
+        same_scope = all(self.shares_scope(attempt.upstream, upstream) for attempt in risky)
+        return rules.may_repeat(self.request_class, now - risky[0].sent_ns, same_scope)
 
-    def repeat_ns(self, now: int) -> int:
-        """Rule 2: how long a repeat may yet begin, where that has an end; else 0."""
+    def start_by_ns(self, now: int) -> int:
+        """How long from now a repeated execution may still start; 0: without end."""
         risky = (
-            [a for a in self.attempts if a.may_have_run]
-            if self.cls.effect is api.Effect.IDEMPOTENT_WITH_KEY
+            [attempt for attempt in self.attempts if attempt.may_have_run]
+            if self.request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY
             else []
         )
-        return max(1, risky[0].sent_ns + self.cls.window_ns - now) if risky else 0
+        return max(1, risky[0].sent_ns + self.request_class.window_ns - now) if risky else 0
 
-    def has_turn(self, now: int) -> bool:
-        """Is it the first of its key, and has the key rested since the one before it?"""
-        return self.turn is None or (self.turn.waiting[0] is self and now >= self.turn_ns)
+    def is_first_of_key(self, now: int) -> bool:
+        """Whether it is the next one of its key, and the gap since the one before is over."""
+        return self.key_queue is None or (
+            self.key_queue.waiting[0] is self and now >= self.key_ready_ns
+        )
 
-    def may_refuse(self) -> bool:
-        may_have_run = any(a.may_have_run for a in self.attempts)
-        return not isinstance(rules.may_refuse(self.cls, may_have_run), Denied)
+    def may_reject(self) -> bool:
+        """Whether it may be rejected, which promises that a retry is harmless."""
+        may_have_run = any(attempt.may_have_run for attempt in self.attempts)
+        return not isinstance(rules.may_reject(self.request_class, may_have_run), Denied)
 
-    def _same_group(self, x: Server, y: Server) -> bool:
-        if self.cls.scope is api.DeduplicationScope.ALL:
+    def shares_scope(self, one: UpstreamStats, other: UpstreamStats) -> bool:
+        """Whether two upstreams drop each other's repeats of it."""
+        scope = self.request_class.scope
+        if scope is api.DeduplicationScope.ALL:
             return True
-        a, b = x.entry, y.entry
-        return a.zone == b.zone and (
-            self.cls.scope is api.DeduplicationScope.ZONE or a.cell == b.cell
+        return one.entry.zone == other.entry.zone and (
+            scope is api.DeduplicationScope.ZONE or one.entry.cell == other.entry.cell
         )
 
+    def repeat_candidates(self) -> list[UpstreamStats] | None:
+        """Where it may be sent once it may have run; None: anywhere."""
+        first = next((attempt for attempt in self.attempts if attempt.may_have_run), None)
+        if (
+            first is None
+            or self.request_class.effect is api.Effect.IDEMPOTENT
+            or self.request_class.scope is api.DeduplicationScope.ALL
+        ):
+            return None
+        return [u for u in self.queue.pool.all_upstreams() if self.shares_scope(u, first.upstream)]
+
 
 @dataclass(slots=True, eq=False)
-class Turn:
-    """Rule 5: the requests of one key, in the order taken; the first is the one whose turn it
-    is.
-    """
+class KeyQueue:
+    """The requests with one key, in the order of their arrival; only the first may be sent."""
 
     key: str
     waiting: deque[Request] = field(default_factory=deque)
-    rest_ns: int = 0  # an attempt of an earlier one may run until then
+    ready_ns: int = 0  # an attempt of an earlier one may run until then
--- a/loadbalancer/policy/rules.py
+++ b/loadbalancer/policy/rules.py
@@ -1,6 +1,6 @@
-"""What may be sent, retried, finished, refused or told *now*: one place for the rules. Pure.
+"""What may be sent, retried, completed or rejected *now*: one place for the rules. Pure.
 
-The decisions ask when they choose; `loadbalancer/proxy/` asks again at the last moment before the
+The policy asks when it chooses; `loadbalancer/proxy/` asks again at the last moment before the
 first byte of an attempt is written, and before the last one of a body that comes in pieces. A
 denial there is counted and logged (`loadbalancer/proxy/policy_violations.py`).
 `docs/design/rules.md` lists each promise with its page and test.
@@ -15,30 +15,30 @@
 
 from loadbalancer.policy import api
 
-MS = 1_000_000
-# An attempt may tell its upstream so much more than its client has left. The page allows 150 ms, of
-# which a process may be held up for some between this look at the clock and its write.
-TOLD_SLACK_NS = 100 * MS
+MILLISECOND = 1_000_000
+# An attempt may promise its upstream so much more time than its client has left. The page allows
+# 150 ms, of which a process may be held up for some between this check and its write.
+TIMEOUT_SLACK_NS = 100 * MILLISECOND
 
 
 class Reason(Enum):
     """Why something is denied."""
 
-    OVER = "its request is over"
+    REQUEST_FINISHED = "its request is over"
     CLIENT_GONE = "its client has gone"
-    STREAM_BEGUN = "its answer has begun"
-    DEADLINE = "its client waits no longer"
-    ATTEMPTS = "no further attempt of it is allowed"
-    COPIES = "too many attempts of it are out"
-    BODY = "its body is not at hand from the start"
-    UPSTREAM = "the upstream drains, went, restarted or is disabled"
-    LIST = "the list of upstreams is older than a change may go unknown"
-    PLACE = "its class may not go to this zone or kind"
-    TURN = "an earlier request of its key comes first"
-    EFFECT = "it may have run, and may not run twice"
-    WINDOW = "it may have run, and its repeats are dropped no longer"
-    GROUP = "it may have run, and this upstream does not drop its repeats"
-    TOLD = "it told more time than its client has left"
+    RESPONSE_STARTED = "its answer has begun"
+    DEADLINE_EXCEEDED = "its client waits no longer"
+    ATTEMPTS_EXHAUSTED = "no further attempt of it is allowed"
+    TOO_MANY_IN_FLIGHT = "too many attempts of it are out"
+    BODY_UNAVAILABLE = "its body is not at hand from the start"
+    UPSTREAM_UNAVAILABLE = "the upstream drains, went, restarted or is disabled"
+    ENDPOINTS_STALE = "the list of upstreams is older than a change may go unknown"
+    UPSTREAM_NOT_ELIGIBLE = "its class may not go to this zone or kind"
+    KEY_ORDER = "an earlier request of its key comes first"
+    NOT_IDEMPOTENT = "it may have run, and may not run twice"
+    DEDUPLICATION_EXPIRED = "it may have run, and its repeats are dropped no longer"
+    OUTSIDE_DEDUPLICATION_SCOPE = "it may have run, and this upstream does not drop its repeats"
+    TIMEOUT_TOO_LONG = "it told more time than its client has left"
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,94 +60,116 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """An attempt that is about to begin, as far as its request tells."""
+    """An attempt that is about to start, as far as its request tells."""
 
     now_ns: int
     deadline_ns: int
     number: int  # attempts before it
-    out: int  # of them without an outcome
-    over: bool = False
+    in_flight: int  # of them without an outcome
+    request_finished: bool = False
     client_gone: bool = False
-    stream_begun: bool = False
-    body_at_hand: bool = True
-    begin_by_ns: int = 0  # a repeat may not begin later; 0: at any time
+    response_started: bool = False
+    body_available: bool = True
+    start_by_ns: int = 0  # a repeat may not start later; 0: at any time
 
 
-def may_attempt(a: Attempt, limits: api.Limits, most_out: int) -> Verdict:
-    """May an attempt of this request begin now, wherever it goes?"""
-    if a.over:
-        return DENIED[Reason.OVER]
-    if a.client_gone:
+def may_attempt(attempt: Attempt, limits: api.Limits, max_in_flight: int) -> Verdict:
+    """Say whether an attempt of this request may start now, wherever it goes."""
+    if attempt.request_finished:
+        return DENIED[Reason.REQUEST_FINISHED]
+    if attempt.client_gone:
         return DENIED[Reason.CLIENT_GONE]
-    if a.stream_begun:
-        return DENIED[Reason.STREAM_BEGUN]
-    if a.now_ns >= a.deadline_ns:
-        return DENIED[Reason.DEADLINE]
-    if a.number >= limits.max_attempts:
-        return DENIED[Reason.ATTEMPTS]
-    if a.out >= most_out:
-        return DENIED[Reason.COPIES]
-    if not a.body_at_hand:
-        return DENIED[Reason.BODY]
-    if a.begin_by_ns and a.now_ns > a.begin_by_ns:
-        return DENIED[Reason.WINDOW]
+    if attempt.response_started:
+        return DENIED[Reason.RESPONSE_STARTED]
+    if attempt.now_ns >= attempt.deadline_ns:
+        return DENIED[Reason.DEADLINE_EXCEEDED]
+    return _may_attempt_again(attempt, limits, max_in_flight)
+
+
+def _may_attempt_again(attempt: Attempt, limits: api.Limits, max_in_flight: int) -> Verdict:
+    """Say whether an open request may have an attempt beside those that it had."""
+    if attempt.number >= limits.max_attempts:
+        return DENIED[Reason.ATTEMPTS_EXHAUSTED]
+    if attempt.in_flight >= max_in_flight:
+        return DENIED[Reason.TOO_MANY_IN_FLIGHT]
+    if not attempt.body_available:
+        return DENIED[Reason.BODY_UNAVAILABLE]
+    if attempt.start_by_ns and attempt.now_ns > attempt.start_by_ns:
+        return DENIED[Reason.DEDUPLICATION_EXPIRED]
     return ALLOWED
 
 
-def most_out(limits: api.Limits, in_pieces: bool = False) -> int:
-    """How many attempts of a request may be out at once. A body in pieces can only go one way."""
+def max_in_flight(limits: api.Limits, in_pieces: bool = False) -> int:
+    """Return how many attempts of a request may be in flight at once.
+
+    Args:
+        limits: The limits of the settings.
+        in_pieces: Its body comes in pieces, which can only go one way.
+    """
     return 2 if limits.may_hedge and not in_pieces else 1
 
 
-def may_use(usable: bool, list_trusted: bool) -> Verdict:
-    """May something new begin at this upstream? `usable`: it is listed as ready, by the same
-    process, and is not disabled.
+def may_use(is_usable: bool, endpoints_trusted: bool) -> Verdict:
+    """Say whether something new may start at an upstream.
+
+    Args:
+        is_usable: It is listed as ready, by the same process, and is not disabled.
+        endpoints_trusted: The list is not older than a change may go unknown.
     """
-    if not list_trusted:
-        return DENIED[Reason.LIST]
-    return ALLOWED if usable else DENIED[Reason.UPSTREAM]
+    if not endpoints_trusted:
+        return DENIED[Reason.ENDPOINTS_STALE]
+    return ALLOWED if is_usable else DENIED[Reason.UPSTREAM_UNAVAILABLE]
 
 
-def open_to(entry: api.Upstream, cls: api.RequestClass) -> bool:
-    """Is this upstream in a zone and of a kind that the class may go to?"""
-    return (not cls.zones or entry.zone in cls.zones) and (not cls.kinds or entry.kind in cls.kinds)
+def is_eligible(entry: api.Upstream, request_class: api.RequestClass) -> bool:
+    """Say whether an upstream is in a zone and of a kind that the class may go to."""
+    return (not request_class.zones or entry.zone in request_class.zones) and (
+        not request_class.kinds or entry.kind in request_class.kinds
+    )
+
 
+def may_repeat(request_class: api.RequestClass, since_first_ns: int, same_scope: bool) -> Verdict:
+    """Say whether a request that may have run before may be sent to an upstream.
 
-def may_repeat(cls: api.RequestClass, since_first_ns: int, same_group: bool) -> Verdict:
-    """May a request be sent to this upstream that may have run before? `since_first_ns`: since the
-    first send that may have run. `same_group`: all upstreams that it went to drop each other's
-    repeats.
+    Args:
+        request_class: The class of the request.
+        since_first_ns: Time since the first attempt that may have run.
+        same_scope: All upstreams that it went to, and this one, drop each other's repeats.
     """
-    if cls.effect is api.Effect.IDEMPOTENT:
+    if request_class.effect is api.Effect.IDEMPOTENT:
         return ALLOWED
-    if cls.effect is not api.Effect.IDEMPOTENT_WITH_KEY:
-        return DENIED[Reason.EFFECT]
-    if since_first_ns >= cls.window_ns:
-        return DENIED[Reason.WINDOW]
-    return ALLOWED if same_group else DENIED[Reason.GROUP]
-
-
-def may_refuse(cls: api.RequestClass, may_have_run: bool) -> Verdict:
-    """May a request be refused, which promises that a repeat is harmless?"""
-    everywhere = (
-        cls.effect is api.Effect.IDEMPOTENT_WITH_KEY and cls.scope is api.DeduplicationScope.ALL
+    if request_class.effect is not api.Effect.IDEMPOTENT_WITH_KEY:
+        return DENIED[Reason.NOT_IDEMPOTENT]
+    if since_first_ns >= request_class.window_ns:
+        return DENIED[Reason.DEDUPLICATION_EXPIRED]
+    return ALLOWED if same_scope else DENIED[Reason.OUTSIDE_DEDUPLICATION_SCOPE]
+
+
+def may_reject(request_class: api.RequestClass, may_have_run: bool) -> Verdict:
+    """Say whether a request may be rejected, which promises that a retry is harmless."""
+    is_dropped_everywhere = (
+        request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY
+        and request_class.scope is api.DeduplicationScope.ALL
     )
-    if cls.effect is api.Effect.IDEMPOTENT or everywhere or not may_have_run:
+    is_idempotent = request_class.effect is api.Effect.IDEMPOTENT
+    if is_idempotent or is_dropped_everywhere or not may_have_run:
         return ALLOWED
-    return DENIED[Reason.EFFECT]
+    return DENIED[Reason.NOT_IDEMPOTENT]
 
 
-def told_ms(now_ns: int, *until_ns: int) -> int:
-    """The time that an attempt tells its upstream: what is left now until the first of these, in
-    whole ms.
-    """
-    return max(1, (min(until_ns) - now_ns) // MS)
+def remaining_ms(now_ns: int, *until_ns: int) -> int:
+    """Return the time from now to the first of these, in whole ms, at least 1."""
+    return max(1, (min(until_ns) - now_ns) // MILLISECOND)
+
 
+def may_complete_body(timeout_ms: int, now_ns: int, client_until_ns: int) -> Verdict:
+    """Say whether the last byte of a body may be written.
 
-def may_finish(told: int, now_ns: int, client_until_ns: int) -> Verdict:
-    """May the last byte of a body be written, whose head told so many ms? Its upstream counts from
-    there.
+    Args:
+        timeout_ms: What the head promised; the upstream counts it from that byte on.
+        now_ns: The time.
+        client_until_ns: The client's deadline.
     """
-    if told * MS > client_until_ns - now_ns + TOLD_SLACK_NS:
-        return DENIED[Reason.TOLD]
+    if timeout_ms * MILLISECOND > client_until_ns - now_ns + TIMEOUT_SLACK_NS:
+        return DENIED[Reason.TIMEOUT_TOO_LONG]
     return ALLOWED
--- a/loadbalancer/policy/subset_ring.py
+++ b/loadbalancer/policy/subset_ring.py
@@ -1,8 +1,6 @@
-"""The upstreams that may be used, in the orders that decisions need, kept by each change of the
-list.
+"""The usable upstreams in the orders that subsetting needs, updated with each list change.
 
-Nothing here looks at all of them but where a list is whole, or a class may go to a part of them
-only.
+Only a complete list, or a class that is restricted to some upstreams, makes it look at all of them.
 """
 
 from __future__ import annotations
@@ -10,119 +8,141 @@
 import bisect
 
 from loadbalancer.policy import api, rules
-from loadbalancer.policy.upstream_stats import BY_SPOT, BY_TURN, Server
+from loadbalancer.policy.upstream_stats import BY_LOCAL_POSITION, BY_RING_POSITION, UpstreamStats
 
 
-class Ring:
-    """`ready`: by their spots on the ring that all proxies compute alike; `near`: those of them
-    whose way is not farther than any; `mine`: in an order of this proxy's own; `starts`: the times
-    of their last starts, where known.
+class SubsetRing:
+    """The usable upstreams, ordered.
+
+    Attributes:
+        ready: By position on the ring that all proxies compute alike.
+        same_zone: Those of `ready` without a cross-zone penalty.
+        local_order: In an order of this proxy's own.
+        start_times: Times of their last starts, where known.
     """
 
     def __init__(self) -> None:
-        self.ready: list[Server] = []
-        self.near: list[Server] = []
-        self.mine: list[Server] = []
-        self.starts: list[int] = []
-
-    def add(self, s: Server) -> None:
-        """It may be used from now on."""
-        s.placed, s.placed_near, s.placed_start = True, s.way == 1.0, s.started_ns
-        bisect.insort(self.ready, s, key=BY_SPOT)
-        bisect.insort(self.mine, s, key=BY_TURN)
-        if s.placed_near:
-            bisect.insort(self.near, s, key=BY_SPOT)
-        if s.placed_start:
-            bisect.insort(self.starts, s.placed_start)
-
-    def remove(self, s: Server) -> None:
-        """It may not be used any more."""
-        s.placed = False
-        del self.ready[bisect.bisect_left(self.ready, s.spot, key=BY_SPOT)]
-        del self.mine[bisect.bisect_left(self.mine, s.turn, key=BY_TURN)]
-        if s.placed_near:
-            del self.near[bisect.bisect_left(self.near, s.spot, key=BY_SPOT)]
-        if s.placed_start:
-            del self.starts[bisect.bisect_left(self.starts, s.placed_start)]
-
-    def place(self, s: Server) -> None:
-        """Whatever has changed of it."""
-        as_it_stands = (
-            s.placed and s.placed_near is (s.way == 1.0) and s.placed_start == s.started_ns
+        self.ready: list[UpstreamStats] = []
+        self.same_zone: list[UpstreamStats] = []
+        self.local_order: list[UpstreamStats] = []
+        self.start_times: list[int] = []
+
+    def add(self, upstream: UpstreamStats) -> None:
+        """Insert an upstream that became usable."""
+        upstream.in_ring = True
+        upstream.in_ring_same_zone = upstream.zone_penalty == 1.0
+        upstream.ring_started_ns = upstream.started_ns
+        bisect.insort(self.ready, upstream, key=BY_RING_POSITION)
+        bisect.insort(self.local_order, upstream, key=BY_LOCAL_POSITION)
+        if upstream.in_ring_same_zone:
+            bisect.insort(self.same_zone, upstream, key=BY_RING_POSITION)
+        if upstream.ring_started_ns:
+            bisect.insort(self.start_times, upstream.ring_started_ns)
+
+    def remove(self, upstream: UpstreamStats) -> None:
+        """Remove an upstream that is no longer usable."""
+        position = upstream.ring_position
+        upstream.in_ring = False
+        del self.ready[bisect.bisect_left(self.ready, position, key=BY_RING_POSITION)]
+        local = upstream.local_position
+        del self.local_order[bisect.bisect_left(self.local_order, local, key=BY_LOCAL_POSITION)]
+        if upstream.in_ring_same_zone:
+            del self.same_zone[bisect.bisect_left(self.same_zone, position, key=BY_RING_POSITION)]
+        if upstream.ring_started_ns:
+            del self.start_times[bisect.bisect_left(self.start_times, upstream.ring_started_ns)]
+
+    def update(self, upstream: UpstreamStats) -> None:
+        """Bring the ring up to date with a changed upstream."""
+        is_current = (
+            upstream.in_ring
+            and upstream.in_ring_same_zone is (upstream.zone_penalty == 1.0)
+            and upstream.ring_started_ns == upstream.started_ns
         )
-        if s.usable is s.placed and (as_it_stands or not s.placed):
+        if upstream.is_usable is upstream.in_ring and (is_current or not upstream.in_ring):
             return
-        if s.placed:
-            self.remove(s)
-        if s.usable:
-            self.add(s)
-
-    def started_since(self, at_ns: int) -> int:
-        """How many have started later than that."""
-        return len(self.starts) - bisect.bisect_right(self.starts, at_ns)
-
-    def open_to(self, cls: api.RequestClass) -> Ring:
-        """Those that the class may go to."""
-        part = Ring()
-        part.ready = [s for s in self.ready if rules.open_to(s.entry, cls)]
-        part.near = [s for s in self.near if rules.open_to(s.entry, cls)]
-        part.mine = [s for s in self.mine if rules.open_to(s.entry, cls)]
-        return part
-
-    def stretch(self, first: int, even: int, count: int) -> list[Server]:
-        """So many: from this place on the ring as it stands, up to `even`, then the near ones
-        behind that, then the others.
+        if upstream.in_ring:
+            self.remove(upstream)
+        if upstream.is_usable:
+            self.add(upstream)
+
+    def started_since(self, since_ns: int) -> int:
+        """Count the upstreams that started later than this."""
+        return len(self.start_times) - bisect.bisect_right(self.start_times, since_ns)
+
+    def eligible_for(self, request_class: api.RequestClass) -> SubsetRing:
+        """Return a ring of the upstreams that the class may go to."""
+        ring = SubsetRing()
+        ring.ready = [u for u in self.ready if rules.is_eligible(u.entry, request_class)]
+        ring.same_zone = [u for u in self.same_zone if rules.is_eligible(u.entry, request_class)]
+        ring.local_order = [
+            u for u in self.local_order if rules.is_eligible(u.entry, request_class)
+        ]
+        return ring
+
+    def subset(self, first: int, any_zone: int, count: int) -> list[UpstreamStats]:
+        """Return a subset of `count` upstreams that starts at index `first`.
+
+        The first `any_zone` are taken as the ring stands, then those of the same zone behind them,
+        then the others.
         """
-        ready, n = self.ready, len(self.ready)
-        found = [ready[(first + i) % n] for i in range(min(even, count))]
+        ready = self.ready
+        total = len(ready)
+        found = [ready[(first + i) % total] for i in range(min(any_zone, count))]
         if len(found) < count:
-            taken = {s.id for s in found}
-            found += self._near_from(first + even, taken, count - len(found))
-        at = first + even
-        while len(found) < count:  # few are near: at most these are passed over
-            s = ready[at % n]
-            if s.way != 1.0:
-                found.append(s)
-            at += 1
+            chosen_ids = {upstream.id for upstream in found}
+            found += self._same_zone_from(first + any_zone, chosen_ids, count - len(found))
+        index = first + any_zone
+        while len(found) < count:  # few are in the same zone: at most these are passed over
+            upstream = ready[index % total]
+            if upstream.zone_penalty != 1.0:
+                found.append(upstream)
+            index += 1
         return found
 
-    def _near_from(self, place: int, taken: set[int], count: int) -> list[Server]:
-        """The first near ones from this place of the ring on, but for those taken."""
-        near, found = self.near, []
-        if near:
-            at = bisect.bisect_left(near, self.ready[place % len(self.ready)].spot, key=BY_SPOT)
-            for i in range(len(near)):
-                s = near[(at + i) % len(near)]
-                if s.id not in taken:
-                    found.append(s)
+    def _same_zone_from(
+        self, index: int, excluded_ids: set[int], count: int
+    ) -> list[UpstreamStats]:
+        """Return the first upstreams of the same zone from this index of the ring on."""
+        same_zone = self.same_zone
+        found: list[UpstreamStats] = []
+        if same_zone:
+            position = self.ready[index % len(self.ready)].ring_position
+            start = bisect.bisect_left(same_zone, position, key=BY_RING_POSITION)
+            for i in range(len(same_zone)):
+                upstream = same_zone[(start + i) % len(same_zone)]
+                if upstream.id not in excluded_ids:
+                    found.append(upstream)
                     if len(found) == count:
                         break
         return found
 
-    def further(
-        self, first: int, even: int, home: list[Server], some: list[Server]
-    ) -> list[Server]:
-        """Those of some that stand here and not in the home, in the order in which its stretch goes
-        on.
+    def outside_subset(
+        self, first: int, any_zone: int, subset: list[UpstreamStats], some: list[UpstreamStats]
+    ) -> list[UpstreamStats]:
+        """Return those of `some` that are in the ring but not in the subset.
+
+        They come in the order in which `subset` would go on.
         """
-        n = len(self.ready)
-        at_home = {s.id for s in home}
+        total = len(self.ready)
+        subset_ids = {upstream.id for upstream in subset}
         found = []
-        for s in some:
-            at = bisect.bisect_left(self.ready, s.spot, key=BY_SPOT)
-            if at < n and self.ready[at] is s and s.id not in at_home:
-                place = (at - first) % n
-                found.append((place >= even and s.way != 1.0, place, s.id, s))
-        return [s for *_, s in sorted(found, key=lambda row: row[:3])]
-
-    def beyond(self, home: list[Server], count: int) -> list[Server]:
-        """So many more, in this proxy's own order."""
-        found: list[Server] = []
+        for upstream in some:
+            index = bisect.bisect_left(self.ready, upstream.ring_position, key=BY_RING_POSITION)
+            is_in_ring = index < total and self.ready[index] is upstream
+            if is_in_ring and upstream.id not in subset_ids:
+                distance = (index - first) % total
+                is_later = distance >= any_zone and upstream.zone_penalty != 1.0
+                found.append((is_later, distance, upstream.id, upstream))
+        return [upstream for *_, upstream in sorted(found, key=lambda row: row[:3])]
+
+    def beyond(self, subset: list[UpstreamStats], count: int) -> list[UpstreamStats]:
+        """Return up to `count` upstreams outside the subset, in this proxy's own order."""
+        found: list[UpstreamStats] = []
         if count > 0:
-            at_home = {s.id for s in home}
-            for s in self.mine:
-                if s.id not in at_home:
-                    found.append(s)
+            subset_ids = {upstream.id for upstream in subset}
+            for upstream in self.local_order:
+                if upstream.id not in subset_ids:
+                    found.append(upstream)
                     if len(found) == count:
                         break
         return found
--- a/loadbalancer/policy/token_bucket.py
+++ b/loadbalancer/policy/token_bucket.py
@@ -1,111 +1,138 @@
-"""One tenant's token bucket with a job buffer (Berger and Whitt)."""
+"""Token bucket with a job buffer for one tenant (Berger and Whitt)."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterable
-from typing import TYPE_CHECKING, Final
+from enum import Enum
+from typing import Final, Generic, TypeVar
 
 from loadbalancer.policy.clock import SECOND
 
-if TYPE_CHECKING:
-    from loadbalancer.policy.requests import Request
-
-BANK_S: Final = 0.5  # C_T in seconds of tokens
-HOLD_PART: Final = 0.2  # C_J as a part of C_T
+TOKEN_CAPACITY_S: Final = 0.5  # C_T in seconds of tokens
+BUFFER_FRACTION: Final = 0.2  # C_J as a fraction of C_T
 START_RATE: Final = 10_000.0  # R starts above anything a proxy carries
 
+RequestT = TypeVar("RequestT")
+
+
+class Offer(Enum):
+    """What a token bucket does with a request."""
+
+    ADMITTED = "admitted"
+    BUFFERED = "buffered"  # it waits for a token
+    OVERFLOW = "overflow"  # the job buffer is full
 
-class Throttle:
-    """One tenant's gate: the paper's counter U = T - J + C_J in [0, C_J + C_T] (2.1), (2.8)."""
+
+class TokenBucket(Generic[RequestT]):
+    """One tenant's admission: the paper's counter U = T - J + C_J in [0, C_J + C_T] (2.1), (2.8).
+
+    Attributes:
+        token_capacity: C_T.
+        buffer_capacity: C_J; never below `min_buffer_capacity`.
+        counter: U.
+    """
 
     def __init__(self, weight: float, rng: random.Random, now: int) -> None:
         self.weight = weight
-        self.bank = round(START_RATE * BANK_S)  # C_T
-        self.hold = self.least = round(self.bank * HOLD_PART)  # C_J; and where none is held
-        self.u = self.bank + self.hold  # starts full
+        self.token_capacity = round(START_RATE * TOKEN_CAPACITY_S)
+        self.min_buffer_capacity = round(self.token_capacity * BUFFER_FRACTION)
+        self.buffer_capacity = self.min_buffer_capacity
+        self.counter = self.token_capacity + self.buffer_capacity  # starts full
         self.rate = START_RATE
-        self.credit = (
-            rng.random()
-        )  # phase of the ticks: proxies must not release their holds in step
-        self.at = now
-        self.held: list[
-            Request
-        ] = []  # an empty deque takes ten times the memory, and most hold none
-        self.asked = 0
+        # The phase is random: proxies must not release their buffered requests in step.
+        self.token_fraction = rng.random()
+        self.accrued_ns = now
+        # A list: an empty deque takes ten times the memory, and most buckets buffer nothing.
+        self.buffered: list[RequestT] = []
+        self.request_count = 0  # since the rate was last set
         self.demand = 0.0  # requests a second, learned
-        self.waking = False  # a timer for the next token is set
-        self.over = False
-        self.short = False  # a request found no token since R was last set
-        self.share = (
-            0.0  # requests a second within its share here, where the fleet's plan tells; else 0
-        )
-        self.share_left, self.share_ns = 0.0, now  # of a second's worth
-        self.place = 0  # among all, as the settings list them
-        self.ratio = (
-            0.0  # what it wants by its weight; of that it is given by R, and by what is served
-        )
-        self.lent = self.fair = 0.0
+        self.has_timer = False  # a timer for the next token is set
+        self.is_over_share = False
+        self.ran_short = False  # a request found no token since the rate was last set
+        self.planned_rate = 0.0  # requests a second within its share, by the traffic plan; 0: none
+        self.planned_tokens = 0.0  # of `planned_rate`, at most a second's worth
+        self.planned_ns = now
+        # What the rate controller keeps of it.
+        self.index = 0  # among all, in the order of the settings
+        self.demand_ratio = 0.0  # demand by weight
+        self.granted_rate = 0.0  # of the demand, out of the admission rate
+        self.fair_rate = 0.0  # of the demand, out of the requests that are served
+
+    def set_rate(self, rate: float, now: int, like: TokenBucket[RequestT] | None = None) -> None:
+        """Change the rate and the capacities; tokens and buffered requests stay.
 
-    def set_rate(self, rate: float, now: int, like: Throttle | None = None) -> None:
-        """Change the rate and with it the capacities; tokens in the bank and requests held stay.
-        `like`: one that has this rate already.
+        Args:
+            rate: Tokens a second.
+            now: The time in nanoseconds.
+            like: A bucket that has this rate already.
         """
         self.accrue(now)
-        balance = self.u - self.hold  # T - J
+        balance = self.counter - self.buffer_capacity  # T - J
         self.rate = rate
-        self.bank = like.bank if like is not None else max(4, round(rate * BANK_S))
-        self.least = like.least if like is not None else max(1, round(self.bank * HOLD_PART))
-        self.hold = max(self.least, len(self.held))
-        self.u = max(0, min(self.bank + self.hold, balance + self.hold))
-
-    def beyond(self, now: int) -> bool:
-        """Is this request more than its share, where that is told?"""
-        self.share_left = min(
-            self.share, self.share_left + self.share * (now - self.share_ns) / SECOND
+        if like is not None:
+            self.token_capacity = like.token_capacity
+            self.min_buffer_capacity = like.min_buffer_capacity
+        else:
+            self.token_capacity = max(4, round(rate * TOKEN_CAPACITY_S))
+            self.min_buffer_capacity = max(1, round(self.token_capacity * BUFFER_FRACTION))
+        self.buffer_capacity = max(self.min_buffer_capacity, len(self.buffered))
+        self.counter = max(
+            0,
+            min(self.token_capacity + self.buffer_capacity, balance + self.buffer_capacity),
         )
-        self.share_ns = now
-        if self.share_left < 1.0:
-            return self.share > 0
-        self.share_left -= 1.0
+
+    def exceeds_plan(self, now: int) -> bool:
+        """Count a request against the planned rate, if there is one: is it beyond that?"""
+        earned = self.planned_rate * (now - self.planned_ns) / SECOND
+        self.planned_tokens = min(self.planned_rate, self.planned_tokens + earned)
+        self.planned_ns = now
+        if self.planned_tokens < 1.0:
+            return self.planned_rate > 0
+        self.planned_tokens -= 1.0
         return False
 
     def accrue(self, now: int) -> None:
-        self.credit += self.rate * (now - self.at) / SECOND
-        ticks = int(self.credit)
-        self.at, self.credit = now, self.credit - ticks
-        self.u = min(self.bank + self.hold, self.u + ticks)
+        """Add the tokens that have come since the last call."""
+        self.token_fraction += self.rate * (now - self.accrued_ns) / SECOND
+        tokens = int(self.token_fraction)
+        self.accrued_ns = now
+        self.token_fraction -= tokens
+        self.counter = min(self.token_capacity + self.buffer_capacity, self.counter + tokens)
 
-    def offer(self, request: Request, now: int) -> bool | None:
-        """True: send; None: held; False: overflow."""
+    def offer(self, request: RequestT, now: int) -> Offer:
+        """Take a token for a request, or buffer it until there is one."""
         self.accrue(now)
-        self.asked += 1
-        if self.u <= self.hold:
-            self.short = True
-        if self.u < 1:
-            return False
-        self.u -= 1
-        if self.u >= self.hold:
-            return True
-        self.held.append(request)
-        return None
-
-    def spare(self, now: int) -> bool:
-        """Take a token for a copy or a client's retry, if fresh work leaves part of the bank
-        unused.
+        self.request_count += 1
+        if self.counter <= self.buffer_capacity:
+            self.ran_short = True
+        if self.counter < 1:
+            return Offer.OVERFLOW
+        self.counter -= 1
+        if self.counter >= self.buffer_capacity:
+            return Offer.ADMITTED
+        self.buffered.append(request)
+        return Offer.BUFFERED
+
+    def take_spare(self, now: int) -> bool:
+        """Take a token for a hedged request or a client's retry.
+
+        Returns:
+            False where fresh requests leave less than a quarter of the tokens unused.
         """
         self.accrue(now)
-        if self.u - self.hold <= self.bank // 4:
+        if self.counter - self.buffer_capacity <= self.token_capacity // 4:
             return False
-        self.u -= 1
+        self.counter -= 1
         return True
 
-    def released(self, now: int) -> Iterable[Request]:
+    def release(self, now: int) -> Iterable[RequestT]:
+        """Yield the buffered requests that have a token by now."""
         self.accrue(now)
-        while len(self.held) > max(0, self.hold - self.u):
-            yield self.held.pop(0)
+        while len(self.buffered) > max(0, self.buffer_capacity - self.counter):
+            yield self.buffered.pop(0)
 
-    def leave(self, request: Request) -> None:
-        """A held request ends: the token it waited for is not needed."""
-        self.held.remove(request)
-        self.u += 1
+    def remove(self, request: RequestT) -> None:
+        """Remove a buffered request that has ended; it needs no token."""
+        self.buffered.remove(request)
+        self.counter += 1
--- a/loadbalancer/proxy/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -42,13 +42,13 @@
             request.arrival.deadline_ns,
             self.number,
             request.out_beside(self.number),
-            over=request.over,
+            request_finished=request.over,
             client_gone=not request.over and request.client.gone,
-            body_at_hand=stream is None or stream.whole_again,
-            begin_by_ns=self.begin_by_ns,
+            body_available=stream is None or stream.whole_again,
+            start_by_ns=self.begin_by_ns,
         )
         return rules.may_attempt(
-            asked, self.limits, rules.most_out(self.limits, stream is not None)
+            asked, self.limits, rules.max_in_flight(self.limits, stream is not None)
         )
 
     def begin(self, usable: rules.Verdict) -> bytes | Denied:
@@ -61,11 +61,11 @@
             self.denied(verdict, "its connection is up")
             return verdict
         request = self.request
-        if request.arrival.whole:
-            self.told_ms = rules.told_ms(now_ns, request.arrival.deadline_ns, self.until_ns)
+        if request.arrival.body_complete:
+            self.told_ms = rules.remaining_ms(now_ns, request.arrival.deadline_ns, self.until_ns)
         else:
             # Its client's time runs from the last byte, which is still to come.
-            self.told_ms = rules.told_ms(0, request.wait_ns, self.timeout_ns)
+            self.told_ms = rules.remaining_ms(0, request.wait_ns, self.timeout_ns)
         if request.stream is not None:
             request.stream.rewind()
         return attempt_request(
@@ -81,8 +81,8 @@
         """May the last byte of its body be written, by what its head told?"""
         request = self.request
         now_ns = time.monotonic_ns()
-        from_ns = request.arrival.received_ns if request.arrival.whole else now_ns
-        verdict = rules.may_finish(self.told_ms, now_ns, from_ns + request.wait_ns)
+        from_ns = request.arrival.received_ns if request.arrival.body_complete else now_ns
+        verdict = rules.may_complete_body(self.told_ms, now_ns, from_ns + request.wait_ns)
         if isinstance(verdict, Denied):
             self.denied(verdict, "the last byte of its body is due")
         return not isinstance(verdict, Denied)
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -106,7 +106,9 @@
         self.tell = self._tell  # who is told what comes
         self.address = address
         self.push = driver.settings.discovery_push
-        self.calls = Calls(driver.settings.instance_count, driver.settings.me, random.Random(seed))
+        self.calls = Calls(
+            driver.settings.instance_count, driver.settings.instance_index, random.Random(seed)
+        )
         self.age = ListAge(driver)
         self.version = -1
         self.answered_s = 0.0  # when it last said something, be it that nothing changed
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -238,7 +238,7 @@
             self.released(self)
             result = (
                 AttemptResult.CONNECT_FAILED
-                if data.reason is Reason.UPSTREAM
+                if data.reason is Reason.UPSTREAM_UNAVAILABLE
                 else AttemptResult.NOT_SENT
             )
             asyncio.get_running_loop().call_soon(exchange.give_up, result)
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -94,7 +94,7 @@
         if request.over or request.stream is None:
             return
         request.arrival = request.arrival._replace(
-            deadline_ns=deadline_ns, received_ns=received_ns, whole=True
+            deadline_ns=deadline_ns, received_ns=received_ns, body_complete=True
         )
         request.whole_ns = time.monotonic_ns()
         self._limit(request)
@@ -261,7 +261,7 @@
                     self.peers.tell(action.peer, action.data)
             case api.SubscribeEndpoints():
                 if self.discovery is not None:
-                    self.discovery.subscribe(action.on)
+                    self.discovery.subscribe(action.enabled)
             case api.FetchEndpoints():
                 if self.discovery is not None:
                     self.discovery.fetch()
@@ -327,7 +327,7 @@
 
     def _timing(self, attempt: OutgoingAttempt, now: int, start_by_ns: int) -> Timing:
         """Without a limit, it waits for a body that is still to come."""
-        if not attempt.request.arrival.whole:
+        if not attempt.request.arrival.body_complete:
             return Timing(None, start_by_ns / 1e9)
         return Timing(self._wait(attempt.request, attempt.until_ns - now) / 1e9, start_by_ns / 1e9)
 
--- a/loadbalancer/proxy/policy_violations.py
+++ b/loadbalancer/proxy/policy_violations.py
@@ -13,13 +13,13 @@
 # mean that the decision itself was wrong.
 CROSSED = frozenset(
     {
-        Reason.OVER,
+        Reason.REQUEST_FINISHED,
         Reason.CLIENT_GONE,
-        Reason.DEADLINE,
-        Reason.UPSTREAM,
-        Reason.LIST,
-        Reason.WINDOW,
-        Reason.TOLD,
+        Reason.DEADLINE_EXCEEDED,
+        Reason.UPSTREAM_UNAVAILABLE,
+        Reason.ENDPOINTS_STALE,
+        Reason.DEDUPLICATION_EXPIRED,
+        Reason.TIMEOUT_TOO_LONG,
     }
 )
 
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -95,7 +95,9 @@
         row,
         api.RequestClass,
         {
-            **_same("window_ns", "worth", "stream"),
+            **_same("window_ns"),
+            "worth": "priority_weight",
+            "stream": "is_streaming",
             "aim_ns": "latency_objective_ns",
             "late_worth": "late_weight",
             "hard_limit_ns": "deadline_ns",
@@ -172,7 +174,7 @@
     )
     reports = maybe(raw, "load_report", dict, {})
     return api.Settings(
-        me=maybe(raw, "me", int, 0),
+        instance_index=maybe(raw, "me", int, 0),
         instance_count=maybe(raw, "replicas_of_me", int, 1),
         zone=maybe(raw, "locality", str, ""),
         discovery_push=word(raw, "registry_mode", {"push": True, "ask": False}, "push"),
--- a/loadbalancer/sim_adapter.py
+++ b/loadbalancer/sim_adapter.py
@@ -135,7 +135,7 @@
         "dst": a.peer,
         "blob": base64.b64encode(a.data).decode(),
     },
-    api.SubscribeEndpoints: lambda a: {"t": "track", "active": a.on},
+    api.SubscribeEndpoints: lambda a: {"t": "track", "active": a.enabled},
     api.FetchEndpoints: lambda a: {"t": "fetch"},
     api.SetTimer: lambda a: {"t": "schedule", "wait_ns": a.delay_ns, "name": a.name},
     api.LogMessage: lambda a: {"t": "write_log", "message": a.text},
--- a/loadbalancer/testbed/hosts.py
+++ b/loadbalancer/testbed/hosts.py
@@ -63,7 +63,7 @@
     def kill(self, number: int) -> None:
         killed = self.instances.pop(number, None)
         if self.remembers and isinstance(killed, Balancer):
-            self.past[number] = self.now, killed.learnt()
+            self.past[number] = self.now, killed.learned_state()
 
     def _remind(self, number: int, now: int, events: Sequence[api.Event]) -> Sequence[api.Event]:
         """With its first events, what its predecessor had learnt."""
--- a/loadbalancer/testbed/policies.py
+++ b/loadbalancer/testbed/policies.py
@@ -114,7 +114,7 @@
     def pick(self, avoid: Sequence[int]) -> int:
         while True:
             self.turn += 1
-            at = self.order[(self.turn + self.settings.me) % len(self.order)]
+            at = self.order[(self.turn + self.settings.instance_index) % len(self.order)]
             if at not in avoid:
                 return at
 
--- a/loadbalancer/testbed/sites/fleet.py
+++ b/loadbalancer/testbed/sites/fleet.py
@@ -104,7 +104,7 @@
             Look(
                 self.places,
                 rows,
-                {k: c.worth for k, c in self.settings.classes.items()},
+                {k: c.priority_weight for k, c in self.settings.classes.items()},
                 {n: t.quota_per_s for n, t in self.settings.tenants.items()},
                 usual,
                 usual,
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -67,7 +67,7 @@
         self.balancer = SimpleNamespace(
             learnt=lambda: LEARNT,
             requests={},
-            crowding=SimpleNamespace(taken=dict(LEARNT.taken)),
+            concurrency=SimpleNamespace(service_times=dict(LEARNT.service_times)),
             rate=SimpleNamespace(sent=86.0, served=86.0),
         )
 
--- a/loadbalancer/testbed/size/probe.py
+++ b/loadbalancer/testbed/size/probe.py
@@ -68,7 +68,7 @@
 def upstreams(count: int, first: int = 0) -> list[api.Upstream]:
     """With ids as large as the program's."""
     return [
-        api.Upstream(policy.mixed(first + i, 77), api.UpstreamState.READY, f"zone-{i % ZONES}")
+        api.Upstream(policy.hash_id(first + i, 77), api.UpstreamState.READY, f"zone-{i % ZONES}")
         for i in range(count)
     ]
 
--- a/loadbalancer/testbed/virtual.py
+++ b/loadbalancer/testbed/virtual.py
@@ -456,7 +456,7 @@
                 self._probe(life, action.upstream)
             case api.SubscribeEndpoints():
                 life.watching = False
-                if action.on:
+                if action.enabled:
                     self._call(life, True)
             case api.FetchEndpoints():
                 self._call(life, False)
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -82,7 +82,9 @@
     retry: bool = False,
     key: str = "",
 ) -> api.RequestArrived:
-    return api.RequestArrived(f"r{number}", cls.name, tenant, now + wait_ns, key=key, retry=retry)
+    return api.RequestArrived(
+        f"r{number}", cls.name, tenant, now + wait_ns, key=key, is_retry=retry
+    )
 
 
 def check_cold_budget(
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -659,7 +659,13 @@
                     )
                 ],
             )
-            module.crowding.taken["q"], module.fleet.servers[number_of("s-2")].pace = 5e6, 3.0
+            (
+                module.concurrency.service_times["q"],
+                module.upstream_set.upstreams[number_of("s-2")].relative_service_time,
+            ) = (
+                5e6,
+                3.0,
+            )
             await until(lambda: bool(two.keeper.name.token()))
             await one.close()
             await two.close()
@@ -668,7 +674,9 @@
             # What was learnt comes behind the list, and is of the same start of each upstream.
             await until(lambda: bool(again.driver.posted))
             (learnt,) = again.driver.posted
-            assert isinstance(learnt, api.LearnedState) and learnt.paces[number_of("s-2")] == (
+            assert isinstance(learnt, api.LearnedState) and learnt.relative_service_times[
+                number_of("s-2")
+            ] == (
                 3.0,
                 again.driver.upstreams.targets[number_of("s-2")].endpoint.entry.started_ns,
             )
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -146,9 +146,13 @@
             assert "no such site" in (await command(c, "hold", "nowhere"))[1]
             assert (await command(c, "hold", "b", "--force"))[0] == 0
             await until(
-                lambda: bool(one.driver.plans) and one.driver.plans[-1].zones.get("b") == 0.0
+                lambda: (
+                    bool(one.driver.plans) and one.driver.plans[-1].zone_fractions.get("b") == 0.0
+                )
             )
-            assert one.driver.plans[-1].excess > 0  # and what is beyond shares is refused
+            assert (
+                one.driver.plans[-1].excess_reject_fraction > 0
+            )  # and what is beyond shares is refused
             assert "out by" in (await command(c, "status"))[1]
             assert 'lanelift_site_part{site="b"} 0.0' in (await command(c, "metrics"))[1]
             assert "not as usual" in (await command(c, "drill", "b", "--force"))[1]
@@ -156,7 +160,7 @@
             await until(lambda: one.driver.plans[-1] == api.TrafficPlan(), 30.0)
             for beside in (one, two):
                 beside.driver.gone = {e.entry.id for e in BOXES if e.entry.zone == "b"}
-            await until(lambda: one.driver.plans[-1].zones.get("b") == 0.0)
+            await until(lambda: one.driver.plans[-1].zone_fractions.get("b") == 0.0)
             async with asyncio.timeout(15):
                 while all(x.part > 0 for x in (await doc(client)).courses):
                     await asyncio.sleep(0.05)
@@ -170,14 +174,14 @@
                     not x.well for x in now.courses
                 ):
                     await asyncio.sleep(0.05)
-            await until(lambda: other.driver.plans[-1].zones.get("b") is None)
+            await until(lambda: other.driver.plans[-1].zone_fractions.get("b") is None)
             shut = Orders({"a": {"b": 0.0}, "b": {"b": 0.0}})
             old = msgspec.structs.replace(now, token=token, orders=shut)
             await client.put(
                 SiteKeys("orders").plan, msgspec.json.encode(old)
             )  # of an owner that wakes late
             await until(lambda: "is not heeded" in caplog.text)
-            assert other.driver.plans[-1].zones.get("b") is None
+            assert other.driver.plans[-1].zone_fractions.get("b") is None
             await other.close()
 
     with caplog.at_level(logging.INFO):
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -231,8 +231,8 @@
             one.driver.module.handle(
                 now, [api.EndpointsUpdated(api.EndpointListKind.FULL, [e.entry for e in old])]
             )
-            one.driver.module.crowding.taken["q"] = 5e6
-            one.driver.module.fleet.servers[2].pace = 3.0
+            one.driver.module.concurrency.service_times["q"] = 5e6
+            one.driver.module.upstream_set.upstreams[2].relative_service_time = 3.0
             await until(lambda: bool(one.keeper.lister.token() and one.keeper.name.token()))
             await one.keeper.save()
             await one.keeper.close()
@@ -244,12 +244,12 @@
             (learnt,) = two.driver.posted
             assert (
                 isinstance(learnt, api.LearnedState)
-                and learnt.taken == {"q": 5e6}
+                and learnt.service_times == {"q": 5e6}
                 and learnt.age_ns < 5 * 10**9
             )
             update = api.EndpointsUpdated(api.EndpointListKind.CACHED, [e.entry for e in listed])
             two.driver.module.handle(now, [update, learnt])
-            assert 2.5 < two.driver.module.fleet.servers[2].pace <= 3.0
+            assert 2.5 < two.driver.module.upstream_set.upstreams[2].relative_service_time <= 3.0
             await two.keeper.close()
 
     run(test())
@@ -275,7 +275,7 @@
                 )
             ],
         )
-        return module.fleet.servers[1].pace
+        return module.upstream_set.upstreams[1].relative_service_time
 
     fresh, aged, stale = (paces(age, 7) for age in (0, 60, 3600))
     assert fresh == 3.0 and aged == pytest.approx(2.0) and stale == 1.0
@@ -289,7 +289,7 @@
     back = load_learnt(
         SavedLearnt(**{f: getattr(saved, f) for f in saved.__struct_fields__}), again
     )
-    assert back is not None and back.paces == {1: (2.0, 0)} and back.rate == 9.0
+    assert back is not None and back.relative_service_times == {1: (2.0, 0)} and back.rate == 9.0
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -623,7 +623,7 @@
             m.sounded(box, api.AttemptResult.OK, now)
         now += SECOND // 4
         m.turn(now, True)
-        if m.plan.zones.get(site) == 0.0:
+        if m.plan.zone_fractions.get(site) == 0.0:
             return now
     raise AssertionError("it is not believed")
 
@@ -632,9 +632,9 @@
     shut = Orders({"a": {"d": 0.0}}, excess=1.0)
     m = member()
     m.ordered(shut, frozenset("abcd"), {}, 2 * SECOND)
-    assert m.turn(3 * SECOND, True).plan == api.TrafficPlan({"d": 0.0}, excess=1.0)
+    assert m.turn(3 * SECOND, True).plan == api.TrafficPlan({"d": 0.0}, excess_reject_fraction=1.0)
     m.stands(10 * SECOND)
-    assert m.turn(21 * SECOND, True).plan is None and m.plan.excess == 1.0
+    assert m.turn(21 * SECOND, True).plan is None and m.plan.excess_reject_fraction == 1.0
     assert (
         m.turn(23 * SECOND, True).plan == api.TrafficPlan()
     )  # the owner is silent: by what is seen here
@@ -651,14 +651,14 @@
     }
     m.tabled = frozenset("abcd")
     now = lose(m, "b", 2 * SECOND)
-    assert m.plan.excess == 0.5
+    assert m.plan.excess_reject_fraction == 0.5
     seen = []
     for _ in range(240):
         now += SECOND // 4
         for box in m.evidence.boxes:
             m.sounded(box, api.AttemptResult.OK, now)
         m.turn(now, True)
-        seen.append(m.plan.zones.get("b", 1.0))
+        seen.append(m.plan.zone_fractions.get("b", 1.0))
     assert (
         seen == sorted(seen)
         and seen[0] == 0.0
@@ -668,13 +668,13 @@
     stale = member()
     stale.tables, stale.tabled = m.tables, frozenset("abc")  # made for another fleet
     lose(stale, "b", 2 * SECOND)
-    assert stale.plan.excess == 0.0
+    assert stale.plan.excess_reject_fraction == 0.0
 
 
 def test_a_row_tells_what_came_and_when_it_is_due() -> None:
     m = member()
     for n in range(20):
-        m.arrived(api.RequestArrived(f"r{n}", "look", "t", 9 * SECOND, retry=n % 4 == 0))
+        m.arrived(api.RequestArrived(f"r{n}", "look", "t", 9 * SECOND, is_retry=n % 4 == 0))
         m.tried(
             api.AttemptFinished(f"r{n}", 0, n, api.AttemptResult.OK, 50 * MS, True),
             200 * MS,
--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -13,7 +13,7 @@
 from loadbalancer.policy import api
 from loadbalancer.policy import balancer as balancing
 from loadbalancer.policy import token_bucket as buckets
-from loadbalancer.policy.rate_controller import Rate
+from loadbalancer.policy.rate_controller import RateController
 from tests.bench import MS, SECOND, START, upstreams
 
 GAPS = (0, 1, 3 * MS, 11 * MS, 11 * MS, 60 * MS, 499_999_999, 500 * MS, 2 * SECOND, 7 * SECOND)
@@ -25,43 +25,52 @@
 ]
 
 
-class PlainThrottle(policy.Throttle):
-    def set_rate(self, rate: float, now: int, like: policy.Throttle | None = None) -> None:
+class PlainBucket(policy.TokenBucket[policy.Request]):
+    def set_rate(
+        self, rate: float, now: int, like: policy.TokenBucket[policy.Request] | None = None
+    ) -> None:
         self.accrue(now)
-        balance = self.u - self.hold
+        balance = self.counter - self.buffer_capacity
         self.rate = rate
-        self.bank = max(4, round(rate * buckets.BANK_S))
-        self.hold = max(1, round(self.bank * buckets.HOLD_PART), len(self.held))
-        self.u = max(0, min(self.bank + self.hold, balance + self.hold))
+        self.token_capacity = max(4, round(rate * buckets.TOKEN_CAPACITY_S))
+        self.buffer_capacity = max(
+            1, round(self.token_capacity * buckets.BUFFER_FRACTION), len(self.buffered)
+        )
+        self.counter = max(
+            0, min(self.token_capacity + self.buffer_capacity, balance + self.buffer_capacity)
+        )
 
 
-class PlainRate(Rate):
+class PlainRate(RateController):
     """Every tenant in every loop."""
 
-    def _learn(self, elapsed: int) -> None:
-        for t in self.throttles:
-            t.demand += 0.5 * (t.asked * SECOND / elapsed - t.demand)
-            t.asked, t.short = 0, False
+    def _update_demands(self, elapsed: int) -> None:
+        for t in self.buckets:
+            t.demand += 0.5 * (t.request_count * SECOND / elapsed - t.demand)
+            t.request_count, t.ran_short = 0, False
 
-    def recall(
-        self, value: float, demands: Iterable[tuple[policy.Throttle, float]], now: int
+    def restore(
+        self,
+        rate: float,
+        demands: Iterable[tuple[policy.TokenBucket[policy.Request], float]],
+        now: int,
     ) -> None:
-        self.value = self.served = min(self.value, value)
+        self.rate = self.served_per_s = min(self.rate, rate)
         for t, demand in demands:
             t.demand = demand
-        self._share(now)
+        self._divide(now)
 
-    def _share(self, now: int) -> None:
-        whole = sum(t.weight for t in self.throttles)
-        lent, fair = self._fill(self.value), self._fill(self.served)
-        for i, t in enumerate(self.throttles):
-            t.set_rate(max(0.05, self.value * t.weight / whole, lent[i]), now)
-            t.over = t.demand > 1.1 * fair[i]
+    def _divide(self, now: int) -> None:
+        whole = sum(t.weight for t in self.buckets)
+        lent, fair = self._fill(self.rate), self._fill(self.served_per_s)
+        for i, t in enumerate(self.buckets):
+            t.set_rate(max(0.05, self.rate * t.weight / whole, lent[i]), now)
+            t.is_over_share = t.demand > 1.1 * fair[i]
 
     def _fill(self, left: float) -> list[float]:
-        shares, weights = [0.0] * len(self.throttles), sum(t.weight for t in self.throttles)
+        shares, weights = [0.0] * len(self.buckets), sum(t.weight for t in self.buckets)
         for i, t in sorted(
-            enumerate(self.throttles), key=lambda it: (it[1].demand / it[1].weight, it[0])
+            enumerate(self.buckets), key=lambda it: (it[1].demand / it[1].weight, it[0])
         ):
             shares[i] = min(t.demand, left * t.weight / weights)
             left, weights = max(0.0, left - shares[i]), max(1e-9, weights - t.weight)
@@ -69,38 +78,38 @@
 
 
 class PlainBalancer(policy.Balancer):
-    def _tokens(self, now: int) -> None:
-        for t in self.throttles.values():
-            self._release(t, now)
+    def _release_tokens(self, now: int) -> None:
+        for t in self.buckets.values():
+            self.admission.release(t, now)
 
 
 def plain(settings: api.Settings, seed: int, now: int) -> policy.Balancer:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(balancing, "Throttle", PlainThrottle)
-        patch.setattr(balancing, "Rate", PlainRate)
+        patch.setattr(balancing, "TokenBucket", PlainBucket)
+        patch.setattr(balancing, "RateController", PlainRate)
         return PlainBalancer(settings, seed, now)
 
 
 def state(balancer: policy.Balancer) -> list[object]:
     """All numbers of all tenants, each to its last bit."""
-    r = balancer.rate
+    r = balancer.rate_controller
     return [
-        *(float(n).hex() for n in (r.value, r.served, r.sent, r.best)),
+        *(float(n).hex() for n in (r.rate, r.served_per_s, r.finished_per_s, r.best_served_per_s)),
         *(
             (
                 t.rate.hex(),
-                t.credit.hex(),
+                t.token_fraction.hex(),
                 float(t.demand).hex(),
-                t.u,
-                t.bank,
-                t.hold,
-                t.at,
-                t.over,
-                t.short,
-                t.asked,
-                len(t.held),
+                t.counter,
+                t.token_capacity,
+                t.buffer_capacity,
+                t.accrued_ns,
+                t.is_over_share,
+                t.ran_short,
+                t.request_count,
+                len(t.buffered),
             )
-            for t in balancer.throttles.values()
+            for t in balancer.buckets.values()
         ),
     ]
 
@@ -151,7 +160,7 @@
                 "read",
                 name,
                 self.now + SECOND,
-                retry=self.rng.random() < chance,
+                is_retry=self.rng.random() < chance,
             )
             for i in range(count)
         ]
@@ -201,13 +210,19 @@
         demands = {name: rng.choice((0.0, 3.5, 3.5, 80.0)) for name in pair.names[::2]}
         pair.give(api.LearnedState(SECOND, rng.choice((5.0, 300.0)), {**demands, "gone": 9.0}))
     if seed % 4 == 1:
-        pair.give(api.TrafficPlan(excess=0.5, shares=dict.fromkeys(pair.names, 2.0), repeats=0.5))
+        pair.give(
+            api.TrafficPlan(
+                excess_reject_fraction=0.5,
+                tenant_rates=dict.fromkeys(pair.names, 2.0),
+                retry_reject_fraction=0.5,
+            )
+        )
     for i in range(300):
         most = (
             len(weights) if i > 200 else max(1, len(weights) // 3)
         )  # some ask for the first time late
         pair.step(most, rng.choice((2, 10, 40, 300)))
-    assert pair.actions > 300 and {"Send", "Refuse"} <= pair.seen
+    assert pair.actions > 300 and {"StartAttempt", "RejectRequest"} <= pair.seen
 
 
 def test_so_it_is_near_the_least_number_there_is() -> None:
@@ -217,19 +232,22 @@
         rng = random.Random(seed)
         weights = [rng.choice((0.3, 0.35, 0.7, 40.3, 41.7)) for _ in range(12)] + [1.7] * 3
         wants = [least * rng.randrange(70) for _ in weights]
-        both: list[Rate] = []
-        for throttle, rate in ((policy.Throttle, Rate), (PlainThrottle, PlainRate)):
-            of_it = [throttle(w, random.Random(7), START) for w in weights]
-            both.append(rate(of_it, START))
-            both[-1].recall(3.0, zip(of_it, wants, strict=True), START)
+        both: list[RateController] = []
+        for bucket, controller in ((policy.TokenBucket, RateController), (PlainBucket, PlainRate)):
+            of_it: list[policy.TokenBucket[policy.Request]] = [
+                bucket(w, random.Random(7), START) for w in weights
+            ]
+            both.append(controller(of_it, START))
+            both[-1].restore(3.0, zip(of_it, wants, strict=True), START)
         for step in range(1, 10):
             for r in both:
-                for t in r.throttles[-3:]:
-                    t.asked = 100
-                r.good = 2
+                for t in r.buckets[-3:]:
+                    t.request_count = 100
+                r.in_time_count = 2
                 r.adjust(START + step * SECOND, -1.0)
             ours, theirs = (
-                [(t.rate.hex(), t.demand.hex(), t.u, t.over) for t in r.throttles] for r in both
+                [(t.rate.hex(), t.demand.hex(), t.counter, t.is_over_share) for t in r.buckets]
+                for r in both
             )
             assert ours == theirs, (seed, step)
 
@@ -241,8 +259,8 @@
     pair.now += 495 * MS
     first, second = (pair.asked(name, 100) for name in pair.names[:2])
     pair.give(*first, *second)
-    one, other, _ = pair.both[0].throttles.values()
-    assert one.held and other.held
+    one, other, _ = pair.both[0].buckets.values()
+    assert one.buffered and other.buffered
     pair.give(*(api.ClientDisconnected(e.request) for e in second))
     pair.now += 5 * MS
     pair.give(
@@ -251,4 +269,6 @@
             for r, n, u, _ in pair.out
         )
     )
-    assert one.rate == other.rate and one.hold == len(one.held) > other.hold
+    assert (
+        one.rate == other.rate and one.buffer_capacity == len(one.buffered) > other.buffer_capacity
+    )
--- a/tests/policy/test_many_upstreams.py
+++ b/tests/policy/test_many_upstreams.py
@@ -41,7 +41,7 @@
 
 def balancer(upstreams: int, me: int, balancers: int) -> Balancer:
     settings = api.Settings(
-        me=me,
+        instance_index=me,
         instance_count=balancers,
         zone="east",
         classes={"read": READ},
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -70,8 +70,10 @@
     desk.advance(600 * MS)
     assert desk.answer["r100"] == "refused"
     desk.give(api.UpstreamDisabled(banned, False))
-    fleet = desk.balancer.fleet
-    assert fleet.servers[banned].usable and fleet.cold(fleet.servers[banned], desk.now)
+    upstream_set = desk.balancer.upstream_set
+    assert upstream_set.upstreams[banned].is_usable and upstream_set.availability.is_in_slow_start(
+        upstream_set.upstreams[banned], desk.now
+    )
     desk.advance(600 * MS)
     desk.give(arrival(101, desk.now))
     desk.advance(100 * MS)
@@ -80,33 +82,35 @@
 
 def test_what_is_put_back_is_in_reach_of_every_proxy() -> None:
     desk = Desk(settings(instance_count=20), servers=30)
-    pool = desk.balancer.fleet.main
-    far = pool.all()[-1].id
-    assert far not in {s.id for s in pool.order[: pool.width]}
+    pool = desk.balancer.upstream_set.main_pool
+    far = pool.all_upstreams()[-1].id
+    assert far not in {s.id for s in pool.candidates[: pool.width]}
     desk.give(api.UpstreamDisabled(far))
     desk.give(api.UpstreamDisabled(far, False))
     desk.advance(5 * SECOND)
-    assert far in {s.id for s in pool.order[: pool.width]}
+    assert far in {s.id for s in pool.candidates[: pool.width]}
 
 
 def test_a_request_whose_body_still_comes_holds_no_place_and_its_time_runs_from_its_end() -> None:
     desk = Desk(servers=1)
     b = desk.balancer
     open_ended = arrival(1, desk.now, PAY)._replace(
-        deadline_ns=desk.now + 600 * SECOND, whole=False
+        deadline_ns=desk.now + 600 * SECOND, body_complete=False
     )
     assert desk.give(open_ended)
     ((entry, _),) = desk.sends["r1"]
-    server = b.fleet.servers[entry.id]
-    assert (b.out, server.inflight) == (0, 0)
+    server = b.upstream_set.upstreams[entry.id]
+    assert (b.concurrency.in_flight, server.in_flight) == (0, 0)
     desk.advance(20 * SECOND)
-    assert "r1" not in desk.answer and not server.strikes  # a slow client is no upstream's fault
+    assert (
+        "r1" not in desk.answer and not server.failure_count
+    )  # a slow client is no upstream's fault
     desk.give(api.BodyCompleted("r1", desk.now + PAY.deadline_ns, desk.now, False))
-    assert (b.out, server.inflight) == (1, 1)
+    assert (b.concurrency.in_flight, server.in_flight) == (1, 1)
     desk.finish(
         "r1", api.AttemptResult.REJECTED
     )  # it never ran, but can't be sent from its start any more
-    assert (b.out, server.inflight) == (0, 0)
+    assert (b.concurrency.in_flight, server.in_flight) == (0, 0)
     assert desk.answer["r1"] == "refused" and len(desk.sends["r1"]) == 1
 
 
@@ -281,7 +285,7 @@
 def test_an_idle_upstream_is_never_too_slow_to_try() -> None:
     # Guards against refusing on a quiet day because one heavy request made an upstream look slow.
     desk = probing(servers=1)
-    desk.balancer.fleet.servers[1].pace = 9.0
+    desk.balancer.upstream_set.upstreams[1].relative_service_time = 9.0
     desk.give(arrival(1, desk.now, wait_ns=100 * MS))
     desk.give(api.HealthCheckFinished(1, api.AttemptResult.OK, MS, {"inflight": 0.0}))
     assert len(desk.sends["r1"]) == 1
@@ -302,8 +306,8 @@
     for i in range(6):
         desk.give(arrival(i, desk.now, wait_ns=100 * MS))
     desk.advance(150 * MS)
-    server = desk.balancer.fleet.servers[1]
-    assert server.strikes <= 2
+    server = desk.balancer.upstream_set.upstreams[1]
+    assert server.failure_count <= 2
 
 
 def test_a_late_attempt_gives_its_place_to_whoever_waits_for_it() -> None:
@@ -336,7 +340,7 @@
             api.AttemptResult.ERROR if server == 2 and n % 2 else api.AttemptResult.OK
         ),
     )
-    assert desk.balancer.fleet.servers[2].errors > 0.1
+    assert desk.balancer.upstream_set.upstreams[2].error_rate > 0.1
     before = len(desk.sends)
     for i in range(120):
         desk.give(arrival(f"p{i}", desk.now, PAY))
@@ -393,9 +397,12 @@
     # Each proxy takes its own stretch of one ring that all compute alike, and what follows it.
     homes: list[int] = []
     for me in range(10):
-        b = Balancer(settings(me=me, instance_count=10), 1, START)
+        b = Balancer(settings(instance_index=me, instance_count=10), 1, START)
         b.handle(START, [api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(100))])
-        homes += [s.id for s in b.fleet.main.order[: b.fleet.main.home]]
+        homes += [
+            s.id
+            for s in b.upstream_set.main_pool.candidates[: b.upstream_set.main_pool.subset_size]
+        ]
     shared = Counter(homes)
     assert set(shared) == set(range(1, 101)) and max(shared.values()) - min(shared.values()) <= 1, (
         shared
@@ -407,9 +414,9 @@
     # quarter of the fleet is enough for a key's requests to meet again.
     sizes = {}
     for proxies in (3, 20, 400):
-        b = Balancer(settings(me=1, instance_count=proxies), 1, START)
+        b = Balancer(settings(instance_index=1, instance_count=proxies), 1, START)
         b.handle(START, [api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(30))])
-        sizes[proxies] = b.fleet.main.home
+        sizes[proxies] = b.upstream_set.main_pool.subset_size
     assert sizes == {3: 10, 20: 9, 400: 7}
 
 
@@ -438,10 +445,10 @@
 ) -> None:
     # Twelve boxes of two cores turned slow for long once each had eight in flight.
     desk = Desk(settings(instance_count=proxies), servers=12)
-    crowding, width = desk.balancer.crowding, desk.balancer.fleet.main.home
+    concurrency, width = desk.balancer.concurrency, desk.balancer.upstream_set.main_pool.subset_size
     for i in range(10_000):
-        crowding.feel(0.01, True, width, desk.now + i * MS)
-    assert crowding.window * width * proxies / 12 <= most
+        concurrency.update_window(0.01, True, width, desk.now + i * MS)
+    assert concurrency.window * width * proxies / 12 <= most
 
 
 def feed(desk: Desk, duration_ns: int, count: int = 40) -> None:
@@ -456,11 +463,11 @@
 
 def test_slow_answers_narrow_the_window_and_quick_ones_bring_it_back() -> None:
     desk = Desk(settings(instance_count=10))
-    start = desk.balancer.crowding.window
+    start = desk.balancer.concurrency.window
     feed(desk, 280 * MS)
-    narrow = desk.balancer.crowding.window
+    narrow = desk.balancer.concurrency.window
     feed(desk, 20 * MS, 200)
-    assert narrow < start and narrow < desk.balancer.crowding.window
+    assert narrow < start and narrow < desk.balancer.concurrency.window
 
 
 def test_lost_answers_do_not_bring_the_rate_down() -> None:
@@ -472,7 +479,7 @@
         for request, number in desk.out():
             if int(request.removeprefix("r")) % 5:
                 desk.finish(request, number=number)
-    assert desk.balancer.rate.value > 50
+    assert desk.balancer.rate_controller.rate > 50
 
 
 def test_what_stands_still_leaves_room_but_not_the_whole_window() -> None:
@@ -482,7 +489,7 @@
         desk = Desk(settings(instance_count=8), servers=4)  # a window of two
         desk.give(*(arrival(i, desk.now) for i in range(10)))
         assert len(desk.out()) == 2
-        desk.balancer.stuck, desk.balancer.crowding.stress = 2, stress
+        desk.balancer.concurrency.overdue, desk.balancer.concurrency.latency_ratio = 2, stress
         desk.give()
         assert len(desk.out()) == 2 + more
 
@@ -498,7 +505,9 @@
         for request, number in desk.out():
             if desk.now - desk.sends[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
-    assert len(desk.balancer.fleet.main.line) < 20 and "refused" in desk.answer.values()
+    assert (
+        len(desk.balancer.dispatcher.main_queue.waiting) < 20 and "refused" in desk.answer.values()
+    )
 
 
 def test_the_first_answers_count_more() -> None:
@@ -509,7 +518,7 @@
         desk.give(arrival(i, desk.now))
         desk.now += 100 * MS
         desk.finish(f"r{i}")
-    assert abs(desk.balancer.crowding.each - 100 * MS) < 10 * MS
+    assert abs(desk.balancer.concurrency.per_request_ns - 100 * MS) < 10 * MS
 
 
 def test_a_tenant_over_its_share_is_found_out() -> None:
@@ -525,7 +534,10 @@
         for request, number in desk.out():
             if desk.now - desk.sends[request][number][1] >= 50 * MS:
                 desk.finish(request, number=number)
-    assert desk.balancer.throttles["ash"].over and not desk.balancer.throttles["birch"].over
+    assert (
+        desk.balancer.buckets["ash"].is_over_share
+        and not desk.balancer.buckets["birch"].is_over_share
+    )
 
 
 @pytest.mark.parametrize(("waited_ms", "answer"), [(100, None), (290, "refused")])
@@ -546,7 +558,10 @@
         desk = Desk()
         desk.give(arrival(1, desk.now))
         desk.advance(120 * MS, step_ns)
-        assert sum(s.barred_ns > desk.now for s in desk.balancer.fleet.servers.values()) == barred
+        assert (
+            sum(s.avoid_until_ns > desk.now for s in desk.balancer.upstream_set.upstreams.values())
+            == barred
+        )
 
 
 def test_client_gone_ends_the_request() -> None:
@@ -732,9 +747,9 @@
 
 def test_no_allowed_upstream_listed_is_refused_at_once() -> None:
     desk = Desk()  # all in the zone east
-    tokens = desk.balancer.throttles["ash"].u
+    tokens = desk.balancer.buckets["ash"].counter
     desk.give(arrival(1, desk.now, WEST))
-    assert desk.answer["r1"] == "refused" and desk.balancer.throttles["ash"].u == tokens
+    assert desk.answer["r1"] == "refused" and desk.balancer.buckets["ash"].counter == tokens
 
 
 # ---- order (rule 5) ------------------------------------------------------------------------------
@@ -795,9 +810,9 @@
 def test_who_waits_for_a_turn_spends_no_token_and_is_answered() -> None:
     desk = Desk()
     desk.give(arrival(0, desk.now, ROW, key="k"))
-    before = desk.balancer.throttles["ash"].u
+    before = desk.balancer.buckets["ash"].counter
     desk.give(*(arrival(i, desk.now, ROW, key="k") for i in range(1, 20)))
-    assert desk.balancer.throttles["ash"].u == before
+    assert desk.balancer.buckets["ash"].counter == before
     desk.advance(600 * MS)
     assert len(desk.answer) == 20
 
@@ -810,7 +825,7 @@
         if i % 2 and f"r{i}" in desk.sends:
             desk.finish(f"r{i}")
     desk.advance(2 * SECOND)
-    assert not desk.balancer.turns and not desk.balancer.requests
+    assert not desk.balancer.context.key_queues and not desk.balancer.requests
 
 
 # ---- cold upstreams (rule 4), over several proxies -----------------------------------------------
@@ -819,7 +834,9 @@
 def test_proxies_that_hear_of_a_start_together_do_not_push_it_over() -> None:
     # Incident i604f4b: each kept its gap, but all sent their first request the moment they heard of
     # it.
-    desks = [Desk(settings(me=me, instance_count=40), seed=me, servers=4) for me in range(40)]
+    desks = [
+        Desk(settings(instance_index=me, instance_count=40), seed=me, servers=4) for me in range(40)
+    ]
     for desk in desks:
         for i in range(40):  # what a warm upstream bears is seen first: 50 ms a request
             desk.give(arrival(f"w{i}", desk.now))
@@ -831,7 +848,7 @@
         desk.give(
             api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(4) + upstreams(1, 9, started))
         )
-    waits = {desk.balancer.fleet.servers[9].barred_ns - started for desk in desks}
+    waits = {desk.balancer.upstream_set.upstreams[9].avoid_until_ns - started for desk in desks}
     assert len(waits) == len(desks) and max(waits) > 100 * MS
     for i in range(80):
         for desk in desks:
@@ -928,15 +945,15 @@
     desk.advance(20 * MS)  # not waited for any longer
     desk.give(arrival(2, desk.now))
     desk.give(api.HealthCheckFinished(1, api.AttemptResult.OK, 20 * MS, {"inflight": 3.0}))
-    assert desk.balancer.fleet.servers[1].load == 5.0
+    assert desk.balancer.upstream_set.upstreams[1].reported_load == 5.0
 
 
 def test_waiting_for_an_answer_about_load_is_no_jam() -> None:
     # Requests of tenants over their share were refused as soon as one other waited for an answer.
     desk = looking()
-    desk.balancer.rate.served = 1.0
-    for t in desk.balancer.throttles.values():
-        t.over = True
+    desk.balancer.rate_controller.served_per_s = 1.0
+    for t in desk.balancer.buckets.values():
+        t.is_over_share = True
     desk.give(*(arrival(i, desk.now) for i in range(5)))
     assert not desk.answer
 
@@ -957,12 +974,16 @@
                 kind, upstreams(3, first) + (gone if kind is api.EndpointListKind.DELTA else [])
             )
         )
-    fleet = desk.balancer.fleet
-    assert {s.id for s in fleet.servers.values()} - {1, 2, 3} == {first, first + 1, first + 2}
+    upstream_set = desk.balancer.upstream_set
+    assert {s.id for s in upstream_set.upstreams.values()} - {1, 2, 3} == {
+        first,
+        first + 1,
+        first + 2,
+    }
     for request, number in desk.out():
         desk.finish(request, number=number)
-    assert set(fleet.servers) == {first, first + 1, first + 2}
-    assert desk.balancer.out == 0 and not desk.balancer.requests
+    assert set(upstream_set.upstreams) == {first, first + 1, first + 2}
+    assert desk.balancer.concurrency.in_flight == 0 and not desk.balancer.requests
 
 
 def test_a_wild_guess_of_the_work_keeps_nothing() -> None:
@@ -971,7 +992,7 @@
         desk.give(arrival(i, desk.now)._replace(cost_hint_ns=10**21))
         desk.finish(f"r{i}")
     desk.advance(30 * SECOND, SECOND // 10)
-    assert len(desk.balancer.due) < 5 and not desk.balancer.requests
+    assert len(desk.balancer.timers) < 5 and not desk.balancer.requests
 
 
 def drive(
@@ -1003,7 +1024,7 @@
         450,
         lambda server, n: api.AttemptResult.ERROR if server <= faulty else api.AttemptResult.OK,
     )
-    strikes = [s.id for s in desk.balancer.fleet.servers.values() if s.strikes]
+    strikes = [s.id for s in desk.balancer.upstream_set.upstreams.values() if s.failure_count]
     assert strikes == ([1] if faulty == 1 else [])
     if faulty == 1:
         assert 0 < seen[1] < 0.2 * sum(seen.values()) / 6
@@ -1018,7 +1039,9 @@
         200,
         lambda server, n: api.AttemptResult.RESET if n % 10 == 0 else api.AttemptResult.OK,
     )
-    assert not [s for s in desk.balancer.fleet.servers.values() if s.barred_ns > desk.now]
+    assert not [
+        s for s in desk.balancer.upstream_set.upstreams.values() if s.avoid_until_ns > desk.now
+    ]
     # But where all break at one upstream, it has failed.
     drive(
         desk,
@@ -1026,47 +1049,51 @@
         lambda server, n: api.AttemptResult.RESET if server == 1 else api.AttemptResult.OK,
         "more",
     )
-    assert desk.balancer.fleet.servers[1].barred_ns > desk.now
+    assert desk.balancer.upstream_set.upstreams[1].avoid_until_ns > desk.now
 
 
 def test_the_rate_comes_back_soon_where_nothing_is_crowded() -> None:
     # After a bad first half second R let through half of what came, for five seconds.
     desk = Desk(servers=6)
-    desk.balancer.rate.value = 100.0
+    desk.balancer.rate_controller.rate = 100.0
     for i in range(1500):
         desk.give(arrival(i, desk.now))
         desk.advance(2 * MS, MS)
         for request, number in desk.out():
             desk.finish(request, number=number)
-    assert desk.balancer.rate.value > 400
+    assert desk.balancer.rate_controller.rate > 400
 
 
 def test_what_was_out_when_an_upstream_stood_still_is_one_strike_and_the_next_attempt_another() -> (
     None
 ):
     desk = Desk(servers=1)
-    fleet = desk.balancer.fleet
-    (server,) = fleet.servers.values()
+    upstream_set = desk.balancer.upstream_set
+    (server,) = upstream_set.upstreams.values()
     sent = desk.now
     for late_ms in (
         100,
         300,
         500,
     ):  # each after the time for which the one before it had it left alone
-        fleet.bar(Attempt(server, sent, 1.0, 1.0), sent + late_ms * MS, 10 * MS)
-    assert server.strikes == 1
-    fleet.bar(Attempt(server, sent + 600 * MS, 1.0, 1.0), sent + 900 * MS, 10 * MS)
-    assert server.strikes == 2
+        upstream_set.record_failure(Attempt(server, sent, 1.0, 1.0), sent + late_ms * MS, 10 * MS)
+    assert server.failure_count == 1
+    upstream_set.record_failure(
+        Attempt(server, sent + 600 * MS, 1.0, 1.0), sent + 900 * MS, 10 * MS
+    )
+    assert server.failure_count == 2
 
 
 @pytest.mark.parametrize("answers", [4, 400])
 def test_a_crowd_is_still_one_after_seconds_however_many_answers_come(answers: int) -> None:
-    crowding = Desk().balancer.crowding
+    concurrency = Desk().balancer.concurrency
     for second, stress in enumerate([0.15] * 10 + [0.7] * 5):
         for i in range(answers):
-            crowding.feel(stress, False, 6, START + second * SECOND + i * SECOND // answers)
-    assert crowding.crowded() and crowding.ease < 0.55
-    assert abs(crowding.stress - 0.7) < 0.25
+            concurrency.update_window(
+                stress, False, 6, START + second * SECOND + i * SECOND // answers
+            )
+    assert concurrency.is_overloaded() and concurrency.overload_ratio < 0.55
+    assert abs(concurrency.latency_ratio - 0.7) < 0.25
 
 
 @pytest.mark.parametrize(("stress", "kept"), [(0.1, True), (0.9, False)])
@@ -1075,10 +1102,10 @@
 ) -> None:
     # A start in which nearly all were refused left R at what little was sent, for seconds.
     desk = Desk()
-    rate = desk.balancer.rate
-    rate.good, rate.unplaced = 30, 200
+    rate = desk.balancer.rate_controller
+    rate.in_time_count, rate.unplaced_count = 30, 200
     rate.adjust(desk.now + SECOND // 2, stress - 0.35)
-    assert (rate.value > 5000) is kept
+    assert (rate.rate > 5000) is kept
 
 
 def test_a_start_in_the_future_does_not_break_the_pace_of_a_cold_upstream() -> None:
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The throttle against the paper's recursion (2.5)-(2.11) and Theorem 3.1."""
+"""The token bucket against the paper's recursion (2.5)-(2.11) and Theorem 3.1."""
 
 from __future__ import annotations
 
@@ -7,23 +7,37 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.policy import Balancer, Request, Throttle, api
+from loadbalancer.policy import Balancer, Request, TokenBucket, api
+from loadbalancer.policy.token_bucket import Offer
 from tests.bench import MS, READ, SECOND
 
 
-def throttle(bank: int, hold: int, u: int, rate: float = 1.0) -> Throttle:
-    t = Throttle(1.0, random.Random(1), 0)
-    t.bank, t.hold, t.u, t.rate, t.credit, t.at = bank, hold, u, rate, 0.0, 0
+def token_bucket(bank: int, hold: int, u: int, rate: float = 1.0) -> TokenBucket[Request]:
+    t: TokenBucket[Request] = TokenBucket(1.0, random.Random(1), 0)
+    t.token_capacity, t.buffer_capacity, t.counter, t.rate, t.token_fraction, t.accrued_ns = (
+        bank,
+        hold,
+        u,
+        rate,
+        0.0,
+        0,
+    )
     return t
 
 
-def request(number: int, t: Throttle) -> Request:
+def request(number: int, t: TokenBucket[Request]) -> Request:
     return Request(
-        f"r{number}", READ, t, Balancer(api.Settings(), 1, 0).fleet.main, 10**15, 10**15, 0
+        f"r{number}",
+        READ,
+        t,
+        Balancer(api.Settings(), 1, 0).dispatcher.main_queue,
+        10**15,
+        10**15,
+        0,
     )
 
 
-def play(t: Throttle, steps: list[int]) -> tuple[list[int], list[int], list[str]]:
+def play(t: TokenBucket[Request], steps: list[int]) -> tuple[list[int], list[int], list[str]]:
     """At each second: one token, then that many requests. Gives U, the overflows so far, the order
     sent.
     """
@@ -31,15 +45,15 @@
     overflow = count = 0
     for second, arrivals in enumerate(steps, 1):
         now = second * SECOND
-        sent += [r.id for r in t.released(now)]
+        sent += [r.id for r in t.release(now)]
         for _ in range(arrivals):
             count += 1
             r = request(count, t)
             answer = t.offer(r, now)
-            overflow += answer is False
-            if answer is True:
+            overflow += answer is Offer.OVERFLOW
+            if answer is Offer.ADMITTED:
                 sent.append(r.id)
-        path.append(t.u)
+        path.append(t.counter)
         lost.append(overflow)
     return path, lost, sent
 
@@ -65,10 +79,10 @@
 @settings(derandomize=True, deadline=None)
 @given(st.integers(0, 6), st.integers(1, 6), STEPS)
 def test_counter_follows_the_recursion(bank: int, hold: int, steps: list[int]) -> None:
-    t = throttle(bank, hold, bank + hold)
+    t = token_bucket(bank, hold, bank + hold)
     path, lost, _ = play(t, steps)
     assert (path, lost) == recursion(bank + hold, bank + hold, steps)
-    assert len(t.held) == max(0, hold - t.u)  # (2.3)
+    assert len(t.buffered) == max(0, hold - t.counter)  # (2.3)
 
 
 @settings(derandomize=True, deadline=None)
@@ -78,35 +92,40 @@
 ) -> None:
     a, b = (data.draw(st.integers(1, total)) for _ in "ab")
     u = data.draw(st.integers(max(a, b), total))
-    assert play(throttle(total - a, a, u), steps)[:2] == play(throttle(total - b, b, u), steps)[:2]
+    assert (
+        play(token_bucket(total - a, a, u), steps)[:2]
+        == play(token_bucket(total - b, b, u), steps)[:2]
+    )
 
 
 @settings(derandomize=True, deadline=None)
 @given(STEPS)
 def test_held_requests_leave_in_order(steps: list[int]) -> None:
-    _, _, sent = play(throttle(1, 4, 5), steps)
+    _, _, sent = play(token_bucket(1, 4, 5), steps)
     assert sent == sorted(sent, key=lambda r: int(r[1:]))
 
 
 def test_a_held_request_that_ends_gives_its_token_back() -> None:
-    t = throttle(0, 2, 2)
+    t = token_bucket(0, 2, 2)
     first, second = request(1, t), request(2, t)
-    assert t.offer(first, 0) is None and t.offer(second, 0) is None
-    t.leave(first)
-    assert list(t.released(SECOND)) == [second] and t.u == 2
+    assert t.offer(first, 0) is Offer.BUFFERED and t.offer(second, 0) is Offer.BUFFERED
+    t.remove(first)
+    assert list(t.release(SECOND)) == [second] and t.counter == 2
 
 
 def test_change_of_rate_keeps_tokens_and_held() -> None:
-    t = throttle(0, 2, 2)
+    t = token_bucket(0, 2, 2)
     r = request(1, t)
-    assert t.offer(r, 0) is None
+    assert t.offer(r, 0) is Offer.BUFFERED
     t.set_rate(100.0, 0)
-    assert t.hold - t.u == 1 and list(t.held) == [r]
-    assert list(t.released(20 * MS)) == [r]
+    assert t.buffer_capacity - t.counter == 1 and list(t.buffered) == [r]
+    assert list(t.release(20 * MS)) == [r]
 
 
 def test_starts_full_and_ticks_out_of_step() -> None:
-    throttles = [Throttle(1.0, random.Random(seed), 0) for seed in range(20)]
-    for t in throttles:
-        assert t.u == t.bank + t.hold
-    assert len({round(t.credit, 3) for t in throttles}) > 10
+    buckets: list[TokenBucket[Request]] = [
+        TokenBucket(1.0, random.Random(seed), 0) for seed in range(20)
+    ]
+    for t in buckets:
+        assert t.counter == t.token_capacity + t.buffer_capacity
+    assert len({round(t.token_fraction, 3) for t in buckets}) > 10
--- a/tests/policy/test_upstream_set.py
+++ b/tests/policy/test_upstream_set.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 
 from loadbalancer.policy import Balancer, api
-from loadbalancer.policy.pool import KEYS
+from loadbalancer.policy.pool import MAX_CACHED_KEYS
 from tests.bench import Desk, settings
 from tests.fakes import MS, SECOND
 
@@ -41,7 +41,7 @@
         zone: str = "",
     ) -> None:
         self.settings = api.Settings(
-            me=me,
+            instance_index=me,
             instance_count=proxies,
             zone=zone,
             prices=api.Prices(cross_zone=0.029 if zone else 0.0),
@@ -198,10 +198,10 @@
         proxies=9,
     )
     proxy.load(1, 40)
-    pool = proxy.balancer.fleet.main
-    resting = [s for s in pool.order[: pool.width] if s.barred_ns > proxy.now]
-    assert any(s.inflight for s in resting)
-    assert pool.able(proxy.now) == pool.width - sum(not s.inflight for s in resting)
+    pool = proxy.balancer.upstream_set.main_pool
+    resting = [s for s in pool.candidates[: pool.width] if s.avoid_until_ns > proxy.now]
+    assert any(s.in_flight for s in resting)
+    assert pool.available_count(proxy.now) == pool.width - sum(not s.in_flight for s in resting)
 
 
 def test_odd_lists_neither_crash_nor_empty_the_routing() -> None:
@@ -284,10 +284,12 @@
     )
     proxy.load(5, 40, ["\ud800", "x" * 60_000, "\x00", " ", "é" * 300])
     assert proxy.ended["served"] == proxy.ended.total() > 100
-    pool = proxy.balancer.fleet.main
-    for n in range(3 * KEYS):
-        pool.keyed(f"{n}" * 100)
-    assert len(pool.by_key) <= KEYS and all(isinstance(kept, int) for kept in pool.by_key)
+    pool = proxy.balancer.upstream_set.main_pool
+    for n in range(3 * MAX_CACHED_KEYS):
+        pool.key_upstreams(f"{n}" * 100)
+    assert len(pool.by_key) <= MAX_CACHED_KEYS and all(
+        isinstance(kept, int) for kept in pool.by_key
+    )
 
 
 def test_homes_are_small_while_much_of_the_fleet_is_new_and_large_again_after_it() -> None:
@@ -300,20 +302,20 @@
         proxies=180,
     )
     proxy.play(2 * SECOND)
-    large = proxy.balancer.fleet.main.home
+    large = proxy.balancer.upstream_set.main_pool.subset_size
     fresh = [api.Upstream(n, started_ns=2 * SECOND) for n in range(200, 240)]
     proxy.post(2 * SECOND, api.EndpointsUpdated(api.EndpointListKind.DELTA, fresh))
     proxy.play(3 * SECOND)
-    small = proxy.balancer.fleet.main.home
+    small = proxy.balancer.upstream_set.main_pool.subset_size
     # Random draws still come from as many, for as long as it lasts: a proxy's few are the same few
     # others' too.
     for second in range(4, 25):
         proxy.post(second * SECOND, api.EndpointsUpdated(api.EndpointListKind.DELTA, []))
         proxy.play(second * SECOND)
-    assert proxy.balancer.fleet.main.width >= 40
+    assert proxy.balancer.upstream_set.main_pool.width >= 40
     proxy.post(40 * SECOND, api.EndpointsUpdated(api.EndpointListKind.DELTA, []))
     proxy.play(41 * SECOND)
-    assert (large, small, proxy.balancer.fleet.main.home) == (30, 5, 40)
+    assert (large, small, proxy.balancer.upstream_set.main_pool.subset_size) == (30, 5, 40)
 
 
 def test_the_rarer_an_upstream_is_met_the_more_an_answer_tells_of_its_pace() -> None:
@@ -333,7 +335,7 @@
         proxy.post(at, api.RequestArrived("last", "look", "t0", at + 900 * MS))
         proxy.key_of["last"] = ""
         proxy.play(at + SECOND)
-        return proxy.balancer.fleet.servers[1].pace
+        return proxy.balancer.upstream_set.upstreams[1].relative_service_time
 
     often, seldom = after(0), after(4 * SECOND)
     assert often < 2.2 and seldom > 2.4, (often, seldom)
@@ -352,4 +354,4 @@
             api.EndpointListKind.FULL, [api.Upstream(1, started_ns=desk.now + 90 * MS)]
         )
     )
-    assert [s.id for s in desk.balancer.fleet.ready] == [1]
+    assert [s.id for s in desk.balancer.upstream_set.ready] == [1]
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -236,7 +236,9 @@
     start_ns = 10 * SECOND
     wait_ns, whole = wait_ms * MS, not in_pieces
     deadline_ns = start_ns + wait_ns if whole else start_ns + 600 * SECOND
-    arrival = api.RequestArrived("r1", "pay", "ash", deadline_ns, received_ns=start_ns, whole=whole)
+    arrival = api.RequestArrived(
+        "r1", "pay", "ash", deadline_ns, received_ns=start_ns, body_complete=whole
+    )
     body = Body(10, Store(1024), True) if in_pieces else None
     request = OpenRequest(
         arrival,
@@ -272,7 +274,7 @@
         received_ns = clock + body_ms * MS  # its last byte: the client's time runs from there
         clock = received_ns + (late_ms + write_ms) * MS
         request.arrival = arrival._replace(
-            deadline_ns=received_ns + wait_ns, received_ns=received_ns, whole=True
+            deadline_ns=received_ns + wait_ns, received_ns=received_ns, body_complete=True
         )
         if attempt.may_finish():
             assert told <= (received_ns + wait_ns - clock) / MS + SLACK_MS - 50
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from loadbalancer.policy import balancer as decide
+from loadbalancer.policy import subscription
 from loadbalancer.proxy import discovery_watch
 from loadbalancer.proxy.discovery_watch import Call, Calls, End
 from tests.fakes import SECOND
@@ -56,7 +56,7 @@
         if self.push:
             return self.calls.again()
         self.failures += 1
-        whole_s = decide.ASK_AGAIN_NS / SECOND
+        whole_s = subscription.MAX_BACKOFF_NS / SECOND
         return whole_s * min(1.0, 2.0 ** (self.failures - 3)) * self.rng.uniform(0.4, 1.0)
 
 
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -19,8 +19,8 @@
 import pytest
 
 from loadbalancer import __main__ as program
-from loadbalancer.policy import Balancer, api
-from loadbalancer.policy import balancer as decide
+from loadbalancer.policy import api, subscription
+from loadbalancer.policy.dispatch import Dispatcher
 from loadbalancer.proxy import (
     client_connection,
     connection_phase,
@@ -270,16 +270,16 @@
 def test_a_connection_that_comes_up_too_late_carries_no_attempt(
     what: str, made: list[Frontend], heard: Heard, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    send = Balancer._send
+    start_attempt = Dispatcher.start_attempt
 
-    def hurried(module: Balancer, *args: Any) -> None:
-        send(module, *args)
-        module.actions[-1] = cast(api.StartAttempt, module.actions[-1])._replace(
+    def hurried(module: Dispatcher, *args: Any) -> None:
+        start_attempt(module, *args)
+        module.context.actions[-1] = cast(api.StartAttempt, module.context.actions[-1])._replace(
             start_by_ns=100 * MS
         )
 
     if what == "it may not be repeated any more":
-        monkeypatch.setattr(Balancer, "_send", hurried)
+        monkeypatch.setattr(Dispatcher, "start_attempt", hurried)
 
     async def test() -> None:
         with blocked() as (row, admit):
@@ -587,7 +587,7 @@
     before: str, push: bool, heard: Heard, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The call behind it waited for 20 s: fallen silent, it hid all changes meanwhile."""
-    pause_s = max(discovery_watch.BACKOFF_S[1], decide.ASK_AGAIN_NS / SECOND)
+    pause_s = max(discovery_watch.BACKOFF_S[1], subscription.MAX_BACKOFF_NS / SECOND)
     assert (
         pause_s
         + max(
@@ -636,13 +636,14 @@
     made: list[Frontend], heard: Heard, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Told to go elsewhere (SIGHUP), discovery's word there counts 4 s later."""
-    monkeypatch.setattr(decide, "ASK_AGAIN_NS", 1000 * SECOND)
+    monkeypatch.setattr(subscription, "MAX_BACKOFF_NS", 1000 * SECOND)
 
     async def test() -> None:
         rules = replace(FLEET.rules, list_expiry_ns=1000 * SECOND)
         async with world(2, settings=replace(FLEET, discovery_push=False, rules=rules)) as w:
             w.discovery.down = True
-            monkeypatch.setattr(decide, "ASK_NS", (0, 0))
+            monkeypatch.setattr(subscription, "SPREAD_NS", 0)
+            monkeypatch.setattr(subscription, "SPREAD_WITHOUT_UPSTREAMS_NS", 0)
             await heard.until(
                 lambda: (
                     api.EndpointListKind.FAILED in [e.kind for e in heard.of(api.EndpointsUpdated)]
@@ -674,7 +675,7 @@
         desk.give(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
         before = desk.now
         while not of(api.SubscribeEndpoints, desk.advance(10 * MS)):
-            assert desk.now - before <= decide.ASK_AGAIN_NS + 20 * MS
+            assert desk.now - before <= subscription.MAX_BACKOFF_NS + 20 * MS
 
 
 def test_a_list_asked_for_on_the_side_does_not_wait_for_the_watch(
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -369,7 +369,11 @@
             (balancer,) = built
             await upstream.until(lambda: upstream.ended >= 30)
             assert (await w.ask("last")).status == 200
-            assert len(balancer.upstreams.targets) == len(balancer.balancer.fleet.servers) == 1
+            assert (
+                len(balancer.upstreams.targets)
+                == len(balancer.balancer.upstream_set.upstreams)
+                == 1
+            )
             assert balancer.upstreams.connections <= 2 and not balancer.upstreams.connecting
             assert not balancer.requests and not balancer.open and not balancer.balancer.requests
 
--- a/tests/recordings/policy_runs.py
+++ b/tests/recordings/policy_runs.py
@@ -68,7 +68,7 @@
             api.Effect.NON_IDEMPOTENT,
             latency_objective_ns=400 * MILLISECOND,
             deadline_ns=3 * SECOND,
-            worth=3.0,
+            priority_weight=3.0,
         ),
         api.RequestClass(
             "pay",
@@ -77,7 +77,7 @@
             900 * MILLISECOND,
             latency_objective_ns=300 * MILLISECOND,
             deadline_ns=2 * SECOND,
-            worth=2.0,
+            priority_weight=2.0,
             late_weight=0.3,
         ),
         api.RequestClass(
@@ -90,10 +90,10 @@
         api.RequestClass(
             "near", api.Effect.IDEMPOTENT, zones=frozenset("ab"), kinds=frozenset(("", "big"))
         ),
-        api.RequestClass("feed", api.Effect.IDEMPOTENT, stream=True),
+        api.RequestClass("feed", api.Effect.IDEMPOTENT, is_streaming=True),
     ]
     return api.Settings(
-        me=rng.randrange(balancers),
+        instance_index=rng.randrange(balancers),
         instance_count=balancers,
         zone=rng.choice(["", "a", "b"]),
         discovery_push=rng.random() < 0.5,
@@ -316,7 +316,7 @@
 
     def restart(self) -> None:
         """The process is replaced; its successor gets what it learned."""
-        learned = self.policy.learnt()
+        learned = self.policy.learned_state()
         self.write(plain(learned))
         self.active.clear()
         self.in_flight.clear()
@@ -345,7 +345,7 @@
             self.handle(events)
             if step == 2 * STEPS // 3:
                 self.restart()
-        self.write(plain(self.policy.learnt()))
+        self.write(plain(self.policy.learned_state()))
         return self.digest.hexdigest()
 
 
