--- a/loadbalancer/proxy/admin_api.py
+++ b/loadbalancer/proxy/admin_api.py
@@ -17,7 +17,8 @@
 from typing import Protocol, cast
 from urllib.parse import unquote
 
-from loadbalancer.proxy.parse import Headers, Request, RequestReader, message
+from loadbalancer.proxy.messages import Headers, Request, message
+from loadbalancer.proxy.parse import RequestReader
 
 log = logging.getLogger(__name__)
 
@@ -148,8 +149,8 @@
             self.door.run(self, reader.ready.popleft())
         elif reader.fault is not None:
             self.answer(HTTPStatus(reader.fault.status), str(reader.fault))
-        elif reader.continues and self.transport is not None:
-            reader.continues = False
+        elif reader.expects_continue and self.transport is not None:
+            reader.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def eof_received(self) -> bool:
