--- a/loadbalancer/cli/sizestore.py
+++ b/loadbalancer/cli/sizestore.py
@@ -11,11 +11,11 @@
 import typer
 import uvloop
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.cli.clusters import Keep, folder
 from loadbalancer.cli.console import out
 from loadbalancer.cli.sizelab import Json_, Plot, Record, give, today
 from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
+from loadbalancer.proxy.process import Parts
 from loadbalancer.store.client import Client
 from loadbalancer.store.durable.state import EVENTS
 from loadbalancer.testbed.size import keepers, sessions, storecommits, storefeed, storenode
--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -22,12 +22,13 @@
 
 import msgspec
 
-from loadbalancer.__main__ import Config, Parts
 from loadbalancer.daemon import documents
 from loadbalancer.daemon.settings import read_raw, read_table
 from loadbalancer.daemon.state_sync import LEASE_S, StateSync, StateSyncOptions
 from loadbalancer.leases.table import NAME
 from loadbalancer.proxy.atomic_files import write_whole
+from loadbalancer.proxy.configuration import Config
+from loadbalancer.proxy.process import Parts
 from loadbalancer.settings import Json, Malformed, split_address
 from loadbalancer.store.client import Client
 from loadbalancer.store.documents import key
--- a/loadbalancer/daemon/documents.py
+++ b/loadbalancer/daemon/documents.py
@@ -4,10 +4,10 @@
 
 import tomllib
 
-from loadbalancer.__main__ import Config
 from loadbalancer.daemon import site_config
 from loadbalancer.daemon.settings import read_raw
 from loadbalancer.failover.plan import Place
+from loadbalancer.proxy.configuration import Config
 from loadbalancer.settings import Json, Malformed
 
 BALANCER = "balancer"  # and `balancer/NAME`: the operators' settings of balancers
--- a/loadbalancer/daemon/settings.py
+++ b/loadbalancer/daemon/settings.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from loadbalancer.__main__ import MEMORY_MB, SOCKETS, Config
+from loadbalancer.proxy.configuration import DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, Config
 from loadbalancer.proxy.discovery import read_list
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.settings import Json, Malformed, read_settings, split_address, write_class
@@ -66,8 +66,8 @@
 class LimitSettings(SettingsTable, frozen=True):
     """`[limits]`."""
 
-    descriptors: int = SOCKETS
-    memory: Size = Size(MEMORY_MB << 20)
+    descriptors: int = DEFAULT_SOCKETS
+    memory: Size = Size(DEFAULT_MEMORY_MB << 20)
     open_requests: int = 20_000
     connect: Duration = Duration(250 * MS)
     idle_connections: Duration = Duration(15_000 * MS)
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -16,7 +16,6 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.changefeed.messages import GLOBAL
 from loadbalancer.daemon.address_map import AddressMap
 from loadbalancer.daemon.disabled_sync import DisabledSync
@@ -36,6 +35,7 @@
 from loadbalancer.daemon.store_monitor import StoreMonitor
 from loadbalancer.leases.table import Lease
 from loadbalancer.proxy.discovery import Discovery
+from loadbalancer.proxy.process import Parts
 from loadbalancer.store.changefeed_client import FeedClient
 from loadbalancer.store.client import Client, StoreError
 from loadbalancer.store.lease_client import Owner
--- /dev/null
+++ b/loadbalancer/proxy/process.py
@@ -0,0 +1,189 @@
+"""One balancer's process: its parts wired together, its signals, its start and its end."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import os
+import signal
+import socket
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from loadbalancer.proxy.admin_api import CONNECTIONS, TURN, Management
+from loadbalancer.proxy.body_stream import BodyMemory
+from loadbalancer.proxy.configuration import Config, read_config
+from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.discovery import Discovery, FixedList
+from loadbalancer.proxy.frontend import Frontend
+from loadbalancer.proxy.gossip import Peers
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.reloader import Reloader
+from loadbalancer.proxy.resource_limits import Budget
+from loadbalancer.proxy.upstream import Upstreams
+
+log = logging.getLogger(__name__)
+
+ADMIN_DESCRIPTORS = CONNECTIONS + TURN + 1  # kept for the admin API
+LEAVE_S = 0.1  # beyond the time of the last answer, for its way out
+# A process that takes over waits so long for the first list, and for the other to free capacity:
+# it has to accept clients within 6 s.
+TAKE_OVER_S = 2.0
+
+
+@dataclass(frozen=True)
+class Parts:
+    """The parts of a balancer that a companion may use."""
+
+    config: Config
+    driver: Driver
+    disabled: DisabledUpstreams
+    reload: Callable[[], None]
+
+
+class Companion(Protocol):
+    """Runs beside a balancer in its process, and must never hold it up."""
+
+    def start(self) -> None:
+        """Begin, on the running loop."""
+
+    async def close(self) -> None:
+        """End."""
+
+
+class BalancerProcess:
+    """The parts of one balancer.
+
+    Args:
+        config: The configuration.
+        listener: The clients' listening socket.
+        has_admin_api: Whether descriptors are kept for the admin API.
+    """
+
+    def __init__(self, config: Config, listener: socket.socket, has_admin_api: bool) -> None:
+        settings = config.settings
+        self.config = config
+        self.siblings = Siblings(config.folder)
+        self.budget = Budget(
+            config.sockets,
+            config.memory_mb,
+            ADMIN_DESCRIPTORS if has_admin_api else 0,
+            self.siblings,
+        )
+        self.body_memory = BodyMemory(self.budget.part.bodies)
+        self.upstreams = Upstreams(
+            settings.limits,
+            self.budget.part.upstreams,
+            settings.report_columns,
+            self.body_memory,
+        )
+        self.driver = Driver(settings, config.seed, self.upstreams)
+        self.disabled = DisabledUpstreams(config.folder, config.name, self.siblings, self.driver)
+        self.discovery = self._make_discovery()
+        self.driver.discovery = self.discovery
+        self.frontend = Frontend(self.driver, listener, self.budget.part.clients, self.body_memory)
+        self.admin_api = Management(lambda: self.frontend.ready, self.disabled)
+        self.companion: Companion | None = None
+
+    def _make_discovery(self) -> Discovery | FixedList:
+        if self.config.fixed is not None:
+            return FixedList(self.driver, self.config.fixed)
+        return Discovery(self.driver, self.config.discovery, self.config.seed)
+
+    async def start(self, admin_socket: socket.socket | None) -> None:
+        """Start all parts but the clients' side."""
+        await self._start_gossip()
+        self.disabled.start()  # ahead of the first list
+        self.discovery.start(self.config.known)
+        self.budget.start(self.frontend, self.upstreams, self.body_memory)
+        self.siblings.watch()
+        if admin_socket is not None:
+            await self.admin_api.start(admin_socket)
+
+    async def _start_gossip(self) -> None:
+        config = self.config
+        if config.peer_listen is not None and config.settings.limits.peers:
+            _, self.driver.peers = await asyncio.get_running_loop().create_datagram_endpoint(
+                lambda: Peers(self.driver, config.peers, config.peers_all),
+                local_addr=config.peer_listen,
+            )
+
+    def handle_signals(self, reload: Callable[[], None]) -> None:
+        """SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads."""
+        loop = asyncio.get_running_loop()
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self.frontend.drain)
+        loop.add_signal_handler(signal.SIGHUP, reload)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+
+    def start_companion(
+        self, make: Callable[[Parts], Companion], reload: Callable[[], None]
+    ) -> None:
+        """Start what runs beside the balancer."""
+        self.companion = make(Parts(self.config, self.driver, self.disabled, reload))
+        self.companion.start()
+
+    async def accept_clients(self) -> None:
+        """Start the clients' side, once it can take over from another process."""
+        if not self.siblings.alone:
+            # Clients are dealt to this process from its first turn on: it begins once it can serve,
+            # and once the other one leaves it its share of the descriptors.
+            await self.siblings.agreed(lambda note: note.shares, TAKE_OVER_S)
+            await self.driver.can_serve(TAKE_OVER_S)
+        self.frontend.start()
+        gc.collect()
+        gc.freeze()  # what is there now stays: no collection need examine it again
+
+    async def drained(self) -> None:
+        """Wait for the shutdown, and for the last answers."""
+        frontend = self.frontend
+        await frontend.drained.wait()
+        # One after the other, not by two timers: where the loop is late these would come due
+        # together, and the last answers be dropped.
+        if not await frontend.has_left(frontend.last_answer_ns):
+            frontend.end_open()
+            if not await frontend.has_left(time.monotonic_ns() + int(LEAVE_S * 1e9)):
+                log.info("left with %d clients' connections open", frontend.held)
+
+    async def close(self) -> None:
+        """Close all parts."""
+        if self.companion is not None:
+            await self.companion.close()
+        self.frontend.close()
+        self.admin_api.close()
+        self.discovery.close()
+        self.upstreams.close()
+        self.siblings.close()
+
+
+async def serve(
+    config: Config,
+    listener: socket.socket,
+    admin_socket: socket.socket | None = None,
+    read: Callable[[], Config] = lambda: read_config(os.environ),
+    companion: Callable[[Parts], Companion] | None = None,
+) -> None:
+    """Run a balancer until its graceful shutdown is over.
+
+    Args:
+        config: The configuration.
+        listener: The clients' listening socket.
+        admin_socket: The admin API's; None: there is none.
+        read: Reads the configuration as it is now, for a reload.
+        companion: Makes what runs beside the balancer.
+    """
+    process = BalancerProcess(config, listener, admin_socket is not None)
+    await process.start(admin_socket)
+    reloader = Reloader(config, process.discovery, read)
+    process.handle_signals(reloader.reload)
+    if companion is not None:
+        process.start_companion(companion, reloader.reload)
+    await process.accept_clients()
+    try:
+        await process.drained()
+    finally:
+        await process.close()
--- a/loadbalancer/testbed/size/balancer.py
+++ b/loadbalancer/testbed/size/balancer.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from loadbalancer.__main__ import Config
 from loadbalancer.policy import Balancer, api
+from loadbalancer.proxy.configuration import Config
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.settings import Json
 from loadbalancer.testbed.size.fit import LEAST_SIZES, Slope, fit
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -12,9 +12,9 @@
 from types import SimpleNamespace
 from typing import Any, Protocol, cast
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,9 +6,8 @@
 
 import pytest
 
-from loadbalancer import __main__ as program
 from loadbalancer.policy import Balancer
-from loadbalancer.proxy import policy_driver
+from loadbalancer.proxy import policy_driver, process
 from loadbalancer.proxy.frontend import Frontend
 from tests.fakes import Heard
 
@@ -33,5 +32,5 @@
             super().__init__(*args)
             found.append(self)
 
-    monkeypatch.setattr(program, "Frontend", Kept)
+    monkeypatch.setattr(process, "Frontend", Kept)
     return found
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -17,7 +17,6 @@
 import msgspec
 import pytest
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.changefeed.messages import MOST_ROW, Row, split
 from loadbalancer.changefeed.subscription import Apply
 from loadbalancer.daemon import endpoint_publisher, row_codec
@@ -42,6 +41,7 @@
 from loadbalancer.proxy import discovery_watch
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.discovery import Discovery, read_endpoint
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.settings import Json, Malformed
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -16,7 +16,6 @@
 import pytest
 from typer.testing import CliRunner
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.cli.main import application
 from loadbalancer.daemon import documents as docs
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
@@ -24,6 +23,7 @@
 from loadbalancer.failover.traffic_shares import Orders
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -16,12 +16,12 @@
 
 import pytest
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.daemon.documents import find_error
 from loadbalancer.daemon.persisted import SavedLearnedState, load_learned_state, save_learned_state
 from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -16,9 +16,10 @@
 
 import uvloop
 
-from loadbalancer.__main__ import Config, serve
 from loadbalancer.policy import Balancer, api
+from loadbalancer.proxy.configuration import Config
 from loadbalancer.proxy.listener import listening_socket
+from loadbalancer.proxy.process import serve
 from loadbalancer.settings import Json
 
 MS = 1_000_000
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -18,7 +18,6 @@
 
 import pytest
 
-from loadbalancer import __main__ as program
 from loadbalancer.policy import Balancer, api
 from loadbalancer.policy import balancer as decide
 from loadbalancer.proxy import (
@@ -29,6 +28,7 @@
     discovery_watch,
     frontend,
 )
+from loadbalancer.proxy import process as balancer_process
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_phase import Phase
@@ -398,7 +398,9 @@
             client = await w.held("r1", X_Deadline_Ms=3000)
             made[0].drain()
             await asyncio.sleep(0)
-            time.sleep(0.2 + program.LEAVE_S + 0.2)  # the loop stands still over both times
+            time.sleep(
+                0.2 + balancer_process.LEAVE_S + 0.2
+            )  # the loop stands still over both times
             assert (await asyncio.wait_for(read_message(client.reader), 2.0)).status == 504
             await client.ended()
 
@@ -431,7 +433,7 @@
     made: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     short_leave(monkeypatch)
-    monkeypatch.setattr(program, "LEAVE_S", 5.0)
+    monkeypatch.setattr(balancer_process, "LEAVE_S", 5.0)
     ended = asyncio.Event()
     end_open = Frontend.end_open
 
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -10,9 +10,8 @@
 
 import pytest
 
-import loadbalancer.__main__ as main
 from loadbalancer.policy import Balancer, api
-from loadbalancer.proxy import discovery, discovery_watch, policy_driver
+from loadbalancer.proxy import discovery, discovery_watch, policy_driver, process
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.discovery import read_endpoint
 from loadbalancer.proxy.messages import message
@@ -357,7 +356,7 @@
         built.append(Driver(*args))
         return built[-1]
 
-    monkeypatch.setattr(main, "Driver", build)
+    monkeypatch.setattr(process, "Driver", build)
 
     async def test() -> None:
         async with world() as w:
