--- a/loadbalancer/cli/feed.py
+++ b/loadbalancer/cli/feed.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 from pathlib import Path
 from typing import Annotated, Any, TypeVar
 
@@ -16,7 +16,8 @@
 from loadbalancer.cli.store import At, Authority, Cert, Key, addresses, client
 from loadbalancer.settings import Malformed
 from loadbalancer.store import feed_progress
-from loadbalancer.store.feed_progress import Members, NotInForce, Rollout
+from loadbalancer.store.errors import NotInForceError
+from loadbalancer.store.feed_progress import MemberStatusReader, Rollout
 from loadbalancer.units import duration
 
 app = typer.Typer(no_args_is_help=True, help="The feed: on which balancers a revision is in force.")
@@ -39,10 +40,12 @@
     certificate: Path | None,
     key: Path | None,
     authority: Path | None,
-    work: Callable[[Members], Awaitable[T]],
+    work: Callable[[MemberStatusReader], Awaitable[T]],
 ) -> T:
     """Raises Malformed."""
-    members = Members(addresses(at), lambda address: client(address, certificate, key, authority))
+    members = MemberStatusReader(
+        addresses(at), lambda address: client(address, certificate, key, authority)
+    )
 
     async def go() -> T:
         try:
@@ -76,9 +79,9 @@
     """On how many balancers a revision is in force, who lags and by how much, and what is
     refused.
     """
-    found = asking(at, certificate, key, authority, Members.statuses)
+    found = asking(at, certificate, key, authority, MemberStatusReader.statuses)
     if all("trouble" in s for s in found):
-        raise NotInForce("; ".join(f"{s['address']}: {s['trouble']}" for s in found))
+        raise NotInForceError("; ".join(f"{s['address']}: {s['trouble']}" for s in found))
     total = feed_progress.add_up(found, revision)
     if as_json:
         print(
@@ -102,7 +105,7 @@
         show(found, total)
 
 
-def show(found: list[dict[str, Any]], total: Rollout) -> None:
+def show(found: list[Mapping[str, Any]], total: Rollout) -> None:
     table = Table()
     for column in (
         "node",
--- a/loadbalancer/cli/lease.py
+++ b/loadbalancer/cli/lease.py
@@ -14,7 +14,7 @@
 from loadbalancer.leases.table import Lease
 from loadbalancer.settings import Malformed
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import LEASES, Release
+from loadbalancer.store.commands import LEASE_PREFIX, Release
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.wallclock import unix_ms
 
@@ -44,7 +44,7 @@
 @app.command("list")
 def list_(at: At, certificate: Cert = None, key: Key = None, authority: Authority = None) -> None:
     """All leases, their owners and who waits."""
-    found = using(client(at, certificate, key, authority), lambda c: c.scan(LEASES))
+    found = using(client(at, certificate, key, authority), lambda c: c.scan(LEASE_PREFIX))
     rows = Table()
     for column in ("lease", "owner", "token", "since", "time", "waiting", "refused"):
         rows.add_column(column)
@@ -67,7 +67,9 @@
     name: Name, at: At, certificate: Cert = None, key: Key = None, authority: Authority = None
 ) -> None:
     """One lease, with its candidates in their order."""
-    row = using(client(at, certificate, key, authority), lambda c: c.get(LEASES + name)).rows[0]
+    row = using(client(at, certificate, key, authority), lambda c: c.get(LEASE_PREFIX + name)).rows[
+        0
+    ]
     if row.value is None:
         raise Malformed(f"{name}: nobody ever asked for it")
     lease = _lease(row)
@@ -95,7 +97,7 @@
     """
 
     async def work(c: Client) -> str:
-        row = (await c.get(LEASES + name)).rows[0]
+        row = (await c.get(LEASE_PREFIX + name)).rows[0]
         lease = _lease(row) if row.value is not None else Lease(name)
         if not lease.holder:
             return f"{name}: nobody holds it"
@@ -116,7 +118,9 @@
     authority: Authority = None,
 ) -> None:
     """Who had it, newest first."""
-    found = using(client(at, certificate, key, authority), lambda c: c.history(LEASES + name, most))
+    found = using(
+        client(at, certificate, key, authority), lambda c: c.history(LEASE_PREFIX + name, most)
+    )
     for row in found.rows:
         if row.value is None:
             continue
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -12,8 +12,8 @@
 import typer
 
 from loadbalancer.settings import Malformed
-from loadbalancer.store.client import StoreError
 from loadbalancer.store.durable.journal import Damaged, Full
+from loadbalancer.store.errors import StoreError
 from loadbalancer.testbed.topology import Unusable
 
 # These start without the lab's libraries.
--- a/loadbalancer/cli/roll.py
+++ b/loadbalancer/cli/roll.py
@@ -23,7 +23,9 @@
 from loadbalancer.leases import table
 from loadbalancer.proxy.upstream import number_of
 from loadbalancer.settings import Malformed
-from loadbalancer.store.client import Client, Conflict
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import ConflictError
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.wallclock import unix_ms
 
 app = typer.Typer(no_args_is_help=True, help="Take boxes out for a restart, a few at a time.")
@@ -87,7 +89,10 @@
                 f"roll {old.id} of {old.by} is not over: `loadbalancer roll status` shows it"
             )
         await c.put(
-            Keys(service).roll, msgspec.json.encode(roll), row.version, note=f"begun by {by}"
+            Keys(service).roll,
+            msgspec.json.encode(roll),
+            row.version,
+            options=WriteOptions(note=f"begun by {by}"),
         )
         return f"roll {roll.id} of {len(boxes)} boxes has begun"
 
@@ -138,9 +143,12 @@
             roll = decoded(row, Roll)
             if roll is None or roll.state is State.ENDED:
                 raise Malformed("there is no roll under way")
-            with suppress(Conflict):
+            with suppress(ConflictError):
                 await c.put(
-                    Keys(service).roll, msgspec.json.encode(change(roll)), row.version, note=note
+                    Keys(service).roll,
+                    msgspec.json.encode(change(roll)),
+                    row.version,
+                    options=WriteOptions(note=note),
                 )
                 return f"roll {roll.id}: {note}"
 
@@ -211,7 +219,11 @@
             raise Malformed(f"{balancer}: it never reported")
         if name.value is not None and table.unpack(name.value).held:
             raise Malformed(f"{balancer}: it holds its name, so it is there")
-        await c.delete(keys.reports + balancer, report.version, note="forgotten by an operator")
+        await c.delete(
+            keys.reports + balancer,
+            report.version,
+            options=WriteOptions(note="forgotten by an operator"),
+        )
         return f"{balancer} is forgotten"
 
     out.print(using(client(at, certificate, key, authority), work), soft_wrap=True)
--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -34,8 +34,10 @@
 from loadbalancer.failover.site_state import Aim, ordered
 from loadbalancer.leases import table as leases
 from loadbalancer.settings import Malformed
-from loadbalancer.store.client import Client, Conflict
-from loadbalancer.store.commands import LEASES
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import LEASE_PREFIX
+from loadbalancer.store.errors import ConflictError
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.units import duration
 from loadbalancer.wallclock import StartTimes
 
@@ -82,7 +84,7 @@
 
     async def work(c: Client) -> None:
         seen = await _looked(c, service)
-        owner = (await c.get(f"{LEASES}work/site/{service}")).rows[0]
+        owner = (await c.get(f"{LEASE_PREFIX}work/site/{service}")).rows[0]
         held = leases.unpack(owner.value) if owner.value is not None else None
         who = (
             f"{held.holder.split('@')[0]}, token {leases.written(held.token)}"
@@ -289,9 +291,11 @@
                 course = ordered(course_of(doc, name), aim, by, over_s, hold_s)
             except ValueError as error:
                 raise Malformed(str(error)) from None
-            with suppress(Conflict):
+            with suppress(ConflictError):
                 value = msgspec.json.encode(with_course(doc, course))
-                await c.put(SiteKeys(service).plan, value, row.version, note=course.why[:200])
+                await c.put(
+                    SiteKeys(service).plan, value, row.version, WriteOptions(note=course.why[:200])
+                )
                 return f"site {name}: {course.why}"
 
     told: Callable[[Client], Awaitable[str]] = work
--- a/loadbalancer/cli/store.py
+++ b/loadbalancer/cli/store.py
@@ -5,7 +5,7 @@
 import json
 import logging
 import sys
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 from pathlib import Path
 from typing import Annotated, Any, TypeVar
 
@@ -19,8 +19,8 @@
 from loadbalancer.store.client import Client
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.state_directory import STATE
-from loadbalancer.store.feed_progress import ASK_S, Members
-from loadbalancer.store.security import Tls
+from loadbalancer.store.feed_progress import ASK_S, MemberStatusReader
+from loadbalancer.store.security import TlsFiles
 from loadbalancer.store.settings import read_store
 
 app = typer.Typer(no_args_is_help=True, help="The replicated store: its nodes, members, copies.")
@@ -78,7 +78,7 @@
         return Client(known, name=name, deadline_s=within_s)
     if not key or not authority:
         raise Malformed("--key and --authority: both go with --certificate")
-    context = Tls(certificate, key, authority).context(False)
+    context = TlsFiles(certificate, key, authority).context(False)
     return Client(known, lambda: context, name=name, deadline_s=within_s)
 
 
@@ -151,7 +151,7 @@
         status = await c.status()
         made = running.prepare(read, status["cluster"], name)
         try:
-            await c.manage("learn", made.node, read.advertise)
+            await c.administer("learn", made.node, read.advertise)
         except BaseException:
             out.print(
                 f"the folder {read.folder} is made, the cluster has not taken the node in: "
@@ -180,7 +180,7 @@
     within: float,
 ) -> None:
     made = client(at, certificate, key, authority, within_s=within)
-    out.print(using(made, lambda c: c.manage(what, number(node) if node else 0)))
+    out.print(using(made, lambda c: c.administer(what, number(node) if node else 0)))
 
 
 @app.command()
@@ -244,9 +244,11 @@
     as_json: Annotated[bool, typer.Option("--json", help="All of it, for programs.")] = False,
 ) -> None:
     """What each member says of itself, and who leads."""
-    members = Members(addresses(at), lambda address: client(address, certificate, key, authority))
+    members = MemberStatusReader(
+        addresses(at), lambda address: client(address, certificate, key, authority)
+    )
 
-    async def work() -> list[dict[str, Any]]:
+    async def work() -> list[Mapping[str, Any]]:
         try:
             return await members.statuses(min(within, ASK_S))
         finally:
@@ -261,7 +263,7 @@
         raise typer.Exit(1)
 
 
-def show(found: list[dict[str, Any]]) -> None:
+def show(found: list[Mapping[str, Any]]) -> None:
     clusters = sorted({s["cluster"] for s in found if "cluster" in s})
     table = Table(title=f"cluster {', '.join(clusters) or 'unknown'}")
     for column in (
@@ -333,7 +335,7 @@
     try:
         with open(fresh, "wb") as file:
             index, _, size, checksum = using(
-                client(at, certificate, key, authority), lambda c: c.copy(file.write, within)
+                client(at, certificate, key, authority), lambda c: c.read_backup(file.write, within)
             )
         if fresh.stat().st_size != size or states.checksum(fresh) != checksum:
             raise Malformed(f"{copy}: it did not come whole: try again")
--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -29,7 +29,7 @@
 from loadbalancer.settings import Json, Malformed, split_address
 from loadbalancer.store.client import Client
 from loadbalancer.store.documents import key
-from loadbalancer.store.settings import Keys
+from loadbalancer.store.settings import TlsTable
 from loadbalancer.units import Duration, convert
 
 log = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
     )
     rows: bool = False  # the list of upstreams is rows of the feed, in place of a document
     documents: bool = False  # beside rows: the document, for balancers that know none
-    tls: Keys | None = None
+    tls: TlsTable | None = None
 
 
 class Boot:
@@ -143,8 +143,8 @@
         assert self.cache is not None
         name, patience = self.table.document, ASK_S if self.cache.exists() else FIRST_S
         clients = self.client(), self.client()
-        linear = asyncio.ensure_future(clients[0].get(key(name), within_s=patience))
-        stale = asyncio.ensure_future(clients[1].get(key(name), stale=True, within_s=patience))
+        linear = asyncio.ensure_future(clients[0].get(key(name), timeout_s=patience))
+        stale = asyncio.ensure_future(clients[1].get(key(name), stale=True, timeout_s=patience))
         await asyncio.wait((linear, stale))
         for client in clients:
             await client.close()
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -35,9 +35,10 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.settings import Malformed
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
-from loadbalancer.store.lease_client import NotOwner, Owner, clock_ns
+from loadbalancer.store.errors import NotLeaseHolderError, StoreError
+from loadbalancer.store.lease_client import LeaseClient, boot_clock_ns
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.wallclock import age_s, shown_age, unix_s
 
@@ -69,7 +70,7 @@
         driver: Driver,
         discovery: Discovery,
         client: Client,
-        owner: Owner,
+        owner: LeaseClient,
         service: str,
         reach: Reach,
         writer: RowWriter | None = None,
@@ -92,7 +93,7 @@
         self.refused_s = -REFUSALS_S
         self.bad = ""  # why the list can't be put, as last said
         self.follower = Follower(
-            driver.settings.instance_count, random.Random(os.urandom(8)), clock_ns()
+            driver.settings.instance_count, random.Random(os.urandom(8)), boot_clock_ns()
         )
         self.changed = asyncio.Event()
         self.number = self.beat = 0  # of this owner's lists, and of its words that they stand
@@ -114,7 +115,7 @@
 
     def subscribe(self, on: bool) -> None:
         """The module wants to be told of changes: it is, by the owner's list or by discovery."""
-        if self.owner.working:
+        if self.owner.active_token:
             self.discovery.subscribe(on)
 
     def fetch(self) -> None:
@@ -125,7 +126,7 @@
             self.heard_s = time.monotonic()
             if kind is api.EndpointListKind.FULL or endpoints:
                 self.follower.empty = False
-        elif not self.owner.working:
+        elif not self.owner.active_token:
             return  # asked by this process itself, and it asks again: the module need not
         if self._older():
             return
@@ -143,7 +144,7 @@
     # ---- as the owner ----------------------------------------------------------------------------
 
     def began(self, token: int) -> None:
-        self.follower.owns(True, clock_ns())
+        self.follower.owns(True, boot_clock_ns())
         self.discovery.calls.speak_for_all(True)
         if token != self.put[0]:  # one that is lost and found again goes on counting
             self.number = self.beat = 0
@@ -154,7 +155,7 @@
         self.discovery.subscribe(True)
 
     def ended(self) -> None:
-        self.follower.owns(False, clock_ns())
+        self.follower.owns(False, boot_clock_ns())
         self.mirrors = False  # rows that came meanwhile changed nothing here
         if self.table is not None and self.table.said.token > self.put[0]:
             self._settle(None)  # the next owner's are there already
@@ -175,7 +176,7 @@
             self.changed.clear()
             try:
                 await self._say()
-            except NotOwner:
+            except NotLeaseHolderError:
                 return
             except Malformed as error:
                 if str(error) != self.bad:  # it stands until discovery says otherwise
@@ -212,7 +213,7 @@
     def _older(self) -> bool:
         """Does discovery tell less than its owner of before knew, and that not for long?"""
         return (
-            bool(self.owner.working)
+            bool(self.owner.active_token)
             and self.discovery.version < self.floor
             and time.monotonic() - self.floor_s < ANEW_S
         )
@@ -299,7 +300,7 @@
             found = await self.client.get(*self.keys)
         else:
             found = await self.client.get(*self.keys, self.table.keys.list)
-        now = clock_ns()
+        now = boot_clock_ns()
         saved = decoded(found.rows[0], SavedList)
         self.follower.learn(Word(saved.token, saved.number) if saved else Word(), now)
         if self.table is not None:
@@ -328,7 +329,7 @@
 
     def _list(self, row: Row) -> None:
         saved = decoded(row, SavedList)
-        if self.owner.working:
+        if self.owner.active_token:
             foreign = saved is None or not saved.token
             if foreign and row.version and (self.documents or row.value is not None):
                 # A program without owners put its list over this one's, and who starts now would
@@ -345,7 +346,7 @@
             self.driver.learn(api.EndpointListKind.FULL, self.reach.from_here(load_list(saved)))
 
     def _heeds(self, key: str, word: Word) -> bool:
-        if self.follower.listed(word, clock_ns()):
+        if self.follower.listed(word, boot_clock_ns()):
             return True
         log.info(
             "%s: the word of token %s is not heeded: token %s was heard",
@@ -382,7 +383,7 @@
     def _settle(self, changed: list[Endpoint] | None) -> None:
         """Go by the table, of which this changed; None: anything."""
         table = self.table
-        if table is None or self.owner.working:
+        if table is None or self.owner.active_token:
             return
         if table.word is None or not table.endpoints:
             self.mirrors = (
@@ -410,13 +411,15 @@
     def _stands(self, row: Row) -> None:
         standing = decoded(row, Standing)
         if standing is not None:
-            self.follower.stands(Word(standing.token, standing.number), standing.beat, clock_ns())
+            self.follower.stands(
+                Word(standing.token, standing.number), standing.beat, boot_clock_ns()
+            )
 
     async def look(self) -> None:
         """Ask discovery by itself, where the owner's word is old or missing."""
         said = False
         while True:
-            now = clock_ns()
+            now = boot_clock_ns()
             if self.follower.asks(now):
                 self.discovery.fetch()
             if self.follower.alone is not said:
@@ -425,7 +428,7 @@
                     "the list's owner is %s",
                     "silent: discovery is asked from here now and then" if said else "heard again",
                 )
-            wait = (self.follower.wake_ns - clock_ns()) / 1e9
+            wait = (self.follower.wake_ns - boot_clock_ns()) / 1e9
             await asyncio.sleep(min(1.0, max(0.05, wait)))
 
     def close(self) -> None:
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -19,8 +19,8 @@
 from loadbalancer.leases.fence import Word
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import MOST_OPS, Op
-from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.commands import MAX_OPERATIONS, Op
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire import protocol
 from loadbalancer.wallclock import unix_s
 
@@ -31,7 +31,9 @@
 class RowWriter:
     """As the owner. It knows what stands from reading it once a term, and from its own writes."""
 
-    def __init__(self, client: Client, owner: Owner, service: str, most: int = MOST_OPS) -> None:
+    def __init__(
+        self, client: Client, owner: LeaseClient, service: str, most: int = MAX_OPERATIONS
+    ) -> None:
         self.client = client
         self.owner = owner
         self.service = service
@@ -67,7 +69,7 @@
             row.key: (row.version, row.value) for row in scanned.rows if row.value is not None
         }
         self.word = _word(found.rows[1])
-        if self.word is not None and self.word.token == self.owner.working:
+        if self.word is not None and self.word.token == self.owner.active_token:
             self.number = max(self.number, self.word.number)
         self.touched, self.read_there = None, True
         return self.word
--- a/loadbalancer/daemon/leased_task.py
+++ b/loadbalancer/daemon/leased_task.py
@@ -7,8 +7,8 @@
 import asyncio
 import logging
 
-from loadbalancer.store.client import Conflict, StoreError
-from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.errors import ConflictError, NotLeaseHolderError, StoreError
+from loadbalancer.store.lease_client import LeaseClient
 
 log = logging.getLogger(__name__)
 
@@ -17,12 +17,12 @@
 
 
 class OwnedWork:
-    def __init__(self, owner: Owner, what: str) -> None:
+    def __init__(self, owner: LeaseClient, what: str) -> None:
         """`what` it is called in logs."""
         self.owner = owner
         self.what = what
         self.working: asyncio.Task[None] | None = None
-        owner.began, owner.ended = self.began, self.ended
+        owner.on_tenure(self.began, self.ended)
 
     def anew(self) -> None:
         """Forget what this process saw as an owner of before: it is old."""
@@ -46,9 +46,9 @@
             wait = AGAIN_S
             try:
                 wait = await self.turn()
-            except NotOwner:
+            except NotLeaseHolderError:
                 return
-            except Conflict:
+            except ConflictError:
                 wait = CHANGED_S
             except StoreError as error:
                 log.warning("%s: %s", self.what, error)
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -41,9 +41,11 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import number_of
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import LEASES, Op
-from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.commands import LEASE_PREFIX, Op
+from loadbalancer.store.errors import NotLeaseHolderError
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire.protocol import Row
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.wallclock import unix_ms
 
 log = logging.getLogger(__name__)
@@ -86,7 +88,7 @@
         self.list = f"list/{service}"
         self.standing = f"listed/{service}"
         self.reports = f"report/{service}/"
-        self.names = f"{LEASES}name/{service}/"
+        self.names = f"{LEASE_PREFIX}name/{service}/"
 
 
 async def look(
@@ -155,7 +157,7 @@
 
 
 class Roller(OwnedWork):
-    def __init__(self, client: Client, owner: Owner, service: str, reach: Reach) -> None:
+    def __init__(self, client: Client, owner: LeaseClient, service: str, reach: Reach) -> None:
         super().__init__(owner, "roll")
         self.client = client
         self.reach = reach
@@ -230,7 +232,7 @@
             ops.append(Op(self.keys.disabled, names, disabled_row.version))
         else:
             checks.append((self.keys.disabled, disabled_row.version))
-        await self.owner.write(ops, checks, note=step.say[:200])
+        await self.owner.write(ops, WriteOptions(checks=checks, note=step.say[:200]))
 
 
 class Reporter:
@@ -241,7 +243,7 @@
         driver: Driver,
         disabled: DisabledUpstreams,
         client: Client,
-        name: Owner,
+        name: LeaseClient,
         service: str,
         balancer: str,
     ) -> None:
@@ -294,7 +296,7 @@
                 report = Report(
                     *now, round(rate.sent, 2), round(min(rate.served, rate.sent), 2), self.count
                 )
-                with suppress(NotOwner):
+                with suppress(NotLeaseHolderError):
                     await self.name.write([Op(self.key, msgspec.json.encode(report))])
                     said, at, self.there = now, time.monotonic(), True
             self.more.clear()
@@ -305,5 +307,5 @@
     async def leave(self) -> None:
         """Nothing is under way here any more. Raises StoreError."""
         if self.there and self.name.token():
-            with suppress(NotOwner):
-                await self.name.write([Op(self.key, None)], within_s=0.3)
+            with suppress(NotLeaseHolderError):
+                await self.name.write([Op(self.key, None)], WriteOptions(timeout_s=0.3))
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -24,7 +24,7 @@
 from loadbalancer.proxy.discovery import LATEST_MS
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.settings import Malformed
-from loadbalancer.store.commands import MOST_OPS, Op
+from loadbalancer.store.commands import MAX_OPERATIONS, Op
 
 Batch = tuple[Op, ...]  # of one write
 
@@ -182,7 +182,7 @@
 
 
 def differences(
-    stored: Mapping[str, tuple[int, bytes]], wanted: Mapping[str, bytes], most: int = MOST_OPS
+    stored: Mapping[str, tuple[int, bytes]], wanted: Mapping[str, bytes], most: int = MAX_OPERATIONS
 ) -> list[Batch]:
     """The writes that turn what stands, version and value by key, into what is wanted: only what
     differs, in the order of keys, so that equal work is equal writes; what goes is deleted after
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -34,9 +34,11 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Report
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import LEASES, Op
-from loadbalancer.store.lease_client import NotOwner, Owner, clock_ns
+from loadbalancer.store.commands import LEASE_PREFIX, Op
+from loadbalancer.store.errors import NotLeaseHolderError
+from loadbalancer.store.lease_client import LeaseClient, boot_clock_ns
 from loadbalancer.store.wire.protocol import Row
+from loadbalancer.store.write_session import WriteOptions
 
 log = logging.getLogger(__name__)
 
@@ -92,7 +94,7 @@
         self.stands = f"site/{service}/stands"
         self.tables = f"site/{service}/tables"
         self.prefix = f"site/{service}"
-        self.names = f"{LEASES}name/{service}/"
+        self.names = f"{LEASE_PREFIX}name/{service}/"
 
 
 class SiteWatch:
@@ -102,7 +104,7 @@
         self,
         driver: Driver,
         client: Client,
-        name: Owner,
+        name: LeaseClient,
         service: str,
         balancer: str,
         rng: random.Random,
@@ -114,7 +116,7 @@
         self.keys = SiteKeys(service)
         self.key = self.keys.rows + balancer
         self.member = Member(
-            driver.settings.zone, balancer, driver.settings.instance_count, rng, clock_ns()
+            driver.settings.zone, balancer, driver.settings.instance_count, rng, boot_clock_ns()
         )
         self.receiver = Receiver(Word())
         self.doc = PlanDoc()
@@ -136,7 +138,7 @@
                     if request is not None:
                         cls = self.driver.settings.classes[request.arrival.class_name]
                         usual = self.driver.balancer.crowding.taken.get(cls.name, 0.0)
-                        self.member.tried(e, cls.latency_objective_ns, usual, clock_ns())
+                        self.member.tried(e, cls.latency_objective_ns, usual, boot_clock_ns())
         except Exception:
             log.exception("sites")
 
@@ -147,7 +149,7 @@
             await asyncio.sleep(TICK_S)
 
     def _turn(self) -> None:
-        now = clock_ns()
+        now = boot_clock_ns()
         boxes = {
             n: t.endpoint.entry.zone
             for n, t in self.driver.upstreams.targets.items()
@@ -171,14 +173,14 @@
         self.fresh = owned
 
     def _sounded(self, number: int, result: api.AttemptResult, report: Report) -> None:
-        self.member.sounded(number, result, clock_ns())
+        self.member.sounded(number, result, boot_clock_ns())
 
     async def tell(self) -> None:
         """Raises StoreError."""
         while True:
-            if self.member.row_due(clock_ns()) and self.name.token():
-                row = self.member.row(self.driver.balancer.crowding.taken, clock_ns())
-                with suppress(NotOwner):
+            if self.member.row_due(boot_clock_ns()) and self.name.token():
+                row = self.member.row(self.driver.balancer.crowding.taken, boot_clock_ns())
+                with suppress(NotLeaseHolderError):
                     await self.name.write([Op(self.key, msgspec.json.encode(row))])
                     self.there = True
             await asyncio.sleep(TICK_S * self.member.rng.uniform(0.5, 1.0))
@@ -186,8 +188,8 @@
     async def leave(self) -> None:
         """Raises StoreError."""
         if self.there and self.name.token():
-            with suppress(NotOwner):
-                await self.name.write([Op(self.key, None)], within_s=0.3)
+            with suppress(NotLeaseHolderError):
+                await self.name.write([Op(self.key, None)], WriteOptions(timeout_s=0.3))
 
     # ---- the plan --------------------------------------------------------------------------------
 
@@ -234,7 +236,7 @@
                 )
         self.doc = doc
         held = {c.site: c.by for c in doc.courses if c.aim is not Aim.IN and c.part <= 0}
-        self.member.ordered(doc.orders, frozenset(doc.sites), held, clock_ns())
+        self.member.ordered(doc.orders, frozenset(doc.sites), held, boot_clock_ns())
 
     def _stands(self, row: Row) -> None:
         stands = decoded(row, Stands)
@@ -243,7 +245,7 @@
                 Word(stands.token, stands.number) == self.receiver.highest
                 and stands.beat != self.beat
             ):
-                self.member.stands(clock_ns())
+                self.member.stands(boot_clock_ns())
             self.beat = stands.beat
 
     def _tabled(self, row: Row) -> None:
@@ -262,7 +264,7 @@
             evidence.said.pop(name, None)
             return
         evidence.heard(
-            name, Said(own.site, frozenset(own.answers), frozenset(own.silent)), 0, clock_ns()
+            name, Said(own.site, frozenset(own.answers), frozenset(own.silent)), 0, boot_clock_ns()
         )
 
 
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -31,7 +31,8 @@
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
 from loadbalancer.store.documents import key as document_key
-from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.errors import NotLeaseHolderError
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.wallclock import StartTimes, unix_s
 
@@ -159,7 +160,9 @@
 
 
 class SiteWorks(OwnedWork):
-    def __init__(self, client: Client, owner: Owner, service: str, settings: api.Settings) -> None:
+    def __init__(
+        self, client: Client, owner: LeaseClient, service: str, settings: api.Settings
+    ) -> None:
         super().__init__(owner, "sites")
         self.client = client
         self.service = service
@@ -234,7 +237,7 @@
         """One write, at the version that was read, or a word that what stands still does."""
         token, now = self.owner.token(), time.monotonic()
         if not token:
-            raise NotOwner("sites")
+            raise NotLeaseHolderError("sites")
         doc = seen.doc
         moved = tuple(c for c in courses if not c.well or c.count)
         steps = moved != doc.courses or seen.sites != doc.sites or token != doc.token
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -47,11 +47,18 @@
 from loadbalancer.proxy.discovery import Discovery
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Endpoint
-from loadbalancer.store.changefeed_client import FeedClient
-from loadbalancer.store.client import Client, Compacted, Conflict, StoreError
+from loadbalancer.store.changefeed_client import ChangefeedClient, ChangefeedTarget
+from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
 from loadbalancer.store.documents import PREFIX
-from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.errors import (
+    ConflictError,
+    NotLeaseHolderError,
+    StoreError,
+    WatchCompactedError,
+)
+from loadbalancer.store.lease_client import LeaseClient
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.wallclock import age_s, shown_age, unix_s
 
 log = logging.getLogger(__name__)
@@ -99,20 +106,21 @@
         self.tasks: list[asyncio.Task[None]] = []
         parts.disabled.heard.append(self._heard)
         # Of one name, what is learnt has one writer; a name that two processes were given is told.
-        self.name = Owner(client, f"name/{service}/{balancer}", balancer, lease_s, seen=self._named)
+        self.name = LeaseClient(client, f"name/{service}/{balancer}", balancer, lease_s)
+        self.name.on_change(self._named)
         self.named_s = 0.0
         self.list: FleetList | None = None
-        self.lister = Owner(client, f"work/list/{service}", balancer, lease_s, rank)
+        self.lister = LeaseClient(client, f"work/list/{service}", balancer, lease_s, rank)
         self.reporter = Reporter(parts.driver, parts.disabled, client, self.name, service, balancer)
-        self.roller = Owner(client, f"work/roll/{service}", balancer, lease_s, rank)
+        self.roller = LeaseClient(client, f"work/roll/{service}", balancer, lease_s, rank)
         Roller(client, self.roller, service, self.reach)
         self.sites: SiteWatch | None = None
-        self.site_owner = Owner(client, f"work/site/{service}", balancer, lease_s, rank)
+        self.site_owner = LeaseClient(client, f"work/site/{service}", balancer, lease_s, rank)
         if sites:
             rng = random.Random(os.urandom(8))
             self.sites = SiteWatch(parts.driver, client, self.name, service, balancer, rng)
             SiteWorks(client, self.site_owner, service, parts.driver.settings)
-        self.feed: FeedClient | None = None
+        self.feed: ChangefeedClient | None = None
         discovery = parts.driver.discovery
         if isinstance(discovery, Discovery):
             writer = RowWriter(client, self.lister, service) if rows else None
@@ -126,7 +134,7 @@
                 writer,
                 documents or not rows,
             )
-            self.lister.began, self.lister.ended = self.list.began, self.list.ended
+            self.lister.on_tenure(self.list.began, self.list.ended)
             discovery.subscribe(False)
             parts.driver.discovery = self.list
         elif rows:
@@ -136,14 +144,11 @@
                 " of it"
             )
         if self.list is not None and self.list.table is not None:
-            self.feed = FeedClient(
-                client.addresses,
-                client.tls,
-                balancer,
+            self.feed = ChangefeedClient(
+                ChangefeedTarget(client.addresses, client.tls, balancer, address_map=client.reach),
                 [self.list.table.keys.scope, GLOBAL],
                 self.list.check,
                 self.list.apply,
-                reach=client.reach,
             )
 
     def start(self) -> None:
@@ -213,7 +218,7 @@
             found = await self.client.get(key, stale=True)
             self._found()
             await take(found.rows[0].value, found.rows[0].version)
-            with suppress(Compacted):
+            with suppress(WatchCompactedError):
                 async for told in self.client.watch(key, found.revision):
                     self._found()
                     for change in told.changes:
@@ -231,7 +236,7 @@
             with suppress(TimeoutError):  # the list first: what was learnt is of its upstreams
                 async with asyncio.timeout(ASK_S):
                     await self.list.table.came.wait()
-        found = await self.client.get(*self.keys, stale=True, within_s=ASK_S)
+        found = await self.client.get(*self.keys, stale=True, timeout_s=ASK_S)
         self._found()
         _, listed, learnt = found.rows
         saved = decoded(listed, SavedList)
@@ -288,7 +293,7 @@
                     row = (await self.client.get(key)).rows[0]
                     names = self._with_asked(_names(row.value or b"[]"))
                     await self.client.put(key, msgspec.json.encode(sorted(names)), row.version)
-                except Conflict:
+                except ConflictError:
                     continue
                 except StoreError as error:
                     self._lost(str(error))
@@ -344,16 +349,17 @@
             )
             if servers and servers != self.saved:
                 saved = SavedList(unix_s(), servers, self.lister.token())
-                with suppress(NotOwner):
+                with suppress(NotLeaseHolderError):
                     await self.lister.write(
-                        [Op(listed, msgspec.json.encode(saved))], within_s=within_s
+                        [Op(listed, msgspec.json.encode(saved))],
+                        WriteOptions(timeout_s=within_s or None),
                     )
                     self.saved = servers
         known = driver.balancer.learnt()
         if known.taken and self.name.token():
-            with suppress(NotOwner):
+            with suppress(NotLeaseHolderError):
                 value = msgspec.json.encode(save_learnt(known, endpoints_of(driver)))
-                await self.name.write([Op(learnt, value)], within_s=within_s)
+                await self.name.write([Op(learnt, value)], WriteOptions(timeout_s=within_s or None))
         if self.name.holder.failures >= SILENT:
             self._lost(self.name.holder.why)
         else:
--- a/loadbalancer/store/changefeed_client.py
+++ b/loadbalancer/store/changefeed_client.py
@@ -1,4 +1,4 @@
-"""A balancer's subscription over real connections: one node at a time, the next where it fails."""
+"""A balancer's subscription over real connections: one node at a time, the next after a failure."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 import ssl
 import time
 from collections.abc import Callable, Collection, Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Final
 
 from loadbalancer.changefeed.subscription import (
     Apply,
@@ -21,199 +23,254 @@
 )
 from loadbalancer.settings import Malformed, split_address
 from loadbalancer.store import handshake
+from loadbalancer.store.errors import ProtocolError
+from loadbalancer.store.timer import WakeTimer
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.frames import Refused
-from loadbalancer.store.wire.protocol import Failed, Fed, Feed, Hello
+from loadbalancer.store.wire.protocol import (
+    ChangefeedMessage,
+    Hello,
+    RequestFailed,
+    SendToChangefeed,
+    Welcome,
+)
 
 log = logging.getLogger(__name__)
 
-ID = 1  # of the subscription, on each of its connections
-UNREAD_MOST = 1 << 20  # bytes of words that a node leaves unread: it is left
+SUBSCRIPTION_ID: Final = 1  # on each connection
+MAX_UNREAD_BYTES: Final = 1 << 20  # of messages that a node has not read: then it is left
 
 
-class FeedWire(handshake.Dial):
-    """A connection to a node's feed."""
+class ChangefeedConnection(handshake.DialedConnection):
+    """A connection to a node's change feed."""
 
-    def __init__(self, hello: Hello, client: FeedClient) -> None:
+    def __init__(self, hello: Hello, client: ChangefeedClient) -> None:
         super().__init__(hello)
         self.client = client
 
-    def heard(self, payload: bytes) -> None:
+    def payload_received(self, payload: bytes) -> None:
+        """Passes a message on; ends the connection if the node ended the subscription."""
         reply = protocol.unpack_reply(payload)
-        if isinstance(reply, Fed):
-            self.client.told(self, reply)
-        elif isinstance(reply, Failed):
-            raise Refused(reply.text)
+        if isinstance(reply, ChangefeedMessage):
+            self.client.message_received(self, reply)
+        elif isinstance(reply, RequestFailed):
+            raise ProtocolError(reply.text)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Reports the end of the connection."""
         super().connection_lost(error)
-        self.client.ended(self)
+        self.client.connection_ended(self)
+
+
+@dataclass(frozen=True, slots=True)
+class ChangefeedTarget:
+    """Where a subscription connects, and as whom.
+
+    Attributes:
+        addresses: Nodes, HOST:PORT.
+        tls: Returns the TLS context for a new connection.
+        name: The balancer's name.
+        nearby_count: The first so many addresses are tried before the others.
+        address_map: For advertised addresses, where they are reached from here.
+        rng: For the order of the addresses and the jitter of the subscription.
+    """
+
+    addresses: Sequence[str]
+    tls: Callable[[], ssl.SSLContext | None]
+    name: str
+    nearby_count: int = 0
+    address_map: Mapping[str, str] = field(default_factory=dict)
+    rng: random.Random = field(default_factory=lambda: random.Random(os.urandom(8)))
+
+
+class ChangefeedClient:
+    """Carries out a subscription's actions.
+
+    Args:
+        target: Where it connects; within near and far nodes in a random order.
+        scopes: The scopes that it subscribes to.
+        check: Returns what is wrong with a row. Called in the loop, takes no time.
+        apply: Puts rows in force. Called in the loop, takes no time.
+        limits: The subscription's limits.
 
+    Attributes:
+        subscription: What is known of the rows, and how old it is.
+        connection: The open connection.
+        address: The node that it is connected or connecting to.
 
-class FeedClient:
-    """`addresses`: of nodes, HOST:PORT; the first `near` of them are tried before the others, and
-    both in an order drawn by `rng`. `check` says what is wrong with a row, or nothing; `apply` puts
-    rows in force. Both are called in the loop, and take no time. What is known of the rows, and how
-    old it is, tells `subscription`.
+    Raises:
+        Malformed: An address is not HOST:PORT.
     """
 
     def __init__(
         self,
-        addresses: Sequence[str],
-        tls: Callable[[], ssl.SSLContext | None],
-        name: str,
+        target: ChangefeedTarget,
         scopes: Collection[str],
         check: Check,
         apply: Callable[[Apply], None],
-        reach: Mapping[str, str] | None = None,
-        rng: random.Random | None = None,
-        near: int = 0,
         limits: SubscriptionLimits = SubscriptionLimits(),  # noqa: B008 (it is frozen)
     ) -> None:
-        """Raises Malformed."""
-        for address in (*addresses, *(reach or {}).values()):
+        for address in (*target.addresses, *target.address_map.values()):
             split_address(address)
-        self.rng = rng or random.Random(os.urandom(8))
-        self.addresses = [*self._drawn(addresses[:near]), *self._drawn(addresses[near:])]
-        self.tls, self.name, self.apply = tls, name, apply
-        self.reach = reach or {}
-        self.at = ""  # the node that it is connected to, or dials
-        self.subscription = Subscription(name, scopes, check, limits, self.rng, time.monotonic_ns())
-        self.wire: FeedWire | None = None
-        self.dialling: asyncio.Task[None] | None = None
-        self.closed = True
-        self.turning = False
-        self.timer: asyncio.TimerHandle | None = None
-        self.timer_ns = 0
-
-    def _drawn(self, addresses: Sequence[str]) -> list[str]:
-        return self.rng.sample(addresses, len(addresses))
+        self.target = target
+        nearby = target.addresses[: target.nearby_count]
+        remote = target.addresses[target.nearby_count :]
+        self._addresses = [*self._shuffled(nearby), *self._shuffled(remote)]
+        self._apply_rows = apply
+        self.address = ""
+        self.subscription = Subscription(
+            target.name, scopes, check, limits, self.target.rng, time.monotonic_ns()
+        )
+        self.connection: ChangefeedConnection | None = None
+        self._dialing: asyncio.Task[None] | None = None
+        self._is_closed = True
+        self._is_woken = False
+        self._timer = WakeTimer(self._wake)
+
+    def _shuffled(self, addresses: Sequence[str]) -> list[str]:
+        return self.target.rng.sample(addresses, len(addresses))
 
     def start(self) -> None:
-        """Within a running loop."""
-        self.loop = asyncio.get_running_loop()
-        self.closed = False
+        """Begins to connect; within a running loop."""
+        self._loop = asyncio.get_running_loop()
+        self._is_closed = False
         self._wake()
 
-    def want(self, add: Collection[str], drop: Collection[str]) -> None:
-        """Other scopes. Raises ValueError."""
+    def change_scopes(self, add: Collection[str], drop: Collection[str]) -> None:
+        """Subscribes to other scopes.
+
+        Raises:
+            ValueError: A scope is not valid.
+        """
         self.subscription.want(add, drop, time.monotonic_ns())
-        if not self.closed:
+        if not self._is_closed:
             self._wake()
 
     async def close(self) -> None:
-        """Nothing is applied from here on."""
-        self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
-        dialling = self.dialling
-        self._leave()
-        if dialling is not None:
-            await asyncio.wait({dialling})
+        """Closes the connection; nothing is applied from here on."""
+        self._is_closed = True
+        self._timer.cancel()
+        dialing = self._dialing
+        self._disconnect()
+        if dialing is not None:
+            await asyncio.wait({dialing})
 
-    # ---- the loop's turn -------------------------------------------------------------------------
+    # ---- actions of the subscription -------------------------------------------------------------
 
     def _wake(self) -> None:
-        if not self.turning and not self.closed:
-            self.turning = True
-            self.loop.call_soon(self._turn)
+        """Carries out what is due at the end of this iteration of the event loop."""
+        if not self._is_woken and not self._is_closed:
+            self._is_woken = True
+            self._loop.call_soon(self._run)
 
-    def _turn(self) -> None:
-        self.turning = False
-        if self.closed:
+    def _run(self) -> None:
+        self._is_woken = False
+        if self._is_closed:
             return
-        now = time.monotonic_ns()
-        if self.subscription.wake_ns <= now:
-            self.subscription.tick(now)
-        words: list[bytes] = []
+        now_ns = time.monotonic_ns()
+        if self.subscription.wake_ns <= now_ns:
+            self.subscription.tick(now_ns)
+        messages = self._carry_out()
+        if messages and self.connection is not None:
+            self._send(self.connection, messages)
+        self._timer.schedule(self.subscription.wake_ns, now_ns)
+
+    def _carry_out(self) -> list[bytes]:
+        """Carries out the due actions; returns the messages to send."""
+        messages: list[bytes] = []
         for action in self.subscription.take_out():
             match action:
                 case Say():
-                    words.append(action.word)
+                    messages.append(action.word)
                 case Apply():
                     self._apply(action)
                 case Dial():
-                    words.clear()
-                    self._leave()
-                    self.dialling = self.loop.create_task(self._dial(action.turn))
+                    messages.clear()
+                    self._disconnect()
+                    self._dialing = self._loop.create_task(self._dial(action.turn))
                 case HangUp():
-                    words.clear()
-                    self._leave()
-        if words and self.wire is not None:
-            self._say(self.wire, words)
-        wake_ns = self.subscription.wake_ns
-        if self.timer is None or wake_ns < self.timer_ns:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.timer_ns = wake_ns
-            self.timer = self.loop.call_later(max(0, wake_ns - now) / 1e9, self._timed)
-
-    def _timed(self) -> None:
-        self.timer = None
-        self._wake()
+                    messages.clear()
+                    self._disconnect()
+        return messages
 
     def _apply(self, action: Apply) -> None:
         try:
-            self.apply(action)
+            self._apply_rows(action)
         except Exception:
-            log.exception("feed: rows of %s as of revision %d", action.scope, action.revision)
+            log.exception(
+                "rows can't be applied: scope=%s revision=%d", action.scope, action.revision
+            )
 
-    def _say(self, wire: FeedWire, words: list[bytes]) -> None:
-        if wire.closed or wire.transport is None:
+    def _send(self, connection: ChangefeedConnection, messages: list[bytes]) -> None:
+        if connection.closed or connection.transport is None:
             return
-        wire.transport.write(
-            b"".join(wire.sender.frame(protocol.pack(Feed(ID, 0, word))) for word in words)
+        requests = (SendToChangefeed(SUBSCRIPTION_ID, 0, message) for message in messages)
+        connection.transport.write(
+            b"".join(connection.encoder.frame(protocol.pack(request)) for request in requests)
         )
-        if wire.transport.get_write_buffer_size() > UNREAD_MOST:
-            wire.end("it reads nothing")
+        if connection.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
+            connection.close("it reads nothing")
 
     # ---- connections -----------------------------------------------------------------------------
 
-    async def _dial(self, turn: int) -> None:
-        """How long it may take is the subscription's to say."""
-        self.at = self.addresses[turn % len(self.addresses)]
-        wire = FeedWire(Hello(protocol.FORMAT, "", 0, "", self.name), self)
-        why = ""
+    async def _dial(self, attempt: int) -> None:
+        """Connects to the attempt's node; the subscription limits how long that may take."""
+        self.address = self._addresses[attempt % len(self._addresses)]
+        connection = ChangefeedConnection(
+            Hello(protocol.PROTOCOL_VERSION, "", 0, "", self.target.name), self
+        )
+        welcome: Welcome | None = None
+        reason = ""
         try:
-            host, port = split_address(self.reach.get(self.at, self.at))
-            await self.loop.create_connection(lambda: wire, host, port, ssl=self.tls())
-            welcome = await wire.welcomed
+            welcome = await self._connect(connection)
         except (OSError, Malformed) as error:
-            why = f"{self.at}: {error}"
+            reason = f"{self.address}: {error}"
         except BaseException:
-            wire.abort()
+            connection.abort()
             raise
-        if self.dialling is not asyncio.current_task():
-            wire.abort()
+        if self._dialing is not asyncio.current_task():
+            connection.abort()
             return
-        self.dialling = None
-        if why:
-            wire.abort()
-            self._lost(why)
+        self._dialing = None
+        if welcome is None:
+            connection.abort()
+            self._connection_failed(reason)
             return
-        self.wire = wire
+        self.connection = connection
         self.subscription.connected(welcome.cluster, time.monotonic_ns())
         self._wake()
 
-    def told(self, wire: FeedWire, fed: Fed) -> None:
-        if wire is self.wire:
-            self.subscription.heard(fed.generation, fed.sequence, fed.word, time.monotonic_ns())
+    async def _connect(self, connection: ChangefeedConnection) -> Welcome:
+        address = self.target.address_map.get(self.address, self.address)
+        host, port = split_address(address)
+        await self._loop.create_connection(lambda: connection, host, port, ssl=self.target.tls())
+        return await connection.welcomed
+
+    def message_received(
+        self, connection: ChangefeedConnection, message: ChangefeedMessage
+    ) -> None:
+        """Handles a message of the node, unless its connection was left."""
+        if connection is self.connection:
+            self.subscription.heard(
+                message.generation, message.sequence, message.message, time.monotonic_ns()
+            )
             self._wake()
 
-    def ended(self, wire: FeedWire) -> None:
-        if wire is self.wire:
-            self.wire = None
-            self._lost(f"{self.at}: {wire.why}")
+    def connection_ended(self, connection: ChangefeedConnection) -> None:
+        """Handles the end of a connection, unless it was left."""
+        if connection is self.connection:
+            self.connection = None
+            self._connection_failed(f"{self.address}: {connection.close_reason}")
 
-    def _lost(self, why: str) -> None:
-        log.debug("feed: %s", why)
-        self.subscription.lost(why, time.monotonic_ns())
+    def _connection_failed(self, reason: str) -> None:
+        log.debug("change feed connection failed: reason=%s", reason)
+        self.subscription.lost(reason, time.monotonic_ns())
         self._wake()
 
-    def _leave(self) -> None:
-        if self.dialling is not None:
-            self.dialling.cancel()
-            self.dialling = None
-        wire, self.wire = self.wire, None
-        if wire is not None:
-            wire.abort()
+    def _disconnect(self) -> None:
+        if self._dialing is not None:
+            self._dialing.cancel()
+            self._dialing = None
+        connection = self.connection
+        self.connection = None
+        if connection is not None:
+            connection.abort()
--- a/loadbalancer/store/changefeed_server.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -33,7 +33,7 @@
 Act = Callable[[Fanout, int], None]
 
 
-class Hearer(Protocol):
+class Subscriber(Protocol):
     """A subscriber's connection."""
 
     def tell(self, sends: Sequence[Send]) -> None:
@@ -42,13 +42,13 @@
     def end(self, why: str) -> None: ...
 
 
-class Feeding:
+class ChangefeedServer:
     """One a node. There is no fan-out until somebody asks for the feed, or a row is there."""
 
     def __init__(self, node: Node, limits: FanoutLimits) -> None:
         self.node, self.limits = node, limits
         self.fanout: Fanout | None = None
-        self.hearers: dict[int, Hearer] = {}
+        self.hearers: dict[int, Subscriber] = {}
         self.numbers = 0
         self.failures = 0
         self.held: list[Act] | None = None  # while rows are loaded: what comes
@@ -139,7 +139,7 @@
 
     # ---- subscribers -----------------------------------------------------------------------------
 
-    def begin(self, hearer: Hearer) -> int:
+    def begin(self, hearer: Subscriber) -> int:
         """The number of a new subscriber."""
         self.numbers += 1
         self.hearers[self.numbers] = hearer
--- a/loadbalancer/store/commands.py
+++ b/loadbalancer/store/commands.py
@@ -1,6 +1,7 @@
-"""What entries of the log say to the state, and what it answers. Msgpack arrays with a tag; the
-format is fixed: what one version of the program can't read, no later one may write before all nodes
-can.
+"""Commands of the replicated log and their results.
+
+Encoded as MessagePack arrays with a tag. The format is fixed: a newer version of the program may
+not write what an older one can't decode before all nodes run the newer one.
 """
 
 from __future__ import annotations
@@ -8,93 +9,157 @@
 import re
 from collections.abc import Iterator
 from enum import IntEnum
+from typing import Final
 
 import msgspec
 
 from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, split
-from loadbalancer.store.raft.messages import Array
-from loadbalancer.store.raft.messages import pack as pack
-
-KEY = re.compile(r"[a-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
-MOST_KEY = 512  # characters
-MOST_VALUE = 1 << 20  # bytes
-MOST_OPS = 256
-MOST_FENCES = 8
-MOST_TEXT = 1024  # of an author or a note
-MOST_REFS = 16  # rows that one row names
-# The newest format of a state that this program knows. 2: leases, and tokens on writes; 3: rows of
-# the feed.
-FORMAT = 3
-ANY = -1  # a check or op that does not care about the version
+from loadbalancer.store.raft.messages import Array, pack
+
+__all__ = [
+    "ANY_VERSION",
+    "KEY_PATTERN",
+    "LEASE_PREFIX",
+    "MAX_FENCING_TOKENS",
+    "MAX_KEY_LENGTH",
+    "MAX_OPERATIONS",
+    "MAX_REFERENCES",
+    "MAX_TEXT_LENGTH",
+    "MAX_VALUE_BYTES",
+    "STATE_FORMAT",
+    "AnyCommand",
+    "Claim",
+    "CloseSession",
+    "Command",
+    "ExpireClaim",
+    "FencedWrite",
+    "Op",
+    "OpenSession",
+    "Release",
+    "Result",
+    "ResultCode",
+    "RowsWrite",
+    "Upgrade",
+    "Write",
+    "fencing_tokens",
+    "is_client_command",
+    "operations_with_references",
+    "pack",
+    "rejection_reason",
+    "required_format",
+    "unpack_command",
+    "unpack_result",
+]
+
+KEY_PATTERN: Final = re.compile(r"[a-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
+MAX_KEY_LENGTH: Final = 512  # characters
+MAX_VALUE_BYTES: Final = 1 << 20
+MAX_OPERATIONS: Final = 256  # of one write, its checks included
+MAX_FENCING_TOKENS: Final = 8  # of one write
+MAX_TEXT_LENGTH: Final = 1024  # characters of an author or a note
+MAX_REFERENCES: Final = 16  # rows that one row refers to
+
+INITIAL_FORMAT: Final = 1
+LEASES_FORMAT: Final = 2  # adds leases, and fencing tokens on writes
+ROWS_FORMAT: Final = 3  # adds rows of the change feed
+STATE_FORMAT = ROWS_FORMAT  # the newest format of a state that this program knows
+
+ANY_VERSION: Final = -1  # encoded: a check or operation that holds at every version
+LEASE_PREFIX: Final = "lease/"  # leases are stored here; from format 2 on clients can't write there
 
 
 class Op(Array, frozen=True):
-    """Put `value` under `key`, or delete the key where it is None. `version`: what the key must be
-    at, as its whole command's condition; 0: it must not be there; ANY: whatever.
+    """Puts a value under a key, or deletes the key.
+
+    Attributes:
+        key: The key.
+        value: The new value; None deletes the key.
+        version: The version that the key must be at for the complete command to be applied; 0 if it
+            must not exist, `ANY_VERSION` for no condition.
     """
 
     key: str
     value: bytes | None
-    version: int = ANY
+    version: int = ANY_VERSION
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """What an entry holds."""
+    """Content of a log entry."""
 
 
 class Write(Command, frozen=True, tag=1):
-    """All of `ops`, or none. Writes of a session are numbered from 1; `answered` says that the
-    answers up to that number came, so that they need not be kept.
+    """Applies all operations or none.
+
+    Attributes:
+        session: The client's session.
+        number: The write's number in its session, from 1 on.
+        answered: The client received the results up to this number; they need not be cached.
+        ops: The operations.
+        checks: Keys that are not written, with the versions that they must be at.
+        author: Who made the change.
+        note: Why it was made.
+        time_ms: The proposer's wall clock: displayed, never used for a decision.
     """
 
     session: int
     number: int
     answered: int
     ops: tuple[Op, ...]
-    checks: tuple[tuple[str, int], ...] = ()  # keys that are not written, and what they must be at
+    checks: tuple[tuple[str, int], ...] = ()
     author: str = ""
     note: str = ""
-    time_ms: int = 0  # the proposer's clock: shown, never decided by
+    time_ms: int = 0
 
 
 class FencedWrite(Write, frozen=True, tag=8):
-    """A write under leases, with their tokens; format 2. A kind of its own: a plain write stays,
-    byte for byte, what a program of format 1 reads.
+    """A write that is applied only if its fencing tokens are current; needs format 2.
+
+    It has a tag of its own, so that a plain write stays byte for byte what a program of format 1
+    decodes.
+
+    Attributes:
+        fences: Leases with their tokens.
     """
 
     fences: tuple[tuple[str, int], ...] = ()
 
 
 class RowsWrite(FencedWrite, frozen=True, tag=9):
-    """A write of rows of the feed, and of other keys with them; format 3. `refs`: by op, the keys
-    of rows that this row names; empty where none does. After the write each of them must be there,
-    and no row may be gone that another names.
+    """A write of change feed rows, possibly with other keys; needs format 3.
+
+    Attributes:
+        refs: For each operation, the keys of the rows that its row refers to; empty if none does.
+            After the write each of them must exist, and no row may be deleted that another refers
+            to.
     """
 
     refs: tuple[tuple[str, ...], ...] = ()
 
 
 class OpenSession(Command, frozen=True, tag=2):
-    """`session` is drawn by the client; opening it twice is harmless."""
+    """Opens a session whose number the client drew. Idempotent."""
 
     session: int
     name: str = ""
 
 
 class CloseSession(Command, frozen=True, tag=3):
+    """Closes a session and drops its cached results."""
+
     session: int
 
 
 class Upgrade(Command, frozen=True, tag=4):
-    """From here on the state has this format. Proposed by a leader that met all members at it."""
+    """Raises the format of the state; proposed by a leader once all members know that format."""
 
     format: int
 
 
 class Claim(Command, frozen=True, tag=5):
-    """Ask for a lease, or show that one is still there, as owner or candidate. May be repeated: it
-    needs no session. Answered with the token, 0 while it waits, and the place among the
-    candidates.
+    """Requests or renews a lease, as its holder or as a candidate.
+
+    Idempotent, so it needs no session. The result's versions are the token, 0 for a candidate, and
+    the position among the candidates.
     """
 
     lease: str
@@ -107,7 +172,14 @@
 
 
 class Release(Command, frozen=True, tag=6):
-    """Give a lease back. `token`: only if it is held under this one; 0: whatever the claim has."""
+    """Releases a lease.
+
+    Attributes:
+        lease: The lease's name.
+        claim: The claim that holds it.
+        token: Release only if it is held under this token; 0 for whichever the claim has.
+        time_ms: The proposer's wall clock.
+    """
 
     lease: str
     claim: int
@@ -115,10 +187,8 @@
     time_ms: int = 0
 
 
-class Lapse(Command, frozen=True, tag=7):
-    """The time of a claim is over, if it was not renewed since `round`. Proposed by leaders
-    alone.
-    """
+class ExpireClaim(Command, frozen=True, tag=7):
+    """Expires a claim unless it was renewed after `round`. Proposed by leaders only."""
 
     lease: str
     claim: int
@@ -127,26 +197,37 @@
 
 
 AnyCommand = (
-    Write | FencedWrite | RowsWrite | OpenSession | CloseSession | Upgrade | Claim | Release | Lapse
+    Write
+    | FencedWrite
+    | RowsWrite
+    | OpenSession
+    | CloseSession
+    | Upgrade
+    | Claim
+    | Release
+    | ExpireClaim
 )
-LEASES = "lease/"  # a lease stands under this key; writes to it are refused from format 2 on
 
 
-class Code(IntEnum):
-    """How a command ended."""
+class ResultCode(IntEnum):
+    """Outcome of a command."""
 
     DONE = 0
     CONFLICT = 1  # a key is at another version
-    EXPIRED = (
-        2  # the session is not known any more: whether the write was made before can't be told
-    )
-    REFUSED = 3  # it breaks a limit: every node says so alike
-    FENCED = 4  # it was written under a token that does not hold
+    EXPIRED = 2  # the session is unknown; whether the write was made before can't be determined
+    REFUSED = 3  # it breaks a limit; every node decides so alike
+    FENCED = 4  # a fencing token is not current
 
 
 class Result(Array, frozen=True):
-    """`revision`: the log index that made the change; `versions`: of the written keys, in the order
-    of `ops`; after a conflict, the version that the key named in `text` is at.
+    """Result of a command.
+
+    Attributes:
+        code: A `ResultCode`.
+        revision: The log index that made the change.
+        versions: Versions of the written keys, in the order of the operations; after a conflict,
+            the version of the key that is named in `text`.
+        text: The reason of a failure.
     """
 
     code: int
@@ -155,77 +236,115 @@
     text: str = ""
 
 
-_commands = msgspec.msgpack.Decoder(AnyCommand)
-_results = msgspec.msgpack.Decoder(Result)
+_command_decoder = msgspec.msgpack.Decoder(AnyCommand)
+_result_decoder = msgspec.msgpack.Decoder(Result)
 
 
 def unpack_command(data: bytes) -> AnyCommand:
-    """Raises ValueError."""
-    return _commands.decode(data)
+    """Decodes a command.
+
+    Raises:
+        ValueError: It is not a command of a known format.
+    """
+    return _command_decoder.decode(data)
 
 
 def unpack_result(data: bytes) -> Result:
-    """Raises ValueError."""
-    return _results.decode(data)
+    """Decodes a result.
+
+    Raises:
+        ValueError: It is not a result.
+    """
+    return _result_decoder.decode(data)
 
 
-def format_of(command: AnyCommand) -> int:
-    """The least format of the state that takes it."""
+def required_format(command: AnyCommand) -> int:
+    """Returns the lowest format of the state that can apply the command."""
+    if isinstance(command, RowsWrite):
+        return ROWS_FORMAT
     if isinstance(command, FencedWrite):
-        return 3 if isinstance(command, RowsWrite) else 2
-    return 1 if isinstance(command, Write | OpenSession | CloseSession) else 2
+        return LEASES_FORMAT
+    if isinstance(command, Write | OpenSession | CloseSession):
+        return INITIAL_FORMAT
+    return LEASES_FORMAT
 
 
-def fences_of(command: Write) -> tuple[tuple[str, int], ...]:
-    """The leases and tokens that it is written under."""
+def fencing_tokens(command: Write) -> tuple[tuple[str, int], ...]:
+    """Returns the leases and tokens that the write depends on."""
     return command.fences if isinstance(command, FencedWrite) else ()
 
 
-def refs_of(command: Write) -> Iterator[tuple[Op, tuple[str, ...]]]:
-    """Each operation, and the keys of the rows that its row names."""
+def operations_with_references(command: Write) -> Iterator[tuple[Op, tuple[str, ...]]]:
+    """Returns each operation with the keys of the rows that its row refers to."""
     refs = command.refs if isinstance(command, RowsWrite) else ()
     return zip(command.ops, refs or ((),) * len(command.ops), strict=False)
 
 
-def client_may(command: AnyCommand) -> bool:
-    """May a client propose it? The rest is for leaders."""
-    return not isinstance(command, Upgrade | Lapse)
+def is_client_command(command: AnyCommand) -> bool:
+    """Returns whether a client may propose the command; the others are for leaders."""
+    return not isinstance(command, Upgrade | ExpireClaim)
+
 
+def rejection_reason(command: Write) -> str | None:
+    """Returns the first limit that a write breaks, whatever the state holds; None if it is valid.
 
-def wrong(command: Write) -> str:
-    """The first thing about a write that no state takes, whatever it holds; empty: none. Part of
-    the format.
+    Part of the format: all versions of the program have to agree.
     """
-    if not command.ops or len(command.ops) + len(command.checks) > MOST_OPS:
-        return f"a write has 1 to {MOST_OPS} operations"
     keys = [op.key for op in command.ops] + [key for key, _ in command.checks]
+    return (
+        _count_rejection(command)
+        or _keys_rejection(keys)
+        or _size_rejection(command)
+        or (_rows_rejection(command) if isinstance(command, RowsWrite) else None)
+    )
+
+
+def _count_rejection(command: Write) -> str | None:
+    if not command.ops or len(command.ops) + len(command.checks) > MAX_OPERATIONS:
+        return f"a write has 1 to {MAX_OPERATIONS} operations"
+    return None
+
+
+def _keys_rejection(keys: list[str]) -> str | None:
     for key in keys:
-        if len(key) > MOST_KEY or not KEY.match(key):
+        if len(key) > MAX_KEY_LENGTH or not KEY_PATTERN.match(key):
             return f"{key[:60]!r} is no key"
     if len(set(keys)) < len(keys):
         return "a key stands there twice"
-    if len(fences_of(command)) > MOST_FENCES:
-        return f"a write bears {MOST_FENCES} tokens at most"
-    if any(op.value is not None and len(op.value) > MOST_VALUE for op in command.ops):
-        return f"a value has {MOST_VALUE} bytes at most"
-    if len(command.author) > MOST_TEXT or len(command.note) > MOST_TEXT:
-        return f"author and note have {MOST_TEXT} characters at most"
-    return _wrong_rows(command) if isinstance(command, RowsWrite) else ""
+    return None
+
+
+def _size_rejection(command: Write) -> str | None:
+    if len(fencing_tokens(command)) > MAX_FENCING_TOKENS:
+        return f"a write bears {MAX_FENCING_TOKENS} tokens at most"
+    if any(op.value is not None and len(op.value) > MAX_VALUE_BYTES for op in command.ops):
+        return f"a value has {MAX_VALUE_BYTES} bytes at most"
+    if len(command.author) > MAX_TEXT_LENGTH or len(command.note) > MAX_TEXT_LENGTH:
+        return f"author and note have {MAX_TEXT_LENGTH} characters at most"
+    return None
 
 
-def _wrong_rows(command: RowsWrite) -> str:
+def _rows_rejection(command: RowsWrite) -> str | None:
     if command.refs and len(command.refs) != len(command.ops):
         return "refs are told for each operation, or for none"
-    for op, refs in refs_of(command):
-        try:
-            for row in (*([op.key] if op.key.startswith(PREFIX) else ()), *refs):
-                split(row)
-        except ValueError as error:
-            return str(error)
-        if refs and (op.value is None or not op.key.startswith(PREFIX)):
-            return f"{op.key}: only a row that is put names others"
-        if len(refs) > MOST_REFS or len(set(refs)) < len(refs):
-            return f"{op.key}: a row names {MOST_REFS} others at most, each once"
-        if op.key.startswith(PREFIX) and op.value is not None and not 0 < len(op.value) <= MOST_ROW:
-            return f"{op.key}: a row has 1 to {MOST_ROW} bytes"
-    return ""
+    for op, refs in operations_with_references(command):
+        reason = _row_rejection(op, refs)
+        if reason:
+            return reason
+    return None
+
+
+def _row_rejection(op: Op, refs: tuple[str, ...]) -> str | None:
+    is_row = op.key.startswith(PREFIX)
+    try:
+        for row in (*([op.key] if is_row else ()), *refs):
+            split(row)
+    except ValueError as error:
+        return str(error)
+    if refs and (op.value is None or not is_row):
+        return f"{op.key}: only a row that is put names others"
+    if len(refs) > MAX_REFERENCES or len(set(refs)) < len(refs):
+        return f"{op.key}: a row names {MAX_REFERENCES} others at most, each once"
+    if is_row and op.value is not None and not 0 < len(op.value) <= MOST_ROW:
+        return f"{op.key}: a row has 1 to {MOST_ROW} bytes"
+    return None
--- a/loadbalancer/store/durable/rows.py
+++ b/loadbalancer/store/durable/rows.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from loadbalancer.changefeed.messages import PREFIX
-from loadbalancer.store.commands import RowsWrite, refs_of
+from loadbalancer.store.commands import RowsWrite, operations_with_references
 
 BEHIND = PREFIX + "\U0010ffff"  # after all of their keys
 TABLES_3 = """
@@ -43,7 +43,7 @@
     """
     there = {op.key for op in command.ops if op.value is not None}
     gone = {op.key for op in command.ops if op.value is None}
-    for op, refs in refs_of(command):
+    for op, refs in operations_with_references(command):
         for ref in refs:
             if ref not in there and (
                 ref in gone
@@ -63,7 +63,7 @@
     db.executemany("DELETE FROM refs WHERE key = ?", [(op.key,) for op in command.ops])
     db.executemany(
         "INSERT INTO refs VALUES (?, ?)",
-        [(op.key, ref) for op, refs in refs_of(command) for ref in refs],
+        [(op.key, ref) for op, refs in operations_with_references(command) for ref in refs],
     )
 
 
--- a/loadbalancer/store/durable/state.py
+++ b/loadbalancer/store/durable/state.py
@@ -27,17 +27,17 @@
 from loadbalancer.leases.table import Claimant, Lease
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
-    ANY,
-    FORMAT,
-    LEASES,
+    ANY_VERSION,
+    LEASE_PREFIX,
+    STATE_FORMAT,
     Claim,
     CloseSession,
-    Code,
-    Lapse,
+    ExpireClaim,
     Op,
     OpenSession,
     Release,
     Result,
+    ResultCode,
     RowsWrite,
     Upgrade,
     Write,
@@ -56,7 +56,7 @@
 )
 
 HISTORY = 100  # versions of a key that are kept, where they are
-HISTORY_OF = "config/", LEASES
+HISTORY_OF = "config/", LEASE_PREFIX
 MOST_LEASES = 5_000
 EVENTS, EVENTS_BYTES = 10_000, 16 << 20  # changes that are kept for watchers
 SESSIONS = 2_000  # the least lately used goes
@@ -209,26 +209,29 @@
         if entry.kind == Kind.MEMBERS:
             self.members = unpack_members(entry.data)
             self._set(members=entry.data)
-            return Result(Code.DONE, entry.index)
+            return Result(ResultCode.DONE, entry.index)
         if entry.kind != Kind.COMMAND:
-            return Result(Code.DONE, entry.index)
+            return Result(ResultCode.DONE, entry.index)
         try:
             command = unpack_command(entry.data)
         except ValueError as error:
             return Result(
-                Code.REFUSED, entry.index, (), f"it does not read: {' '.join(str(error).split())}"
+                ResultCode.REFUSED,
+                entry.index,
+                (),
+                f"it does not read: {' '.join(str(error).split())}",
             )
         match command:
             case OpenSession():
                 return self._open(command, entry.index)
             case CloseSession():
                 self._drop(command.session)
-                return Result(Code.DONE, entry.index)
+                return Result(ResultCode.DONE, entry.index)
             case Write():
                 return self._once(command, entry.index)
             case Upgrade():
                 return self._upgrade(command, entry.index)
-            case Claim() | Release() | Lapse():
+            case Claim() | Release() | ExpireClaim():
                 return self._lease(command, entry.index)
 
     def _open(self, command: OpenSession, index: int) -> Result:
@@ -242,7 +245,7 @@
                 "SELECT id FROM sessions ORDER BY used, id LIMIT 1"
             ).fetchone()[0]
             self._drop(oldest)
-        return Result(Code.DONE, index)
+        return Result(ResultCode.DONE, index)
 
     def _drop(self, session: int) -> None:
         self.sessions -= self.db.execute("DELETE FROM sessions WHERE id = ?", (session,)).rowcount
@@ -255,10 +258,12 @@
         ).fetchone()
         if row is None:
             return Result(
-                Code.EXPIRED, index, (), "the session is not known here: it is too long ago"
+                ResultCode.EXPIRED, index, (), "the session is not known here: it is too long ago"
             )
         if command.number <= row[0]:
-            return Result(Code.EXPIRED, index, (), f"write {command.number} was answered before")
+            return Result(
+                ResultCode.EXPIRED, index, (), f"write {command.number} was answered before"
+            )
         old = self.db.execute(
             "SELECT result FROM answers WHERE session = ? AND number = ?",
             (command.session, command.number),
@@ -282,9 +287,13 @@
         return result
 
     def _write(self, command: Write, index: int) -> Result:
-        why = commands.wrong(command)
-        if not why and self.format >= 2 and any(op.key.startswith(LEASES) for op in command.ops):
-            why = f"what stands under {LEASES} is changed by claims alone"
+        why = commands.rejection_reason(command)
+        if (
+            not why
+            and self.format >= 2
+            and any(op.key.startswith(LEASE_PREFIX) for op in command.ops)
+        ):
+            why = f"what stands under {LEASE_PREFIX} is changed by claims alone"
         if (
             not why
             and self.format >= 3
@@ -292,38 +301,38 @@
             and any(op.key.startswith(PREFIX) for op in command.ops)
         ):
             why = f"what stands under {PREFIX} is changed by writes of rows alone"
-        fences = commands.fences_of(command)
+        fences = commands.fencing_tokens(command)
         needs = 3 if isinstance(command, RowsWrite) else 2 if fences else 1
         if not why and self.format < needs:
             why = NOT_YET[needs]
         if why:
-            return Result(Code.REFUSED, index, (), why)
+            return Result(ResultCode.REFUSED, index, (), why)
         for name, token in fences:
             lease = self._found(name)
             if not lease.guards(token):
                 if lease.token:
                     self._put_lease(table.refused(lease), index, 0)
                 return Result(
-                    Code.FENCED,
+                    ResultCode.FENCED,
                     index,
                     (lease.token,),
                     f"{name} is not held under token {table.written(token)}",
                 )
         checks = [
             *command.checks,
-            *((op.key, op.version) for op in command.ops if op.version != ANY),
+            *((op.key, op.version) for op in command.ops if op.version != ANY_VERSION),
         ]
         for key, version in checks:
             now = self._version(key)
             if now != version:
-                return Result(Code.CONFLICT, index, (now,), key)
+                return Result(ResultCode.CONFLICT, index, (now,), key)
         if isinstance(command, RowsWrite):
             why = rows.dangling(self.db, command)
             if why:
-                return Result(Code.REFUSED, index, (), why)
+                return Result(ResultCode.REFUSED, index, (), why)
             rows.note_refs(self.db, command)
         return Result(
-            Code.DONE,
+            ResultCode.DONE,
             index,
             tuple(self._op(op, command, index, place) for place, op in enumerate(command.ops)),
         )
@@ -368,7 +377,9 @@
 
     def _upgrade(self, command: Upgrade, index: int) -> Result:
         if command.format == 2 and self.format == 1:
-            self._begin(TABLES_2, LEASES, index)  # what anybody wrote there before is no lease
+            self._begin(
+                TABLES_2, LEASE_PREFIX, index
+            )  # what anybody wrote there before is no lease
             self.db.execute("INSERT INTO meta VALUES ('tokens', 0)")
             self.format = 2
         elif command.format == 3 and self.format == 2:
@@ -376,7 +387,7 @@
             self.db.execute("INSERT INTO meta VALUES ('rows_from', ?)", (index,))
             self.format, self.rows_from = 3, index
         self._set(format=self.format)
-        return Result(Code.DONE, index, (self.format,))
+        return Result(ResultCode.DONE, index, (self.format,))
 
     def _begin(self, tables: str, prefix: str, index: int) -> None:
         """New tables, and nothing under the keys that they are about."""
@@ -390,12 +401,14 @@
             self._op(Op(key, None), Write(0, 0, 0, ()), index, place)
 
     def _found(self, name: str) -> Lease:
-        row = self.db.execute("SELECT value FROM items WHERE key = ?", (LEASES + name,)).fetchone()
+        row = self.db.execute(
+            "SELECT value FROM items WHERE key = ?", (LEASE_PREFIX + name,)
+        ).fetchone()
         return table.unpack(row[0]) if row else Lease(name)
 
-    def _lease(self, command: Claim | Release | Lapse, index: int) -> Result:
+    def _lease(self, command: Claim | Release | ExpireClaim, index: int) -> Result:
         if self.format < 2:
-            return Result(Code.REFUSED, index, (), NOT_YET[2])
+            return Result(ResultCode.REFUSED, index, (), NOT_YET[2])
         why = ""
         if isinstance(command, Claim):
             why = table.wrong(
@@ -404,13 +417,13 @@
         elif len(command.lease) > table.MOST_NAME or not table.NAME.match(command.lease):
             why = "it is no name"
         if why:
-            return Result(Code.REFUSED, index, (), why)
+            return Result(ResultCode.REFUSED, index, (), why)
         lease, token = self._found(command.lease), self.tokens + 1
         match command:
             case Claim():
                 if not lease.token and not self._room():
                     return Result(
-                        Code.REFUSED, index, (), f"there are {MOST_LEASES} leases already"
+                        ResultCode.REFUSED, index, (), f"there are {MOST_LEASES} leases already"
                     )
                 who = Claimant(
                     command.holder, command.claim, command.rank, command.ttl_ms, command.note
@@ -418,9 +431,9 @@
                 made = table.claim(lease, who, token, command.time_ms)
             case Release():
                 made = table.release(lease, command.claim, command.token, token, command.time_ms)
-            case Lapse():
+            case ExpireClaim():
                 if self._round(command.lease, command.claim) != command.round:
-                    return Result(Code.DONE, index, (), "it was renewed since")
+                    return Result(ResultCode.DONE, index, (), "it was renewed since")
                 made = table.lapse(lease, command.claim, token, command.time_ms)
         if made.granted:
             self.tokens = token
@@ -428,14 +441,14 @@
         if made.lease != lease and (lease.token or made.granted):
             self._put_lease(made.lease, index, command.time_ms)
         self._note_rounds(lease, made.lease, command)
-        return Result(Code.DONE, index, (made.token, made.place), made.why)
+        return Result(ResultCode.DONE, index, (made.token, made.place), made.why)
 
     def _room(self) -> bool:
         return (
             int(
                 self.db.execute(
                     "SELECT count(*) FROM items WHERE key >= ? AND key < ?",
-                    (LEASES, LEASES + "\U0010ffff"),
+                    (LEASE_PREFIX, LEASE_PREFIX + "\U0010ffff"),
                 ).fetchone()[0]
             )
             < MOST_LEASES
@@ -443,7 +456,7 @@
 
     def _put_lease(self, lease: Lease, index: int, time_ms: int) -> None:
         command = Write(0, 0, 0, (), time_ms=time_ms, author=lease.holder)
-        self._op(Op(LEASES + lease.name, table.pack(lease)), command, index, 0)
+        self._op(Op(LEASE_PREFIX + lease.name, table.pack(lease)), command, index, 0)
         self.leases[lease.name] = lease
 
     def _round(self, lease: str, claim: int) -> int:
@@ -452,7 +465,9 @@
         ).fetchone()
         return int(row[0]) if row else 0
 
-    def _note_rounds(self, was: Lease, lease: Lease, command: Claim | Release | Lapse) -> None:
+    def _note_rounds(
+        self, was: Lease, lease: Lease, command: Claim | Release | ExpireClaim
+    ) -> None:
         """Who is gone has no round; who claimed, or was offered it, begins its time anew."""
         old, new = _times(was), _times(lease)
         for claim in old.keys() - new.keys():
@@ -484,7 +499,7 @@
             table.unpack(row[0])
             for row in self.db.execute(
                 "SELECT value FROM items WHERE key >= ? AND key < ? ORDER BY key",
-                (LEASES, LEASES + "\U0010ffff"),
+                (LEASE_PREFIX, LEASE_PREFIX + "\U0010ffff"),
             ).fetchall()
         ]
 
@@ -645,9 +660,9 @@
     """Raises Damaged, in one line."""
     try:
         version = db.execute("SELECT value FROM meta WHERE name = 'format'").fetchone()
-        if version is None or version[0] > FORMAT:
+        if version is None or version[0] > STATE_FORMAT:
             raise Damaged(
-                f"{name}: format {version[0] if version else '?'} is newer than {FORMAT}, "
+                f"{name}: format {version[0] if version else '?'} is newer than {STATE_FORMAT}, "
                 "which this program knows"
             )
         return State(db)
@@ -745,10 +760,10 @@
             meta = dict(db.execute("SELECT name, value FROM meta"))
         finally:
             db.close()
-        if meta["format"] > FORMAT:
+        if meta["format"] > STATE_FORMAT:
             raise Damaged(
-                f"{path.name}: format {meta['format']} is newer than {FORMAT}, which this program"
-                " knows"
+                f"{path.name}: format {meta['format']} is newer than {STATE_FORMAT}, which this"
+                " program knows"
             )
         return SnapshotMeta(
             int(meta["applied"]),
--- a/loadbalancer/store/feed_progress.py
+++ b/loadbalancer/store/feed_progress.py
@@ -11,7 +11,8 @@
 import msgspec
 
 from loadbalancer.changefeed.status import FeedStatus, Refused
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import NotInForceError, StoreError
 
 ASK_S = 2.0  # a member that has not answered by then is told as one that does not
 POLL_S = 0.05  # between two questions of one who waits
@@ -19,11 +20,7 @@
 Statuses = Sequence[Mapping[str, Any]]
 
 
-class NotInForce(StoreError):
-    """A revision, within the time."""
-
-
-class Members:
+class MemberStatusReader:
     """Every member asked for itself, those that were not named as well. `make`: a client of one
     address.
     """
@@ -32,7 +29,7 @@
         self.make = make
         self.clients = {address: make(address) for address in addresses}
 
-    async def statuses(self, within_s: float = ASK_S) -> list[dict[str, Any]]:
+    async def statuses(self, within_s: float = ASK_S) -> list[Mapping[str, Any]]:
         """Of one that does not answer: its `address` and `trouble`."""
         asked = list(self.clients)
         found = await asyncio.gather(*(self.status(address, within_s) for address in asked))
@@ -42,12 +39,12 @@
             *await asyncio.gather(*(self.status(address, within_s) for address in others)),
         ]
 
-    async def status(self, address: str, within_s: float = ASK_S) -> dict[str, Any]:
+    async def status(self, address: str, within_s: float = ASK_S) -> Mapping[str, Any]:
         """Of one; its `address` and `trouble` where it does not answer."""
         if address not in self.clients:
             self.clients[address] = self.make(address)
         try:
-            return await self.clients[address].status(within_s)
+            return dict(await self.clients[address].status(within_s))
         except (StoreError, OSError) as error:
             return {"address": address, "trouble": str(error)}
 
@@ -61,7 +58,7 @@
     return {member["address"] for member in status.get("members", ()) if member["address"]}
 
 
-class Late(msgspec.Struct, frozen=True):
+class LaggingBalancer(msgspec.Struct, frozen=True):
     """A balancer on which a revision is not in force. `since_ms`: it has not been where its node
     is.
     """
@@ -82,7 +79,7 @@
     revision: int
     balancers: int
     reached: int
-    late: tuple[Late, ...]
+    late: tuple[LaggingBalancer, ...]
     refusals: int
     refused: tuple[Refused, ...]
     trailing: tuple[str, ...]
@@ -123,7 +120,7 @@
         s["node"]: s for s in statuses if "trouble" not in s
     }  # one may have several addresses
     revision = revision or max((s["applied"] for s in by_node.values()), default=0)
-    late: list[Late] = []
+    late: list[LaggingBalancer] = []
     refused: list[Refused] = []
     trailing: list[str] = []
     balancers = reached = refusals = 0
@@ -135,7 +132,7 @@
         balancers += feed.subscribers
         reached += feed.subscribers - _behind(feed, revision)
         late += [
-            Late(one.name, where, one.revision, one.since_ms)
+            LaggingBalancer(one.name, where, one.revision, one.since_ms)
             for one in feed.laggards
             if one.revision < revision
         ]
@@ -177,7 +174,7 @@
 
 
 async def wait(
-    members: Members,
+    members: MemberStatusReader,
     revision: int,
     within_s: float,
     balancers: int = 0,
@@ -187,7 +184,7 @@
     and again by itself, so that one that does not answer holds up nothing. Raises NotInForce.
     """
     began = time.monotonic()
-    latest: dict[str, dict[str, Any]] = {}
+    latest: dict[str, Mapping[str, Any]] = {}
     asking: dict[str, asyncio.Task[None]] = {}
     told = asyncio.Event()
 
@@ -208,7 +205,7 @@
             left = began + within_s - time.monotonic()
             whole = latest.keys() == asking.keys()
             if left <= 0 and whole:
-                raise NotInForce(f"{wrong} (after {within_s:g} s)")
+                raise NotInForceError(f"{wrong} (after {within_s:g} s)")
             with suppress(TimeoutError):
                 async with asyncio.timeout(left if left > 0 else None):  # each is heard of once
                     await told.wait()
--- a/loadbalancer/store/handshake.py
+++ b/loadbalancer/store/handshake.py
@@ -1,83 +1,98 @@
-"""The side that connects, a member's or a client's: it greets, is welcomed or told why not, and
-then hears frames.
-"""
+"""The side of a connection that connects, a member's or a client's, with its handshake."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import cast
 
+from loadbalancer.store.errors import ProtocolError
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.frames import Receiver, Refused, Sender
+from loadbalancer.store.wire.frames import FrameDecoder, FrameEncoder
 from loadbalancer.store.wire.protocol import Declined, Hello, Welcome
 
 
-class Dial(asyncio.Protocol):
-    """One connection, until it ends. `welcomed` raises ConnectionError with the reason where it is
-    not.
+class DialedConnection(asyncio.Protocol):
+    """One connection, from the greeting to its end.
+
+    Attributes:
+        welcomed: The node's greeting; ConnectionError with the reason if there is none.
+        ended: Done when the connection is closed.
+        close_reason: Why it was closed, in one line.
     """
 
     def __init__(self, hello: Hello) -> None:
         self.hello = hello
-        self.sender, self.receiver = Sender(), Receiver()
+        self.encoder = FrameEncoder()
+        self.decoder = FrameDecoder()
         self.transport: asyncio.Transport | None = None
         loop = asyncio.get_running_loop()
         self.welcomed: asyncio.Future[Welcome] = loop.create_future()
         self.ended: asyncio.Future[None] = loop.create_future()
-        self.why = "the connection was closed"
+        self.close_reason = "the connection was closed"
 
     @property
     def closed(self) -> bool:
+        """Whether nothing can be sent."""
         return self.transport is None or self.transport.is_closing()
 
-    def wrong(self, welcome: Welcome) -> str:
-        """Why this is not who was called; empty: it is."""
-        return ""
+    def mismatch(self, welcome: Welcome) -> str | None:  # noqa: ARG002 (for subclasses)
+        """Returns why the peer is not the expected one; None if it is."""
+        return None
+
+    def payload_received(self, payload: bytes) -> None:  # noqa: ARG002 (for subclasses)
+        """Handles a frame after the handshake.
 
-    def heard(self, payload: bytes) -> None:
-        """A frame after the welcome. Raises Refused, ValueError."""
-        raise Refused("it speaks out of turn")
+        Raises:
+            ProtocolError: The frame is not expected.
+            ValueError: It can't be decoded.
+        """
+        raise ProtocolError("it speaks out of turn")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Sends the greeting."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.write(self.sender.frame(protocol.pack(self.hello)))
+        self.transport.write(self.encoder.frame(protocol.pack(self.hello)))
 
     def data_received(self, data: bytes) -> None:
-        self.receiver.feed(data)
+        """Handles each complete frame; closes the connection on an invalid one."""
+        self.decoder.feed(data)
         try:
-            for payload in self.receiver.payloads():
+            for payload in self.decoder.payloads():
                 if self.welcomed.done():
-                    self.heard(payload)
+                    self.payload_received(payload)
                 else:
-                    self._greeted(payload)
-        except (Refused, ValueError) as error:
-            self.end(" ".join(str(error).split()))
+                    self._greeting_received(payload)
+        except (ProtocolError, ValueError) as error:
+            self.close(" ".join(str(error).split()))
 
-    def _greeted(self, payload: bytes) -> None:
+    def _greeting_received(self, payload: bytes) -> None:
         greeting = protocol.unpack_greeting(payload)
+        if isinstance(greeting, Declined):
+            raise ProtocolError(greeting.text)
         if not isinstance(greeting, Welcome):
-            raise Refused(
-                greeting.text if isinstance(greeting, Declined) else "it speaks out of turn"
-            )
-        wrong = self.wrong(greeting)
-        if wrong:
-            raise Refused(wrong)
-        self.sender.bind(greeting.nonce)
-        self.receiver.bind(greeting.nonce)
-        self.receiver.most = protocol.MOST_MESSAGE
+            raise ProtocolError("it speaks out of turn")
+        mismatch = self.mismatch(greeting)
+        if mismatch:
+            raise ProtocolError(mismatch)
+        self.encoder.bind(greeting.nonce)
+        self.decoder.bind(greeting.nonce)
+        self.decoder.max_payload_bytes = protocol.MAX_MESSAGE_BYTES
         self.welcomed.set_result(greeting)
 
-    def end(self, why: str) -> None:
-        self.why = why
+    def close(self, reason: str) -> None:
+        """Closes the connection for a reason."""
+        self.close_reason = reason
         self.abort()
 
     def abort(self) -> None:
+        """Closes the connection without sending what is buffered."""
         if self.transport is not None:
             self.transport.abort()
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (asyncio's)
+        """Resolves `welcomed` and `ended`."""
         if not self.welcomed.done():
-            self.welcomed.set_exception(ConnectionError(self.why))
-            self.welcomed.exception()  # whoever waits hears of it; nobody may
+            self.welcomed.set_exception(ConnectionError(self.close_reason))
+            self.welcomed.exception()  # marks it as retrieved: nobody may be waiting
         if not self.ended.done():
             self.ended.set_result(None)
--- a/loadbalancer/store/housekeeping.py
+++ b/loadbalancer/store/housekeeping.py
@@ -7,18 +7,18 @@
 from collections.abc import Iterable, Mapping
 
 from loadbalancer.leases.expiry import Expiry, Running
-from loadbalancer.store.commands import FORMAT, AnyCommand, Lapse, Upgrade
+from loadbalancer.store.commands import STATE_FORMAT, AnyCommand, ExpireClaim, Upgrade
 from loadbalancer.store.durable.state import State
 
 AGAIN_NS = 1_000_000_000  # between two proposals of a format
 
 
-def behind(formats: Mapping[int, int], at: int) -> list[int]:
+def nodes_below_format(formats: Mapping[int, int], at: int) -> list[int]:
     """Members that are not known to take what a state of format `at` holds."""
     return [node for node, known in formats.items() if known < at]
 
 
-class Steward:
+class Housekeeper:
     def __init__(self) -> None:
         self.term = 0  # of the leadership that it counts for; 0: none
         self.expiry: Expiry | None = None
@@ -47,13 +47,13 @@
             return found
         due = format_now + 1  # one after the other: each begins with what the one before it left
         if (
-            due <= FORMAT
-            and not behind(formats, due)
+            due <= STATE_FORMAT
+            and not nodes_below_format(formats, due)
             and (self.asked[0] != due or now >= self.asked[1])
         ):
             self.asked = due, now + AGAIN_NS
             found.append(Upgrade(due))
-        found += [Lapse(one.lease, one.claim, one.round) for one in self.expiry.lapsed(now)]
+        found += [ExpireClaim(one.lease, one.claim, one.round) for one in self.expiry.lapsed(now)]
         return found
 
     @property
--- a/loadbalancer/store/lease_client.py
+++ b/loadbalancer/store/lease_client.py
@@ -1,8 +1,7 @@
-"""A lease as a process of the fleet has it: the pure holder, with a client of the store and a
-clock.
+"""A lease as a process holds it: the pure holder of `leases`, with a store client and a clock.
 
-Work that needs it begins when `began` is called and must end when `ended` is; before each effect it
-asks `token`, and writes to the store go through `write`, which bears the token.
+Work that needs the lease begins when `acquired` is called and must end when `lost` is. Before each
+effect it checks `token`; writes to the store go through `write`, which adds the fencing token.
 """
 
 from __future__ import annotations
@@ -13,240 +12,295 @@
 import random
 import socket
 import time
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Awaitable, Callable, Coroutine, Sequence
 from contextlib import suppress
+from dataclasses import replace
+from typing import Any, Final
 
 from loadbalancer.leases import table
 from loadbalancer.leases.holder import Ask, Holder, Phase
 from loadbalancer.leases.table import Lease
-from loadbalancer.store.client import Client, Compacted, Fenced, Rejected, StoreError
-from loadbalancer.store.commands import LEASES, Claim, Op, Release, Result
+from loadbalancer.store.client import DEFAULT_OPTIONS, Client
+from loadbalancer.store.commands import LEASE_PREFIX, Claim, Op, Release, Result
+from loadbalancer.store.errors import FencedError, NotLeaseHolderError, StoreError
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.wallclock import unix_ms
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.5
-LEAVE_S = 0.5  # a release waits no longer for its answer
-RESTS_S = 5.0  # a work without an owner for so long is told
+NS_PER_S: Final = 1_000_000_000
+WATCH_RETRY_S: Final = 0.5
+RELEASE_TIMEOUT_S: Final = 0.5
+CLOSE_POLL_S: Final = 0.005
+MIN_WAIT_S: Final = 0.001
+MAX_WAIT_S: Final = 5.0  # between two checks of the lease
+VACANCY_GRACE_S: Final = 5.0  # beyond the TTL: then a lease without a holder is reported
+CLAIM_BITS: Final = 60
+CLAIM_SUFFIX_MASK: Final = 0xFFFFFF
+MAX_HOST_NAME_LENGTH: Final = 60  # characters
 
 
-class NotOwner(StoreError):
-    """This process does not hold the lease, or not any more."""
+def boot_clock_ns() -> int:
+    """Returns a clock that counts on while the machine is suspended.
 
-
-def clock_ns() -> int:
-    """Counts on while the machine is suspended: an owner must not believe that no time went by."""
+    A holder must not assume that no time passed meanwhile.
+    """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 def new_claim() -> int:
-    """Of one life of a process."""
-    return random.SystemRandom().getrandbits(60) | 1
+    """Returns the number of a claim, unique to one incarnation of a process."""
+    return random.SystemRandom().getrandbits(CLAIM_BITS) | 1
+
+
+def process_description() -> str:
+    """Returns process and host, for the lease's note."""
+    return f"process {os.getpid()} on {socket.gethostname()[:MAX_HOST_NAME_LENGTH]}"
+
+
+class VacancyLog:
+    """Logs once that a lease has no holder, and once that it has one again."""
+
+    def __init__(self, lease: str, ttl_s: float) -> None:
+        self._lease = lease
+        self._limit_s = VACANCY_GRACE_S + ttl_s
+        self._vacant_since_s: float | None = time.monotonic()
+        self._is_reported = False
+
+    def note_held(self) -> None:
+        """Somebody holds the lease."""
+        if self._is_reported:
+            log.info("lease is held again: lease=%s", self._lease)
+        self._vacant_since_s = None
+        self._is_reported = False
+
+    def note_vacant(self, reason: str) -> None:
+        """Nobody is known to hold the lease."""
+        now_s = time.monotonic()
+        if self._vacant_since_s is None:
+            self._vacant_since_s = now_s
+        elif not self._is_reported and now_s - self._vacant_since_s > self._limit_s:
+            vacant_s = now_s - self._vacant_since_s
+            log.warning(
+                "lease has no holder: lease=%s vacant_s=%.0f reason=%s",
+                self._lease,
+                vacant_s,
+                reason,
+            )
+            self._is_reported = True
 
 
-def who() -> str:
-    return f"process {os.getpid()} on {socket.gethostname()[:60]}"
+class LeaseClient:
+    """Keeps a claim to a lease renewed.
 
+    Args:
+        client: The store's client.
+        lease: The lease's name.
+        name: This process's name among the candidates.
+        ttl_s: How long the lease is held without a renewal.
+        rank: Its order among the candidates.
 
-class Owner:
-    def __init__(
-        self,
-        client: Client,
-        lease: str,
-        name: str,
-        ttl_s: float,
-        rank: int = 0,
-        began: Callable[[int], None] = lambda token: None,
-        ended: Callable[[], None] = lambda: None,
-        seen: Callable[[Lease], None] = lambda lease: None,
-    ) -> None:
-        """`name`: this process's among the candidates. `seen`: each change of the lease, as some
-        node tells it.
-        """
+    Attributes:
+        active_token: The token that `acquired` was called with; 0 while the lease is not held.
+        fenced_writes: Writes that the store rejected because their token was not current.
+        last_lease: The lease as last read from the store.
+    """
+
+    def __init__(self, client: Client, lease: str, name: str, ttl_s: float, rank: int = 0) -> None:
         claim = new_claim()
         self.client = client
         self.lease = lease
-        self.name = f"{name}@{claim & 0xFFFFFF:06x}"
+        self.name = f"{name}@{claim & CLAIM_SUFFIX_MASK:06x}"
         self.ttl_s = ttl_s
         self.rank = rank
-        self.began, self.ended, self.seen = began, ended, seen
         self.holder = Holder(
-            self.name, claim, int(ttl_s * 1e9), random.Random(os.urandom(8)), clock_ns()
+            self.name, claim, int(ttl_s * NS_PER_S), random.Random(os.urandom(8)), boot_clock_ns()
         )
-        self.last: Lease | None = None  # as last told
-        self.working = 0  # the token that `began` was called with
-        self.refused = 0  # writes that the store refused as they bore an old token
-        self.woken = asyncio.Event()
+        self.last_lease: Lease | None = None
+        self.active_token = 0
+        self.fenced_writes = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        self.rests_s = (
-            time.monotonic()
-        )  # since when nobody owns it, as far as is known here; 0: somebody
+        self._acquired: Callable[[int], None] | None = None
+        self._lost: Callable[[], None] | None = None
+        self._changed: Callable[[Lease], None] | None = None
+        self._wake = asyncio.Event()
+        self._vacancy = VacancyLog(lease, ttl_s)
+
+    def on_tenure(self, acquired: Callable[[int], None], lost: Callable[[], None]) -> None:
+        """Registers the work that needs the lease; before `start`.
+
+        Args:
+            acquired: Called with the token when this process becomes the holder.
+            lost: Called when it no longer is.
+        """
+        self._acquired = acquired
+        self._lost = lost
+
+    def on_change(self, changed: Callable[[Lease], None]) -> None:
+        """Registers a callback for each change of the lease that a node reports."""
+        self._changed = changed
 
     def start(self) -> None:
-        for work in (self._keep(), self._watch()):
-            self._task(work)
+        """Begins to claim the lease; within a running loop."""
+        for work in (self._renew(), self._watch()):
+            self._start_task(work)
 
-    def _task(self, work: object) -> None:
-        task = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type, var-annotated]
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    # ---- what may be done ------------------------------------------------------------------------
+    # ---- effects under the lease -----------------------------------------------------------------
 
     def token(self) -> int:
-        """What an effect right now may bear; 0: none may be. Looks at the clock."""
-        token = self.holder.token(clock_ns())
-        if self.working and token != self.working:
-            self._stop("its time is over, or the store says that it went on")
+        """Returns the fencing token for an effect right now; 0 if none is permitted."""
+        token = self.holder.token(boot_clock_ns())
+        if self.active_token and token != self.active_token:
+            self._end_tenure("the TTL passed, or the store granted another token")
         return token
 
-    async def write(
-        self,
-        ops: Sequence[Op],
-        checks: Sequence[tuple[str, int]] = (),
-        note: str = "",
-        within_s: float = 0.0,
-    ) -> Result:
-        """All of it, under this lease. Raises NotOwner, and what a client's write raises."""
-        return await self._made(
-            lambda fences: self.client.write(ops, checks, note, self.name, within_s, fences)
-        )
+    async def write(self, ops: Sequence[Op], options: WriteOptions = DEFAULT_OPTIONS) -> Result:
+        """Applies all operations under the lease.
+
+        Raises:
+            NotLeaseHolderError: The lease is not held.
+            StoreError: As `Client.write` does.
+        """
+        return await self._write_fenced(lambda fenced: self.client.write(ops, fenced), options)
 
     async def write_rows(
         self,
         ops: Sequence[Op],
         refs: Sequence[tuple[str, ...]],
-        note: str = "",
-        within_s: float = 0.0,
+        options: WriteOptions = DEFAULT_OPTIONS,
     ) -> Result:
-        """The same of rows of the feed; `refs`: by operation, the rows that its row names."""
-        return await self._made(
-            lambda fences: self.client.write_rows(ops, refs, (), note, self.name, within_s, fences)
+        """As `write`, for rows of the change feed; see `Client.write_rows`."""
+        return await self._write_fenced(
+            lambda fenced: self.client.write_rows(ops, refs, fenced), options
         )
 
-    async def _made(
-        self, write: Callable[[Sequence[tuple[str, int]]], Awaitable[Result]]
+    async def _write_fenced(
+        self, write: Callable[[WriteOptions], Awaitable[Result]], options: WriteOptions
     ) -> Result:
         token = self.token()
         if not token:
-            raise NotOwner(f"{self.lease} is not held here")
+            raise NotLeaseHolderError(f"{self.lease} is not held here")
+        fenced = replace(options, author=self.name, fences=[(self.lease, token)])
         try:
-            return await write([(self.lease, token)])
-        except Fenced as error:
-            self.refused += 1
-            log.warning("%s: a write was refused: %s", self.lease, error)
-            raise NotOwner(str(error)) from None
-
-    def _go(self, token: int) -> None:
-        log.info("%s: owned under token %s", self.lease, table.written(token))
-        self.working = token
-        self.began(token)
-
-    def _stop(self, why: str) -> None:
-        log.info(
-            "%s: no longer owned under token %s: %s", self.lease, table.written(self.working), why
-        )
-        self.working = 0
-        self.ended()
-
-    # ---- the two loops ---------------------------------------------------------------------------
-
-    async def _keep(self) -> None:
+            return await write(fenced)
+        except FencedError as error:
+            self.fenced_writes += 1
+            log.warning("fenced write rejected: lease=%s reason=%s", self.lease, error)
+            raise NotLeaseHolderError(str(error)) from None
+
+    def _begin_tenure(self, token: int) -> None:
+        log.info("lease acquired: lease=%s token=%s", self.lease, table.written(token))
+        self.active_token = token
+        if self._acquired is not None:
+            self._acquired(token)
+
+    def _end_tenure(self, reason: str) -> None:
+        token = table.written(self.active_token)
+        log.info("lease lost: lease=%s token=%s reason=%s", self.lease, token, reason)
+        self.active_token = 0
+        if self._lost is not None:
+            self._lost()
+
+    # ---- claims ----------------------------------------------------------------------------------
+
+    async def _renew(self) -> None:
         while self.holder.phase is not Phase.LEFT:
-            asked = self.holder.take(clock_ns(), self.last)
-            if asked is not None:
-                self._task(self._carry_out(asked))
+            request = self.holder.take(boot_clock_ns(), self.last_lease)
+            if request is not None:
+                self._start_task(self._execute(request))
             token = self.token()
-            if token and not self.working:
-                self._go(token)
-            self._note_rest()
-            wake = self.holder.wake_ns
-            wait = max(0.001, (wake - clock_ns()) / 1e9) if wake else RESTS_S
-            self.woken.clear()
+            if token and not self.active_token:
+                self._begin_tenure(token)
+            self._note_vacancy()
+            self._wake.clear()
             with suppress(TimeoutError):
-                async with asyncio.timeout(min(wait, RESTS_S)):
-                    await self.woken.wait()
-
-    def _note_rest(self) -> None:
-        """Tell once that nobody owns it, and when that is over."""
-        if self.working or (self.last is not None and self.last.held):
-            if self.rests_s < 0:
-                log.info("%s: it is owned again", self.lease)
-            self.rests_s = 0.0
-        elif self.rests_s == 0.0:
-            self.rests_s = time.monotonic()
-        elif self.rests_s > 0 and time.monotonic() - self.rests_s > RESTS_S + self.ttl_s:
-            log.warning(
-                "%s: nobody has owned it for %.0f s (%s): its work rests",
-                self.lease,
-                time.monotonic() - self.rests_s,
-                self.holder.why or "no word of the store",
-            )
-            self.rests_s = -1.0
-
-    async def _carry_out(self, asked: Ask) -> None:
-        holder = self.holder
-        within = LEAVE_S if asked.what == "release" else self.ttl_s / 3
+                async with asyncio.timeout(self._wait_s()):
+                    await self._wake.wait()
+
+    def _wait_s(self) -> float:
+        wake_ns = self.holder.wake_ns
+        if not wake_ns:
+            return MAX_WAIT_S
+        return min(max(MIN_WAIT_S, (wake_ns - boot_clock_ns()) / NS_PER_S), MAX_WAIT_S)
+
+    def _note_vacancy(self) -> None:
+        if self.active_token or (self.last_lease is not None and self.last_lease.held):
+            self._vacancy.note_held()
+        else:
+            self._vacancy.note_vacant(self.holder.why or "no reply of the store")
+
+    async def _execute(self, request: Ask) -> None:
         try:
-            if asked.what == "release":
-                await self.client.release(
-                    Release(self.lease, holder.claim, asked.token, unix_ms()), within
-                )
-                holder.answered(asked.number, 0, 0, "", clock_ns())
+            if request.what == "release":
+                await self._release(request)
             else:
-                claim = Claim(
-                    self.lease,
-                    self.name,
-                    holder.claim,
-                    int(self.ttl_s * 1000),
-                    self.rank,
-                    who(),
-                    unix_ms(),
-                )
-                result = await self.client.claim(claim, within)
-                holder.answered(
-                    asked.number, result.versions[0], result.versions[1], result.text, clock_ns()
-                )
-        except Exception as error:  # the holder must hear of an end, whatever it was
-            holder.failed(asked.number, str(error), clock_ns())
+                await self._claim(request)
+        except Exception as error:  # the holder waits for an outcome, whatever it is
+            self.holder.failed(request.number, str(error), boot_clock_ns())
             if not isinstance(error, StoreError):
-                log.exception("%s", self.lease)
-        self.woken.set()
+                log.exception("lease request failed: lease=%s", self.lease)
+        self._wake.set()
+
+    async def _release(self, request: Ask) -> None:
+        release = Release(self.lease, self.holder.claim, request.token, unix_ms())
+        await self.client.release(release, RELEASE_TIMEOUT_S)
+        self.holder.answered(request.number, 0, 0, "", boot_clock_ns())
+
+    async def _claim(self, request: Ask) -> None:
+        claim = Claim(
+            self.lease,
+            self.name,
+            self.holder.claim,
+            int(self.ttl_s * 1000),
+            self.rank,
+            process_description(),
+            unix_ms(),
+        )
+        result = await self.client.claim(claim, self.ttl_s / 3)
+        token, position = result.versions[:2]
+        self.holder.answered(request.number, token, position, result.text, boot_clock_ns())
 
     async def _watch(self) -> None:
-        """Any node's word serves: it tells when to ask, not what is held."""
-        key = LEASES + self.lease
+        """Follows the lease at any node: a stale value tells when to claim, not who holds it."""
+        key = LEASE_PREFIX + self.lease
         while True:
             try:
                 found = await self.client.get(key, stale=True)
-                self._told(found.rows[0].value)
-                async for told in self.client.watch(key, found.revision):
-                    for change in told.changes:
+                self._lease_read(found.rows[0].value)
+                async for changes in self.client.watch(key, found.revision):
+                    for change in changes.changes:
                         if change.key == key:
-                            self._told(change.value)
-            except (Compacted, Rejected, StoreError):
-                await asyncio.sleep(RETRY_S)
+                            self._lease_read(change.value)
+            except StoreError:
+                await asyncio.sleep(WATCH_RETRY_S)
 
-    def _told(self, value: bytes | None) -> None:
+    def _lease_read(self, value: bytes | None) -> None:
         try:
-            self.last = table.unpack(value) if value is not None else Lease(self.lease)
+            lease = table.unpack(value) if value is not None else Lease(self.lease)
         except ValueError as error:
-            log.warning("%s: the lease does not read: %s", self.lease, error)
+            log.warning("lease can't be decoded: lease=%s error=%s", self.lease, error)
             return
-        self.holder.seen(self.last, clock_ns())
-        self.seen(self.last)
-        self.woken.set()
+        self.last_lease = lease
+        self.holder.seen(lease, boot_clock_ns())
+        if self._changed is not None:
+            self._changed(lease)
+        self._wake.set()
 
     async def close(self) -> None:
-        """Give it back: the next one need not wait."""
-        if self.working:
-            self._stop("this process leaves")
-        self.holder.leave(clock_ns())
-        self.woken.set()
+        """Releases the lease, so that the next holder need not wait for the TTL."""
+        if self.active_token:
+            self._end_tenure("shutdown")
+        self.holder.leave(boot_clock_ns())
+        self._wake.set()
         with suppress(TimeoutError):
-            async with asyncio.timeout(LEAVE_S + 0.1):
+            async with asyncio.timeout(RELEASE_TIMEOUT_S + 0.1):
                 while self.holder.phase is not Phase.LEFT:
-                    self.woken.set()
-                    await asyncio.sleep(0.005)
+                    self._wake.set()
+                    await asyncio.sleep(CLOSE_POLL_S)
         for task in list(self.tasks):
             task.cancel()
--- a/loadbalancer/store/link.py
+++ b/loadbalancer/store/link.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 from loadbalancer.settings import Malformed, split_address
-from loadbalancer.store.handshake import Dial
+from loadbalancer.store.handshake import DialedConnection
 from loadbalancer.store.raft.messages import AnyMessage, pack
 from loadbalancer.store.wire.protocol import Hello, Welcome
 
@@ -27,7 +27,7 @@
 STUCK_S = 5.0  # nothing was read for so long, though there was something: the connection is dead
 
 
-class Dialing(Dial):
+class MemberConnection(DialedConnection):
     """A connection to a member, which sends nothing back on it."""
 
     def __init__(self, hello: Hello, expected: int, least: int) -> None:
@@ -40,7 +40,7 @@
         cast(asyncio.Transport, transport).set_write_buffer_limits(MOST_WAITING)
         super().connection_made(transport)
 
-    def wrong(self, welcome: Welcome) -> str:
+    def mismatch(self, welcome: Welcome) -> str | None:
         if welcome.node != self.expected or welcome.cluster != self.hello.cluster:
             return f"node {welcome.node:x} of cluster {welcome.cluster} answers there"
         if welcome.format < self.least:
@@ -50,7 +50,7 @@
         return ""
 
 
-class Link:
+class MemberLink:
     """The way to one member."""
 
     def __init__(
@@ -72,7 +72,7 @@
         self.least = least
         self.format = 0  # the newest that it knows, as last met
         self.tls = tls
-        self.now: Dialing | None = None  # greeted, and open
+        self.now: MemberConnection | None = None  # greeted, and open
         self.dropped = 0
         self.why = "not tried yet"
         self.unread = 0  # bytes, when last looked
@@ -95,7 +95,7 @@
             self.why = f"nothing was read for {STUCK_S:.0f} s"
             dialing.transport.abort()
             return
-        dialing.transport.write(b"".join(dialing.sender.frame(pack(m)) for m in messages))
+        dialing.transport.write(b"".join(dialing.encoder.frame(pack(m)) for m in messages))
         self.unread = dialing.transport.get_write_buffer_size()
 
     async def _keep(self) -> None:
@@ -117,7 +117,7 @@
 
     async def _once(self) -> str:
         """One connection's life; why it ended."""
-        dialing = Dialing(self.hello(), self.node, self.least())
+        dialing = MemberConnection(self.hello(), self.node, self.least())
         loop = asyncio.get_running_loop()
         host, port = split_address(self.reach)
         try:
--- a/loadbalancer/store/node.py
+++ b/loadbalancer/store/node.py
@@ -21,15 +21,16 @@
 from typing import Any, TypeVar
 
 from loadbalancer.settings import Malformed
-from loadbalancer.store.changefeed_server import Feeding
-from loadbalancer.store.commands import FORMAT, Result, pack
+from loadbalancer.store.changefeed_server import ChangefeedServer
+from loadbalancer.store.commands import STATE_FORMAT, Result, pack
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.files import Folder
 from loadbalancer.store.durable.journal import Broken, Damaged, Full, Journal
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.durable.state_directory import DiskVault
-from loadbalancer.store.housekeeping import Steward, behind
-from loadbalancer.store.link import Link
+from loadbalancer.store.errors import DeadlineExceededError, OutcomeUnknownError
+from loadbalancer.store.housekeeping import Housekeeper, nodes_below_format
+from loadbalancer.store.link import MemberLink
 from loadbalancer.store.raft.members import Change
 from loadbalancer.store.raft.messages import AnyMessage, Entry, Piece
 from loadbalancer.store.raft.node import Batch, Busy, NotLeader, Role
@@ -49,14 +50,6 @@
 SLOW_TURN_S = 0.25  # a turn of the loop that came so late is told
 
 
-class Unknown(Exception):
-    """The write may be made or not: leadership was lost over it."""
-
-
-class Late(Exception):
-    """Its time ran out."""
-
-
 @dataclass(slots=True, eq=False)
 class Waiting:
     """A write on its way."""
@@ -102,7 +95,7 @@
         self.state = ThreadPoolExecutor(1, "store-state")
         self.copies = ThreadPoolExecutor(1, "store-copy")
         self.state_turn = asyncio.Lock()  # an installed snapshot and all else that uses the state
-        self.links: dict[int, Link] = {}
+        self.links: dict[int, MemberLink] = {}
         self.told: dict[int, str] = {}  # addresses that members told of themselves
         self.waiting: dict[int, Waiting] = {}
         self.reading: dict[int, Reading] = {}
@@ -116,8 +109,8 @@
         self.watchers: dict[object, tuple[str, Callable[[], None]]] = {}  # by prefix
         self.failed: asyncio.Future[str] = self.loop.create_future()  # why the node can't go on
         self.figures = Figures()
-        self.steward = Steward()
-        self.feeding = Feeding(self, settings.feed)
+        self.steward = Housekeeper()
+        self.feeding = ChangefeedServer(self, settings.feed)
         self.tls: ssl.SSLContext | None = settings.tls.context(False) if settings.tls else None
         self.heard_leader_s = time.monotonic()
         self.was = (0, 0)  # term and leader, as last told
@@ -281,13 +274,17 @@
     def formats(self) -> dict[int, int]:
         """The newest format of the state that each member's program knows; 0: not met yet."""
         return {
-            n: FORMAT if n == self.identity.node else self.links[n].format if n in self.links else 0
+            n: STATE_FORMAT
+            if n == self.identity.node
+            else self.links[n].format
+            if n in self.links
+            else 0
             for n in self.core.members.all
         }
 
     def not_yet(self, needs: int) -> str:
         """Why there can't be a command yet that needs this format of the state."""
-        old = ", ".join(f"{n:x}" for n in behind(self.formats(), needs))
+        old = ", ".join(f"{n:x}" for n in nodes_below_format(self.formats(), needs))
         what = "rows" if needs >= 3 else "leases"
         return f"not all nodes know {what} yet: {old}" if old else "the state is being upgraded"
 
@@ -297,18 +294,18 @@
             if waiting.term < term or (waiting.term == term and self.core.role is not Role.LEADER):
                 del self.waiting[index]
                 if not waiting.future.done():
-                    waiting.future.set_exception(Unknown("leadership was lost over it"))
+                    waiting.future.set_exception(OutcomeUnknownError("leadership was lost over it"))
         for ticket, reading in list(self.reading.items()):
             if reading.term < self.core.term or term > self.core.term:
                 del self.reading[ticket]
                 if not reading.future.done():
-                    reading.future.set_exception(Late("leadership changed"))
+                    reading.future.set_exception(DeadlineExceededError("leadership changed"))
 
     # ---- members ---------------------------------------------------------------------------------
 
     def hello(self) -> Hello:
         return Hello(
-            protocol.FORMAT,
+            protocol.PROTOCOL_VERSION,
             self.identity.cluster,
             self.identity.node,
             self.settings.advertise,
@@ -340,7 +337,7 @@
         for node, address in wanted.items():
             if address and node not in self.links:
                 reach = self.settings.reach.get(address, address)
-                self.links[node] = Link(
+                self.links[node] = MemberLink(
                     node,
                     address,
                     reach,
@@ -461,7 +458,9 @@
                 if waiting.term == entry.term:
                     waiting.future.set_result(result)
                 else:
-                    waiting.future.set_exception(Unknown("another entry took its place"))
+                    waiting.future.set_exception(
+                        OutcomeUnknownError("another entry took its place")
+                    )
         self.core.applied_to(entries[-1].index)
         self.steward.applied(self.replica.state.take_claimed(), time.monotonic_ns())
         self.feeding.applied(entries[-1].index, self.replica.state.take_fed())
@@ -509,7 +508,7 @@
         """Read from the state as applied here. Raises Late where the node stops."""
         async with self.state_turn:
             if self.failed.done():
-                raise Late("the node stops")
+                raise DeadlineExceededError("the node stops")
             return await self.loop.run_in_executor(self.state, look, self.replica.state)
 
     # ---- what is asked of it ---------------------------------------------------------------------
@@ -550,7 +549,9 @@
                 break
             del self.reading[ticket]
             if not reading.future.done():
-                reading.future.set_exception(Late("no majority proved the read in time"))
+                reading.future.set_exception(
+                    DeadlineExceededError("no majority proved the read in time")
+                )
 
     async def manage(self, what: str, node: int, address: str, within_s: float) -> str:
         """Learn, promote, remove, transfer, snapshot; says what was done. Raises NotLeader, Busy,
@@ -576,7 +577,7 @@
         while self.core.applied < index:
             await self._pause(until)
             if self.core.term != term and what != "remove":
-                raise Unknown("leadership was lost over it")
+                raise OutcomeUnknownError("leadership was lost over it")
         return f"{what} {node:x}: done"
 
     async def _flush_now(self) -> None:
@@ -585,7 +586,7 @@
 
     async def _pause(self, until: float) -> None:
         if time.monotonic() > until:
-            raise Late("its time ran out")
+            raise DeadlineExceededError("its time ran out")
         await asyncio.sleep(0.005)
 
     def behind_ms(self) -> int:
--- a/loadbalancer/store/read_requests.py
+++ b/loadbalancer/store/read_requests.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.store.durable.state import Compacted, Item, State
-from loadbalancer.store.node import Late
+from loadbalancer.store.errors import DeadlineExceededError
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.protocol import Change, Changes, Row, Trouble, Watch
+from loadbalancer.store.wire.protocol import Change, Changes, FailureCode, Row, Watch
 
 if TYPE_CHECKING:
     from loadbalancer.store.server import Connection
@@ -17,7 +17,7 @@
 PROGRESS_S = 5.0  # a watch with nothing to tell says so often how far it has looked
 
 
-class Watching:
+class WatchSession:
     """One watch: tells every change behind a revision, as fast as its client reads and no faster. A
     client that falls behind what is kept is told so, and has to read anew.
     """
@@ -57,10 +57,10 @@
                 events, applied = await node.query(
                     lambda s: (s.events(self.prefix, self.after), s.applied)
                 )
-            except Late:
+            except DeadlineExceededError:
                 return  # its connection closes
             except Compacted as error:
-                self.connection.fail(self.id, Trouble.COMPACTED, str(error))
+                self.connection.fail(self.id, FailureCode.COMPACTED, str(error))
                 self.connection.watches.pop(self.id, None)
                 self.stop()
                 return
@@ -103,7 +103,7 @@
     size = 0
     for item in state.scan(prefix, after, most):
         size += len(item.value or b"") + len(item.key)
-        if found and size > protocol.PAGE_BYTES:
+        if found and size > protocol.MAX_PAGE_BYTES:
             return tuple(found), True
         found.append(row(item, item.key))
     return tuple(found), len(found) == most
--- a/loadbalancer/store/replica.py
+++ b/loadbalancer/store/replica.py
@@ -38,7 +38,7 @@
     name: str = ""
 
 
-class Boundaries(Array, frozen=True):
+class LogLimits(Array, frozen=True):
     """When the log is cut, and what of it is kept."""
 
     keep: int = KEEP
@@ -75,7 +75,7 @@
         vault: Vault,
         state: State,
         core: Core,
-        boundaries: Boundaries,
+        boundaries: LogLimits,
     ) -> None:
         self.identity = identity
         self.journal = journal
@@ -94,7 +94,7 @@
         config: Config,
         now: int,
         rng: random.Random,
-        boundaries: Boundaries = Boundaries(),  # noqa: B008 (it can't be changed)
+        boundaries: LogLimits = LogLimits(),  # noqa: B008 (it can't be changed)
         make: type[Core] = Core,
     ) -> Replica:
         """From what is on disk. Raises Damaged."""
--- a/loadbalancer/store/run.py
+++ b/loadbalancer/store/run.py
@@ -129,7 +129,7 @@
         os.close(lock)
 
 
-class Running:
+class StoreServer:
     """A node and its listeners."""
 
     def __init__(self, settings: StoreSettings) -> None:
@@ -154,7 +154,7 @@
 
 
 async def serve(
-    settings: StoreSettings, started: Callable[[Running], None] = lambda running: None
+    settings: StoreSettings, started: Callable[[StoreServer], None] = lambda running: None
 ) -> str:
     """Run a node until SIGTERM; why it ended, empty where it was asked to. Raises Damaged,
     Malformed.
@@ -168,7 +168,7 @@
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
-    running = Running(settings)
+    running = StoreServer(settings)
     try:
         try:
             await running.start()
--- a/loadbalancer/store/security.py
+++ b/loadbalancer/store/security.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tls:
+class TlsFiles:
     """Files, PEM."""
 
     certificate: Path
@@ -74,6 +74,6 @@
     return ROLES[best] if best >= 0 else ""
 
 
-def may(role: str, needed: str) -> bool:
+def is_permitted(role: str, needed: str) -> bool:
     """May a client of this role do what needs that one?"""
     return role in ROLES[:3] and ROLES.index(role) >= ROLES.index(needed)
--- a/loadbalancer/store/server.py
+++ b/loadbalancer/store/server.py
@@ -22,36 +22,37 @@
 from loadbalancer.store.commands import Result
 from loadbalancer.store.durable.journal import Full
 from loadbalancer.store.durable.state import State
-from loadbalancer.store.node import Late, Node, Unknown
+from loadbalancer.store.errors import DeadlineExceededError, OutcomeUnknownError, ProtocolError
+from loadbalancer.store.node import Node
 from loadbalancer.store.raft.members import Refused as ChangeRefused
 from loadbalancer.store.raft.messages import SnapshotMeta, unpack_message
 from loadbalancer.store.raft.node import Busy, NotLeader, Role
-from loadbalancer.store.read_requests import Watching, row, scan
-from loadbalancer.store.security import may, role_of
+from loadbalancer.store.read_requests import WatchSession, row, scan
+from loadbalancer.store.security import is_permitted, role_of
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.frames import NONCE, Receiver, Refused, Sender
+from loadbalancer.store.wire.frames import NONCE_BYTES, FrameDecoder, FrameEncoder
 from loadbalancer.store.wire.protocol import (
+    Administer,
     AnyRequest,
-    Copy,
+    BackupChunk,
+    CancelWatch,
+    ChangefeedMessage,
+    Committed,
     Declined,
-    Done,
-    Failed,
-    Fed,
-    Feed,
+    FailureCode,
     Get,
     Hello,
-    Info,
-    Manage,
-    Part,
-    Past,
-    Put,
+    History,
+    JsonReply,
+    Propose,
+    ReadBackup,
     Reply,
+    RequestFailed,
     Row,
     Rows,
     Scan,
+    SendToChangefeed,
     Status,
-    Trouble,
-    Unwatch,
     Watch,
     Welcome,
 )
@@ -77,16 +78,16 @@
 FULL_S = 1.0  # between two tries to accept where there is no room
 COPY_BYTES = 512 << 10
 NEEDS: dict[type, str] = {
-    Put: "write",
+    Propose: "write",
     Get: "read",
     Scan: "read",
-    Past: "read",
+    History: "read",
     Watch: "read",
-    Unwatch: "read",
+    CancelWatch: "read",
     Status: "read",
-    Manage: "admin",
-    Copy: "admin",
-    Feed: "read",
+    Administer: "admin",
+    ReadBackup: "admin",
+    SendToChangefeed: "read",
 }
 
 
@@ -210,14 +211,14 @@
     def __init__(self, server: Server) -> None:
         self.server = server
         self.node = server.node
-        self.receiver = Receiver()
-        self.sender = Sender()
+        self.receiver = FrameDecoder()
+        self.sender = FrameEncoder()
         self.transport: asyncio.Transport | None = None
         self.who = ""  # for the log
         self.member = 0  # its number, where a member connected
         self.role = ""  # where a client did
         self.open = 0
-        self.watches: dict[int, Watching] = {}
+        self.watches: dict[int, WatchSession] = {}
         self.subscriber = 0  # its number, where it hears the feed
         self.feed_id = 0  # of the request that began it
         self.tasks: set[asyncio.Task[None]] = set()
@@ -250,7 +251,7 @@
                     self._request(protocol.unpack_request(payload))
                 else:
                     self._greet(payload)
-        except (Refused, ValueError) as error:
+        except (ProtocolError, ValueError) as error:
             self._decline(" ".join(str(error).split()))
 
     def _greet(self, payload: bytes) -> None:
@@ -259,8 +260,10 @@
         identity = self.node.identity
         if not isinstance(hello, Hello):
             return self._decline("it does not greet")
-        if hello.format > protocol.FORMAT:
-            return self._decline(f"protocol {hello.format} is newer than {protocol.FORMAT}")
+        if hello.format > protocol.PROTOCOL_VERSION:
+            return self._decline(
+                f"protocol {hello.format} is newer than {protocol.PROTOCOL_VERSION}"
+            )
         if hello.cluster != identity.cluster and (hello.node or hello.cluster):
             return self._decline(f"this is cluster {identity.cluster}, not {hello.cluster}")
         role = "node" if hello.node else "admin"
@@ -272,11 +275,13 @@
             return self._decline(f"node {hello.node:x} was removed")
         if hello.node == identity.node:
             return self._decline("it has this node's own number")
-        nonce = os.urandom(NONCE)
-        self._send_raw(Welcome(commands.FORMAT, identity.cluster, identity.node, nonce, role))
+        nonce = os.urandom(NONCE_BYTES)
+        self._send_raw(Welcome(commands.STATE_FORMAT, identity.cluster, identity.node, nonce, role))
         self.sender.bind(nonce)
         self.receiver.bind(nonce)
-        self.receiver.most = protocol.MOST_MESSAGE if hello.node else protocol.MOST_REQUEST
+        self.receiver.max_payload_bytes = (
+            protocol.MAX_MESSAGE_BYTES if hello.node else protocol.MAX_REQUEST_BYTES
+        )
         if hello.node:
             self.member = hello.node
             self.node.note_address(hello.node, hello.address)
@@ -300,79 +305,81 @@
         if self.transport is not None and not self.transport.is_closing():
             self._send_raw(reply)
 
-    def fail(self, number: int, trouble: Trouble, text: str, leader: int = 0) -> None:
-        self.send(Failed(number, trouble, text, self.node.address_of(leader) if leader else ""))
+    def fail(self, number: int, trouble: FailureCode, text: str, leader: int = 0) -> None:
+        self.send(
+            RequestFailed(number, trouble, text, self.node.address_of(leader) if leader else "")
+        )
 
     # ---- requests --------------------------------------------------------------------------------
 
     def _request(self, r: AnyRequest) -> None:
-        if not may(self.role, NEEDS[type(r)]):
-            return self.fail(r.id, Trouble.FORBIDDEN, f"the role {self.role} may not do that")
+        if not is_permitted(self.role, NEEDS[type(r)]):
+            return self.fail(r.id, FailureCode.FORBIDDEN, f"the role {self.role} may not do that")
         if self.open >= OPEN_MOST:
-            return self.fail(r.id, Trouble.BUSY, "too many requests on one connection")
+            return self.fail(r.id, FailureCode.BUSY, "too many requests on one connection")
         match r:
-            case Put():
+            case Propose():
                 self._put(r)
             case Get():
                 keys = r.keys
                 self._read(r, r.linear, lambda s: (tuple(row(s.get(k), k) for k in keys), False))
             case Scan():
-                self._read(r, r.linear, lambda s: scan(s, r.prefix, r.after, r.most))
-            case Past():
+                self._read(r, r.linear, lambda s: scan(s, r.prefix, r.after, r.limit))
+            case History():
                 self._read(
                     r,
                     True,
-                    lambda s: (tuple(row(i, i.key) for i in s.history(r.key, r.most)), False),
+                    lambda s: (tuple(row(i, i.key) for i in s.history(r.key, r.limit)), False),
                 )
             case Watch():
                 if len(self.watches) >= WATCHES_MOST:
                     return self.fail(
-                        r.id, Trouble.BUSY, f"there are {WATCHES_MOST} watches already"
+                        r.id, FailureCode.BUSY, f"there are {WATCHES_MOST} watches already"
                     )
-                self.watches[r.id] = Watching(self, r)
-            case Unwatch():
+                self.watches[r.id] = WatchSession(self, r)
+            case CancelWatch():
                 watching = self.watches.pop(r.watch, None)
                 if watching is not None:
                     watching.stop()
             case Status():
-                self.send(Info(r.id, msgspec.json.encode(self.node.status())))
-            case Manage():
+                self.send(JsonReply(r.id, msgspec.json.encode(self.node.status())))
+            case Administer():
                 self._task(r.id, self._manage(r))
-            case Copy():
+            case ReadBackup():
                 self._task(r.id, self._copy(r))
-            case Feed():
+            case SendToChangefeed():
                 self._feed(r)
         return None
 
-    def _put(self, r: Put) -> None:
-        if len(r.command) > protocol.MOST_REQUEST:
-            return self.fail(r.id, Trouble.REFUSED, "the write is too large")
+    def _put(self, r: Propose) -> None:
+        if len(r.command) > protocol.MAX_REQUEST_BYTES:
+            return self.fail(r.id, FailureCode.REJECTED, "the write is too large")
         try:
             command = commands.unpack_command(r.command)
         except ValueError as error:
-            return self.fail(r.id, Trouble.REFUSED, " ".join(str(error).split()))
+            return self.fail(r.id, FailureCode.REJECTED, " ".join(str(error).split()))
         if isinstance(command, commands.Write):
-            why = commands.wrong(command)
+            why = commands.rejection_reason(command)
             if why:  # a log need not hold what every state refuses
-                return self.fail(r.id, Trouble.REFUSED, why)
-        if not commands.client_may(command):
-            return self.fail(r.id, Trouble.REFUSED, "leaders alone propose that")
-        needs = commands.format_of(command)
+                return self.fail(r.id, FailureCode.REJECTED, why)
+        if not commands.is_client_command(command):
+            return self.fail(r.id, FailureCode.REJECTED, "leaders alone propose that")
+        needs = commands.required_format(command)
         if needs > self.node.replica.state.format:
             if self.node.core.role is not Role.LEADER:
                 return self.fail(
                     r.id,
-                    Trouble.NOT_LEADER,
+                    FailureCode.NOT_LEADER,
                     str(NotLeader(self.node.core.leader)),
                     self.node.core.leader,
                 )
-            return self.fail(r.id, Trouble.BUSY, self.node.not_yet(needs))
+            return self.fail(r.id, FailureCode.BUSY, self.node.not_yet(needs))
         try:
             future = self.node.put(r.command)
         except NotLeader as error:
-            return self.fail(r.id, Trouble.NOT_LEADER, str(error), error.leader)
+            return self.fail(r.id, FailureCode.NOT_LEADER, str(error), error.leader)
         except Busy as error:
-            return self.fail(r.id, Trouble.BUSY, str(error))
+            return self.fail(r.id, FailureCode.BUSY, str(error))
         self.open += 1
         future.add_done_callback(lambda done: self._put_done(r.id, done))
         return None
@@ -383,13 +390,13 @@
             return
         error = done.exception()
         if error is None:
-            self.send(Done(number, commands.pack(done.result())))
+            self.send(Committed(number, commands.pack(done.result())))
         else:
-            self.fail(number, Trouble.UNKNOWN, str(error), self.node.core.leader)
+            self.fail(number, FailureCode.OUTCOME_UNKNOWN, str(error), self.node.core.leader)
 
     def _read(
         self,
-        r: Get | Scan | Past,
+        r: Get | Scan | History,
         linear: bool,
         look: Callable[[State], tuple[tuple[Row, ...], bool]],
     ) -> None:
@@ -406,12 +413,12 @@
         rows, more, revision = await self.node.query(lambda s: (*look(s), s.applied))
         self.send(Rows(number, rows, revision, more, behind))
 
-    async def _manage(self, r: Manage) -> None:
-        done = await self.node.manage(r.what, r.node, r.address, r.within_ms / 1000)
+    async def _manage(self, r: Administer) -> None:
+        done = await self.node.manage(r.action, r.node, r.address, r.timeout_ms / 1000)
         log.info("store: %s asked: %s", self.who, done)
-        self.send(Info(r.id, msgspec.json.encode({"done": done})))
+        self.send(JsonReply(r.id, msgspec.json.encode({"done": done})))
 
-    async def _copy(self, r: Copy) -> None:
+    async def _copy(self, r: ReadBackup) -> None:
         vault, loop = self.node.replica.vault, self.node.loop
         if r.offset == 0:
             meta = await loop.run_in_executor(self.node.copies, vault.export)
@@ -420,11 +427,13 @@
             meta = SnapshotMeta(index, term, self.node.core.members, size, checksum)
         data = vault.read_piece(meta, r.offset, COPY_BYTES)
         if data is None:
-            self.fail(r.id, Trouble.UNKNOWN, "another copy was made meanwhile: begin anew")
+            self.fail(
+                r.id, FailureCode.OUTCOME_UNKNOWN, "another copy was made meanwhile: begin anew"
+            )
         else:
-            self.send(Part(r.id, meta.id, r.offset, data))
+            self.send(BackupChunk(r.id, meta.id, r.offset, data))
 
-    def _feed(self, r: Feed) -> None:
+    def _feed(self, r: SendToChangefeed) -> None:
         if not self.subscriber:
             assert self.transport is not None
             self.transport.set_write_buffer_limits(FEED_UNREAD)
@@ -434,7 +443,7 @@
                 )
             self.feed_id = r.id
             self.subscriber = self.node.feeding.begin(self)
-        self.node.feeding.heard(self.subscriber, r.word)
+        self.node.feeding.heard(self.subscriber, r.message)
 
     def tell(self, sends: Sequence[Send]) -> None:
         """The feed's words, in one write."""
@@ -442,14 +451,16 @@
             self.transport.write(
                 b"".join(
                     self.sender.frame(
-                        protocol.pack(Fed(self.feed_id, one.generation, one.sequence, one.word))
+                        protocol.pack(
+                            ChangefeedMessage(self.feed_id, one.generation, one.sequence, one.word)
+                        )
                     )
                     for one in sends
                 )
             )
 
     def end(self, why: str) -> None:
-        self.fail(self.feed_id, Trouble.REFUSED, why)
+        self.fail(self.feed_id, FailureCode.REJECTED, why)
         self._decline(why)
 
     def _task(self, number: int, work: Coroutine[Any, Any, None]) -> None:
@@ -462,17 +473,17 @@
         try:
             await work
         except NotLeader as error:
-            self.fail(number, Trouble.NOT_LEADER, str(error), error.leader)
+            self.fail(number, FailureCode.NOT_LEADER, str(error), error.leader)
         except Busy as error:
-            self.fail(number, Trouble.BUSY, str(error))
+            self.fail(number, FailureCode.BUSY, str(error))
         except ChangeRefused as error:
-            self.fail(number, Trouble.REFUSED, str(error))
-        except Unknown as error:
-            self.fail(number, Trouble.UNKNOWN, str(error), self.node.core.leader)
-        except Late as error:
-            self.fail(number, Trouble.LATE, str(error))
+            self.fail(number, FailureCode.REJECTED, str(error))
+        except OutcomeUnknownError as error:
+            self.fail(number, FailureCode.OUTCOME_UNKNOWN, str(error), self.node.core.leader)
+        except DeadlineExceededError as error:
+            self.fail(number, FailureCode.DEADLINE_EXCEEDED, str(error))
         except Full as error:
-            self.fail(number, Trouble.FULL, str(error))
+            self.fail(number, FailureCode.DISK_FULL, str(error))
         finally:
             self.open -= 1
 
--- a/loadbalancer/store/settings.py
+++ b/loadbalancer/store/settings.py
@@ -10,8 +10,8 @@
 from loadbalancer.changefeed.fanout import FanoutLimits
 from loadbalancer.settings import Malformed, split_address
 from loadbalancer.store.raft.node import Config
-from loadbalancer.store.replica import Boundaries
-from loadbalancer.store.security import Tls
+from loadbalancer.store.replica import LogLimits
+from loadbalancer.store.security import TlsFiles
 from loadbalancer.units import Duration, Size, convert, read_toml
 
 MS = 1_000_000
@@ -21,16 +21,16 @@
     """A table of the file."""
 
 
-class Keys(Part, frozen=True):
+class TlsTable(Part, frozen=True):
     """PEM files; a certificate names its role (see `loadbalancer/store/security.py`)."""
 
     certificate: str
     key: str
     authority: str
 
-    def beside(self, folder: Path) -> Tls:
+    def beside(self, folder: Path) -> TlsFiles:
         """Relative paths count from this folder."""
-        return Tls(folder / self.certificate, folder / self.key, folder / self.authority)
+        return TlsFiles(folder / self.certificate, folder / self.key, folder / self.authority)
 
 
 class Timing(Part, frozen=True):
@@ -81,7 +81,7 @@
     advertise: str = ""  # what others connect to, where it is not `listen`
     reach: dict[str, str] = {}  # where a member that advertises one address is reached at another
     metrics: str = ""  # an address of its own for them, plain HTTP
-    tls: Keys | None = None
+    tls: TlsTable | None = None
     timing: Timing = Timing()
     limits: Sizes = Sizes()
     feed: FeedPart = FeedPart()
@@ -95,9 +95,9 @@
     advertise: str
     reach: dict[str, str]
     metrics: tuple[str, int] | None
-    tls: Tls | None
+    tls: TlsFiles | None
     config: Config
-    boundaries: Boundaries
+    boundaries: LogLimits
     connections: int
     feed: FanoutLimits = FanoutLimits()
 
@@ -145,7 +145,7 @@
         split_address(f.metrics) if f.metrics else None,
         tls,
         config,
-        Boundaries(f.limits.keep, 5 * f.limits.keep + 1000, int(f.limits.log)),
+        LogLimits(f.limits.keep, 5 * f.limits.keep + 1000, int(f.limits.log)),
         f.limits.connections,
         f.feed.limits(f.limits.connections),
     )
--- a/loadbalancer/store/wire/__init__.py
+++ b/loadbalancer/store/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What goes over connections: frames, greetings, requests and answers. No I/O."""
+"""Encoding of the store's connections: frames, handshake, requests and replies. No I/O."""
--- a/loadbalancer/store/wire/frames.py
+++ b/loadbalancer/store/wire/frames.py
@@ -1,80 +1,99 @@
-"""Frames on a connection, in both directions: length, running number, checksum, payload.
+"""Frames of a connection, in both directions.
 
     frame = length(4) number(4) CRC-32C(4) payload(length)
 
-Little-endian. The checksum covers the connection's nonce, the number and the payload, so a frame
-that was recorded elsewhere, or comes twice, or out of turn, is refused. The nonce is empty until
-the greeting has told it.
+Little-endian. The checksum covers the connection's nonce, the frame's number and the payload, so a
+frame that was recorded on another connection, is repeated or is out of order is rejected. The nonce
+is empty until the handshake has set it.
 """
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Iterator
+from typing import Final
 
 import google_crc32c
 
-HEAD = struct.Struct("<III")
-GREETING_MOST = 4 << 10  # bytes of the first frame: nobody is known yet
-NONCE = 16
+from loadbalancer.store.errors import ProtocolError
 
+FRAME_HEADER: Final = struct.Struct("<III")
+MAX_GREETING_BYTES: Final = 4 << 10  # of the first frame: the peer is not authenticated yet
+NONCE_BYTES: Final = 16
+NUMBER_MASK: Final = 0xFFFFFFFF
 
-class Refused(Exception):
-    """What came is no frame of this connection, in one line."""
 
+def _checksum(seed: int, number: int, payload: bytes) -> int:
+    header = google_crc32c.extend(seed, number.to_bytes(4, "little"))
+    return int(google_crc32c.extend(header, payload))
 
-def _sum(seed: int, number: int, payload: bytes) -> int:
-    return int(
-        google_crc32c.extend(google_crc32c.extend(seed, number.to_bytes(4, "little")), payload)
-    )
 
-
-class Sender:
-    """Numbers and seals frames."""
+class FrameEncoder:
+    """Numbers the payloads of one direction and adds their checksums."""
 
     def __init__(self) -> None:
         self.number = 0
         self.seed = 0
 
     def bind(self, nonce: bytes) -> None:
+        """Binds all further frames to the connection with this nonce."""
         self.seed = int(google_crc32c.value(nonce))
 
     def frame(self, payload: bytes) -> bytes:
-        number = self.number & 0xFFFFFFFF
+        """Returns the next frame."""
+        number = self.number & NUMBER_MASK
         self.number += 1
-        return HEAD.pack(len(payload), number, _sum(self.seed, number, payload)) + payload
+        checksum = _checksum(self.seed, number, payload)
+        return FRAME_HEADER.pack(len(payload), number, checksum) + payload
+
 
+class FrameDecoder:
+    """Decodes the frames of one direction from a byte stream.
 
-class Receiver:
-    """Cuts frames out of what comes, however it is split."""
+    Args:
+        max_payload_bytes: Longer payloads are rejected; may be changed between two frames.
+    """
 
-    def __init__(self, most: int = GREETING_MOST) -> None:
-        self.most = most
+    def __init__(self, max_payload_bytes: int = MAX_GREETING_BYTES) -> None:
+        self.max_payload_bytes = max_payload_bytes
         self.number = 0
         self.seed = 0
         self.buffer = bytearray()
 
     def bind(self, nonce: bytes) -> None:
+        """Binds all further frames to the connection with this nonce."""
         self.seed = int(google_crc32c.value(nonce))
 
     def feed(self, data: bytes) -> None:
+        """Adds received bytes."""
         self.buffer += data
 
     def payloads(self) -> Iterator[bytes]:
-        """Whole ones, as they come; limits and nonce may change between two. Raises Refused."""
-        while len(self.buffer) >= HEAD.size:
-            length, number, checksum = HEAD.unpack_from(self.buffer)
-            if length > self.most:
-                raise Refused(f"a frame of {length} bytes, and {self.most} is the most here")
-            if number != self.number & 0xFFFFFFFF:
-                raise Refused(f"frame {number} where {self.number & 0xFFFFFFFF} was due")
-            if len(self.buffer) < HEAD.size + length:
+        """Yields the payload of each complete frame; limit and nonce may change between two.
+
+        Raises:
+            ProtocolError: The next frame is not valid on this connection.
+        """
+        while len(self.buffer) >= FRAME_HEADER.size:
+            length, number, checksum = FRAME_HEADER.unpack_from(self.buffer)
+            self._check_header(length, number)
+            end = FRAME_HEADER.size + length
+            if len(self.buffer) < end:
                 return
-            payload = bytes(self.buffer[HEAD.size : HEAD.size + length])
-            del self.buffer[: HEAD.size + length]
-            if _sum(self.seed, number, payload) != checksum:
-                raise Refused(
+            payload = bytes(self.buffer[FRAME_HEADER.size : end])
+            del self.buffer[:end]
+            if _checksum(self.seed, number, payload) != checksum:
+                raise ProtocolError(
                     f"frame {number} has a wrong checksum, or belongs to another connection"
                 )
             self.number += 1
             yield payload
+
+    def _check_header(self, length: int, number: int) -> None:
+        if length > self.max_payload_bytes:
+            raise ProtocolError(
+                f"a frame of {length} bytes, and {self.max_payload_bytes} is the most here"
+            )
+        expected = self.number & NUMBER_MASK
+        if number != expected:
+            raise ProtocolError(f"frame {number} where {expected} was due")
--- a/loadbalancer/store/wire/protocol.py
+++ b/loadbalancer/store/wire/protocol.py
@@ -1,28 +1,77 @@
-"""The greeting of a connection, and what clients ask and are answered. Msgpack arrays with a tag;
-fields are only ever added at the end, with a default.
+"""Messages of the store's connections: handshake, requests of clients and their replies.
+
+Encoded as MessagePack arrays with a tag. Fields are only added at the end, with a default.
 """
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import IntEnum, StrEnum
+from typing import Final
 
 import msgspec
 
-from loadbalancer.store.raft.messages import pack as pack
-
-FORMAT = 1
-MOST_REQUEST = 3 << 20  # bytes: a write with a value of the largest size, twice over
-MOST_MESSAGE = 8 << 20  # between nodes
-PAGE_BYTES = 2 << 20  # of values in one answer
+from loadbalancer.store.raft.messages import pack
+
+__all__ = [
+    "MAX_MESSAGE_BYTES",
+    "MAX_PAGE_BYTES",
+    "MAX_REQUEST_BYTES",
+    "PROTOCOL_VERSION",
+    "AdminAction",
+    "Administer",
+    "AnyGreeting",
+    "AnyReply",
+    "AnyRequest",
+    "BackupChunk",
+    "CancelWatch",
+    "Change",
+    "ChangefeedMessage",
+    "Changes",
+    "Committed",
+    "Declined",
+    "FailureCode",
+    "Get",
+    "Greeting",
+    "Hello",
+    "History",
+    "JsonReply",
+    "Propose",
+    "ReadBackup",
+    "Reply",
+    "Request",
+    "RequestFailed",
+    "Row",
+    "Rows",
+    "Scan",
+    "SendToChangefeed",
+    "Status",
+    "Watch",
+    "Welcome",
+    "pack",
+    "unpack_greeting",
+    "unpack_reply",
+    "unpack_request",
+]
+
+PROTOCOL_VERSION: Final = 1
+MAX_REQUEST_BYTES: Final = 3 << 20  # twice a write with a value of the largest size, and more
+MAX_MESSAGE_BYTES: Final = 8 << 20  # between nodes
+MAX_PAGE_BYTES: Final = 2 << 20  # values of one reply
 
 
 class Greeting(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """The first frame of each side."""
+    """First frame of each side."""
 
 
 class Hello(Greeting, frozen=True, tag=1):
-    """The side that connected. `node`: its number, 0 for a client; `cluster`: empty where it does
-    not know.
+    """Greeting of the side that connected.
+
+    Attributes:
+        format: Its `PROTOCOL_VERSION`.
+        cluster: The cluster's name; empty if it is not known.
+        node: The node's number; 0 for a client.
+        address: Where the node accepts connections.
+        name: A name for the logs.
     """
 
     format: int
@@ -33,8 +82,15 @@
 
 
 class Welcome(Greeting, frozen=True, tag=2):
-    """`format`: the newest of the state that this node's program knows (`commands.FORMAT`). A hello
-    says only what the other side must know to understand it.
+    """Accepts a connection.
+
+    Attributes:
+        format: The newest format of the state that this node's program knows
+            (`commands.STATE_FORMAT`).
+        cluster: The cluster's name.
+        node: This node's number.
+        nonce: The connection's nonce; all further frames are bound to it.
+        role: The role that the peer's certificate gives it.
     """
 
     format: int
@@ -45,112 +101,156 @@
 
 
 class Declined(Greeting, frozen=True, tag=3):
-    """In one line; the connection is closed."""
+    """Rejects a connection, with the reason in one line; the connection is closed."""
 
     text: str
 
 
-class Trouble(IntEnum):
-    """Why a request was not done."""
+class FailureCode(IntEnum):
+    """Why a request failed."""
 
-    NOT_LEADER = 1  # try `leader`
-    BUSY = 2  # later
-    UNKNOWN = 3  # it may have been done: ask again with the same number
-    REFUSED = 4  # never
-    FORBIDDEN = 5  # this certificate's role may not
-    COMPACTED = 6  # a watch's history is gone
-    LATE = 7  # its time ran out here
-    FULL = 8  # the disk
+    NOT_LEADER = 1  # retry at `RequestFailed.leader`
+    BUSY = 2  # retry later
+    OUTCOME_UNKNOWN = 3  # it may have been executed: retry with the same number
+    REJECTED = 4  # don't retry
+    FORBIDDEN = 5  # the certificate's role doesn't permit it
+    COMPACTED = 6  # a watch's history is no longer retained
+    DEADLINE_EXCEEDED = 7  # its time limit passed
+    DISK_FULL = 8  # the disk is full
 
 
 class Request(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """`id` is the client's; `within_ms`: no answer is needed later."""
+    """Base of all requests.
+
+    Attributes:
+        id: Drawn by the client; replies carry it.
+        timeout_ms: The client waits no longer for the reply.
+    """
 
     id: int
-    within_ms: int
+    timeout_ms: int
 
 
-class Put(Request, frozen=True, tag=1):
-    """A packed command: a write, or a session's begin or end."""
+class Propose(Request, frozen=True, tag=1):
+    """Proposes an encoded command: a write, a lease's or a session's."""
 
     command: bytes
 
 
 class Get(Request, frozen=True, tag=2):
-    """`linear`: as of now, proved by a majority; else as this node knows it."""
+    """Reads keys.
+
+    Attributes:
+        keys: The keys.
+        linear: Linearizable, confirmed by a majority; otherwise as this node has them applied.
+    """
 
     keys: tuple[str, ...]
     linear: bool = True
 
 
 class Scan(Request, frozen=True, tag=3):
+    """Reads a page of the keys with a prefix, from the first one after `after` on."""
+
     prefix: str
     after: str = ""
-    most: int = 1000
+    limit: int = 1000
     linear: bool = True
 
 
-class Past(Request, frozen=True, tag=4):
+class History(Request, frozen=True, tag=4):
+    """Reads the retained versions of a key, newest first."""
+
     key: str
-    most: int = 100
+    limit: int = 100
 
 
 class Watch(Request, frozen=True, tag=5):
-    """Changes after revision `after`, until the connection ends or `Unwatch`."""
+    """Subscribes to changes after a revision, until the connection ends or `CancelWatch`."""
 
     prefix: str
     after: int
 
 
-class Unwatch(Request, frozen=True, tag=6):
+class CancelWatch(Request, frozen=True, tag=6):
+    """Ends the watch with this request id."""
+
     watch: int
 
 
 class Status(Request, frozen=True, tag=7):
-    pass
+    """Reads the node's status."""
+
+
+class AdminAction(StrEnum):
+    """Actions of `Administer`."""
 
+    LEARN = "learn"  # add a member without a vote
+    PROMOTE = "promote"  # give it a vote
+    REMOVE = "remove"
+    TRANSFER = "transfer"  # hand leadership over
+    SNAPSHOT = "snapshot"  # on the node that receives the request
 
-class Manage(Request, frozen=True, tag=8):
-    """`what`: learn, promote, remove, transfer, snapshot."""
 
-    what: str
+class Administer(Request, frozen=True, tag=8):
+    """Changes the membership or requests a snapshot.
+
+    Attributes:
+        action: An `AdminAction`; nodes reject what they don't know.
+        node: The member that it is about.
+        address: The address of a member that is added.
+    """
+
+    action: str
     node: int = 0
     address: str = ""
 
 
-class Copy(Request, frozen=True, tag=9):
-    """A part of a copy of the state; offset 0 makes it."""
+class ReadBackup(Request, frozen=True, tag=9):
+    """Reads a chunk of a backup of the state; offset 0 creates the backup."""
 
     offset: int
     meta_id: tuple[int, int, int, int] = (0, 0, 0, 0)
 
 
-class Feed(Request, frozen=True, tag=10):
-    """A word to the node's feed (`loadbalancer/changefeed/messages.py`). The first one of a
-    connection begins its one subscription; what it hears bears the id of that one, until the
-    connection ends.
+class SendToChangefeed(Request, frozen=True, tag=10):
+    """Carries a message to the node's change feed (`loadbalancer/changefeed/messages.py`).
+
+    The first one of a connection begins its only subscription, whose messages carry this request's
+    id until the connection ends.
     """
 
-    word: bytes
+    message: bytes
 
 
-AnyRequest = Put | Get | Scan | Past | Watch | Unwatch | Status | Manage | Copy | Feed
+AnyRequest = (
+    Propose
+    | Get
+    | Scan
+    | History
+    | Watch
+    | CancelWatch
+    | Status
+    | Administer
+    | ReadBackup
+    | SendToChangefeed
+)
 
 
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """`id`: of the request."""
+    """Base of all replies; `id` is the request's."""
 
     id: int
 
 
-class Done(Reply, frozen=True, tag=1):
-    """A packed result."""
+class Committed(Reply, frozen=True, tag=1):
+    """The proposed command was applied; carries its encoded result."""
 
     result: bytes
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """A key as it stands, or as it stood: `value` is None where it is not there."""
+    """A key at one version; `value` is None if it does not exist."""
 
     key: str
     value: bytes | None
@@ -162,8 +262,13 @@
 
 
 class Rows(Reply, frozen=True, tag=2):
-    """As of entry `revision`; `more`: the page was full. `behind_ms`: how long ago this node last
-    heard of a leader; 0 where the read was linearizable.
+    """Rows that were read.
+
+    Attributes:
+        rows: The rows.
+        revision: The log index as of which they are.
+        more: The page is full and there are more.
+        behind_ms: How long ago this node last knew a leader; 0 for a linearizable read.
     """
 
     rows: tuple[Row, ...]
@@ -173,6 +278,8 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
+    """A change of one key; `value` is None if it was deleted."""
+
     revision: int
     key: str
     version: int
@@ -180,61 +287,85 @@
 
 
 class Changes(Reply, frozen=True, tag=3):
-    """All changes up to `revision` are told with this."""
+    """Completes a watch's changes up to `revision`."""
 
     changes: tuple[Change, ...]
     revision: int
 
 
-class Failed(Reply, frozen=True, tag=4):
-    trouble: int
+class RequestFailed(Reply, frozen=True, tag=4):
+    """A request failed.
+
+    Attributes:
+        code: A `FailureCode`.
+        text: The reason in one line.
+        leader: The leader's address, if it is known.
+    """
+
+    code: int
     text: str
-    leader: str = ""  # its address
+    leader: str = ""
 
 
-class Info(Reply, frozen=True, tag=5):
-    """Status, as JSON."""
+class JsonReply(Reply, frozen=True, tag=5):
+    """A result as JSON."""
 
     json: bytes
 
 
-class Part(Reply, frozen=True, tag=6):
-    """Of a copy."""
+class BackupChunk(Reply, frozen=True, tag=6):
+    """A chunk of a backup; `meta_id` is its index, term, size and checksum."""
 
     meta_id: tuple[int, int, int, int]
     offset: int
     data: bytes
 
 
-class Fed(Reply, frozen=True, tag=7):
-    """A word of the node's feed. `generation`: of the subscription's scopes, as the node knows
-    them; `sequence`: of the patch within the subscription, from 1 on; 0 where it is none.
+class ChangefeedMessage(Reply, frozen=True, tag=7):
+    """A message of the node's change feed.
+
+    Attributes:
+        generation: Of the subscription's scopes, as the node knows them.
+        sequence: Of the patch within the subscription, from 1 on; 0 if it is not a patch.
+        message: The encoded message.
     """
 
     generation: int
     sequence: int
-    word: bytes
+    message: bytes
 
 
-AnyReply = Done | Rows | Changes | Failed | Info | Part | Fed
+AnyReply = Committed | Rows | Changes | RequestFailed | JsonReply | BackupChunk | ChangefeedMessage
 
 AnyGreeting = Hello | Welcome | Declined
-_greetings = msgspec.msgpack.Decoder(AnyGreeting)
-_requests = msgspec.msgpack.Decoder(AnyRequest)
-_replies = msgspec.msgpack.Decoder(AnyReply)
+_greeting_decoder = msgspec.msgpack.Decoder(AnyGreeting)
+_request_decoder = msgspec.msgpack.Decoder(AnyRequest)
+_reply_decoder = msgspec.msgpack.Decoder(AnyReply)
 
 
 def unpack_greeting(data: bytes) -> AnyGreeting:
-    """Raises ValueError."""
-    found: AnyGreeting = _greetings.decode(data)
-    return found
+    """Decodes the first frame of a connection.
+
+    Raises:
+        ValueError: It is not a greeting.
+    """
+    greeting: AnyGreeting = _greeting_decoder.decode(data)
+    return greeting
 
 
 def unpack_request(data: bytes) -> AnyRequest:
-    """Raises ValueError."""
-    return _requests.decode(data)
+    """Decodes a client's request.
+
+    Raises:
+        ValueError: It is not a request.
+    """
+    return _request_decoder.decode(data)
 
 
 def unpack_reply(data: bytes) -> AnyReply:
-    """Raises ValueError."""
-    return _replies.decode(data)
+    """Decodes a node's reply.
+
+    Raises:
+        ValueError: It is not a reply.
+    """
+    return _reply_decoder.decode(data)
--- a/loadbalancer/testbed/cluster/bench.py
+++ b/loadbalancer/testbed/cluster/bench.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 
 from loadbalancer.settings import Json
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import StoreError
 from loadbalancer.testbed import results
 from loadbalancer.testbed.cluster.real import RealCluster
 from loadbalancer.testbed.topology import Unusable
--- a/loadbalancer/testbed/cluster/clients.py
+++ b/loadbalancer/testbed/cluster/clients.py
@@ -7,7 +7,15 @@
 import random
 from typing import Any
 
-from loadbalancer.store.commands import ANY, AnyCommand, Code, Op, OpenSession, Result, Write
+from loadbalancer.store.commands import (
+    ANY_VERSION,
+    AnyCommand,
+    Op,
+    OpenSession,
+    Result,
+    ResultCode,
+    Write,
+)
 from loadbalancer.store.replica import Replica
 from loadbalancer.testbed.cluster.linear import Operation
 from loadbalancer.testbed.cluster.sim import MS, SECOND, Cluster
@@ -71,7 +79,7 @@
         writes, ops = [], []
         for place in places:
             value = None if self.rng.random() < 0.1 else f"{self.number}.{self.writes}.{place}"
-            version = self.known.get((group, place), 0) if self.rng.random() < 0.4 else ANY
+            version = self.known.get((group, place), 0) if self.rng.random() < 0.4 else ANY_VERSION
             writes.append((place, value, version))
             ops.append(Op(key(group, place), None if value is None else value.encode(), version))
         answered = 0
@@ -138,11 +146,11 @@
         elif op is not None and isinstance(self.command, Write):
             result: Result = what
             self.answered.add(self.command.number)
-            if result.code == Code.DONE:
+            if result.code == ResultCode.DONE:
                 op.returned, op.seen = self.cluster.now, result.versions
                 for (place, _, _), version in zip(op.writes, result.versions, strict=True):
                     self.known[op.group, place] = version
-            elif result.code == Code.CONFLICT:
+            elif result.code == ResultCode.CONFLICT:
                 op.returned, op.seen = self.cluster.now, "conflict"
             else:
                 raise AssertionError(f"a write was answered {result}")
--- a/loadbalancer/testbed/cluster/owners.py
+++ b/loadbalancer/testbed/cluster/owners.py
@@ -26,15 +26,15 @@
 from loadbalancer.leases.holder import Ask, Holder, Phase
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
-    LEASES,
+    LEASE_PREFIX,
     Claim,
-    Code,
+    ExpireClaim,
     FencedWrite,
-    Lapse,
     Op,
     OpenSession,
     Release,
     Result,
+    ResultCode,
     Upgrade,
 )
 from loadbalancer.testbed.cluster.checks import Broken
@@ -226,7 +226,7 @@
         """What a watch would tell, from any node, as late as it is."""
         node = self.cluster.nodes[self.rng.choice(sorted(self.cluster.nodes))]
         if node.replica is not None and not node.applying and not self.deaf and not self.cut:
-            item = node.replica.state.get(LEASES + LEASE)
+            item = node.replica.state.get(LEASE_PREFIX + LEASE)
             self.seen = (
                 table.unpack(item.value) if item is not None and item.value is not None else None
             )
@@ -259,7 +259,7 @@
             now = self.clock()
             if result is None:
                 holder.failed(asked.number, "no answer", now)
-            elif result.code != Code.DONE:  # the store is not upgraded yet
+            elif result.code != ResultCode.DONE:  # the store is not upgraded yet
                 holder.failed(asked.number, result.text, now)
             elif asked.what == "release":
                 holder.answered(asked.number, 0, 0, result.text, now)
@@ -455,7 +455,7 @@
     for _, command, result in committed(cluster):
         if isinstance(command, Upgrade):
             upgraded = True
-        if isinstance(command, Claim) and result.code == Code.DONE and result.versions[0]:
+        if isinstance(command, Claim) and result.code == ResultCode.DONE and result.versions[0]:
             token = result.versions[0]
             if by_token.setdefault(token, command.claim) != command.claim:
                 raise Broken("a token has one owner", f"token {token} was told to two claims")
@@ -472,12 +472,16 @@
                     f" {token} while claim {owner} had not given it back",
                 )
             owner = command.claim
-        if isinstance(command, Release | Lapse) and command.claim == owner and not result.text:
+        if (
+            isinstance(command, Release | ExpireClaim)
+            and command.claim == owner
+            and not result.text
+        ):
             owner = 0
         if isinstance(command, FencedWrite):
-            if result.code == Code.FENCED:
+            if result.code == ResultCode.FENCED:
                 refused += 1
-            elif result.code == Code.DONE and result.versions != ():
+            elif result.code == ResultCode.DONE and result.versions != ():
                 taken += 1
                 token = command.fences[0][1]
                 if not upgraded:
--- a/loadbalancer/testbed/cluster/real.py
+++ b/loadbalancer/testbed/cluster/real.py
@@ -15,7 +15,8 @@
 from pathlib import Path
 
 from loadbalancer.store import run as running
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import StoreError
 from loadbalancer.store.settings import StoreSettings, read_store
 from loadbalancer.testbed.balancer import free_port
 from loadbalancer.testbed.topology import Unusable
@@ -122,7 +123,7 @@
         until = time.monotonic() + patience_s
         while True:
             try:
-                await client.manage(what, number, address, 3.0)
+                await client.administer(what, number, address, 3.0)
                 return
             except StoreError as error:
                 if "is no member" in str(error):
--- a/loadbalancer/testbed/cluster/rowed.py
+++ b/loadbalancer/testbed/cluster/rowed.py
@@ -16,10 +16,10 @@
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
     AnyCommand,
-    Code,
     Op,
     OpenSession,
     Result,
+    ResultCode,
     RowsWrite,
     Upgrade,
 )
@@ -104,7 +104,7 @@
             result: Result = what
             self.leader = node
             self.tries += 1
-            self.done += result.code == Code.DONE and isinstance(self.command, RowsWrite)
+            self.done += result.code == ResultCode.DONE and isinstance(self.command, RowsWrite)
             self._next()
 
 
@@ -149,7 +149,9 @@
     if rng.random() < 0.5:  # an old program among new ones, for a while
         old = cluster.nodes[rng.randint(1, len(cluster.nodes))]
         old.format = rng.choice([1, 2])
-        cluster.at(rng.randint(SECOND, 4 * SECOND), lambda: setattr(old, "format", commands.FORMAT))
+        cluster.at(
+            rng.randint(SECOND, 4 * SECOND), lambda: setattr(old, "format", commands.STATE_FORMAT)
+        )
     writers = [Writer(cluster, i) for i in range(WRITERS)]
     outcome = Outcome(seed, len(cluster.nodes))
     try:
@@ -210,7 +212,7 @@
     for index, command, result in committed(cluster):
         if isinstance(command, Upgrade):
             format_ = max(format_, command.format if command.format == format_ + 1 else 0)
-        if not isinstance(command, RowsWrite) or result.code == Code.EXPIRED:
+        if not isinstance(command, RowsWrite) or result.code == ResultCode.EXPIRED:
             continue
         if answers.setdefault((command.session, command.number), result) != result:
             raise Broken("a write is made once", f"entry {index} answers again, and otherwise")
@@ -223,7 +225,7 @@
             if op.value is not None:
                 after[op.key], named[op.key] = (versions.get(op.key, 0) + 1, op.value), names
         whole = format_ >= 3 and all(one in after for names in named.values() for one in names)
-        if result.code != (Code.DONE if whole else Code.REFUSED):
+        if result.code != (ResultCode.DONE if whole else ResultCode.REFUSED):
             raise Broken(
                 "rows name what is there",
                 f"entry {index} at format {format_} is answered {result},"
--- a/loadbalancer/testbed/cluster/sim.py
+++ b/loadbalancer/testbed/cluster/sim.py
@@ -17,11 +17,11 @@
 from loadbalancer.store.durable import journal as journals
 from loadbalancer.store.durable.journal import Damaged, Full, Journal
 from loadbalancer.store.durable.state import Event, State
-from loadbalancer.store.housekeeping import Steward
+from loadbalancer.store.housekeeping import Housekeeper
 from loadbalancer.store.raft.members import Change, Refused
 from loadbalancer.store.raft.messages import AnyMessage, Kind, Members, Piece, pack, unpack_message
 from loadbalancer.store.raft.node import Batch, Busy, Config, Core, NotLeader, Role
-from loadbalancer.store.replica import Boundaries, Identity, Replica
+from loadbalancer.store.replica import Identity, LogLimits, Replica
 from loadbalancer.testbed.cluster.checks import Broken, Checks
 from loadbalancer.testbed.cluster.disk import Disk, MemoryVault, PowerLost
 
@@ -37,7 +37,7 @@
     slow_disk_ns=600 * MS,
     promote_lag=50,
 )
-BOUNDARIES = Boundaries(keep=20, entries=60, bytes=1 << 20)
+BOUNDARIES = LogLimits(keep=20, entries=60, bytes=1 << 20)
 SEGMENT = 6_000
 Answer = Callable[[str, Any], None]  # how it ended, and a Result, a reading or the leader
 
@@ -73,8 +73,8 @@
     )  # index: term, whom to answer
     reads: dict[int, tuple[int, Callable[[], Any], Answer]] = field(default_factory=dict)
     tickets: int = 0
-    steward: Steward = field(default_factory=Steward)
-    format: int = commands.FORMAT  # the newest that its program knows
+    steward: Housekeeper = field(default_factory=Housekeeper)
+    format: int = commands.STATE_FORMAT  # the newest that its program knows
     dead: str = ""  # why it will not come back
     fuse: int = -1  # boundaries until its power goes
 
@@ -148,7 +148,7 @@
             return
         node.epoch += 1
         node.due = 0  # a tick that was due is of the life before
-        node.steward = Steward()
+        node.steward = Housekeeper()
         node.disk.trip = lambda: None
         node.fuse = -1
         try:
@@ -269,7 +269,7 @@
         if due:
             with suppress(Busy, NotLeader):
                 r.core.propose([commands.pack(command) for command in due])
-                self.counts["lapses"] += sum(isinstance(c, commands.Lapse) for c in due)
+                self.counts["lapses"] += sum(isinstance(c, commands.ExpireClaim) for c in due)
                 self.turn(node)
 
     def _tick(self, node: Node, r: Replica, due: int) -> None:
--- a/loadbalancer/testbed/rig/books.py
+++ b/loadbalancer/testbed/rig/books.py
@@ -17,8 +17,9 @@
 
 from loadbalancer.leases import table
 from loadbalancer.leases.table import Lease
-from loadbalancer.store.client import Client, StoreError
-from loadbalancer.store.commands import LEASES
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import LEASE_PREFIX
+from loadbalancer.store.errors import StoreError
 from loadbalancer.store.wire.protocol import Change
 
 # what stands there is put by who owns that
@@ -92,7 +93,7 @@
         self.seen[change.key] = change.version
         if change.value is None:
             return
-        if change.key.startswith(LEASES):
+        if change.key.startswith(LEASE_PREFIX):
             self._lease(change.value)
         elif change.key.startswith("learnt/"):
             self.counts["learnt"] += 1
--- a/loadbalancer/testbed/rig/cost.py
+++ b/loadbalancer/testbed/rig/cost.py
@@ -12,8 +12,9 @@
 from pathlib import Path
 
 from loadbalancer.settings import Json
-from loadbalancer.store.client import Client, StoreError
-from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import StoreError
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.testbed.cluster.bench import cpu_s, written
 from loadbalancer.testbed.cluster.real import RealCluster
 from loadbalancer.testbed.results import spread
@@ -31,18 +32,18 @@
     """
     cluster = RealCluster(folder, 3)
     clients: list[Client] = []
-    owners: list[Owner] = []
+    owners: list[LeaseClient] = []
     try:
         await cluster.start()
         for number in range(holders):
             client = cluster.client(f"holder-{number}")
             clients.append(client)
             for lease in range(leases) if leases <= ALL else [number % leases]:
-                owners.append(Owner(client, f"work/{lease}", f"h{number}", ttl_s))
+                owners.append(LeaseClient(client, f"work/{lease}", f"h{number}", ttl_s))
         for owner in owners:
             owner.start()
         until = time.monotonic() + 30.0
-        while time.monotonic() < until and sum(bool(o.working) for o in owners) < leases:
+        while time.monotonic() < until and sum(bool(o.active_token) for o in owners) < leases:
             await asyncio.sleep(0.05)
         await asyncio.sleep(SETTLE_S)
         before = await _figures(cluster)
@@ -55,7 +56,7 @@
             "leases": leases,
             "holders": holders,
             "ttl_s": ttl_s,
-            "owned": sum(bool(o.working) for o in owners),
+            "owned": sum(bool(o.active_token) for o in owners),
             "commits": round((after[0] - before[0]) * minute),
             "bytes": round((after[1] - before[1]) * minute),
             "node_cpu_s": round((after[2] - before[2]) * minute, 2),
--- a/loadbalancer/testbed/rig/launcher.py
+++ b/loadbalancer/testbed/rig/launcher.py
@@ -117,7 +117,7 @@
     from loadbalancer.store import commands
     from loadbalancer.store.wire import protocol
 
-    commands.FORMAT = newest
+    commands.STATE_FORMAT = newest
     known: Any = commands.Write | commands.OpenSession | commands.CloseSession
     if newest == 2:
         known |= (
@@ -125,11 +125,13 @@
             | commands.Upgrade
             | commands.Claim
             | commands.Release
-            | commands.Lapse
+            | commands.ExpireClaim
         )
-    commands._commands = msgspec.msgpack.Decoder(known)
-    asked = [kind for kind in get_args(protocol.AnyRequest) if kind is not protocol.Feed]
-    protocol._requests = msgspec.msgpack.Decoder(functools.reduce(operator.or_, asked))
+    commands._command_decoder = msgspec.msgpack.Decoder(known)
+    asked = [
+        kind for kind in get_args(protocol.AnyRequest) if kind is not protocol.SendToChangefeed
+    ]
+    protocol._request_decoder = msgspec.msgpack.Decoder(functools.reduce(operator.or_, asked))
 
 
 def main() -> None:
--- a/loadbalancer/testbed/rig/run.py
+++ b/loadbalancer/testbed/rig/run.py
@@ -20,6 +20,7 @@
 
 from loadbalancer.settings import Json
 from loadbalancer.store.client import Client
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.testbed.results import spread
 from loadbalancer.testbed.rig.books import Books
 from loadbalancer.testbed.rig.firsts import Firsts
@@ -316,7 +317,9 @@
                         if k in ("at", "servers")
                     }
                     await client.put(
-                        f"list/{SERVICE}", msgspec.json.encode(plain), note="older program"
+                        f"list/{SERVICE}",
+                        msgspec.json.encode(plain),
+                        options=WriteOptions(note="older program"),
                     )
                 await asyncio.sleep(OLDER_S)
         finally:
--- a/loadbalancer/testbed/rig/taps.py
+++ b/loadbalancer/testbed/rig/taps.py
@@ -11,8 +11,8 @@
 from loadbalancer.store.commands import (
     Claim,
     CloseSession,
+    ExpireClaim,
     FencedWrite,
-    Lapse,
     OpenSession,
     Release,
     Upgrade,
@@ -20,8 +20,8 @@
 )
 from loadbalancer.store.raft.messages import unpack_message
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.frames import HEAD
-from loadbalancer.store.wire.protocol import Put
+from loadbalancer.store.wire.frames import FRAME_HEADER
+from loadbalancer.store.wire.protocol import Propose
 
 MOST = 16 << 20
 HTTP = re.compile(rb"(?:GET|POST|HEAD|PUT) ([^ ]+) HTTP/1\.1\r\n")
@@ -32,7 +32,7 @@
     CloseSession: "session",
     Claim: "claim",
     Release: "release",
-    Lapse: "lapse",
+    ExpireClaim: "lapse",
     Upgrade: "upgrade",
 }
 
@@ -63,15 +63,15 @@
 
     def heard(self, data: bytes) -> Iterator[str]:
         self.buffer += data
-        while len(self.buffer) >= HEAD.size:
-            length = HEAD.unpack_from(self.buffer)[0]
+        while len(self.buffer) >= FRAME_HEADER.size:
+            length = FRAME_HEADER.unpack_from(self.buffer)[0]
             if length > MOST:
                 self.buffer.clear()  # these are no frames
                 return
-            if len(self.buffer) < HEAD.size + length:
+            if len(self.buffer) < FRAME_HEADER.size + length:
                 return
-            payload = bytes(self.buffer[HEAD.size : HEAD.size + length])
-            del self.buffer[: HEAD.size + length]
+            payload = bytes(self.buffer[FRAME_HEADER.size : FRAME_HEADER.size + length])
+            del self.buffer[: FRAME_HEADER.size + length]
             yield self._kind(payload)
 
     def _kind(self, payload: bytes) -> str:
@@ -86,7 +86,7 @@
             if self.member:
                 return type(unpack_message(payload)).__name__.lower()
             request = protocol.unpack_request(payload)
-            if isinstance(request, Put):
+            if isinstance(request, Propose):
                 return WORDS[type(commands.unpack_command(request.command))]
             return type(request).__name__.lower()
         except ValueError:
--- a/loadbalancer/testbed/rig/world.py
+++ b/loadbalancer/testbed/rig/world.py
@@ -14,7 +14,8 @@
 
 from loadbalancer.store import documents
 from loadbalancer.store import run as running
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import StoreError
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.bench import fill
 from loadbalancer.testbed.cluster.real import RealCluster
--- a/loadbalancer/testbed/rig/writers.py
+++ b/loadbalancer/testbed/rig/writers.py
@@ -14,10 +14,12 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from loadbalancer.store.client import Client, Conflict, StoreError, Undecided
+from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.state_directory import STATE
+from loadbalancer.store.errors import ConflictError, StoreError, UndecidedError
+from loadbalancer.store.write_session import WriteOptions
 
 PREFIX = "churn/"
 COUNTER = "churn/counter"
@@ -73,9 +75,9 @@
             self.ledger.maybe.setdefault(key, set()).add(value)
         try:
             result = await self.client.write(
-                [Op(key, value.encode()) for key in keys], within_s=3.0
+                [Op(key, value.encode()) for key in keys], WriteOptions(timeout_s=3.0)
             )
-        except Undecided:
+        except UndecidedError:
             for key in keys:
                 self.ledger.undecided[key] += 1
             return
@@ -93,13 +95,15 @@
 
     async def _add(self) -> None:
         try:
-            row = (await self.client.get(COUNTER, within_s=3.0)).rows[0]
+            row = (await self.client.get(COUNTER, timeout_s=3.0)).rows[0]
             now = int(row.value or b"0")
-            await self.client.put(COUNTER, str(now + 1).encode(), row.version, within_s=3.0)
+            await self.client.put(
+                COUNTER, str(now + 1).encode(), row.version, WriteOptions(timeout_s=3.0)
+            )
             self.ledger.acknowledged[COUNTER] += 1
-        except Conflict:
+        except ConflictError:
             pass
-        except Undecided:
+        except UndecidedError:
             self.ledger.undecided[COUNTER] += 1
         except StoreError:
             pass
@@ -112,7 +116,7 @@
         number = rng.randrange(writers)
         with suppress(StoreError):
             a, b = (
-                await client.get(f"{PREFIX}w{number}/a", f"{PREFIX}w{number}/b", within_s=3.0)
+                await client.get(f"{PREFIX}w{number}/a", f"{PREFIX}w{number}/b", timeout_s=3.0)
             ).rows
             if a.value != b.value:
                 ledger.say(
--- a/loadbalancer/testbed/size/crowd.py
+++ b/loadbalancer/testbed/size/crowd.py
@@ -11,14 +11,14 @@
 from typing import Generic, TypeVar
 
 from loadbalancer.settings import split_address
-from loadbalancer.store.handshake import Dial
+from loadbalancer.store.handshake import DialedConnection
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.frames import HEAD
+from loadbalancer.store.wire.frames import FRAME_HEADER
 from loadbalancer.store.wire.protocol import (
     AnyReply,
     Changes,
-    Failed,
     Hello,
+    RequestFailed,
     Watch,
     Welcome,
     unpack_reply,
@@ -28,17 +28,17 @@
 PATIENCE_S = 30.0
 
 
-class Hearer(Dial):
+class Hearer(DialedConnection):
     """A connection that counts what comes. `bytes`: of frames, since it was greeted."""
 
     def __init__(self, name: str) -> None:
-        super().__init__(Hello(protocol.FORMAT, "", 0, "", name))
+        super().__init__(Hello(protocol.PROTOCOL_VERSION, "", 0, "", name))
         self.bytes = 0
 
-    def heard(self, payload: bytes) -> None:
-        self.bytes += HEAD.size + len(payload)
+    def payload_received(self, payload: bytes) -> None:
+        self.bytes += FRAME_HEADER.size + len(payload)
         reply = unpack_reply(payload)
-        if isinstance(reply, Failed):
+        if isinstance(reply, RequestFailed):
             raise ValueError(reply.text)
         self.replied(reply)
 
@@ -111,7 +111,9 @@
 
     def watch(self) -> None:
         assert self.transport is not None
-        self.transport.write(self.sender.frame(protocol.pack(Watch(1, 0, self.prefix, self.after))))
+        self.transport.write(
+            self.encoder.frame(protocol.pack(Watch(1, 0, self.prefix, self.after)))
+        )
 
     def replied(self, reply: AnyReply) -> None:
         if isinstance(reply, Changes) and reply.changes:
--- a/loadbalancer/testbed/size/fleet.py
+++ b/loadbalancer/testbed/size/fleet.py
@@ -14,7 +14,8 @@
 
 import msgspec
 
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import StoreError
 from loadbalancer.testbed.cluster.real import Member, RealCluster
 from loadbalancer.testbed.size.figures import Mark, Marks
 from loadbalancer.testbed.size.hollow import Codec
@@ -207,8 +208,8 @@
         for group in self.groups:
             group.party.send(signal.SIGCONT)
         await asyncio.gather(*(p.end() for p in [*(g.party for g in self.groups), *self.links]))
-        if self.writer.client.wire is not None:
-            self.writer.client.wire.abort()
+        if self.writer.client.connection is not None:
+            self.writer.client.connection.abort()
         await self.cluster.stop()
         self.cluster.end()
         for kept in self.kept:
--- a/loadbalancer/testbed/size/hollow.py
+++ b/loadbalancer/testbed/size/hollow.py
@@ -25,8 +25,9 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.settings import Json
-from loadbalancer.store.changefeed_client import FeedClient
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.changefeed_client import ChangefeedClient, ChangefeedTarget
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import StoreError
 from loadbalancer.store.wire.protocol import Row as StoreRow
 from loadbalancer.testbed.size.deciding import Deciding
 
@@ -168,16 +169,18 @@
         limits = SubscriptionLimits()
         if self.silent_s:
             limits = msgspec.structs.replace(limits, silent_ns=int(self.silent_s * 1e9))
-        self.client = FeedClient(
-            self.told.addresses,
-            lambda: None,
-            self.told.name,
+        self.client = ChangefeedClient(
+            ChangefeedTarget(
+                self.told.addresses,
+                lambda: None,
+                self.told.name,
+                self.told.near,
+                self.reach,
+                self.rng,
+            ),
             scopes,
             self._check,
             self._apply,
-            self.reach,
-            self.rng,
-            self.told.near,
             limits,
         )
 
@@ -257,8 +260,8 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        if self.client.wire is not None:
-            self.client.wire.abort()
+        if self.client.connection is not None:
+            self.client.connection.abort()
 
 
 class Hollows:
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -19,7 +19,7 @@
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
-from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.testbed.rig.world import unchecked
 from loadbalancer.testbed.size.crowd import Crowd
 from loadbalancer.testbed.size.series import Series
@@ -91,7 +91,7 @@
 class Keeper(Protocol):
     """The daemon's, with sites. `name`: the lease of its name."""
 
-    name: Owner
+    name: LeaseClient
 
     def start(self) -> None: ...
 
--- a/loadbalancer/testbed/size/links.py
+++ b/loadbalancer/testbed/size/links.py
@@ -18,7 +18,7 @@
 
 from loadbalancer.settings import Json
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.frames import HEAD
+from loadbalancer.store.wire.frames import FRAME_HEADER
 from loadbalancer.testbed.rig.relay import Relay
 from loadbalancer.testbed.rig.taps import Tap
 from loadbalancer.testbed.size.parties import serve
@@ -59,13 +59,15 @@
             self.flow.add(way, len(data))
 
     def _name(self) -> None:
-        if len(self.head) < HEAD.size:
+        if len(self.head) < FRAME_HEADER.size:
             return
-        length = HEAD.unpack_from(self.head)[0]
-        if len(self.head) < HEAD.size + length:
+        length = FRAME_HEADER.unpack_from(self.head)[0]
+        if len(self.head) < FRAME_HEADER.size + length:
             return
         try:
-            hello = protocol.unpack_greeting(self.head[HEAD.size : HEAD.size + length])
+            hello = protocol.unpack_greeting(
+                self.head[FRAME_HEADER.size : FRAME_HEADER.size + length]
+            )
         except ValueError:
             return
         assert isinstance(hello, protocol.Hello)
--- a/loadbalancer/testbed/size/sessions.py
+++ b/loadbalancer/testbed/size/sessions.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from loadbalancer.store.commands import Code, Op, OpenSession, Write, pack
+from loadbalancer.store.commands import Op, OpenSession, ResultCode, Write, pack
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.raft.messages import Entry, Kind, Members
 from loadbalancer.testbed.size.series import Series
@@ -40,7 +40,7 @@
                     write = Write(
                         who + 1, numbers[who], numbers[who] - 1, (Op(f"learnt/s/b{who}", ROW),)
                     )
-                    if commit(write) == Code.EXPIRED:
+                    if commit(write) == ResultCode.EXPIRED:
                         lost += 1
                         numbers[who] = 0
                         commit(OpenSession(who + 1))
--- a/loadbalancer/testbed/size/storecommits.py
+++ b/loadbalancer/testbed/size/storecommits.py
@@ -13,8 +13,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Claim, Op
+from loadbalancer.store.errors import StoreError
 from loadbalancer.testbed.cluster.real import Member, RealCluster
 from loadbalancer.testbed.size.process import written_bytes
 from loadbalancer.testbed.size.series import Series
