--- a/loadbalancer/testbed/size/storefeed.py
+++ b/loadbalancer/testbed/size/storefeed.py
@@ -20,10 +20,11 @@
     pack,
     unpack_told,
 )
-from loadbalancer.store.client import Client, StoreError
-from loadbalancer.store.commands import MOST_OPS, Op
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import MAX_OPERATIONS, Op
+from loadbalancer.store.errors import StoreError
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.protocol import AnyReply, Fed, Feed, Welcome
+from loadbalancer.store.wire.protocol import AnyReply, ChangefeedMessage, SendToChangefeed, Welcome
 from loadbalancer.testbed.cluster.real import RealCluster
 from loadbalancer.testbed.size.crowd import PATIENCE_S, Hearer, Hearers
 from loadbalancer.testbed.size.process import Meter, memory_mb
@@ -62,12 +63,12 @@
 
     def _say(self, word: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(self.sender.frame(protocol.pack(Feed(1, 0, word))))
+            self.transport.write(self.encoder.frame(protocol.pack(SendToChangefeed(1, 0, word))))
 
     def replied(self, reply: AnyReply) -> None:
-        if not isinstance(reply, Fed):
+        if not isinstance(reply, ChangefeedMessage):
             return
-        word = unpack_told(reply.word)
+        word = unpack_told(reply.message)
         match word:
             case Patch():
                 self._say(pack(Reached(reply.sequence)))
@@ -149,12 +150,12 @@
 async def fill_rows(client: Client, first: int, upto: int) -> int:
     """Rows of 100 bytes, spread over all services; the revision after them."""
     revision = 0
-    for number in range(first, upto, MOST_OPS):
+    for number in range(first, upto, MAX_OPERATIONS):
         revision = (
             await client.write_rows(
                 [
                     Op(f"feed/service:s{n % SERVICES}/upstream/u{n:06d}", ROW)
-                    for n in range(number, min(number + MOST_OPS, upto))
+                    for n in range(number, min(number + MAX_OPERATIONS, upto))
                 ]
             )
         ).revision
--- a/loadbalancer/testbed/size/storenode.py
+++ b/loadbalancer/testbed/size/storenode.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import MOST_OPS, Op
+from loadbalancer.store.commands import MAX_OPERATIONS, Op
 from loadbalancer.store.durable.state_directory import OUTGOING, STATE
 from loadbalancer.testbed.cluster.real import Member, RealCluster
 from loadbalancer.testbed.size.crowd import Crowd
@@ -160,10 +160,10 @@
 
 async def fill_rows(client: Client, first: int, upto: int) -> None:
     """Rows of 100 bytes with numbers from `first` on, as many a write as it takes."""
-    for number in range(first, upto, MOST_OPS):
+    for number in range(first, upto, MAX_OPERATIONS):
         ops = [
             Op(f"rows/s{n % 2900}/upstream/u{n:06d}", ROW)
-            for n in range(number, min(number + MOST_OPS, upto))
+            for n in range(number, min(number + MAX_OPERATIONS, upto))
         ]
         await client.write(ops)
 
@@ -203,7 +203,7 @@
             scan.add(size, 1e3 * (time.perf_counter() - began))
             scan_cpu.add(size, 1e3 * meter.cpu_s)
             began, meter = time.perf_counter(), Meter(node)
-            await client.manage("snapshot", within_s=60.0)
+            await client.administer("snapshot", timeout_s=60.0)
             copied.add(size, 1e3 * (time.perf_counter() - began))
             copy_cpu.add(size, 1e3 * meter.cpu_s)
             copy_mb.add(size, (member.settings.folder / OUTGOING).stat().st_size / 1e6)
--- a/loadbalancer/testbed/size/writer.py
+++ b/loadbalancer/testbed/size/writer.py
@@ -16,6 +16,7 @@
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op, Result
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.testbed.size.hollow import MASK, PROBE, Codec, seal
 from loadbalancer.testbed.size.world import GLOBALS, Service, Upstream, World
 from loadbalancer.wallclock import unix_ms
@@ -154,7 +155,7 @@
                     label,
                     [s for s, _ in w],
                     self.client.write(  # type: ignore[misc]
-                        [op for _, op in w], within_s=WITHIN_S
+                        [op for _, op in w], WriteOptions(timeout_s=WITHIN_S)
                     ),
                 )
                 for w in writes
@@ -170,14 +171,16 @@
         return await self._made(
             label,
             [PROBE],
-            self.client.write([Op(PROBE, str(self.probes).encode())], within_s=WITHIN_S),
+            self.client.write(
+                [Op(PROBE, str(self.probes).encode())], WriteOptions(timeout_s=WITHIN_S)
+            ),
         )
 
     async def truth(self) -> dict[str, int]:
         keys = {PROBE: PROBE} | {s.name: f"list/{s.name}" for s in self.world.services}
 
         async def stands(key: str) -> int:
-            row = (await self.client.get(key, within_s=WITHIN_S)).rows[0]
+            row = (await self.client.get(key, timeout_s=WITHIN_S)).rows[0]
             return seal(key, row.version, row.value or b"")
 
         seals = await self._all([lambda k=key: stands(k) for key in keys.values()])  # type: ignore[misc]
@@ -237,7 +240,9 @@
         )
         scopes = sorted({f"{feed.SERVICE}{s}" if s else feed.GLOBAL for s, _ in rows})
         return await self._made(
-            label, scopes, self.client.write_rows([op for _, op in rows], refs, within_s=WITHIN_S)
+            label,
+            scopes,
+            self.client.write_rows([op for _, op in rows], refs, WriteOptions(timeout_s=WITHIN_S)),
         )
 
     async def put(self, label: str, numbers: Sequence[int]) -> list[Change]:
@@ -252,7 +257,7 @@
 
     async def truth(self) -> dict[str, int]:
         found: dict[str, int] = {}
-        for row in (await self.client.scan(feed.PREFIX, within_s=WITHIN_S)).rows:
+        for row in (await self.client.scan(feed.PREFIX, timeout_s=WITHIN_S)).rows:
             scope, name = feed.split(row.key)
             found[scope] = (found.get(scope, 0) + seal(name, row.version, row.value or b"")) & MASK
         return found
--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -10,7 +10,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 
-from loadbalancer.store.security import Tls
+from loadbalancer.store.security import TlsFiles
 
 DAY = datetime.timedelta(days=1)
 
@@ -36,7 +36,7 @@
             self.name, subject, key, x509.random_serial_number(), now - DAY, now + DAY
         )
 
-    def issue(self, role: str, cluster: str = "*", name: str = "") -> Tls:
+    def issue(self, role: str, cluster: str = "*", name: str = "") -> TlsFiles:
         """Files of a certificate with this role; replaced where they are there."""
         stem = name or role
         key = ec.generate_private_key(ec.SECP256R1())
@@ -51,7 +51,7 @@
             )
             .sign(self.key, hashes.SHA256())
         )
-        tls = Tls(self.folder / f"{stem}.pem", self.folder / f"{stem}.key", self.path)
+        tls = TlsFiles(self.folder / f"{stem}.pem", self.folder / f"{stem}.key", self.path)
         tls.certificate.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
         tls.key.write_bytes(
             key.private_bytes(
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -45,9 +45,10 @@
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.settings import Json, Malformed
 from loadbalancer.store import run as running
-from loadbalancer.store.client import Client, Rejected
-from loadbalancer.store.commands import MOST_OPS, Op, Release, Result
-from loadbalancer.store.lease_client import clock_ns
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import MAX_OPERATIONS, Op, Release, Result
+from loadbalancer.store.errors import RejectedError
+from loadbalancer.store.lease_client import boot_clock_ns
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.daemon.test_state_sync import FakeDriver, answered, until
@@ -150,7 +151,7 @@
     stored = {f"{n:05}": (1, b"x") for n in range(5000)}
     wanted = {key: value for key, (_, value) in stored.items() if int(key) >= 2200}
     batches = differences(stored, wanted)
-    assert len(batches) == 9 and all(len(b) <= MOST_OPS for b in batches)
+    assert len(batches) == 9 and all(len(b) <= MAX_OPERATIONS for b in batches)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -237,7 +238,7 @@
         )
         assert k.list is not None
         self.list = k.list
-        k.lister.began, k.lister.ended = self.began, self.ended
+        k.lister.on_tenure(self.began, self.ended)
         if discovery is None:  # it does not ask for the list's lease
             k.lister.start = lambda: None  # type: ignore[method-assign]
         k.start()
@@ -255,7 +256,7 @@
         return {n: t.endpoint.entry.state for n, t in self.driver.upstreams.targets.items()}
 
     async def owns(self) -> Bank:
-        await self.until(lambda: self.keeper.lister.working)
+        await self.until(lambda: self.keeper.lister.active_token)
         return self
 
     async def knows(self, *rows: Json) -> None:
@@ -275,8 +276,8 @@
             task.cancel()
         if self.keeper.feed is not None:
             await self.keeper.feed.close()
-        if self.keeper.client.wire is not None:
-            self.keeper.client.wire.abort()
+        if self.keeper.client.connection is not None:
+            self.keeper.client.connection.abort()
 
 
 def told(word: ListRow, *boxes: Json, whole: bool = False) -> Apply:
@@ -320,7 +321,7 @@
         follows.apply(told(word(3, 7), box("s-1"), whole=True))
         follows.apply(told(word(3, 8), box("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
-        follows.follower.learn(Word(3, 7), clock_ns())
+        follows.follower.learn(Word(3, 7), boot_clock_ns())
         follows.apply(told(word(3, 9), box("s-3")))
         follows.apply(told(word(3, 10), box("s-3", "Gone"), box("never there", "Gone")))
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
@@ -335,11 +336,11 @@
         assert kinds() == [(api.EndpointListKind.FULL, 1)]
         # What comes while it owns the list itself, and is the next owner's, counts once it does
         # not.
-        owner.working, follows.put = 4, (4, 1, [])
+        owner.active_token, follows.put = 4, (4, 1, [])
         follows.apply(told(word(4, 1), box("s-5")))
         follows.apply(told(word(5, 1), box("s-6")))
         assert kinds() == []
-        owner.working = 0
+        owner.active_token = 0
         follows.ended()
         assert kinds() == [(api.EndpointListKind.FULL, 3)] and follows.mirrors
         follows.put = 6, 1, []
@@ -437,7 +438,7 @@
                 n: state is api.UpstreamState.READY for n, state in two.known.items()
             }
             assert (await client.get("list/orders")).rows[0].value is None
-            with pytest.raises(Rejected, match="names"):
+            with pytest.raises(RejectedError, match="names"):
                 await client.write_rows([Op(KEYS.service, None)])
             for bank in (one, two):
                 await bank.close()
@@ -518,7 +519,7 @@
             three = Bank(c, "three", discovery)
             await two.close()
             await three.owns()
-            await stored.until(lambda: stored.token == three.keeper.lister.working)
+            await stored.until(lambda: stored.token == three.keeper.lister.active_token)
             assert len(stored.writes) == 3  # nothing but its own word
             await three.close()
 
@@ -568,7 +569,7 @@
             writes = len(stored.writes)
             on.set()
             await asyncio.wait((owned,))
-            assert one.keeper.lister.refused == 1
+            assert one.keeper.lister.fenced_writes == 1
             await stored.are(box("s-1"))
             assert len(stored.writes) == writes
             await one.close()
@@ -686,7 +687,7 @@
             await two.knows(*discovery.rows)
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
-                await c.client().copy(file.write)
+                await c.client().read_backup(file.write)
             discovery.change(box("s-2", "Gone"), box("s-3"))
             await two.knows(*discovery.rows)
             lists = len(two.driver.lists)
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -83,8 +83,10 @@
             )
             first = await put(client, ORDERS, b"1", "a")
             assert (await feed(c, "wait", str(first), "--within", "20s")).exit_code == 0
-            assert slow.client.wire is not None and slow.client.wire.transport is not None
-            slow.client.wire.transport.pause_reading()
+            assert (
+                slow.client.connection is not None and slow.client.connection.transport is not None
+            )
+            slow.client.connection.transport.pause_reading()
             revision = await put(client, ORDERS, b"2", "a")
             await quick.has(ORDERS, "upstream/a", b"2")
             late = await feed(c, "wait", str(revision), "--within", "0.5")
@@ -96,7 +98,7 @@
             ), said
             assert "slow at" in plain(await feed(c, "status"))
             waiting = asyncio.create_task(feed(c, "wait", str(revision), "--within", "20s"))
-            slow.client.wire.transport.resume_reading()
+            slow.client.connection.transport.resume_reading()
             assert (await waiting).exit_code == 0 and slow.value(ORDERS, "upstream/a") == b"2"
             await leave(quick, slow)
 
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -163,7 +163,7 @@
             token = (await doc(client)).token
             for beside in (one, two):
                 beside.driver.gone = set()
-            owner, other = (one, two) if one.keeper.site_owner.working else (two, one)
+            owner, other = (one, two) if one.keeper.site_owner.active_token else (two, one)
             await owner.close()  # the next one goes on from what stands
             async with asyncio.timeout(40):
                 while (now := await doc(client)).token == token or any(
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -25,7 +25,7 @@
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
-from loadbalancer.store.client import Conflict, Rejected
+from loadbalancer.store.errors import ConflictError, RejectedError
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import Client, FakeUpstream, free_port, run
 from tests.store.test_node import Cluster, cluster
@@ -95,11 +95,11 @@
             process = await begin(boot)
             asked = await answered(port)
             assert (await asked.ask("r1")).body == b"s-0"
-            with pytest.raises(Rejected, match="missing required field"):
+            with pytest.raises(RejectedError, match="missing required field"):
                 await documents.put(
                     client, "balancer/orders", "listen = 'x'\n[[class]]\n", check, 1, "me"
                 )
-            with pytest.raises(Conflict):
+            with pytest.raises(ConflictError):
                 await documents.put(
                     client, "balancer/orders", settings(port, second), check, 9, "me"
                 )
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -18,13 +18,13 @@
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
     Claim,
-    Code,
+    ExpireClaim,
     FencedWrite,
-    Lapse,
     Op,
     OpenSession,
     Release,
     Result,
+    ResultCode,
     Upgrade,
     Write,
 )
@@ -90,10 +90,10 @@
     log.do(Release("work", 11, 1))
     lease = log.lease()
     assert (lease.holder, lease.token, lease.offered) == ("d", 2, True)
-    assert log.write("k", 2).code == Code.FENCED  # offered is not yet held
+    assert log.write("k", 2).code == ResultCode.FENCED  # offered is not yet held
     assert log.claim("d", 14) == (2, 0)
-    assert log.write("k", 2).code == Code.DONE
-    assert log.write("k", 1).code == Code.FENCED
+    assert log.write("k", 2).code == ResultCode.DONE
+    assert log.write("k", 1).code == ResultCode.FENCED
     assert log.lease().refused == 2
 
 
@@ -109,16 +109,16 @@
 ) -> None:
     log.claim("a", 11)
     assert log.claim("a", 21) == (0, 1)
-    assert log.do(Lapse("work", 11, 1)).text == ""
+    assert log.do(ExpireClaim("work", 11, 1)).text == ""
     assert log.claim("a", 21) == (2, 0)
 
 
 def test_a_lapse_counts_only_for_the_round_it_was_meant_for(log: Log) -> None:
     log.claim("a", 11)
     log.claim("a", 11)
-    assert log.do(Lapse("work", 11, 1)).text == "it was renewed since"
+    assert log.do(ExpireClaim("work", 11, 1)).text == "it was renewed since"
     assert log.lease().holder == "a"
-    assert log.do(Lapse("work", 11, 2)).text == ""
+    assert log.do(ExpireClaim("work", 11, 2)).text == ""
     assert log.lease().holder == ""
 
 
@@ -129,16 +129,16 @@
     assert log.claim("a", 11) == (1, 0)
     assert log.do(Claim("last", "a", 12, 1000)).versions == (2, 0)
     full = log.do(Claim("one-more", "a", 13, 1000))
-    assert full.code == Code.REFUSED and "there are 2 leases already" in full.text
+    assert full.code == ResultCode.REFUSED and "there are 2 leases already" in full.text
     assert log.claim("a", 11) == (1, 0)  # renewed
     assert log.claim("b", 21) == (0, 1)  # a candidate waits
-    assert log.do(Release("work", 11, 1)).code == Code.DONE  # handed over
+    assert log.do(Release("work", 11, 1)).code == ResultCode.DONE  # handed over
     assert log.claim("b", 21) == (3, 0)
     assert (
-        log.write("list/orders", 3).code == Code.DONE
-        and log.write("list/orders", 1).code == Code.FENCED
+        log.write("list/orders", 3).code == ResultCode.DONE
+        and log.write("list/orders", 1).code == ResultCode.FENCED
     )
-    assert log.do(Lapse("last", 12, 1)).text == "" and log.do(
+    assert log.do(ExpireClaim("last", 12, 1)).text == "" and log.do(
         Claim("last", "c", 31, 1000)
     ).versions == (4, 0)
 
@@ -148,7 +148,7 @@
         log.claim(f"p{number}", 11 + number)
     assert log.do(Claim("work", "late", 99, 1000)).text == "there is no room among the candidates"
     made = log.do(Write(7, 1000, 0, (Op("lease/work", b"mine"),)))
-    assert made.code == Code.REFUSED
+    assert made.code == ResultCode.REFUSED
 
 
 def test_tokens_grow_over_deletion_snapshot_and_restore(log: Log, tmp_path: Path) -> None:
@@ -160,7 +160,7 @@
     states.export(tmp_path / "state.db", copy)
     restored = Log(states.adopt(copy, "other", MEMBERS, 5_000))
     assert restored.lease().token == before  # who held it then may go on, or be waited out
-    restored.do(Lapse("work", 12, restored.state.running()[0].round))
+    restored.do(ExpireClaim("work", 12, restored.state.running()[0].round))
     after = restored.claim("c", 13)[0]
     assert after > before and table.written(after) == "5000.1"
     again = states.adopt(copy, "third", MEMBERS, 6_000)
@@ -175,7 +175,7 @@
     log = Log(states.open_state(tmp_path / "state.db"))
     assert log.state.format == 1
     assert [i.note for i in log.state.history("config/balancer/orders")] == ["second", "first"]
-    assert log.do(Claim("work", "a", 11, 1000)).code == Code.REFUSED
+    assert log.do(Claim("work", "a", 11, 1000)).code == ResultCode.REFUSED
     was = log.state.digest()
     log.do(Upgrade(2))
     assert log.state.get("lease/mine") is None, "a plain key of before is no lease"
@@ -196,7 +196,7 @@
     with pytest.raises(ValueError):
         state.apply(entries)
     assert (state.format, state.tokens, state.claimed, state.applied) == (1, 0, [], 0)
-    assert [r.code for r in state.apply(entries[:2])] == [Code.DONE, Code.DONE]
+    assert [r.code for r in state.apply(entries[:2])] == [ResultCode.DONE, ResultCode.DONE]
 
 
 # ---- the owner's time ----------------------------------------------------------------------------
@@ -302,7 +302,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_owners_are_served_alike_over_the_newest_format(seed: int) -> None:
-    assert not owners.play(seed, newest=commands.FORMAT).broken, f"seed {seed}"
+    assert not owners.play(seed, newest=commands.STATE_FORMAT).broken, f"seed {seed}"
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
@@ -314,5 +314,7 @@
     """Bytes as they were before there were leases: among its nodes may be old ones."""
     write = Write(5, 1, 0, (Op("k", b"v"),), (), "me", "why", 7)
     assert commands.pack(write).hex() == "99010501009193a16bc40176ff90a26d65a377687907"
-    assert commands.format_of(write) == 1
-    assert commands.format_of(FencedWrite(5, 1, 0, (Op("k", b"v"),), fences=(("work", 1),))) == 2
+    assert commands.required_format(write) == 1
+    assert (
+        commands.required_format(FencedWrite(5, 1, 0, (Op("k", b"v"),), fences=(("work", 1),))) == 2
+    )
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -19,14 +19,16 @@
 from loadbalancer.settings import Malformed
 from loadbalancer.store import changefeed_server, server
 from loadbalancer.store import run as running
-from loadbalancer.store.changefeed_client import FeedClient
-from loadbalancer.store.client import Client, Rejected, Unavailable, Undecided
+from loadbalancer.store.changefeed_client import ChangefeedClient, ChangefeedTarget
+from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
 from loadbalancer.store.durable import state as states
-from loadbalancer.store.security import Tls
+from loadbalancer.store.errors import RejectedError, UnavailableError, UndecidedError
+from loadbalancer.store.security import TlsFiles
 from loadbalancer.store.server import Connection
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.protocol import Feed, Hello
+from loadbalancer.store.wire.protocol import Hello, SendToChangefeed
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.certificates import Authority
 from tests.fakes import Watched
@@ -47,22 +49,24 @@
         scopes: Sequence[str],
         name: str = "b",
         seed: int = 1,
-        tls: Tls | None = None,
+        tls: TlsFiles | None = None,
         check: Callable[[str, Row], str] = lambda scope, row: "",
         near: int = 0,
     ) -> None:
         super().__init__()
         self.rows: dict[str, dict[str, bytes]] = {}
         self.applied: list[Apply] = []
-        self.client = FeedClient(
-            addresses,
-            lambda: tls.context(False) if tls else None,
-            name,
+        self.client = ChangefeedClient(
+            ChangefeedTarget(
+                addresses,
+                lambda: tls.context(False) if tls else None,
+                name,
+                near,
+                rng=random.Random(seed),
+            ),
             scopes,
             check,
             self.apply,
-            rng=random.Random(seed),
-            near=near,
             limits=QUICK,
         )
         self.client.start()
@@ -108,7 +112,7 @@
                 return (
                     await client.write_rows([Op(key(scope, name), value) for name in names])
                 ).revision
-            except Undecided:  # over a change of leaders; said again it does no harm
+            except UndecidedError:  # over a change of leaders; said again it does no harm
                 pass
 
 
@@ -156,13 +160,13 @@
                 ]
             await other.has(CARTS, "upstream/x", b"9")
             assert set(other.rows) == {CARTS}, "nothing of what it did not ask for"
-            other.client.want([ORDERS], [CARTS])
+            other.client.change_scopes([ORDERS], [CARTS])
             await other.has(ORDERS, "upstream/a", b"2")
-            with pytest.raises(Rejected, match="which is not there"):
+            with pytest.raises(RejectedError, match="which is not there"):
                 await client.write_rows(
                     [Op(key(ORDERS, "c"), b"1")], [("feed/global/tenant/none",)]
                 )
-            with pytest.raises(Rejected, match="changed by writes of rows alone"):
+            with pytest.raises(RejectedError, match="changed by writes of rows alone"):
                 await client.put(key(ORDERS, "c"), b"1")
             assert all(feed_of(c, p)["subscribers"] == 1 + (p == 0) for p in c.nodes)
             await leave(*some, other)
@@ -319,9 +323,11 @@
             quick = Balancer([c.settings[0].advertise], [ORDERS], "quick", 2)
             for one in (slow, quick):
                 await one.has(ORDERS, "upstream/a", b"0")
-            assert slow.client.wire is not None and slow.client.wire.transport is not None
+            assert (
+                slow.client.connection is not None and slow.client.connection.transport is not None
+            )
             for transport in (
-                slow.client.wire.transport,
+                slow.client.connection.transport,
                 *(
                     one.transport
                     for one in c.nodes[0].server.connections
@@ -330,7 +336,7 @@
             ):
                 for what in (socket.SO_SNDBUF, socket.SO_RCVBUF):
                     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, what, 16 << 10)
-            slow.client.wire.transport.pause_reading()
+            slow.client.connection.transport.pause_reading()
             big, names = bytes(4000), [f"n{i}" for i in range(50)]
             for number in range(1, 51):
                 await put(client, ORDERS, big, *names)
@@ -343,7 +349,7 @@
             ]
             assert max(unread) < 512 << 10 and feed_of(c, 0)["laggards"][0]["name"] == "slow"
             told = len(slow.applied)
-            slow.client.wire.transport.resume_reading()
+            slow.client.connection.transport.resume_reading()
             await slow.has(ORDERS, "upstream/a", b"50")
             assert len(slow.applied) - told < 10 and slow.applied[-1].revision == revision
             assert slow.goes_forward() and slow.rows == quick.rows
@@ -364,7 +370,7 @@
             await put(client, ORDERS, b"0", "a")
             one = Balancer([c.settings[0].advertise], [ORDERS])
             await one.has(ORDERS, "upstream/a", b"0")
-            wire = one.client.wire
+            wire = one.client.connection
             assert wire is not None and wire.transport is not None
             wire.transport.pause_reading()
             async with asyncio.timeout(20):
@@ -388,7 +394,7 @@
             some = [Balancer(addresses, [ORDERS], f"b{i}", i) for i in range(12)]
             for one in some:
                 await one.has(ORDERS, "upstream/a", b"0")
-            assert len({one.client.at for one in some}) == 3, "they are spread"
+            assert len({one.client.address for one in some}) == 3, "they are spread"
             for number in range(1, 21):
                 if number in (5, 12):  # no majority is needed to hear, but it is to write
                     place = (
@@ -429,7 +435,7 @@
             node.step = lambda sender, message: None  # type: ignore[method-assign]
             await put(client, ORDERS, b"2", "a")
             await free.has(ORDERS, "upstream/a", b"2")
-            assert free.client.at != here and free.goes_forward()
+            assert free.client.address != here and free.goes_forward()
             assert free.client.subscription.why == f"{here}: this node knows of no leader"
             told, tell = list[int](), Connection.tell
 
@@ -468,7 +474,7 @@
             await put(client, ORDERS, b"old", "a")
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
-                await client.copy(file.write)
+                await client.read_backup(file.write)
             for number in range(30):
                 await put(client, ORDERS, b"%d" % number, "a", "b")
             running.restore(c.read(1), copy, "d")
@@ -499,9 +505,9 @@
             await old.kill(first)
             await old.begin(first)  # one of them is replaced
             await old.insist(client, "transfer", first.number, "", 20.0)
-            await client.put("config/a", b"1", within_s=20.0)
+            await client.put("config/a", b"1", options=WriteOptions(timeout_s=20.0))
             with pytest.raises(
-                Unavailable, match=f"not all nodes know rows yet: {old.members[1].number:x}"
+                UnavailableError, match=f"not all nodes know rows yet: {old.members[1].number:x}"
             ):
                 await client.write_rows([Op(key(ORDERS, "a"), b"1")])
             assert (await client.status())["format"] == 2
@@ -570,15 +576,22 @@
         async with cluster(tmp_path, 1) as c:
             wire, why = await greeted(c, Hello(1, "", 0))
             assert not why
-            failed = await asyncio.wait_for(wire.ask(Feed(3, 0, b"\xc1")), 5)
-            assert isinstance(failed, protocol.Failed) and "no word of the feed" in failed.text
+            failed = await asyncio.wait_for(wire.request(SendToChangefeed(3, 0, b"\xc1")), 5)
+            assert (
+                isinstance(failed, protocol.RequestFailed) and "no word of the feed" in failed.text
+            )
             await asyncio.wait_for(wire.ended, 5)
             assert c.nodes[0].node.feeding.hearers == {}
             await put(c.client(), ORDERS, b"1", "a")
 
     run(test)
     with pytest.raises(Malformed):
-        FeedClient(["nowhere"], lambda: None, "b", [], lambda scope, row: "", lambda what: None)
+        ChangefeedClient(
+            ChangefeedTarget(["nowhere"], lambda: None, "b"),
+            [],
+            lambda scope, row: "",
+            lambda what: None,
+        )
 
 
 def test_a_feed_that_fails_begins_anew_and_the_store_goes_on(
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -13,28 +13,29 @@
 import pytest
 
 from loadbalancer.store import run as running
-from loadbalancer.store.client import (
-    Client,
-    Compacted,
-    Conflict,
-    Rejected,
-    StoreError,
-    Unavailable,
-    Wire,
-)
+from loadbalancer.store.client import Client
+from loadbalancer.store.client_connection import ClientConnection
 from loadbalancer.store.commands import Op, OpenSession, Result, Write, pack
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.files import RealFile
 from loadbalancer.store.durable.journal import Damaged
 from loadbalancer.store.durable.state import State
-from loadbalancer.store.node import Late
+from loadbalancer.store.errors import (
+    ConflictError,
+    DeadlineExceededError,
+    RejectedError,
+    StoreError,
+    UnavailableError,
+    WatchCompactedError,
+)
 from loadbalancer.store.raft.messages import Entry, VoteAsk
 from loadbalancer.store.raft.messages import pack as pack_message
-from loadbalancer.store.run import Running
-from loadbalancer.store.security import Tls
+from loadbalancer.store.run import StoreServer
+from loadbalancer.store.security import TlsFiles
 from loadbalancer.store.settings import StoreSettings, read_store
 from loadbalancer.store.wire import frames, protocol
-from loadbalancer.store.wire.protocol import Hello, Put
+from loadbalancer.store.wire.protocol import Hello, Propose
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.testbed.cluster.real import RealCluster
 from loadbalancer.testbed.rig.run import play
 from loadbalancer.testbed.rig.scenario import builtin, read
@@ -45,10 +46,10 @@
 class Cluster:
     """Nodes in this process."""
 
-    def __init__(self, folder: Path, tls: Tls | None = None) -> None:
+    def __init__(self, folder: Path, tls: TlsFiles | None = None) -> None:
         self.folder = folder
         self.tls = tls
-        self.nodes: dict[int, Running] = {}
+        self.nodes: dict[int, StoreServer] = {}
         self.settings: dict[int, StoreSettings] = {}
         self.clients: list[Client] = []
 
@@ -69,8 +70,8 @@
         self.settings[place] = read_store(path)
         return self.settings[place]
 
-    async def begin(self, place: int) -> Running:
-        self.nodes[place] = Running(self.settings[place])
+    async def begin(self, place: int) -> StoreServer:
+        self.nodes[place] = StoreServer(self.settings[place])
         await self.nodes[place].start()
         return self.nodes[place]
 
@@ -89,12 +90,14 @@
         async with asyncio.timeout(20):
             while True:
                 try:
-                    await client.manage(what, node, address)
+                    await client.administer(what, node, address)
                     return
                 except StoreError:
                     await asyncio.sleep(0.01)
 
-    def client(self, tls: Tls | None = None, deadline_s: float = 5.0, only: int = -1) -> Client:
+    def client(
+        self, tls: TlsFiles | None = None, deadline_s: float = 5.0, only: int = -1
+    ) -> Client:
         keys = tls or self.tls_of_client()
         context = keys.context(False) if keys else None
         places = [only] if only >= 0 else sorted(self.settings)
@@ -105,11 +108,11 @@
         )
         return self.clients[-1]
 
-    def tls_of_client(self) -> Tls | None:
+    def tls_of_client(self) -> TlsFiles | None:
         if self.tls is None:
             return None
         folder = self.tls.certificate.parent
-        return Tls(folder / "admin.pem", folder / "admin.key", self.tls.authority)
+        return TlsFiles(folder / "admin.pem", folder / "admin.key", self.tls.authority)
 
     def leader(self) -> int:
         return next(p for p, r in self.nodes.items() if r.node.core.role.value == "leader")
@@ -126,7 +129,7 @@
 
 @asynccontextmanager
 async def cluster(
-    folder: Path, size: int = 3, tls: Tls | None = None, extra: str = ""
+    folder: Path, size: int = 3, tls: TlsFiles | None = None, extra: str = ""
 ) -> AsyncIterator[Cluster]:
     made = Cluster(folder, tls)
     try:
@@ -145,12 +148,14 @@
         async with cluster(tmp_path) as c:
             client = c.client()
             assert await client.put("config/a", b"1", 0) == 1
-            with pytest.raises(Conflict, match="config/a is at version 1"):
+            with pytest.raises(ConflictError, match="config/a is at version 1"):
                 await client.put("config/a", b"2", 0)
             for place in c.nodes:
                 row = (await c.client(only=place).get("config/a")).rows[0]
                 assert (row.value, row.version) == (b"1", 1)
-            result = await client.write([Op("b", b"x", 0), Op("config/a", b"2", 1)], note="both")
+            result = await client.write(
+                [Op("b", b"x", 0), Op("config/a", b"2", 1)], WriteOptions(note="both")
+            )
             assert result.versions == (1, 2)
             for place in list(c.nodes):
                 await c.stop(place)
@@ -185,9 +190,9 @@
             stale = await one.get("a", stale=True)
             # It holds the last write, and may not have been told yet that it was committed.
             assert stale.rows[0].value in (b"1", b"2") and stale.behind_ms > 0
-            with pytest.raises(Unavailable):
+            with pytest.raises(UnavailableError):
                 await one.get("a")
-            with pytest.raises(Unavailable):
+            with pytest.raises(UnavailableError):
                 await one.put("a", b"3")
 
     run(test)
@@ -198,15 +203,15 @@
         async with cluster(tmp_path, 1) as c:
             client = c.client()
             await client.put("n", b"0")
-            wire = client.wire
+            wire = client.connection
             assert wire is not None
             session = 4242
             write = pack(Write(session, 1, 0, (Op("n", b"1"),)))
-            await wire.ask(Put(9001, 1000, pack(OpenSession(session))))
+            await wire.request(Propose(9001, 1000, pack(OpenSession(session))))
             first, second = await asyncio.gather(
-                *(wire.ask(Put(n, 1000, write)) for n in (9002, 9003))
+                *(wire.request(Propose(n, 1000, write)) for n in (9002, 9003))
             )
-            assert isinstance(first, protocol.Done) and isinstance(second, protocol.Done)
+            assert isinstance(first, protocol.Committed) and isinstance(second, protocol.Committed)
             assert first.result == second.result
             assert (await client.get("n")).rows[0].version == 2
 
@@ -248,7 +253,7 @@
             client = c.client()
             for i in range(9):
                 await client.put("w", b"%d" % i)
-            with pytest.raises(Compacted, match="read anew"):
+            with pytest.raises(WatchCompactedError, match="read anew"):
                 async for _ in client.watch("w", 0):
                     pass
 
@@ -285,23 +290,25 @@
             client = c.client()
             gone = next(p for p in c.nodes if p != c.leader())
             number = c.nodes[gone].node.identity.node
-            await client.manage("remove", number)
+            await client.administer("remove", number)
             term = c.nodes[c.leader()].node.core.term
             async with asyncio.timeout(10):
                 while f"node {number:x} was removed" not in caplog.text:
                     await asyncio.sleep(0.01)
             await client.put("a", b"1")
             assert c.nodes[c.leader()].node.core.term == term
-            with pytest.raises(Rejected, match="comes back only with a new data folder"):
-                await client.manage("learn", number, "127.0.0.1:1")
+            with pytest.raises(RejectedError, match="comes back only with a new data folder"):
+                await client.administer("learn", number, "127.0.0.1:1")
 
     with caplog.at_level(logging.WARNING):
         run(test)
 
 
-async def greeted(c: Cluster, hello: Hello, tls: Tls | None = None) -> tuple[Wire, str]:
+async def greeted(
+    c: Cluster, hello: Hello, tls: TlsFiles | None = None
+) -> tuple[ClientConnection, str]:
     """A connection that says this, and what came of it: empty where it was welcomed."""
-    wire = Wire(hello)
+    wire = ClientConnection(hello)
     host, port = c.settings[0].listen
     await asyncio.get_running_loop().create_connection(
         lambda: wire, host, port, ssl=tls.context(False) if tls else None
@@ -316,7 +323,7 @@
 def test_what_is_not_of_this_cluster_is_refused_in_one_line(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def closed(wire: Wire) -> None:
+    async def closed(wire: ClientConnection) -> None:
         async with asyncio.timeout(5):
             while not wire.closed:
                 await asyncio.sleep(0.005)
@@ -333,7 +340,7 @@
             vote = pack_message(VoteAsk(term + 50, 10**9, 10**9, False, True))
             recorded, why = await greeted(c, Hello(1, "c", 77))
             assert not why
-            replayed = recorded.sender.frame(vote)
+            replayed = recorded.encoder.frame(vote)
             other, _ = await greeted(c, Hello(1, "c", 78))
             assert other.transport is not None
             other.transport.write(replayed)
@@ -344,13 +351,13 @@
             # And twice on its own.
             again, _ = await greeted(c, Hello(1, "c", 79))
             assert again.transport is not None
-            frame = again.sender.frame(pack_message(VoteAsk(term, 0, 0, True)))
+            frame = again.encoder.frame(pack_message(VoteAsk(term, 0, 0, True)))
             again.transport.write(frame + frame)
             await closed(again)
             assert "frame 1 where 2 was due" in caplog.text
             large, _ = await greeted(c, Hello(1, "c", 80))
             assert large.transport is not None
-            large.transport.write(frames.HEAD.pack(1 << 30, 1, 0))
+            large.transport.write(frames.FRAME_HEADER.pack(1 << 30, 1, 0))
             await closed(large)
             assert "a frame of 1073741824 bytes" in caplog.text
             assert await c.client().put("a", b"1") == 1
@@ -370,12 +377,12 @@
         async with cluster(tmp_path, 2, node) as c:
             assert await c.client(write).put("a", b"1") == 1
             assert (await c.client(read).get("a")).rows[0].value == b"1"
-            with pytest.raises(Rejected, match="the role read may not"):
+            with pytest.raises(RejectedError, match="the role read may not"):
                 await c.client(read).put("a", b"2")
-            with pytest.raises(Rejected, match="the role write may not"):
-                await c.client(write).manage("transfer", 5)
+            with pytest.raises(RejectedError, match="the role write may not"):
+                await c.client(write).administer("transfer", 5)
             for stranger in (elsewhere, foreign, node):
-                with pytest.raises(Unavailable):
+                with pytest.raises(UnavailableError):
                     await c.client(stranger, deadline_s=0.7).get("a")
             assert "role is admin" in (await greeted(c, Hello(1, "c", 99), admin))[1]
             # All get new ones, of another authority; nodes take them without a restart.
@@ -387,7 +394,7 @@
                 await running_.server.look_at_keys()
                 assert running_.server.stamp == c.settings[0].tls.stamp()  # type: ignore[union-attr]
             assert await c.client(admin).put("a", b"3") == 2
-            with pytest.raises(Unavailable):
+            with pytest.raises(UnavailableError):
                 await c.client(write, deadline_s=0.7).put("a", b"4")
             # Bad ones leave the good in use.
             node.certificate.write_text("nonsense")
@@ -405,7 +412,7 @@
             await client.put("config/a", b"kept")
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
-                index, _, size, checksum = await client.copy(file.write)
+                index, _, size, checksum = await client.read_backup(file.write)
             assert copy.stat().st_size == size and states.checksum(copy) == checksum
             made = running.restore(c.read(1), copy, "d")
             await c.begin(1)
@@ -467,7 +474,9 @@
             await client.put("a", b"1")
             for what in full:
                 full[what] = True
-                waiting = asyncio.create_task(client.put("b", b"1", within_s=20.0))
+                waiting = asyncio.create_task(
+                    client.put("b", b"1", options=WriteOptions(timeout_s=20.0))
+                )
                 async with asyncio.timeout(10):
                     while what not in c.nodes[0].node.figures.full:
                         await asyncio.sleep(0.005)
@@ -493,7 +502,7 @@
         running.init(settings, "c")
 
     async def open_() -> None:
-        await Running(settings).close()
+        await StoreServer(settings).close()
 
     (tmp_path / "n0" / "identity.json").rename(tmp_path / "kept")
     with pytest.raises(Damaged, match="belongs to no cluster yet"):
@@ -536,8 +545,8 @@
 
             task = asyncio.ensure_future(watch())
             await told.wait()
-            assert client.wire is not None
-            for queue in client.wire.watches.values():
+            assert client.connection is not None
+            for queue in client.connection.watches.values():
                 queue.put_nowait(None)
             for _ in range(turns):
                 await asyncio.sleep(0)
@@ -555,7 +564,7 @@
         async with cluster(tmp_path, 1) as c:
             node = c.nodes[0].node
             await c.stop(0)
-            with pytest.raises(Late):
+            with pytest.raises(DeadlineExceededError):
                 await node.query(lambda state: state.applied)
 
     run(test)
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -16,13 +16,13 @@
 from loadbalancer.changefeed.messages import MOST_ROW
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
-    FORMAT,
-    MOST_REFS,
-    Code,
+    MAX_REFERENCES,
+    STATE_FORMAT,
     FencedWrite,
     Op,
     OpenSession,
     Result,
+    ResultCode,
     RowsWrite,
     Upgrade,
     Write,
@@ -30,7 +30,7 @@
 from loadbalancer.store.durable import rows as stored
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.state import Event, State
-from loadbalancer.store.housekeeping import AGAIN_NS, Steward
+from loadbalancer.store.housekeeping import AGAIN_NS, Housekeeper
 from loadbalancer.store.raft.messages import Entry, Kind
 from loadbalancer.testbed.cluster import rowed
 from tests.leases.test_leases import KEPT, MEMBERS, Log
@@ -41,7 +41,7 @@
 ALL = ACME, ROUTE, OTHER, TIMES
 
 
-def upgraded(state: State, upto: int = FORMAT) -> Log:
+def upgraded(state: State, upto: int = STATE_FORMAT) -> Log:
     log = Log(state)
     for number in range(2, upto + 1):
         log.do(Upgrade(number))
@@ -78,21 +78,29 @@
 
 def test_a_row_names_only_what_is_there_after_its_write(log: Log) -> None:
     made = rows(log, (ROUTE, b"r", (ACME,)))
-    assert (made.code, made.text) == (Code.REFUSED, f"{ROUTE} names {ACME}, which is not there")
+    assert (made.code, made.text) == (
+        ResultCode.REFUSED,
+        f"{ROUTE} names {ACME}, which is not there",
+    )
     assert log.state.get(ROUTE) is None
-    assert rows(log, (ROUTE, b"r", (ACME,)), (ACME, b"t", ())).code == Code.DONE, (
+    assert rows(log, (ROUTE, b"r", (ACME,)), (ACME, b"t", ())).code == ResultCode.DONE, (
         "both within one write"
     )
     made = rows(log, (ACME, None, ()))
-    assert (made.code, made.text) == (Code.REFUSED, f"{ROUTE} still names {ACME}")
+    assert (made.code, made.text) == (ResultCode.REFUSED, f"{ROUTE} still names {ACME}")
     made = rows(log, (ROUTE, b"r2", (ACME,)), (ACME, None, ()))
-    assert (made.code, made.text) == (Code.REFUSED, f"{ROUTE} names {ACME}, which is not there")
-    assert rows(log, (ACME, b"t2", ())).code == Code.DONE, "a row that is named may change"
-    assert rows(log, (ROUTE, b"r2", ()), (ACME, None, ())).code == Code.DONE, "it names it no more"
+    assert (made.code, made.text) == (
+        ResultCode.REFUSED,
+        f"{ROUTE} names {ACME}, which is not there",
+    )
+    assert rows(log, (ACME, b"t2", ())).code == ResultCode.DONE, "a row that is named may change"
+    assert rows(log, (ROUTE, b"r2", ()), (ACME, None, ())).code == ResultCode.DONE, (
+        "it names it no more"
+    )
     assert rows(log, (ACME, b"t", ()), (ROUTE, b"r", (ACME,))).versions == (4, 3)
-    assert rows(log, (ACME, None, ()), (ROUTE, None, ())).code == Code.DONE, "both go at once"
-    assert rows(log, (ACME, b"t", ())).code == Code.DONE
-    assert rows(log, (ACME, None, ())).code == Code.DONE, "what is gone names nothing"
+    assert rows(log, (ACME, None, ()), (ROUTE, None, ())).code == ResultCode.DONE, "both go at once"
+    assert rows(log, (ACME, b"t", ())).code == ResultCode.DONE
+    assert rows(log, (ACME, None, ())).code == ResultCode.DONE, "what is gone names nothing"
 
 
 def test_a_write_of_rows_is_made_whole_or_not_at_all(log: Log) -> None:
@@ -101,14 +109,14 @@
     assert before == [Event(log.state.applied, ACME, 1, b"t")]
     assert (
         rows(log, (ACME, b"t2", ()), (ROUTE, b"r", ("feed/global/tenant/none",))).code
-        == Code.REFUSED
+        == ResultCode.REFUSED
     )
     assert (
         rows(log, (ACME, b"t2", ()), ("config/a", b"x", ()), checks=(("b", 1),)).code
-        == Code.CONFLICT
+        == ResultCode.CONFLICT
     )
     assert (log.state.get(ACME) or pytest.fail()).value == b"t" and log.state.take_fed() == []
-    assert rows(log, (ROUTE, b"r", (ACME,)), ("config/a", b"x", ())).code == Code.DONE, (
+    assert rows(log, (ROUTE, b"r", (ACME,)), ("config/a", b"x", ())).code == ResultCode.DONE, (
         "other keys with it"
     )
     assert [e.key for e in log.state.take_fed()] == [ROUTE], "and only rows are fed"
@@ -128,7 +136,7 @@
         ((("config/a", b"x", (ACME,)),), "only a row that is put names others"),
         (((ACME, b"x", (ROUTE, ROUTE)),), "each once"),
         (
-            ((ACME, b"x", tuple(f"feed/global/t/n{i}" for i in range(MOST_REFS + 1))),),
+            ((ACME, b"x", tuple(f"feed/global/t/n{i}" for i in range(MAX_REFERENCES + 1))),),
             "names 16 others at most",
         ),
     ],
@@ -137,7 +145,7 @@
     log: Log, said: tuple[tuple[str, bytes | None, tuple[str, ...]], ...], why: str
 ) -> None:
     made = rows(log, *said)
-    assert made.code == Code.REFUSED and why in made.text and "\n" not in made.text
+    assert made.code == ResultCode.REFUSED and why in made.text and "\n" not in made.text
     assert log.do(RowsWrite(7, 999, 0, (Op(ACME, b"x"),), refs=((), ()))).text.startswith(
         "refs are told"
     )
@@ -147,16 +155,16 @@
     fenced = log.do(FencedWrite(7, log.state.applied, 0, (Op(ACME, None),)))
     for made in (plain(log, Op(ACME, b"x")), fenced):
         assert (made.code, made.text) == (
-            Code.REFUSED,
+            ResultCode.REFUSED,
             "what stands under feed/ is changed by writes of rows alone",
         )
-    assert rows(log, ("lease/work", b"x", ())).code == Code.REFUSED
+    assert rows(log, ("lease/work", b"x", ())).code == ResultCode.REFUSED
 
 
 def test_before_format_3_there_are_no_rows_and_what_stood_there_goes(tmp_path: Path) -> None:
     log = upgraded(states.create(tmp_path / "state.db", "c", MEMBERS), 2)
     assert rows(log, (ACME, b"x", ())).text == "not all nodes of the store know rows yet"
-    assert plain(log, Op(ACME, b"x"), Op("feed/b", b"y"), Op("feeds", b"z")).code == Code.DONE
+    assert plain(log, Op(ACME, b"x"), Op("feed/b", b"y"), Op("feeds", b"z")).code == ResultCode.DONE
     assert log.state.take_fed() == [] and log.state.rows().rows == []
     was = log.state.digest()
     log.do(Upgrade(3))
@@ -177,7 +185,7 @@
     log = Log(states.open_state(tmp_path / "state.db"))
     log.do(Upgrade(3))
     assert log.state.format == 1, "no step is left out"
-    steward, formats = Steward(), {1: 3, 2: 3}
+    steward, formats = Housekeeper(), {1: 3, 2: 3}
     steward.leads(4, log.state, 0)
     for number in (2, 3):
         (due,) = steward.proposals(log.state.format, formats, 0)
@@ -188,11 +196,11 @@
         assert log.do(due).versions == (number,)
     assert steward.proposals(log.state.format, formats, 9 * AGAIN_NS) == []
     log.do(OpenSession(7))
-    assert log.claim("a", 11) == (1, 0) and rows(log, (ACME, b"x", ())).code == Code.DONE
+    assert log.claim("a", 11) == (1, 0) and rows(log, (ACME, b"x", ())).code == ResultCode.DONE
 
 
 def test_an_older_program_among_the_members_holds_back_only_what_it_does_not_know() -> None:
-    steward = Steward()
+    steward = Housekeeper()
     steward.leads(4, fresh(), 0)
     assert steward.proposals(1, {1: 3, 2: 2}, 0) == [Upgrade(2)]
     assert steward.proposals(2, {1: 3, 2: 2}, 0) == [] == steward.proposals(2, {1: 3, 2: 0}, 0)
@@ -218,7 +226,7 @@
     with pytest.raises(ValueError):
         state.apply(entries)
     assert (state.format, state.rows_from, state.fed, state.applied) == (2, 0, [], at)
-    assert [r.code for r in state.apply(entries[:2])] == [Code.DONE, Code.DONE]
+    assert [r.code for r in state.apply(entries[:2])] == [ResultCode.DONE, ResultCode.DONE]
     assert state.rows_from == at + 1 and [e.key for e in state.take_fed()] == [ACME]
 
 
@@ -264,7 +272,7 @@
             if value is None:
                 after.pop(key, None)
         whole = all(ref in after for _, refs in after.values() for ref in refs)
-        assert rows(log, *write).code == (Code.DONE if whole else Code.REFUSED)
+        assert rows(log, *write).code == (ResultCode.DONE if whole else ResultCode.REFUSED)
         books = after if whole else books
         assert {k: v for k, _, v in log.state.rows().rows} == {k: v for k, (v, _) in books.items()}
 
@@ -276,7 +284,7 @@
         "9a080501009193a16bc40176ff90a26d65a3776879079192a4776f726b01"
     )
     assert [
-        commands.format_of(c) for c in (Write(5, 1, 0, ()), fenced, RowsWrite(5, 1, 0, ()))
+        commands.required_format(c) for c in (Write(5, 1, 0, ()), fenced, RowsWrite(5, 1, 0, ()))
     ] == [1, 2, 3]
 
 
@@ -301,7 +309,11 @@
 def refs_pile_up(db: sqlite3.Connection, command: RowsWrite) -> None:
     db.executemany(
         "INSERT OR IGNORE INTO refs VALUES (?, ?)",
-        [(op.key, ref) for op, refs in commands.refs_of(command) for ref in refs],
+        [
+            (op.key, ref)
+            for op, refs in commands.operations_with_references(command)
+            for ref in refs
+        ],
     )
 
 
--- a/tests/store/test_state.py
+++ b/tests/store/test_state.py
@@ -11,13 +11,13 @@
 
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
-    ANY,
+    ANY_VERSION,
     AnyCommand,
     CloseSession,
-    Code,
     Op,
     OpenSession,
     Result,
+    ResultCode,
     Write,
 )
 from loadbalancer.store.durable import state as states
@@ -59,17 +59,17 @@
     item = log.state.get("a")
     assert item is not None and item.version == 1
     late = log.do(write(2, Op("a", b"2"), answered=1), write(1, Op("a", b"1")))[1]
-    assert late.code == Code.EXPIRED and log.state.get("a").version == 2  # type: ignore[union-attr]
+    assert late.code == ResultCode.EXPIRED and log.state.get("a").version == 2  # type: ignore[union-attr]
 
 
 def test_all_of_a_write_or_nothing() -> None:
     log = Log(fresh())
     log.do(OpenSession(5), write(1, Op("a", b"1"), Op("b", b"1")))
     result = log.do(write(2, Op("a", b"2"), Op("b", b"2", 7)))[0]
-    assert (result.code, result.versions, result.text) == (Code.CONFLICT, (1,), "b")
+    assert (result.code, result.versions, result.text) == (ResultCode.CONFLICT, (1,), "b")
     assert [i.value for i in log.state.scan("")] == [b"1", b"1"]
-    assert log.do(write(3, Op("c", b"x", 0), checks=(("a", 1),)))[0].code == Code.DONE
-    assert log.do(write(4, Op("d", b"x"), checks=(("a", 2),)))[0].code == Code.CONFLICT
+    assert log.do(write(3, Op("c", b"x", 0), checks=(("a", 1),)))[0].code == ResultCode.DONE
+    assert log.do(write(4, Op("d", b"x"), checks=(("a", 2),)))[0].code == ResultCode.CONFLICT
 
 
 def test_versions_go_on_counting_over_a_deletion() -> None:
@@ -102,11 +102,11 @@
         write(2, Op("a", b"1")),
     )
     assert [r.code for r in results] == [
-        Code.EXPIRED,
-        Code.DONE,
-        Code.DONE,
-        Code.DONE,
-        Code.EXPIRED,
+        ResultCode.EXPIRED,
+        ResultCode.DONE,
+        ResultCode.DONE,
+        ResultCode.DONE,
+        ResultCode.EXPIRED,
     ]
 
 
@@ -117,7 +117,7 @@
     log = Log(fresh())
     log.do(*[OpenSession(i) for i in (1, 2, 3)], write(1, Op("a", b"1"), session=1), OpenSession(4))
     codes = [log.do(write(9, Op("a", b"2"), session=i))[0].code for i in (1, 2, 3, 4)]
-    assert codes == [Code.DONE, Code.EXPIRED, Code.DONE, Code.DONE]
+    assert codes == [ResultCode.DONE, ResultCode.EXPIRED, ResultCode.DONE, ResultCode.DONE]
 
 
 def test_a_watcher_is_told_everything_or_that_it_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -147,8 +147,8 @@
 )
 def test_what_breaks_a_limit_is_refused_by_every_node_alike(op: Op) -> None:
     log = Log(fresh())
-    assert log.do(OpenSession(5), write(1, op))[1].code == Code.REFUSED
-    assert log.do(write(2, Op("a", b"1"), Op("a", b"2")))[0].code == Code.REFUSED
+    assert log.do(OpenSession(5), write(1, op))[1].code == ResultCode.REFUSED
+    assert log.do(write(2, Op("a", b"1"), Op("a", b"2")))[0].code == ResultCode.REFUSED
 
 
 def test_an_entry_that_does_not_read_stops_nobody() -> None:
@@ -160,7 +160,11 @@
             Entry(1, 3, Kind.MEMBERS, pack(Members((1, 2)))),
         ]
     )
-    assert result[0].code == Code.REFUSED and state.members.voters == (1, 2) and state.applied == 3
+    assert (
+        result[0].code == ResultCode.REFUSED
+        and state.members.voters == (1, 2)
+        and state.applied == 3
+    )
 
 
 def test_a_run_that_breaks_off_leaves_nothing_of_itself(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -184,7 +188,7 @@
 
 KEYS = st.sampled_from(["config/a", "b", "c"])
 OPS = st.builds(
-    Op, KEYS, st.one_of(st.none(), st.binary(max_size=4)), st.sampled_from([ANY, 0, 1, 2])
+    Op, KEYS, st.one_of(st.none(), st.binary(max_size=4)), st.sampled_from([ANY_VERSION, 0, 1, 2])
 )
 SAID = st.one_of(
     st.builds(
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -89,7 +89,7 @@
         await cluster.begin(member)
         client = cluster.client()
         try:
-            found = await client.scan("", within_s=10.0)
+            found = await client.scan("", timeout_s=10.0)
             history = await client.history("config/balancer/orders")
             status = await client.status()
             return {
--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -18,10 +18,10 @@
 from loadbalancer.leases import table
 from loadbalancer.leases.table import Lease
 from loadbalancer.store import commands
-from loadbalancer.store.commands import LEASES, Claim
+from loadbalancer.store.commands import LEASE_PREFIX, Claim
 from loadbalancer.store.wire import protocol
-from loadbalancer.store.wire.frames import Sender
-from loadbalancer.store.wire.protocol import Change, Hello, Put
+from loadbalancer.store.wire.frames import FrameEncoder
+from loadbalancer.store.wire.protocol import Change, Hello, Propose
 from loadbalancer.testbed.rig import scenario as scenarios
 from loadbalancer.testbed.rig.books import Books
 from loadbalancer.testbed.rig.relay import Relay
@@ -31,7 +31,7 @@
 from loadbalancer.testbed.topology import Unusable
 from tests.fakes import run
 
-LEASE = f"{LEASES}work/list/orders"  # of the list
+LEASE = f"{LEASE_PREFIX}work/list/orders"  # of the list
 
 
 def played(name: str) -> Result:
@@ -145,9 +145,9 @@
 
 
 def test_a_tap_reads_the_programs_own_frames_however_they_are_cut() -> None:
-    sender = Sender()
+    sender = FrameEncoder()
     claim = commands.pack(Claim("work", "a", 5, 1000))
-    said = Hello(1, "", 0, "", "x"), Put(1, 5, claim)
+    said = Hello(1, "", 0, "", "x"), Propose(1, 5, claim)
     data = b"".join(sender.frame(protocol.pack(each)) for each in said)
     for size in (1, 7, 1000):
         tap = StoreTap(True)
