--- a/loadbalancer/store/lease_client.py
+++ b/loadbalancer/store/lease_client.py
@@ -18,7 +18,7 @@
 from typing import Any, Final
 
 from loadbalancer.leases import table
-from loadbalancer.leases.holder import Ask, Holder, Phase
+from loadbalancer.leases.holder import LeaseHolder, LeaseRequest, Phase, RequestKind
 from loadbalancer.leases.table import Lease
 from loadbalancer.store.client import DEFAULT_OPTIONS, Client
 from loadbalancer.store.commands import LEASE_PREFIX, Claim, Op, Release, Result
@@ -113,7 +113,7 @@
         self.name = f"{name}@{claim & CLAIM_SUFFIX_MASK:06x}"
         self.ttl_s = ttl_s
         self.rank = rank
-        self.holder = Holder(
+        self.holder = LeaseHolder(
             self.name, claim, int(ttl_s * NS_PER_S), random.Random(os.urandom(8)), boot_clock_ns()
         )
         self.last_lease: Lease | None = None
@@ -194,13 +194,13 @@
             raise NotLeaseHolderError(str(error)) from None
 
     def _begin_tenure(self, token: int) -> None:
-        log.info("lease acquired: lease=%s token=%s", self.lease, table.written(token))
+        log.info("lease acquired: lease=%s token=%s", self.lease, table.format_token(token))
         self.active_token = token
         if self._acquired is not None:
             self._acquired(token)
 
     def _end_tenure(self, reason: str) -> None:
-        token = table.written(self.active_token)
+        token = table.format_token(self.active_token)
         log.info("lease lost: lease=%s token=%s reason=%s", self.lease, token, reason)
         self.active_token = 0
         if self._lost is not None:
@@ -209,8 +209,8 @@
     # ---- claims ----------------------------------------------------------------------------------
 
     async def _renew(self) -> None:
-        while self.holder.phase is not Phase.LEFT:
-            request = self.holder.take(boot_clock_ns(), self.last_lease)
+        while self.holder.phase is not Phase.RELEASED:
+            request = self.holder.next_request(boot_clock_ns(), self.last_lease)
             if request is not None:
                 self._start_task(self._execute(request))
             token = self.token()
@@ -224,34 +224,34 @@
 
     def _wait_s(self) -> float:
         wake_ns = self.holder.wake_ns
-        if not wake_ns:
+        if wake_ns is None:
             return MAX_WAIT_S
         return min(max(MIN_WAIT_S, (wake_ns - boot_clock_ns()) / NS_PER_S), MAX_WAIT_S)
 
     def _note_vacancy(self) -> None:
-        if self.active_token or (self.last_lease is not None and self.last_lease.held):
+        if self.active_token or (self.last_lease is not None and self.last_lease.is_held):
             self._vacancy.note_held()
         else:
-            self._vacancy.note_vacant(self.holder.why or "no reply of the store")
+            self._vacancy.note_vacant(self.holder.reason or "no reply of the store")
 
-    async def _execute(self, request: Ask) -> None:
+    async def _execute(self, request: LeaseRequest) -> None:
         try:
-            if request.what == "release":
+            if request.kind is RequestKind.RELEASE:
                 await self._release(request)
             else:
                 await self._claim(request)
         except Exception as error:  # the holder waits for an outcome, whatever it is
-            self.holder.failed(request.number, str(error), boot_clock_ns())
+            self.holder.request_failed(request.number, str(error), boot_clock_ns())
             if not isinstance(error, StoreError):
                 log.exception("lease request failed: lease=%s", self.lease)
         self._wake.set()
 
-    async def _release(self, request: Ask) -> None:
+    async def _release(self, request: LeaseRequest) -> None:
         release = Release(self.lease, self.holder.claim, request.token, unix_ms())
         await self.client.release(release, RELEASE_TIMEOUT_S)
-        self.holder.answered(request.number, 0, 0, "", boot_clock_ns())
+        self.holder.response_received(request.number, 0, 0, "", boot_clock_ns())
 
-    async def _claim(self, request: Ask) -> None:
+    async def _claim(self, request: LeaseRequest) -> None:
         claim = Claim(
             self.lease,
             self.name,
@@ -263,7 +263,7 @@
         )
         result = await self.client.claim(claim, self.ttl_s / 3)
         token, position = result.versions[:2]
-        self.holder.answered(request.number, token, position, result.text, boot_clock_ns())
+        self.holder.response_received(request.number, token, position, result.text, boot_clock_ns())
 
     async def _watch(self) -> None:
         """Follows the lease at any node: a stale value tells when to claim, not who holds it."""
@@ -286,7 +286,7 @@
             log.warning("lease can't be decoded: lease=%s error=%s", self.lease, error)
             return
         self.last_lease = lease
-        self.holder.seen(lease, boot_clock_ns())
+        self.holder.lease_observed(lease, boot_clock_ns())
         if self._changed is not None:
             self._changed(lease)
         self._wake.set()
@@ -299,7 +299,7 @@
         self._wake.set()
         with suppress(TimeoutError):
             async with asyncio.timeout(RELEASE_TIMEOUT_S + 0.1):
-                while self.holder.phase is not Phase.LEFT:
+                while self.holder.phase is not Phase.RELEASED:
                     self._wake.set()
                     await asyncio.sleep(CLOSE_POLL_S)
         for task in list(self.tasks):
--- a/loadbalancer/testbed/rig/run.py
+++ b/loadbalancer/testbed/rig/run.py
@@ -156,10 +156,13 @@
 
     def _said(self, process: Process, line: str) -> None:
         if (
-            "owned under token" in line
+            "lease acquired:" in line
+            or "lease lost:" in line
+            or "lease has no holder:" in line
+            or "fenced write rejected:" in line
+            or "store connection declined:" in line
             or "refused" in line
             or "belongs to" in line
-            or "rests" in line
             or ("site" in line and ("INFO" in line or "WARNING" in line))
         ):
             self.event(f"{process.name}: {line.split(' ', 1)[-1]}")
@@ -619,7 +622,7 @@
             "owners' words": books.counts["owners' words"],
             "older words": books.counts["older words"],
             "store changes": books.counts["changes"],
-            "fenced": sum(lease.refused for lease in books.leases.values()),
+            "fenced": sum(lease.rejected_writes for lease in books.leases.values()),
             "longest gap s": round(max(gaps, default=0.0), 3),
             **self.firsts.figures(),
             "doors asked": sum(len(box.asked) for box in world.boxes.values()),
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -36,7 +36,7 @@
     pack,
 )
 from loadbalancer.daemon.state_sync import Keeper
-from loadbalancer.leases.fence import Word
+from loadbalancer.leases.fence import FencingPosition
 from loadbalancer.policy import api
 from loadbalancer.proxy import discovery_watch
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
@@ -296,7 +296,7 @@
 
 def test_what_a_balancer_makes_of_rows() -> None:
     async def test() -> None:
-        driver, owner = RowDriver(lambda: None), SimpleNamespace(working=0)
+        driver, owner = RowDriver(lambda: None), SimpleNamespace(active_token=0)
         discovery = Discovery(cast(Any, driver), ("127.0.0.1", 1), 1)
         writer = RowWriter(cast(Any, None), cast(Any, owner), "orders")
         follows = FleetList(
@@ -321,7 +321,7 @@
         follows.apply(told(word(3, 7), box("s-1"), whole=True))
         follows.apply(told(word(3, 8), box("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
-        follows.follower.learn(Word(3, 7), boot_clock_ns())
+        follows.follower.learn(FencingPosition(3, 7), boot_clock_ns())
         follows.apply(told(word(3, 9), box("s-3")))
         follows.apply(told(word(3, 10), box("s-3", "Gone"), box("never there", "Gone")))
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
@@ -576,7 +576,7 @@
             await two.close()
 
     run(test())
-    assert "a write was refused" in caplog.text
+    assert "fenced write rejected" in caplog.text
 
 
 def test_an_owner_of_before_goes_by_the_rows_of_the_next(tmp_path: Path) -> None:
