--- a/loadbalancer/cli/feed.py
+++ b/loadbalancer/cli/feed.py
@@ -82,7 +82,7 @@
     found = asking(at, certificate, key, authority, MemberStatusReader.statuses)
     if all("trouble" in s for s in found):
         raise NotInForceError("; ".join(f"{s['address']}: {s['trouble']}" for s in found))
-    total = feed_progress.add_up(found, revision)
+    total = feed_progress.add_up(found, revision or None)
     if as_json:
         print(
             msgspec.json.format(
@@ -148,22 +148,23 @@
         )
     out.print(table)
     out.print(
-        f"revision {total.revision} is in force on {total.reached} of {total.balancers} balancers",
+        f"revision {total.revision} is in force on {total.in_force} of {total.balancers} balancers",
         soft_wrap=True,
     )
-    for one in total.late:
+    for one in total.lagging:
         out.print(
             f"  {one.name} at {one.node}: revision {one.revision}, {one.since_ms / 1000:.1f} s "
             f"behind",
             soft_wrap=True,
         )
-    for line in (*total.trailing, *total.silent):
+    for line in (*total.lagging_nodes, *total.unreachable):
         out.print(f"  {line}", soft_wrap=True)
-    if total.refusals:
+    if total.rejected_count:
         out.print(
-            f"{total.refusals} rows are refused, and what was good before stands:", soft_wrap=True
+            f"{total.rejected_count} rows are refused, and what was good before stands:",
+            soft_wrap=True,
         )
-    for row in total.refused:
+    for row in total.rejected:
         out.print(
             f"  {row.name}: {row.refusal.scope} {row.refusal.key} at version {row.refusal.version}:"
             f" {row.refusal.why}",
@@ -190,10 +191,10 @@
         key,
         authority,
         lambda members: feed_progress.wait(
-            members, revision, within_s, balancers, despite_refusals
+            members, feed_progress.RolloutGoal(revision, within_s, balancers, despite_refusals)
         ),
     )
     out.print(
-        f"revision {revision} is in force on {done.reached} balancers, after {took_s:.2f} s",
+        f"revision {revision} is in force on {done.in_force} balancers, after {took_s:.2f} s",
         soft_wrap=True,
     )
--- a/loadbalancer/cli/store.py
+++ b/loadbalancer/cli/store.py
@@ -19,7 +19,7 @@
 from loadbalancer.store.client import Client
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.state_directory import STATE
-from loadbalancer.store.feed_progress import ASK_S, MemberStatusReader
+from loadbalancer.store.feed_progress import STATUS_TIMEOUT_S, MemberStatusReader
 from loadbalancer.store.security import TlsFiles
 from loadbalancer.store.settings import read_store
 
@@ -250,7 +250,7 @@
 
     async def work() -> list[Mapping[str, Any]]:
         try:
-            return await members.statuses(min(within, ASK_S))
+            return await members.statuses(min(within, STATUS_TIMEOUT_S))
         finally:
             await members.close()
 
--- a/loadbalancer/store/commands.py
+++ b/loadbalancer/store/commands.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, split
-from loadbalancer.store.raft.messages import Array, pack
+from loadbalancer.store.raft.messages import ArrayStruct, pack
 
 __all__ = [
     "ANY_VERSION",
@@ -68,7 +68,7 @@
 LEASE_PREFIX: Final = "lease/"  # leases are stored here; from format 2 on clients can't write there
 
 
-class Op(Array, frozen=True):
+class Op(ArrayStruct, frozen=True):
     """Puts a value under a key, or deletes the key.
 
     Attributes:
@@ -219,7 +219,7 @@
     FENCED = 4  # a fencing token is not current
 
 
-class Result(Array, frozen=True):
+class Result(ArrayStruct, frozen=True):
     """Result of a command.
 
     Attributes:
--- a/loadbalancer/store/link.py
+++ b/loadbalancer/store/link.py
@@ -1,138 +1,238 @@
-"""Connections to other members, one for each, made anew whenever they break. Messages that can't go
-are dropped: consensus sends again what matters.
+"""A node's connections to the other members, each made again whenever it ends.
+
+Messages that can't be sent are dropped: consensus sends again what matters.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import random
 import ssl
 import time
-from collections.abc import Callable, Sequence
-from typing import cast
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
+from typing import Final, cast
 
 from loadbalancer.settings import Malformed, split_address
+from loadbalancer.store.backoff import Backoff
+from loadbalancer.store.commands import STATE_FORMAT
 from loadbalancer.store.handshake import DialedConnection
-from loadbalancer.store.raft.messages import AnyMessage, pack
+from loadbalancer.store.raft.messages import AnyMessage, Members, pack
 from loadbalancer.store.wire.protocol import Hello, Welcome
 
 log = logging.getLogger(__name__)
 
-MOST_WAITING = (
-    16 << 20
-)  # bytes that a slow member may leave unread; beyond it nothing more is written
-CONNECT_S = 2.0
-BACKOFF_S = 0.05, 2.0
-STUCK_S = 5.0  # nothing was read for so long, though there was something: the connection is dead
+MAX_UNREAD_BYTES: Final = 16 << 20  # of a slow member: beyond it messages are dropped
+CONNECT_TIMEOUT_S: Final = 2.0
+MIN_BACKOFF_S: Final = 0.05
+MAX_BACKOFF_S: Final = 2.0
+STALL_TIMEOUT_S: Final = 5.0  # the member read nothing though there was something to read
+MAX_REPORTED_ADDRESSES: Final = 64
+
+
+@dataclass(frozen=True, slots=True)
+class LinkOptions:
+    """What all links of a node have in common.
+
+    Attributes:
+        hello: This node's greeting.
+        tls: Returns the TLS context for a new connection.
+        state_format: Returns the format of the state, which the member's program must know.
+        address_map: For advertised addresses, where they are reached from here.
+    """
+
+    hello: Hello
+    tls: Callable[[], ssl.SSLContext | None]
+    state_format: Callable[[], int]
+    address_map: Mapping[str, str]
 
 
 class MemberConnection(DialedConnection):
-    """A connection to a member, which sends nothing back on it."""
+    """A connection to a member, which sends nothing after its greeting."""
 
-    def __init__(self, hello: Hello, expected: int, least: int) -> None:
+    def __init__(self, hello: Hello, expected_node: int, required_format: int) -> None:
         super().__init__(hello)
-        self.expected = expected
-        self.least = least
+        self.expected_node = expected_node
+        self.required_format = required_format
         self.format = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        cast(asyncio.Transport, transport).set_write_buffer_limits(MOST_WAITING)
+        """Sends the greeting."""
+        cast(asyncio.Transport, transport).set_write_buffer_limits(MAX_UNREAD_BYTES)
         super().connection_made(transport)
 
     def mismatch(self, welcome: Welcome) -> str | None:
-        if welcome.node != self.expected or welcome.cluster != self.hello.cluster:
+        """Returns why the peer is not the expected member; None if it is."""
+        if welcome.node != self.expected_node or welcome.cluster != self.hello.cluster:
             return f"node {welcome.node:x} of cluster {welcome.cluster} answers there"
-        if welcome.format < self.least:
-            # It would take entries that it can't read for nothing, and part from the others.
-            return f"its program knows format {welcome.format}, and the state is at {self.least}"
+        if welcome.format < self.required_format:
+            # It would skip entries that it can't decode, and its state would diverge.
+            return (
+                f"its program knows format {welcome.format}, "
+                f"and the state is at {self.required_format}"
+            )
         self.format = welcome.format
-        return ""
+        return None
 
 
 class MemberLink:
-    """The way to one member."""
-
-    def __init__(
-        self,
-        node: int,
-        address: str,
-        reach: str,
-        hello: Callable[[], Hello],
-        tls: Callable[[], ssl.SSLContext | None],
-        least: Callable[[], int] = lambda: 1,
-    ) -> None:
-        """`address` as it is advertised, `reach` as it is dialled from here; `least`: the format
-        that the member's program must know by now.
-        """
+    """Messages to one member.
+
+    Attributes:
+        connection: The open connection.
+        format: The newest format of the state that the member's program knows, as last seen.
+        dropped: Messages that were not sent.
+        close_reason: Why there is no connection, or was none before.
+    """
+
+    def __init__(self, node: int, address: str, options: LinkOptions) -> None:
         self.node = node
         self.address = address
-        self.reach = reach
-        self.hello = hello
-        self.least = least
-        self.format = 0  # the newest that it knows, as last met
-        self.tls = tls
-        self.now: MemberConnection | None = None  # greeted, and open
+        self.options = options
+        self.format = 0
+        self.connection: MemberConnection | None = None
         self.dropped = 0
-        self.why = "not tried yet"
-        self.unread = 0  # bytes, when last looked
-        self.read_s = 0.0  # when it last went down
-        self.task = asyncio.get_running_loop().create_task(self._keep())
+        self.close_reason = "not tried yet"
+        self._unread_bytes = 0  # at the last check
+        self._progress_s = 0.0  # when it last decreased
+        self._task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, messages: Sequence[AnyMessage]) -> None:
-        dialing = self.now
-        if dialing is None or dialing.transport is None or dialing.closed:
+        """Sends messages or drops them."""
+        connection = self.connection
+        if connection is None or connection.transport is None or connection.closed:
             self.dropped += len(messages)
             return
-        waiting = dialing.transport.get_write_buffer_size()
-        if waiting > MOST_WAITING:
+        unread_bytes = connection.transport.get_write_buffer_size()
+        if unread_bytes > MAX_UNREAD_BYTES:
             self.dropped += len(messages)
             return
-        now = time.monotonic()
-        if waiting == 0 or waiting < self.unread:
-            self.read_s = now
-        elif now - self.read_s > STUCK_S:
-            self.why = f"nothing was read for {STUCK_S:.0f} s"
-            dialing.transport.abort()
+        now_s = time.monotonic()
+        if unread_bytes == 0 or unread_bytes < self._unread_bytes:
+            self._progress_s = now_s
+        elif now_s - self._progress_s > STALL_TIMEOUT_S:
+            self.close_reason = f"nothing was read for {STALL_TIMEOUT_S:.0f} s"
+            connection.transport.abort()
             return
-        dialing.transport.write(b"".join(dialing.encoder.frame(pack(m)) for m in messages))
-        self.unread = dialing.transport.get_write_buffer_size()
+        frames = [connection.encoder.frame(pack(message)) for message in messages]
+        connection.transport.write(b"".join(frames))
+        self._unread_bytes = connection.transport.get_write_buffer_size()
 
-    async def _keep(self) -> None:
-        wait = BACKOFF_S[0]
-        said = ""
+    async def _run(self) -> None:
+        backoff = Backoff(MIN_BACKOFF_S, MAX_BACKOFF_S)
+        logged_reason = ""
         while True:
             try:
-                self.why = await self._once()
-                wait = BACKOFF_S[0]
+                self.close_reason = await self._run_connection()
+                backoff.reset()
             except (OSError, TimeoutError, Malformed, ssl.SSLError) as error:
-                self.why = str(error) or "no connection in time"
+                self.close_reason = str(error) or "no connection in time"
             finally:
-                self.now = None
-            if self.why != said:
-                log.warning("node %x at %s: %s", self.node, self.address, self.why)
-                said = self.why
-            await asyncio.sleep(wait * random.uniform(0.5, 1.0))
-            wait = min(2 * wait, BACKOFF_S[1])
-
-    async def _once(self) -> str:
-        """One connection's life; why it ended."""
-        dialing = MemberConnection(self.hello(), self.node, self.least())
+                self.connection = None
+            if self.close_reason != logged_reason:
+                log.warning(
+                    "member not connected: node=%x address=%s reason=%s",
+                    self.node,
+                    self.address,
+                    self.close_reason,
+                )
+                logged_reason = self.close_reason
+            await asyncio.sleep(backoff.next_delay_s())
+
+    async def _run_connection(self) -> str:
+        """Keeps one connection until it ends; returns why it did."""
+        options = self.options
+        connection = MemberConnection(options.hello, self.node, options.state_format())
         loop = asyncio.get_running_loop()
-        host, port = split_address(self.reach)
+        host, port = split_address(options.address_map.get(self.address, self.address))
         try:
-            async with asyncio.timeout(CONNECT_S):
-                await loop.create_connection(lambda: dialing, host, port, ssl=self.tls())
-                await dialing.welcomed
-            self.now, self.read_s, self.unread = dialing, time.monotonic(), 0
-            self.format = dialing.format
-            log.info("node %x at %s: connected", self.node, self.address)
-            await dialing.ended
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await loop.create_connection(lambda: connection, host, port, ssl=options.tls())
+                await connection.welcomed
+            self.connection = connection
+            self.format = connection.format
+            self._progress_s = time.monotonic()
+            self._unread_bytes = 0
+            log.info("member connected: node=%x address=%s", self.node, self.address)
+            await connection.ended
         finally:
-            dialing.abort()
+            connection.abort()
         return "the connection was closed"
 
     def close(self) -> None:
-        self.task.cancel()
-        if self.now is not None:
-            self.now.abort()
+        """Closes the connection for good."""
+        self._task.cancel()
+        if self.connection is not None:
+            self.connection.abort()
+
+
+class MemberLinks:
+    """Links to all members of the cluster but this node.
+
+    Args:
+        node: This node's number.
+        members: Returns the cluster's members.
+        options: What all links have in common.
+    """
+
+    def __init__(self, node: int, members: Callable[[], Members], options: LinkOptions) -> None:
+        self.node = node
+        self.options = options
+        self.links: dict[int, MemberLink] = {}
+        self._members = members
+        self._reported_addresses: dict[int, str] = {}
+
+    def address_of(self, node: int) -> str:
+        """Returns a member's address; empty if it is not known."""
+        return self._members().addresses.get(node, "") or self._reported_addresses.get(node, "")
+
+    def address_reported(self, node: int, address: str) -> None:
+        """A member reported its own address; the cluster's configuration takes precedence."""
+        if address and self._reported_addresses.get(node) != address:
+            if len(self._reported_addresses) > MAX_REPORTED_ADDRESSES:
+                self._reported_addresses.clear()
+            self._reported_addresses[node] = address
+            self.update()
+
+    def update(self) -> None:
+        """Opens and closes links after a change of members or addresses."""
+        members = self._members()
+        desired = {
+            node: self.address_of(node)
+            for node in {*members.all, *self._reported_addresses}
+            if node != self.node and node not in members.removed
+        }
+        for node, link in list(self.links.items()):
+            if desired.get(node) != link.address:
+                link.close()
+                del self.links[node]
+        for node, address in desired.items():
+            if address and node not in self.links:
+                self.links[node] = MemberLink(node, address, self.options)
+
+    def send(self, messages: Sequence[tuple[int, AnyMessage]]) -> None:
+        """Sends messages, each to its member."""
+        by_member: dict[int, list[AnyMessage]] = {}
+        for node, message in messages:
+            by_member.setdefault(node, []).append(message)
+        if any(node not in self.links for node in by_member):
+            self.update()
+        for node, some in by_member.items():
+            link = self.links.get(node)
+            if link is not None:
+                link.send(some)
+
+    def formats(self) -> dict[int, int]:
+        """Returns the newest format that each member's program knows; 0 if not connected yet."""
+        return {node: self._format_of(node) for node in self._members().all}
+
+    def _format_of(self, node: int) -> int:
+        if node == self.node:
+            return STATE_FORMAT
+        link = self.links.get(node)
+        return link.format if link is not None else 0
+
+    def close(self) -> None:
+        """Closes all links."""
+        for link in self.links.values():
+            link.close()
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -28,6 +28,7 @@
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
+from loadbalancer.store.documents import DocumentChange
 from tests.daemon.test_state_sync import FakeDriver, until
 from tests.fakes import run
 from tests.store.test_node import Cluster, cluster
@@ -146,7 +147,9 @@
                     "site controller idle: reason=there is no document sites/orders" in caplog.text
                 )
             )
-            await documents.put(client, "sites/orders", SITES, docs.find_error, 0, "test")
+            await documents.put(
+                client, "sites/orders", SITES, docs.find_error, DocumentChange(0, "test")
+            )
             await until(
                 lambda: (
                     bool(one.state_sync.site_agent and one.state_sync.site_agent.is_following_plan)
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -17,15 +17,15 @@
 from loadbalancer.changefeed.messages import Row
 from loadbalancer.changefeed.subscription import Apply, SubscriptionLimits
 from loadbalancer.settings import Malformed
-from loadbalancer.store import changefeed_server, server
+from loadbalancer.store import changefeed_server, connection
 from loadbalancer.store import run as running
 from loadbalancer.store.changefeed_client import ChangefeedClient, ChangefeedTarget
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
+from loadbalancer.store.connection import Connection
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.errors import RejectedError, UnavailableError, UndecidedError
 from loadbalancer.store.security import TlsFiles
-from loadbalancer.store.server import Connection
 from loadbalancer.store.wire import protocol
 from loadbalancer.store.wire.protocol import Hello, SendToChangefeed
 from loadbalancer.store.write_session import WriteOptions
@@ -179,7 +179,8 @@
         async with cluster(tmp_path, 1) as c:
             await c.client().put("config/a", b"1")
             assert (
-                c.nodes[0].node.feeding.fanout is None and c.nodes[0].node.status()["feed"] is None
+                c.nodes[0].node.changefeed.fanout is None
+                and c.nodes[0].node.status()["feed"] is None
             )
 
     run(test)
@@ -220,7 +221,7 @@
             one = Balancer([c.settings[0].advertise], [ORDERS])
             await one.has(ORDERS, "upstream/a", b"0")
             may_look, has_looked, may_go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
-            query = node.query
+            query = node.runtime.query
 
             async def late(look: Any) -> Any:
                 await may_look.wait()
@@ -229,18 +230,18 @@
                 await may_go_on.wait()
                 return found
 
-            monkeypatch.setattr(node, "query", late)
-            node.feeding.installed()
+            monkeypatch.setattr(node.runtime, "query", late)
+            node.changefeed.snapshot_installed()
             before = await put(client, ORDERS, b"1", "a", "before")
             may_look.set()
             await has_looked.wait()
             with monkeypatch.context() as patch:
                 if again:
-                    patch.setattr(node.feeding, "applied", lambda *what: None)
+                    patch.setattr(node.changefeed, "entries_applied", lambda *what: None)
                 after = await put(client, ORDERS, b"2", "a", "after")
             if again:
-                node.feeding.installed()
-            assert node.feeding.held is not None and list(feed_of(c, 0)["reached"][0]) == [0, 1]
+                node.changefeed.snapshot_installed()
+            assert node.changefeed.is_loading and list(feed_of(c, 0)["reached"][0]) == [0, 1]
             may_go_on.set()
             await one.has(ORDERS, "upstream/a", b"2")
             assert set(one.rows[ORDERS]) == {"upstream/a", "upstream/before", "upstream/after"}
@@ -286,20 +287,20 @@
             one = Balancer([c.settings[last].advertise], [ORDERS, CARTS])
             await one.has(ORDERS, "upstream/a", b"1")
             node = c.nodes[last].node
-            step = node.step
-            node.step = lambda sender, message: None  # type: ignore[method-assign]  # its subscriber stays
+            message_received = node.message_received
+            node.message_received = lambda sender, message: None  # type: ignore[method-assign]  # its subscriber stays
             await put(client, ORDERS, None, "gone")
             for number in range(60):
                 await client.put(f"k/{number}", bytes(3000))
             await put(client, ORDERS, b"2", "a")
             leader = c.nodes[c.leader()].node
             async with asyncio.timeout(20):
-                while leader.core.log.base <= node.core.log.last:
+                while leader.core.log.base_index <= node.core.log.last_index:
                     await asyncio.sleep(0.01)
-            node.step = step  # type: ignore[method-assign]
+            node.message_received = message_received  # type: ignore[method-assign]
             await one.has(ORDERS, "upstream/a", b"2")
             assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.goes_forward()
-            assert node.feeding.fanout is not None and len(node.feeding.hearers) == 1
+            assert node.changefeed.fanout is not None and len(node.changefeed.subscribers) == 1
             await put(client, CARTS, b"3", "x")
             await one.has(CARTS, "upstream/x", b"3")
             await leave(one)
@@ -362,7 +363,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its connection was never closed: here nobody reads it, and it takes nothing more."""
-    monkeypatch.setattr(server, "GONE_MS", 300)
+    monkeypatch.setattr(connection, "ACK_TIMEOUT_MS", 300)
 
     async def test() -> None:
         async with cluster(tmp_path, 1, extra='[feed]\nwindow = "64MiB"') as c:
@@ -415,7 +416,7 @@
 def test_a_node_that_is_cut_off_sends_balancers_elsewhere_and_claims_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(changefeed_server, "LEADERLESS_MS", 300)
+    monkeypatch.setattr(changefeed_server, "MAX_LEADERLESS_MS", 300)
 
     async def test() -> None:
         async with cluster(tmp_path, extra='[feed]\nbookmark = "100ms"') as c:
@@ -431,21 +432,21 @@
             for one in (free, bound):
                 await one.has(ORDERS, "upstream/a", b"1")
             node = c.nodes[last].node
-            step = node.step
-            node.step = lambda sender, message: None  # type: ignore[method-assign]
+            message_received = node.message_received
+            node.message_received = lambda sender, message: None  # type: ignore[method-assign]
             await put(client, ORDERS, b"2", "a")
             await free.has(ORDERS, "upstream/a", b"2")
             assert free.client.address != here and free.goes_forward()
             assert free.client.subscription.why == f"{here}: this node knows of no leader"
-            told, tell = list[int](), Connection.tell
+            told, tell = list[int](), Connection.send_messages
 
             def noted(self: Connection, sends: Sequence[Send]) -> None:
                 if self.node is node:
                     told.extend(one.sequence for one in sends)
                 tell(self, sends)
 
-            monkeypatch.setattr(Connection, "tell", noted)
-            fanout = node.feeding.fanout
+            monkeypatch.setattr(Connection, "send_messages", noted)
+            fanout = node.changefeed.fanout
             assert fanout is not None
             async with asyncio.timeout(20):
                 while not fanout.subscribers:
@@ -455,7 +456,7 @@
                 while fanout.status().sent_words < came + 3:  # bookmarks, as the fan-out thinks
                     await asyncio.sleep(0.02)
             assert told == [] and back.name == "bound" and bound.value(ORDERS, "upstream/a") == b"1"
-            node.step = step  # type: ignore[method-assign]
+            node.message_received = message_received  # type: ignore[method-assign]
             await bound.has(ORDERS, "upstream/a", b"2")
             assert bound.wholes(ORDERS) == 1
             await leave(free, bound)
@@ -581,7 +582,7 @@
                 isinstance(failed, protocol.RequestFailed) and "no word of the feed" in failed.text
             )
             await asyncio.wait_for(wire.ended, 5)
-            assert c.nodes[0].node.feeding.hearers == {}
+            assert c.nodes[0].node.changefeed.subscribers == {}
             await put(c.client(), ORDERS, b"1", "a")
 
     run(test)
@@ -603,7 +604,7 @@
             await put(client, ORDERS, b"1", "a")
             one = Balancer([c.settings[0].advertise], [ORDERS])
             await one.has(ORDERS, "upstream/a", b"1")
-            fanout = c.nodes[0].node.feeding.fanout
+            fanout = c.nodes[0].node.changefeed.fanout
             assert fanout is not None
             monkeypatch.setattr(fanout, "applied", lambda *what: 1 / 0)
             await put(client, ORDERS, b"2", "a")
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -28,7 +28,7 @@
     UnavailableError,
     WatchCompactedError,
 )
-from loadbalancer.store.raft.messages import Entry, VoteAsk
+from loadbalancer.store.raft.messages import Entry, RequestVote
 from loadbalancer.store.raft.messages import pack as pack_message
 from loadbalancer.store.run import StoreServer
 from loadbalancer.store.security import TlsFiles
@@ -185,7 +185,7 @@
             lone = next(iter(c.nodes))
             one = c.client(only=lone, deadline_s=1.5)
             async with asyncio.timeout(10):
-                while not c.nodes[lone].node.behind_ms():
+                while not c.nodes[lone].node.leaderless_ms():
                     await asyncio.sleep(0.01)
             stale = await one.get("a", stale=True)
             # It holds the last write, and may not have been told yet that it was committed.
@@ -268,15 +268,15 @@
                 await client.put(f"k/{i}", bytes(3000))
             first = c.nodes[0].node
             async with asyncio.timeout(10):
-                while first.core.log.base < 60:
+                while first.core.log.base_index < 60:
                     await asyncio.sleep(0.01)
             made = running.prepare(c.read(1), "c")
             await c.insist(client, "learn", made.node, c.settings[1].advertise)
             await c.begin(1)
             await c.insist(client, "promote", made.node)
-            assert first.figures.exports >= 1
+            assert first.runtime.statistics.exports >= 1
             rows = (await c.client(only=1).scan("k/")).rows
-            assert len(rows) == 120 and c.nodes[1].node.core.log.base > 60
+            assert len(rows) == 120 and c.nodes[1].node.core.log.base_index > 60
             assert len(list((tmp_path / "n0").glob("log-*"))) < 8
 
     run(test)
@@ -337,7 +337,7 @@
                 "own number" in (await greeted(c, Hello(1, "c", c.nodes[0].node.identity.node)))[1]
             )
             # A frame that was recorded on one connection, played on another.
-            vote = pack_message(VoteAsk(term + 50, 10**9, 10**9, False, True))
+            vote = pack_message(RequestVote(term + 50, 10**9, 10**9, False, True))
             recorded, why = await greeted(c, Hello(1, "c", 77))
             assert not why
             replayed = recorded.encoder.frame(vote)
@@ -351,7 +351,7 @@
             # And twice on its own.
             again, _ = await greeted(c, Hello(1, "c", 79))
             assert again.transport is not None
-            frame = again.encoder.frame(pack_message(VoteAsk(term, 0, 0, True)))
+            frame = again.encoder.frame(pack_message(RequestVote(term, 0, 0, True)))
             again.transport.write(frame + frame)
             await closed(again)
             assert "frame 1 where 2 was due" in caplog.text
@@ -391,7 +391,7 @@
                 fresh.issue(role)
             authority.path.write_bytes(fresh.path.read_bytes())
             for running_ in c.nodes.values():
-                await running_.server.look_at_keys()
+                await running_.server.reload_certificates()
                 assert running_.server.stamp == c.settings[0].tls.stamp()  # type: ignore[union-attr]
             assert await c.client(admin).put("a", b"3") == 2
             with pytest.raises(UnavailableError):
@@ -399,7 +399,7 @@
             # Bad ones leave the good in use.
             node.certificate.write_text("nonsense")
             for running_ in c.nodes.values():
-                assert not await running_.server.look_at_keys()
+                assert not await running_.server.reload_certificates()
             assert await c.client(admin).put("a", b"5") == 3
 
     run(test)
@@ -478,7 +478,7 @@
                     client.put("b", b"1", options=WriteOptions(timeout_s=20.0))
                 )
                 async with asyncio.timeout(10):
-                    while what not in c.nodes[0].node.figures.full:
+                    while what not in c.nodes[0].node.runtime.statistics.full_since_s:
                         await asyncio.sleep(0.005)
                 if what == "log":
                     assert (await c.client().get("a")).rows[0].value == b"1"
@@ -486,8 +486,8 @@
                 full[what] = False
                 await waiting
             assert (await client.get("b")).rows[0].version == 2
-            assert caplog.text.count("writes wait, reads go on") == 2
-            assert caplog.text.count("takes writes again") == 2
+            assert caplog.text.count("disk full, writes wait and reads go on") == 2
+            assert caplog.text.count("disk has room again") == 2
 
     with caplog.at_level(logging.INFO):
         run(test)
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -30,8 +30,8 @@
 from loadbalancer.store.durable import rows as stored
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable.state import Event, State
-from loadbalancer.store.housekeeping import AGAIN_NS, Housekeeper
-from loadbalancer.store.raft.messages import Entry, Kind
+from loadbalancer.store.housekeeping import UPGRADE_RETRY_NS, Housekeeper
+from loadbalancer.store.raft.messages import Entry, EntryKind
 from loadbalancer.testbed.cluster import rowed
 from tests.leases.test_leases import KEPT, MEMBERS, Log
 from tests.store.test_state import fresh
@@ -185,26 +185,28 @@
     log = Log(states.open_state(tmp_path / "state.db"))
     log.do(Upgrade(3))
     assert log.state.format == 1, "no step is left out"
-    steward, formats = Housekeeper(), {1: 3, 2: 3}
-    steward.leads(4, log.state, 0)
+    housekeeper, formats = Housekeeper(), {1: 3, 2: 3}
+    housekeeper.leadership_gained(4, log.state, 0)
     for number in (2, 3):
-        (due,) = steward.proposals(log.state.format, formats, 0)
-        assert due == Upgrade(number) and steward.proposals(log.state.format, formats, 1) == []
-        assert steward.proposals(log.state.format, formats, AGAIN_NS) == [due], (
+        (due,) = housekeeper.proposals(log.state.format, formats, 0)
+        assert due == Upgrade(number) and housekeeper.proposals(log.state.format, formats, 1) == []
+        assert housekeeper.proposals(log.state.format, formats, UPGRADE_RETRY_NS) == [due], (
             "it may have been lost"
         )
         assert log.do(due).versions == (number,)
-    assert steward.proposals(log.state.format, formats, 9 * AGAIN_NS) == []
+    assert housekeeper.proposals(log.state.format, formats, 9 * UPGRADE_RETRY_NS) == []
     log.do(OpenSession(7))
     assert log.claim("a", 11) == (1, 0) and rows(log, (ACME, b"x", ())).code == ResultCode.DONE
 
 
 def test_an_older_program_among_the_members_holds_back_only_what_it_does_not_know() -> None:
-    steward = Housekeeper()
-    steward.leads(4, fresh(), 0)
-    assert steward.proposals(1, {1: 3, 2: 2}, 0) == [Upgrade(2)]
-    assert steward.proposals(2, {1: 3, 2: 2}, 0) == [] == steward.proposals(2, {1: 3, 2: 0}, 0)
-    assert steward.proposals(2, {1: 3, 2: 3}, 0) == [Upgrade(3)]
+    housekeeper = Housekeeper()
+    housekeeper.leadership_gained(4, fresh(), 0)
+    assert housekeeper.proposals(1, {1: 3, 2: 2}, 0) == [Upgrade(2)]
+    assert (
+        housekeeper.proposals(2, {1: 3, 2: 2}, 0) == [] == housekeeper.proposals(2, {1: 3, 2: 0}, 0)
+    )
+    assert housekeeper.proposals(2, {1: 3, 2: 3}, 0) == [Upgrade(3)]
 
 
 @pytest.mark.parametrize("upto, prefix", [(2, "lease"), (3, "feed")])
@@ -219,9 +221,9 @@
     state = upgraded(fresh(), 2).state
     at, write = state.applied, RowsWrite(7, 900, 0, (Op(ACME, b"x"),))
     entries = [
-        Entry(1, at + 1, Kind.COMMAND, commands.pack(Upgrade(3))),
-        Entry(1, at + 2, Kind.COMMAND, commands.pack(write)),
-        Entry(1, at + 3, Kind.MEMBERS, b"\xc1"),
+        Entry(1, at + 1, EntryKind.COMMAND, commands.pack(Upgrade(3))),
+        Entry(1, at + 2, EntryKind.COMMAND, commands.pack(write)),
+        Entry(1, at + 3, EntryKind.MEMBERS, b"\xc1"),
     ]
     with pytest.raises(ValueError):
         state.apply(entries)
