--- a/loadbalancer/cli/feed.py
+++ b/loadbalancer/cli/feed.py
@@ -167,7 +167,7 @@
     for row in total.rejected:
         out.print(
             f"  {row.name}: {row.refusal.scope} {row.refusal.key} at version {row.refusal.version}:"
-            f" {row.refusal.why}",
+            f" {row.refusal.reason}",
             soft_wrap=True,
         )
 
--- a/loadbalancer/store/changefeed_client.py
+++ b/loadbalancer/store/changefeed_client.py
@@ -14,12 +14,13 @@
 
 from loadbalancer.changefeed.subscription import (
     Apply,
-    Check,
     Dial,
-    HangUp,
-    Say,
+    Disconnect,
+    RowCheck,
+    SendMessage,
     Subscription,
     SubscriptionLimits,
+    SubscriptionOptions,
 )
 from loadbalancer.settings import Malformed, split_address
 from loadbalancer.store import handshake
@@ -105,7 +106,7 @@
         self,
         target: ChangefeedTarget,
         scopes: Collection[str],
-        check: Check,
+        check: RowCheck,
         apply: Callable[[Apply], None],
         limits: SubscriptionLimits = SubscriptionLimits(),  # noqa: B008 (it is frozen)
     ) -> None:
@@ -118,7 +119,7 @@
         self._apply_rows = apply
         self.address = ""
         self.subscription = Subscription(
-            target.name, scopes, check, limits, self.target.rng, time.monotonic_ns()
+            target.name, scopes, SubscriptionOptions(check, limits, target.rng), time.monotonic_ns()
         )
         self.connection: ChangefeedConnection | None = None
         self._dialing: asyncio.Task[None] | None = None
@@ -141,7 +142,7 @@
         Raises:
             ValueError: A scope is not valid.
         """
-        self.subscription.want(add, drop, time.monotonic_ns())
+        self.subscription.update_scopes(add, drop, time.monotonic_ns())
         if not self._is_closed:
             self._wake()
 
@@ -177,17 +178,17 @@
     def _carry_out(self) -> list[bytes]:
         """Carries out the due actions; returns the messages to send."""
         messages: list[bytes] = []
-        for action in self.subscription.take_out():
+        for action in self.subscription.take_actions():
             match action:
-                case Say():
-                    messages.append(action.word)
+                case SendMessage():
+                    messages.append(action.payload)
                 case Apply():
                     self._apply(action)
                 case Dial():
                     messages.clear()
                     self._disconnect()
-                    self._dialing = self._loop.create_task(self._dial(action.turn))
-                case HangUp():
+                    self._dialing = self._loop.create_task(self._dial(action.address_index))
+                case Disconnect():
                     messages.clear()
                     self._disconnect()
         return messages
@@ -236,7 +237,7 @@
             self._connection_failed(reason)
             return
         self.connection = connection
-        self.subscription.connected(welcome.cluster, time.monotonic_ns())
+        self.subscription.on_connected(welcome.cluster, time.monotonic_ns())
         self._wake()
 
     async def _connect(self, connection: ChangefeedConnection) -> Welcome:
@@ -250,7 +251,7 @@
     ) -> None:
         """Handles a message of the node, unless its connection was left."""
         if connection is self.connection:
-            self.subscription.heard(
+            self.subscription.receive(
                 message.generation, message.sequence, message.message, time.monotonic_ns()
             )
             self._wake()
@@ -263,7 +264,7 @@
 
     def _connection_failed(self, reason: str) -> None:
         log.debug("change feed connection failed: reason=%s", reason)
-        self.subscription.lost(reason, time.monotonic_ns())
+        self.subscription.on_disconnected(reason, time.monotonic_ns())
         self._wake()
 
     def _disconnect(self) -> None:
--- a/loadbalancer/store/changefeed_server.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -16,8 +16,15 @@
 import msgspec
 from msgspec import structs
 
-from loadbalancer.changefeed.fanout import BadWord, Fanout, FanoutLimits, FeedChange, Send
-from loadbalancer.changefeed.messages import PREFIX, Bookmark, unpack_told
+from loadbalancer.changefeed.fanout import (
+    Fanout,
+    FanoutLimits,
+    FeedChange,
+    FeedProtocolError,
+    Send,
+    StoreSnapshot,
+)
+from loadbalancer.changefeed.messages import PREFIX, Bookmark, unpack_server_message
 from loadbalancer.changefeed.status import FeedStatus
 from loadbalancer.store.durable.rows import Event, Loaded
 from loadbalancer.store.durable.state import State
@@ -114,7 +121,7 @@
 
         def apply(fanout: Fanout, now_ns: int) -> None:
             if revision > fanout.revision:
-                fanout.applied(revision, changes, now_ns)
+                fanout.apply(revision, changes, now_ns)
 
         self._do(apply)
 
@@ -198,20 +205,20 @@
         def receive(fanout: Fanout, now_ns: int) -> None:
             try:
                 if number in self.subscribers:
-                    fanout.heard(number, message, now_ns)
-            except BadWord as error:
+                    fanout.receive(number, message, now_ns)
+            except FeedProtocolError as error:
                 self.subscribers[number].end_subscription(str(error))
 
         self._do(receive)
 
     def set_writable(self, number: int, is_writable: bool) -> None:
         """A subscriber reads what was sent, or does not."""
-        self._do(lambda fanout, now_ns: fanout.writable(number, is_writable, now_ns))
+        self._do(lambda fanout, now_ns: fanout.set_writable(number, is_writable, now_ns))
 
     def remove_subscriber(self, number: int) -> None:
         """A subscriber's connection ended."""
         if self.subscribers.pop(number, None) is not None:
-            self._do(lambda fanout, now_ns: fanout.gone(number, now_ns))
+            self._do(lambda fanout, now_ns: fanout.remove(number, now_ns))
 
     # ---- one iteration ---------------------------------------------------------------------------
 
@@ -242,18 +249,18 @@
 
     def _send_due(self, fanout: Fanout) -> None:
         now_ns = time.monotonic_ns()
-        if 0 < fanout.wake_ns <= now_ns:
+        if fanout.wake_ns is not None and fanout.wake_ns <= now_ns:
             fanout.tick(now_ns)
         by_subscriber: dict[int, list[Send]] = {}
-        for send in fanout.take_out():
-            if self._is_isolated and isinstance(unpack_told(send.word), Bookmark):
+        for send in fanout.take_sends():
+            if self._is_isolated and isinstance(unpack_server_message(send.payload), Bookmark):
                 continue
             by_subscriber.setdefault(send.subscriber, []).append(send)
         for number, sends in by_subscriber.items():
             subscriber = self.subscribers.get(number)
             if subscriber is not None:
                 subscriber.send_messages(sends)
-        if fanout.wake_ns:
+        if fanout.wake_ns is not None:
             self._timer.schedule(max(fanout.wake_ns, now_ns + MIN_TIMER_NS), now_ns)
 
     def _fail(self, error: Exception) -> None:
@@ -279,7 +286,7 @@
         return structs.replace(
             Fanout(self._cluster, self._limits, 0).status(),
             subscribers=count,
-            reached=((0, count),) if count else (),
+            acknowledged=((0, count),) if count else (),
         )
 
     def _encode_status(self, status: FeedStatus) -> dict[str, Any]:
@@ -296,4 +303,5 @@
 
 def _fill(fanout: Fanout, loaded: Loaded) -> None:
     changes = _feed_changes(loaded.events)
-    fanout.load(loaded.revision, loaded.rows, loaded.base, changes, time.monotonic_ns())
+    snapshot = StoreSnapshot(loaded.revision, loaded.rows, loaded.base, changes)
+    fanout.load(snapshot, time.monotonic_ns())
--- a/loadbalancer/store/commands.py
+++ b/loadbalancer/store/commands.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from loadbalancer.changefeed.messages import MOST_ROW, PREFIX, split
+from loadbalancer.changefeed.messages import MAX_ROW_BYTES, PREFIX, split_key
 from loadbalancer.store.raft.messages import ArrayStruct, pack
 
 __all__ = [
@@ -338,13 +338,13 @@
     is_row = op.key.startswith(PREFIX)
     try:
         for row in (*([op.key] if is_row else ()), *refs):
-            split(row)
+            split_key(row)
     except ValueError as error:
         return str(error)
     if refs and (op.value is None or not is_row):
         return f"{op.key}: only a row that is put names others"
     if len(refs) > MAX_REFERENCES or len(set(refs)) < len(refs):
         return f"{op.key}: a row names {MAX_REFERENCES} others at most, each once"
-    if is_row and op.value is not None and not 0 < len(op.value) <= MOST_ROW:
-        return f"{op.key}: a row has 1 to {MOST_ROW} bytes"
+    if is_row and op.value is not None and not 0 < len(op.value) <= MAX_ROW_BYTES:
+        return f"{op.key}: a row has 1 to {MAX_ROW_BYTES} bytes"
     return None
--- a/loadbalancer/store/connection.py
+++ b/loadbalancer/store/connection.py
@@ -251,7 +251,7 @@
             self._encoder.frame(
                 protocol.pack(
                     ChangefeedMessage(
-                        self._subscription_id, send.generation, send.sequence, send.word
+                        self._subscription_id, send.generation, send.sequence, send.payload
                     )
                 )
             )
--- a/loadbalancer/store/feed_progress.py
+++ b/loadbalancer/store/feed_progress.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from loadbalancer.changefeed.status import FeedStatus, Refused
+from loadbalancer.changefeed.status import FeedStatus, RefusedRow
 from loadbalancer.store.client import Client
 from loadbalancer.store.errors import NotInForceError, StoreError
 
@@ -112,7 +112,7 @@
     in_force: int
     lagging: tuple[LaggingBalancer, ...]
     rejected_count: int
-    rejected: tuple[Refused, ...]
+    rejected: tuple[RefusedRow, ...]
     lagging_nodes: tuple[str, ...]
     unreachable: tuple[str, ...]
 
@@ -162,7 +162,7 @@
         refusal = first.refusal
         return (
             f"where {self.rejected_count} rows are refused: {first.name} has {refusal.scope}"
-            f" {refusal.key} at version {refusal.version}: {refusal.why}"
+            f" {refusal.key} at version {refusal.version}: {refusal.reason}"
         )
 
 
@@ -175,7 +175,7 @@
     in_force: int = 0
     rejected_count: int = 0
     lagging: list[LaggingBalancer] = field(default_factory=list)
-    rejected: list[Refused] = field(default_factory=list)
+    rejected: list[RefusedRow] = field(default_factory=list)
     lagging_nodes: list[str] = field(default_factory=list)
 
     def add(self, number: str, address: str, feed: FeedStatus) -> None:
@@ -240,9 +240,9 @@
     A status lists a limited number of revisions. Subscribers that are not listed are beyond the
     last listed one; they count as behind until that has reached the revision.
     """
-    behind = sum(count for reached, count in feed.reached if reached < revision)
-    unlisted = feed.subscribers - sum(count for _, count in feed.reached)
-    if unlisted and feed.reached and feed.reached[-1][0] < revision:
+    behind = sum(count for reached, count in feed.acknowledged if reached < revision)
+    unlisted = feed.subscribers - sum(count for _, count in feed.acknowledged)
+    if unlisted and feed.acknowledged and feed.acknowledged[-1][0] < revision:
         behind += unlisted
     return behind
 
--- a/loadbalancer/testbed/size/storefeed.py
+++ b/loadbalancer/testbed/size/storefeed.py
@@ -12,13 +12,13 @@
 from pathlib import Path
 
 from loadbalancer.changefeed.messages import (
+    Acknowledge,
     Bookmark,
-    Later,
     Patch,
-    Reached,
+    RetryLater,
     Subscribe,
     pack,
-    unpack_told,
+    unpack_server_message,
 )
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import MAX_OPERATIONS, Op
@@ -68,14 +68,14 @@
     def replied(self, reply: AnyReply) -> None:
         if not isinstance(reply, ChangefeedMessage):
             return
-        word = unpack_told(reply.message)
+        word = unpack_server_message(reply.message)
         match word:
             case Patch():
-                self._say(pack(Reached(reply.sequence)))
-                self.told(word.last)
+                self._say(pack(Acknowledge(reply.sequence)))
+                self.told(word.is_last_chunk)
             case Bookmark() if word.digests:  # all was told, up to where the node is
                 self.ready(self)
-            case Later():
+            case RetryLater():
                 self.later += 1
                 asyncio.get_running_loop().call_later(word.after_ms / 1000, self.subscribe)
 
