--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -32,7 +32,7 @@
 from loadbalancer.settings import Json, Malformed, split_address
 from loadbalancer.store.client import Client
 from loadbalancer.store.documents import key
-from loadbalancer.store.settings import Keys
+from loadbalancer.store.settings import TlsTable
 from loadbalancer.units import Duration, convert
 
 log = logging.getLogger(__name__)
@@ -63,7 +63,7 @@
     sites: bool = False
     rows: bool = False
     documents: bool = False
-    tls: Keys | None = None
+    tls: TlsTable | None = None
 
 
 class Bootstrap:
@@ -137,8 +137,10 @@
         """
         document = self.store.document
         clients = self.create_client(), self.create_client()
-        linearizable = asyncio.ensure_future(clients[0].get(key(document), within_s=timeout_s))
-        stale = asyncio.ensure_future(clients[1].get(key(document), stale=True, within_s=timeout_s))
+        linearizable = asyncio.ensure_future(clients[0].get(key(document), timeout_s=timeout_s))
+        stale = asyncio.ensure_future(
+            clients[1].get(key(document), stale=True, timeout_s=timeout_s)
+        )
         await asyncio.wait((linearizable, stale))
         for client in clients:
             await client.close()
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -46,9 +46,11 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import number_of
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import LEASES, Op
-from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.commands import LEASE_PREFIX, Op
+from loadbalancer.store.errors import NotLeaseHolderError
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire.protocol import Row
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.wallclock import unix_ms
 
 log = logging.getLogger(__name__)
@@ -75,7 +77,7 @@
         self.list = f"list/{service}"
         self.confirmation = f"listed/{service}"
         self.reports = f"report/{service}/"
-        self.names = f"{LEASES}name/{service}/"
+        self.names = f"{LEASE_PREFIX}name/{service}/"
 
 
 @dataclass(frozen=True, slots=True)
@@ -301,7 +303,9 @@
             operations.append(Op(self.keys.disabled, names, disabled_row.version))
         else:
             checks.append((self.keys.disabled, disabled_row.version))
-        await self.owner.write(operations, checks, note=step.summary[:MAX_NOTE_LENGTH])
+        await self.owner.write(
+            operations, WriteOptions(checks=checks, note=step.summary[:MAX_NOTE_LENGTH])
+        )
 
 
 class BalancerReporter:
@@ -311,7 +315,7 @@
         self,
         driver: Driver,
         disabled: DisabledUpstreams,
-        name_lease: Owner,
+        name_lease: LeaseClient,
         identity: BalancerIdentity,
     ) -> None:
         self.driver = driver
@@ -365,7 +369,7 @@
             is_due = current != reported or time.monotonic() - reported_s >= self.interval_s
             if self.is_active and is_due and self.name_lease.token():
                 report = self._next_report(*current)
-                with suppress(NotOwner):
+                with suppress(NotLeaseHolderError):
                     await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
                     reported = current
                     reported_s = time.monotonic()
@@ -390,5 +394,7 @@
             StoreError: The store did not serve the write.
         """
         if self.has_report and self.name_lease.token():
-            with suppress(NotOwner):
-                await self.name_lease.write([Op(self.key, None)], within_s=REMOVE_TIMEOUT_S)
+            with suppress(NotLeaseHolderError):
+                await self.name_lease.write(
+                    [Op(self.key, None)], WriteOptions(timeout_s=REMOVE_TIMEOUT_S)
+                )
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -30,8 +30,10 @@
 from loadbalancer.proxy.upstream import Report
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
-from loadbalancer.store.lease_client import NotOwner, Owner, clock_ns
+from loadbalancer.store.errors import NotLeaseHolderError
+from loadbalancer.store.lease_client import LeaseClient, boot_clock_ns
 from loadbalancer.store.wire.protocol import Row
+from loadbalancer.store.write_session import WriteOptions
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +50,7 @@
         self,
         driver: Driver,
         client: Client,
-        name_lease: Owner,
+        name_lease: LeaseClient,
         identity: BalancerIdentity,
         rng: random.Random,
     ) -> None:
@@ -60,7 +62,7 @@
         self.keys = SiteKeys(identity.service)
         self.key = self.keys.rows + identity.balancer
         self.member = Member(
-            settings.zone, identity.balancer, settings.instance_count, rng, clock_ns()
+            settings.zone, identity.balancer, settings.instance_count, rng, boot_clock_ns()
         )
         self.receiver = FencedReceiver(FencingPosition())
         self.plan = SitePlanDocument()
@@ -88,7 +90,7 @@
             return
         request_class = self.driver.settings.classes[request.arrival.class_name]
         usual_ns = self.driver.balancer.crowding.taken.get(request_class.name, 0.0)
-        self.member.tried(event, request_class.latency_objective_ns, usual_ns, clock_ns())
+        self.member.tried(event, request_class.latency_objective_ns, usual_ns, boot_clock_ns())
 
     async def observe(self) -> None:
         """Judges the evidence, probes unused sites and gives the policy its traffic plan."""
@@ -97,7 +99,7 @@
             await asyncio.sleep(STEP_INTERVAL_S)
 
     def _step(self) -> None:
-        now = clock_ns()
+        now = boot_clock_ns()
         self._update_upstreams(now)
         is_store_available = self.name_lease.holder.failures < MAX_RENEWAL_FAILURES
         step = self.member.turn(now, is_store_available)
@@ -131,7 +133,7 @@
             self.member.evidence.listed(sites, now)
 
     def _on_probe_finished(self, number: int, result: api.AttemptResult, _report: Report) -> None:
-        self.member.sounded(number, result, clock_ns())
+        self.member.sounded(number, result, boot_clock_ns())
 
     async def report(self) -> None:
         """Writes each report that is due.
@@ -140,9 +142,9 @@
             StoreError: The store did not serve a write.
         """
         while True:
-            if self.member.row_due(clock_ns()) and self.name_lease.token():
-                report = self.member.row(self.driver.balancer.crowding.taken, clock_ns())
-                with suppress(NotOwner):
+            if self.member.row_due(boot_clock_ns()) and self.name_lease.token():
+                report = self.member.row(self.driver.balancer.crowding.taken, boot_clock_ns())
+                with suppress(NotLeaseHolderError):
                     await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
                     self.has_report = True
             await asyncio.sleep(STEP_INTERVAL_S * self.member.rng.uniform(*REPORT_JITTER))
@@ -154,8 +156,10 @@
             StoreError: The store did not serve the write.
         """
         if self.has_report and self.name_lease.token():
-            with suppress(NotOwner):
-                await self.name_lease.write([Op(self.key, None)], within_s=REMOVE_TIMEOUT_S)
+            with suppress(NotLeaseHolderError):
+                await self.name_lease.write(
+                    [Op(self.key, None)], WriteOptions(timeout_s=REMOVE_TIMEOUT_S)
+                )
 
     # ---- the leader's plan -----------------------------------------------------------------------
 
@@ -210,7 +214,7 @@
             for state in plan.site_states
             if state.aim is not Aim.IN and state.part <= 0
         }
-        self.member.ordered(plan.orders, frozenset(plan.sites), drained, clock_ns())
+        self.member.ordered(plan.orders, frozenset(plan.sites), drained, boot_clock_ns())
 
     def _receive_confirmation(self, row: Row) -> None:
         confirmation = decode_row(row, LeaderConfirmation)
@@ -218,7 +222,7 @@
             return
         position = FencingPosition(confirmation.token, confirmation.sequence)
         if position == self.receiver.highest and confirmation.heartbeat != self.heartbeat:
-            self.member.stands(clock_ns())
+            self.member.stands(boot_clock_ns())
         self.heartbeat = confirmation.heartbeat
 
     def _receive_tables(self, row: Row) -> None:
@@ -241,4 +245,4 @@
             evidence.said.pop(balancer, None)
             return
         statement = Said(report.site, frozenset(report.answers), frozenset(report.silent))
-        evidence.heard(balancer, statement, 0, clock_ns())
+        evidence.heard(balancer, statement, 0, boot_clock_ns())
--- a/loadbalancer/store/housekeeping.py
+++ b/loadbalancer/store/housekeeping.py
@@ -1,62 +1,94 @@
-"""What a leader proposes by itself: that the state takes its next format, once all members know it,
-and that the time of a claim is over. Pure: it is handed the clock and what was applied.
+"""What a leader proposes by itself: the next format of the state, and claims that expired.
+
+Pure: it is handed the clock and what was applied.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+from typing import Final
 
 from loadbalancer.leases.expiry import ActiveClaim, LeaseExpiry
-from loadbalancer.store.commands import FORMAT, AnyCommand, Lapse, Upgrade
+from loadbalancer.store.commands import STATE_FORMAT, AnyCommand, ExpireClaim, Upgrade
 from loadbalancer.store.durable.state import State
 
-AGAIN_NS = 1_000_000_000  # between two proposals of a format
+UPGRADE_RETRY_NS: Final = 1_000_000_000
+
+
+def nodes_below_format(formats: Mapping[int, int], required_format: int) -> list[int]:
+    """Returns the members whose programs are not known to support a format."""
+    return [node for node, known in formats.items() if known < required_format]
+
 
+@dataclass(frozen=True, slots=True)
+class ProposedUpgrade:
+    """The last format that was proposed, and when it may be proposed again."""
 
-def behind(formats: Mapping[int, int], at: int) -> list[int]:
-    """Members that are not known to take what a state of format `at` holds."""
-    return [node for node, known in formats.items() if known < at]
+    format: int
+    retry_ns: int
 
 
-class Steward:
+class Housekeeper:
+    """Proposes commands for the term in which this node leads.
+
+    Attributes:
+        term: The term; None while this node does not lead.
+    """
+
     def __init__(self) -> None:
-        self.term = 0  # of the leadership that it counts for; 0: none
-        self.expiry: LeaseExpiry | None = None
-        self.asked = (0, 0)  # for which format, and when it may be asked for again
+        self.term: int | None = None
+        self._expiry: LeaseExpiry | None = None
+        self._proposed: ProposedUpgrade | None = None
 
-    def leads(self, term: int, state: State, now: int) -> None:
-        """This node leads, in this term: a new leader lets every claim run its full time again."""
+    def leadership_gained(self, term: int, state: State, now_ns: int) -> None:
+        """Starts over for a term: a new leader lets every claim run its full TTL again."""
         if term != self.term:
             state.take_claimed()
-            self.term, self.expiry, self.asked = term, LeaseExpiry(state.running(), now), (0, 0)
+            self.term = term
+            self._expiry = LeaseExpiry(state.running(), now_ns)
+            self._proposed = None
 
-    def follows(self) -> None:
-        self.term, self.expiry = 0, None
+    def leadership_lost(self) -> None:
+        """Proposes nothing until this node leads again."""
+        self.term = None
+        self._expiry = None
 
-    def applied(self, claimed: Iterable[ActiveClaim], now: int) -> None:
-        if self.expiry is not None:
-            for one in claimed:
-                self.expiry.record(one, now)
+    def claims_applied(self, claims: Iterable[ActiveClaim], now_ns: int) -> None:
+        """Restarts the TTL of claims that were made or renewed."""
+        if self._expiry is not None:
+            for claim in claims:
+                self._expiry.record(claim, now_ns)
 
-    def proposals(self, format_now: int, formats: Mapping[int, int], now: int) -> list[AnyCommand]:
-        """`formats`: by member, this one included, the newest that its program knows; 0: not met
-        yet.
+    def proposals(
+        self, state_format: int, formats: Mapping[int, int], now_ns: int
+    ) -> list[AnyCommand]:
+        """Returns the commands that are due.
+
+        Args:
+            state_format: The format of the state.
+            formats: The newest format that each member's program knows, this node's included; 0 for
+                a member that was not connected yet.
+            now_ns: The clock.
         """
-        found: list[AnyCommand] = []
-        if self.expiry is None:
-            return found
-        due = format_now + 1  # one after the other: each begins with what the one before it left
-        if (
-            due <= FORMAT
-            and not behind(formats, due)
-            and (self.asked[0] != due or now >= self.asked[1])
-        ):
-            self.asked = due, now + AGAIN_NS
-            found.append(Upgrade(due))
-        found += [Lapse(one.lease, one.claim, one.round) for one in self.expiry.take_expired(now)]
-        return found
+        if self._expiry is None:
+            return []
+        commands: list[AnyCommand] = []
+        next_format = state_format + 1  # one at a time: each migrates what the one before left
+        if self._is_upgrade_due(next_format, formats, now_ns):
+            self._proposed = ProposedUpgrade(next_format, now_ns + UPGRADE_RETRY_NS)
+            commands.append(Upgrade(next_format))
+        expired = self._expiry.take_expired(now_ns)
+        commands += [ExpireClaim(claim.lease, claim.claim, claim.round) for claim in expired]
+        return commands
+
+    def _is_upgrade_due(self, next_format: int, formats: Mapping[int, int], now_ns: int) -> bool:
+        if next_format > STATE_FORMAT or nodes_below_format(formats, next_format):
+            return False
+        proposed = self._proposed
+        return proposed is None or proposed.format != next_format or now_ns >= proposed.retry_ns
 
     @property
     def wake_ns(self) -> int | None:
-        """When to call `proposals` next. None: only after an event."""
-        return self.expiry.wake_ns if self.expiry is not None else None
+        """When to call `proposals` next; None for only after an event."""
+        return self._expiry.wake_ns if self._expiry is not None else None
--- a/loadbalancer/store/security.py
+++ b/loadbalancer/store/security.py
@@ -1,6 +1,6 @@
-"""Who is at the other end: TLS on both sides, and the role that a certificate gives.
+"""Mutual TLS, and the role that a certificate gives its holder.
 
-A certificate names its role in a URI of its subject's alternative names (RFC 5280, 4.2.1.6):
+A certificate names its role in a URI of its subject alternative names (RFC 5280, 4.2.1.6):
 `lanelift://CLUSTER/ROLE`, where ROLE is `node`, `admin`, `write` or `read`, and CLUSTER the
 cluster's name or `*`.
 """
@@ -9,44 +9,58 @@
 
 import ssl
 from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
-from typing import Any
+from typing import Any, Final
 
 from loadbalancer.settings import Malformed
 
-SCHEME = "lanelift://"
-ROLES = (
-    "read",
-    "write",
-    "admin",
-    "node",
-)  # each may what those before it may, but `node` only be a node
+URI_SCHEME: Final = "lanelift://"
+ANY_CLUSTER: Final = "*"
+
+
+class CertificateRole(StrEnum):
+    """Roles, each permitted what those before it are; but a node can only be a node."""
+
+    READ = "read"
+    WRITE = "write"
+    ADMIN = "admin"
+    NODE = "node"
+
+
+ROLES: Final = tuple(CertificateRole)
+CLIENT_ROLES: Final = (CertificateRole.READ, CertificateRole.WRITE, CertificateRole.ADMIN)
 
 
 @dataclass(frozen=True, slots=True)
-class Tls:
-    """Files, PEM."""
+class TlsFiles:
+    """PEM files of one process."""
 
     certificate: Path
     key: Path
     authority: Path
 
     def stamp(self) -> tuple[tuple[int, int], ...]:
-        """Changes when a file is replaced."""
-        found = []
+        """Returns modification times and inodes, which change when a file is replaced."""
+        stamps = []
         for path in (self.certificate, self.key, self.authority):
             try:
                 stat = path.stat()
-                found.append((stat.st_mtime_ns, stat.st_ino))
+                stamps.append((stat.st_mtime_ns, stat.st_ino))
             except OSError:
-                found.append((0, 0))
-        return tuple(found)
+                stamps.append((0, 0))
+        return tuple(stamps)
+
+    def context(self, is_server: bool) -> ssl.SSLContext:
+        """Returns the context of one side, which always verifies the other's certificate.
 
-    def context(self, server: bool) -> ssl.SSLContext:
-        """For one side; the other's certificate is always asked for. Raises Malformed."""
-        context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
+        Raises:
+            Malformed: A file can't be used.
+        """
+        protocol = ssl.PROTOCOL_TLS_SERVER if is_server else ssl.PROTOCOL_TLS_CLIENT
+        context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_3
-        # Members are known by their authority and role; addresses change and are no names.
+        # Members are identified by authority and role; their addresses change.
         context.check_hostname = False
         context.verify_mode = ssl.CERT_REQUIRED
         try:
@@ -60,20 +74,23 @@
         return context
 
 
-def role_of(certificate: dict[str, Any] | None, cluster: str) -> str:
-    """The role that a peer's certificate, as `SSLSocket.getpeercert` gives it, has in this cluster;
-    "": none.
+def role_of(certificate: dict[str, Any] | None, cluster: str) -> CertificateRole | None:
+    """Returns the highest role that a certificate has in a cluster; None if it has none.
+
+    Args:
+        certificate: As `SSLSocket.getpeercert` returns it.
+        cluster: The cluster's name.
     """
-    best = -1
+    found: list[CertificateRole] = []
     for kind, value in (certificate or {}).get("subjectAltName", ()):
-        if kind != "URI" or not value.startswith(SCHEME):
+        if kind != "URI" or not value.startswith(URI_SCHEME):
             continue
-        where, _, role = value[len(SCHEME) :].partition("/")
-        if where in ("*", cluster) and role in ROLES:
-            best = max(best, ROLES.index(role))
-    return ROLES[best] if best >= 0 else ""
+        named_cluster, _, role = value[len(URI_SCHEME) :].partition("/")
+        if named_cluster in (ANY_CLUSTER, cluster) and role in ROLES:
+            found.append(CertificateRole(role))
+    return max(found, key=ROLES.index, default=None)
 
 
-def may(role: str, needed: str) -> bool:
-    """May a client of this role do what needs that one?"""
-    return role in ROLES[:3] and ROLES.index(role) >= ROLES.index(needed)
+def is_permitted(role: CertificateRole, required: CertificateRole) -> bool:
+    """Returns whether a client with a role may do what requires another."""
+    return role in CLIENT_ROLES and ROLES.index(role) >= ROLES.index(required)
--- a/loadbalancer/testbed/rig/world.py
+++ b/loadbalancer/testbed/rig/world.py
@@ -14,7 +14,9 @@
 
 from loadbalancer.store import documents
 from loadbalancer.store import run as running
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
+from loadbalancer.store.documents import DocumentChange
+from loadbalancer.store.errors import StoreError
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.bench import fill
 from loadbalancer.testbed.cluster.real import RealCluster
@@ -194,7 +196,9 @@
             text += f'[[site]]\nname = "{site}"\nbears = "{bears:.3f}/s"\nprices = {{{others}}}\n'
         client = self.client("sites")
         try:
-            await documents.put(client, f"sites/{SERVICE}", text, unchecked, -1, "rig")
+            await documents.put(
+                client, f"sites/{SERVICE}", text, unchecked, DocumentChange(-1, "rig")
+            )
         finally:
             await client.close()
 
@@ -310,7 +314,9 @@
         if self.s.document:
             client = self.client("settings")
             try:
-                await documents.put(client, f"balancer/{name}", own, unchecked, -1, "rig")
+                await documents.put(
+                    client, f"balancer/{name}", own, unchecked, DocumentChange(-1, "rig")
+                )
             finally:
                 await client.close()
             own, boot = "", boot + f'document = "balancer/{name}"\nfolder = "{name}"\n'
