--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -22,7 +22,7 @@
 from loadbalancer.proxy.discovery import LATEST_MS
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.settings import Malformed
-from loadbalancer.store.commands import MOST_OPS, Op
+from loadbalancer.store.commands import MAX_OPERATIONS, Op
 
 Batch = tuple[Op, ...]  # the operations of one write
 
@@ -211,7 +211,7 @@
 def plan_writes(
     stored: Mapping[str, tuple[int, bytes]],
     desired: Mapping[str, bytes],
-    max_operations: int = MOST_OPS,
+    max_operations: int = MAX_OPERATIONS,
 ) -> list[Batch]:
     """Plans the writes that turn the stored rows into the desired ones.
 
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -33,7 +33,7 @@
 from loadbalancer.settings import Malformed
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
-from loadbalancer.store.lease_client import NotOwner
+from loadbalancer.store.errors import NotLeaseHolderError
 from loadbalancer.wallclock import unix_s
 
 log = logging.getLogger(__name__)
@@ -126,7 +126,7 @@
         token = self.owner.token()
         now_s = time.monotonic()
         if not token:
-            raise NotOwner("sites")
+            raise NotLeaseHolderError("sites")
         plan = observation.plan
         states = tuple(state for state in states if not state.well or state.count)
         has_new_states = (
--- a/loadbalancer/store/documents.py
+++ b/loadbalancer/store/documents.py
@@ -1,69 +1,113 @@
-"""Versioned configuration documents on top of the store: checked before they are proposed, replaced
-as a whole with compare-and-set, with a history to look at and go back in.
+"""Versioned configuration documents in the store.
+
+They are checked before they are proposed, replaced as a whole with compare-and-set, and have a
+history that can be restored.
 """
 
 from __future__ import annotations
 
 import difflib
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Final
 
-from loadbalancer.store.client import Client, Rejected
-from loadbalancer.store.commands import KEY, MOST_VALUE
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import KEY_PATTERN, MAX_VALUE_BYTES
+from loadbalancer.store.errors import RejectedError
 from loadbalancer.store.wire.protocol import Row
+from loadbalancer.store.write_session import WriteOptions
+
+PREFIX: Final = "config/"
+DocumentCheck = Callable[
+    [str, str], str
+]  # name and text to the first fault, empty if there is none
+
 
-PREFIX = "config/"
-Checker = Callable[[str, str], str]  # name, text: the first thing wrong with it, or empty
+@dataclass(frozen=True, slots=True)
+class DocumentChange:
+    """Who changes a document, and why.
+
+    Attributes:
+        version: The version that it must be at: 0 for a new one, `ANY_VERSION` for whichever.
+        author: Who changes it.
+        note: Why.
+    """
+
+    version: int
+    author: str
+    note: str = ""
 
 
 def key(name: str) -> str:
-    """Raises Rejected."""
-    if not KEY.match(PREFIX + name):
-        raise Rejected(
+    """Returns the store's key of a document.
+
+    Raises:
+        RejectedError: The name is not valid.
+    """
+    if not KEY_PATTERN.match(PREFIX + name):
+        raise RejectedError(
             f"{name!r} is no name: small letters, digits, dots and dashes, with slashes between"
         )
     return PREFIX + name
 
 
-async def get(client: Client, name: str, version: int = 0) -> Row:
-    """A document as it stands, or at a version. Raises Rejected where there is none,
-    Unavailable.
+async def get(client: Client, name: str, version: int | None = None) -> Row:
+    """Returns a document at a version; None for the newest.
+
+    Raises:
+        RejectedError: There is no such document or version.
+        UnavailableError: No node replied in time.
     """
-    if version:
-        for row in (await client.history(key(name))).rows:
-            if row.version == version and row.value is not None:
-                return row
-        raise Rejected(f"{name}: there is no version {version}, or it is too long ago")
+    if version is not None:
+        return await _get_version(client, name, version)
     row = (await client.get(key(name))).rows[0]
     if row.value is None:
-        raise Rejected(f"{name}: there is no such document")
+        raise RejectedError(f"{name}: there is no such document")
     return row
 
 
+async def _get_version(client: Client, name: str, version: int) -> Row:
+    for row in (await client.history(key(name))).rows:
+        if row.version == version and row.value is not None:
+            return row
+    raise RejectedError(f"{name}: there is no version {version}, or it is too long ago")
+
+
 async def put(
-    client: Client, name: str, text: str, check: Checker, version: int, author: str, note: str = ""
+    client: Client, name: str, text: str, check: DocumentCheck, change: DocumentChange
 ) -> int:
-    """The new version. `version`: what it must be at, 0 for a new one, -1 for whatever. Raises
-    Rejected, Conflict, Unavailable, Undecided.
+    """Replaces a document; returns its new version.
+
+    Raises:
+        ConflictError: It is at another version.
+        RejectedError: The check found a fault.
+        UnavailableError: It was not replaced.
+        UndecidedError: It may have been replaced.
     """
-    if len(text.encode()) > MOST_VALUE:
-        raise Rejected(f"{name}: a document has {MOST_VALUE} bytes at most")
-    why = check(name, text)
-    if why:
-        raise Rejected(f"{name}: {why}")
-    return await client.put(key(name), text.encode(), version, note, author)
-
-
-async def rollback(client: Client, name: str, version: int, check: Checker, author: str) -> int:
-    """An older text as a new version, checked again: what was good once may not be now."""
-    now = await get(client, name)
-    then = await get(client, name, version)
-    assert then.value is not None
-    return await put(
-        client, name, then.value.decode(), check, now.version, author, f"back to version {version}"
-    )
-
-
-def diff(name: str, a: Row, b: Row) -> str:
-    """Unified; empty where they are alike."""
-    old, new = ((r.value or b"").decode().splitlines(keepends=True) for r in (a, b))
-    return "".join(difflib.unified_diff(old, new, f"{name} {a.version}", f"{name} {b.version}"))
+    value = text.encode()
+    if len(value) > MAX_VALUE_BYTES:
+        raise RejectedError(f"{name}: a document has {MAX_VALUE_BYTES} bytes at most")
+    fault = check(name, text)
+    if fault:
+        raise RejectedError(f"{name}: {fault}")
+    options = WriteOptions(note=change.note, author=change.author)
+    return await client.put(key(name), value, change.version, options)
+
+
+async def rollback(
+    client: Client, name: str, version: int, check: DocumentCheck, author: str
+) -> int:
+    """Puts an older text again as a new version; checked again, as the rules may have changed."""
+    current = await get(client, name)
+    older = await get(client, name, version)
+    assert older.value is not None
+    change = DocumentChange(current.version, author, f"back to version {version}")
+    return await put(client, name, older.value.decode(), check, change)
+
+
+def diff(name: str, old: Row, new: Row) -> str:
+    """Returns the unified diff of two versions; empty if they are the same."""
+    old_lines, new_lines = ((row.value or b"").decode().splitlines(True) for row in (old, new))
+    old_name = f"{name} {old.version}"
+    new_name = f"{name} {new.version}"
+    return "".join(difflib.unified_diff(old_lines, new_lines, old_name, new_name))
--- a/loadbalancer/store/feed_progress.py
+++ b/loadbalancer/store/feed_progress.py
@@ -1,4 +1,4 @@
-"""How far balancers have come: what each member of the store says of its feed, added up."""
+"""How far balancers follow the change feed: the status of all members of the store, added up."""
 
 from __future__ import annotations
 
@@ -6,64 +6,74 @@
 import time
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from contextlib import suppress
-from typing import Any
+from dataclasses import dataclass, field
+from typing import Any, Final, NamedTuple
 
 import msgspec
 
 from loadbalancer.changefeed.status import FeedStatus, RefusedRow
-from loadbalancer.store.client import Client, StoreError
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import NotInForceError, StoreError
 
-ASK_S = 2.0  # a member that has not answered by then is told as one that does not
-POLL_S = 0.05  # between two questions of one who waits
-NAMED = 5  # balancers that one line names
-Statuses = Sequence[Mapping[str, Any]]
+STATUS_TIMEOUT_S: Final = 2.0  # a member that has not replied by then counts as unreachable
+POLL_INTERVAL_S: Final = 0.05
+MAX_NAMED: Final = 5  # balancers that one line names
 
+# A `NodeStatus`, or `address` and `trouble` of a member that did not reply.
+MemberReport = Mapping[str, Any]
 
-class NotInForce(StoreError):
-    """A revision, within the time."""
 
+class MemberStatusReader:
+    """Reads the status of every member, also of those that only other members know.
 
-class Members:
-    """Every member asked for itself, those that were not named as well. `make`: a client of one
-    address.
+    Args:
+        addresses: Members, HOST:PORT.
+        make_client: Makes a client of one address.
     """
 
-    def __init__(self, addresses: Iterable[str], make: Callable[[str], Client]) -> None:
-        self.make = make
-        self.clients = {address: make(address) for address in addresses}
-
-    async def statuses(self, within_s: float = ASK_S) -> list[dict[str, Any]]:
-        """Of one that does not answer: its `address` and `trouble`."""
-        asked = list(self.clients)
-        found = await asyncio.gather(*(self.status(address, within_s) for address in asked))
-        others = sorted({address for s in found for address in known(s)} - set(asked))
-        return [
-            *found,
-            *await asyncio.gather(*(self.status(address, within_s) for address in others)),
-        ]
+    def __init__(self, addresses: Iterable[str], make_client: Callable[[str], Client]) -> None:
+        self._make_client = make_client
+        self.clients = {address: make_client(address) for address in addresses}
+
+    async def statuses(self, timeout_s: float = STATUS_TIMEOUT_S) -> list[MemberReport]:
+        """Returns the report of every member."""
+        given = list(self.clients)
+        reports = await self._read_all(given, timeout_s)
+        known = {address for report in reports for address in member_addresses(report)}
+        return [*reports, *await self._read_all(sorted(known - set(given)), timeout_s)]
 
-    async def status(self, address: str, within_s: float = ASK_S) -> dict[str, Any]:
-        """Of one; its `address` and `trouble` where it does not answer."""
+    async def _read_all(self, addresses: Sequence[str], timeout_s: float) -> list[MemberReport]:
+        reads = (self.status(address, timeout_s) for address in addresses)
+        return await asyncio.gather(*reads)
+
+    async def status(self, address: str, timeout_s: float = STATUS_TIMEOUT_S) -> MemberReport:
+        """Returns the report of one member."""
         if address not in self.clients:
-            self.clients[address] = self.make(address)
+            self.clients[address] = self._make_client(address)
         try:
-            return await self.clients[address].status(within_s)
+            return dict(await self.clients[address].status(timeout_s))
         except (StoreError, OSError) as error:
             return {"address": address, "trouble": str(error)}
 
     async def close(self) -> None:
+        """Closes all clients."""
         for client in self.clients.values():
             await client.close()
 
 
-def known(status: Mapping[str, Any]) -> set[str]:
-    """Addresses of the members that it tells of."""
-    return {member["address"] for member in status.get("members", ()) if member["address"]}
+def member_addresses(report: MemberReport) -> set[str]:
+    """Returns the addresses of the members that a report names."""
+    return {member["address"] for member in report.get("members", ()) if member["address"]}
+
 
+class LaggingBalancer(msgspec.Struct, frozen=True):
+    """A balancer on which a revision is not in force.
 
-class Late(msgspec.Struct, frozen=True):
-    """A balancer on which a revision is not in force. `since_ms`: it has not been where its node
-    is.
+    Attributes:
+        name: The balancer's name.
+        node: The address of its node.
+        revision: The last one that is in force there.
+        since_ms: How long it has been behind its node.
     """
 
     name: str
@@ -72,153 +82,268 @@
     since_ms: int
 
 
-class Rollout(msgspec.Struct, frozen=True):
-    """`reached`: on so many of the balancers it is in force, but for rows refused. `late`: those
-    that are furthest behind, as far as nodes name them. `trailing`: nodes that have not heard of
-    the revision themselves; `silent`: members that do not answer, so that nobody knows of their
-    balancers.
+class Rollout(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "in_force": "reached",
+        "lagging": "late",
+        "rejected_count": "refusals",
+        "rejected": "refused",
+        "lagging_nodes": "trailing",
+        "unreachable": "silent",
+    },
+):
+    """How far a revision is in force.
+
+    Attributes:
+        revision: The revision.
+        balancers: All balancers that are known.
+        in_force: Those on which it is in force, but for rejected rows.
+        lagging: Balancers that are furthest behind, as far as nodes name them.
+        rejected_count: Rows that balancers rejected.
+        rejected: Some of them.
+        lagging_nodes: Nodes that have not applied the revision themselves.
+        unreachable: Members that do not reply, so that their balancers are not known.
     """
 
     revision: int
     balancers: int
-    reached: int
-    late: tuple[Late, ...]
-    refusals: int
-    refused: tuple[RefusedRow, ...]
-    trailing: tuple[str, ...]
-    silent: tuple[str, ...]
-
-    def wrong(self, balancers: int = 0, despite_refusals: bool = False) -> str:
-        """Why it is not in force everywhere, in one line; empty: it is. `balancers`: there must be
-        so many that have it, and whoever does not answer has none that counts.
+    in_force: int
+    lagging: tuple[LaggingBalancer, ...]
+    rejected_count: int
+    rejected: tuple[RefusedRow, ...]
+    lagging_nodes: tuple[str, ...]
+    unreachable: tuple[str, ...]
+
+    def incomplete_reason(
+        self, required_balancers: int = 0, ignore_rejected: bool = False
+    ) -> str | None:
+        """Returns why the revision is not in force everywhere, in one line; None if it is.
+
+        Args:
+            required_balancers: On so many it must be in force; unreachable members are then
+                ignored. 0: on all that are known.
+            ignore_rejected: Rejected rows are no reason.
         """
-        found = []
-        if self.reached < self.balancers:
-            found.append(
-                f"on {self.balancers - self.reached} of {self.balancers} balancers" + self._who()
-            )
-        if balancers and self.reached < balancers:
-            found.append(f"on {self.reached}, and {balancers} are wanted")
-        if not balancers and self.silent:
-            found.append("as far as can be told: " + "; ".join(self.silent))
-        if self.refusals and not despite_refusals:
-            first = self.refused[0]
-            found.append(
-                f"where {self.refusals} rows are refused: {first.name} has {first.refusal.scope}"
-                f" {first.refusal.key} at version {first.refusal.version}: {first.refusal.reason}"
-            )
-        return f"revision {self.revision} is not in force " + "; ".join(found) if found else ""
-
-    def _who(self) -> str:
-        named = [
+        reasons = [
+            self._lagging_reason(),
+            self._count_reason(required_balancers),
+            None if ignore_rejected else self._rejected_reason(),
+        ]
+        found = [reason for reason in reasons if reason]
+        if not found:
+            return None
+        return f"revision {self.revision} is not in force " + "; ".join(found)
+
+    def _lagging_reason(self) -> str | None:
+        missing = self.balancers - self.in_force
+        if missing <= 0:
+            return None
+        names = [
             f"{one.name} at {one.node} is at {one.revision}, {one.since_ms / 1000:.1f} s behind"
-            for one in self.late[:NAMED]
-        ] + list(self.trailing[:NAMED])
-        return ": " + ", ".join(named) if named else ""
-
-
-def add_up(statuses: Statuses, revision: int = 0) -> Rollout:
-    """`revision` 0: the newest that a member has applied."""
-    by_node = {
-        s["node"]: s for s in statuses if "trouble" not in s
-    }  # one may have several addresses
-    revision = revision or max((s["applied"] for s in by_node.values()), default=0)
-    late: list[Late] = []
-    refused: list[RefusedRow] = []
-    trailing: list[str] = []
-    balancers = reached = refusals = 0
-    for number, s in by_node.items():
-        if s.get("feed") is None:
-            continue
-        feed = msgspec.convert(s["feed"], FeedStatus)
-        where = next((m["address"] for m in s["members"] if m["here"]), "") or f"node {number}"
-        balancers += feed.subscribers
-        reached += feed.subscribers - _behind(feed, revision)
-        late += [
-            Late(one.name, where, one.revision, one.since_ms)
+            for one in self.lagging[:MAX_NAMED]
+        ]
+        names += self.lagging_nodes[:MAX_NAMED]
+        suffix = ": " + ", ".join(names) if names else ""
+        return f"on {missing} of {self.balancers} balancers{suffix}"
+
+    def _count_reason(self, required_balancers: int) -> str | None:
+        if required_balancers and self.in_force < required_balancers:
+            return f"on {self.in_force}, and {required_balancers} are wanted"
+        if not required_balancers and self.unreachable:
+            return "as far as can be told: " + "; ".join(self.unreachable)
+        return None
+
+    def _rejected_reason(self) -> str | None:
+        if not self.rejected_count:
+            return None
+        first = self.rejected[0]
+        refusal = first.refusal
+        return (
+            f"where {self.rejected_count} rows are refused: {first.name} has {refusal.scope}"
+            f" {refusal.key} at version {refusal.version}: {refusal.reason}"
+        )
+
+
+@dataclass(slots=True)
+class _Totals:
+    """Sums over the change feeds of all nodes."""
+
+    revision: int
+    balancers: int = 0
+    in_force: int = 0
+    rejected_count: int = 0
+    lagging: list[LaggingBalancer] = field(default_factory=list)
+    rejected: list[RefusedRow] = field(default_factory=list)
+    lagging_nodes: list[str] = field(default_factory=list)
+
+    def add(self, number: str, address: str, feed: FeedStatus) -> None:
+        """Adds the feed of one node."""
+        self.balancers += feed.subscribers
+        self.in_force += feed.subscribers - _count_behind(feed, self.revision)
+        self.lagging += [
+            LaggingBalancer(one.name, address, one.revision, one.since_ms)
             for one in feed.laggards
-            if one.revision < revision
+            if one.revision < self.revision
         ]
-        refusals += feed.refusals
-        refused += feed.refused
-        if feed.revision < revision and feed.subscribers:
-            trailing.append(f"node {number} at {where} is itself at {feed.revision}")
-    members = {m["node"]: m["address"] for s in by_node.values() for m in s["members"]}
-    why = {s["address"]: s["trouble"] for s in statuses if "trouble" in s}
-    silent = [
-        f"node {number} at {address} does not answer: {why.get(address, 'it was not asked')}"
-        for number, address in sorted(members.items())
-        if number not in by_node
-    ]
-    if not by_node:
-        silent = [f"{address} does not answer: {text}" for address, text in why.items()]
+        self.rejected_count += feed.refusals
+        self.rejected += feed.refused
+        if feed.revision < self.revision and feed.subscribers:
+            self.lagging_nodes.append(f"node {number} at {address} is itself at {feed.revision}")
+
+
+def add_up(reports: Sequence[MemberReport], revision: int | None = None) -> Rollout:
+    """Returns how far a revision is in force; None for the newest that a member has applied."""
+    # A node may have several addresses, and several reports.
+    by_node = {report["node"]: report for report in reports if "trouble" not in report}
+    if revision is None:
+        revision = max((report["applied"] for report in by_node.values()), default=0)
+    totals = _Totals(revision)
+    for number, report in by_node.items():
+        if report.get("feed") is None:
+            continue
+        own = (member["address"] for member in report["members"] if member["here"])
+        address = next(own, "") or f"node {number}"
+        totals.add(number, address, msgspec.convert(report["feed"], FeedStatus))
     return Rollout(
         revision,
-        balancers,
-        reached,
-        tuple(sorted(late, key=lambda one: one.revision)),
-        refusals,
-        tuple(refused),
-        tuple(trailing),
-        tuple(silent),
+        totals.balancers,
+        totals.in_force,
+        tuple(sorted(totals.lagging, key=lambda one: one.revision)),
+        totals.rejected_count,
+        tuple(totals.rejected),
+        tuple(totals.lagging_nodes),
+        tuple(_unreachable(reports, by_node)),
     )
 
 
-def _behind(feed: FeedStatus, revision: int) -> int:
-    """Subscribers that have not reached it. Where more revisions were reached than a status lists,
-    those that are not listed have come further than the last that is, and count once that has come
-    so far.
+def _unreachable(reports: Sequence[MemberReport], by_node: Mapping[str, MemberReport]) -> list[str]:
+    reasons = {report["address"]: report["trouble"] for report in reports if "trouble" in report}
+    if not by_node:
+        return [f"{address} does not answer: {reason}" for address, reason in reasons.items()]
+    members = {
+        member["node"]: member["address"]
+        for report in by_node.values()
+        for member in report["members"]
+    }
+    return [
+        f"node {number} at {address} does not answer: {reasons.get(address, 'it was not asked')}"
+        for number, address in sorted(members.items())
+        if number not in by_node
+    ]
+
+
+def _count_behind(feed: FeedStatus, revision: int) -> int:
+    """Returns how many subscribers have not reached a revision.
+
+    A status lists a limited number of revisions. Subscribers that are not listed are beyond the
+    last listed one; they count as behind until that has reached the revision.
     """
-    below = sum(count for reached, count in feed.acknowledged if reached < revision)
+    behind = sum(count for reached, count in feed.acknowledged if reached < revision)
     unlisted = feed.subscribers - sum(count for _, count in feed.acknowledged)
     if unlisted and feed.acknowledged and feed.acknowledged[-1][0] < revision:
-        below += unlisted
-    return below
-
-
-async def wait(
-    members: Members,
-    revision: int,
-    within_s: float,
-    balancers: int = 0,
-    despite_refusals: bool = False,
-) -> tuple[Rollout, float]:
-    """Until it is in force everywhere, and how many seconds that took. Each member is asked again
-    and again by itself, so that one that does not answer holds up nothing. Raises NotInForce.
+        behind += unlisted
+    return behind
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutGoal:
+    """What `wait` waits for.
+
+    Attributes:
+        revision: The revision.
+        timeout_s: The time limit.
+        required_balancers: On so many it must be in force; 0: on all that are known.
+        ignore_rejected: Rejected rows are ignored.
     """
-    began = time.monotonic()
-    latest: dict[str, dict[str, Any]] = {}
-    asking: dict[str, asyncio.Task[None]] = {}
-    told = asyncio.Event()
 
-    async def ask(address: str) -> None:
+    revision: int
+    timeout_s: float
+    required_balancers: int = 0
+    ignore_rejected: bool = False
+
+
+class CompletedRollout(NamedTuple):
+    """A rollout that reached its goal, and how long that took."""
+
+    rollout: Rollout
+    elapsed_s: float
+
+
+class _Poller:
+    """Polls each member by itself, so that one that does not reply delays no other."""
+
+    def __init__(self, members: MemberStatusReader) -> None:
+        self._members = members
+        self._latest: dict[str, MemberReport] = {}
+        self._tasks: dict[str, asyncio.Task[None]] = {}
+        self._reported = asyncio.Event()
+
+    def start(self) -> None:
+        """Begins to poll the given members."""
+        for address in self._members.clients:
+            self._start_task(address)
+
+    def _start_task(self, address: str) -> None:
+        self._tasks[address] = asyncio.create_task(self._poll(address))
+
+    async def _poll(self, address: str) -> None:
         while True:
-            latest[address] = status = await members.status(address)
-            for other in known(status):
-                if other not in asking:
-                    asking[other] = asyncio.create_task(ask(other))
-            told.set()
-            await asyncio.sleep(POLL_S)
-
-    for address in members.clients:
-        asking[address] = asyncio.create_task(ask(address))
-    wrong = ""
+            report = await self._members.status(address)
+            self._latest[address] = report
+            for other in member_addresses(report):
+                if other not in self._tasks:
+                    self._start_task(other)
+            self._reported.set()
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether every member reported at least once."""
+        return self._latest.keys() == self._tasks.keys()
+
+    @property
+    def reports(self) -> list[MemberReport]:
+        """The latest report of each member."""
+        return list(self._latest.values())
+
+    async def wait(self, timeout_s: float | None) -> None:
+        """Waits for the next report."""
+        with suppress(TimeoutError):
+            async with asyncio.timeout(timeout_s):
+                await self._reported.wait()
+        self._reported.clear()
+
+    async def close(self) -> None:
+        """Stops all polls."""
+        for task in self._tasks.values():
+            task.cancel()
+        await asyncio.gather(*self._tasks.values(), return_exceptions=True)
+
+
+async def wait(members: MemberStatusReader, goal: RolloutGoal) -> CompletedRollout:
+    """Waits until a revision is in force.
+
+    Raises:
+        NotInForceError: It was not within the time limit.
+    """
+    start_s = time.monotonic()
+    reason: str | None = ""
+    poller = _Poller(members)
+    poller.start()
     try:
         while True:
-            left = began + within_s - time.monotonic()
-            whole = latest.keys() == asking.keys()
-            if left <= 0 and whole:
-                raise NotInForce(f"{wrong} (after {within_s:g} s)")
-            with suppress(TimeoutError):
-                async with asyncio.timeout(left if left > 0 else None):  # each is heard of once
-                    await told.wait()
-            told.clear()
-            if latest.keys() == asking.keys():
-                found = add_up(list(latest.values()), revision)
-                wrong = found.wrong(balancers, despite_refusals)
-                if not wrong:
-                    return found, time.monotonic() - began
+            remaining_s = start_s + goal.timeout_s - time.monotonic()
+            if remaining_s <= 0 and poller.is_complete:
+                raise NotInForceError(f"{reason} (after {goal.timeout_s:g} s)")
+            # Every member is polled at least once, also after the time limit.
+            await poller.wait(remaining_s if remaining_s > 0 else None)
+            if not poller.is_complete:
+                continue
+            rollout = add_up(poller.reports, goal.revision or None)
+            reason = rollout.incomplete_reason(goal.required_balancers, goal.ignore_rejected)
+            if reason is None:
+                return CompletedRollout(rollout, time.monotonic() - start_s)
     finally:
-        for task in asking.values():
-            task.cancel()
-        await asyncio.gather(*asking.values(), return_exceptions=True)
+        await poller.close()
