--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -22,16 +22,17 @@
 
 import msgspec
 
-from loadbalancer.__main__ import Config, Parts
 from loadbalancer.daemon import documents
 from loadbalancer.daemon.settings import read_raw, read_table
 from loadbalancer.daemon.state_sync import LEASE_S, StateSync, StateSyncOptions
 from loadbalancer.leases.table import NAME
 from loadbalancer.proxy.atomic_files import write_whole
+from loadbalancer.proxy.configuration import Config
+from loadbalancer.proxy.process import Parts
 from loadbalancer.settings import Json, Malformed, split_address
 from loadbalancer.store.client import Client
 from loadbalancer.store.documents import key
-from loadbalancer.store.settings import Keys
+from loadbalancer.store.settings import TlsTable
 from loadbalancer.units import Duration, convert
 
 log = logging.getLogger(__name__)
@@ -62,7 +63,7 @@
     sites: bool = False
     rows: bool = False
     documents: bool = False
-    tls: Keys | None = None
+    tls: TlsTable | None = None
 
 
 class Bootstrap:
@@ -136,8 +137,10 @@
         """
         document = self.store.document
         clients = self.create_client(), self.create_client()
-        linearizable = asyncio.ensure_future(clients[0].get(key(document), within_s=timeout_s))
-        stale = asyncio.ensure_future(clients[1].get(key(document), stale=True, within_s=timeout_s))
+        linearizable = asyncio.ensure_future(clients[0].get(key(document), timeout_s=timeout_s))
+        stale = asyncio.ensure_future(
+            clients[1].get(key(document), stale=True, timeout_s=timeout_s)
+        )
         await asyncio.wait((linearizable, stale))
         for client in clients:
             await client.close()
--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -36,7 +36,7 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.client import Client
-from loadbalancer.store.lease_client import Owner, clock_ns
+from loadbalancer.store.lease_client import LeaseClient, boot_clock_ns
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.wallclock import age_s, shown_age
 
@@ -64,7 +64,7 @@
     driver: Driver
     discovery: Discovery
     client: Client
-    owner: Owner  # the lease of the list's leader
+    owner: LeaseClient  # the lease of the list's leader
     service: str
     address_map: AddressMap
 
@@ -95,7 +95,7 @@
         self.table = RowTable(context.service) if has_rows else None
         self.on_document_while_leading = on_document_while_leading
         self.source = EndpointSource(
-            self.driver.settings.instance_count, random.Random(os.urandom(8)), clock_ns()
+            self.driver.settings.instance_count, random.Random(os.urandom(8)), boot_clock_ns()
         )
         # Whether the list in force is the table's, so that a delta of its rows is enough.
         self.mirrors_table = False
@@ -113,7 +113,7 @@
         if self.table is not None:
             keys.append(self.table.keys.list)
         found = await self.client.get(*keys)
-        now = clock_ns()
+        now = boot_clock_ns()
         document = decode_row(found.rows[0], SavedEndpointList)
         position = (
             FencingPosition(document.token, document.sequence) if document else FencingPosition()
@@ -149,7 +149,7 @@
 
     def _receive_document(self, row: Row) -> None:
         saved = decode_row(row, SavedEndpointList)
-        if self.owner.working:
+        if self.owner.active_token:
             self.on_document_while_leading(row, saved)
             return
         if saved is None or not saved.token:
@@ -164,10 +164,10 @@
         confirmation = decode_row(row, LeaderConfirmation)
         if confirmation is not None:
             position = FencingPosition(confirmation.token, confirmation.sequence)
-            self.source.confirm(position, confirmation.heartbeat, clock_ns())
+            self.source.confirm(position, confirmation.heartbeat, boot_clock_ns())
 
     def _accepts(self, key: str, position: FencingPosition) -> bool:
-        if self.source.accept_list(position, clock_ns()):
+        if self.source.accept_list(position, boot_clock_ns()):
             return True
         log_stale_message(key, position, self.source.receiver)
         return False
@@ -206,7 +206,7 @@
             delta: What changed in it; None: anything.
         """
         table = self.table
-        if table is None or self.owner.working:
+        if table is None or self.owner.active_token:
             return
         if table.list_row is None or not table.endpoints:
             # A list without any upstream is not believed; nor does the leader publish one.
@@ -246,7 +246,7 @@
         """Polls discovery where the leader's messages are old or missing."""
         was_polling = False
         while True:
-            if self.source.take_due_poll(clock_ns()):
+            if self.source.take_due_poll(boot_clock_ns()):
                 self.discovery.fetch()
             if self.source.is_polling is not was_polling:
                 was_polling = self.source.is_polling
@@ -255,7 +255,7 @@
                     if was_polling
                     else "endpoint list leader active again"
                 )
-            wait_s = (self.source.wake_ns - clock_ns()) / NS_PER_S
+            wait_s = (self.source.wake_ns - boot_clock_ns()) / NS_PER_S
             await asyncio.sleep(min(MAX_POLL_CHECK_S, max(MIN_POLL_CHECK_S, wait_s)))
 
 
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -29,9 +29,9 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.settings import Malformed
-from loadbalancer.store.client import StoreError
 from loadbalancer.store.commands import Op
-from loadbalancer.store.lease_client import NotOwner, clock_ns
+from loadbalancer.store.errors import NotLeaseHolderError, StoreError
+from loadbalancer.store.lease_client import boot_clock_ns
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.wallclock import unix_s
 
@@ -114,7 +114,7 @@
 
     def subscribe(self, on: bool) -> None:
         """Subscribes at discovery if this process leads; a follower is notified by the leader."""
-        if self.owner.working:
+        if self.owner.active_token:
             self.discovery.subscribe(on)
 
     def fetch(self) -> None:
@@ -123,7 +123,7 @@
 
     def _on_discovery(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         has_failed = kind is api.EndpointListKind.FAILED
-        if has_failed and not self.owner.working:
+        if has_failed and not self.owner.active_token:
             return  # this process polled by itself and polls again: the policy need not
         if not has_failed:
             self.last_answer_s = time.monotonic()
@@ -147,7 +147,7 @@
 
     def on_lease_acquired(self, token: int) -> None:
         """Begins a term."""
-        self.follower.source.set_leader(True, clock_ns())
+        self.follower.source.set_leader(True, boot_clock_ns())
         self.discovery.calls.speak_for_all(True)
         if token != self.published.token:  # a lease that is lost and found again goes on counting
             self.sequence = 0
@@ -161,7 +161,7 @@
     def on_lease_lost(self) -> None:
         """Ends the term."""
         follower = self.follower
-        follower.source.set_leader(False, clock_ns())
+        follower.source.set_leader(False, boot_clock_ns())
         follower.mirrors_table = False  # rows that arrived meanwhile were not put in force
         if follower.table is not None and follower.table.position.token > self.published.token:
             follower.apply_table(None)  # the next leader's rows are there already
@@ -185,7 +185,7 @@
             self.changed.clear()
             try:
                 await self._publish_or_confirm()
-            except NotOwner:
+            except NotLeaseHolderError:
                 return
             except Malformed as error:
                 if str(error) != self.last_error:  # it stands until discovery reports otherwise
@@ -231,7 +231,7 @@
     def _is_outdated(self) -> bool:
         """Whether discovery reports less than the previous leader knew, and not for long yet."""
         return (
-            bool(self.owner.working)
+            bool(self.owner.active_token)
             and self.discovery.version < self.min_version
             and time.monotonic() - self.min_version_read_s < VERSION_RESET_S
         )
--- a/loadbalancer/daemon/snapshot_sync.py
+++ b/loadbalancer/daemon/snapshot_sync.py
@@ -30,8 +30,10 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.commands import Op
-from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.errors import NotLeaseHolderError
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire.protocol import Row
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.wallclock import age_s, shown_age, unix_s
 
 log = logging.getLogger(__name__)
@@ -47,7 +49,7 @@
         monitor: StoreMonitor,
         driver: Driver,
         identity: BalancerIdentity,
-        name_lease: Owner,
+        name_lease: LeaseClient,
         address_map: AddressMap,
     ) -> None:
         self.monitor = monitor
@@ -77,7 +79,7 @@
                 async with asyncio.timeout(START_TIMEOUT_S):
                     await table.received.wait()
         found = await self.monitor.client.get(
-            self.list_key, self.learned_key, stale=True, within_s=START_TIMEOUT_S
+            self.list_key, self.learned_key, stale=True, timeout_s=START_TIMEOUT_S
         )
         self.monitor.mark_available()
         list_row, learned_row = found.rows
@@ -111,7 +113,7 @@
 
     # ---- saving ----------------------------------------------------------------------------------
 
-    async def save_fixed_list(self, list_lease: Owner, within_s: float = 0.0) -> None:
+    async def save_fixed_list(self, list_lease: LeaseClient, within_s: float = 0.0) -> None:
         """Writes a list that no discovery reports, if this process leads and it changed.
 
         Raises:
@@ -126,9 +128,10 @@
         if not endpoints or endpoints == self.saved_endpoints:
             return
         saved = SavedEndpointList(unix_s(), endpoints, list_lease.token())
-        with suppress(NotOwner):
+        with suppress(NotLeaseHolderError):
             await list_lease.write(
-                [Op(self.list_key, msgspec.json.encode(saved))], within_s=within_s
+                [Op(self.list_key, msgspec.json.encode(saved))],
+                WriteOptions(timeout_s=within_s or None),
             )
             self.saved_endpoints = endpoints
 
@@ -138,13 +141,14 @@
         Raises:
             StoreError: The store did not serve the write.
         """
-        learned = self.driver.balancer.learnt()
-        if not learned.taken or not self.name_lease.token():
+        learned = self.driver.balancer.learned_state()
+        if not learned.service_times or not self.name_lease.token():
             return
-        with suppress(NotOwner):
+        with suppress(NotLeaseHolderError):
             saved = save_learned_state(learned, endpoints_of(self.driver))
             await self.name_lease.write(
-                [Op(self.learned_key, msgspec.json.encode(saved))], within_s=within_s
+                [Op(self.learned_key, msgspec.json.encode(saved))],
+                WriteOptions(timeout_s=within_s or None),
             )
 
 
--- a/loadbalancer/daemon/store_monitor.py
+++ b/loadbalancer/daemon/store_monitor.py
@@ -12,7 +12,8 @@
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
 
-from loadbalancer.store.client import Client, Compacted, StoreError
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import StoreError, WatchCompactedError
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +70,7 @@
             self.mark_available()
             row = found.rows[0]
             await on_value(row.value, row.version)
-            with suppress(Compacted):
+            with suppress(WatchCompactedError):
                 async for event in self.client.watch(key, found.revision):
                     self.mark_available()
                     for change in event.changes:
--- a/loadbalancer/proxy/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -64,12 +64,12 @@
             request.arrival.deadline_ns,
             self.number,
             request.out_beside(self.number),
-            over=request.over,
+            request_finished=request.over,
             client_gone=not request.over and request.client.gone,
-            body_at_hand=stream is None or stream.is_replayable,
-            begin_by_ns=self.limits.start_by_ns,
+            body_available=stream is None or stream.is_replayable,
+            start_by_ns=self.limits.start_by_ns,
         )
-        return rules.may_attempt(attempt, limits, rules.most_out(limits, stream is not None))
+        return rules.may_attempt(attempt, limits, rules.max_in_flight(limits, stream is not None))
 
     def begin(self, usable: rules.Verdict) -> bytes | Denied:
         """Build the head, and the body where it is at hand, with the time that is left now.
@@ -85,12 +85,12 @@
             self.report_denial(verdict, "its connection is up")
             return verdict
         request = self.request
-        if request.arrival.whole:
+        if request.arrival.body_complete:
             deadline_ns = request.arrival.deadline_ns
-            self.promised_ms = rules.told_ms(now_ns, deadline_ns, self.limits.expires_ns)
+            self.promised_ms = rules.remaining_ms(now_ns, deadline_ns, self.limits.expires_ns)
         else:
             # Its client's time runs from the last byte, which is still to come.
-            self.promised_ms = rules.told_ms(0, request.wait_ns, self.limits.timeout_ns)
+            self.promised_ms = rules.remaining_ms(0, request.wait_ns, self.limits.timeout_ns)
         if request.stream is not None:
             request.stream.rewind()
         return attempt_request(request, self.promised_ms)
@@ -99,8 +99,8 @@
         """Decide whether the body's last byte may be written, given the time its head promised."""
         request = self.request
         now_ns = time.monotonic_ns()
-        from_ns = request.arrival.received_ns if request.arrival.whole else now_ns
-        verdict = rules.may_finish(self.promised_ms, now_ns, from_ns + request.wait_ns)
+        from_ns = request.arrival.received_ns if request.arrival.body_complete else now_ns
+        verdict = rules.may_complete_body(self.promised_ms, now_ns, from_ns + request.wait_ns)
         if isinstance(verdict, Denied):
             self.report_denial(verdict, "the last byte of its body is due")
         return not isinstance(verdict, Denied)
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -126,7 +126,7 @@
         if request.over or request.stream is None:
             return
         request.arrival = request.arrival._replace(
-            deadline_ns=deadline_ns, received_ns=received_ns, whole=True
+            deadline_ns=deadline_ns, received_ns=received_ns, body_complete=True
         )
         request.completed_ns = time.monotonic_ns()
         self.table.watch_deadline(request)
@@ -259,7 +259,7 @@
             case api.SendGossip() if self.peers is not None:
                 self.peers.tell(action.peer, action.data)
             case api.SubscribeEndpoints() if self.discovery is not None:
-                self.discovery.subscribe(action.on)
+                self.discovery.subscribe(action.enabled)
             case api.FetchEndpoints() if self.discovery is not None:
                 self.discovery.fetch()
 
@@ -349,7 +349,7 @@
 
     def _timing(self, attempt: OutgoingAttempt, now: int, start_by_ns: int) -> Timing:
         """The attempt's timers; without a time-out it waits for a body that is still to come."""
-        if not attempt.request.arrival.whole:
+        if not attempt.request.arrival.body_complete:
             return Timing(None, start_by_ns / 1e9)
         remaining_ns = self._remaining_ns(attempt.request, attempt.limits.expires_ns - now)
         return Timing(remaining_ns / 1e9, start_by_ns / 1e9)
--- a/loadbalancer/store/changefeed_server.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -1,9 +1,8 @@
-"""A node's feed: carries the fan-out's words to connections, and the store's changes to the
-fan-out.
+"""A node's change feed: carries the fan-out's messages to subscribers, and changes to the fan-out.
 
-Rows are read from the state once, off the loop, and from then on only what was applied is told on;
-all that comes meanwhile is held, in its order, and done once they are there. After that a change
-costs one encoding a scope and one write for each who hears it; nobody asks the state for it.
+Rows are read from the state once, off the event loop; from then on only what was applied is passed
+on. What arrives meanwhile is queued and carried out in order once the rows are loaded. After that a
+change costs one encoding per scope and one write per subscriber; the state is not read for it.
 """
 
 from __future__ import annotations
@@ -11,8 +10,8 @@
 import asyncio
 import logging
 import time
-from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING, Any, Protocol
+from collections.abc import Callable, Coroutine, Sequence
+from typing import Any, Final, Protocol, TypeVar
 
 import msgspec
 from msgspec import structs
@@ -29,243 +28,280 @@
 from loadbalancer.changefeed.status import FeedStatus
 from loadbalancer.store.durable.rows import LoadedRows, WatchEvent
 from loadbalancer.store.durable.state import State
-
-if TYPE_CHECKING:
-    from loadbalancer.store.node import Node
+from loadbalancer.store.replica import Replica
+from loadbalancer.store.timer import WakeTimer
 
 log = logging.getLogger(__name__)
 
-LEAST_NS = 1_000_000  # between two turns that a timer begins
-LEADERLESS_MS = 5_000  # so long without a leader: what this node knows may be old
-Act = Callable[[Fanout, int], None]
+T = TypeVar("T")
+
+MIN_TIMER_NS: Final = 1_000_000  # between two runs that a timer begins
+MAX_LEADERLESS_MS: Final = 5_000  # after that this node's rows may be out of date
+Operation = Callable[[Fanout, int], None]
+
+
+class ChangefeedHost(Protocol):
+    """What the change feed needs of its node."""
+
+    @property
+    def replica(self) -> Replica:
+        """The replica."""
 
+    @property
+    def has_failed(self) -> bool:
+        """Whether the node has stopped."""
 
-class Hearer(Protocol):
+    def start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        """Starts a task."""
+
+    async def query(self, read: Callable[[State], T]) -> T:
+        """Reads from the state as applied here."""
+
+
+class Subscriber(Protocol):
     """A subscriber's connection."""
 
-    def tell(self, sends: Sequence[Send]) -> None:
-        """In one write."""
+    def send_messages(self, sends: Sequence[Send]) -> None:
+        """Sends messages in one write."""
+
+    def end_subscription(self, reason: str) -> None:
+        """Ends the subscription and its connection."""
+
 
-    def end(self, why: str) -> None: ...
+class ChangefeedServer:
+    """The change feed of one node.
 
+    There is no fan-out until somebody subscribes or a row exists.
 
-class Feeding:
-    """One a node. There is no fan-out until somebody asks for the feed, or a row is there."""
+    Args:
+        cluster: The cluster's name, part of the cursors.
+        host: The node.
+        limits: Limits of the fan-out.
 
-    def __init__(self, node: Node, limits: FanoutLimits) -> None:
-        self.node, self.limits = node, limits
+    Attributes:
+        fanout: The rows and subscriptions, once they are loaded.
+        subscribers: Connections by their number.
+        failures: How often the feed started over after an unexpected error.
+    """
+
+    def __init__(self, cluster: str, host: ChangefeedHost, limits: FanoutLimits) -> None:
         self.fanout: Fanout | None = None
-        self.hearers: dict[int, Hearer] = {}
-        self.numbers = 0
+        self.subscribers: dict[int, Subscriber] = {}
         self.failures = 0
-        self.held: list[Act] | None = None  # while rows are loaded: what comes
-        self.alone = False  # it has had no leader for long
-        self.stale = False  # a snapshot of the store came while rows were loaded
-        self.turning = False
-        self.timer: asyncio.TimerHandle | None = None
-        self.timer_ns = 0
-        self.last: dict[str, Any] | None = None  # status
+        self._cluster = cluster
+        self._host = host
+        self._limits = limits
+        self._last_number = 0
+        self._queued: list[Operation] | None = None  # while rows are loaded
+        self._is_isolated = False  # no leader has been known for long
+        self._must_reload = False  # a snapshot was installed while rows were loaded
+        self._is_woken = False
+        self._timer = WakeTimer(self._wake)
+        self._last_status: dict[str, Any] | None = None
+
+    @property
+    def is_loading(self) -> bool:
+        """Whether rows are being loaded."""
+        return self._queued is not None
 
     # ---- the store -------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Before anything is applied."""
-        if self.node.replica.state.scan(PREFIX, "", 1):
-            self._load()
+        """Loads the rows, if there are any; before anything is applied."""
+        if self._host.replica.state.scan(PREFIX, "", 1):
+            self._start_loading()
 
-    def applied(self, revision: int, events: Sequence[WatchEvent]) -> None:
-        """In the turn of the loop in which it was."""
-        if self.fanout is None and self.held is None:
+    def entries_applied(self, revision: int, events: Sequence[WatchEvent]) -> None:
+        """Passes on changes, in the iteration of the event loop in which they were applied."""
+        if self.fanout is None and self._queued is None:
             if events:
-                self._load()
-            return  # they are among what is loaded
-        changes = _changes(events)
+                self._start_loading()
+            return  # the changes are part of what is loaded
+        changes = _feed_changes(events)
 
-        def act(fanout: Fanout, now: int) -> None:
+        def apply(fanout: Fanout, now_ns: int) -> None:
             if revision > fanout.revision:
-                fanout.apply(revision, changes, now)
+                fanout.apply(revision, changes, now_ns)
 
-        self._do(act)
+        self._do(apply)
 
-    def installed(self) -> None:
-        """A snapshot took the place of the state."""
-        if self.held is not None:
-            self.stale = True
+    def snapshot_installed(self) -> None:
+        """Loads the rows again: a snapshot replaced the state."""
+        if self._queued is not None:
+            self._must_reload = True
         elif self.fanout is not None:
-            self._load()
+            self._start_loading()
+
+    def leader_checked(self, leaderless_ms: int) -> None:
+        """Ends all subscriptions, once, when no leader has been known for long.
 
-    def led(self, leaderless_ms: int) -> None:
-        """How long this node has known of no leader. Cut off, it would say in good faith that there
-        is nothing newer: balancers are sent elsewhere, once, and those that come back, as they
-        reach nobody else, are told what it knows, and not that it is all there is.
+        A node that is cut off would claim that there are no newer rows. Balancers that come back,
+        because they reach no other node, receive its rows but no bookmark.
         """
-        alone, self.alone = self.alone, leaderless_ms > LEADERLESS_MS
-        if self.alone and not alone and self.hearers:
+        was_isolated = self._is_isolated
+        self._is_isolated = leaderless_ms > MAX_LEADERLESS_MS
+        if self._is_isolated and not was_isolated and self.subscribers:
             log.warning(
-                "feed: no leader for %d ms, %d balancers are sent elsewhere",
+                "change feed ends all subscriptions, no leader is known: leaderless_ms=%d "
+                "subscribers=%d",
                 leaderless_ms,
-                len(self.hearers),
+                len(self.subscribers),
             )
-            for hearer in list(self.hearers.values()):
-                hearer.end("this node knows of no leader")
+            self._end_subscriptions("this node knows of no leader")
+
+    def _end_subscriptions(self, reason: str) -> None:
+        for subscriber in list(self.subscribers.values()):
+            subscriber.end_subscription(reason)
 
-    def _load(self) -> None:
-        self.held = []
-        self.node.task(self._loaded())
+    def _start_loading(self) -> None:
+        self._queued = []
+        self._host.start_task(self._load_guarded())
 
-    async def _loaded(self) -> None:
+    async def _load_guarded(self) -> None:
         try:
-            await self._loading()
-        except Exception as error:
-            self.held = None
-            if not self.node.failed.done():
+            await self._load()
+        except Exception as error:  # noqa: BLE001 (the feed starts over, the store goes on)
+            self._queued = None
+            if not self._host.has_failed:
                 self._fail(error)
 
-    async def _loading(self) -> None:
-        began = time.monotonic()
-        fanout = self.fanout or Fanout(self.node.identity.cluster, self.limits, time.monotonic_ns())
+    async def _load(self) -> None:
+        start_s = time.monotonic()
+        fanout = self.fanout or Fanout(self._cluster, self._limits, time.monotonic_ns())
         while True:
-            self.stale = False
-            # What is applied before the state is looked at is among this, and held as well; the
-            # rest is held.
-            loaded = await self.node.query(State.rows)
+            self._must_reload = False
+            # What is applied before the state is read is both among the rows and in the queue; the
+            # rest is in the queue only.
+            loaded = await self._host.query(State.rows)
             await asyncio.get_running_loop().run_in_executor(None, _fill, fanout, loaded)
-            if not self.stale:
+            if not self._must_reload:
                 break
-        held, self.held = self.held or [], None
+        queued = self._queued or []
+        self._queued = None
         self.fanout = fanout
         log.info(
-            "feed: %d rows as of revision %d, loaded in %.0f ms",
+            "change feed loaded: rows=%d revision=%d load_ms=%.0f",
             len(loaded.rows),
             loaded.revision,
-            (time.monotonic() - began) * 1000,
+            (time.monotonic() - start_s) * 1000,
         )
-        for act in held:
-            self._do(act)
+        for operation in queued:
+            self._do(operation)
         self._wake()
 
     # ---- subscribers -----------------------------------------------------------------------------
 
-    def begin(self, hearer: Hearer) -> int:
-        """The number of a new subscriber."""
-        self.numbers += 1
-        self.hearers[self.numbers] = hearer
-        if self.fanout is None and self.held is None:
-            self._load()
-        return self.numbers
+    def add_subscriber(self, subscriber: Subscriber) -> int:
+        """Returns the number of a new subscriber, from 1 on."""
+        self._last_number += 1
+        self.subscribers[self._last_number] = subscriber
+        if self.fanout is None and self._queued is None:
+            self._start_loading()
+        return self._last_number
 
-    def heard(self, number: int, word: bytes) -> None:
-        def act(fanout: Fanout, now: int) -> None:
+    def message_received(self, number: int, message: bytes) -> None:
+        """Handles a subscriber's message."""
+
+        def receive(fanout: Fanout, now_ns: int) -> None:
             try:
-                if number in self.hearers:
-                    fanout.receive(number, word, now)
+                if number in self.subscribers:
+                    fanout.receive(number, message, now_ns)
             except FeedProtocolError as error:
-                self.hearers[number].end(str(error))
+                self.subscribers[number].end_subscription(str(error))
 
-        self._do(act)
+        self._do(receive)
 
-    def writable(self, number: int, on: bool) -> None:
-        self._do(lambda fanout, now: fanout.set_writable(number, on, now))
+    def set_writable(self, number: int, is_writable: bool) -> None:
+        """A subscriber reads what was sent, or does not."""
+        self._do(lambda fanout, now_ns: fanout.set_writable(number, is_writable, now_ns))
 
-    def gone(self, number: int) -> None:
-        if self.hearers.pop(number, None) is not None:
-            self._do(lambda fanout, now: fanout.remove(number, now))
+    def remove_subscriber(self, number: int) -> None:
+        """A subscriber's connection ended."""
+        if self.subscribers.pop(number, None) is not None:
+            self._do(lambda fanout, now_ns: fanout.remove(number, now_ns))
 
-    # ---- the loop's turn -------------------------------------------------------------------------
+    # ---- one iteration ---------------------------------------------------------------------------
 
-    def _do(self, act: Act) -> None:
-        """At once, or when the rows are there."""
-        if self.held is not None:
-            self.held.append(act)
+    def _do(self, operation: Operation) -> None:
+        """Carries out an operation at once, or when the rows are loaded."""
+        if self._queued is not None:
+            self._queued.append(operation)
         elif self.fanout is not None:
             try:
-                act(self.fanout, time.monotonic_ns())
-            except Exception as error:
+                operation(self.fanout, time.monotonic_ns())
+            except Exception as error:  # noqa: BLE001 (the feed starts over, the store goes on)
                 self._fail(error)
             self._wake()
 
     def _wake(self) -> None:
-        if not self.turning:
-            self.turning = True
-            self.node.loop.call_soon(self._turn)
+        if not self._is_woken:
+            self._is_woken = True
+            asyncio.get_running_loop().call_soon(self._run)
 
-    def _turn(self) -> None:
-        self.turning = False
-        if self.fanout is None or self.held is not None:
+    def _run(self) -> None:
+        self._is_woken = False
+        if self.fanout is None or self._queued is not None:
             return
         try:
-            self._carry_out(self.fanout)
-        except Exception as error:
+            self._send_due(self.fanout)
+        except Exception as error:  # noqa: BLE001 (the feed starts over, the store goes on)
             self._fail(error)
 
-    def _carry_out(self, fanout: Fanout) -> None:
-        now = time.monotonic_ns()
-        wake_ns = fanout.wake_ns
-        if wake_ns is not None and wake_ns <= now:
-            fanout.tick(now)
-        by: dict[int, list[Send]] = {}
+    def _send_due(self, fanout: Fanout) -> None:
+        now_ns = time.monotonic_ns()
+        if fanout.wake_ns is not None and fanout.wake_ns <= now_ns:
+            fanout.tick(now_ns)
+        by_subscriber: dict[int, list[Send]] = {}
         for send in fanout.take_sends():
-            if self.alone and isinstance(unpack_server_message(send.payload), Bookmark):
+            if self._is_isolated and isinstance(unpack_server_message(send.payload), Bookmark):
                 continue
-            by.setdefault(send.subscriber, []).append(send)
-        for number, sends in by.items():
-            hearer = self.hearers.get(number)
-            if hearer is not None:
-                hearer.tell(sends)
-        wake_ns = fanout.wake_ns
-        if wake_ns is None:
-            return
-        wake_ns = max(wake_ns, now + LEAST_NS)
-        if self.timer is None or wake_ns < self.timer_ns:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.timer_ns = wake_ns
-            self.timer = self.node.loop.call_later((wake_ns - now) / 1e9, self._timed)
-
-    def _timed(self) -> None:
-        self.timer = None
-        self._wake()
+            by_subscriber.setdefault(send.subscriber, []).append(send)
+        for number, sends in by_subscriber.items():
+            subscriber = self.subscribers.get(number)
+            if subscriber is not None:
+                subscriber.send_messages(sends)
+        if fanout.wake_ns is not None:
+            self._timer.schedule(max(fanout.wake_ns, now_ns + MIN_TIMER_NS), now_ns)
 
     def _fail(self, error: Exception) -> None:
-        """What nobody thought of: the feed begins anew, and the store goes on."""
-        log.exception("the feed fails, and begins anew")
+        """Starts over after an unexpected error; the store goes on."""
+        log.error("change feed failed and starts over", exc_info=error)
         self.failures += 1
         self.fanout = None
-        for hearer in list(self.hearers.values()):
-            hearer.end(f"the node's feed begins anew: {type(error).__name__}")
+        self._end_subscriptions(f"the node's feed begins anew: {type(error).__name__}")
 
     def status(self) -> dict[str, Any] | None:
-        """None: nobody asked for the feed yet, and there are no rows."""
-        if self.fanout is not None and self.held is None:
+        """Returns the feed's status; None if it is not used yet."""
+        if self.fanout is not None and self._queued is None:
             self.fanout.tick(time.monotonic_ns())
             self._wake()
-            self.last = self._told(self.fanout.status())
-        elif self.held is not None and self.last is None:  # nobody has anything of it yet
-            empty, count = (
-                Fanout(self.node.identity.cluster, self.limits, 0).status(),
-                len(self.hearers),
-            )
-            return self._told(
-                structs.replace(
-                    empty, subscribers=count, acknowledged=((0, count),) if count else ()
-                )
-            )
-        return self.last
+            self._last_status = self._encode_status(self.fanout.status())
+        elif self._queued is not None and self._last_status is None:
+            return self._encode_status(self._loading_status())
+        return self._last_status
+
+    def _loading_status(self) -> FeedStatus:
+        """Returns the status while rows are loaded first: no subscriber has any."""
+        count = len(self.subscribers)
+        return structs.replace(
+            Fanout(self._cluster, self._limits, 0).status(),
+            subscribers=count,
+            acknowledged=((0, count),) if count else (),
+        )
 
-    def _told(self, status: FeedStatus) -> dict[str, Any]:
+    def _encode_status(self, status: FeedStatus) -> dict[str, Any]:
         return {**msgspec.to_builtins(status), "failures": self.failures}
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        """Cancels the timer."""
+        self._timer.cancel()
 
 
-def _changes(events: Sequence[WatchEvent]) -> list[FeedChange]:
-    return [FeedChange(one.revision, one.key, one.version, one.value) for one in events]
+def _feed_changes(events: Sequence[WatchEvent]) -> list[FeedChange]:
+    return [FeedChange(event.revision, event.key, event.version, event.value) for event in events]
 
 
 def _fill(fanout: Fanout, loaded: LoadedRows) -> None:
-    changes = _changes(loaded.events)
-    fanout.load(
-        StoreSnapshot(loaded.revision, loaded.rows, loaded.base, changes), time.monotonic_ns()
-    )
+    changes = _feed_changes(loaded.events)
+    snapshot = StoreSnapshot(loaded.revision, loaded.rows, loaded.base, changes)
+    fanout.load(snapshot, time.monotonic_ns())
--- a/loadbalancer/store/durable/items.py
+++ b/loadbalancer/store/durable/items.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from loadbalancer.changefeed.messages import PREFIX
-from loadbalancer.store.commands import LEASES, Op, Write
+from loadbalancer.store.commands import LEASE_PREFIX, Op, Write
 from loadbalancer.store.durable.rows import WatchEvent
 from loadbalancer.store.durable.schema import LEASES_FORMAT, ROWS_FORMAT, prefix_end
 from loadbalancer.store.durable.watch_events import WatchEvents
@@ -101,7 +101,7 @@
     def _has_history(self, key: str) -> bool:
         if key.startswith(CONFIG_PREFIX):
             return True
-        return self.format >= LEASES_FORMAT and key.startswith(LEASES)
+        return self.format >= LEASES_FORMAT and key.startswith(LEASE_PREFIX)
 
     def _record_history(self, op: Op, version: int, command: Write, index: int) -> None:
         self.db.execute(
--- a/loadbalancer/store/durable/lease_records.py
+++ b/loadbalancer/store/durable/lease_records.py
@@ -7,13 +7,22 @@
 from loadbalancer.leases import table
 from loadbalancer.leases.expiry import ActiveClaim
 from loadbalancer.leases.table import Candidate, Lease, Outcome
-from loadbalancer.store.commands import LEASES, Claim, Code, Lapse, Op, Release, Result, Write
+from loadbalancer.store.commands import (
+    LEASE_PREFIX,
+    Claim,
+    ExpireClaim,
+    Op,
+    Release,
+    Result,
+    ResultCode,
+    Write,
+)
 from loadbalancer.store.durable.items import Items
 from loadbalancer.store.durable.schema import LEASES_FORMAT, prefix_end
 
 MAX_LEASES = 5_000
 CANDIDATE_TTLS: Final = 2  # a candidate that does not renew for so many of its TTLs is gone
-LeaseCommand = Claim | Release | Lapse
+LeaseCommand = Claim | Release | ExpireClaim
 # Parts of the replicated state: changing one is a change of format.
 LEASES_NOT_YET: Final = "not all nodes of the store know leases yet"
 RENEWED_SINCE: Final = "it was renewed since"
@@ -49,35 +58,37 @@
             table.unpack(row[0])
             for row in self.db.execute(
                 "SELECT value FROM items WHERE key >= ? AND key < ? ORDER BY key",
-                (LEASES, prefix_end(LEASES)),
+                (LEASE_PREFIX, prefix_end(LEASE_PREFIX)),
             ).fetchall()
         ]
 
     def _stored_lease(self, name: str) -> Lease:
-        row = self.db.execute("SELECT value FROM items WHERE key = ?", (LEASES + name,)).fetchone()
+        row = self.db.execute(
+            "SELECT value FROM items WHERE key = ?", (LEASE_PREFIX + name,)
+        ).fetchone()
         return table.unpack(row[0]) if row else Lease(name)
 
     def _put_lease(self, lease: Lease, index: int, time_ms: int) -> None:
         command = Write(0, 0, 0, (), time_ms=time_ms, author=lease.holder)
-        self._apply_op(Op(LEASES + lease.name, table.pack(lease)), command, index, 0)
+        self._apply_op(Op(LEASE_PREFIX + lease.name, table.pack(lease)), command, index, 0)
         self.leases[lease.name] = lease
 
     # ---- commands --------------------------------------------------------------------------------
 
     def _apply_lease_command(self, command: LeaseCommand, index: int) -> Result:
         if self.format < LEASES_FORMAT:
-            return Result(Code.REFUSED, index, (), LEASES_NOT_YET)
+            return Result(ResultCode.REFUSED, index, (), LEASES_NOT_YET)
         fault = self._lease_command_fault(command)
         if fault:
-            return Result(Code.REFUSED, index, (), fault)
+            return Result(ResultCode.REFUSED, index, (), fault)
         lease = self._stored_lease(command.lease)
         if isinstance(command, Claim) and not lease.token and not self._has_room_for_lease():
-            return Result(Code.REFUSED, index, (), f"there are {MAX_LEASES} leases already")
+            return Result(ResultCode.REFUSED, index, (), f"there are {MAX_LEASES} leases already")
         if (
-            isinstance(command, Lapse)
+            isinstance(command, ExpireClaim)
             and self._round(command.lease, command.claim) != command.round
         ):
-            return Result(Code.DONE, index, (), RENEWED_SINCE)
+            return Result(ResultCode.DONE, index, (), RENEWED_SINCE)
         outcome = self._lease_outcome(lease, command)
         if outcome.is_granted:
             self.counters.tokens += 1
@@ -86,7 +97,7 @@
             self._put_lease(outcome.lease, index, command.time_ms)
         self._record_rounds(lease, outcome.lease, command)
         versions = (outcome.token, outcome.queue_position)
-        return Result(Code.DONE, index, versions, outcome.reason)
+        return Result(ResultCode.DONE, index, versions, outcome.reason)
 
     @staticmethod
     def _lease_command_fault(command: LeaseCommand) -> str:
@@ -111,12 +122,13 @@
                 return table.release(
                     lease, command.claim, command.token, next_token, command.time_ms
                 )
-            case Lapse():
+            case ExpireClaim():
                 return table.lapse(lease, command.claim, next_token, command.time_ms)
 
     def _has_room_for_lease(self) -> bool:
         row = self.db.execute(
-            "SELECT count(*) FROM items WHERE key >= ? AND key < ?", (LEASES, prefix_end(LEASES))
+            "SELECT count(*) FROM items WHERE key >= ? AND key < ?",
+            (LEASE_PREFIX, prefix_end(LEASE_PREFIX)),
         ).fetchone()
         return int(row[0]) < MAX_LEASES
 
--- a/loadbalancer/store/durable/rows.py
+++ b/loadbalancer/store/durable/rows.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from loadbalancer.changefeed.messages import PREFIX
-from loadbalancer.store.commands import RowsWrite, refs_of
+from loadbalancer.store.commands import RowsWrite, operations_with_references
 from loadbalancer.store.durable.schema import prefix_end
 
 
@@ -54,7 +54,7 @@
 def _missing_target(
     db: sqlite3.Connection, command: RowsWrite, written: set[str], deleted: set[str]
 ) -> str:
-    for op, refs in refs_of(command):
+    for op, refs in operations_with_references(command):
         for ref in refs:
             if ref in written:
                 continue
@@ -83,7 +83,7 @@
     db.executemany("DELETE FROM refs WHERE key = ?", [(op.key,) for op in command.ops])
     db.executemany(
         "INSERT INTO refs VALUES (?, ?)",
-        [(op.key, ref) for op, refs in refs_of(command) for ref in refs],
+        [(op.key, ref) for op, refs in operations_with_references(command) for ref in refs],
     )
 
 
--- a/loadbalancer/store/durable/sessions.py
+++ b/loadbalancer/store/durable/sessions.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from loadbalancer.store import commands
-from loadbalancer.store.commands import Code, OpenSession, Result, Write
+from loadbalancer.store.commands import OpenSession, Result, ResultCode, Write
 from loadbalancer.store.durable.state_tables import StateTables
 
 MAX_SESSIONS = 2_000  # beyond them the least recently used one is closed
@@ -26,7 +26,7 @@
                 "SELECT id FROM sessions ORDER BY used, id LIMIT 1"
             ).fetchone()[0]
             self._close_session(oldest)
-        return Result(Code.DONE, index)
+        return Result(ResultCode.DONE, index)
 
     def _close_session(self, session: int) -> None:
         deleted = self.db.execute("DELETE FROM sessions WHERE id = ?", (session,)).rowcount
@@ -40,10 +40,12 @@
         ).fetchone()
         if row is None:
             return Result(
-                Code.EXPIRED, index, (), "the session is not known here: it is too long ago"
+                ResultCode.EXPIRED, index, (), "the session is not known here: it is too long ago"
             )
         if command.number <= row[0]:
-            return Result(Code.EXPIRED, index, (), f"write {command.number} was answered before")
+            return Result(
+                ResultCode.EXPIRED, index, (), f"write {command.number} was answered before"
+            )
         earlier = self.db.execute(
             "SELECT result FROM answers WHERE session = ? AND number = ?",
             (command.session, command.number),
--- a/loadbalancer/store/durable/state.py
+++ b/loadbalancer/store/durable/state.py
@@ -23,17 +23,17 @@
 from loadbalancer.leases.expiry import ActiveClaim
 from loadbalancer.store import commands
 from loadbalancer.store.commands import (
-    ANY,
-    LEASES,
+    ANY_VERSION,
+    LEASE_PREFIX,
     AnyCommand,
     Claim,
     CloseSession,
-    Code,
-    Lapse,
+    ExpireClaim,
     Op,
     OpenSession,
     Release,
     Result,
+    ResultCode,
     RowsWrite,
     Upgrade,
     Write,
@@ -105,14 +105,14 @@
         if entry.kind == EntryKind.MEMBERS:
             self.counters.members = unpack_members(entry.data)
             self._set_meta(members=entry.data)
-            return Result(Code.DONE, entry.index)
+            return Result(ResultCode.DONE, entry.index)
         if entry.kind != EntryKind.COMMAND:
-            return Result(Code.DONE, entry.index)
+            return Result(ResultCode.DONE, entry.index)
         try:
             command = unpack_command(entry.data)
         except ValueError as error:
             reason = f"it does not read: {' '.join(str(error).split())}"
-            return Result(Code.REFUSED, entry.index, (), reason)
+            return Result(ResultCode.REFUSED, entry.index, (), reason)
         return self._apply_command(command, entry.index)
 
     def _apply_command(self, command: AnyCommand, index: int) -> Result:
@@ -121,12 +121,12 @@
                 return self._open_session(command, index)
             case CloseSession():
                 self._close_session(command.session)
-                return Result(Code.DONE, index)
+                return Result(ResultCode.DONE, index)
             case Write():
                 return self._apply_write_once(command, index)
             case Upgrade():
                 return self._upgrade(command, index)
-            case Claim() | Release() | Lapse():
+            case Claim() | Release() | ExpireClaim():
                 return self._apply_lease_command(command, index)
 
     # ---- writes ----------------------------------------------------------------------------------
@@ -134,28 +134,28 @@
     def _apply_write(self, command: Write, index: int) -> Result:
         fault = self._write_fault(command)
         if fault:
-            return Result(Code.REFUSED, index, (), fault)
+            return Result(ResultCode.REFUSED, index, (), fault)
         rejection = self._check_fences(command, index) or self._check_versions(command, index)
         if rejection is not None:
             return rejection
         if isinstance(command, RowsWrite):
             fault = rows.dangling_reference(self.db, command)
             if fault:
-                return Result(Code.REFUSED, index, (), fault)
+                return Result(ResultCode.REFUSED, index, (), fault)
             rows.record_references(self.db, command)
         versions = tuple(
             self._apply_op(op, command, index, position) for position, op in enumerate(command.ops)
         )
-        return Result(Code.DONE, index, versions)
+        return Result(ResultCode.DONE, index, versions)
 
     def _write_fault(self, command: Write) -> str:
         """The reason why a state of this format does not take a write; empty: there is none."""
-        fault = commands.wrong(command)
+        fault = commands.rejection_reason(command)
         if fault:
             return fault
         keys = [op.key for op in command.ops]
-        if self.format >= LEASES_FORMAT and any(key.startswith(LEASES) for key in keys):
-            return f"what stands under {LEASES} is changed by claims alone"
+        if self.format >= LEASES_FORMAT and any(key.startswith(LEASE_PREFIX) for key in keys):
+            return f"what stands under {LEASE_PREFIX} is changed by claims alone"
         is_rows_write = isinstance(command, RowsWrite)
         if (
             self.format >= ROWS_FORMAT
@@ -166,31 +166,31 @@
         required = 1
         if is_rows_write:
             required = ROWS_FORMAT
-        elif commands.fences_of(command):
+        elif commands.fencing_tokens(command):
             required = LEASES_FORMAT
         return NOT_YET[required] if self.format < required else ""
 
     def _check_fences(self, command: Write, index: int) -> Result | None:
         """Reject a write under a token that does not hold its lease."""
-        for name, token in commands.fences_of(command):
+        for name, token in commands.fencing_tokens(command):
             lease = self._stored_lease(name)
             if not lease.permits(token):
                 if lease.token:
                     self._put_lease(table.write_rejected(lease), index, 0)
                 reason = f"{name} is not held under token {table.format_token(token)}"
-                return Result(Code.FENCED, index, (lease.token,), reason)
+                return Result(ResultCode.FENCED, index, (lease.token,), reason)
         return None
 
     def _check_versions(self, command: Write, index: int) -> Result | None:
         """Reject a write that expects another version of a key."""
         checks = [
             *command.checks,
-            *((op.key, op.version) for op in command.ops if op.version != ANY),
+            *((op.key, op.version) for op in command.ops if op.version != ANY_VERSION),
         ]
         for key, expected in checks:
             version = self._version(key)
             if version != expected:
-                return Result(Code.CONFLICT, index, (version,), key)
+                return Result(ResultCode.CONFLICT, index, (version,), key)
         return None
 
     # ---- formats ---------------------------------------------------------------------------------
@@ -198,7 +198,7 @@
     def _upgrade(self, command: Upgrade, index: int) -> Result:
         """Take the next format; an earlier one changes nothing."""
         if command.format == LEASES_FORMAT and self.format == LEASES_FORMAT - 1:
-            self._begin_tables(LEASE_TABLES, LEASES, index)
+            self._begin_tables(LEASE_TABLES, LEASE_PREFIX, index)
             self.db.execute("INSERT INTO meta VALUES ('tokens', 0)")
             self.counters.format = LEASES_FORMAT
         elif command.format == ROWS_FORMAT and self.format == ROWS_FORMAT - 1:
@@ -207,7 +207,7 @@
             self.counters.format = ROWS_FORMAT
             self.counters.rows_from = index
         self._set_meta(format=self.format)
-        return Result(Code.DONE, index, (self.format,))
+        return Result(ResultCode.DONE, index, (self.format,))
 
     def _begin_tables(self, tables: str, prefix: str, index: int) -> None:
         """Make new tables, and delete plain keys under the prefix that they are about."""
--- a/loadbalancer/store/durable/state_files.py
+++ b/loadbalancer/store/durable/state_files.py
@@ -10,7 +10,7 @@
 import google_crc32c
 
 from loadbalancer.leases import table
-from loadbalancer.store.commands import FORMAT
+from loadbalancer.store.commands import STATE_FORMAT
 from loadbalancer.store.durable.errors import DamagedError
 from loadbalancer.store.durable.schema import LEASES_FORMAT, connect, create_tables
 from loadbalancer.store.durable.state import State
@@ -35,9 +35,9 @@
     """
     try:
         version = db.execute("SELECT value FROM meta WHERE name = 'format'").fetchone()
-        if version is None or version[0] > FORMAT:
+        if version is None or version[0] > STATE_FORMAT:
             raise DamagedError(
-                f"{name}: format {version[0] if version else '?'} is newer than {FORMAT}, "
+                f"{name}: format {version[0] if version else '?'} is newer than {STATE_FORMAT}, "
                 "which this program knows"
             )
         return State(db)
@@ -165,10 +165,10 @@
             meta = dict(db.execute("SELECT name, value FROM meta"))
         finally:
             db.close()
-        if meta["format"] > FORMAT:
+        if meta["format"] > STATE_FORMAT:
             raise DamagedError(
-                f"{path.name}: format {meta['format']} is newer than {FORMAT}, which this program"
-                " knows"
+                f"{path.name}: format {meta['format']} is newer than {STATE_FORMAT}, which this"
+                " program knows"
             )
         return SnapshotMeta(
             int(meta["applied"]),
--- a/loadbalancer/store/settings.py
+++ b/loadbalancer/store/settings.py
@@ -1,108 +1,157 @@
-"""A store node's settings: a TOML file."""
+"""Settings of a store node, from a TOML file."""
 
 from __future__ import annotations
 
 import ipaddress
 from pathlib import Path
+from typing import Final
 
 import msgspec
 
 from loadbalancer.changefeed.fanout import FanoutLimits
 from loadbalancer.settings import Malformed, split_address
 from loadbalancer.store.raft.config import RaftConfig
-from loadbalancer.store.replica import Boundaries
-from loadbalancer.store.security import Tls
+from loadbalancer.store.replica import LogLimits
+from loadbalancer.store.security import TlsFiles
 from loadbalancer.units import Duration, Size, convert, read_toml
 
-MS = 1_000_000
+MS: Final = 1_000_000
+MIN_CONNECTIONS: Final = 8
+MIN_UNCOMMITTED_BYTES: Final = 2 << 20
+MIN_CHANGEFEED_BYTES: Final = 64 << 10
+MIN_BOOKMARK_NS: Final = 100 * MS
+MAX_BOOKMARK_NS: Final = 20_000 * MS
+LOG_LENGTH_FACTOR: Final = 5  # of the retained entries: then the log is compacted
+LOG_LENGTH_MARGIN: Final = 1000  # entries more
 
 
-class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SettingsTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A table of the file."""
 
 
-class Keys(Part, frozen=True):
+class TlsTable(SettingsTable, frozen=True):
     """PEM files; a certificate names its role (see `loadbalancer/store/security.py`)."""
 
     certificate: str
     key: str
     authority: str
 
-    def beside(self, folder: Path) -> Tls:
-        """Relative paths count from this folder."""
-        return Tls(folder / self.certificate, folder / self.key, folder / self.authority)
+    def beside(self, folder: Path) -> TlsFiles:
+        """Returns the files; relative paths count from this folder."""
+        return TlsFiles(folder / self.certificate, folder / self.key, folder / self.authority)
 
 
-class Timing(Part, frozen=True):
+class TimingTable(SettingsTable, frozen=True):
+    """Heartbeats and elections.
+
+    Attributes:
+        heartbeat: Between two heartbeats of a leader.
+        election: An election timeout lies between this and twice this.
+        slow_disk: A leader whose disk takes longer for one batch transfers its leadership.
+    """
+
     heartbeat: Duration = Duration(100 * MS)
-    election: Duration = Duration(500 * MS)  # an election time-out lies between this and twice this
-    slow_disk: Duration = Duration(
-        1500 * MS
-    )  # a leader whose disk takes longer over one batch hands over
+    election: Duration = Duration(500 * MS)
+    slow_disk: Duration = Duration(1500 * MS)
+
 
+class LimitsTable(SettingsTable, frozen=True):
+    """Sizes of log and connections.
 
-class Sizes(Part, frozen=True):
-    log: Size = Size(16 << 20)  # the log is cut when it holds more
-    keep: int = 2000  # entries that stay in it, for members that are a little behind
-    uncommitted: Size = Size(8 << 20)  # of writes on their way
+    Attributes:
+        log: The log is compacted when it holds more bytes.
+        retained_entries: Entries that stay in it, for followers that are a little behind.
+        uncommitted: Bytes of writes in flight.
+        connections: Open connections.
+    """
+
+    log: Size = Size(16 << 20)
+    retained_entries: int = msgspec.field(default=2000, name="keep")
+    uncommitted: Size = Size(8 << 20)
     connections: int = 2048
 
 
-class FeedPart(Part, frozen=True):
-    """What a node spends on those who hear the feed."""
+class ChangefeedTable(SettingsTable, frozen=True):
+    """What a node spends on subscribers of the change feed.
+
+    Attributes:
+        snapshots: Bytes per second of all snapshots together.
+        max_queued: Subscribers that wait for a snapshot; others are sent away for a while.
+        window: Bytes that a subscriber has not acknowledged.
+        log: Bytes of changes in memory, for subscribers that come back.
+        bookmark: A subscriber without changes receives a bookmark so often.
+    """
 
-    snapshots: Size = Size(8 << 20)  # bytes a second, of all snapshots together
-    waiting: int = 64  # for snapshots; others are asked to come later
-    window: Size = Size(1 << 20)  # bytes that one has not acknowledged
-    log: Size = Size(32 << 20)  # of changes, in memory, for those who come back
-    bookmark: Duration = Duration(5_000 * MS)  # who has heard nothing for so long is told so
+    snapshots: Size = Size(8 << 20)
+    max_queued: int = msgspec.field(default=64, name="waiting")
+    window: Size = Size(1 << 20)
+    log: Size = Size(32 << 20)
+    bookmark: Duration = Duration(5_000 * MS)
 
-    def limits(self, subscribers: int) -> FanoutLimits:
-        """Raises Malformed."""
-        if min(self.snapshots, self.window, self.log) < 64 << 10 or self.waiting < 1:
+    def limits(self, max_subscribers: int) -> FanoutLimits:
+        """Returns the limits of the fan-out.
+
+        Raises:
+            Malformed: A limit is too low or too high.
+        """
+        smallest = min(self.snapshots, self.window, self.log)
+        if smallest < MIN_CHANGEFEED_BYTES or self.max_queued < 1:
             raise Malformed("feed: snapshots, window and log must be 64KiB at least, and waiting 1")
-        if not 100 * MS <= self.bookmark <= 20_000 * MS:
+        if not MIN_BOOKMARK_NS <= self.bookmark <= MAX_BOOKMARK_NS:
             raise Malformed("feed.bookmark: must be 100ms to 20s")
         return FanoutLimits(
             snapshot_bytes_s=int(self.snapshots),
-            waiting_most=self.waiting,
+            waiting_most=self.max_queued,
             window_bytes=int(self.window),
             log_bytes=int(self.log),
             bookmark_ns=int(self.bookmark),
-            subscribers_most=subscribers,
+            subscribers_most=max_subscribers,
         )
 
 
-class StoreFile(Part, frozen=True):
-    """The whole file."""
+class StoreFile(SettingsTable, frozen=True):
+    """The complete file.
+
+    Attributes:
+        folder: The node's data.
+        listen: HOST:PORT.
+        advertise: What others connect to, if it is not `listen`.
+        address_map: For advertised addresses, where they are reached from here.
+        metrics: Address of the metrics, plain HTTP.
+        tls: Certificates.
+        timing: Heartbeats and elections.
+        limits: Sizes.
+        changefeed: Limits of the change feed.
+    """
 
     folder: str
     listen: str
-    advertise: str = ""  # what others connect to, where it is not `listen`
-    reach: dict[str, str] = {}  # where a member that advertises one address is reached at another
-    metrics: str = ""  # an address of its own for them, plain HTTP
-    tls: Keys | None = None
-    timing: Timing = Timing()
-    limits: Sizes = Sizes()
-    feed: FeedPart = FeedPart()
+    advertise: str = ""
+    address_map: dict[str, str] = msgspec.field(default_factory=dict, name="reach")
+    metrics: str = ""
+    tls: TlsTable | None = None
+    timing: TimingTable = TimingTable()
+    limits: LimitsTable = LimitsTable()
+    changefeed: ChangefeedTable = msgspec.field(default=ChangefeedTable(), name="feed")
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """What a node runs on."""
+    """Checked settings of a node."""
 
     folder: Path
     listen: tuple[str, int]
     advertise: str
-    reach: dict[str, str]
+    address_map: dict[str, str]
     metrics: tuple[str, int] | None
-    tls: Tls | None
+    tls: TlsFiles | None
     config: RaftConfig
-    boundaries: Boundaries
-    connections: int
-    feed: FanoutLimits = FanoutLimits()
+    log_limits: LogLimits
+    max_connections: int
+    changefeed: FanoutLimits = FanoutLimits()
 
 
 def is_loopback(host: str) -> bool:
+    """Returns whether a host is a loopback address."""
     try:
         return ipaddress.ip_address(host).is_loopback
     except ValueError:
@@ -110,42 +159,63 @@
 
 
 def read_store(path: Path) -> StoreSettings:
-    """Raises Malformed with one line."""
+    """Reads a settings file.
+
+    Raises:
+        Malformed: It is not valid, in one line.
+    """
     try:
-        return settled(convert(read_toml(path), StoreFile), path.parent)
+        return checked_settings(convert(read_toml(path), StoreFile), path.parent)
     except (ValueError, Malformed) as error:
         raise Malformed(f"{path}: {error}") from None
 
 
-def settled(f: StoreFile, beside: Path) -> StoreSettings:
-    """Relative paths count from the settings file. Raises Malformed."""
-    listen = split_address(f.listen)
-    if f.tls is None and not is_loopback(listen[0]):
+def checked_settings(file: StoreFile, folder: Path) -> StoreSettings:
+    """Returns the settings of a file; relative paths count from this folder.
+
+    Raises:
+        Malformed: They contradict each other or a limit.
+    """
+    listen = split_address(file.listen)
+    if file.tls is None and not is_loopback(listen[0]):
         raise Malformed("tls: without it the store listens on loopback only")
-    for address in (*([f.advertise] if f.advertise else []), *f.reach, *f.reach.values()):
+    advertised = [file.advertise] if file.advertise else []
+    for address in (*advertised, *file.address_map, *file.address_map.values()):
         split_address(address)
-    if not 0 < 2 * f.timing.heartbeat <= f.timing.election:
-        raise Malformed("timing: an election time-out is at least two heartbeats")
-    if f.limits.keep < 0 or f.limits.connections < 8:
-        raise Malformed("limits: keep must not be negative, and connections must be 8 at least")
-    if f.limits.uncommitted < 2 << 20:
-        raise Malformed("limits.uncommitted: must be 2MiB at least")
-    config = RaftConfig(
-        heartbeat_interval_ns=int(f.timing.heartbeat),
-        election_timeout_ns=int(f.timing.election),
-        slow_disk_timeout_ns=int(f.timing.slow_disk),
-        max_uncommitted_bytes=int(f.limits.uncommitted),
+    _check_numbers(file)
+    limits = file.limits
+    log_limits = LogLimits(
+        limits.retained_entries,
+        LOG_LENGTH_FACTOR * limits.retained_entries + LOG_LENGTH_MARGIN,
+        int(limits.log),
     )
-    tls = f.tls.beside(beside) if f.tls else None
     return StoreSettings(
-        beside / f.folder,
+        folder / file.folder,
         listen,
-        f.advertise or f.listen,
-        f.reach,
-        split_address(f.metrics) if f.metrics else None,
-        tls,
-        config,
-        Boundaries(f.limits.keep, 5 * f.limits.keep + 1000, int(f.limits.log)),
-        f.limits.connections,
-        f.feed.limits(f.limits.connections),
+        file.advertise or file.listen,
+        file.address_map,
+        split_address(file.metrics) if file.metrics else None,
+        file.tls.beside(folder) if file.tls else None,
+        _config(file),
+        log_limits,
+        limits.connections,
+        file.changefeed.limits(limits.connections),
+    )
+
+
+def _check_numbers(file: StoreFile) -> None:
+    if not 0 < 2 * file.timing.heartbeat <= file.timing.election:
+        raise Malformed("timing: an election time-out is at least two heartbeats")
+    if file.limits.retained_entries < 0 or file.limits.connections < MIN_CONNECTIONS:
+        raise Malformed("limits: keep must not be negative, and connections must be 8 at least")
+    if file.limits.uncommitted < MIN_UNCOMMITTED_BYTES:
+        raise Malformed("limits.uncommitted: must be 2MiB at least")
+
+
+def _config(file: StoreFile) -> RaftConfig:
+    return RaftConfig(
+        heartbeat_interval_ns=int(file.timing.heartbeat),
+        election_timeout_ns=int(file.timing.election),
+        slow_disk_timeout_ns=int(file.timing.slow_disk),
+        max_uncommitted_bytes=int(file.limits.uncommitted),
     )
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -12,14 +12,15 @@
 from types import SimpleNamespace
 from typing import Any, Protocol, cast
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
-from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.documents import DocumentChange
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.testbed.rig.world import unchecked
 from loadbalancer.testbed.size.crowd import Crowd
 from loadbalancer.testbed.size.series import Series
@@ -67,7 +68,7 @@
         self.balancer = SimpleNamespace(
             learnt=lambda: LEARNT,
             requests={},
-            crowding=SimpleNamespace(taken=dict(LEARNT.taken)),
+            concurrency=SimpleNamespace(service_times=dict(LEARNT.service_times)),
             rate=SimpleNamespace(sent=86.0, served=86.0),
         )
 
@@ -91,7 +92,7 @@
 class Keeper(Protocol):
     """The daemon's, with sites. `name_lease`: the lease of its name."""
 
-    name_lease: Owner
+    name_lease: LeaseClient
 
     def start(self) -> None: ...
 
@@ -143,7 +144,9 @@
             crowd = Crowd(cluster.addresses[0], "")
             try:
                 for service in services:
-                    await documents.put(client, f"sites/{service}", SITE, unchecked, 0, "lab")
+                    await documents.put(
+                        client, f"sites/{service}", SITE, unchecked, DocumentChange(0, "lab")
+                    )
                 keepers = [
                     make(
                         cluster.client(f"b{n}"),
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -17,7 +17,6 @@
 import msgspec
 import pytest
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.changefeed.messages import MAX_ROW_BYTES, Row, split_key
 from loadbalancer.changefeed.subscription import Apply
 from loadbalancer.daemon import endpoint_publisher, row_codec
@@ -42,13 +41,15 @@
 from loadbalancer.proxy import discovery_watch
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.discovery import Discovery, read_endpoint
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.settings import Json, Malformed
 from loadbalancer.store import run as running
-from loadbalancer.store.client import Client, Rejected
-from loadbalancer.store.commands import MOST_OPS, Op, Release, Result
-from loadbalancer.store.lease_client import clock_ns
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import MAX_OPERATIONS, Op, Release, Result
+from loadbalancer.store.errors import RejectedError
+from loadbalancer.store.lease_client import boot_clock_ns
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.daemon.test_state_sync import FakeDriver, answered, until
@@ -155,7 +156,7 @@
     stored = {f"{n:05}": (1, b"x") for n in range(5000)}
     wanted = {key: value for key, (_, value) in stored.items() if int(key) >= 2200}
     batches = plan_writes(stored, wanted)
-    assert len(batches) == 9 and all(len(b) <= MOST_OPS for b in batches)
+    assert len(batches) == 9 and all(len(b) <= MAX_OPERATIONS for b in batches)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -248,7 +249,7 @@
         assert self.state_sync.publisher is not None
         self.publisher = self.state_sync.publisher
         list_lease = self.state_sync.list_lease
-        list_lease.began, list_lease.ended = self.began, self.ended
+        list_lease.on_tenure(self.began, self.ended)
         if discovery is None:  # it does not ask for the list's lease
             list_lease.start = lambda: None  # type: ignore[method-assign]
         self.state_sync.start()
@@ -266,7 +267,7 @@
         return {n: t.endpoint.entry.state for n, t in self.driver.upstreams.targets.items()}
 
     async def owns(self) -> Bank:
-        await self.until(lambda: self.state_sync.list_lease.working)
+        await self.until(lambda: self.state_sync.list_lease.active_token)
         return self
 
     async def knows(self, *rows: Json) -> None:
@@ -290,8 +291,8 @@
             task.cancel()
         if self.state_sync.feed is not None:
             await self.state_sync.feed.close()
-        if self.state_sync.client.wire is not None:
-            self.state_sync.client.wire.abort()
+        if self.state_sync.client.connection is not None:
+            self.state_sync.client.connection.abort()
 
 
 def told(word: ListRow, *boxes: Json, whole: bool = False) -> Apply:
@@ -312,7 +313,7 @@
 
 def test_what_a_balancer_makes_of_rows() -> None:
     async def test() -> None:
-        driver, owner = RowDriver(lambda: None), SimpleNamespace(working=0)
+        driver, owner = RowDriver(lambda: None), SimpleNamespace(active_token=0)
         discovery = Discovery(cast(Any, driver), ("127.0.0.1", 1), 1)
         writer = RowWriter(cast(Any, None), cast(Any, owner), "orders")
         context = EndpointListContext(
@@ -338,7 +339,7 @@
         follower.apply_rows(told(word(3, 7), box("s-1"), whole=True))
         follower.apply_rows(told(word(3, 8), box("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
-        follower.source.learn_committed(FencingPosition(3, 7), clock_ns())
+        follower.source.learn_committed(FencingPosition(3, 7), boot_clock_ns())
         follower.apply_rows(told(word(3, 9), box("s-3")))
         follower.apply_rows(told(word(3, 10), box("s-3", "Gone"), box("never there", "Gone")))
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
@@ -353,11 +354,11 @@
         assert kinds() == [(api.EndpointListKind.FULL, 1)]
         # What comes while it owns the list itself, and is the next owner's, counts once it does
         # not.
-        owner.working, publisher.published = 4, Publication(4, 1, [])
+        owner.active_token, publisher.published = 4, Publication(4, 1, [])
         follower.apply_rows(told(word(4, 1), box("s-5")))
         follower.apply_rows(told(word(5, 1), box("s-6")))
         assert kinds() == []
-        owner.working = 0
+        owner.active_token = 0
         publisher.on_lease_lost()
         assert kinds() == [(api.EndpointListKind.FULL, 3)] and follower.mirrors_table
         publisher.published = Publication(6, 1, [])
@@ -448,7 +449,7 @@
                 n: state is api.UpstreamState.READY for n, state in two.known.items()
             }
             assert (await client.get("list/orders")).rows[0].value is None
-            with pytest.raises(Rejected, match="names"):
+            with pytest.raises(RejectedError, match="names"):
                 await client.write_rows([Op(KEYS.service, None)])
             for bank in (one, two):
                 await bank.close()
@@ -529,7 +530,7 @@
             three = Bank(c, "three", discovery)
             await two.close()
             await three.owns()
-            await stored.until(lambda: stored.token == three.state_sync.list_lease.working)
+            await stored.until(lambda: stored.token == three.state_sync.list_lease.active_token)
             assert len(stored.writes) == 3  # nothing but its own word
             await three.close()
 
@@ -579,14 +580,14 @@
             writes = len(stored.writes)
             on.set()
             await asyncio.wait((owned,))
-            assert one.state_sync.list_lease.refused == 1
+            assert one.state_sync.list_lease.fenced_writes == 1
             await stored.are(box("s-1"))
             assert len(stored.writes) == writes
             await one.close()
             await two.close()
 
     run(test())
-    assert "a write was refused" in caplog.text
+    assert "fenced write rejected" in caplog.text
 
 
 def test_an_owner_of_before_goes_by_the_rows_of_the_next(tmp_path: Path) -> None:
@@ -670,7 +671,10 @@
                     )
                 ],
             )
-            module.crowding.taken["q"], module.fleet.servers[number_of("s-2")].pace = 5e6, 3.0
+            (
+                module.concurrency.service_times["q"],
+                module.upstream_set.upstreams[number_of("s-2")].relative_service_time,
+            ) = 5e6, 3.0
             await until(lambda: bool(two.state_sync.name_lease.token()))
             await one.close()
             await two.close()
@@ -679,7 +683,9 @@
             # What was learnt comes behind the list, and is of the same start of each upstream.
             await until(lambda: bool(again.driver.posted))
             (learnt,) = again.driver.posted
-            assert isinstance(learnt, api.LearnedState) and learnt.paces[number_of("s-2")] == (
+            assert isinstance(learnt, api.LearnedState) and learnt.relative_service_times[
+                number_of("s-2")
+            ] == (
                 3.0,
                 again.driver.upstreams.targets[number_of("s-2")].endpoint.entry.started_ns,
             )
@@ -697,7 +703,7 @@
             await two.knows(*discovery.rows)
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
-                await c.client().copy(file.write)
+                await c.client().read_backup(file.write)
             discovery.change(box("s-2", "Gone"), box("s-3"))
             await two.knows(*discovery.rows)
             lists = len(two.driver.lists)
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -16,7 +16,6 @@
 import pytest
 from typer.testing import CliRunner
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.cli.main import application
 from loadbalancer.daemon import documents as docs
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
@@ -24,10 +23,12 @@
 from loadbalancer.failover.traffic_shares import Orders
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
+from loadbalancer.store.documents import DocumentChange
 from tests.daemon.test_state_sync import FakeDriver, until
 from tests.fakes import run
 from tests.store.test_node import Cluster, cluster
@@ -108,7 +109,7 @@
     @property
     def owns_sites(self) -> bool:
         controller = self.state_sync.site_controller
-        return controller is not None and bool(controller.owner.working)
+        return controller is not None and bool(controller.owner.active_token)
 
     async def close(self) -> None:
         self.asking.cancel()
@@ -146,7 +147,9 @@
                     "site controller idle: reason=there is no document sites/orders" in caplog.text
                 )
             )
-            await documents.put(client, "sites/orders", SITES, docs.find_error, 0, "test")
+            await documents.put(
+                client, "sites/orders", SITES, docs.find_error, DocumentChange(0, "test")
+            )
             await until(
                 lambda: (
                     bool(one.state_sync.site_agent and one.state_sync.site_agent.is_following_plan)
@@ -163,9 +166,13 @@
             assert "no such site" in (await command(c, "hold", "nowhere"))[1]
             assert (await command(c, "hold", "b", "--force"))[0] == 0
             await until(
-                lambda: bool(one.driver.plans) and one.driver.plans[-1].zones.get("b") == 0.0
+                lambda: (
+                    bool(one.driver.plans) and one.driver.plans[-1].zone_fractions.get("b") == 0.0
+                )
             )
-            assert one.driver.plans[-1].excess > 0  # and what is beyond shares is refused
+            assert (
+                one.driver.plans[-1].excess_reject_fraction > 0
+            )  # and what is beyond shares is refused
             assert "out by" in (await command(c, "status"))[1]
             assert 'lanelift_site_part{site="b"} 0.0' in (await command(c, "metrics"))[1]
             assert "not as usual" in (await command(c, "drill", "b", "--force"))[1]
@@ -173,7 +180,7 @@
             await until(lambda: one.driver.plans[-1] == api.TrafficPlan(), 30.0)
             for beside in (one, two):
                 beside.driver.gone = {e.entry.id for e in BOXES if e.entry.zone == "b"}
-            await until(lambda: one.driver.plans[-1].zones.get("b") == 0.0)
+            await until(lambda: one.driver.plans[-1].zone_fractions.get("b") == 0.0)
             async with asyncio.timeout(15):
                 while all(x.part > 0 for x in (await doc(client)).site_states):
                     await asyncio.sleep(0.05)
@@ -187,14 +194,14 @@
                     not x.well for x in now.site_states
                 ):
                     await asyncio.sleep(0.05)
-            await until(lambda: other.driver.plans[-1].zones.get("b") is None)
+            await until(lambda: other.driver.plans[-1].zone_fractions.get("b") is None)
             shut = Orders({"a": {"b": 0.0}, "b": {"b": 0.0}})
             old = msgspec.structs.replace(now, token=token, orders=shut)
             await client.put(
                 SiteKeys("orders").plan, msgspec.json.encode(old)
             )  # of an owner that wakes late
             await until(lambda: "stale message ignored" in caplog.text)
-            assert other.driver.plans[-1].zones.get("b") is None
+            assert other.driver.plans[-1].zone_fractions.get("b") is None
             await other.close()
 
     with caplog.at_level(logging.INFO):
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -50,7 +50,7 @@
             assert seen.headers["x-request-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
             assert 0 < int(seen.headers["x-deadline-ms"]) <= 3000
             (arrived,) = heard.of(api.RequestArrived)
-            assert (arrived.cost_hint_ns, arrived.key, arrived.retry) == (12_000_000, "7f", True)
+            assert (arrived.cost_hint_ns, arrived.key, arrived.is_retry) == (12_000_000, "7f", True)
             await heard.until(lambda: heard.of(api.AttemptFinished))
             (outcome,) = heard.of(api.AttemptFinished)
             assert (outcome.result, outcome.complete) == (R.OK, True)
