--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -18,18 +18,16 @@
 from loadbalancer.daemon.persisted import decode_row
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
 from loadbalancer.daemon.site_reader import SiteObservation, SiteReader
+from loadbalancer.failover.fleet_model import EXCESS, FIRST_CLASS, Fleet
 from loadbalancer.failover.plan import (
-    CLASSES,
-    EXCESS,
-    Admission,
-    Fleet,
-    Table,
-    bearable,
-    table,
-    tables,
+    FailoverPlan,
+    losses_over_capacity,
+    plan_for_loss,
+    plans_for_losses,
 )
-from loadbalancer.failover.site_reports import heard, verdict
-from loadbalancer.failover.site_state import Aim, ordered
+from loadbalancer.failover.shedding import Shedding
+from loadbalancer.failover.site_reports import collect_opinions, judge_site
+from loadbalancer.failover.site_state import DesiredState, request_state
 from loadbalancer.leases import table as leases
 from loadbalancer.settings import Malformed
 from loadbalancer.store.client import Client, Conflict
@@ -46,7 +44,7 @@
     ),
 ]
 Name = Annotated[str, typer.Argument(help="Of a site, as in the document of sites.")]
-RUNGS = ("nothing", "excess over shares", "repeats", "copies")
+LEVELS = ("nothing", "excess over shares", "repeats", "copies")
 
 
 def _seconds(text: str) -> float:
@@ -57,13 +55,17 @@
         raise Malformed(str(error)) from None
 
 
-def _rung(fleet: Fleet, a: Admission) -> str:
-    if not a.rung:
-        return RUNGS[0]
+def _level(fleet: Fleet, shedding: Shedding) -> str:
+    if not shedding.level:
+        return LEVELS[0]
     name = (
-        RUNGS[a.rung] if a.rung < CLASSES else f"class {', '.join(fleet.rungs[a.rung - CLASSES])}"
+        LEVELS[shedding.level]
+        if shedding.level < FIRST_CLASS
+        else f"class {', '.join(fleet.class_levels[shedding.level - FIRST_CLASS])}"
+    )
+    return f"{shedding.fraction:.0%} of {name}" + (
+        " and all before it" if shedding.level > EXCESS else ""
     )
-    return f"{a.part:.0%} of {name}" + (" and all before it" if a.rung > EXCESS else "")
 
 
 async def _looked(c: Client, service: str) -> SiteObservation:
@@ -86,15 +88,15 @@
             if (held is not None and held.is_held)
             else "nobody"
         )
-        blind = seen.look.blind
+        blind = seen.snapshot.blocked_reason
         out.print(
-            f"owner: {who}; {len(seen.look.rows)} balancers tell"
+            f"owner: {who}; {len(seen.snapshot.reports)} balancers tell"
             + (f"; the work rests: {blind}" if blind else ""),
             soft_wrap=True,
         )
-        what = heard(seen.look.rows)
+        what = collect_opinions(seen.snapshot.reports)
         verdicts = {
-            n: verdict(n, what, seen.look.listed.get(n, 0), seen.look.usual.get(n, 0))
+            n: judge_site(n, what, seen.snapshot.ready.get(n, 0), seen.snapshot.usual.get(n, 0))
             for n in seen.sites
         }
         rows = Rows()
@@ -104,20 +106,20 @@
             course, v = seen.plan.state_of(name), verdicts[name]
             rows.add_row(
                 name,
-                v.state.value,
-                course.aim.value + (f" by {course.by}" if course.by else ""),
-                "apart" if course.apart else course.stage.value,
-                f"{course.part:.0%}",
-                str(course.fails),
-                course.why or v.why,
+                v.health.value,
+                course.desired.value + (f" by {course.operator}" if course.operator else ""),
+                "apart" if course.is_partitioned else course.stage.value,
+                f"{course.fraction:.0%}",
+                str(course.failures),
+                course.reason or v.reason,
             )
         out.print(rows)
-        o = seen.plan.orders
-        if o.excess or o.repeats or o.classes or not o.copies:
+        o = seen.plan.traffic_shares
+        if o.excess or o.retries or o.classes or not o.allows_hedging:
             classes = ", ".join(f"{part:.0%} of {k}" for k, part in o.classes.items())
             out.print(
-                f"refused: {o.excess:.0%} beyond shares, {o.repeats:.0%} of repeats, "
-                f"{'no copies' if not o.copies else 'copies as usual'}"
+                f"refused: {o.excess:.0%} beyond shares, {o.retries:.0%} of repeats, "
+                f"{'no copies' if not o.allows_hedging else 'copies as usual'}"
                 + (f", {classes}" if classes else ""),
                 soft_wrap=True,
             )
@@ -156,21 +158,21 @@
             ["site"],
             registry=registry,
         )
-        what, fleet = heard(seen.look.rows), seen.fleet
+        what, fleet = collect_opinions(seen.snapshot.reports), seen.fleet
         for name in seen.sites:
-            part.labels(name).set(seen.plan.state_of(name).part)
-            now = verdict(
-                name, what, seen.look.listed.get(name, 0), seen.look.usual.get(name, 0)
-            ).state
+            part.labels(name).set(seen.plan.state_of(name).fraction)
+            now = judge_site(
+                name, what, seen.snapshot.ready.get(name, 0), seen.snapshot.usual.get(name, 0)
+            ).health
             state.labels(name, now.value).set(1)
             if fleet.loads and len(seen.sites) > 1:
-                t = table(fleet, [name])
-                left.labels(name).set(t.worth / max(1e-9, t.usual))
-        o = seen.plan.orders
+                t = plan_for_loss(fleet, [name])
+                left.labels(name).set(t.served.fraction)
+        o = seen.plan.traffic_shares
         for rung, value in (
             ("excess", o.excess),
-            ("repeats", o.repeats),
-            ("copies", float(not o.copies)),
+            ("repeats", o.retries),
+            ("copies", float(not o.allows_hedging)),
             *((f"class {k}", v) for k, v in o.classes.items()),
         ):
             refused.labels(rung).set(value)
@@ -180,16 +182,16 @@
     typer.echo(using(client(at, certificate, key, authority), told).decode(), nl=False)
 
 
-def _row(fleet: Fleet, t: Table) -> tuple[str, ...]:
-    worst_tenant = min(t.by_tenant.items(), key=lambda it: it[1], default=("-", 1.0))
-    worst_class = min(t.by_class.items(), key=lambda it: it[1], default=("-", 1.0))
+def _row(fleet: Fleet, t: FailoverPlan) -> tuple[str, ...]:
+    worst_tenant = min(t.served.by_tenant.items(), key=lambda it: it[1], default=("-", 1.0))
+    worst_class = min(t.served.by_class.items(), key=lambda it: it[1], default=("-", 1.0))
     return (
         " and ".join(sorted(t.lost)) or "none",
-        f"{t.worth / max(1e-9, t.usual):.1%}",
-        _rung(fleet, t.admission),
+        f"{t.served.fraction:.1%}",
+        _level(fleet, t.shedding),
         f"{worst_class[0]} {worst_class[1]:.0%}",
         f"{worst_tenant[0]} {worst_tenant[1]:.0%}",
-        ", ".join(f"{n} {fill:.0%}" for n, fill in sorted(t.fill.items())),
+        ", ".join(f"{n} {fill:.0%}" for n, fill in sorted(t.utilisation.items())),
     )
 
 
@@ -212,7 +214,7 @@
         seen = await _looked(c, service)
         fleet = seen.fleet
         if not seen.sites:
-            raise Malformed(seen.look.blind)
+            raise Malformed(seen.snapshot.blocked_reason)
         if not fleet.loads:
             raise Malformed("no balancer tells of any load: there is nothing to plan with")
         names = [n.strip() for n in lose.split(",") if n.strip()]
@@ -221,7 +223,9 @@
             raise Malformed(
                 f"{unknown[0]}: there is no such site" if unknown else "all sites can't be lost"
             )
-        found = {frozenset(names): table(fleet, names)} if names else tables(fleet)
+        found = (
+            {frozenset(names): plan_for_loss(fleet, names)} if names else plans_for_losses(fleet)
+        )
         rows = Rows()
         for column in ("lost", "worth left", "refused", "worst class", "worst tenant", "filled to"):
             rows.add_column(column)
@@ -232,7 +236,7 @@
             for origin, to in found[frozenset(names)].shares.items():
                 goes = ", ".join(f"{t} {part:.0%}" for t, part in to.items())
                 out.print(f"what comes in at {origin} goes to {goes}", soft_wrap=True)
-        short = bearable(found)
+        short = losses_over_capacity(found)
         for gone in short:
             out.print(
                 f"[red]the others do not bear the loss of {' and '.join(sorted(gone))}[/red]",
@@ -249,8 +253,8 @@
     service: str,
     made: Client,
     name: str,
-    aim: Aim,
-    over_s: float = 0.0,
+    aim: DesiredState,
+    drain_s: float = 0.0,
     hold_s: float = 0.0,
     force: bool = False,
 ) -> None:
@@ -266,30 +270,30 @@
             raise Malformed(
                 f"{name}: there is no such site in the document of sites"
                 if seen.sites
-                else seen.look.blind
+                else seen.snapshot.blocked_reason
             )
-        if aim is not Aim.IN and not force and fleet.loads:
-            out_ = {x.site for x in seen.plan.site_states if x.part < 1} | {name}
+        if aim is not DesiredState.ACTIVE and not force and fleet.loads:
+            out_ = {x.site for x in seen.plan.site_states if x.fraction < 1} | {name}
             if out_ >= set(seen.sites):
                 raise Malformed("all sites would be out")
-            t = table(fleet, out_)
-            if t.admission.rung > EXCESS:
+            t = plan_for_loss(fleet, out_)
+            if t.shedding.level > EXCESS:
                 raise Malformed(
-                    f"the others do not bear it: {_rung(fleet, t.admission)} would be"
-                    f" refused, {t.worth / max(1e-9, t.usual):.0%} of the worth be left; --force"
+                    f"the others do not bear it: {_level(fleet, t.shedding)} would be"
+                    f" refused, {t.served.fraction:.0%} of the worth be left; --force"
                     " does it all the same"
                 )
         while True:
             row = (await c.get(SiteKeys(service).plan)).rows[0]
             doc = decode_row(row, SitePlanDocument) or SitePlanDocument()
             try:
-                course = ordered(doc.state_of(name), aim, by, over_s, hold_s)
+                course = request_state(doc.state_of(name), aim, by, drain_s, hold_s)
             except ValueError as error:
                 raise Malformed(str(error)) from None
             with suppress(Conflict):
                 value = msgspec.json.encode(doc.with_state(course))
-                await c.put(SiteKeys(service).plan, value, row.version, note=course.why[:200])
-                return f"site {name}: {course.why}"
+                await c.put(SiteKeys(service).plan, value, row.version, note=course.reason[:200])
+                return f"site {name}: {course.reason}"
 
     told: Callable[[Client], Awaitable[str]] = work
     out.print(using(made, told), soft_wrap=True)
@@ -311,7 +315,12 @@
 ) -> None:
     """Empty a site, without one failure; it stays so until `return`."""
     _order(
-        service, client(at, certificate, key, authority), name, Aim.OUT, _seconds(over), force=force
+        service,
+        client(at, certificate, key, authority),
+        name,
+        DesiredState.DRAINED,
+        _seconds(over),
+        force=force,
     )
 
 
@@ -326,7 +335,14 @@
     authority: Authority = None,
 ) -> None:
     """Take a site out at once, and keep it out."""
-    _order(service, client(at, certificate, key, authority), name, Aim.OUT, 0.0, force=force)
+    _order(
+        service,
+        client(at, certificate, key, authority),
+        name,
+        DesiredState.DRAINED,
+        0.0,
+        force=force,
+    )
 
 
 @app.command("return")
@@ -339,7 +355,7 @@
     authority: Authority = None,
 ) -> None:
     """Let a site that is held, drained or drilled come back, in stages."""
-    _order(service, client(at, certificate, key, authority), name, Aim.IN)
+    _order(service, client(at, certificate, key, authority), name, DesiredState.ACTIVE)
 
 
 @app.command()
@@ -359,7 +375,7 @@
         service,
         client(at, certificate, key, authority),
         name,
-        Aim.DRILL,
+        DesiredState.DRILL,
         _seconds(over),
         _seconds(empty),
         force,
--- a/loadbalancer/daemon/documents.py
+++ b/loadbalancer/daemon/documents.py
@@ -7,7 +7,7 @@
 from loadbalancer.__main__ import Config
 from loadbalancer.daemon import site_config
 from loadbalancer.daemon.settings import read_raw
-from loadbalancer.failover.plan import Place
+from loadbalancer.failover.fleet_model import SiteCapacity
 from loadbalancer.settings import Json, Malformed
 
 BALANCER = "balancer"  # and `balancer/NAME`: the operators' settings of balancers
@@ -34,7 +34,7 @@
     return read_raw(parse(name, text), name)
 
 
-def read_sites(name: str, text: str) -> dict[str, Place]:
+def read_sites(name: str, text: str) -> dict[str, SiteCapacity]:
     """Reads a document that describes the sites.
 
     Raises:
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -11,19 +11,19 @@
 import random
 from collections.abc import Sequence
 from contextlib import suppress
-from dataclasses import replace
 from functools import partial
 
 import msgspec
+from msgspec.structs import replace
 
 from loadbalancer.daemon.endpoint_follower import log_stale_message
 from loadbalancer.daemon.identity import BalancerIdentity
 from loadbalancer.daemon.persisted import LeaderConfirmation, decode_row
 from loadbalancer.daemon.site_documents import LossTablesDocument, SiteKeys, SitePlanDocument
-from loadbalancer.failover.evidence import Said
-from loadbalancer.failover.observer import Member
-from loadbalancer.failover.site_reports import Row as SiteReport
-from loadbalancer.failover.site_state import Aim
+from loadbalancer.failover.health import PeerReport
+from loadbalancer.failover.observer import SiteObserver
+from loadbalancer.failover.site_reports import SiteReport
+from loadbalancer.failover.site_state import DesiredState
 from loadbalancer.leases.fence import FencedReceiver, FencingPosition
 from loadbalancer.policy import api
 from loadbalancer.proxy.policy_driver import Driver
@@ -59,7 +59,7 @@
         self.balancer = identity.balancer
         self.keys = SiteKeys(identity.service)
         self.key = self.keys.rows + identity.balancer
-        self.member = Member(
+        self.observer = SiteObserver(
             settings.zone, identity.balancer, settings.instance_count, rng, clock_ns()
         )
         self.receiver = FencedReceiver(FencingPosition())
@@ -76,7 +76,7 @@
         try:
             for event in events:
                 if type(event) is api.RequestArrived:
-                    self.member.arrived(event)
+                    self.observer.on_request(event)
                 elif type(event) is api.AttemptFinished:
                     self._on_attempt_finished(event)
         except Exception:
@@ -88,7 +88,7 @@
             return
         request_class = self.driver.settings.classes[request.arrival.class_name]
         usual_ns = self.driver.balancer.crowding.taken.get(request_class.name, 0.0)
-        self.member.tried(event, request_class.latency_objective_ns, usual_ns, clock_ns())
+        self.observer.on_attempt(event, request_class.latency_objective_ns, usual_ns, clock_ns())
 
     async def observe(self) -> None:
         """Judges the evidence, probes unused sites and gives the policy its traffic plan."""
@@ -100,20 +100,23 @@
         now = clock_ns()
         self._update_upstreams(now)
         is_store_available = self.name_lease.holder.failures < MAX_RENEWAL_FAILURES
-        step = self.member.turn(now, is_store_available)
+        step = self.observer.update(now, is_store_available)
         for site, verdict in step.changes:
             log.info(
                 "site verdict changed: site=%s state=%s reason=%s",
                 site,
-                verdict.state.value,
-                verdict.why,
+                verdict.health.value,
+                verdict.reason,
             )
-        for number in step.sounds:
+        for number in step.health_checks:
             self.driver.upstreams.probe(number, partial(self._on_probe_finished, number))
         if step.plan is not None:
             self.driver.post(step.plan)
-        is_following_plan = self.member.owned(now)
-        if is_following_plan is not self.is_following_plan and self.member.heard_ns:
+        is_following_plan = self.observer.follows_shares(now)
+        if (
+            is_following_plan is not self.is_following_plan
+            and self.observer.confirmed_ns is not None
+        ):
             log.info(
                 "site plan of the leader followed"
                 if is_following_plan
@@ -127,11 +130,11 @@
             for number, target in self.driver.upstreams.targets.items()
             if target.endpoint.entry.state is api.UpstreamState.READY and target.endpoint.entry.zone
         }
-        if sites.keys() != self.member.evidence.boxes.keys():
-            self.member.evidence.listed(sites, now)
+        if sites.keys() != self.observer.evidence.upstreams.keys():
+            self.observer.evidence.update_upstreams(sites, now)
 
     def _on_probe_finished(self, number: int, result: api.AttemptResult, _report: Report) -> None:
-        self.member.sounded(number, result, clock_ns())
+        self.observer.on_health_check(number, result, clock_ns())
 
     async def report(self) -> None:
         """Writes each report that is due.
@@ -140,12 +143,12 @@
             StoreError: The store did not serve a write.
         """
         while True:
-            if self.member.row_due(clock_ns()) and self.name_lease.token():
-                report = self.member.row(self.driver.balancer.crowding.taken, clock_ns())
+            if self.observer.is_report_due(clock_ns()) and self.name_lease.token():
+                report = self.observer.take_report(self.driver.balancer.crowding.taken, clock_ns())
                 with suppress(NotOwner):
                     await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
                     self.has_report = True
-            await asyncio.sleep(STEP_INTERVAL_S * self.member.rng.uniform(*REPORT_JITTER))
+            await asyncio.sleep(STEP_INTERVAL_S * self.observer.rng.uniform(*REPORT_JITTER))
 
     async def remove(self) -> None:
         """Deletes this balancer's report.
@@ -196,21 +199,21 @@
             log_stale_message(row.key, position, self.receiver)
             return
         for state in plan.site_states:
-            if self.plan.state_of(state.site).count != state.count:
+            if self.plan.state_of(state.site).version != state.version:
                 log.info(
                     "site state changed: site=%s stage=%s share=%.0f%% reason=%s",
                     state.site,
                     state.stage.value,
-                    100 * state.part,
-                    state.why,
+                    100 * state.fraction,
+                    state.reason,
                 )
         self.plan = plan
         drained = {
-            state.site: state.by
+            state.site: state.operator
             for state in plan.site_states
-            if state.aim is not Aim.IN and state.part <= 0
+            if state.desired is not DesiredState.ACTIVE and state.fraction <= 0
         }
-        self.member.ordered(plan.orders, frozenset(plan.sites), drained, clock_ns())
+        self.observer.set_shares(plan.traffic_shares, frozenset(plan.sites), drained, clock_ns())
 
     def _receive_confirmation(self, row: Row) -> None:
         confirmation = decode_row(row, LeaderConfirmation)
@@ -218,7 +221,7 @@
             return
         position = FencingPosition(confirmation.token, confirmation.sequence)
         if position == self.receiver.highest and confirmation.heartbeat != self.heartbeat:
-            self.member.stands(clock_ns())
+            self.observer.confirm_shares(clock_ns())
         self.heartbeat = confirmation.heartbeat
 
     def _receive_tables(self, row: Row) -> None:
@@ -227,18 +230,18 @@
             FencingPosition(self.receiver.highest.token)
         ):
             return
-        self.member.tables = {
-            frozenset(table.lost): replace(table.orders, shares=document.shares)
+        self.observer.loss_shares = {
+            frozenset(table.lost): replace(table.traffic_shares, quotas=document.quotas)
             for table in document.tables
         }
-        self.member.tabled = frozenset(document.sites)
+        self.observer.loss_shares_sites = frozenset(document.sites)
 
     def _receive_report(self, row: Row) -> None:
         balancer = row.key.removeprefix(self.keys.rows)
         report = decode_row(row, SiteReport)
-        evidence = self.member.evidence
-        if report is None or balancer == self.balancer or report.alone:
-            evidence.said.pop(balancer, None)
+        evidence = self.observer.evidence
+        if report is None or balancer == self.balancer or report.is_isolated:
+            evidence.peer_reports.pop(balancer, None)
             return
-        statement = Said(report.site, frozenset(report.answers), frozenset(report.silent))
-        evidence.heard(balancer, statement, 0, clock_ns())
+        statement = PeerReport(report.site, frozenset(report.answering), frozenset(report.silent))
+        evidence.add_peer_report(balancer, statement, 0, clock_ns())
--- a/loadbalancer/daemon/site_config.py
+++ b/loadbalancer/daemon/site_config.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from loadbalancer.failover.plan import Place
+from loadbalancer.failover.fleet_model import SiteCapacity
 from loadbalancer.units import PerSecond, convert, repeated
 
 DOCUMENT = "sites"  # followed by / and the service's name
@@ -38,7 +38,7 @@
     sites: list[SiteDescription] = msgspec.field(name="site")
 
 
-def read(raw: Any) -> dict[str, Place]:
+def read(raw: Any) -> dict[str, SiteCapacity]:
     """Reads a parsed document.
 
     Returns:
@@ -50,8 +50,12 @@
     document: SitesDocument = convert(raw, SitesDocument)
     _validate(document)
     return {
-        site.name: Place(
-            site.name, float(site.capacity), site.burst, site.prices, float(site.connections)
+        site.name: SiteCapacity(
+            site.name,
+            float(site.capacity),
+            site.burst,
+            site.prices,
+            float(site.connections) or None,
         )
         for site in document.sites
     }
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -10,9 +10,9 @@
 import logging
 import time
 from collections.abc import Mapping
-from dataclasses import replace
 
 import msgspec
+from msgspec.structs import replace
 
 from loadbalancer.daemon.leased_task import LeasedTask, LeaseFactory
 from loadbalancer.daemon.persisted import LeaderConfirmation
@@ -23,12 +23,19 @@
     SitePlanDocument,
 )
 from loadbalancer.daemon.site_reader import SiteObservation, SiteReader
-from loadbalancer.failover.controller import Planner, Rules
-from loadbalancer.failover.plan import Fleet, Ladder, Table, bearable, tables
-from loadbalancer.failover.recovery import Stage
-from loadbalancer.failover.site_reports import Told
-from loadbalancer.failover.site_state import Course
-from loadbalancer.failover.traffic_shares import Orders, orders, quotas
+from loadbalancer.failover.controller import FailoverController
+from loadbalancer.failover.fleet_model import Fleet
+from loadbalancer.failover.plan import FailoverPlan, losses_over_capacity, plans_for_losses
+from loadbalancer.failover.recovery import SlowStartRules, Stage
+from loadbalancer.failover.shedding import SheddingController
+from loadbalancer.failover.site_reports import ReceivedReport
+from loadbalancer.failover.site_state import SiteState
+from loadbalancer.failover.traffic_shares import (
+    BalancerInputs,
+    TrafficShares,
+    compute_shares,
+    quotas_by_balancer,
+)
 from loadbalancer.policy import api
 from loadbalancer.settings import Malformed
 from loadbalancer.store.client import Client
@@ -41,13 +48,12 @@
 ACTIVE_INTERVAL_S = 0.3  # between two steps while a site is not as usual
 IDLE_INTERVAL_S = 0.6  # while all sites are
 HEARTBEAT_INTERVAL_S = 3.5  # between two confirmations of the plan
-ORDERS_INTERVAL_S = 1.5  # orders that changed in figures only are written no more often
+SHARES_INTERVAL_S = 1.5  # shares that changed in figures only are written no more often
 # Loss tables are written again where the load changed by this fraction, and no more often.
 TABLES_LOAD_CHANGE = 0.1
 TABLES_INTERVAL_S = 5.0
 NS_PER_S = 1e9
-MIN_VALUE = 1e-9  # avoids a division by zero
-NO_ORDERS = Orders()
+NORMAL_SHARES = TrafficShares()
 
 
 class SiteController(LeasedTask):
@@ -68,8 +74,8 @@
         """Drops all state of an earlier term, but for the usual size of each site."""
         rules = self.settings.rules
         self.reader = SiteReader(self.client, self.service, self.settings, self.usual_counts)
-        self.planner = Planner(
-            Rules(
+        self.failover = FailoverController(
+            SlowStartRules(
                 rules.slow_start_ns / NS_PER_S, rules.slow_start_capacity, rules.overload_multiple
             ),
             time.monotonic_ns(),
@@ -105,22 +111,22 @@
         except Malformed as error:
             self._set_idle_reason(str(error))
             return IDLE_INTERVAL_S
-        self._set_idle_reason(observation.look.blind)
-        if observation.look.blind:
+        self._set_idle_reason(observation.snapshot.blocked_reason)
+        if observation.snapshot.blocked_reason:
             return IDLE_INTERVAL_S
         if not self.sequence and observation.plan.token == self.owner.token():
             # Plans under this token may have been written before this task began.
             self.sequence = observation.plan.sequence
         current = tuple(map(observation.plan.state_of, observation.sites))
-        planned = self.planner.plan(current, observation.look, time.monotonic_ns())
-        _log_transitions(current, planned.courses)
-        await self._write_plan(observation, planned.courses, planned.orders)
-        await self._write_tables(observation, planned.fleet)
-        is_usual = all(state.well for state in planned.courses)
+        decision = self.failover.decide(current, observation.snapshot, time.monotonic_ns())
+        _log_transitions(current, decision.states)
+        await self._write_plan(observation, decision.states, decision.shares)
+        await self._write_tables(observation, decision.fleet)
+        is_usual = all(state.is_normal for state in decision.states)
         return IDLE_INTERVAL_S if is_usual else ACTIVE_INTERVAL_S
 
     async def _write_plan(
-        self, observation: SiteObservation, states: tuple[Course, ...], planned: Orders
+        self, observation: SiteObservation, states: tuple[SiteState, ...], planned: TrafficShares
     ) -> None:
         """Writes the plan at the version that was read, or confirms the one that stands."""
         token = self.owner.token()
@@ -128,12 +134,14 @@
         if not token:
             raise NotOwner("sites")
         plan = observation.plan
-        states = tuple(state for state in states if not state.well or state.count)
+        states = tuple(state for state in states if not state.is_normal or state.version)
         has_new_states = (
             states != plan.site_states or observation.sites != plan.sites or token != plan.token
         )
-        is_orders_write_due = now_s - self.written_s >= ORDERS_INTERVAL_S or planned == NO_ORDERS
-        if has_new_states or (planned != plan.orders and is_orders_write_due):
+        is_shares_write_due = (
+            now_s - self.written_s >= SHARES_INTERVAL_S or planned == NORMAL_SHARES
+        )
+        if has_new_states or (planned != plan.traffic_shares and is_shares_write_due):
             self.sequence += 1
             document = SitePlanDocument(
                 token, self.sequence, observation.sites, states, planned, unix_s()
@@ -148,13 +156,13 @@
             await self.owner.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
             self.written_s = now_s
 
-    def _log_load_shedding(self, planned: Orders) -> None:
+    def _log_load_shedding(self, planned: TrafficShares) -> None:
         if planned.excess:
             log.info(
                 "site load shedding: over_quota=%.0f%% retries=%.0f%% hedging=%s classes=%s",
                 100 * planned.excess,
-                100 * planned.repeats,
-                "on" if planned.copies else "off",
+                100 * planned.retries,
+                "on" if planned.allows_hedging else "off",
                 ",".join(f"{name}:{part:.0%}" for name, part in planned.classes.items()) or "none",
             )
         elif self.is_shedding:
@@ -167,17 +175,17 @@
         """Computes what each loss would come to, while all sites are as usual."""
         now_s = time.monotonic()
         load = sum(entry.rate for entry in fleet.loads)
-        is_usual = all(state.well for state in observation.plan.site_states)
+        is_usual = all(state.is_normal for state in observation.plan.site_states)
         is_due = self._has_load_changed(load) and now_s - self.tables_written_s >= TABLES_INTERVAL_S
         if not load or not is_due or not is_usual:
             return
         # In a thread: it takes too long for the event loop.
-        computed = await asyncio.to_thread(tables, fleet)
-        self._warn_of_unbearable_losses(computed)
-        reports = observation.look.rows
+        computed = await asyncio.to_thread(plans_for_losses, fleet)
+        self._warn_of_losses_over_capacity(computed)
+        reports = observation.snapshot.reports
         rows = await asyncio.to_thread(
             lambda: tuple(
-                loss_table(fleet, table, reports) for table in computed.values() if table.lost
+                loss_table(fleet, plan, reports) for plan in computed.values() if plan.lost
             )
         )
         document = LossTablesDocument(
@@ -186,7 +194,7 @@
             unix_s(),
             observation.sites,
             rows,
-            quotas(reports, fleet),
+            quotas_by_balancer(reports, fleet),
         )
         await self.owner.write([Op(self.keys.tables, msgspec.json.encode(document))])
         self.tables_written_s = now_s
@@ -196,47 +204,50 @@
         previous = self.tables_load if self.tables_load is not None else -1.0
         return abs(load - previous) > TABLES_LOAD_CHANGE * max(1.0, previous)
 
-    def _warn_of_unbearable_losses(self, computed: Mapping[frozenset[str], Table]) -> None:
+    def _warn_of_losses_over_capacity(
+        self, computed: Mapping[frozenset[str], FailoverPlan]
+    ) -> None:
         """Logs each loss that exceeds the other sites' capacity once, until it no longer does."""
-        unbearable = set(bearable(computed))
-        for lost in sorted(unbearable - self.warned, key=sorted):
-            table = computed[lost]
+        over_capacity = set(losses_over_capacity(computed))
+        for lost in sorted(over_capacity - self.warned, key=sorted):
             log.warning(
                 "site loss exceeds capacity: lost=%s value_left=%.0f%%",
                 ",".join(sorted(lost)),
-                100 * table.worth / max(MIN_VALUE, table.usual),
+                100 * computed[lost].served.fraction,
             )
-        self.warned = unbearable
+        self.warned = over_capacity
 
 
-def _log_transitions(before: tuple[Course, ...], after: tuple[Course, ...]) -> None:
+def _log_transitions(before: tuple[SiteState, ...], after: tuple[SiteState, ...]) -> None:
     for old, new in zip(before, after, strict=True):
         if old != new:
             log.info(
                 "site transition: site=%s from=%s share=%.0f%% to=%s share=%.0f%% reason=%s",
                 new.site,
                 old.stage.value,
-                100 * old.part,
+                100 * old.fraction,
                 new.stage.value,
-                100 * new.part,
-                new.why,
+                100 * new.fraction,
+                new.reason,
             )
 
 
-def loss_table(fleet: Fleet, table: Table, reports: Mapping[str, Told]) -> LossTable:
-    """Returns the stored form of a table, with the orders that would follow from the loss."""
+def loss_table(
+    fleet: Fleet, plan: FailoverPlan, reports: Mapping[str, ReceivedReport]
+) -> LossTable:
+    """Returns the stored form of a plan, with the traffic shares that would follow from it."""
     states = [
-        Course(site, stage=Stage.OUT, part=0.0) if site in table.lost else Course(site)
-        for site in sorted(fleet.places)
+        SiteState(site, stage=Stage.OUT, fraction=0.0) if site in plan.lost else SiteState(site)
+        for site in sorted(fleet.sites)
     ]
-    planned = orders(fleet, states, Ladder(0), reports, {}, 0)
+    shares = compute_shares(fleet, states, SheddingController(0), BalancerInputs(reports, {}), 0)
     return LossTable(
-        tuple(sorted(table.lost)),
-        {origin: dict(shares) for origin, shares in table.shares.items()},
-        table.admission.rung,
-        round(table.admission.part, 4),
-        {site: round(fill, 4) for site, fill in table.fill.items()},
-        round(table.worth, 3),
-        round(table.usual, 3),
-        replace(planned, shares={}),
+        tuple(sorted(plan.lost)),
+        {origin: dict(targets) for origin, targets in plan.shares.items()},
+        plan.shedding.level,
+        round(plan.shedding.fraction, 4),
+        {site: round(one, 4) for site, one in plan.utilisation.items()},
+        round(plan.served.value, 3),
+        round(plan.served.normal_value, 3),
+        replace(shares, quotas={}),
     )
--- a/loadbalancer/daemon/site_documents.py
+++ b/loadbalancer/daemon/site_documents.py
@@ -1,7 +1,8 @@
 """Site failover as it stands in the store: keys, documents and their field names.
 
 site/SERVICE/row/BALANCER    what a balancer observes, several times a minute
-site/SERVICE/plan            site states and orders; the leader writes it, operators change states
+site/SERVICE/plan            site states and traffic shares; written by the leader, and by
+                             operators, who change states
 site/SERVICE/stands          the leader's confirmations of the plan
 site/SERVICE/tables          where the load goes after each loss of a site or two, precomputed
 """
@@ -10,8 +11,8 @@
 
 import msgspec
 
-from loadbalancer.failover.site_state import Course
-from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.failover.site_state import SiteState
+from loadbalancer.failover.traffic_shares import TrafficShares
 from loadbalancer.store.commands import LEASES
 
 
@@ -37,15 +38,15 @@
     token: int = 0
     sequence: int = msgspec.field(name="number", default=0)
     sites: tuple[str, ...] = ()
-    site_states: tuple[Course, ...] = msgspec.field(name="courses", default=())
-    orders: Orders = Orders()
+    site_states: tuple[SiteState, ...] = msgspec.field(name="courses", default=())
+    traffic_shares: TrafficShares = msgspec.field(name="orders", default=TrafficShares())
     written_at_s: float = msgspec.field(name="at", default=0.0)
 
-    def state_of(self, site: str) -> Course:
+    def state_of(self, site: str) -> SiteState:
         """Returns a site's state, the usual one where the plan has none."""
-        return next((state for state in self.site_states if state.site == site), Course(site))
+        return next((state for state in self.site_states if state.site == site), SiteState(site))
 
-    def with_state(self, state: Course) -> SitePlanDocument:
+    def with_state(self, state: SiteState) -> SitePlanDocument:
         """Returns the plan with this state in place of its site's."""
         states = tuple(
             state if current.site == state.site else current for current in self.site_states
@@ -56,24 +57,24 @@
 
 
 class LossTable(msgspec.Struct, frozen=True):
-    """What would follow from one loss. `fill` is by site; values are request values a second."""
+    """What would follow from one loss. `utilisation` is by site; values are a second."""
 
     lost: tuple[str, ...]
     shares: dict[str, dict[str, float]]
-    rung: int
+    level: int = msgspec.field(name="rung")
     fraction: float = msgspec.field(name="part")
-    fill: dict[str, float]
+    utilisation: dict[str, float] = msgspec.field(name="fill")
     value: float = msgspec.field(name="worth")
     usual_value: float = msgspec.field(name="usual")
-    orders: Orders
+    traffic_shares: TrafficShares = msgspec.field(name="orders")
 
 
 class LossTablesDocument(msgspec.Struct, frozen=True):
-    """All precomputed losses. `shares` are the same in each table's orders, so stored once."""
+    """All precomputed losses. `quotas` are the same for each loss, so stored once."""
 
     token: int
     sequence: int = msgspec.field(name="number")
     written_at_s: float = msgspec.field(name="at")
     sites: tuple[str, ...]
     tables: tuple[LossTable, ...]
-    shares: dict[str, dict[str, float]] = {}
+    quotas: dict[str, dict[str, float]] = msgspec.field(name="shares", default_factory=dict)
--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -11,10 +11,9 @@
 from loadbalancer.daemon.observation import RowAges, read_live_balancers
 from loadbalancer.daemon.persisted import SavedEndpointList, decode_row
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
-from loadbalancer.failover.controller import ColdBox, Look
-from loadbalancer.failover.plan import Fleet, Place
-from loadbalancer.failover.site_reports import Row as SiteReport
-from loadbalancer.failover.site_reports import Told
+from loadbalancer.failover.controller import FleetSnapshot, StartingUpstream
+from loadbalancer.failover.fleet_model import Fleet, SiteCapacity
+from loadbalancer.failover.site_reports import ReceivedReport, SiteReport
 from loadbalancer.failover.traffic_shares import fleet_of
 from loadbalancer.policy import api
 from loadbalancer.store.client import Client
@@ -26,7 +25,6 @@
 LIST_AGE_KEY = "list"
 NS_PER_S = 1e9
 MS_PER_S = 1000
-UNKNOWN_RATIO = -1.0  # as `Look.served`
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,15 +33,15 @@
 
     plan_row: Row
     plan: SitePlanDocument
-    look: Look
+    snapshot: FleetSnapshot
     sites: tuple[str, ...]
 
     @property
     def fleet(self) -> Fleet:
         """The fleet as it is now, not smoothed."""
-        look = self.look
-        fresh = {name: report for name, report in look.rows.items() if report.fresh}
-        return fleet_of(look.places.values(), look.worths, look.quotas, fresh)
+        snapshot = self.snapshot
+        fresh = {name: report for name, report in snapshot.reports.items() if report.is_fresh}
+        return fleet_of(snapshot.sites.values(), snapshot.class_values, snapshot.quotas, fresh)
 
 
 class SiteReader:
@@ -89,7 +87,7 @@
         )
         plan_row, sites_row, list_row, confirmation_row, position_row = found.rows
         reports, report_keys = await self._read_reports()
-        sites: dict[str, Place] = {}
+        sites: dict[str, SiteCapacity] = {}
         if sites_row.value is not None:
             sites = documents.read_sites(self.document, sites_row.value.decode())
         saved = await self.list_reader.read(list_row, position_row)
@@ -99,7 +97,7 @@
         listed, starting = self._count_upstreams(saved, list_age_s)
         for site, count in listed.items():
             self.usual_counts[site] = max(self.usual_counts.get(site, 0), count)
-        look = Look(
+        snapshot = FleetSnapshot(
             sites,
             reports,
             self._class_values(reports),
@@ -111,19 +109,19 @@
             self._find_missing_evidence(sites, reports, list_age_s),
         )
         plan = decode_row(plan_row, SitePlanDocument) or SitePlanDocument()
-        return SiteObservation(plan_row, plan, look, tuple(sorted(sites)))
+        return SiteObservation(plan_row, plan, snapshot, tuple(sorted(sites)))
 
-    async def _read_reports(self) -> tuple[dict[str, Told], set[str]]:
+    async def _read_reports(self) -> tuple[dict[str, ReceivedReport], set[str]]:
         """Returns the reports by balancer, and the keys of all report rows."""
         scanned = await self.client.scan(self.keys.rows)
         live = await read_live_balancers(self.client, self.keys.names)
-        reports: dict[str, Told] = {}
+        reports: dict[str, ReceivedReport] = {}
         for row in scanned.rows:
             report = decode_row(row, SiteReport)
             if report is not None:
                 balancer = row.key.removeprefix(self.keys.rows)
                 age_s = self.ages.age_s(row.key, row.version)
-                reports[balancer] = Told(report, age_s, balancer in live)
+                reports[balancer] = ReceivedReport(report, age_s, balancer in live)
         return reports, {row.key for row in scanned.rows}
 
     def _list_age_s(self, saved: SavedEndpointList | None, version: int) -> float:
@@ -134,10 +132,10 @@
 
     def _count_upstreams(
         self, saved: SavedEndpointList | None, list_age_s: float
-    ) -> tuple[dict[str, int], list[ColdBox]]:
+    ) -> tuple[dict[str, int], list[StartingUpstream]]:
         """Returns the ready upstreams by site, and those whose start is known."""
         listed: dict[str, int] = {}
-        starting: list[ColdBox] = []
+        starting: list[StartingUpstream] = []
         now_ns = time.monotonic_ns()
         for endpoint in saved.endpoints if saved else ():
             is_ready = not endpoint.is_draining
@@ -147,50 +145,51 @@
                     endpoint.id, round(endpoint.started_s * MS_PER_S), now_ns
                 )
                 age_s = (now_ns - started_ns) / NS_PER_S
-                starting.append(ColdBox(endpoint.id, endpoint.zone, age_s))
+                starting.append(StartingUpstream(endpoint.id, endpoint.zone, age_s))
         if saved is not None and list_age_s < MAX_LIST_AGE_S:
             self.starts.listed(now_ns)
         return listed, starting
 
     def _find_missing_evidence(
-        self, sites: Mapping[str, Place], reports: Mapping[str, Told], list_age_s: float
+        self,
+        sites: Mapping[str, SiteCapacity],
+        reports: Mapping[str, ReceivedReport],
+        list_age_s: float,
     ) -> str:
         if not sites:
             return f"there is no document {self.document}"
-        if not any(report.fresh for report in reports.values()):
+        if not any(report.is_fresh for report in reports.values()):
             return "no balancer reports"
         if list_age_s > MAX_LIST_AGE_S:
             return f"the endpoint list is {list_age_s:.0f} s old"
         return ""
 
-    def _class_values(self, reports: Mapping[str, Told]) -> dict[str, float]:
+    def _class_values(self, reports: Mapping[str, ReceivedReport]) -> dict[str, float]:
         if self.settings is not None:
             return {name: entry.worth for name, entry in self.settings.classes.items()}
-        return {
-            class_name: 1.0 for report in reports.values() for class_name, *_ in report.row.loads
-        }
+        return {load.class_name: 1.0 for report in reports.values() for load in report.report.loads}
 
-    def _tenant_quotas(self, sites: Mapping[str, Place]) -> dict[str, float]:
+    def _tenant_quotas(self, sites: Mapping[str, SiteCapacity]) -> dict[str, float]:
         """Returns each tenant's requests a second over all: its quota, or its share of capacity."""
         if self.settings is None or not self.settings.tenants:
             return {}
         tenants = self.settings.tenants
         total_share = sum(tenant.share for tenant in tenants.values()) or 1.0
-        capacity = sum(site.bears for site in sites.values())
+        capacity = sum(site.capacity for site in sites.values())
         return {
             name: tenant.quota_per_s or capacity * tenant.share / total_share
             for name, tenant in tenants.items()
         }
 
 
-def _success_ratio(reports: Iterable[Told]) -> float:
-    """Returns the success ratio over the fresh reports, weighted by load; under 0: unknown."""
+def _success_ratio(reports: Iterable[ReceivedReport]) -> float | None:
+    """Returns the success ratio over the fresh reports, weighted by load; None: unknown."""
     ratios = [
-        (report.row.served, sum(load[2] for load in report.row.loads))
+        (report.report.served_fraction, sum(load.rate for load in report.report.loads))
         for report in reports
-        if report.fresh and report.row.served >= 0
+        if report.is_fresh and report.report.served_fraction >= 0
     ]
     weight = sum(load for _, load in ratios)
     if weight <= 0:
-        return UNKNOWN_RATIO
+        return None
     return sum(ratio * load for ratio, load in ratios) / weight
--- a/loadbalancer/failover/__init__.py
+++ b/loadbalancer/failover/__init__.py
@@ -1,3 +1,4 @@
-"""The loss of a whole site: is it there, where its load goes and what is refused, how it comes
-back. Pure: every call is handed the clock; no socket, no store, no chance but what is handed in.
+"""The loss of a whole site: its health, where its load goes and what is refused, its recovery.
+
+Pure: every call is handed the clock; no socket, no store, no randomness but what is handed in.
 """
--- a/loadbalancer/failover/controller.py
+++ b/loadbalancer/failover/controller.py
@@ -1,36 +1,53 @@
-"""The owner's part: from all rows and the courses as they stand come the next courses and what
-follows for every balancer. Pure: a shell reads, writes and owns; what it keeps between two looks is
-this process's own and begins anew with each owner.
+"""The lease holder's part: from all reports and the stored states come the next states and shares.
+
+Pure: a shell reads, writes and holds the lease. What the controller remembers between two decisions
+is its process's own, and begins anew with each lease holder.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
+from typing import Final
+
+from loadbalancer.failover.fleet_model import Fleet, Load, SiteCapacity
+from loadbalancer.failover.health import SiteHealth, Verdict
+from loadbalancer.failover.recovery import Observation, SlowStartRules
+from loadbalancer.failover.shedding import SheddingController
+from loadbalancer.failover.site_reports import ReceivedReport, collect_opinions, judge_site
+from loadbalancer.failover.site_state import FleetView, SiteState, advance
+from loadbalancer.failover.tally import Tally
+from loadbalancer.failover.traffic_shares import (
+    BalancerInputs,
+    TrafficShares,
+    compute_shares,
+    fleet_of,
+    scaled_capacities,
+)
 
-from loadbalancer.failover import recovery
-from loadbalancer.failover.evidence import State, Verdict
-from loadbalancer.failover.plan import Fleet, Ladder, Load, Place
-from loadbalancer.failover.recovery import Seen
-from loadbalancer.failover.site_reports import Told, heard, verdict
-from loadbalancer.failover.site_state import Course, View, advance
-from loadbalancer.failover.traffic_shares import Orders, fleet_of, orders
-
-SECOND = 1_000_000_000
-SMOOTH = 0.15  # of loads, by each look: a ladder that follows each row would climb by chance
-FADED = 0.01  # a second
-ENOUGH, FELT = 10, 0.3  # tries, below which a look tells nothing; by each look
-EASY, HARD = (
-    0.03,
-    0.12,
-)  # below the usual part in time: less than the first, there is more room than thought
-STRAIN = 0.02  # below it, from which each second that a site stays away costs
-FACTOR, GROWS, SHRINKS, FORGETS = (0.6, 2.0), 1.08, 0.97, 0.02
+SECOND_NS: Final = 1_000_000_000
+LOAD_GAIN: Final = 0.15  # of each decision: shedding that follows each report would rise by chance
+MIN_RATE: Final = 0.01  # requests a second, below which a load is forgotten
+MIN_ATTEMPTS: Final = 10  # below which reports tell nothing of the fraction that is good
+GOOD_GAIN: Final = 0.3
+USUAL_GAIN: Final = 0.02
+INITIAL_GOOD_FRACTION: Final = 0.97
+# Differences of the good fraction from the usual one.
+SPARE_DIFFERENCE: Final = 0.03  # less: there is more capacity than assumed
+OVERLOAD_DIFFERENCE: Final = 0.12  # more: there is less
+STRAIN_DIFFERENCE: Final = 0.02  # from which each second that a site stays away costs
+MIN_CAPACITY_FACTOR: Final = 0.6
+MAX_CAPACITY_FACTOR: Final = 2.0
+CAPACITY_GROWTH: Final = 1.08
+CAPACITY_SHRINKAGE: Final = 0.97
+LATENCY_GAIN: Final = 0.2
+MIN_LATENCY_RATIO: Final = 0.1
+MIN_GOOD_FRACTION: Final = 0.5  # of the fleet, against which a site is measured
 
 
 @dataclass(frozen=True, slots=True)
-class ColdBox:
-    """A box that was started lately: its site, and how long ago."""
+class StartingUpstream:
+    """An upstream that was started lately."""
 
     number: int
     site: str
@@ -38,191 +55,229 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    """Of cold starts, as the settings have them."""
-
-    cold_s: float
-    slow_start_capacity: float
-    multiple: float
-
+class FleetSnapshot:
+    """Everything that was read at one time.
 
-@dataclass(frozen=True, slots=True)
-class Look:
-    """All that was read at one time. `listed`, `usual`: boxes of each site that discovery lists as
-    ready now, and usually; `served`: part of the fleet's requests served in time, under 0: too few;
-    `blind`: why it can't be gone by, empty: it can.
+    Attributes:
+        class_values: By class, the value of a request answered in time.
+        quotas: By tenant, the requests a second of all balancers together.
+        ready: Upstreams of each site that discovery lists as ready now.
+        usual: Upstreams of each site that it usually lists.
+        served: Fraction of the fleet's requests served in time; None: too few to tell.
+        blocked_reason: Why no decision can be made on it; empty: it can.
     """
 
-    places: Mapping[str, Place]
-    rows: Mapping[str, Told]
-    worths: Mapping[str, float]
+    sites: Mapping[str, SiteCapacity]
+    reports: Mapping[str, ReceivedReport]
+    class_values: Mapping[str, float]
     quotas: Mapping[str, float]
-    listed: Mapping[str, int]
+    ready: Mapping[str, int]
     usual: Mapping[str, int]
-    cold: tuple[ColdBox, ...] = ()
-    served: float = -1.0
-    blind: str = ""
+    starting_upstreams: tuple[StartingUpstream, ...] = ()
+    served: float | None = None
+    blocked_reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
-    """`fleet`: with loads smoothed, as the orders were made from."""
+class Decision:
+    """What follows from a snapshot.
+
+    Attributes:
+        fleet: With smoothed loads, as the shares were made from.
+    """
 
-    courses: tuple[Course, ...]
-    orders: Orders
+    states: tuple[SiteState, ...]
+    shares: TrafficShares
     fleet: Fleet
     verdicts: Mapping[str, Verdict]
 
 
-class Planner:
-    def __init__(self, rules: Rules, now: int) -> None:
+@dataclass(frozen=True, slots=True)
+class _VersionSince:
+    """A version of a state, and since when it is known."""
+
+    version: int
+    since_ns: int
+
+
+class FailoverController:
+    """Decides the next states of the sites, and what all balancers do.
+
+    Attributes:
+        good_fraction: Of attempts at healthy sites, answered in time.
+        usual_good_fraction: The same while nothing is shed.
+        capacity_factor: Capacity as observed, against what operators configured.
+    """
+
+    def __init__(self, rules: SlowStartRules, now: int) -> None:
         self.rules = rules
-        self.ladder = Ladder(now)
-        self.answers: dict[
-            str, list[float]
-        ] = {}  # by site, since its course changed: tries, good ones
-        self.paces: dict[str, float] = {}
-        self.counts: dict[str, int] = {}  # rows that were counted
-        self.rates: dict[tuple[str, str, str], float] = {}
-        self.felt: dict[str, int] = {}  # rows whose answers were felt
-        self.good = self.usual_good = (
-            0.97  # part of tries at sites that are well that are answered in time
-        )
-        self.factor = 1.0  # what sites are seen to bear, against what operators said
-        self.since: dict[
-            str, tuple[int, int]
-        ] = {}  # by site, the course's count and when it was first seen
+        self.shedding = SheddingController(now)
+        self.good_fraction = INITIAL_GOOD_FRACTION
+        self.usual_good_fraction = INITIAL_GOOD_FRACTION
+        self.capacity_factor = 1.0
+        self._attempts: dict[str, Tally] = {}  # by site, since its state changed
+        self._latency_ratios: dict[str, float] = {}
+        self._counted: dict[str, int] = {}  # the last report of each balancer that was counted
+        self._capacity_counted: dict[str, int] = {}  # the same, for the capacity
+        self._rates: dict[tuple[str, str, str], float] = {}
+        self._versions: dict[str, _VersionSince] = {}
 
-    def plan(self, courses: tuple[Course, ...], look: Look, now: int) -> Planned:
-        what = heard(look.rows)
+    def decide(self, states: tuple[SiteState, ...], snapshot: FleetSnapshot, now: int) -> Decision:
+        """Return the next states and shares."""
+        opinions = collect_opinions(snapshot.reports)
         verdicts = {
-            n: verdict(n, what, look.listed.get(n, 0), look.usual.get(n, 0)) for n in look.places
+            name: judge_site(
+                name, opinions, snapshot.ready.get(name, 0), snapshot.usual.get(name, 0)
+            )
+            for name in snapshot.sites
         }
-        self._count(look)
-        ages = {c.site: self._age_s(c, now) for c in courses}
-        bears = {n: p.bears for n, p in look.places.items()}
-        self._feel(look, verdicts)
-        view = View(
-            verdicts,
-            self._seen(verdicts),
-            ages,
-            bears,
-            look.served,
-            look.blind,
-            self.ladder.at.rung > 0 or self.good < self.usual_good - STRAIN,
+        self._count_attempts(snapshot)
+        ages_s = {state.site: self._age_s(state, now) for state in states}
+        self._estimate_capacity(snapshot, verdicts)
+        is_strained = self.good_fraction < self.usual_good_fraction - STRAIN_DIFFERENCE
+        view = FleetView(
+            verdicts=verdicts,
+            observations=self._observations(verdicts),
+            ages_s=ages_s,
+            capacities={name: site.capacity for name, site in snapshot.sites.items()},
+            served=snapshot.served,
+            blocked_reason=snapshot.blocked_reason,
+            is_capacity_short=self.shedding.current.level > 0 or is_strained,
         )
-        then = advance(courses, view)
-        for was, course in zip(courses, then, strict=True):
-            if was != course:
-                self.answers.pop(course.site, None)
-                self.since[course.site] = course.count, now  # its time runs from here
-        rows = {n: t for n, t in look.rows.items() if t.fresh}
-        fleet = self._smooth(fleet_of(look.places.values(), look.worths, look.quotas, rows))
-        cold = self._cold(look, then)
-        borne = replace(
-            fleet,
-            places={n: replace(p, bears=p.bears * self.factor) for n, p in fleet.places.items()},
+        after = advance(states, view)
+        for was, state in zip(states, after, strict=True):
+            if was != state:
+                self._attempts.pop(state.site, None)
+                self._versions[state.site] = _VersionSince(state.version, now)
+        reports = {name: one for name, one in snapshot.reports.items() if one.is_fresh}
+        fleet = self._smoothed(
+            fleet_of(snapshot.sites.values(), snapshot.class_values, snapshot.quotas, reports)
         )
-        return Planned(then, orders(borne, then, self.ladder, rows, cold, now), fleet, verdicts)
+        inputs = BalancerInputs(reports, self._slow_start_rates(snapshot, after))
+        estimated = scaled_capacities(fleet, dict.fromkeys(fleet.sites, self.capacity_factor))
+        shares = compute_shares(estimated, after, self.shedding, inputs, now)
+        return Decision(after, shares, fleet, verdicts)
 
-    def _feel(self, look: Look, verdicts: Mapping[str, Verdict]) -> None:
-        """How much sites bear is what operators said, corrected by what is seen: while something is
-        refused and what is let in is answered in time, they bear more; where it is not, less. Only
-        rows that are new count.
+    def _estimate_capacity(self, snapshot: FleetSnapshot, verdicts: Mapping[str, Verdict]) -> None:
+        """Correct the configured capacities by what is observed.
+
+        While load is shed and what is admitted is answered in time, the sites can do more; where it
+        is not, less. Only new reports count.
         """
-        tries = good = 0.0
-        for name, told in look.rows.items():
-            if told.fresh and self.felt.get(name) != told.row.count:
-                self.felt[name] = told.row.count
-                for site, n, part, _ in told.row.sites:
-                    if site in verdicts and verdicts[site].state is State.WELL:
-                        tries += n
-                        good += n * part
-        if tries < ENOUGH:
+        attempts = self._new_attempts(snapshot, verdicts)
+        if attempts.total < MIN_ATTEMPTS:
             return
-        self.good += FELT * (good / tries - self.good)
-        if not self.ladder.at.rung:
-            self.usual_good += FORGETS * (self.good - self.usual_good)
-            self.factor += FORGETS * (1.0 - self.factor)
-        elif self.good > self.usual_good - EASY:
-            self.factor = min(FACTOR[1], self.factor * GROWS)
-        elif self.good < self.usual_good - HARD:
-            self.factor = max(FACTOR[0], self.factor * SHRINKS)
-
-    def _age_s(self, course: Course, now: int) -> float:
-        if self.since.get(course.site, (-1, 0))[0] != course.count:
-            self.since[course.site] = course.count, now
-        return (now - self.since[course.site][1]) / SECOND
-
-    def _count(self, look: Look) -> None:
-        """Tries that the rows tell of, each row once."""
-        for name, told in look.rows.items():
-            if not told.fresh or self.counts.get(name) == told.row.count:
+        self.good_fraction += GOOD_GAIN * (attempts.good / attempts.total - self.good_fraction)
+        if not self.shedding.current.level:
+            self.usual_good_fraction += USUAL_GAIN * (self.good_fraction - self.usual_good_fraction)
+            self.capacity_factor += USUAL_GAIN * (1.0 - self.capacity_factor)
+        elif self.good_fraction > self.usual_good_fraction - SPARE_DIFFERENCE:
+            self.capacity_factor = min(MAX_CAPACITY_FACTOR, self.capacity_factor * CAPACITY_GROWTH)
+        elif self.good_fraction < self.usual_good_fraction - OVERLOAD_DIFFERENCE:
+            self.capacity_factor = max(
+                MIN_CAPACITY_FACTOR, self.capacity_factor * CAPACITY_SHRINKAGE
+            )
+
+    def _new_attempts(self, snapshot: FleetSnapshot, verdicts: Mapping[str, Verdict]) -> Tally:
+        """Return the attempts at healthy sites of reports that are new."""
+        total = Tally()
+        for name, received in snapshot.reports.items():
+            report = received.report
+            if not received.is_fresh or self._capacity_counted.get(name) == report.sequence:
+                continue
+            self._capacity_counted[name] = report.sequence
+            for site in report.sites:
+                verdict = verdicts.get(site.site)
+                if verdict is not None and verdict.health is SiteHealth.HEALTHY:
+                    total.total += site.attempts
+                    total.good += site.attempts * site.good_fraction
+        return total
+
+    def _age_s(self, state: SiteState, now: int) -> float:
+        known = self._versions.get(state.site)
+        if known is None or known.version != state.version:
+            known = self._versions[state.site] = _VersionSince(state.version, now)
+        return (now - known.since_ns) / SECOND_NS
+
+    def _count_attempts(self, snapshot: FleetSnapshot) -> None:
+        """Count the attempts of the reports, each report once."""
+        for name, received in snapshot.reports.items():
+            report = received.report
+            if not received.is_fresh or self._counted.get(name) == report.sequence:
                 continue
-            self.counts[name] = told.row.count
-            for site, tries, good, pace in told.row.sites:
-                row = self.answers.setdefault(site, [0.0, 0.0])
-                row[0] += tries
-                row[1] += tries * good
-                self.paces[site] = self.paces.get(site, 1.0) + 0.2 * (
-                    pace - self.paces.get(site, 1.0)
+            self._counted[name] = report.sequence
+            for site in report.sites:
+                attempts = self._attempts.setdefault(site.site, Tally())
+                attempts.total += site.attempts
+                attempts.good += site.attempts * site.good_fraction
+                ratio = self._latency_ratios.get(site.site, 1.0)
+                self._latency_ratios[site.site] = ratio + LATENCY_GAIN * (
+                    site.latency_ratio - ratio
                 )
 
-    def _seen(self, verdicts: Mapping[str, Verdict]) -> dict[str, Seen]:
-        usual = sorted(self.paces.values())[len(self.paces) // 2] if self.paces else 1.0
-        found = {}
-        for name, v in verdicts.items():
-            tries, good = self.answers.get(name, [0.0, 0.0])
-            # Against what the others do now: where all are crowded, a site on its way back is no
-            # worse for it.
-            part = min(1.0, good / tries / max(0.5, self.good)) if tries else 1.0
-            found[name] = Seen(
-                v.state is State.LOST, int(tries), part, self.paces.get(name, 1.0) / max(0.1, usual)
+    def _observations(self, verdicts: Mapping[str, Verdict]) -> dict[str, Observation]:
+        ratios = sorted(self._latency_ratios.values())
+        usual = ratios[len(ratios) // 2] if ratios else 1.0
+        observations = {}
+        for name, verdict in verdicts.items():
+            attempts = self._attempts.get(name, Tally())
+            good_fraction = 1.0
+            if attempts.total:
+                # Against what the others do now: where all are overloaded, a recovering site is no
+                # worse for it.
+                fleet_fraction = max(MIN_GOOD_FRACTION, self.good_fraction)
+                good_fraction = min(1.0, attempts.good / attempts.total / fleet_fraction)
+            observations[name] = Observation(
+                verdict.health is SiteHealth.LOST,
+                int(attempts.total),
+                good_fraction,
+                self._latency_ratios.get(name, 1.0) / max(MIN_LATENCY_RATIO, usual),
             )
-        return found
-
-    def _smooth(self, fleet: Fleet) -> Fleet:
-        now = {(x.site, x.kind, x.tenant): x for x in fleet.loads}
-        for key in now.keys() | self.rates.keys():
-            rate = now[key].rate if key in now else 0.0
-            self.rates[key] = self.rates.get(key, rate) + SMOOTH * (
-                rate - self.rates.get(key, rate)
-            )
-        self.rates = {key: rate for key, rate in self.rates.items() if rate > FADED}
-        # What came in at balancers that are silent now fades as fast as it is seen to come in
-        # elsewhere.
+        return observations
+
+    def _smoothed(self, fleet: Fleet) -> Fleet:
+        """Return the fleet with its loads averaged over the last decisions.
+
+        What came in at balancers that are silent now fades as fast as it is observed to come in
+        elsewhere.
+        """
+        current = {(load.site, load.class_name, load.tenant): load for load in fleet.loads}
+        for key in current.keys() | self._rates.keys():
+            rate = current[key].rate if key in current else 0.0
+            before = self._rates.get(key, rate)
+            self._rates[key] = before + LOAD_GAIN * (rate - before)
+        self._rates = {key: rate for key, rate in self._rates.items() if rate > MIN_RATE}
         loads = [
-            replace(now.get(key, Load(*key, 0.0)), rate=rate)
-            for key, rate in sorted(self.rates.items())
-            if key[1] in fleet.kinds and key[0] in fleet.places
+            replace(current.get(key, Load(*key, 0.0)), rate=rate)
+            for key, rate in sorted(self._rates.items())
+            if key[1] in fleet.classes and key[0] in fleet.sites
         ]
-        whole: dict[str, float] = {}
-        for x in loads:
-            whole[x.tenant] = whole.get(x.tenant, 0.0) + x.rate
+        tenant_rates: dict[str, float] = {}
+        for load in loads:
+            tenant_rates[load.tenant] = tenant_rates.get(load.tenant, 0.0) + load.rate
         return replace(
-            fleet,
-            loads=tuple(
-                replace(x, excess=max(0.0, 1.0 - fleet.quotas[x.tenant] / whole[x.tenant]))
-                if fleet.quotas.get(x.tenant)
-                else x
-                for x in loads
-            ),
+            fleet, loads=tuple(_with_excess(load, fleet, tenant_rates) for load in loads)
         )
 
-    def _cold(self, look: Look, courses: tuple[Course, ...]) -> dict[int, float]:
-        """Cold boxes of the sites that come back, and what each bears now from all balancers
-        together.
-        """
-        back = {c.site for c in courses if not c.well and c.part > 0}
-        found = {}
-        for box in look.cold:
-            if box.site in back and box.site in look.places and box.age_s < self.rules.cold_s:
-                warm = look.places[box.site].bears / max(1, look.usual.get(box.site, 1))
-                found[box.number] = recovery.bears_now(
-                    warm,
-                    box.age_s,
-                    self.rules.cold_s,
-                    self.rules.slow_start_capacity,
-                    self.rules.multiple,
-                )
-        return found
+    def _slow_start_rates(
+        self, snapshot: FleetSnapshot, states: tuple[SiteState, ...]
+    ) -> dict[int, float]:
+        """Return what each cold upstream of recovering sites can serve, from all balancers."""
+        recovering = {state.site for state in states if not state.is_normal and state.fraction > 0}
+        rates = {}
+        for upstream in snapshot.starting_upstreams:
+            site = snapshot.sites.get(upstream.site)
+            if site is None or upstream.site not in recovering:
+                continue
+            if upstream.age_s < self.rules.duration_s:
+                full_rate = site.capacity / max(1, snapshot.usual.get(upstream.site, 1))
+                rates[upstream.number] = self.rules.rate(full_rate, upstream.age_s)
+        return rates
+
+
+def _with_excess(load: Load, fleet: Fleet, tenant_rates: Mapping[str, float]) -> Load:
+    """Return a load with its excess by the tenant's smoothed rate."""
+    quota = fleet.quotas.get(load.tenant)
+    if not quota:
+        return load
+    return replace(load, excess=max(0.0, 1.0 - quota / tenant_rates[load.tenant]))
--- a/loadbalancer/failover/evidence.py
+++ b/loadbalancer/failover/evidence.py
@@ -1,358 +1,375 @@
-"""Is a site there? What one balancer can tell of each site from its own tries, from discovery's
-list, and from what other balancers say where installations let them talk.
-
-A try tells of a site by whether there was a sign of life: an answer, even a bad one, is one; a
-connection that does not come up, breaks, or an attempt that nothing answers is none. One dead box
-is not a dead site, so it is boxes that are counted: a site is lost when so many different ones in a
-row gave no sign, and none did meanwhile. A run of that is a sequential test (Wald 1945; Page 1954):
-how many it takes follows from how often tries fail anyhow, which is learnt, so that a lossy network
-makes it slower and not wrong.
-
-What it must not mistake for a lost site: a few dead boxes, slow ones, a link that loses packets, a
-list that is wrong, and, above all, this balancer itself being cut off, to which all others seem
-lost.
+"""Site health as one balancer sees it: from its attempts, the endpoint list and its peers' reports.
+
+An attempt is a sign of life if there was any answer, even a bad one; a connection that does not
+come up or breaks, or an attempt that nothing answers, is none. One dead upstream is not a dead
+site, so distinct upstreams are counted: a site is lost when so many of them in a row gave no sign
+of life, and none did meanwhile. Such a run is a sequential test (Wald 1945; Page 1954): its length
+follows from how often attempts fail anyhow, which is learned, so that a lossy network makes the
+detection slower and not wrong.
+
+What must not be mistaken for a lost site: a few dead upstreams, slow ones, a link that loses
+packets, a wrong list, and above all a partition of this balancer itself, to which all other sites
+seem lost.
+
+All times are those of a monotonic clock, in nanoseconds.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass, field
-from enum import Enum
-
-SECOND = 1_000_000_000
-LOST_P = 0.98  # part of tries at a lost site that give no sign of life
-USUAL = 0.01, 0.3  # the part that fails anyhow: at least thought, at most believed
-USUAL_FELT = 0.005  # by each outcome
-ALARM = (
-    13.8  # log of how much likelier loss is than the usual, before it is believed: one in a million
-)
-# boxes in a row, where there are so many: half a site that died shows so by chance in 1 of 256
-DISTINCT = 8
-MOST_OF = 0.75  # of a site's boxes, where there are fewer than that
-LEAST_FAILS = 3
-OLD_NS = 10 * SECOND  # of a box's last outcome, beyond which it tells nothing
-SLOW, SLOW_FELT = 3.0, 0.1  # times the other sites' pace; by each answer
-PART = 0.3  # of a site's boxes that are silent make it impaired
-SIGNS = 3  # good answers, from different boxes where there are some, that end a loss
-WITNESSES = (
-    2  # other balancers, whose word turns "lost" into "cut from us", or makes it known sooner
-)
-HEARD_OLD_NS = 6 * SECOND  # of what another balancer said
-CALM = 2 * SECOND, 120 * SECOND  # how long it must stay well after a loss, first and at most
-FORGIVEN_NS = 300 * SECOND  # without a further loss, after which the wait is halved
-
-
-class State(Enum):
-    WELL = "well"
-    IMPAIRED = "impaired"
-    LOST = "lost"
-    CUT = "cut from us"
-    RETURNING = "returning"
-    HELD = "held"
-
-
-@dataclass(frozen=True, slots=True)
-class Verdict:
-    """`alive`: part of the boxes met lately that give signs; `why`: the evidence, for and against,
-    in a line.
-    """
+from typing import Final, NamedTuple
+
+from loadbalancer.failover.evidence_state import ATTEMPT_VALID_NS, Site, Upstream
+from loadbalancer.failover.health import PeerReport, SiteHealth, Verdict
+
+SECOND_NS: Final = 1_000_000_000
+LOST_FAILURE_RATE: Final = 0.98  # of attempts at a lost site
+MIN_BASELINE_FAILURE_RATE: Final = 0.01  # of attempts that fail anyhow: at least assumed
+MAX_BASELINE_FAILURE_RATE: Final = 0.3  # at most believed
+BASELINE_GAIN: Final = 0.005  # weight of each outcome
+# Log likelihood ratio of a loss against the baseline, from which it is believed: one in a million.
+LOSS_THRESHOLD: Final = 13.8
+# Upstreams in a row, where there are so many: half a site that died shows so in 1 of 256 cases.
+DISTINCT_UPSTREAMS: Final = 8
+MAX_SITE_FRACTION: Final = 0.75  # of a site's upstreams, where there are fewer than that
+MIN_FAILURES: Final = 3
+SLOW_RATIO: Final = 3.0  # times the other sites' latency
+LATENCY_GAIN: Final = 0.1  # weight of each answer
+MAX_LATENCY_RATIO: Final = 10.0
+MIN_LATENCY_RATIO: Final = 0.1
+IMPAIRED_FRACTION: Final = 0.3  # of a site's upstreams that are silent
+MIN_RETURNED: Final = 3  # answers, from distinct upstreams where there are some, that end a loss
+WITNESSES: Final = 2  # peers whose report makes a loss a partition, or makes it known sooner
+PEER_REPORT_VALID_NS: Final = 6 * SECOND_NS
+MIN_STABLE_NS: Final = 2 * SECOND_NS  # how long a site must stay after a loss, at first
+MAX_STABLE_NS: Final = 120 * SECOND_NS
+FORGIVEN_NS: Final = 300 * SECOND_NS  # without a further loss, after which one is forgiven
+MAX_LOSSES: Final = 16
+MAX_COUNTED_FAILURES: Final = 2  # of one upstream: one dead by itself tells no more
+PRESENT: Final = (SiteHealth.HEALTHY, SiteHealth.IMPAIRED)
+UNREACHABLE: Final = (SiteHealth.LOST, SiteHealth.PARTITIONED)
+
+
+class PeerOpinions(NamedTuple):
+    """Peers that a site answers, those that it does not, and whether one within it reports."""
+
+    answering: int
+    silent: int
+    reported_inside: bool
 
-    state: State
-    since_ns: int
-    alive: float
-    why: str
 
+class Evidence:
+    """What one balancer knows of the sites.
 
-@dataclass(frozen=True, slots=True)
-class Said:
-    """What another balancer says of the sites, by its own tries: those that answer it, and those
-    that don't.
+    Attributes:
+        baseline_failure_rate: Of attempts that fail although nothing is lost.
+        peer_reports: By balancer, with the time at which each was made.
+        is_store_reachable: As far as is known.
+        is_isolated: This balancer itself is partitioned.
     """
 
-    site: str  # where it stands
-    answers: frozenset[str]
-    silent: frozenset[str]
-
-
-@dataclass(slots=True)
-class Box:
-    site: str
-    fails: int = 0  # in a row
-    at: int = 0  # its last outcome
-    ok: bool = True
-
-
-@dataclass(slots=True, eq=False)
-class Site:
-    name: str
-    state: State = State.WELL
-    since: int = 0
-    score: float = 0.0  # how much likelier it is lost than well: the sum over the run
-    silent: dict[int, int] = field(
-        default_factory=dict
-    )  # boxes of the run, and how often each counted
-    run_ns: int = 0  # the run's first failure
-    good_ns: int = 0  # the last sign of life
-    signs: dict[int, int] = field(default_factory=dict)  # boxes that answered since the loss
-    pace: float = 1.0  # of its answers, against what was expected
-    losses: int = 0  # that are not forgiven yet
-    well_ns: int = 0  # when it last began to be well
-    held: str = ""  # by whom
-    why: str = ""
-
-
-class Evidence:
-    """One balancer's. Feed it outcomes, lists and words of others; `tick` gives what changed."""
-
     def __init__(self, here: str, now: int) -> None:
         self.here = here
         self.now = now
         self.sites: dict[str, Site] = {}
-        self.boxes: dict[int, Box] = {}
-        self.usual = 2 * USUAL[0]
-        self.said: dict[str, tuple[Said, int]] = {}
-        self.store = True  # the store answers, as far as is known
-        self.alone = False  # it is we who are cut off
-        self.list_ns = now  # when discovery last said anything
+        self.upstreams: dict[int, Upstream] = {}
+        self.baseline_failure_rate = 2 * MIN_BASELINE_FAILURE_RATE
+        self.peer_reports: dict[str, tuple[PeerReport, int]] = {}
+        self.is_store_reachable = True
+        self.is_isolated = False
         self.changes: list[tuple[str, Verdict]] = []
 
-    # ---- events ----------------------------------------------------------------------------------
+    # Events
 
-    def listed(self, boxes: Mapping[int, str], now: int) -> None:
-        """Discovery's list: boxes in use, and the site of each."""
-        self.now = self.list_ns = max(self.now, now)
-        for number in self.boxes.keys() - boxes.keys():
-            site = self.sites[self.boxes.pop(number).site]
+    def update_upstreams(self, upstreams: Mapping[int, str], now: int) -> None:
+        """Take discovery's list: upstreams in use, and the site of each."""
+        self.now = max(self.now, now)
+        for number in self.upstreams.keys() - upstreams.keys():
+            site = self.sites[self.upstreams.pop(number).site]
             site.silent.pop(number, None)
-            site.signs.pop(number, None)
-        for number, name in boxes.items():
-            known = self.boxes.get(number)
+            site.answered.pop(number, None)
+        for number, name in upstreams.items():
+            known = self.upstreams.get(number)
             if known is None or known.site != name:
-                self.boxes[number] = Box(name)
-        for name in {*boxes.values(), *([self.here] if self.here else [])}:
+                self.upstreams[number] = Upstream(name)
+        for name in {*upstreams.values(), *([self.here] if self.here else [])}:
             if name not in self.sites:
-                self.sites[name] = Site(name, since=now, well_ns=now)
-
-    def outcome(self, number: int, alive: bool, now: int, pace: float = 0.0) -> None:
-        """A try at a box ended. `alive`: there was a sign of life; `pace`: its time against what
-        was expected, 0: not told.
+                self.sites[name] = Site(name, since_ns=now, healthy_since_ns=now)
+
+    def record_attempt(
+        self, number: int, is_alive: bool, now: int, latency_ratio: float | None = None
+    ) -> None:
+        """Count an attempt that ended.
+
+        Args:
+            number: Of the upstream.
+            is_alive: It gave a sign of life.
+            now: The clock.
+            latency_ratio: The answer's time against what was expected, where it is known.
         """
-        box = self.boxes.get(number)
-        if box is None:
+        upstream = self.upstreams.get(number)
+        if upstream is None:
             return
         self.now = now = max(self.now, now)
-        site = self.sites[box.site]
-        box.at, box.ok = now, alive
-        box.fails = 0 if alive else box.fails + 1
-        if alive:
-            site.good_ns = now
-            site.signs[number] = site.signs.get(number, 0) + 1
-            if pace > 0:
-                site.pace += SLOW_FELT * (min(10.0, pace) - site.pace)
-            # One sign ends the run, however likely a loss seemed by it.
-            site.score = max(0.0, site.score - math.log((1 - self.usual) / (1 - LOST_P)))
-            site.silent.clear()
+        site = self.sites[upstream.site]
+        upstream.last_attempt_ns = now
+        upstream.is_alive = is_alive
+        upstream.failures = 0 if is_alive else upstream.failures + 1
+        if is_alive:
+            self._record_answer(site, number, latency_ratio)
         else:
-            counted = site.silent.get(number, 0)
-            site.run_ns = site.run_ns if site.silent else now
-            site.silent[number] = counted + 1
-            if counted < 2:  # a box that is dead by itself tells no more, however often it is tried
-                site.score += math.log(LOST_P / self.usual)
-        if site.state in (State.WELL, State.IMPAIRED) and site.score < ALARM / 2:
-            self.usual += USUAL_FELT * ((not alive) - self.usual)
-            self.usual = min(USUAL[1], max(USUAL[0], self.usual))
-
-    def heard(self, balancer: str, said: Said, age_ns: int, now: int) -> None:
-        """`age_ns`: for how long that word has stood."""
+            self._record_failure(site, number)
+        if site.health in PRESENT and site.score < LOSS_THRESHOLD / 2:
+            self.baseline_failure_rate += BASELINE_GAIN * (
+                (not is_alive) - self.baseline_failure_rate
+            )
+            self.baseline_failure_rate = min(
+                MAX_BASELINE_FAILURE_RATE,
+                max(MIN_BASELINE_FAILURE_RATE, self.baseline_failure_rate),
+            )
+
+    def _record_answer(self, site: Site, number: int, latency_ratio: float | None) -> None:
+        site.last_answer_ns = self.now
+        site.answered[number] = site.answered.get(number, 0) + 1
+        if latency_ratio is not None:
+            site.latency_ratio += LATENCY_GAIN * (
+                min(MAX_LATENCY_RATIO, latency_ratio) - site.latency_ratio
+            )
+        # One sign of life ends the run, however likely a loss seemed by it.
+        likelihood = (1 - self.baseline_failure_rate) / (1 - LOST_FAILURE_RATE)
+        site.score = max(0.0, site.score - math.log(likelihood))
+        site.silent.clear()
+
+    def _record_failure(self, site: Site, number: int) -> None:
+        counted = site.silent.get(number, 0)
+        if not site.silent:
+            site.run_started_ns = self.now
+        site.silent[number] = counted + 1
+        if counted < MAX_COUNTED_FAILURES:
+            site.score += math.log(LOST_FAILURE_RATE / self.baseline_failure_rate)
+
+    def add_peer_report(self, balancer: str, report: PeerReport, age_ns: int, now: int) -> None:
+        """Take a peer's report that was made `age_ns` ago."""
         self.now = max(self.now, now)
-        self.said[balancer] = said, now - age_ns
+        self.peer_reports[balancer] = report, now - age_ns
 
-    def hold(self, name: str, by: str, now: int) -> None:
-        """An operator keeps a site out (`by` says who), or lets it go (empty)."""
+    def set_hold(self, name: str, operator: str, now: int) -> None:
+        """Keep a site out for an operator, or release it (empty)."""
         self.now = max(self.now, now)
         if name in self.sites:
-            self.sites[name].held = by
+            self.sites[name].held_by = operator
 
-    # ---- what it comes to ------------------------------------------------------------------------
+    # Judgement
 
-    def _seems_lost(self, site: Site, need: int) -> bool:
-        """By own tries alone: so many boxes in a row without a sign, and too many for chance."""
-        there = sum(b.site == site.name for b in self.boxes.values())
-        if not there:
+    def _seems_lost(self, site: Site) -> bool:
+        """Return whether own attempts alone show a loss: too many failures in a row for chance."""
+        witnesses = self._peer_opinions(site.name).silent
+        needed = DISTINCT_UPSTREAMS // 2 if witnesses >= WITNESSES else DISTINCT_UPSTREAMS
+        count = self._upstream_count(site.name)
+        if not count:
             return False
-        enough = min(need, math.ceil(MOST_OF * there))  # to wait for each last one takes long
-        tries = sum(site.silent.values())
+        # To wait for each last upstream would take long.
+        enough = min(needed, math.ceil(MAX_SITE_FRACTION * count))
+        failures = sum(site.silent.values())
         return (
             len(site.silent) >= enough
-            and tries >= LEAST_FAILS
-            and site.score >= ALARM
-            and (site.good_ns < site.run_ns)
+            and failures >= MIN_FAILURES
+            and site.score >= LOSS_THRESHOLD
+            and (site.last_answer_ns is None or site.last_answer_ns < site.run_started_ns)
         )
 
-    def _words(self, name: str) -> tuple[int, int, bool]:
-        """Other balancers whom that site answers, those whom it does not, and whether one within it
-        speaks."""
-        answers = silent = 0
-        inside = False
-        for said, at in self.said.values():
-            if self.now - at > HEARD_OLD_NS:
+    def _upstream_count(self, name: str) -> int:
+        return sum(upstream.site == name for upstream in self.upstreams.values())
+
+    def _peer_opinions(self, name: str) -> PeerOpinions:
+        answering = silent = 0
+        reported_inside = False
+        for report, reported_at in self.peer_reports.values():
+            if self.now - reported_at > PEER_REPORT_VALID_NS:
                 continue
-            inside |= said.site == name
-            answers += name in said.answers
-            silent += name in said.silent
-        return answers, silent, inside
-
-    def alive(self, name: str) -> float:
-        """Part of its boxes met lately that answered last."""
-        lately = [
-            b.ok
-            for b in self.boxes.values()
-            if b.site == name and b.at and self.now - b.at < OLD_NS
+            reported_inside |= report.site == name
+            answering += name in report.answering
+            silent += name in report.silent
+        return PeerOpinions(answering, silent, reported_inside)
+
+    def alive_fraction(self, name: str) -> float:
+        """Return the fraction of a site's upstreams tried lately that answered last."""
+        recent = [
+            upstream.is_alive
+            for upstream in self.upstreams.values()
+            if upstream.site == name and upstream.was_tried_lately(self.now)
         ]
-        return sum(lately) / len(lately) if lately else 1.0
+        return sum(recent) / len(recent) if recent else 1.0
 
     def tick(self, now: int) -> list[tuple[str, Verdict]]:
-        """What changed since the last tick, by site."""
+        """Judge all sites; return the verdicts that changed since the last tick."""
         self.now = now = max(self.now, now)
         self.changes = []
-        others = [s for s in self.sites.values() if s.name != self.here]
-        seem = {
-            s.name
-            for s in self.sites.values()
-            if self._seems_lost(
-                s, DISTINCT // 2 if self._words(s.name)[1] >= WITNESSES else DISTINCT
-            )
-        }
-        met = [
-            s
-            for s in others
-            if any(b.site == s.name and b.at and now - b.at < OLD_NS for b in self.boxes.values())
+        seeming_lost = {site.name for site in self.sites.values() if self._seems_lost(site)}
+        tried = self._sites_tried_lately()
+        others = [
+            site for site in self.sites.values() if site.name != self.here and site.name in tried
         ]
-        # Nobody else's site answers, and it is more than one: the one that is cut off is this
-        # balancer, or its site. With a single other one, whoever still has the store is not the one
-        # that is cut off.
-        gone = [s for s in met if s.name in seem or s.state in (State.LOST, State.CUT)]
-        was_alone = self.alone
-        if len(met) > 1:
-            self.alone = len(gone) == len(met)
+        gone = [site for site in others if site.name in seeming_lost or site.health in UNREACHABLE]
+        was_isolated = self.is_isolated
+        # If several other sites are tried and none answers, this balancer or its site is the one
+        # that is partitioned. With a single other one, whoever still has the store is not.
+        if len(others) > 1:
+            self.is_isolated = len(gone) == len(others)
         else:
-            self.alone = bool(gone) and not self.store
+            self.is_isolated = bool(gone) and not self.is_store_reachable
         for site in self.sites.values():
-            self._judge(site, site.name in seem, was_alone)
+            self._judge(site, site.name in seeming_lost, was_isolated)
         return self.changes
 
-    def _judge(self, site: Site, seems: bool, was_alone: bool) -> None:
-        now = self.now
-        answers, silent, inside = self._words(site.name)
-        if site.held:
-            self._set(site, State.HELD, f"held by {site.held}")
+    def _sites_tried_lately(self) -> set[str]:
+        return {
+            upstream.site
+            for upstream in self.upstreams.values()
+            if upstream.was_tried_lately(self.now)
+        }
+
+    def _judge(self, site: Site, seems_lost: bool, was_isolated: bool) -> None:
+        if site.held_by:
+            self._set_health(site, SiteHealth.HELD, f"held by {site.held_by}")
             return
-        if site.state is State.HELD:
-            self._returning(site, "no longer held")
+        if site.health is SiteHealth.HELD:
+            self._start_recovery(site, "no longer held")
             return
-        # Without the store nobody else can be asked: it may as well be we who are cut off.
-        cut = self.alone or inside or answers >= WITNESSES or not self.store
-        if seems or (site.state in (State.LOST, State.CUT) and not self._back(site)):
-            if seems and site.state not in (State.LOST, State.CUT):
-                site.signs.clear()
-                site.losses = min(16, site.losses + 1)
-            whose = (
-                "no other site answers here: we are cut off"
-                if self.alone
-                else "its own balancers still speak"
-                if inside
-                else f"{answers} others are answered"
-                if answers >= WITNESSES
-                else "the store does not answer either"
-                if cut
-                else f"{silent} others say the same"
-            )
-            last = f", the last sign {(now - site.good_ns) / 1e9:.1f} s ago" if site.good_ns else ""
-            self._set(
-                site,
-                State.CUT if cut else State.LOST,
-                f"{sum(site.silent.values())} tries in a row at"
-                f" {len(site.silent)} boxes without a sign{last}; {whose}",
-            )
+        was_unreachable = site.health in UNREACHABLE
+        if seems_lost or (was_unreachable and not self._has_returned(site)):
+            if not was_unreachable:
+                site.answered.clear()
+                site.losses = min(MAX_LOSSES, site.losses + 1)
+            self._set_unreachable(site)
             return
-        if site.state in (State.LOST, State.CUT):
-            if was_alone:
+        if was_unreachable:
+            if was_isolated:
                 site.losses = max(0, site.losses - 1)  # it never went away
-            self._returning(
-                site, f"{sum(site.signs.values())} answers from {len(site.signs)} boxes"
+            self._start_recovery(
+                site,
+                f"{sum(site.answered.values())} answers from {len(site.answered)} upstreams",
             )
             return
-        if site.state is State.RETURNING:
-            if now - site.since < self.calm_ns(site.name):
+        if site.health is SiteHealth.RECOVERING:
+            if self.now - site.since_ns < self.required_stability_ns(site.name):
                 return
-            site.well_ns = now
-        if site.losses and now - site.well_ns > FORGIVEN_NS:
-            site.losses -= 1
-            site.well_ns = now
-        alive, slow = self.alive(site.name), self._slow(site)
-        if 1 - alive >= PART:
-            self._set(site, State.IMPAIRED, f"{1 - alive:.0%} of its boxes met lately are silent")
-        elif slow:
-            self._set(
-                site, State.IMPAIRED, f"its answers take {slow:.1f} times what the others' do"
-            )
-        elif site.state is not State.WELL:
-            self._set(site, State.WELL, f"{alive:.0%} of its boxes met lately answer")
+            site.healthy_since_ns = self.now
+        self._judge_present(site)
+
+    def _set_unreachable(self, site: Site) -> None:
+        opinions = self._peer_opinions(site.name)
+        # Without the store no peer can be consulted: it may as well be this balancer that is
+        # partitioned.
+        if self.is_isolated:
+            health = SiteHealth.PARTITIONED
+            context = "no other site answers: this balancer is cut off"
+        elif opinions.reported_inside:
+            health = SiteHealth.PARTITIONED
+            context = "its own balancers still report"
+        elif opinions.answering >= WITNESSES:
+            health = SiteHealth.PARTITIONED
+            context = f"{opinions.answering} peers are answered"
+        elif not self.is_store_reachable:
+            health = SiteHealth.PARTITIONED
+            context = "the store does not answer either"
+        else:
+            health = SiteHealth.LOST
+            context = f"{opinions.silent} peers report the same"
+        last_answer = ""
+        if site.last_answer_ns is not None:
+            age_s = (self.now - site.last_answer_ns) / SECOND_NS
+            last_answer = f", the last answer {age_s:.1f} s ago"
+        self._set_health(
+            site,
+            health,
+            f"{sum(site.silent.values())} attempts in a row at {len(site.silent)} upstreams"
+            f" without an answer{last_answer}; {context}",
+        )
 
-    def suspected(self, name: str) -> bool:
-        """Is there a run of tries without a sign, too short yet to tell?"""
+    def _judge_present(self, site: Site) -> None:
+        if site.losses and self.now - site.healthy_since_ns > FORGIVEN_NS:
+            site.losses -= 1
+            site.healthy_since_ns = self.now
+        alive = self.alive_fraction(site.name)
+        slowdown = self._slowdown(site)
+        if 1 - alive >= IMPAIRED_FRACTION:
+            reason = f"{1 - alive:.0%} of its upstreams tried lately are silent"
+            self._set_health(site, SiteHealth.IMPAIRED, reason)
+        elif slowdown is not None:
+            reason = f"its answers take {slowdown:.1f} times what the others' do"
+            self._set_health(site, SiteHealth.IMPAIRED, reason)
+        elif site.health is not SiteHealth.HEALTHY:
+            reason = f"{alive:.0%} of its upstreams tried lately answer"
+            self._set_health(site, SiteHealth.HEALTHY, reason)
+
+    def is_suspected(self, name: str) -> bool:
+        """Return whether there is a run of failures that is too short yet to judge."""
         site = self.sites[name]
-        return site.state in (State.WELL, State.IMPAIRED) and site.score >= ALARM / 4
+        return site.health in PRESENT and site.score >= LOSS_THRESHOLD / 4
 
-    def _back(self, site: Site) -> bool:
-        """Signs of life since the loss: from some boxes, or many from the few that came back."""
-        there = sum(b.site == site.name for b in self.boxes.values())
-        return bool(site.signs) and (
-            len(site.signs) >= min(SIGNS, there) or sum(site.signs.values()) >= 3 * SIGNS
+    def _has_returned(self, site: Site) -> bool:
+        """Return whether enough upstreams answered since the loss, or few of them often enough."""
+        needed = min(MIN_RETURNED, self._upstream_count(site.name))
+        return bool(site.answered) and (
+            len(site.answered) >= needed or sum(site.answered.values()) >= 3 * MIN_RETURNED
         )
 
-    def _slow(self, site: Site) -> float:
-        """Times slower than the others; 0: no more than `SLOW`."""
+    def _slowdown(self, site: Site) -> float | None:
+        """Return how many times slower than the others a site is; None: not by much."""
         others = sorted(
-            s.pace for s in self.sites.values() if s is not site and s.state is State.WELL
+            other.latency_ratio
+            for other in self.sites.values()
+            if other is not site and other.health is SiteHealth.HEALTHY
         )
         if not others:
-            return 0.0
-        ratio = site.pace / max(0.1, others[len(others) // 2])
-        return ratio if ratio > SLOW else 0.0
+            return None
+        ratio = site.latency_ratio / max(MIN_LATENCY_RATIO, others[len(others) // 2])
+        return ratio if ratio > SLOW_RATIO else None
 
-    def calm_ns(self, name: str) -> int:
-        """How long a site that came back must stay: the longer, the more often it went."""
+    def required_stability_ns(self, name: str) -> int:
+        """Return how long a recovering site must stay: the longer, the more often it was lost."""
         site = self.sites[name]
-        return min(CALM[1], CALM[0] << max(0, site.losses - 1))
+        return min(MAX_STABLE_NS, MIN_STABLE_NS << max(0, site.losses - 1))
 
-    def _returning(self, site: Site, why: str) -> None:
+    def _start_recovery(self, site: Site, reason: str) -> None:
         site.silent.clear()
-        site.score, site.pace = 0.0, 1.0
-        self._set(site, State.RETURNING, why)
+        site.score = 0.0
+        site.latency_ratio = 1.0
+        self._set_health(site, SiteHealth.RECOVERING, reason)
 
-    def _set(self, site: Site, state: State, why: str) -> None:
-        if site.state is state:
+    def _set_health(self, site: Site, health: SiteHealth, reason: str) -> None:
+        if site.health is health:
             return
-        site.state, site.since, site.why = state, self.now, why
+        site.health = health
+        site.since_ns = self.now
+        site.reason = reason
         self.changes.append((site.name, self.verdict(site.name)))
 
     def verdict(self, name: str) -> Verdict:
+        """Return the current health of a site."""
         site = self.sites[name]
-        return Verdict(site.state, site.since, self.alive(name), site.why)
+        return Verdict(site.health, site.since_ns, self.alive_fraction(name), site.reason)
 
-    def says(self) -> Said:
-        """What this balancer tells the others: nothing of a site that it has not met lately, and of
-        no site that it is lost while it is itself cut off.
+    def own_report(self) -> PeerReport:
+        """Return what this balancer reports to its peers.
+
+        It reports nothing of a site that it has not tried lately, and no site as silent while it is
+        itself isolated.
         """
-        met = {b.site for b in self.boxes.values() if b.at and self.now - b.at < OLD_NS}
-        silent = {n for n in met if self.sites[n].state in (State.LOST, State.CUT)}
-        answers = {
-            n
-            for n in met - silent
-            if self.now - self.sites[n].good_ns < OLD_NS
-            and self.sites[n].good_ns
-            and not self.sites[n].silent
-        }
-        return Said(self.here, frozenset(answers), frozenset() if self.alone else frozenset(silent))
+        tried = self._sites_tried_lately()
+        silent = {name for name in tried if self.sites[name].health in UNREACHABLE}
+        answering = {name for name in tried - silent if self._answers(self.sites[name])}
+        return PeerReport(
+            self.here,
+            frozenset(answering),
+            frozenset() if self.is_isolated else frozenset(silent),
+        )
+
+    def _answers(self, site: Site) -> bool:
+        return (
+            site.last_answer_ns is not None
+            and self.now - site.last_answer_ns < ATTEMPT_VALID_NS
+            and not site.silent
+        )
--- a/loadbalancer/failover/observer.py
+++ b/loadbalancer/failover/observer.py
@@ -1,278 +1,334 @@
-"""One balancer's part: what it sees, what it tells the others, which boxes it sounds, and the plan
-that its module is to follow. Pure: a shell hands in what was tried and what the store told, and
-carries out what a turn gives.
-
-The owner's orders are followed while they are fresh and for the sites that are listed here. Without
-them a balancer goes by the table for just the loss that it sees, if one was worked out, and lets a
-site come back by the same stages, judged by its own tries alone. In any case nothing is sent to a
-site that does not answer here.
+"""One balancer's part: what it observes and reports, what it health-checks, and its traffic plan.
+
+Pure: a shell hands in the attempts that ended and what the store has, and carries out the result.
+
+The lease holder's shares are followed while they are fresh and for the sites that are listed here.
+Without them a balancer goes by the plan for just the loss that it observes, if there is one, and
+lets a site recover by the same stages, judged by its own attempts alone. In any case nothing is
+sent to a site that does not answer here.
 """
 
 from __future__ import annotations
 
 import random
-from collections import Counter
 from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import Final
 
 from loadbalancer.failover import recovery
-from loadbalancer.failover.evidence import Evidence, State, Verdict
-from loadbalancer.failover.recovery import Return, Seen, Stage
-from loadbalancer.failover.site_reports import Row
-from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.failover.evidence import MAX_COUNTED_FAILURES, UNREACHABLE, Evidence
+from loadbalancer.failover.evidence_state import Site
+from loadbalancer.failover.health import SiteHealth, Verdict
+from loadbalancer.failover.recovery import Observation, Recovery, Stage
+from loadbalancer.failover.report_counter import ReportCounter
+from loadbalancer.failover.site_reports import SiteReport
+from loadbalancer.failover.tally import Tally
+from loadbalancer.failover.traffic_shares import TrafficShares
 from loadbalancer.policy import api
 
-SECOND = 1_000_000_000
-OLD_NS = 12 * SECOND  # of the owner's last word
-SUSPECTED = 2  # calls of its own at each turn to a site that is suspected
-SOUND_NS, SOUND_EACH = (
-    SECOND // 2,
-    8,
-)  # a site that is not used gets so many calls in that time, from all
-UNUSED = 0.05  # part of its draws, below which a site is hardly met
-# Between two rows of one among many; while something is under way, part of that: each step of a
-# return waits for what is seen. A change of what a site is takes no longer than the last to be
-# told.
-ROW_NS, ROW_EACH_NS, ROW_MOST_NS = 2 * SECOND, 15_000_000, 3 * SECOND
-BUSY, NEWS_NS = 0.5, SECOND // 4
-CALLED_OFF = 0.8  # of its aim that an attempt had when it was called off: nothing had answered
-FEW = 5  # requests, below which a part tells nothing
-ALIVE = frozenset({api.AttemptResult.OK, api.AttemptResult.ERROR, api.AttemptResult.REJECTED})
-DEAD = frozenset(
+SECOND_NS: Final = 1_000_000_000
+SHARES_VALID_NS: Final = 12 * SECOND_NS  # since the lease holder last confirmed them
+SUSPECTED_CHECKS: Final = 2  # health checks at each update of a suspected site
+CHECK_INTERVAL_NS: Final = SECOND_NS // 2  # in which an unused site gets CHECKS_PER_INTERVAL
+CHECKS_PER_INTERVAL: Final = 8  # from all balancers together
+UNUSED_FRACTION: Final = 0.05  # of its draws, below which a site is hardly tried
+# Interval of reports; while anything is under way a part of it: each step of a recovery waits for
+# observations. A change of a site's health is reported sooner.
+MIN_REPORT_NS: Final = 2 * SECOND_NS
+REPORT_NS_PER_BALANCER: Final = 15_000_000
+MAX_REPORT_NS: Final = 3 * SECOND_NS
+ACTIVE_REPORT_FACTOR: Final = 0.5
+URGENT_REPORT_NS: Final = SECOND_NS // 4
+# Of its latency objective that a cancelled attempt had: nothing had answered.
+CANCELLED_DEAD_FRACTION: Final = 0.8
+ALIVE: Final = frozenset(
+    {api.AttemptResult.OK, api.AttemptResult.ERROR, api.AttemptResult.REJECTED}
+)
+DEAD: Final = frozenset(
     {api.AttemptResult.CONNECT_FAILED, api.AttemptResult.RESET, api.AttemptResult.TIMEOUT}
 )
-CALM = api.TrafficPlan()
+NORMAL_PLAN: Final = api.TrafficPlan()
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
-    """`changes`: of what sites are; `sounds`: boxes to call; `plan`: for the module, None: as it
-    was.
+class Update:
+    """What an update came to.
+
+    Attributes:
+        changes: Of the sites' health.
+        health_checks: Upstreams to check.
+        plan: For the policy; None: as it was.
     """
 
     changes: list[tuple[str, Verdict]]
-    sounds: list[int]
+    health_checks: list[int]
     plan: api.TrafficPlan | None
 
 
-class Member:
+class SiteObserver:
+    """Observes the sites from one balancer.
+
+    Args:
+        here: The site where the balancer stands.
+        name: Of the balancer.
+        balancers: How many there are of the service.
+        rng: Draws health checks and intervals.
+        now: The clock.
+
+    Attributes:
+        shares: Those of the lease holder, as last received.
+        loss_shares: Worked out beforehand, by the sites that are lost.
+        loss_shares_sites: All sites that `loss_shares` are for.
+        is_report_urgent: The health of a site changed since the last report.
+    """
+
     def __init__(self, here: str, name: str, balancers: int, rng: random.Random, now: int) -> None:
-        """`balancers`: how many there are of the service."""
         self.here = here
         self.name = name
         self.balancers = max(1, balancers)
         self.rng = rng
         self.evidence = Evidence(here, now)
-        self.came: Counter[tuple[str, str]] = Counter()  # by class and tenant, since the last row
-        self.repeats: Counter[tuple[str, str]] = Counter()
-        self.asked = self.served = 0
-        self.ended: Counter[str] = Counter()  # by site
-        self.good: Counter[str] = Counter()
-        self.paces: dict[str, float] = {}
-        self.since_ns = now
-        self.count = 0
-        self.row_ns = now + int(rng.random() * self.row_every_ns)
-        self.news = False
-        self.orders = Orders()  # the owner's, as last heard
-        self.sites: frozenset[str] = frozenset()  # that they are for
-        self.heard_ns = 0  # the owner's last word; 0: none yet
-        self.tables: Mapping[frozenset[str], Orders] = {}  # worked out beforehand, by what is lost
-        self.tabled: frozenset[str] = frozenset()  # all sites that the tables are for
-        self.plan = CALM
-        self.returns: dict[str, Return] = {}  # by what is seen here, where no owner speaks
-        self.stage_ns: dict[str, int] = {}
-        self.judged: dict[str, list[int]] = {}  # tries of a site in its stage, and good ones
-        self.sounded_ns: dict[str, int] = {}
-
-    # ---- what is seen ----------------------------------------------------------------------------
-
-    def arrived(self, e: api.RequestArrived) -> None:
-        self.asked += 1
-        self.came[e.class_name, e.tenant] += 1
-        self.repeats[e.class_name, e.tenant] += e.retry
-
-    def tried(
-        self, e: api.AttemptFinished, latency_objective_ns: int, usual_ns: float, now: int
+        self.shares = TrafficShares()
+        self.confirmed_ns: int | None = None  # by the lease holder
+        self.loss_shares: Mapping[frozenset[str], TrafficShares] = {}
+        self.loss_shares_sites: frozenset[str] = frozenset()
+        self.plan = NORMAL_PLAN
+        self.is_report_urgent = False
+        self._shares_sites: frozenset[str] = frozenset()
+        self._counter = ReportCounter(here, now)
+        self._report_due_ns = now + int(rng.random() * self.report_interval_ns)
+        # Recoveries by own observations, where there is no lease holder.
+        self._recoveries: dict[str, Recovery] = {}
+        self._stage_started_ns: dict[str, int] = {}
+        self._stage_attempts: dict[str, Tally] = {}
+        self._next_check_ns: dict[str, int] = {}
+
+    # Observations
+
+    def on_request(self, event: api.RequestArrived) -> None:
+        """Count a request that came in."""
+        self._counter.add_request(event)
+
+    def on_attempt(
+        self, event: api.AttemptFinished, latency_objective_ns: int, usual_ns: float, now: int
     ) -> None:
-        """An attempt ended. `usual_ns`: what such a request takes; 0: not known."""
-        dead = e.result in DEAD or (
-            e.result is api.AttemptResult.CANCELLED
-            and e.duration_ns >= CALLED_OFF * latency_objective_ns
+        """Count an attempt that ended.
+
+        Args:
+            event: The attempt.
+            latency_objective_ns: Of its class.
+            usual_ns: What such a request takes; 0: not known.
+            now: The clock.
+        """
+        is_ok = event.result is api.AttemptResult.OK
+        is_dead = event.result in DEAD or (
+            event.result is api.AttemptResult.CANCELLED
+            and event.duration_ns >= CANCELLED_DEAD_FRACTION * latency_objective_ns
         )
-        if not dead and e.result not in ALIVE:
+        if not is_dead and event.result not in ALIVE:
             return
-        good = e.result is api.AttemptResult.OK and e.duration_ns <= latency_objective_ns
-        pace = (
-            e.duration_ns / usual_ns if e.result is api.AttemptResult.OK and usual_ns > 0 else 0.0
-        )
-        self.served += good and e.complete
-        self._note(e.upstream, not dead, good, pace, now)
+        is_good = is_ok and event.duration_ns <= latency_objective_ns
+        ratio = event.duration_ns / usual_ns if is_ok and usual_ns > 0 else 0.0
+        if is_good and event.complete:
+            self._counter.add_served()
+        self._record(event.upstream, not is_dead, is_good, ratio or None, now)
 
-    def sounded(self, number: int, result: api.AttemptResult, now: int) -> None:
-        """A call of its own ended."""
+    def on_health_check(self, number: int, result: api.AttemptResult, now: int) -> None:
+        """Count a health check that ended."""
         if result in ALIVE or result in DEAD:
-            self._note(number, result in ALIVE, result in ALIVE, 0.0, now)
+            self._record(number, result in ALIVE, result in ALIVE, None, now)
 
-    def _note(self, number: int, alive: bool, good: bool, pace: float, now: int) -> None:
-        box = self.evidence.boxes.get(number)
-        if box is None:
+    def _record(
+        self, number: int, is_alive: bool, is_good: bool, latency_ratio: float | None, now: int
+    ) -> None:
+        upstream = self.evidence.upstreams.get(number)
+        if upstream is None:
             return
-        site = box.site
-        self.ended[site] += 1
-        self.good[site] += good
-        row = self.judged.setdefault(site, [0, 0])
-        row[0] += 1
-        row[1] += good
-        if pace > 0:
-            self.paces[site] = self.paces.get(site, 1.0) + 0.1 * (
-                min(10.0, pace) - self.paces.get(site, 1.0)
-            )
-        self.evidence.outcome(number, alive, now, pace)
-
-    # ---- the owner's word ------------------------------------------------------------------------
-
-    def ordered(
-        self, orders: Orders, sites: frozenset[str], held: Mapping[str, str], now: int
+        site = upstream.site
+        self._counter.add_attempt(site, is_good, latency_ratio)
+        stage_attempts = self._stage_attempts.setdefault(site, Tally())
+        stage_attempts.total += 1
+        stage_attempts.good += is_good
+        self.evidence.record_attempt(number, is_alive, now, latency_ratio)
+
+    # The lease holder's shares
+
+    def set_shares(
+        self, shares: TrafficShares, sites: frozenset[str], held: Mapping[str, str], now: int
     ) -> None:
-        """`held`: sites that operators keep out, and who."""
-        self.orders, self.sites, self.heard_ns = orders, sites, now
+        """Take the lease holder's shares.
+
+        Args:
+            shares: The shares.
+            sites: Those that they are for.
+            held: Sites that operators keep out, and who.
+            now: The clock.
+        """
+        self.shares = shares
+        self._shares_sites = sites
+        self.confirmed_ns = now
         for name in self.evidence.sites:
-            self.evidence.hold(name, held.get(name, ""), now)
+            self.evidence.set_hold(name, held.get(name, ""), now)
+
+    def confirm_shares(self, now: int) -> None:
+        """Note that the lease holder confirmed its shares."""
+        self.confirmed_ns = now
 
-    def stands(self, now: int) -> None:
-        """The owner said that its orders still hold."""
-        self.heard_ns = now
+    def follows_shares(self, now: int) -> bool:
+        """Return whether the lease holder's shares are in force here."""
+        if self.confirmed_ns is None or now - self.confirmed_ns >= SHARES_VALID_NS:
+            return False
+        return not self._shares_sites or self._named_sites() <= self._shares_sites
 
-    def owned(self, now: int) -> bool:
-        """Do the owner's orders hold here?"""
-        there = {s for s in self.evidence.sites if s}
-        fresh = bool(self.heard_ns) and now - self.heard_ns < OLD_NS
-        return fresh and (not self.sites or there <= self.sites)
+    def _named_sites(self) -> frozenset[str]:
+        return frozenset(name for name in self.evidence.sites if name)
 
-    # ---- a turn ----------------------------------------------------------------------------------
+    # Updates
 
-    def turn(self, now: int, store: bool) -> Turn:
-        """`store`: it answers, as far as is known."""
-        self.evidence.store = store
+    def update(self, now: int, is_store_reachable: bool) -> Update:
+        """Judge what was observed."""
+        self.evidence.is_store_reachable = is_store_reachable
         changes = self.evidence.tick(now)
-        self.news = self.news or bool(changes)
-        sounds = self._sounds(now)
-        plan = self._planned(now)
+        self.is_report_urgent = self.is_report_urgent or bool(changes)
+        health_checks = self._choose_health_checks(now)
+        plan = self._make_plan(now)
         if plan == self.plan:
-            return Turn(changes, sounds, None)
+            return Update(changes, health_checks, None)
         self.plan = plan
-        return Turn(changes, sounds, plan)
+        return Update(changes, health_checks, plan)
 
-    def _sounds(self, now: int) -> list[int]:
-        """Boxes of sites that are not used: nothing else would tell that they are back, at once
-        again where one gave a sign. And some of a site that is suspected: the module leaves alone
-        what fails, and too few would be tried.
+    def _choose_health_checks(self, now: int) -> list[int]:
+        """Choose upstreams to check: of sites that are unused, and of sites that are suspected.
+
+        Nothing else would show that an unused site is back; it is checked again at once where it
+        gave a sign of life. A suspected one would be tried too little: the policy avoids what
+        fails.
         """
-        found: list[int] = []
+        chosen: list[int] = []
         for name, site in self.evidence.sites.items():
-            suspected = self.evidence.suspected(name)
-            gone = site.state in (State.LOST, State.CUT)
-            unused = (
-                gone or site.state is State.RETURNING or self.plan.zones.get(name, 1.0) < UNUSED
-            )
-            if not (suspected or unused):
+            is_suspected = self.evidence.is_suspected(name)
+            if not (is_suspected or self._is_unused(site)):
                 continue
-            boxes = [n for n, b in self.evidence.boxes.items() if b.site == name]
-            if suspected:
-                fresh = [n for n in boxes if site.silent.get(n, 0) < 2]
-                found += self.rng.sample(fresh, min(SUSPECTED, len(fresh)))
-            elif boxes and (now >= self.sounded_ns.get(name, 0) or (gone and site.signs)):
-                every = SOUND_NS * max(1.0, self.balancers / SOUND_EACH)
-                self.sounded_ns[name] = now + int(every * self.rng.uniform(0.7, 1.0))
-                found.append(self.rng.choice(boxes))
-        return found
-
-    def _planned(self, now: int) -> api.TrafficPlan:
-        owned = self.owned(now)
-        base = self._of(self.orders) if owned else self._by_table()
+            upstreams = [
+                number
+                for number, upstream in self.evidence.upstreams.items()
+                if upstream.site == name
+            ]
+            if is_suspected:
+                fresh = [
+                    number
+                    for number in upstreams
+                    if site.silent.get(number, 0) < MAX_COUNTED_FAILURES
+                ]
+                chosen += self.rng.sample(fresh, min(SUSPECTED_CHECKS, len(fresh)))
+            elif upstreams and self._is_check_due(site, now):
+                interval_ns = CHECK_INTERVAL_NS * max(1.0, self.balancers / CHECKS_PER_INTERVAL)
+                self._next_check_ns[name] = now + int(interval_ns * self.rng.uniform(0.7, 1.0))
+                chosen.append(self.rng.choice(upstreams))
+        return chosen
+
+    def _is_unused(self, site: Site) -> bool:
+        return (
+            site.health in UNREACHABLE
+            or site.health is SiteHealth.RECOVERING
+            or self.plan.zones.get(site.name, 1.0) < UNUSED_FRACTION
+        )
+
+    def _is_check_due(self, site: Site, now: int) -> bool:
+        if now >= self._next_check_ns.get(site.name, 0):
+            return True
+        return site.health in UNREACHABLE and bool(site.answered)
+
+    def _make_plan(self, now: int) -> api.TrafficPlan:
+        follows_shares = self.follows_shares(now)
+        base = self._plan_of(self.shares) if follows_shares else self._plan_by_loss()
         zones = dict(base.zones)
         for name, site in self.evidence.sites.items():
-            if site.state in (State.LOST, State.CUT):
-                self._stage(name, Return(name), now)
-                if not (self.evidence.alone and name == self.here):
+            if site.health in UNREACHABLE:
+                self._set_recovery(Recovery(name), now)
+                if not (self.evidence.is_isolated and name == self.here):
                     zones[name] = 0.0
-            elif owned:
-                self.returns.pop(name, None)
-            elif name in self.returns:
-                zones[name] = min(zones.get(name, 1.0), self._own_return(name, now))
-                if self.returns[name].stage is Stage.NORMAL:
-                    del self.returns[name]
-        reached = {s for s in self.evidence.sites if s}
-        if reached and all(zones.get(n, 1.0) <= 0.0 for n in reached):
-            zones = {}  # nothing is left: rather a try than none
+            elif follows_shares:
+                self._recoveries.pop(name, None)
+            elif name in self._recoveries:
+                zones[name] = min(zones.get(name, 1.0), self._step_recovery(name, now))
+                if self._recoveries[name].stage is Stage.NORMAL:
+                    del self._recoveries[name]
+        names = self._named_sites()
+        if names and all(zones.get(name, 1.0) <= 0.0 for name in names):
+            zones = {}  # nothing is left: rather an attempt than none
         return base._replace(zones=zones)
 
-    def _of(self, o: Orders) -> api.TrafficPlan:
+    def _plan_of(self, shares: TrafficShares) -> api.TrafficPlan:
+        slow_start = shares.slow_start.get(self.name, {})
         return api.TrafficPlan(
-            dict(o.zones.get(self.here, {})),
-            o.excess,
-            dict(o.shares.get(self.name, {})),
-            o.repeats,
-            o.copies,
-            dict(o.classes),
-            (o.back_ns[0], o.back_ns[1]),
-            {box: o.cold.get(self.name, {}).get(box, 0.0) for box in o.cooling},
+            dict(shares.zones.get(self.here, {})),
+            shares.excess,
+            dict(shares.quotas.get(self.name, {})),
+            shares.retries,
+            shares.allows_hedging,
+            dict(shares.classes),
+            (shares.retry_window_ns[0], shares.retry_window_ns[1]),
+            {upstream: slow_start.get(upstream, 0.0) for upstream in shares.slow_start_upstreams},
         )
 
-    def _by_table(self) -> api.TrafficPlan:
-        lost = frozenset(n for n, s in self.evidence.sites.items() if s.state is State.LOST)
-        there = frozenset(s for s in self.evidence.sites if s)
-        if not lost or self.evidence.alone or there != self.tabled or lost not in self.tables:
-            return CALM
-        return self._of(self.tables[lost])
+    def _plan_by_loss(self) -> api.TrafficPlan:
+        """Return the plan for the loss that is observed here, if there is one."""
+        lost = frozenset(
+            name for name, site in self.evidence.sites.items() if site.health is SiteHealth.LOST
+        )
+        is_prepared = self._named_sites() == self.loss_shares_sites and lost in self.loss_shares
+        if not lost or self.evidence.is_isolated or not is_prepared:
+            return NORMAL_PLAN
+        return self._plan_of(self.loss_shares[lost])
 
-    def _stage(self, name: str, then: Return, now: int) -> Return:
-        if self.returns.get(name) != then:
-            self.returns[name], self.stage_ns[name] = then, now
-            self.judged[name] = [0, 0]
-        return then
+    def _set_recovery(self, after: Recovery, now: int) -> None:
+        if self._recoveries.get(after.site) != after:
+            self._recoveries[after.site] = after
+            self._stage_started_ns[after.site] = now
+            self._stage_attempts[after.site] = Tally()
 
-    def _own_return(self, name: str, now: int) -> float:
-        tries, good = self.judged.get(name, [0, 0])
-        seen = Seen(False, tries, good / tries if tries else 1.0, self.paces.get(name, 1.0))
-        age_s = (now - self.stage_ns[name]) / SECOND
-        return self._stage(name, recovery.step(self.returns[name], seen, age_s), now).share
+    def _step_recovery(self, name: str, now: int) -> float:
+        """Take a step of a recovery by own observations; return the site's fraction."""
+        attempts = self._stage_attempts.get(name, Tally())
+        observed = Observation(
+            False, int(attempts.total), attempts.fraction, self._counter.latency_ratio(name)
+        )
+        age_s = (now - self._stage_started_ns[name]) / SECOND_NS
+        after = recovery.step(self._recoveries[name], observed, age_s)
+        self._set_recovery(after, now)
+        return after.fraction
 
-    # ---- what it tells ---------------------------------------------------------------------------
+    # Reports
 
     @property
-    def row_every_ns(self) -> int:
-        return min(ROW_MOST_NS, max(ROW_NS, ROW_EACH_NS * self.balancers))
-
-    def row_due(self, now: int) -> bool:
-        return now >= (min(self.row_ns, self.since_ns + NEWS_NS) if self.news else self.row_ns)
-
-    def row(self, taken: Mapping[str, float], now: int) -> Row:
-        """What it tells now; counting begins anew. `taken`: by class, ns that a request takes."""
-        seconds = max(0.05, (now - self.since_ns) / SECOND)
-        said = self.evidence.says()
-        self.count += 1
-        row = Row(
-            self.here,
-            tuple(sorted(said.answers)),
-            tuple(sorted(said.silent)),
-            self.evidence.alone,
-            tuple(
-                (kind, tenant, round(n / seconds, 3), round(self.repeats[kind, tenant] / n, 3))
-                for (kind, tenant), n in sorted(self.came.items())
-            ),
-            tuple(
-                (site, n, round(self.good[site] / n, 3), round(self.paces.get(site, 1.0), 2))
-                for site, n in sorted(self.ended.items())
-            ),
-            round(self.served / self.asked, 4) if self.asked >= FEW else -1.0,
-            tuple((k, round(ns / SECOND, 5)) for k, ns in sorted(taken.items()) if k),
-            self.count,
-        )
-        for counts in (self.came, self.repeats, self.ended, self.good):
-            counts.clear()
-        self.asked = self.served = 0
-        self.since_ns, self.news = now, False
-        busy = 1.0 if self.plan == CALM else BUSY
-        self.row_ns = now + int(self.row_every_ns * busy * self.rng.uniform(0.8, 1.0))
-        return row
+    def report_started_ns(self) -> int:
+        """When the current report began."""
+        return self._counter.started_ns
+
+    @property
+    def report_interval_ns(self) -> int:
+        """Interval of reports while nothing is under way."""
+        return min(MAX_REPORT_NS, max(MIN_REPORT_NS, REPORT_NS_PER_BALANCER * self.balancers))
+
+    def is_report_due(self, now: int) -> bool:
+        """Return whether a report is to be put into the store."""
+        due_ns = self._report_due_ns
+        if self.is_report_urgent:
+            due_ns = min(due_ns, self._counter.started_ns + URGENT_REPORT_NS)
+        return now >= due_ns
+
+    def take_report(self, usual_ns: Mapping[str, float], now: int) -> SiteReport:
+        """Return the report, and begin to count anew.
+
+        Args:
+            usual_ns: By class, what a request takes.
+            now: The clock.
+        """
+        own = self.evidence.own_report()
+        report = self._counter.take(own, self.evidence.is_isolated, usual_ns, now)
+        self.is_report_urgent = False
+        factor = 1.0 if self.plan == NORMAL_PLAN else ACTIVE_REPORT_FACTOR
+        interval_ns = self.report_interval_ns * factor * self.rng.uniform(0.8, 1.0)
+        self._report_due_ns = now + int(interval_ns)
+        return report
--- a/loadbalancer/failover/recovery.py
+++ b/loadbalancer/failover/recovery.py
@@ -1,13 +1,13 @@
-"""How a site comes back: what it may get at each moment, and who may send to its cold boxes. Pure.
+"""Recovery ramp: what a site that comes back may get, and who may send to its cold upstreams. Pure.
 
-Stages: out, then answers to probes, a trickle, shares that rise by what it was seen to bear,
-normal. A stage that fails goes back to the one before, and waits longer each time; a site that goes
-again begins anew. No stage counts time but that which its owner has itself seen go by, so a new
-owner may be slower and never quicker.
+Stages: out, answers to health checks, a trickle, shares that rise by what the site was seen to
+bear, normal. A stage that fails goes back to the one before, and waits longer each time; a site
+that is lost again begins anew. A stage counts only the time that its lease holder has itself seen
+go by, so a new holder may be slower and never faster.
 
-Cold starts are dealt out by one owner: of each cold box a few balancers get so many requests a
-second, all of them together no more than it bears now. Without an owner each balancer falls back to
-its own reckoning, which assumes that all others send too.
+Slow start is assigned by one lease holder: a few balancers get each cold upstream, at a rate that
+all of them together do not exceed. Without a holder each balancer falls back to its own estimate,
+which assumes that all others send too.
 """
 
 from __future__ import annotations
@@ -16,166 +16,256 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 from enum import Enum
+from typing import Final
 
-PROBES_S, TRICKLE_S, STEP_S = 1.0, 1.0, 1.0  # least time in a stage, and between two rises
-TRICKLE, RISE, LEAST_STEP = (
-    0.04,
-    2.0,
-    0.1,
-)  # part of its usual load; times as much; at least so much more
-HASTE = 0.5, 0.5  # where it is needed: part of these times, and least step
-GOOD, BAD = 0.9, 0.7  # part of answers in time: rises from the first on, goes back below the second
-SLOW, TOO_SLOW = 2.0, 4.0  # times the other sites' pace: rises no more; goes back
-ENOUGH = 5  # answers in a stage before it is judged
-WAIT_S = 2.0, 120.0  # before the next try after a failure, first and at most
-GROWTH = (
-    0.12  # of what the whole fleet bears, that all returning sites together may rise by in one step
-)
-SENDERS = 4  # balancers at least that share a cold box: one that goes must not leave it idle
+HEALTH_CHECKS_S: Final = 1.0  # least time in the stage
+TRICKLE_S: Final = 1.0  # least time in the stage
+STEP_S: Final = 1.0  # least time between two rises
+TRICKLE_FRACTION: Final = 0.04  # of the site's usual load
+RISE_FACTOR: Final = 2.0
+MIN_RISE: Final = 0.1
+URGENT_TIME_FACTOR: Final = 0.5  # of these times, where the capacity is needed
+URGENT_MIN_RISE: Final = 0.5
+GOOD_FRACTION: Final = 0.9  # of answers in time, from which it rises
+BAD_FRACTION: Final = 0.7  # below which it goes back
+SLOW_RATIO: Final = 2.0  # times the other sites' latency, above which it rises no more
+TOO_SLOW_RATIO: Final = 4.0  # above which it goes back
+MIN_ANSWERS: Final = 5  # in a stage before it is judged
+MIN_WAIT_S: Final = 2.0  # before the next attempt after the first failure
+MAX_WAIT_S: Final = 120.0
+MAX_FAILURES: Final = 16
+# Of the whole fleet's capacity, that all recovering sites together may rise by in one step.
+MAX_FLEET_RISE: Final = 0.12
+MIN_SENDERS: Final = 4  # that share a cold upstream: one that goes must not leave it idle
+SLOW_START_MARGIN: Final = 0.7  # of what a cold upstream can serve
+GOLDEN_RATIO: Final = 0.6180339887498949
+EPSILON: Final = 1e-9
+ROUNDING: Final = 1e-12
 
 
 class Stage(Enum):
+    """Stage of a recovery, as it stands in the store."""
+
     OUT = "out"
-    PROBES = "probes"
+    HEALTH_CHECKS = "probes"
     TRICKLE = "trickle"
     SHARES = "shares"
     NORMAL = "normal"
 
 
+STAGES: Final = tuple(Stage)
+MIN_STAGE_S: Final = {Stage.HEALTH_CHECKS: HEALTH_CHECKS_S, Stage.TRICKLE: TRICKLE_S}
+
+
 @dataclass(frozen=True, slots=True)
-class Return:
-    """One site's way back. `share`: of its usual load; `fails`: stages that failed since it was
-    last normal; `fell`: that is the last thing that happened to it.
+class Recovery:
+    """One site's recovery.
+
+    Attributes:
+        fraction: Of its usual load.
+        failures: Stages that failed since it was last normal.
+        has_failed: A failure is the last thing that happened to it.
     """
 
     site: str
     stage: Stage = Stage.OUT
-    share: float = 0.0
-    fails: int = 0
-    fell: bool = False
+    fraction: float = 0.0
+    failures: int = 0
+    has_failed: bool = False
 
     @property
     def wait_s(self) -> float:
-        """Before it is tried again, after so many failures."""
-        return 0.0 if not self.fails else min(WAIT_S[1], WAIT_S[0] * 2.0 ** (self.fails - 1))
+        """Time before the next attempt, after so many failures."""
+        if not self.failures:
+            return 0.0
+        return min(MAX_WAIT_S, MIN_WAIT_S * 2.0 ** (self.failures - 1))
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What is known of a site now. `answers`: since this stage began, and the part of them in time,
-    and `pace`, both against the other sites'; `lost`: no sign of life.
+class Observation:
+    """What is observed of a site.
+
+    Attributes:
+        is_lost: It gives no sign of life.
+        answers: Since its stage began.
+        good_fraction: Of these answers, against the other sites'.
+        latency_ratio: Of these answers, against the other sites'.
     """
 
-    lost: bool
+    is_lost: bool
     answers: int
-    good: float
-    pace: float = 1.0
+    good_fraction: float
+    latency_ratio: float = 1.0
 
 
-ORDER = tuple(Stage)
-
-
-def _back(r: Return) -> Return:
-    """The stage before, with a longer wait ahead of the next try."""
-    before = ORDER[max(1, ORDER.index(r.stage) - 1)]
-    share = {Stage.PROBES: 0.0, Stage.TRICKLE: TRICKLE}.get(before, r.share / RISE)
+def _previous_stage(recovery: Recovery) -> Recovery:
+    """Go back one stage, with a longer wait ahead of the next attempt."""
+    stage = STAGES[max(1, STAGES.index(recovery.stage) - 1)]
+    fraction = {Stage.HEALTH_CHECKS: 0.0, Stage.TRICKLE: TRICKLE_FRACTION}.get(
+        stage, recovery.fraction / RISE_FACTOR
+    )
     return replace(
-        r, stage=before, share=min(r.share, share), fails=min(16, r.fails + 1), fell=True
+        recovery,
+        stage=stage,
+        fraction=min(recovery.fraction, fraction),
+        failures=min(MAX_FAILURES, recovery.failures + 1),
+        has_failed=True,
     )
 
 
-def step(r: Return, seen: Seen, age_s: float, most: float = 1.0, needed: bool = False) -> Return:
-    """What it is next. `age_s`: how long it has been as it is; `most`: it may rise by so much now;
-    `needed`: the others refuse for want of room, so each second that it stays away costs, and it
-    comes by larger steps.
+def step(
+    recovery: Recovery,
+    observed: Observation,
+    age_s: float,
+    max_rise: float = 1.0,
+    is_urgent: bool = False,
+) -> Recovery:
+    """Return what a recovery is next; the same one where there is nothing to do.
+
+    Args:
+        recovery: As it is.
+        observed: Of its site.
+        age_s: How long it has been as it is.
+        max_rise: It may rise by so much now.
+        is_urgent: Load is shed for want of capacity, so each second that it stays away costs: it
+            rises by larger steps.
     """
-    if seen.lost:
-        if r.stage is Stage.OUT:
-            return r
-        return Return(r.site, Stage.OUT, 0.0, min(16, r.fails + (r.stage is not Stage.NORMAL)))
-    if r.stage is Stage.NORMAL:
-        return r
-    if r.stage is Stage.OUT:
-        return replace(r, stage=Stage.PROBES) if age_s >= r.wait_s else r
-    if seen.answers >= ENOUGH and (seen.good < BAD or seen.pace > TOO_SLOW):
-        return _back(r)
-    least = {Stage.PROBES: PROBES_S, Stage.TRICKLE: TRICKLE_S}.get(r.stage, STEP_S)
-    least *= HASTE[0] if needed else 1.0
-    least = max(least, r.wait_s if r.fell else 0.0)
-    if age_s < least or seen.answers < ENOUGH or seen.good < GOOD or seen.pace > SLOW:
-        return r
-    if r.stage is Stage.PROBES:
-        return replace(r, stage=Stage.TRICKLE, share=TRICKLE, fell=False)
-    rise = max(LEAST_STEP, r.share * (RISE - 1.0))
-    share = min(1.0, r.share + (max(rise, HASTE[1]) if needed else min(most, rise)))
-    if share >= 1.0:
-        return Return(r.site, Stage.NORMAL, 1.0, 0)
-    return replace(r, stage=Stage.SHARES, share=share, fell=False)
-
-
-def rises(returning: Iterable[Return], bears: Mapping[str, float]) -> dict[str, float]:
-    """By how much each site that comes back may rise in its next step: all together by no more than
-    what the fleet can take a change of. Those nearer to their end first would starve the others, so
-    evenly.
+    if observed.is_lost:
+        if recovery.stage is Stage.OUT:
+            return recovery
+        failures = min(MAX_FAILURES, recovery.failures + (recovery.stage is not Stage.NORMAL))
+        return Recovery(recovery.site, Stage.OUT, 0.0, failures)
+    if recovery.stage is Stage.NORMAL:
+        return recovery
+    if recovery.stage is Stage.OUT:
+        if age_s >= recovery.wait_s:
+            return replace(recovery, stage=Stage.HEALTH_CHECKS)
+        return recovery
+    return _step_present(recovery, observed, age_s, max_rise, is_urgent)
+
+
+def _step_present(
+    recovery: Recovery, observed: Observation, age_s: float, max_rise: float, is_urgent: bool
+) -> Recovery:
+    is_bad = observed.good_fraction < BAD_FRACTION or observed.latency_ratio > TOO_SLOW_RATIO
+    if observed.answers >= MIN_ANSWERS and is_bad:
+        return _previous_stage(recovery)
+    if age_s < _min_age_s(recovery, is_urgent) or not _may_rise(observed):
+        return recovery
+    return _rise(recovery, max_rise, is_urgent)
+
+
+def _min_age_s(recovery: Recovery, is_urgent: bool) -> float:
+    min_age_s = MIN_STAGE_S.get(recovery.stage, STEP_S)
+    min_age_s *= URGENT_TIME_FACTOR if is_urgent else 1.0
+    return max(min_age_s, recovery.wait_s if recovery.has_failed else 0.0)
+
+
+def _may_rise(observed: Observation) -> bool:
+    return (
+        observed.answers >= MIN_ANSWERS
+        and observed.good_fraction >= GOOD_FRACTION
+        and observed.latency_ratio <= SLOW_RATIO
+    )
+
+
+def _rise(recovery: Recovery, max_rise: float, is_urgent: bool) -> Recovery:
+    if recovery.stage is Stage.HEALTH_CHECKS:
+        return replace(recovery, stage=Stage.TRICKLE, fraction=TRICKLE_FRACTION, has_failed=False)
+    rise = max(MIN_RISE, recovery.fraction * (RISE_FACTOR - 1.0))
+    rise = max(rise, URGENT_MIN_RISE) if is_urgent else min(max_rise, rise)
+    fraction = min(1.0, recovery.fraction + rise)
+    if fraction >= 1.0:
+        return Recovery(recovery.site, Stage.NORMAL, 1.0, 0)
+    return replace(recovery, stage=Stage.SHARES, fraction=fraction, has_failed=False)
+
+
+def allowed_rises(
+    recoveries: Iterable[Recovery], capacities: Mapping[str, float]
+) -> dict[str, float]:
+    """Return by how much each recovering site may rise in its next step.
+
+    All together rise by no more than the fleet can take a change of, evenly: to favour those nearer
+    to their end would starve the others.
     """
-    them = [r for r in returning if r.stage in (Stage.TRICKLE, Stage.SHARES)]
-    whole = sum(bears.values())
-    return {r.site: GROWTH * whole / len(them) / max(1e-9, bears.get(r.site, 0.0)) for r in them}
+    rising = [one for one in recoveries if one.stage in (Stage.TRICKLE, Stage.SHARES)]
+    total = sum(capacities.values())
+    return {
+        one.site: MAX_FLEET_RISE * total / len(rising) / max(EPSILON, capacities.get(one.site, 0.0))
+        for one in rising
+    }
 
 
-def deal(
-    boxes: Sequence[int],
+def assign_slow_start(
+    upstreams: Sequence[int],
     balancers: Sequence[str],
-    per_s: Mapping[int, float],
-    prefer: Mapping[str, float] | None = None,
+    rates: Mapping[int, float],
+    weights: Mapping[str, float] | None = None,
 ) -> dict[str, dict[int, float]]:
-    """Of each cold box, requests a second that each balancer may send. `per_s`: what the box bears
-    now from all together. Each box goes to so few that one gets a request in a second or so, and
-    they take turns over the boxes, so that none has many more than others; `prefer`: by balancer,
-    its part of the traffic.
+    """Return the requests a second that each balancer may send to each cold upstream.
+
+    Each upstream goes to so few balancers that one gets a request in a second or so. They take
+    turns over the upstreams, so that none has many more than others.
+
+    Args:
+        upstreams: The cold ones.
+        balancers: All that can send.
+        rates: What each upstream can serve now, from all together.
+        weights: By balancer, its fraction of the traffic.
     """
-    found: dict[str, dict[int, float]] = {}
+    assigned: dict[str, dict[int, float]] = {}
     if not balancers:
-        return found
-    weights = [max(0.0, (prefer or {}).get(b, 1.0)) for b in balancers]
-    whole = sum(weights) or float(len(balancers))
-    marks, total = [], 0.0
-    for w in weights:
-        total += w if sum(weights) else 1.0
-        marks.append(total / whole)
-    place = 0.0
-    for number in boxes:
-        rate = per_s.get(number, 0.0)
+        return assigned
+    bounds = _cumulative_weights(balancers, weights or {})
+    offset = 0.0
+    for upstream in upstreams:
+        rate = rates.get(upstream, 0.0)
         if rate <= 0:
             continue
-        senders = min(len(balancers), max(SENDERS, math.ceil(rate)))
+        senders = min(len(balancers), max(MIN_SENDERS, math.ceil(rate)))
         chosen: dict[str, int] = {}
-        for turn in range(senders):
-            at = (place + turn / senders) % 1.0
-            who = balancers[
-                min(len(balancers) - 1, next(i for i, m in enumerate(marks) if at < m + 1e-12))
-            ]
-            chosen[who] = chosen.get(who, 0) + 1
-        for who, turns in chosen.items():
-            found.setdefault(who, {})[number] = rate * turns / senders
-        place = (place + 0.6180339887498949) % 1.0  # spread evenly, whatever their number
-    return found
-
-
-def bears_now(
-    warm_per_s: float,
-    age_s: float,
-    cold_s: float,
-    slow_start_capacity: float,
-    multiple: float,
-    careful: float = 0.7,
-) -> float:
-    """Requests a second that a cold box bears from all together, by the settings' rule for cold
-    starts.
-    """
-    part = (
-        1.0
-        if cold_s <= 0
-        else slow_start_capacity + (1.0 - slow_start_capacity) * min(1.0, max(0.0, age_s) / cold_s)
-    )
-    return careful * multiple * part * warm_per_s if part < 1.0 else warm_per_s
+        for index in range(senders):
+            point = (offset + index / senders) % 1.0
+            position = next(i for i, bound in enumerate(bounds) if point < bound + ROUNDING)
+            balancer = balancers[min(len(balancers) - 1, position)]
+            chosen[balancer] = chosen.get(balancer, 0) + 1
+        for balancer, count in chosen.items():
+            assigned.setdefault(balancer, {})[upstream] = rate * count / senders
+        offset = (offset + GOLDEN_RATIO) % 1.0  # spread evenly, whatever their number
+    return assigned
+
+
+def _cumulative_weights(balancers: Sequence[str], weights: Mapping[str, float]) -> list[float]:
+    """Return the upper bound of each balancer's interval within [0, 1]."""
+    positive = [max(0.0, weights.get(balancer, 1.0)) for balancer in balancers]
+    total = sum(positive) or float(len(balancers))
+    bounds = []
+    running = 0.0
+    for weight in positive:
+        running += weight if sum(positive) else 1.0
+        bounds.append(running / total)
+    return bounds
+
+
+@dataclass(frozen=True, slots=True)
+class SlowStartRules:
+    """Slow start of cold upstreams, as the settings have it."""
+
+    duration_s: float
+    initial_capacity: float
+    overload_multiple: float
+
+    def rate(self, full_rate: float, age_s: float) -> float:
+        """Return the requests a second that a cold upstream can serve, from all together.
+
+        Args:
+            full_rate: What it can serve once it is warmed up.
+            age_s: How long ago it was started.
+        """
+        if self.duration_s <= 0:
+            return full_rate
+        progress = min(1.0, max(0.0, age_s) / self.duration_s)
+        fraction = self.initial_capacity + (1.0 - self.initial_capacity) * progress
+        if fraction >= 1.0:
+            return full_rate
+        return SLOW_START_MARGIN * self.overload_multiple * fraction * full_rate
--- a/loadbalancer/failover/site_reports.py
+++ b/loadbalancer/failover/site_reports.py
@@ -1,111 +1,161 @@
-"""What balancers tell of the sites, put together: what the fleet takes each site to be. Pure.
+"""What balancers report of the sites, put together: the fleet's verdict on each site. Pure.
 
-A balancer's row tells of the sites by its own tries. None is believed alone: a site is lost when
-most of the sites that can tell say so, and nobody within it says otherwise.
+A balancer's report is about its own attempts. None is believed alone: a site is lost when most of
+the sites that can tell report so, and nobody within it contradicts.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import Final, NamedTuple
 
-from loadbalancer.failover.evidence import PART, State, Verdict
+import msgspec
 
-OLD_S = 8.0  # of a row, beyond which it tells nothing
-AGREE = 2 / 3  # of the sites that can tell
+from loadbalancer.failover.evidence import IMPAIRED_FRACTION
+from loadbalancer.failover.health import SiteHealth, Verdict
 
+REPORT_VALID_S: Final = 8.0
+MAJORITY: Final = 2 / 3  # of the sites that can tell
+MIN_VOTERS: Final = 2  # one may be wrong for its own network
+NOT_KNOWN: Final = -1.0  # in the store: a fraction of too few requests
 
-@dataclass(frozen=True, slots=True)
-class Row:
-    """A balancer's, as it stands in the store; small, and put some times a minute. `loads`: by
-    class and tenant, requests a second that came in, and the part of them that were clients'
-    repeats; `sites`: by site, tries that ended since the row before, the part of them that were
-    good, and their pace; `served`: part of what came in that was answered in time, under 0: too
-    few; `work`: by class, seconds that a request takes; `count` grows.
+
+class ClassLoad(NamedTuple):
+    """What came in of one class and tenant, a second, and the fraction of clients' retries."""
+
+    class_name: str
+    tenant: str
+    rate: float
+    retry_fraction: float
+
+
+class SiteAttempts(NamedTuple):
+    """Attempts at a site that ended, the fraction that was good, and their latency ratio."""
+
+    site: str
+    attempts: int
+    good_fraction: float
+    latency_ratio: float
+
+
+class SiteReport(msgspec.Struct, frozen=True):
+    """One balancer's report, as it stands in the store. It is put a few times a minute.
+
+    Attributes:
+        answering: Sites that answer it.
+        silent: Sites that don't.
+        is_isolated: It is itself partitioned, and can't tell.
+        loads: What came in since the report before.
+        sites: Attempts since the report before.
+        served_fraction: Of what came in, answered in time; NOT_KNOWN: too few.
+        work: By class, the seconds that a request takes.
+        sequence: Grows with each report.
     """
 
     site: str
-    answers: tuple[str, ...]
+    answering: tuple[str, ...] = msgspec.field(name="answers")
     silent: tuple[str, ...]
-    alone: bool
-    loads: tuple[tuple[str, str, float, float], ...] = ()
-    sites: tuple[tuple[str, int, float, float], ...] = ()
-    served: float = -1.0
-    work: tuple[tuple[str, float], ...] = ()  # by class, seconds that a request takes
-    count: int = 0
+    is_isolated: bool = msgspec.field(name="alone")
+    loads: tuple[ClassLoad, ...] = ()
+    sites: tuple[SiteAttempts, ...] = ()
+    served_fraction: float = msgspec.field(default=NOT_KNOWN, name="served")
+    work: tuple[tuple[str, float], ...] = ()
+    sequence: int = msgspec.field(default=0, name="count")
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A row, and for how long it has stood, by the reader's clock; `live`: its balancer holds its
-    name.
+class ReceivedReport:
+    """A report, and for how long it has stood by the reader's clock.
+
+    Attributes:
+        is_live: Its balancer holds its name's lease.
     """
 
-    row: Row
+    report: SiteReport
     age_s: float
-    live: bool = True
+    is_live: bool = True
 
     @property
-    def fresh(self) -> bool:
-        return self.live and self.age_s <= OLD_S
+    def is_fresh(self) -> bool:
+        """The report still tells something."""
+        return self.is_live and self.age_s <= REPORT_VALID_S
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """All rows: by site, who says what of it."""
+class FleetOpinions:
+    """Opinions of all reports: one voice for each site that can tell.
 
-    answers: Mapping[str, list[str]] = field(
-        default_factory=dict
-    )  # site: sites whose balancers it answers
+    Attributes:
+        answering: By site, the sites whose balancers it answers.
+        silent: By site, the sites whose balancers it does not answer.
+        reporting: By site, how many of its own balancers report.
+    """
+
+    answering: Mapping[str, list[str]] = field(default_factory=dict)
     silent: Mapping[str, list[str]] = field(default_factory=dict)
-    within: Mapping[str, int] = field(default_factory=dict)  # site: its own balancers that speak
+    reporting: Mapping[str, int] = field(default_factory=dict)
 
 
-def heard(rows: Mapping[str, Told]) -> Heard:
-    """One voice for each site that can tell, by most of its balancers."""
+def collect_opinions(reports: Mapping[str, ReceivedReport]) -> FleetOpinions:
+    """Return the opinion of each site that can tell, by most of its balancers."""
     votes: dict[tuple[str, str], list[int]] = {}
-    within: dict[str, int] = {}
-    for told in rows.values():
-        if not told.fresh:
+    reporting: dict[str, int] = {}
+    for received in reports.values():
+        if not received.is_fresh:
             continue
-        within[told.row.site] = within.get(told.row.site, 0) + 1
-        if told.row.alone:
-            continue  # it is itself cut off, and can't tell
-        for name in told.row.answers:
-            votes.setdefault((name, told.row.site), [0, 0])[0] += 1
-        for name in told.row.silent:
-            votes.setdefault((name, told.row.site), [0, 0])[1] += 1
-    answers: dict[str, list[str]] = {}
+        report = received.report
+        reporting[report.site] = reporting.get(report.site, 0) + 1
+        if report.is_isolated:
+            continue
+        for name in report.answering:
+            votes.setdefault((name, report.site), [0, 0])[0] += 1
+        for name in report.silent:
+            votes.setdefault((name, report.site), [0, 0])[1] += 1
+    answering: dict[str, list[str]] = {}
     silent: dict[str, list[str]] = {}
-    for (name, by), (yes, no) in sorted(votes.items()):
-        (answers if yes >= no else silent).setdefault(name, []).append(by)
-    return Heard(answers, silent, within)
-
-
-def verdict(name: str, h: Heard, listed: int, usual: int) -> Verdict:
-    """What the fleet takes a site to be. `listed`: of its boxes, that discovery lists as ready, of
-    `usual`."""
-    for_, against = h.silent.get(name, []), h.answers.get(name, [])
-    others_no, others_yes = [s for s in for_ if s != name], [s for s in against if s != name]
-    why = (
-        f"{len(others_no)} other sites get no answer there ({', '.join(others_no) or 'none'}),"
-        f" {len(others_yes)} do; {h.within.get(name, 0)} of its own balancers speak;"
-        f" {listed} of {usual} boxes are listed"
+    for (name, voter), (yes, no) in sorted(votes.items()):
+        (answering if yes >= no else silent).setdefault(name, []).append(voter)
+    return FleetOpinions(answering, silent, reporting)
+
+
+def judge_site(name: str, opinions: FleetOpinions, ready: int, usual: int) -> Verdict:
+    """Return the fleet's verdict on a site.
+
+    Args:
+        name: Of the site.
+        opinions: Of all sites.
+        ready: Of its upstreams, those that discovery lists as ready.
+        usual: Those that it usually lists.
+    """
+    silent_to = opinions.silent.get(name, [])
+    answers_to = opinions.answering.get(name, [])
+    others_silent = [site for site in silent_to if site != name]
+    others_answered = [site for site in answers_to if site != name]
+    reason = (
+        f"{len(others_silent)} other sites get no answer there"
+        f" ({', '.join(others_silent) or 'none'}),"
+        f" {len(others_answered)} do; {opinions.reporting.get(name, 0)} of its own balancers"
+        f" report; {ready} of {usual} upstreams are ready"
     )
-    alive = listed / usual if usual else 1.0
-    if usual and not listed:
-        return Verdict(State.LOST, 0, 0.0, "discovery lists none of its boxes; " + why)
-    opinions = len(others_no) + len(others_yes)
-    # One voice is not enough where others could speak: it may be that site's own network.
-    voices = min(2, sum(1 for site in h.within if site != name))
-    if others_no and len(others_no) >= max(voices, AGREE * opinions):
-        if name in against:
-            return Verdict(State.CUT, 0, alive, "its own balancers are answered; " + why)
-        return Verdict(State.LOST, 0, 0.0, why)
-    if len(others_no) >= voices and others_no:
-        return Verdict(State.CUT, 0, alive, "some sites get no answer there; " + why)
-    if name in for_ and not others_yes:
-        return Verdict(State.LOST, 0, 0.0, "its own balancers get no answer there; " + why)
-    if usual and alive < 1 - PART:
-        return Verdict(State.IMPAIRED, 0, alive, why)
-    return Verdict(State.WELL, 0, alive, why)
+    alive = ready / usual if usual else 1.0
+    if usual and not ready:
+        reason = "discovery lists none of its upstreams; " + reason
+        return Verdict(SiteHealth.LOST, 0, 0.0, reason)
+    # One voter is not enough where others could vote: it may be that site's own network.
+    voters = min(MIN_VOTERS, sum(1 for site in opinions.reporting if site != name))
+    majority = MAJORITY * (len(others_silent) + len(others_answered))
+    if others_silent and len(others_silent) >= max(voters, majority):
+        if name in answers_to:
+            reason = "its own balancers are answered; " + reason
+            return Verdict(SiteHealth.PARTITIONED, 0, alive, reason)
+        return Verdict(SiteHealth.LOST, 0, 0.0, reason)
+    if others_silent and len(others_silent) >= voters:
+        reason = "some sites get no answer there; " + reason
+        return Verdict(SiteHealth.PARTITIONED, 0, alive, reason)
+    if name in silent_to and not others_answered:
+        reason = "its own balancers get no answer there; " + reason
+        return Verdict(SiteHealth.LOST, 0, 0.0, reason)
+    is_impaired = usual and alive < 1 - IMPAIRED_FRACTION
+    health = SiteHealth.IMPAIRED if is_impaired else SiteHealth.HEALTHY
+    return Verdict(health, 0, alive, reason)
--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -1,211 +1,302 @@
-"""What the fleet does about its sites, step by step: the work of one owner. Pure: from the courses
-as they stand and what is seen comes what they are next, which is one write of the store or nothing.
+"""State of each site as the fleet treats it, and its next step. Pure.
 
-A site's course says what part of its usual load it gets, and why. Three things move it: what the
-fleet takes the site to be (lost, cut, back), an operator (drain, hold, return, drill), and the way
-back, stage by stage (`recovery`). An owner may die at any point: the next goes on from what stands,
-and counts a stage's time anew, so no stage is shorter for it and none is done twice.
+A site's state says what fraction of its usual load it gets, and why. Three things change it: the
+fleet's verdict on the site (lost, partitioned, back), an operator (drain, hold, return, drill), and
+the recovery ramp, stage by stage (`recovery`). From the states as they stand and what is observed
+come the next ones, which are one write to the store or nothing.
+
+The lease holder that does this may die at any point: the next one continues from what is stored and
+counts a stage's time anew, so no stage is shorter for it and none is done twice.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from enum import Enum
+from typing import Final
+
+import msgspec
+from msgspec.structs import replace
 
 from loadbalancer.failover import recovery
-from loadbalancer.failover.evidence import State, Verdict
-from loadbalancer.failover.recovery import Return, Seen, Stage
+from loadbalancer.failover.health import SiteHealth, Verdict
+from loadbalancer.failover.recovery import MAX_FAILURES, Observation, Recovery, Stage
 
-STEPS = 20  # in which a site is emptied
-SERVICE_PART = 0.95  # of what was served when it began, below which a drain rests and a drill ends
-DRILL_S = 60.0  # that a drill leaves a site empty, unless told
-MOST_S = 86_400.0
+DRAIN_STEPS: Final = 20
+MAX_DRAIN_STEP: Final = 0.5  # of the usual load, however late the step is
+# Of what was served when it began, below which a drain pauses and a drill ends.
+MIN_SERVED_RATIO: Final = 0.95
+DEFAULT_DRILL_S: Final = 60.0  # that a drill leaves a site empty
+MAX_DURATION_S: Final = 86_400.0
+NOT_KNOWN: Final = -1.0  # in the store: a fraction that is not known yet
+PAUSED: Final = "rests"  # how the reason of a paused drain begins
+NO_OBSERVATION: Final = Observation(is_lost=False, answers=0, good_fraction=1.0)
 
 
-class Aim(Enum):
-    IN = "in"  # it gets what it can bear
-    OUT = "out"  # operators want it empty
-    DRILL = "drill"  # emptied, and brought back by itself
+class DesiredState(Enum):
+    """What operators want of a site, as it stands in the store."""
 
+    ACTIVE = "in"  # it gets what it can serve
+    DRAINED = "out"
+    DRILL = "drill"  # drained, and brought back by itself
 
-@dataclass(frozen=True, slots=True)
-class Course:
-    """`part`: of its usual load that a site gets; `apart`: it serves what comes in there and
-    nothing else, as the others don't reach it; `over_s`: in which it is emptied, `hold_s`: how long
-    a drill leaves it so; `before`: the part served when that began, under 0: not known; `count`
-    grows with each change.
+
+class SiteState(msgspec.Struct, frozen=True):
+    """State of one site, as it stands in the store.
+
+    Attributes:
+        fraction: Of its usual load that it gets.
+        is_partitioned: The others don't reach it: it serves what comes in there and nothing else.
+        failures: Stages of its recovery that failed.
+        has_failed: A failure is the last thing that happened to its recovery.
+        drain_s: In which it is drained.
+        hold_s: How long a drill leaves it empty.
+        served_before: Fraction of requests served when a drain began; NOT_KNOWN: not measured.
+        operator: Who wants it so.
+        version: Grows with each change.
     """
 
     site: str
-    aim: Aim = Aim.IN
+    desired: DesiredState = msgspec.field(default=DesiredState.ACTIVE, name="aim")
     stage: Stage = Stage.NORMAL
-    part: float = 1.0
-    apart: bool = False
-    fails: int = 0
-    fell: bool = False
-    over_s: float = 0.0
+    fraction: float = msgspec.field(default=1.0, name="part")
+    is_partitioned: bool = msgspec.field(default=False, name="apart")
+    failures: int = msgspec.field(default=0, name="fails")
+    has_failed: bool = msgspec.field(default=False, name="fell")
+    drain_s: float = msgspec.field(default=0.0, name="over_s")
     hold_s: float = 0.0
-    before: float = -1.0
-    by: str = ""
-    why: str = ""
-    count: int = 0
+    served_before: float = msgspec.field(default=NOT_KNOWN, name="before")
+    operator: str = msgspec.field(default="", name="by")
+    reason: str = msgspec.field(default="", name="why")
+    version: int = msgspec.field(default=0, name="count")
 
     @property
-    def well(self) -> bool:
-        """Nothing is special about it."""
-        return self.aim is Aim.IN and self.stage is Stage.NORMAL and not self.apart
+    def is_normal(self) -> bool:
+        """Nothing is special about the site."""
+        return (
+            self.desired is DesiredState.ACTIVE
+            and self.stage is Stage.NORMAL
+            and not self.is_partitioned
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """All that is seen at one time. `ages`: seconds for which each course has stood as it is, by
-    this owner's own clock; `served`: part of the fleet's requests served in time, under 0: too few
-    to tell; `blind`: why what is seen can't be gone by, empty: it can.
+class FleetView:
+    """Everything that is observed at one time.
+
+    Attributes:
+        ages_s: How long each state has stood, by this lease holder's own clock.
+        served: Fraction of the fleet's requests served in time; None: too few to tell.
+        blocked_reason: Why no step may be taken on these observations; empty: it may.
+        is_capacity_short: Recovery is urgent.
     """
 
     verdicts: Mapping[str, Verdict]
-    seen: Mapping[str, Seen]
-    ages: Mapping[str, float]
-    bears: Mapping[str, float]
-    served: float = -1.0
-    blind: str = ""
-    needed: bool = False
+    observations: Mapping[str, Observation]
+    ages_s: Mapping[str, float]
+    capacities: Mapping[str, float]
+    served: float | None = None
+    blocked_reason: str = ""
+    is_capacity_short: bool = False
 
 
-def ordered(course: Course, aim: Aim, by: str, over_s: float = 0.0, hold_s: float = 0.0) -> Course:
-    """An operator's word. Raises ValueError where it can't be."""
-    if not (0.0 <= over_s <= MOST_S and 0.0 <= hold_s <= MOST_S):
+def request_state(
+    state: SiteState,
+    desired: DesiredState,
+    operator: str,
+    drain_s: float = 0.0,
+    hold_s: float = 0.0,
+) -> SiteState:
+    """Return a site's state after an operator's request.
+
+    Raises:
+        ValueError: The request is not possible now.
+    """
+    if not (0.0 <= drain_s <= MAX_DURATION_S and 0.0 <= hold_s <= MAX_DURATION_S):
         raise ValueError("times are 0 s to a day")
-    if aim is Aim.DRILL and not course.well:
-        raise ValueError(f"{course.site} is not as usual: no drill begins now")
-    if aim is Aim.IN:
-        if course.aim is Aim.IN:
-            raise ValueError(f"{course.site} is not held, drained or drilled")
-        return _homeward(course, f"{by} lets it return")
-    return replace(
-        course,
-        aim=aim,
-        by=by,
-        over_s=over_s,
-        hold_s=hold_s or DRILL_S,
-        before=-1.0,
-        why=f"{by} {'drills' if aim is Aim.DRILL else 'empties'} it",
-        count=course.count + 1,
+    if desired is DesiredState.DRILL and not state.is_normal:
+        raise ValueError(f"{state.site} is not as usual: no drill begins now")
+    if desired is DesiredState.ACTIVE:
+        if state.desired is DesiredState.ACTIVE:
+            raise ValueError(f"{state.site} is not held, drained or drilled")
+        return _begin_recovery(state, f"{operator} lets it return")
+    return _changed(
+        state,
+        desired=desired,
+        operator=operator,
+        drain_s=drain_s,
+        hold_s=hold_s or DEFAULT_DRILL_S,
+        served_before=NOT_KNOWN,
+        reason=f"{operator} {'drills' if desired is DesiredState.DRILL else 'empties'} it",
     )
 
 
-def _homeward(course: Course, why: str) -> Course:
-    """From wherever it stands, up again by what it is seen to bear."""
-    stage = Stage.PROBES if course.part <= 0 else Stage.SHARES
-    return replace(
-        course, aim=Aim.IN, stage=stage, before=-1.0, why=why, by="", count=course.count + 1
+def _changed(state: SiteState, **changes: object) -> SiteState:
+    return replace(state, version=state.version + 1, **changes)
+
+
+def _begin_recovery(state: SiteState, reason: str) -> SiteState:
+    """Let a site rise again from wherever it stands."""
+    return _changed(
+        state,
+        desired=DesiredState.ACTIVE,
+        stage=Stage.HEALTH_CHECKS if state.fraction <= 0 else Stage.SHARES,
+        served_before=NOT_KNOWN,
+        reason=reason,
+        operator="",
     )
 
 
-def advance(courses: Iterable[Course], view: View) -> tuple[Course, ...]:
-    """The courses as they are next; the same ones where there is nothing to do."""
-    courses = tuple(courses)
-    if view.blind:
-        return courses
-    returning = [
-        Return(c.site, c.stage, c.part, c.fails, c.fell) for c in courses if c.aim is Aim.IN
-    ]
-    rises = recovery.rises(returning, view.bears)
-    return tuple(_next(c, view, rises.get(c.site, 1.0)) for c in courses)
+def advance(states: Iterable[SiteState], view: FleetView) -> tuple[SiteState, ...]:
+    """Return the states as they are next; the same ones where there is nothing to do."""
+    current = tuple(states)
+    if view.blocked_reason:
+        return current
+    recoveries = [_recovery_of(state) for state in current if state.desired is DesiredState.ACTIVE]
+    rises = recovery.allowed_rises(recoveries, view.capacities)
+    return tuple(_next(state, view, rises.get(state.site, 1.0)) for state in current)
+
+
+def _recovery_of(state: SiteState) -> Recovery:
+    return Recovery(state.site, state.stage, state.fraction, state.failures, state.has_failed)
 
 
-def _next(c: Course, view: View, most: float) -> Course:
-    verdict = view.verdicts.get(c.site)
-    age = view.ages.get(c.site, 0.0)
+def _next(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
+    verdict = view.verdicts.get(state.site)
     if verdict is None:
-        return c
-    lost, cut = verdict.state is State.LOST, verdict.state is State.CUT
-    # One that is out and answers its own balancers only is on its way back: not yet a site to
-    # itself.
-    if cut is not c.apart and not lost and (c.apart or c.part > 0):
-        if cut:
-            return replace(c, apart=True, why=verdict.why, count=c.count + 1)
-        if c.aim is not Aim.IN or c.part <= 0:
-            return replace(c, apart=False, why="it is reached again", count=c.count + 1)
-        # Its boxes went on serving what came in there: they are warm, and take the rest in shares.
-        return replace(
-            c,
-            apart=False,
-            stage=Stage.SHARES,
-            part=min(c.part, 1.0 / recovery.RISE),
-            why="it is reached again",
-            count=c.count + 1,
-        )
-    if lost and (c.part > 0 or c.stage is not Stage.OUT or c.apart):
-        # What failed on its way back counts; a site that was well is lost for the first time.
-        fails = min(16, c.fails + (c.stage not in (Stage.NORMAL, Stage.OUT)))
-        return replace(
-            c,
-            stage=Stage.OUT,
-            part=0.0,
-            apart=False,
-            fails=fails,
-            why=verdict.why,
-            count=c.count + 1,
-        )
-    if lost or cut:
-        return c
-    if c.aim is not Aim.IN:
-        return _emptied(c, view, age)
-    if c.stage is Stage.NORMAL:
-        return c
-    seen = view.seen.get(c.site, Seen(False, 0, 1.0))
-    now = Return(c.site, c.stage, c.part, c.fails, c.fell)
-    then = recovery.step(now, seen, age, most, view.needed)
-    if then == now:
-        return c
-    said = (
-        f"{then.stage.value} at {then.share:.0%}: {seen.answers} answers, {seen.good:.0%} in time"
+        return state
+    is_lost = verdict.health is SiteHealth.LOST
+    is_partitioned = verdict.health is SiteHealth.PARTITIONED
+    # A site that is out and answers its own balancers only is on its way back: it is not yet
+    # treated as partitioned.
+    if (
+        is_partitioned is not state.is_partitioned
+        and not is_lost
+        and (state.is_partitioned or state.fraction > 0)
+    ):
+        if is_partitioned:
+            return _changed(state, is_partitioned=True, reason=verdict.reason)
+        return _rejoin(state)
+    if is_lost:
+        return _lose(state, verdict)
+    return state if is_partitioned else _next_present(state, view, max_rise)
+
+
+def _next_present(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
+    if state.desired is not DesiredState.ACTIVE:
+        return _drain(state, view)
+    if state.stage is Stage.NORMAL:
+        return state
+    return _recover(state, view, max_rise)
+
+
+def _rejoin(state: SiteState) -> SiteState:
+    """End a partition."""
+    reason = "it is reached again"
+    if state.desired is not DesiredState.ACTIVE or state.fraction <= 0:
+        return _changed(state, is_partitioned=False, reason=reason)
+    # Its upstreams went on serving what came in there: they are warmed up, and take the rest in
+    # shares.
+    return _changed(
+        state,
+        is_partitioned=False,
+        stage=Stage.SHARES,
+        fraction=min(state.fraction, 1.0 / recovery.RISE_FACTOR),
+        reason=reason,
     )
-    return replace(
-        c,
-        stage=then.stage,
-        part=then.share,
-        fails=then.fails,
-        fell=then.fell,
-        why=said,
-        count=c.count + 1,
+
+
+def _lose(state: SiteState, verdict: Verdict) -> SiteState:
+    if state.fraction <= 0 and state.stage is Stage.OUT and not state.is_partitioned:
+        return state
+    # What failed during its recovery counts; a normal site is lost for the first time.
+    was_recovering = state.stage not in (Stage.NORMAL, Stage.OUT)
+    return _changed(
+        state,
+        stage=Stage.OUT,
+        fraction=0.0,
+        is_partitioned=False,
+        failures=min(MAX_FAILURES, state.failures + was_recovering),
+        reason=verdict.reason,
     )
 
 
-def _emptied(c: Course, view: View, age: float) -> Course:
-    """One step of a drain or a drill, if it is time for one."""
-    if c.before < 0 and view.served >= 0:
-        return replace(c, before=view.served, count=c.count + 1)
-    falls = c.before >= 0 and 0 <= view.served < SERVICE_PART * c.before
-    if falls and c.aim is Aim.DRILL:
-        return _homeward(
-            c, f"the drill ended itself: {view.served:.1%} are served, {c.before:.1%} were"
-        )
-    if c.part > 0:
-        if falls:
-            why = f"rests: {view.served:.1%} are served, {c.before:.1%} were when it began"
-            return c if c.why.startswith("rests") else replace(c, why=why, count=c.count + 1)
-        if age < c.over_s / STEPS:
-            return c
-        # A look may come later than a step is due: by then it is a larger one, but never by half.
-        step = min(0.5, max(1.0 / STEPS, age / c.over_s)) if c.over_s else 1.0
-        part = max(0.0, round(c.part - step, 6))
-        return replace(
-            c,
-            part=part,
-            stage=c.stage if part else Stage.OUT,
-            why="is empty" if not part else f"gets {part:.0%}",
-            count=c.count + 1,
-        )
-    if c.aim is Aim.DRILL and age >= c.hold_s:
-        return _homeward(c, "the drill is over")
-    return c
+def _recover(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
+    """Take one step of the recovery, if it is time for one."""
+    observed = view.observations.get(state.site, NO_OBSERVATION)
+    before = _recovery_of(state)
+    age_s = view.ages_s.get(state.site, 0.0)
+    after = recovery.step(before, observed, age_s, max_rise, view.is_capacity_short)
+    if after == before:
+        return state
+    return _changed(
+        state,
+        stage=after.stage,
+        fraction=after.fraction,
+        failures=after.failures,
+        has_failed=after.has_failed,
+        reason=(
+            f"{after.stage.value} at {after.fraction:.0%}: {observed.answers} answers,"
+            f" {observed.good_fraction:.0%} in time"
+        ),
+    )
 
 
-def parts(courses: Iterable[Course]) -> dict[str, float]:
-    """Of each site that is not as usual, the part of its usual load that it gets from the
-    others.
-    """
-    return {c.site: 0.0 if c.apart else c.part for c in courses if not c.well}
+def _drain(state: SiteState, view: FleetView) -> SiteState:
+    """Take one step of a drain or a drill, if it is time for one."""
+    age_s = view.ages_s.get(state.site, 0.0)
+    if state.served_before < 0 and view.served is not None:
+        return _changed(state, served_before=view.served)
+    if (
+        view.served is not None
+        and state.served_before >= 0
+        and view.served < MIN_SERVED_RATIO * state.served_before
+    ):
+        if state.desired is DesiredState.DRILL:
+            return _begin_recovery(
+                state,
+                f"the drill ended itself: {view.served:.1%} are served,"
+                f" {state.served_before:.1%} were",
+            )
+        if state.fraction > 0:
+            return _pause_drain(state, view.served)
+    if state.fraction > 0:
+        return _drain_step(state, age_s)
+    if state.desired is DesiredState.DRILL and age_s >= state.hold_s:
+        return _begin_recovery(state, "the drill is over")
+    return state
+
+
+def _pause_drain(state: SiteState, served: float) -> SiteState:
+    if state.reason.startswith(PAUSED):
+        return state
+    return _changed(
+        state,
+        reason=f"{PAUSED}: {served:.1%} are served, {state.served_before:.1%} were when it began",
+    )
+
+
+def _drain_step(state: SiteState, age_s: float) -> SiteState:
+    if age_s < state.drain_s / DRAIN_STEPS:
+        return state
+    step = 1.0
+    if state.drain_s:
+        # A step may come late: by then it is a larger one, but never above a half.
+        step = min(MAX_DRAIN_STEP, max(1.0 / DRAIN_STEPS, age_s / state.drain_s))
+    fraction = max(0.0, round(state.fraction - step, 6))
+    return _changed(
+        state,
+        fraction=fraction,
+        stage=state.stage if fraction else Stage.OUT,
+        reason=f"gets {fraction:.0%}" if fraction else "is empty",
+    )
+
+
+def load_fractions(states: Iterable[SiteState]) -> dict[str, float]:
+    """Return the fraction of its usual load that each site gets which is not normal."""
+    return {
+        state.site: 0.0 if state.is_partitioned else state.fraction
+        for state in states
+        if not state.is_normal
+    }
--- a/loadbalancer/failover/traffic_shares.py
+++ b/loadbalancer/failover/traffic_shares.py
@@ -1,253 +1,325 @@
-"""What follows from the courses for each balancer: which sites' boxes it may use and how much, what
-it refuses, and which cold boxes are its to warm. Pure.
+"""Traffic shares: what the states of the sites mean for each balancer. Pure.
+
+They say which sites' upstreams a balancer may use and how much, what it refuses, and which cold
+upstreams it warms up.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, replace
+from typing import Final
+
+import msgspec
 
 from loadbalancer.failover import recovery
-from loadbalancer.failover.plan import (
-    COPIES,
+from loadbalancer.failover.fleet_model import (
     EPSILON,
     EXCESS,
+    HEDGES,
     RETRIES,
-    Admission,
     Fleet,
-    Kind,
-    Ladder,
     Load,
-    Place,
+    SiteCapacity,
+    WorkClass,
+)
+from loadbalancer.failover.plan import MAX_UTILISATION, FailoverPlan, plan_for_loss
+from loadbalancer.failover.recovery import RISE_FACTOR, STEP_S, Stage
+from loadbalancer.failover.shedding import (
+    RetryWindow,
+    RetryWindowLimits,
+    Shedding,
+    SheddingController,
     admitted,
-    back_window,
-    table,
+    retry_window,
 )
-from loadbalancer.failover.recovery import RISE, STEP_S, Stage
-from loadbalancer.failover.site_reports import Told
-from loadbalancer.failover.site_state import Course, parts
+from loadbalancer.failover.site_reports import ReceivedReport
+from loadbalancer.failover.site_state import SiteState, load_fractions
 
-SEEN_LEAST = (
-    0.15  # of its draws that a site keeps which has room: balancers correct by what they see
-)
-LEAST_SHARE = 1.0  # a second, of a tenant at a balancer
-SPARE = 0.05  # of what is borne, that is thought to be left for those who come back
-FIRST_NS, ROOM_MOST_NS = 250_000_000, 60_000_000_000
+# Of its draws that a site keeps which has capacity: balancers correct by what they observe.
+MIN_DRAW_FRACTION: Final = 0.15
+FULL_DRAW_FRACTION: Final = 0.999  # from which a site need not be named
+MIN_QUOTA: Final = 1.0  # requests a second, of a tenant at a balancer
+SPARE_FRACTION: Final = 0.05  # of the capacity, assumed to be left for retries
+RETRY_LIMITS: Final = RetryWindowLimits(min_ns=250_000_000, max_ns=60_000_000_000)
+MAX_STEPS: Final = 40
+SECOND_NS: Final = 1e9
+NO_RETRY_WINDOW: Final = RetryWindow(0, 0)
 
 
-@dataclass(frozen=True, slots=True)
-class Orders:
-    """For all balancers; `zones` by the site where one stands, `shares` and `cold` by its name.
-    `cooling`: the boxes that are dealt out; who is given nothing of one sends it nothing.
+class TrafficShares(msgspec.Struct, frozen=True):
+    """What all balancers do, as it stands in the store.
+
+    Attributes:
+        zones: By the site where a balancer stands, the fraction of each site's draws that it uses.
+        excess: Fraction refused of what is beyond a tenant's quota.
+        retries: Fraction refused of clients' retries.
+        allows_hedging: Hedged requests may be sent.
+        classes: By class, the fraction that is refused.
+        retry_window_ns: From when to when the refused shall retry.
+        quotas: By balancer, each tenant's quota there in requests a second.
+        slow_start: By balancer, the requests a second that it may send to each cold upstream.
+        slow_start_upstreams: All that are assigned; who is given nothing of one sends it nothing.
     """
 
-    zones: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
+    zones: Mapping[str, Mapping[str, float]] = msgspec.field(default_factory=dict)
     excess: float = 0.0
-    repeats: float = 0.0
-    copies: bool = True
-    classes: Mapping[str, float] = field(default_factory=dict)
-    back_ns: tuple[int, int] = (0, 0)
-    shares: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
-    cold: Mapping[str, Mapping[int, float]] = field(default_factory=dict)
-    cooling: tuple[int, ...] = ()
+    retries: float = msgspec.field(default=0.0, name="repeats")
+    allows_hedging: bool = msgspec.field(default=True, name="copies")
+    classes: Mapping[str, float] = msgspec.field(default_factory=dict)
+    retry_window_ns: tuple[int, int] = msgspec.field(default=(0, 0), name="back_ns")
+    quotas: Mapping[str, Mapping[str, float]] = msgspec.field(default_factory=dict, name="shares")
+    slow_start: Mapping[str, Mapping[int, float]] = msgspec.field(default_factory=dict, name="cold")
+    slow_start_upstreams: tuple[int, ...] = msgspec.field(default=(), name="cooling")
+
+
+@dataclass(frozen=True, slots=True)
+class BalancerInputs:
+    """What shares of single balancers are made of.
+
+    Attributes:
+        reports: By balancer.
+        slow_start_rates: Cold upstreams of recovering sites, and the requests a second that each
+            can serve from all balancers together.
+    """
+
+    reports: Mapping[str, ReceivedReport]
+    slow_start_rates: Mapping[int, float]
+
+
+@dataclass(slots=True)
+class _RateSum:
+    """Rates of a site, class and tenant."""
+
+    rate: float = 0.0
+    retry_rate: float = 0.0
 
 
 def fleet_of(
-    places: Iterable[Place],
-    worths: Mapping[str, float],
-    shares: Mapping[str, float],
-    rows: Mapping[str, Told],
+    sites: Iterable[SiteCapacity],
+    class_values: Mapping[str, float],
+    quotas: Mapping[str, float],
+    reports: Mapping[str, ReceivedReport],
 ) -> Fleet:
-    """What the rows that are fresh add up to. Work is against the mean of the usual mix, so that
-    what a place `bears` is in requests a second. `shares`: by tenant, what is its, requests a
-    second over all; 0: not told.
+    """Return the fleet that the fresh reports add up to.
+
+    Work is relative to the mean of the usual mix: a site's capacity is in requests a second.
+
+    Args:
+        sites: All of them.
+        class_values: By class, the value of a request answered in time.
+        quotas: By tenant, the requests a second of all balancers together; 0: not known.
+        reports: By balancer.
     """
-    sums: dict[tuple[str, str, str], list[float]] = {}
-    works: dict[str, list[float]] = {}
-    rates: dict[str, float] = {}
-    tenants: dict[str, float] = {}
-    for told in rows.values():
-        if not told.fresh:
+    sums: dict[tuple[str, str, str], _RateSum] = {}
+    class_rates: dict[str, float] = {}
+    tenant_rates: dict[str, float] = {}
+    for received in reports.values():
+        if not received.is_fresh:
             continue
-        for kind, tenant, rate, repeats in told.row.loads:
-            if kind in worths:
-                row = sums.setdefault((told.row.site, kind, tenant), [0.0, 0.0])
-                row[0] += rate
-                row[1] += rate * repeats
-                rates[kind] = rates.get(kind, 0.0) + rate
-                tenants[tenant] = tenants.get(tenant, 0.0) + rate
-        for kind, seconds in told.row.work:
-            if kind in worths and seconds > 0:
-                works.setdefault(kind, []).append(seconds)
-    work = {kind: sorted(seen)[len(seen) // 2] for kind, seen in works.items()}
-    usual = sum(work.values()) / len(work) if work else 1.0
-    whole = sum(rates.values())
-    mean = sum(rate * work.get(k, usual) for k, rate in rates.items()) / whole if whole else usual
-    kinds = {
-        k: Kind(k, worth, work.get(k, usual) / max(EPSILON, mean)) for k, worth in worths.items()
-    }
-    beyond = {
-        t: max(0.0, 1.0 - shares[t] / rate) if shares.get(t) and rate > 0 else 0.0
-        for t, rate in tenants.items()
+        for name, tenant, rate, retry_fraction in received.report.loads:
+            if name in class_values:
+                rates = sums.setdefault((received.report.site, name, tenant), _RateSum())
+                rates.rate += rate
+                rates.retry_rate += rate * retry_fraction
+                class_rates[name] = class_rates.get(name, 0.0) + rate
+                tenant_rates[tenant] = tenant_rates.get(tenant, 0.0) + rate
+    excess = {
+        tenant: max(0.0, 1.0 - quotas[tenant] / rate) if quotas.get(tenant) and rate > 0 else 0.0
+        for tenant, rate in tenant_rates.items()
     }
     loads = tuple(
-        Load(site, kind, tenant, row[0], beyond[tenant], row[1] / row[0])
-        for (site, kind, tenant), row in sorted(sums.items())
-        if row[0] > EPSILON
+        Load(site, name, tenant, rates.rate, excess[tenant], rates.retry_rate / rates.rate)
+        for (site, name, tenant), rates in sorted(sums.items())
+        if rates.rate > EPSILON
     )
-    return Fleet({p.name: p for p in places}, kinds, loads, shares)
+    classes = _work_classes(class_values, class_rates, reports)
+    return Fleet({site.name: site for site in sites}, classes, loads, quotas)
 
 
-def shrunk(fleet: Fleet, left: Mapping[str, float]) -> Fleet:
-    """With what its sites bear now: a part of the usual for those that are lost, emptied or coming
-    back.
-    """
+def _work_classes(
+    class_values: Mapping[str, float],
+    class_rates: Mapping[str, float],
+    reports: Mapping[str, ReceivedReport],
+) -> dict[str, WorkClass]:
+    """Return the classes with their work: the reports' median, against the mean of the mix."""
+    samples: dict[str, list[float]] = {}
+    for received in reports.values():
+        if not received.is_fresh:
+            continue
+        for name, seconds in received.report.work:
+            if name in class_values and seconds > 0:
+                samples.setdefault(name, []).append(seconds)
+    work = {name: sorted(seconds)[len(seconds) // 2] for name, seconds in samples.items()}
+    usual = sum(work.values()) / len(work) if work else 1.0
+    total_rate = sum(class_rates.values())
+    mean = usual
+    if total_rate:
+        mean = sum(rate * work.get(name, usual) for name, rate in class_rates.items()) / total_rate
+    return {
+        name: WorkClass(name, value, work.get(name, usual) / max(EPSILON, mean))
+        for name, value in class_values.items()
+    }
+
+
+def scaled_capacities(fleet: Fleet, factors: Mapping[str, float]) -> Fleet:
+    """Return the fleet with each site's capacity times a factor; 1 where none is named."""
     return replace(
         fleet,
-        places={n: replace(p, bears=p.bears * left.get(n, 1.0)) for n, p in fleet.places.items()},
+        sites={
+            name: replace(site, capacity=site.capacity * factors.get(name, 1.0))
+            for name, site in fleet.sites.items()
+        },
     )
 
 
-def orders(
+def compute_shares(
     fleet: Fleet,
-    courses: Sequence[Course],
-    ladder: Ladder,
-    rows: Mapping[str, Told],
-    cold: Mapping[int, float],
+    states: Sequence[SiteState],
+    controller: SheddingController,
+    inputs: BalancerInputs,
     now: int,
-) -> Orders:
-    """`cold`: cold boxes of sites that come back, and requests a second that each bears from all
-    together.
-    """
-    left = parts(courses)
-    if not left:
-        ladder.at = Admission()
-        return Orders()
-    apart = {c.site for c in courses if c.apart}
-    joined = shrunk(
-        replace(fleet, places={n: p for n, p in fleet.places.items() if n not in apart}), left
-    )
-    gone = [n for n in joined.places if left.get(n, 1.0) <= 0.0]
-    loads = tuple(
-        load for load in fleet.loads if load.site not in apart and load.site in joined.places
-    )
-    joined = replace(joined, loads=loads)
-    found = table(joined, gone) if len(gone) < len(joined.places) else None
-    # The ladder has a memory: up at once, down with care.
-    bears = sum(p.bears for n, p in joined.places.items() if n not in gone)
-    admission = ladder.update(joined, loads, 0.9 * bears, now)
-    zones: dict[str, dict[str, float]] = {}
-    for here in fleet.places:
-        if here in apart:
-            zones[here] = {n: 0.0 for n in fleet.places if n != here}
-            continue
-        zones[here] = {n: 0.0 for n in apart} | {n: left[n] for n in gone}
-        if found is not None:
-            zones[here] |= _draws(joined, here, found.shares.get(here, {}), gone, left)
-    refused = {k: admission.refused(fleet.rung_of[k]) for k in fleet.kinds}
-    return Orders(
-        zones,
-        admission.refused(EXCESS),
-        admission.refused(RETRIES),
-        not admission.refused(COPIES),
-        {k: part for k, part in refused.items() if part > 0},
-        _back(joined, loads, admission, bears, courses),
-        quotas(rows, joined) if admission.rung else {},
-        _dealt(cold, rows, apart),
-        tuple(sorted(cold)),
+) -> TrafficShares:
+    """Return what all balancers do, by the sites' states."""
+    fractions = load_fractions(states)
+    if not fractions:
+        controller.current = Shedding()
+        return TrafficShares()
+    partitioned = {state.site for state in states if state.is_partitioned}
+    connected = _without(fleet, partitioned, fractions)
+    gone = [name for name in connected.sites if fractions.get(name, 1.0) <= 0.0]
+    plan = plan_for_loss(connected, gone) if len(gone) < len(connected.sites) else None
+    capacity = sum(site.capacity for name, site in connected.sites.items() if name not in gone)
+    # The controller has a memory: it rises at once and falls slowly.
+    shedding = controller.update(connected, connected.loads, MAX_UTILISATION * capacity, now)
+    refused = {name: shedding.shed_fraction(fleet.level_of[name]) for name in fleet.classes}
+    zones = {}
+    for here in fleet.sites:
+        if here in partitioned:
+            zones[here] = {name: 0.0 for name in fleet.sites if name != here}
+        else:
+            closed = dict.fromkeys(partitioned, 0.0) | {name: fractions[name] for name in gone}
+            zones[here] = closed | _draw_fractions(connected, here, plan, fractions)
+    return TrafficShares(
+        zones=zones,
+        excess=shedding.shed_fraction(EXCESS),
+        retries=shedding.shed_fraction(RETRIES),
+        allows_hedging=not shedding.shed_fraction(HEDGES),
+        classes={name: fraction for name, fraction in refused.items() if fraction > 0},
+        retry_window_ns=_retry_window(connected, shedding, capacity, states),
+        quotas=quotas_by_balancer(inputs.reports, connected) if shedding.level else {},
+        slow_start=_assign_slow_start(inputs, partitioned),
+        slow_start_upstreams=tuple(sorted(inputs.slow_start_rates)),
     )
 
 
-def _draws(
-    fleet: Fleet,
-    here: str,
-    shares: Mapping[str, float],
-    gone: Sequence[str],
-    left: Mapping[str, float],
+def _without(fleet: Fleet, partitioned: set[str], fractions: Mapping[str, float]) -> Fleet:
+    """Return the fleet without partitioned sites, and with the capacities that are left."""
+    sites = {name: site for name, site in fleet.sites.items() if name not in partitioned}
+    connected = scaled_capacities(replace(fleet, sites=sites), fractions)
+    return replace(connected, loads=tuple(load for load in fleet.loads if load.site in sites))
+
+
+def _draw_fractions(
+    fleet: Fleet, here: str, plan: FailoverPlan | None, fractions: Mapping[str, float]
 ) -> dict[str, float]:
-    """By which part the draws at each site's boxes are used. Where distance is dear they go as the
-    table says: boxes are drawn alike, so a site that is to get less for what it bears gets a part
-    of its draws. Where it is cheap they stay as they are: who may choose among all boxes finds the
-    idle ones.
+    """Return the fraction of the draws of each remaining site's upstreams that a site uses.
+
+    Where distance is costly they follow the plan: upstreams are drawn alike, so a site that is to
+    get less for its capacity gets a fraction of its draws. Where it is cheap they stay as they are:
+    a balancer that may choose among all upstreams finds the idle ones.
     """
-    each = {
-        n: shares.get(n, 0.0) / max(EPSILON, p.bears)
-        for n, p in fleet.places.items()
-        if n not in gone and p.bears > EPSILON
+    if plan is None:
+        return {}
+    shares = plan.shares.get(here, {})
+    per_capacity = {
+        name: shares.get(name, 0.0) / max(EPSILON, site.capacity)
+        for name, site in fleet.sites.items()
+        if fractions.get(name, 1.0) > 0.0 and site.capacity > EPSILON
     }
-    most = max(each.values(), default=0.0)
-    found = {}
-    for name, share in each.items():
-        dear = min(1.0, fleet.places[name].prices.get(here, 0.0))
-        part = 1.0 - dear * (1.0 - max(SEEN_LEAST, share / most)) if most > 0 else 1.0
-        # One that comes back gets no more than its part, whatever the table has room for.
-        part = min(part, left[name]) if name in left else part
-        if part < 0.999:
-            found[name] = round(part, 4)
-    return found
-
-
-def _back(
-    fleet: Fleet,
-    loads: Sequence[Load],
-    admission: Admission,
-    bears: float,
-    courses: Sequence[Course],
-) -> tuple[int, int]:
-    """From when to when the refused shall try again."""
-    if not admission.rung:
-        return 0, 0
-    asked = sum(load.rate for load in loads)
-    refused = asked - sum(admitted(fleet, load, admission) for load in loads)
-    # When is there room? Where a site comes back, once it has risen; else by what is spare each
-    # second.
-    rounds = [_rounds(c.part) for c in courses if c.stage in (Stage.TRICKLE, Stage.SHARES)]
-    room = int(min(rounds, default=0.0) * STEP_S * 1e9)
-    return back_window(refused, SPARE * bears, room, FIRST_NS, ROOM_MOST_NS)
-
-
-def _rounds(part: float) -> float:
-    """Steps until a share is whole."""
+    most = max(per_capacity.values(), default=0.0)
+    draws = {}
+    for name, share in per_capacity.items():
+        draw = 1.0
+        if most > 0:
+            cost = min(1.0, fleet.sites[name].costs.get(here, 0.0))
+            draw = 1.0 - cost * (1.0 - max(MIN_DRAW_FRACTION, share / most))
+        # A recovering site gets no more than its fraction, whatever the plan has capacity for.
+        draw = min(draw, fractions.get(name, draw))
+        if draw < FULL_DRAW_FRACTION:
+            draws[name] = round(draw, 4)
+    return draws
+
+
+def _retry_window(
+    fleet: Fleet, shedding: Shedding, capacity: float, states: Sequence[SiteState]
+) -> RetryWindow:
+    """Return when the refused shall retry."""
+    if not shedding.level:
+        return NO_RETRY_WINDOW
+    demanded = sum(load.rate for load in fleet.loads)
+    refused = demanded - sum(admitted(fleet, load, shedding) for load in fleet.loads)
+    # There is capacity again once a recovering site has risen; else what is spare each second.
+    steps = [
+        _steps_to_normal(state.fraction)
+        for state in states
+        if state.stage in (Stage.TRICKLE, Stage.SHARES)
+    ]
+    capacity_in_ns = int(min(steps, default=0.0) * STEP_S * SECOND_NS)
+    return retry_window(refused, SPARE_FRACTION * capacity, capacity_in_ns, RETRY_LIMITS)
+
+
+def _steps_to_normal(fraction: float) -> float:
     steps = 0.0
-    while 0 < part < 1 and steps < 40:
-        part, steps = part * RISE, steps + 1
+    while 0 < fraction < 1 and steps < MAX_STEPS:
+        fraction *= RISE_FACTOR
+        steps += 1
     return steps
 
 
-def quotas(rows: Mapping[str, Told], fleet: Fleet) -> dict[str, dict[str, float]]:
-    """Each balancer's part of each tenant's share, requests a second, by its part of that tenant's
-    traffic. Who asks less than its share gets more here than it asks: chance alone must not make it
-    seem beyond.
+def quotas_by_balancer(
+    reports: Mapping[str, ReceivedReport], fleet: Fleet
+) -> dict[str, dict[str, float]]:
+    """Return each balancer's part of each tenant's quota, in requests a second.
+
+    It is by the balancer's part of that tenant's traffic. A tenant below its quota gets more here
+    than it uses: chance alone must not make it seem beyond.
     """
-    asked: dict[str, float] = {}
-    mine: dict[str, dict[str, float]] = {name: {} for name in rows}
-    for name, told in rows.items():
-        for _, tenant, rate, _ in told.row.loads:
-            asked[tenant] = asked.get(tenant, 0.0) + rate
-            mine[name][tenant] = mine[name].get(tenant, 0.0) + rate
+    totals: dict[str, float] = {}
+    rates: dict[str, dict[str, float]] = {name: {} for name in reports}
+    for name, received in reports.items():
+        for load in received.report.loads:
+            tenant = load.tenant
+            totals[tenant] = totals.get(tenant, 0.0) + load.rate
+            rates[name][tenant] = rates[name].get(tenant, 0.0) + load.rate
     return {
         name: {
-            t: round(max(LEAST_SHARE, fleet.quotas[t] * rate / asked[t]), 3)
-            for t, rate in sorted(found.items())
-            if fleet.quotas.get(t, 0.0) > 0 and asked[t] > 0
+            tenant: round(max(MIN_QUOTA, fleet.quotas[tenant] * rate / totals[tenant]), 3)
+            for tenant, rate in sorted(own_rates.items())
+            if fleet.quotas.get(tenant, 0.0) > 0 and totals[tenant] > 0
         }
-        for name, found in mine.items()
+        for name, own_rates in rates.items()
     }
 
 
-def _dealt(
-    cold: Mapping[int, float], rows: Mapping[str, Told], apart: Iterable[str]
+def _assign_slow_start(
+    inputs: BalancerInputs, partitioned: set[str]
 ) -> dict[str, dict[int, float]]:
-    """Who warms which cold box."""
-    if not cold:
+    """Return which balancer warms up which cold upstream."""
+    rates = inputs.slow_start_rates
+    if not rates:
         return {}
-    out = set(apart)
-    able = {n: t for n, t in rows.items() if t.fresh and not t.row.alone and t.row.site not in out}
-    traffic = {n: sum(load[2] for load in t.row.loads) for n, t in able.items()}
-    dealt = recovery.deal(
-        sorted(cold), sorted(able), cold, traffic if any(traffic.values()) else None
-    )
+    able = {
+        name: received.report
+        for name, received in inputs.reports.items()
+        if received.is_fresh
+        and not received.report.is_isolated
+        and received.report.site not in partitioned
+    }
+    traffic = {name: sum(load.rate for load in report.loads) for name, report in able.items()}
+    weights = traffic if any(traffic.values()) else None
+    assigned = recovery.assign_slow_start(sorted(rates), sorted(able), rates, weights)
     return {
-        name: {box: round(rate, 4) for box, rate in sorted(mine.items())}
-        for name, mine in dealt.items()
+        name: {upstream: round(rate, 4) for upstream, rate in sorted(own.items())}
+        for name, own in assigned.items()
     }
