--- a/loadbalancer/testbed/sites/fleet.py
+++ b/loadbalancer/testbed/sites/fleet.py
@@ -10,13 +10,14 @@
 import random
 from collections import Counter
 
-from loadbalancer.failover.controller import ColdBox, Look, Planner, Rules
-from loadbalancer.failover.evidence import Said
-from loadbalancer.failover.observer import Member, Turn
-from loadbalancer.failover.plan import Place
-from loadbalancer.failover.site_reports import Row, Told
-from loadbalancer.failover.site_state import Aim, Course
-from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.failover.controller import FailoverController, FleetSnapshot, StartingUpstream
+from loadbalancer.failover.fleet_model import SiteCapacity
+from loadbalancer.failover.health import PeerReport
+from loadbalancer.failover.observer import SiteObserver, Update
+from loadbalancer.failover.recovery import SlowStartRules
+from loadbalancer.failover.site_reports import ReceivedReport, SiteReport
+from loadbalancer.failover.site_state import DesiredState, SiteState
+from loadbalancer.failover.traffic_shares import TrafficShares
 from loadbalancer.policy import api
 
 SECOND = 1_000_000_000
@@ -45,42 +46,42 @@
         self.taken = taken
         self.settings = settings
         self.members = {
-            n: Member(site, f"{n:04d}", len(sites), rng, now) for n, site in sites.items()
+            n: SiteObserver(site, f"{n:04d}", len(sites), rng, now) for n, site in sites.items()
         }
         for m in self.members.values():
-            m.evidence.listed(boxes, now)
+            m.evidence.update_upstreams(boxes, now)
         self.told: dict[
-            int, tuple[Row, int]
+            int, tuple[SiteReport, int]
         ] = {}  # rows as they stand in the store, and since when
         self.places = {
-            n: Place(n, b, 0.1, {o: PRICE for o in bears if o != n})
+            n: SiteCapacity(n, b, 0.1, {o: PRICE for o in bears if o != n})
             for n, b in sorted(bears.items())
         }
-        self.courses = tuple(Course(n) for n in self.places)
+        self.states = tuple(SiteState(n) for n in self.places)
         rules = settings.rules
-        self.rules = Rules(
+        self.rules = SlowStartRules(
             rules.slow_start_ns / 1e9, rules.slow_start_capacity, rules.overload_multiple
         )
-        self.planner = Planner(self.rules, now)
+        self.controller = FailoverController(self.rules, now)
         self.owner_site = min(self.places)
         self.rests_ns = now + SECOND
         self.cold: dict[int, int] = {}  # upstream: when it started
         self.log: list[tuple[int, str]] = []
 
-    def tick(self, number: int, now: int, reaches: bool) -> Turn:
+    def tick(self, number: int, now: int, reaches: bool) -> Update:
         """One balancer's turn. `reaches`: it has the store."""
         m = self.members[number]
-        turn = m.turn(now, reaches)
-        if reaches and m.row_due(now):
-            row = m.row(self.taken, now)
+        turn = m.update(now, reaches)
+        if reaches and m.is_report_due(now):
+            row = m.take_report(self.taken, now)
             self.told[number] = row, now
-            said = Said(row.site, frozenset(row.answers), frozenset(row.silent))
+            said = PeerReport(row.site, frozenset(row.answering), frozenset(row.silent))
             for other in self.members.values():
-                if other is not m and not row.alone:
-                    other.evidence.said[m.name] = said, now + COMMIT_NS
+                if other is not m and not row.is_isolated:
+                    other.evidence.peer_reports[m.name] = said, now + COMMIT_NS
         return turn
 
-    def owner(self, now: int, speaks: set[str]) -> Orders | None:
+    def owner(self, now: int, speaks: set[str]) -> TrafficShares | None:
         """One look and one step, where somebody owns the work. `speaks`: sites that have the
         store.
         """
@@ -88,20 +89,22 @@
             if not speaks:
                 return None
             self.owner_site, self.rests_ns = min(speaks), now + TAKES_OVER_NS
-            self.planner = Planner(self.rules, now)
+            self.controller = FailoverController(self.rules, now)
         if now < self.rests_ns:
             return None
         rows = {
-            self.members[n].name: Told(row, (now - at) / SECOND, row.site in speaks)
+            self.members[n].name: ReceivedReport(row, (now - at) / SECOND, row.site in speaks)
             for n, (row, at) in self.told.items()
         }
-        if not any(t.fresh for t in rows.values()):
+        if not any(t.is_fresh for t in rows.values()):
             return None
         usual = Counter(self.boxes.values())
-        cold = tuple(ColdBox(n, self.boxes[n], (now - at) / 1e9) for n, at in self.cold.items())
-        planned = self.planner.plan(
-            self.courses,
-            Look(
+        cold = tuple(
+            StartingUpstream(n, self.boxes[n], (now - at) / 1e9) for n, at in self.cold.items()
+        )
+        planned = self.controller.decide(
+            self.states,
+            FleetSnapshot(
                 self.places,
                 rows,
                 {k: c.worth for k, c in self.settings.classes.items()},
@@ -112,18 +115,22 @@
             ),
             now,
         )
-        for was, course in zip(self.courses, planned.courses, strict=True):
+        for was, course in zip(self.states, planned.states, strict=True):
             if was != course:
                 self.log.append(
                     (
                         now,
-                        f"{course.site}: {course.stage.value} {course.part:.0%}"
-                        f"{' apart' if course.apart else ''}",
+                        f"{course.site}: {course.stage.value} {course.fraction:.0%}"
+                        f"{' apart' if course.is_partitioned else ''}",
                     )
                 )
-        self.courses = planned.courses
-        return planned.orders
+        self.states = planned.states
+        return planned.shares
 
-    def hears(self, number: int, orders: Orders, now: int) -> None:
-        held = {c.site: c.by for c in self.courses if c.aim is not Aim.IN and c.part <= 0}
-        self.members[number].ordered(orders, frozenset(self.places), held, now)
+    def hears(self, number: int, orders: TrafficShares, now: int) -> None:
+        held = {
+            c.site: c.operator
+            for c in self.states
+            if c.desired is not DesiredState.ACTIVE and c.fraction <= 0
+        }
+        self.members[number].set_shares(orders, frozenset(self.places), held, now)
--- a/loadbalancer/testbed/sites/measure.py
+++ b/loadbalancer/testbed/sites/measure.py
@@ -15,20 +15,13 @@
 import highspy
 import numpy as np
 
-from loadbalancer.failover.evidence import Evidence, State
-from loadbalancer.failover.plan import (
-    Admission,
-    Fleet,
-    Kind,
-    Load,
-    Place,
-    assign,
-    back_window,
-    rooms,
-    table,
-    work,
-)
-from loadbalancer.failover.traffic_shares import FIRST_NS, ROOM_MOST_NS
+from loadbalancer.failover.evidence import Evidence
+from loadbalancer.failover.fleet_model import Fleet, Load, SiteCapacity, WorkClass
+from loadbalancer.failover.health import SiteHealth
+from loadbalancer.failover.plan import plan_for_loss, spare_capacities
+from loadbalancer.failover.shedding import Shedding, retry_window, work
+from loadbalancer.failover.traffic_shares import RETRY_LIMITS
+from loadbalancer.failover.transport import assign
 from loadbalancer.testbed.experiments import processes
 from loadbalancer.testbed.sites.world import Found, Shape, play
 from loadbalancer.testbed.topology import Topology
@@ -67,24 +60,24 @@
         rng = random.Random(seed)
         where = {i: "abcdefgh"[i % sites] for i in range(sites * boxes)}
         evidence = Evidence("a", SECOND)
-        evidence.listed(where, SECOND)
+        evidence.update_upstreams(where, SECOND)
         now, gone_ns, next_tick = SECOND, SECOND + int(calm_s * SECOND), SECOND
         while now < gone_ns + 120 * SECOND:
             now += int(rng.expovariate(rate) * SECOND)
             box = rng.randrange(len(where))
             lost = now >= gone_ns and where[box] == "b"
-            evidence.outcome(box, not lost and rng.random() >= loss, now)
+            evidence.record_attempt(box, not lost and rng.random() >= loss, now)
             if now < next_tick:
                 continue
             next_tick = now + SECOND // 4
             if sounds:
                 for name in evidence.sites:
-                    if evidence.suspected(name):
+                    if evidence.is_suspected(name):
                         for n in rng.sample([n for n, s in where.items() if s == name], 2):
                             away = now >= gone_ns and name == "b"
-                            evidence.outcome(n, not away and rng.random() >= loss, now)
+                            evidence.record_attempt(n, not away and rng.random() >= loss, now)
             for name, verdict in evidence.tick(now):
-                if verdict.state in (State.LOST, State.CUT):
+                if verdict.health in (SiteHealth.LOST, SiteHealth.PARTITIONED):
                     if now < gone_ns or name != "b":
                         alarms += 1
                     else:
@@ -99,16 +92,16 @@
     """A fleet of 3 to 8 sites with loads, burdens and distances by chance."""
     names = "abcdefgh"[: rng.randint(3, 8)]
     kinds = {
-        n: Kind(n, rng.choice([1.0, 2.0, 3.0]), rng.uniform(0.5, 3.0)) for n in ("x", "y", "z")
+        n: WorkClass(n, rng.choice([1.0, 2.0, 3.0]), rng.uniform(0.5, 3.0)) for n in ("x", "y", "z")
     }
     loads = tuple(
         Load(s, k, t, rng.uniform(1, 30)) for s in names for k in kinds for t in ("t1", "t2")
     )
-    whole = sum(work(Fleet({}, kinds, loads), x, Admission()) for x in loads)
+    whole = sum(work(Fleet({}, kinds, loads), x, Shedding()) for x in loads)
     bears = [rng.uniform(0.5, 1.5) for _ in names]
     scale = whole / rng.uniform(0.4, 0.95) / sum(bears)
     places = {
-        n: Place(
+        n: SiteCapacity(
             n,
             b * scale,
             rng.choice([0.0, 0.1]),
@@ -116,7 +109,7 @@
         )
         for n, b in zip(names, bears, strict=True)
     }
-    return replace(Fleet({}, kinds, loads), places=places)
+    return replace(Fleet({}, kinds, loads), sites=places)
 
 
 def cheapest(
@@ -156,16 +149,16 @@
     for seed in range(first, first + count):
         rng = random.Random(f"regret/{seed}")
         fleet = drawn(rng)
-        gone = frozenset([rng.choice(sorted(fleet.places))])
-        t = table(fleet, gone)
-        left = sorted(set(fleet.places) - gone)
-        room = rooms(fleet, gone)
+        gone = frozenset([rng.choice(sorted(fleet.sites))])
+        t = plan_for_loss(fleet, gone)
+        left = sorted(set(fleet.sites) - gone)
+        room = spare_capacities(fleet, gone)
         need: dict[str, float] = dict.fromkeys(left, 0.0)
         for x in fleet.loads:
-            w = work(fleet, x, t.admission)
+            w = work(fleet, x, t.shedding)
             for o in left if x.site in gone else [x.site]:
                 need[o] += w / len(left) if x.site in gone else w
-        price = {(o, d): fleet.places[d].prices.get(o, 0.0) for o in left for d in left}
+        price = {(o, d): fleet.sites[d].costs.get(o, 0.0) for o in left for d in left}
         flow = assign(need, room, price)
         cost = sum(w * price[o, d] for o, to in flow.items() for d, w in to.items())
         best = cheapest(need, room, price)
@@ -320,7 +313,7 @@
             # serve it beside.
             left = begin + refusing_s - now
             refused = rate - bears
-            window = back_window(refused, 0.1 * bears, int(left * SECOND), FIRST_NS, ROOM_MOST_NS)
+            window = retry_window(refused, 0.1 * bears, int(left * SECOND), RETRY_LIMITS)
             told = rng.uniform(*window) / SECOND
         else:
             told = fixed_s
--- a/loadbalancer/testbed/sites/world.py
+++ b/loadbalancer/testbed/sites/world.py
@@ -201,12 +201,12 @@
         if self.rule == "plan":
             m = self.sites.members[number]
             if type(event) is api.RequestArrived:
-                m.arrived(event)
+                m.on_request(event)
             elif type(event) is api.AttemptFinished:
                 request = self.lives[number].requests.get(event.request)
                 if request is not None:
                     cls = request.want.cls
-                    m.tried(event, int(cls.aim), self.sites.taken[cls.name], self.now)
+                    m.on_attempt(event, int(cls.aim), self.sites.taken[cls.name], self.now)
         super()._post(number, event)
 
     def _tick(self, life: Life) -> None:
@@ -214,7 +214,7 @@
             turn = self.sites.tick(life.number, self.now, life.zone in self._speaks())
             if turn.plan is not None:
                 self._post(life.number, turn.plan)
-            for upstream in turn.sounds:
+            for upstream in turn.health_checks:
                 self._sound(life, upstream)
         if self.now < self.end_ns:
             self.at(self.now + TICK_NS, self._tick, life)
@@ -233,7 +233,7 @@
 
     def _sounded(self, what: tuple[int, int, api.AttemptResult]) -> None:
         number, upstream, result = what
-        self.sites.members[number].sounded(upstream, result, self.now)
+        self.sites.members[number].on_health_check(upstream, result, self.now)
 
     def _own(self, _: Any) -> None:
         speaks = self._speaks()
@@ -278,7 +278,7 @@
         mean = done / max(1, sum(b.counts.served for b in self.boxes)) / SECOND
         for name, place in self.sites.places.items():
             able = sum(b.nature.capacity for i, b in enumerate(self.boxes) if self.zones[i] == name)
-            self.sites.places[name] = dataclasses.replace(place, bears=able / mean)
+            self.sites.places[name] = dataclasses.replace(place, capacity=able / mean)
 
     def _measure(self, _: Any) -> None:
         able: dict[str, float] = dict.fromkeys(self.site_names, 0.0)
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -21,7 +21,7 @@
 from loadbalancer.daemon import documents as docs
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
 from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
-from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.failover.traffic_shares import TrafficShares
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.process_handover import Siblings
@@ -175,7 +175,7 @@
                 beside.driver.gone = {e.entry.id for e in BOXES if e.entry.zone == "b"}
             await until(lambda: one.driver.plans[-1].zones.get("b") == 0.0)
             async with asyncio.timeout(15):
-                while all(x.part > 0 for x in (await doc(client)).site_states):
+                while all(x.fraction > 0 for x in (await doc(client)).site_states):
                     await asyncio.sleep(0.05)
             token = (await doc(client)).token
             for beside in (one, two):
@@ -184,12 +184,12 @@
             await owner.close()  # the next one goes on from what stands
             async with asyncio.timeout(40):
                 while (now := await doc(client)).token == token or any(
-                    not x.well for x in now.site_states
+                    not x.is_normal for x in now.site_states
                 ):
                     await asyncio.sleep(0.05)
             await until(lambda: other.driver.plans[-1].zones.get("b") is None)
-            shut = Orders({"a": {"b": 0.0}, "b": {"b": 0.0}})
-            old = msgspec.structs.replace(now, token=token, orders=shut)
+            shut = TrafficShares({"a": {"b": 0.0}, "b": {"b": 0.0}})
+            old = msgspec.structs.replace(now, token=token, traffic_shares=shut)
             await client.put(
                 SiteKeys("orders").plan, msgspec.json.encode(old)
             )  # of an owner that wakes late
