--- a/loadbalancer/cli/feed.py
+++ b/loadbalancer/cli/feed.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 from pathlib import Path
 from typing import Annotated, Any, TypeVar
 
@@ -16,7 +16,8 @@
 from loadbalancer.cli.store import At, Authority, Cert, Key, addresses, client
 from loadbalancer.settings import Malformed
 from loadbalancer.store import feed_progress
-from loadbalancer.store.feed_progress import Members, NotInForce, Rollout
+from loadbalancer.store.errors import NotInForceError
+from loadbalancer.store.feed_progress import MemberStatusReader, Rollout
 from loadbalancer.units import duration
 
 app = typer.Typer(no_args_is_help=True, help="The feed: on which balancers a revision is in force.")
@@ -39,10 +40,12 @@
     certificate: Path | None,
     key: Path | None,
     authority: Path | None,
-    work: Callable[[Members], Awaitable[T]],
+    work: Callable[[MemberStatusReader], Awaitable[T]],
 ) -> T:
     """Raises Malformed."""
-    members = Members(addresses(at), lambda address: client(address, certificate, key, authority))
+    members = MemberStatusReader(
+        addresses(at), lambda address: client(address, certificate, key, authority)
+    )
 
     async def go() -> T:
         try:
@@ -76,10 +79,10 @@
     """On how many balancers a revision is in force, who lags and by how much, and what is
     refused.
     """
-    found = asking(at, certificate, key, authority, Members.statuses)
+    found = asking(at, certificate, key, authority, MemberStatusReader.statuses)
     if all("trouble" in s for s in found):
-        raise NotInForce("; ".join(f"{s['address']}: {s['trouble']}" for s in found))
-    total = feed_progress.add_up(found, revision)
+        raise NotInForceError("; ".join(f"{s['address']}: {s['trouble']}" for s in found))
+    total = feed_progress.add_up(found, revision or None)
     if as_json:
         print(
             msgspec.json.format(
@@ -102,7 +105,7 @@
         show(found, total)
 
 
-def show(found: list[dict[str, Any]], total: Rollout) -> None:
+def show(found: list[Mapping[str, Any]], total: Rollout) -> None:
     table = Table()
     for column in (
         "node",
@@ -145,22 +148,23 @@
         )
     out.print(table)
     out.print(
-        f"revision {total.revision} is in force on {total.reached} of {total.balancers} balancers",
+        f"revision {total.revision} is in force on {total.in_force} of {total.balancers} balancers",
         soft_wrap=True,
     )
-    for one in total.late:
+    for one in total.lagging:
         out.print(
             f"  {one.name} at {one.node}: revision {one.revision}, {one.since_ms / 1000:.1f} s "
             f"behind",
             soft_wrap=True,
         )
-    for line in (*total.trailing, *total.silent):
+    for line in (*total.lagging_nodes, *total.unreachable):
         out.print(f"  {line}", soft_wrap=True)
-    if total.refusals:
+    if total.rejected_count:
         out.print(
-            f"{total.refusals} rows are refused, and what was good before stands:", soft_wrap=True
+            f"{total.rejected_count} rows are refused, and what was good before stands:",
+            soft_wrap=True,
         )
-    for row in total.refused:
+    for row in total.rejected:
         out.print(
             f"  {row.name}: {row.refusal.scope} {row.refusal.key} at version {row.refusal.version}:"
             f" {row.refusal.reason}",
@@ -187,10 +191,10 @@
         key,
         authority,
         lambda members: feed_progress.wait(
-            members, revision, within_s, balancers, despite_refusals
+            members, feed_progress.RolloutGoal(revision, within_s, balancers, despite_refusals)
         ),
     )
     out.print(
-        f"revision {revision} is in force on {done.reached} balancers, after {took_s:.2f} s",
+        f"revision {revision} is in force on {done.in_force} balancers, after {took_s:.2f} s",
         soft_wrap=True,
     )
--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -30,8 +30,10 @@
 from loadbalancer.failover.site_state import DesiredState, request_state
 from loadbalancer.leases import table as leases
 from loadbalancer.settings import Malformed
-from loadbalancer.store.client import Client, Conflict
-from loadbalancer.store.commands import LEASES
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import LEASE_PREFIX
+from loadbalancer.store.errors import ConflictError
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.units import duration
 
 app = typer.Typer(
@@ -81,7 +83,7 @@
 
     async def work(c: Client) -> None:
         seen = await _looked(c, service)
-        owner = (await c.get(f"{LEASES}work/site/{service}")).rows[0]
+        owner = (await c.get(f"{LEASE_PREFIX}work/site/{service}")).rows[0]
         held = leases.unpack(owner.value) if owner.value is not None else None
         who = (
             f"{held.holder.split('@')[0]}, token {leases.format_token(held.token)}"
@@ -290,9 +292,14 @@
                 course = request_state(doc.state_of(name), aim, by, drain_s, hold_s)
             except ValueError as error:
                 raise Malformed(str(error)) from None
-            with suppress(Conflict):
+            with suppress(ConflictError):
                 value = msgspec.json.encode(doc.with_state(course))
-                await c.put(SiteKeys(service).plan, value, row.version, note=course.reason[:200])
+                await c.put(
+                    SiteKeys(service).plan,
+                    value,
+                    row.version,
+                    WriteOptions(note=course.reason[:200]),
+                )
                 return f"site {name}: {course.reason}"
 
     told: Callable[[Client], Awaitable[str]] = work
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -19,8 +19,8 @@
 from loadbalancer.leases.fence import FencingPosition
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import MOST_OPS, Op
-from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.commands import MAX_OPERATIONS, Op
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire import protocol
 from loadbalancer.wallclock import unix_s
 
@@ -53,7 +53,7 @@
     """
 
     def __init__(
-        self, client: Client, owner: Owner, service: str, max_operations: int = MOST_OPS
+        self, client: Client, owner: LeaseClient, service: str, max_operations: int = MAX_OPERATIONS
     ) -> None:
         self.client = client
         self.owner = owner
@@ -94,7 +94,7 @@
             row.key: (row.version, row.value) for row in scanned.rows if row.value is not None
         }
         position = _read_list(found.rows[1])
-        if position is not None and position.token == self.owner.working:
+        if position is not None and position.token == self.owner.active_token:
             self.sequence = max(self.sequence, position.sequence)
         self.last_position = position
         self.touched = None
--- a/loadbalancer/daemon/leased_task.py
+++ b/loadbalancer/daemon/leased_task.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from loadbalancer.store.client import Conflict, StoreError
-from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.errors import ConflictError, NotLeaseHolderError, StoreError
+from loadbalancer.store.lease_client import LeaseClient
 
 log = logging.getLogger(__name__)
 
@@ -21,7 +21,9 @@
 class LeaseFactory(Protocol):
     """Creates the client of one lease, with the callbacks for acquiring and losing it."""
 
-    def __call__(self, on_acquired: Callable[[int], None], on_lost: Callable[[], None]) -> Owner:
+    def __call__(
+        self, on_acquired: Callable[[int], None], on_lost: Callable[[], None]
+    ) -> LeaseClient:
         """Returns a new lease client."""
         ...
 
@@ -71,9 +73,9 @@
             wait_s = ERROR_RETRY_S
             try:
                 wait_s = await self.step()
-            except NotOwner:
+            except NotLeaseHolderError:
                 return
-            except Conflict:
+            except ConflictError:
                 wait_s = CONFLICT_RETRY_S
             except StoreError as error:
                 log.warning("step failed: task=%s error=%s", self.name, error)
--- a/loadbalancer/daemon/site_documents.py
+++ b/loadbalancer/daemon/site_documents.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.failover.site_state import SiteState
 from loadbalancer.failover.traffic_shares import TrafficShares
-from loadbalancer.store.commands import LEASES
+from loadbalancer.store.commands import LEASE_PREFIX
 
 
 class SiteKeys:
@@ -25,7 +25,7 @@
         self.confirmation = f"site/{service}/stands"
         self.tables = f"site/{service}/tables"
         self.prefix = f"site/{service}"
-        self.names = f"{LEASES}name/{service}/"
+        self.names = f"{LEASE_PREFIX}name/{service}/"
 
 
 class SitePlanDocument(msgspec.Struct, frozen=True):
--- a/loadbalancer/store/run.py
+++ b/loadbalancer/store/run.py
@@ -1,9 +1,8 @@
-"""A store node as a process or within one: made, joined, run, restored."""
+"""Store nodes as operators handle them: created, joined, restored, verified and run."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 import os
 import random
 import shutil
@@ -11,94 +10,125 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
+from typing import Final
 
 from loadbalancer.settings import Malformed
 from loadbalancer.store import metrics
-from loadbalancer.store import replica as replicas
+from loadbalancer.store.directory_lock import LOCK_FILE, lock_directory
 from loadbalancer.store.durable import state as states
 from loadbalancer.store.durable import state_directory
 from loadbalancer.store.durable.files import Folder
 from loadbalancer.store.durable.journal import Damaged, Journal
 from loadbalancer.store.durable.state import State
-from loadbalancer.store.node import Node, locked
+from loadbalancer.store.node import Node
 from loadbalancer.store.raft.messages import Members
-from loadbalancer.store.replica import Identity, members_of, read_identity, write_identity
+from loadbalancer.store.replica import (
+    IDENTITY_FORMAT,
+    Identity,
+    read_identity,
+    single_member,
+    write_identity,
+)
 from loadbalancer.store.server import Server
 from loadbalancer.store.settings import StoreSettings
 from loadbalancer.wallclock import unix_s
 
-log = logging.getLogger(__name__)
+NODE_NUMBER_BITS: Final = 48
+CLUSTER_NAME_BITS: Final = 40
 
 
-def new_number() -> int:
-    """Of a node: drawn, so that none returns."""
-    return random.SystemRandom().getrandbits(48) | 1
+def new_node_number() -> int:
+    """Draws the number of a node, so that none is used twice."""
+    return random.SystemRandom().getrandbits(NODE_NUMBER_BITS) | 1
 
 
-def new_cluster() -> str:
-    return f"c{random.SystemRandom().getrandbits(40):010x}"
+def new_cluster_name() -> str:
+    """Draws the name of a cluster."""
+    return f"c{random.SystemRandom().getrandbits(CLUSTER_NAME_BITS):010x}"
 
 
 def make_folder(settings: StoreSettings) -> None:
-    """An empty one. Raises Malformed."""
+    """Makes a node's folder.
+
+    Raises:
+        Malformed: It is not empty, or can't be made.
+    """
     try:
         settings.folder.mkdir(parents=True, exist_ok=True)
-        taken = [p.name for p in settings.folder.iterdir() if p.name != "lock"]
+        names = [path.name for path in settings.folder.iterdir() if path.name != LOCK_FILE]
     except OSError as error:
         raise Malformed(f"{settings.folder}: {error.strerror}") from None
-    if taken:
+    if names:
         raise Malformed(
-            f"{settings.folder}: it holds {sorted(taken)[0]}; a new node begins in an empty folder"
+            f"{settings.folder}: it holds {min(names)}; a new node begins in an empty folder"
         )
 
 
 def init(settings: StoreSettings, cluster: str = "", name: str = "") -> Identity:
-    """A new cluster of this one node. Raises Malformed."""
-    identity = Identity(replicas.FORMAT, cluster or new_cluster(), new_number(), name)
-    members = members_of(identity.node, settings.advertise)
+    """Creates a new cluster of this one node.
+
+    Raises:
+        Malformed: The folder is not empty, or can't be used.
+    """
+    identity = _new_identity(cluster or new_cluster_name(), name)
+    members = single_member(identity.node, settings.advertise)
     return _fill(settings, identity, lambda path: states.create(path, identity.cluster, members))
 
 
 def prepare(settings: StoreSettings, cluster: str, name: str = "") -> Identity:
-    """A folder for a node that will join. Raises Malformed."""
-    identity = Identity(replicas.FORMAT, cluster, new_number(), name)
+    """Creates the folder of a node that will join a cluster.
+
+    Raises:
+        Malformed: The folder is not empty, or can't be used.
+    """
+    identity = _new_identity(cluster, name)
     return _fill(settings, identity, lambda path: states.create(path, cluster, Members()))
 
 
 def restore(settings: StoreSettings, copy: Path, cluster: str = "", name: str = "") -> Identity:
-    """A new cluster of this one node with what a copy, or another node's state, holds. It has a
-    name of its own, so that members of the old one can't speak to it. Raises Malformed, Damaged.
+    """Creates a new cluster of this one node from a backup or another node's state.
+
+    It has a name of its own, so that members of the old cluster can't talk to it.
+
+    Raises:
+        Damaged: The backup is not valid.
+        Malformed: The folder is not empty, or can't be used.
     """
-    why = states.verify(copy)
-    if why:
-        raise Damaged(f"{copy}: {why}")
-    identity = Identity(replicas.FORMAT, cluster or new_cluster(), new_number(), name)
+    reason = states.verify(copy)
+    if reason:
+        raise Damaged(f"{copy}: {reason}")
+    identity = _new_identity(cluster or new_cluster_name(), name)
+    members = single_member(identity.node, settings.advertise)
 
-    def copied(path: Path) -> State:
+    def make_state(path: Path) -> State:
         shutil.copyfile(copy, path)
         wal = Path(f"{copy}-wal")  # of a node that was killed: its last entries
         if wal.exists():
             shutil.copyfile(wal, f"{path}-wal")
-        return states.adopt(
-            path, identity.cluster, members_of(identity.node, settings.advertise), int(unix_s())
-        )
+        return states.adopt(path, identity.cluster, members, int(unix_s()))
+
+    return _fill(settings, identity, make_state)
 
-    return _fill(settings, identity, copied)
 
+def _new_identity(cluster: str, name: str) -> Identity:
+    return Identity(IDENTITY_FORMAT, cluster, new_node_number(), name)
 
-def _fill(settings: StoreSettings, identity: Identity, make: Callable[[Path], State]) -> Identity:
-    """A node's folder, with a log that begins where the state ends."""
+
+def _fill(
+    settings: StoreSettings, identity: Identity, make_state: Callable[[Path], State]
+) -> Identity:
+    """Creates state, and a log that begins where it ends."""
     make_folder(settings)
-    lock = locked(settings)
+    lock = lock_directory(settings.folder)
     try:
         files = Folder(settings.folder)
-        state = make(settings.folder / state_directory.STATE)
+        state = make_state(settings.folder / state_directory.STATE)
         state.close()
         journal = Journal(files, identity.cluster, identity.node)
         journal.create(state.applied, state.term)
         journal.close()
         files.sync_folder()
-        write_identity(files, identity)  # last: without it the folder belongs to nobody
+        write_identity(files, identity)  # last: without it the folder belongs to no cluster
     except OSError as error:
         raise Malformed(f"{settings.folder}: {error.strerror}") from None
     finally:
@@ -107,78 +137,100 @@
 
 
 def verify(settings: StoreSettings) -> list[str]:
-    """What is wrong with a folder whose node does not run; empty: nothing. Raises Malformed."""
-    lock = locked(settings)
+    """Returns what is wrong with the folder of a node that does not run.
+
+    Raises:
+        Malformed: The folder can't be used.
+    """
+    lock = lock_directory(settings.folder)
     try:
-        wrong: list[str] = []
-        files = Folder(settings.folder)
-        try:
-            identity = read_identity(files)
-            found = Journal(files, identity.cluster, identity.node).open(repair=False)
-            if found.cut:
-                wrong.append(
-                    f"the log ends in a torn tail of {found.cut} bytes; the next start cuts it off"
-                )
-        except Damaged as error:
-            wrong.append(str(error))
-        why = states.verify(settings.folder / state_directory.STATE)
-        if why:
-            wrong.append(f"{state_directory.STATE}: {why}")
-        return wrong
+        return [*_log_faults(settings.folder), *_state_faults(settings.folder)]
     finally:
         os.close(lock)
 
 
-class Running:
-    """A node and its listeners."""
+def _log_faults(folder: Path) -> list[str]:
+    files = Folder(folder)
+    try:
+        identity = read_identity(files)
+        found = Journal(files, identity.cluster, identity.node).open(repair=False)
+    except Damaged as error:
+        return [str(error)]
+    if not found.cut:
+        return []
+    return [f"the log ends in a torn tail of {found.cut} bytes; the next start cuts it off"]
+
+
+def _state_faults(folder: Path) -> list[str]:
+    reason = states.verify(folder / state_directory.STATE)
+    return [f"{state_directory.STATE}: {reason}"] if reason else []
+
+
+class StoreServer:
+    """A node with its listeners.
+
+    Raises:
+        Damaged: The folder's content is not valid.
+        Malformed: The folder can't be used.
+    """
 
     def __init__(self, settings: StoreSettings) -> None:
-        """Raises Damaged, Malformed."""
         self.settings = settings
         self.node = Node.open(settings)
         self.server = Server(self.node)
-        self.page: asyncio.Server | None = None
+        self._metrics: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Raises Malformed, OSError."""
+        """Listens, then begins to take part in the cluster.
+
+        Raises:
+            Malformed: An address or certificate can't be used.
+            OSError: An address can't be used.
+        """
         await self.server.start()
         if self.settings.metrics is not None:
-            self.page = await metrics.serve(self.node, self.settings.metrics)
+            self._metrics = await metrics.serve(self.node, self.settings.metrics)
         self.node.start()
 
     async def close(self) -> None:
-        if self.page is not None:
-            self.page.close()
+        """Closes listeners and node."""
+        if self._metrics is not None:
+            self._metrics.close()
         await self.server.close()
         await self.node.close()
 
 
-async def serve(
-    settings: StoreSettings, started: Callable[[Running], None] = lambda running: None
-) -> str:
-    """Run a node until SIGTERM; why it ended, empty where it was asked to. Raises Damaged,
-    Malformed.
+def _ignore(server: StoreServer) -> None:
+    """Does nothing."""
+
+
+async def serve(settings: StoreSettings, started: Callable[[StoreServer], None] = _ignore) -> str:
+    """Runs a node until SIGTERM or SIGINT; returns why it failed, empty after a signal.
+
+    Raises:
+        Damaged: The folder's content is not valid.
+        Malformed: Folder, address or certificates can't be used.
     """
     loop = asyncio.get_running_loop()
-    asked: asyncio.Future[str] = loop.create_future()
+    stopped: asyncio.Future[str] = loop.create_future()
 
     def stop() -> None:
-        if not asked.done():
-            asked.set_result("")
+        if not stopped.done():
+            stopped.set_result("")
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
-    running = Running(settings)
+    server = StoreServer(settings)
     try:
         try:
-            await running.start()
+            await server.start()
         except OSError as error:
             raise Malformed(f"listen: {error.strerror or error}") from None
-        started(running)
+        started(server)
         done, _ = await asyncio.wait(
-            {asked, running.node.failed}, return_when=asyncio.FIRST_COMPLETED
+            {stopped, server.node.failed}, return_when=asyncio.FIRST_COMPLETED
         )
         return next(iter(done)).result()
     finally:
         with suppress(OSError):
-            await running.close()
+            await server.close()
--- a/loadbalancer/testbed/rig/run.py
+++ b/loadbalancer/testbed/rig/run.py
@@ -20,6 +20,7 @@
 
 from loadbalancer.settings import Json
 from loadbalancer.store.client import Client
+from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.testbed.results import spread
 from loadbalancer.testbed.rig.books import Books
 from loadbalancer.testbed.rig.firsts import Firsts
@@ -155,11 +156,14 @@
 
     def _said(self, process: Process, line: str) -> None:
         if (
-            "owned under token" in line
+            "lease acquired:" in line
+            or "lease lost:" in line
+            or "lease has no holder:" in line
+            or "fenced write rejected:" in line
+            or "store connection declined:" in line
             or "refused" in line
             or "row rejected" in line
             or "belongs to" in line
-            or "rests" in line
             or ("site" in line and ("INFO" in line or "WARNING" in line))
         ):
             self.event(f"{process.name}: {line.split(' ', 1)[-1]}")
@@ -317,7 +321,9 @@
                         if k in ("at", "servers")
                     }
                     await client.put(
-                        f"list/{SERVICE}", msgspec.json.encode(plain), note="older program"
+                        f"list/{SERVICE}",
+                        msgspec.json.encode(plain),
+                        options=WriteOptions(note="older program"),
                     )
                 await asyncio.sleep(OLDER_S)
         finally:
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -16,7 +16,6 @@
 import pytest
 from typer.testing import CliRunner
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.cli.main import application
 from loadbalancer.daemon import documents as docs
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
@@ -24,10 +23,12 @@
 from loadbalancer.failover.traffic_shares import TrafficShares
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
+from loadbalancer.store.documents import DocumentChange
 from tests.daemon.test_state_sync import FakeDriver, until
 from tests.fakes import run
 from tests.store.test_node import Cluster, cluster
@@ -108,7 +109,7 @@
     @property
     def owns_sites(self) -> bool:
         controller = self.state_sync.site_controller
-        return controller is not None and bool(controller.owner.working)
+        return controller is not None and bool(controller.owner.active_token)
 
     async def close(self) -> None:
         self.asking.cancel()
@@ -146,7 +147,9 @@
                     "site controller idle: reason=there is no document sites/orders" in caplog.text
                 )
             )
-            await documents.put(client, "sites/orders", SITES, docs.find_error, 0, "test")
+            await documents.put(
+                client, "sites/orders", SITES, docs.find_error, DocumentChange(0, "test")
+            )
             await until(
                 lambda: (
                     bool(one.state_sync.site_agent and one.state_sync.site_agent.is_following_plan)
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -16,16 +16,17 @@
 
 import pytest
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.daemon.documents import find_error
 from loadbalancer.daemon.persisted import SavedLearnedState, load_learned_state, save_learned_state
 from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
-from loadbalancer.store.client import Conflict, Rejected
+from loadbalancer.store.documents import DocumentChange
+from loadbalancer.store.errors import ConflictError, RejectedError
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import Client, FakeUpstream, free_port, run
 from tests.store.test_node import Cluster, cluster
@@ -92,21 +93,37 @@
             await heard(process, "not available from the store, and no local copy exists")
             assert await process.wait() == 2
             await documents.put(
-                client, "balancer/orders", settings(port, first), find_error, 0, "me"
+                client,
+                "balancer/orders",
+                settings(port, first),
+                find_error,
+                DocumentChange(0, "me"),
             )
             process = await begin(boot)
             asked = await answered(port)
             assert (await asked.ask("r1")).body == b"s-0"
-            with pytest.raises(Rejected, match="missing required field"):
+            with pytest.raises(RejectedError, match="missing required field"):
                 await documents.put(
-                    client, "balancer/orders", "listen = 'x'\n[[class]]\n", find_error, 1, "me"
+                    client,
+                    "balancer/orders",
+                    "listen = 'x'\n[[class]]\n",
+                    find_error,
+                    DocumentChange(1, "me"),
                 )
-            with pytest.raises(Conflict):
+            with pytest.raises(ConflictError):
                 await documents.put(
-                    client, "balancer/orders", settings(port, second), find_error, 9, "me"
+                    client,
+                    "balancer/orders",
+                    settings(port, second),
+                    find_error,
+                    DocumentChange(9, "me"),
                 )
             await documents.put(
-                client, "balancer/orders", settings(port, second), find_error, 1, "me"
+                client,
+                "balancer/orders",
+                settings(port, second),
+                find_error,
+                DocumentChange(1, "me"),
             )
             await heard(process, "reloaded: 1 upstreams")
             assert (await asked.ask("r2")).body == b"s-1"
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -700,7 +700,7 @@
 def observer(now: int = SECOND) -> SiteObserver:
     watcher = SiteObserver("a", "one", 8, random.Random(1), now)
     watcher.evidence.update_upstreams({i: "abcd"[i % 4] for i in range(32)}, now)
-    return m
+    return watcher
 
 
 def lose(watcher: SiteObserver, site: str, now: int) -> int:
