--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -89,7 +89,7 @@
         if request is None:
             return
         request_class = self.driver.settings.classes[request.arrival.class_name]
-        usual_ns = self.driver.balancer.crowding.taken.get(request_class.name, 0.0)
+        usual_ns = self.driver.balancer.concurrency.service_times.get(request_class.name, 0.0)
         self.observer.on_attempt(
             event, request_class.latency_objective_ns, usual_ns, boot_clock_ns()
         )
@@ -149,7 +149,7 @@
         while True:
             if self.observer.is_report_due(boot_clock_ns()) and self.name_lease.token():
                 report = self.observer.take_report(
-                    self.driver.balancer.crowding.taken, boot_clock_ns()
+                    self.driver.balancer.concurrency.service_times, boot_clock_ns()
                 )
                 with suppress(NotLeaseHolderError):
                     await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -166,7 +166,7 @@
 
     def _class_values(self, reports: Mapping[str, ReceivedReport]) -> dict[str, float]:
         if self.settings is not None:
-            return {name: entry.worth for name, entry in self.settings.classes.items()}
+            return {name: entry.priority_weight for name, entry in self.settings.classes.items()}
         return {load.class_name: 1.0 for report in reports.values() for load in report.report.loads}
 
     def _tenant_quotas(self, sites: Mapping[str, SiteCapacity]) -> dict[str, float]:
--- a/loadbalancer/failover/observer.py
+++ b/loadbalancer/failover/observer.py
@@ -231,7 +231,7 @@
         return (
             site.health in UNREACHABLE
             or site.health is SiteHealth.RECOVERING
-            or self.plan.zones.get(site.name, 1.0) < UNUSED_FRACTION
+            or self.plan.zone_fractions.get(site.name, 1.0) < UNUSED_FRACTION
         )
 
     def _is_check_due(self, site: Site, now: int) -> bool:
@@ -242,7 +242,7 @@
     def _make_plan(self, now: int) -> api.TrafficPlan:
         follows_shares = self.follows_shares(now)
         base = self._plan_of(self.shares) if follows_shares else self._plan_by_loss()
-        zones = dict(base.zones)
+        zones = dict(base.zone_fractions)
         for name, site in self.evidence.sites.items():
             if site.health in UNREACHABLE:
                 self._set_recovery(Recovery(name), now)
@@ -257,7 +257,7 @@
         names = self._named_sites()
         if names and all(zones.get(name, 1.0) <= 0.0 for name in names):
             zones = {}  # nothing is left: rather an attempt than none
-        return base._replace(zones=zones)
+        return base._replace(zone_fractions=zones)
 
     def _plan_of(self, shares: TrafficShares) -> api.TrafficPlan:
         slow_start = shares.slow_start.get(self.name, {})
--- a/loadbalancer/failover/report_counter.py
+++ b/loadbalancer/failover/report_counter.py
@@ -45,7 +45,7 @@
         """Count a request that came in."""
         self._request_count += 1
         self._requests[event.class_name, event.tenant] += 1
-        self._retries[event.class_name, event.tenant] += event.retry
+        self._retries[event.class_name, event.tenant] += event.is_retry
 
     def add_served(self) -> None:
         """Count a request that was answered in time."""
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -712,7 +712,7 @@
             watcher.on_health_check(box, api.AttemptResult.OK, now)
         now += SECOND // 4
         watcher.update(now, True)
-        if watcher.plan.zones.get(site) == 0.0:
+        if watcher.plan.zone_fractions.get(site) == 0.0:
             return now
     raise AssertionError("it is not believed")
 
@@ -721,9 +721,14 @@
     shut = TrafficShares({"a": {"d": 0.0}}, excess=1.0)
     watcher = observer()
     watcher.set_shares(shut, frozenset("abcd"), {}, 2 * SECOND)
-    assert watcher.update(3 * SECOND, True).plan == api.TrafficPlan({"d": 0.0}, excess=1.0)
+    assert watcher.update(3 * SECOND, True).plan == api.TrafficPlan(
+        {"d": 0.0}, excess_reject_fraction=1.0
+    )
     watcher.confirm_shares(10 * SECOND)
-    assert watcher.update(21 * SECOND, True).plan is None and watcher.plan.excess == 1.0
+    assert (
+        watcher.update(21 * SECOND, True).plan is None
+        and watcher.plan.excess_reject_fraction == 1.0
+    )
     assert (
         watcher.update(23 * SECOND, True).plan == api.TrafficPlan()
     )  # the owner is silent: by what is seen here
@@ -740,14 +745,14 @@
     }
     watcher.loss_shares_sites = frozenset("abcd")
     now = lose(watcher, "b", 2 * SECOND)
-    assert watcher.plan.excess == 0.5
+    assert watcher.plan.excess_reject_fraction == 0.5
     seen = []
     for _ in range(240):
         now += SECOND // 4
         for box in watcher.evidence.upstreams:
             watcher.on_health_check(box, api.AttemptResult.OK, now)
         watcher.update(now, True)
-        seen.append(watcher.plan.zones.get("b", 1.0))
+        seen.append(watcher.plan.zone_fractions.get("b", 1.0))
     assert (
         seen == sorted(seen)
         and seen[0] == 0.0
@@ -760,13 +765,15 @@
         frozenset("abc"),
     )  # made for another fleet
     lose(stale, "b", 2 * SECOND)
-    assert stale.plan.excess == 0.0
+    assert stale.plan.excess_reject_fraction == 0.0
 
 
 def test_a_report_holds_what_came_in_and_is_due_in_time() -> None:
     watcher = observer()
     for n in range(20):
-        watcher.on_request(api.RequestArrived(f"r{n}", "look", "t", 9 * SECOND, retry=n % 4 == 0))
+        watcher.on_request(
+            api.RequestArrived(f"r{n}", "look", "t", 9 * SECOND, is_retry=n % 4 == 0)
+        )
         watcher.on_attempt(
             api.AttemptFinished(f"r{n}", 0, n, api.AttemptResult.OK, 50 * MS, True),
             200 * MS,
--- a/tests/proxy/test_body_stream.py
+++ b/tests/proxy/test_body_stream.py
@@ -252,7 +252,7 @@
                 client.writer.write(post("r1", f"Content-Length: {len(LONG)}") + LONG[:half])
             await begun.wait()  # it is under way, and half of it has not been sent yet
             (arrival,) = heard.of(api.RequestArrived)
-            assert not arrival.whole and not heard.of(api.BodyCompleted)
+            assert not arrival.body_complete and not heard.of(api.BodyCompleted)
             if chunked:
                 client.writer.write(b"%x\r\n%b\r\n0\r\nX-Sum: 9\r\n\r\n" % (half, LONG[half:]))
             else:
@@ -261,7 +261,7 @@
             assert (got.status, got.body) == (200, b"done")
             assert bodies == [LONG]
             (whole,) = heard.of(api.BodyCompleted)
-            assert not whole.again and whole.deadline_ns < arrival.deadline_ns
+            assert not whole.is_replayable and whole.deadline_ns < arrival.deadline_ns
             # The connection goes on.
             client.writer.write(post("r2", "Content-Length: 2") + b"ab")
             await heard.until(lambda: len(heard.of(api.RequestArrived)) == 2)
