--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -137,7 +137,7 @@
         now_s = asyncio.get_running_loop().time()
         if now_s >= self._next_shortage_log_s:
             self._next_shortage_log_s = now_s + SHORTAGE_LOG_S
-            log.warning("%s; %d open", what, self.connections)
+            log.warning("%s: open=%d", what, self.connections)
 
     # ---- opening ---------------------------------------------------------------------------------
 
@@ -158,7 +158,7 @@
         try:
             connection.start(exchange, self._usable(target))
         except Exception:
-            log.exception("an attempt could not start")
+            log.exception("attempt not started")
             connection.abort()
             exchange.give_up(
                 api.AttemptResult.RESET if exchange.written else api.AttemptResult.NOT_SENT
@@ -202,7 +202,7 @@
         if was_up:  # it was counted when it was lost
             self.connections += 1
         if why is Cause.HERE:
-            self._log_shortage(f"no connection can be opened here: {error}")
+            self._log_shortage(f"connect failed on this machine: error={error}")
             self._close_oldest_idle()
 
     @staticmethod
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -149,7 +149,7 @@
                 if cause(Operation.ACCEPT, error) is Cause.TRANSIENT:
                     continue
                 # Out of descriptors, for example: a later connection's end frees one.
-                log.error("accept: %s", error)
+                log.error("accept failed: error=%s", error)
                 self._pause(ACCEPT_PAUSE_S)
                 return False
             if received(sock)[0]:
@@ -194,7 +194,7 @@
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError as error:
-            log.error("a client's connection failed: %s", error)
+            log.error("client connection failed: error=%s", error)
             sock.close()
             self.lost(client)
 
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -204,7 +204,7 @@
             try:
                 self._carry_out(action, now)
             except Exception as error:  # noqa: BLE001 (one action's fault must not take the others along)
-                self._blame("an action failed", [action], error)
+                self._blame("action failed", [action], error)
         # Only now: the policy may act for a request until it has been notified of its end.
         for event in events:
             if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
@@ -214,7 +214,7 @@
         try:
             return self.balancer.handle(now, events)
         except Exception as error:  # noqa: BLE001 (the process goes on without this turn's decisions)
-            self._blame("the policy failed", events, error)
+            self._blame("policy failed", events, error)
             return []
 
     def _blame(self, what: str, about: Sequence[api.Event | api.Action], error: Exception) -> None:
@@ -222,7 +222,7 @@
         names = [
             name for name in (getattr(item, "request", None) for item in about) if name is not None
         ]
-        log.error("%s; requests %s", what, " ".join(names) or "-", exc_info=error)
+        log.error("%s: requests=%s", what, " ".join(names) or "-", exc_info=error)
         for name in names:
             request = self.table.get(name)
             if request is not None:
@@ -287,7 +287,7 @@
     def _send(self, action: api.StartAttempt, now: int) -> None:
         request = self.table.get(action.request)
         if request is None:
-            log.error("attempt for request %s, which is not open", action.request)
+            log.error("attempt for a request that is not open: request=%s", action.request)
             return
         number = len(request.attempts)
         attempt = self._attempt(request, number, action, now)
@@ -330,7 +330,7 @@
                 ExpectedBodies(request.stream, request.method == b"HEAD"),
             )
         except Exception as error:  # noqa: BLE001 (the attempt still has its one outcome)
-            self._blame("an attempt could not start", [action], error)
+            self._blame("attempt not started", [action], error)
             return None
 
     def _attempt(
@@ -383,7 +383,7 @@
         try:
             started = self.upstreams.probe(upstream, ended)
         except Exception as error:  # noqa: BLE001 (it still has its one result: the policy waits for it)
-            self._blame("a health check could not start", [], error)
+            self._blame("health check not started", [], error)
             started = False
         if not started:
             ended(api.AttemptResult.CONNECT_FAILED, None)
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -147,7 +147,7 @@
         if not await frontend.has_left(frontend.last_answer_ns):
             frontend.end_open()
             if not await frontend.has_left(time.monotonic_ns() + int(LEAVE_S * 1e9)):
-                log.info("left with %d clients' connections open", frontend.held)
+                log.info("shutdown with client connections open: connections=%d", frontend.held)
 
     async def close(self) -> None:
         """Close all parts."""
--- a/loadbalancer/proxy/reloader.py
+++ b/loadbalancer/proxy/reloader.py
@@ -44,7 +44,7 @@
             try:
                 self._apply(await asyncio.to_thread(self.read))
             except Exception as error:  # noqa: BLE001 (the balancer goes on as it was configured)
-                log.error("configuration not reloaded: %s", error)
+                log.error("configuration not reloaded: error=%s", error)
 
     def _apply(self, new: Config) -> None:
         changed = {
@@ -54,7 +54,9 @@
         } - self.AT_START
         not_applied = sorted(changed - self.APPLIED)
         if not_applied:
-            log.warning("reload: a change of %s needs a restart", ", ".join(not_applied))
+            log.warning(
+                "reload: a change of these needs a restart: keys=%s", ", ".join(not_applied)
+            )
         if (new.fixed is None) is not (self.config.fixed is None):
             log.warning("reload: a change between a fixed list and discovery needs a restart")
             return
@@ -62,9 +64,9 @@
             assert new.fixed is not None
             self.discovery.replace(new.fixed)
             self.config = dataclasses.replace(self.config, fixed=new.fixed)
-            log.info("configuration reloaded: %d upstreams", len(new.fixed["servers"]))
+            log.info("configuration reloaded: upstreams=%d", len(new.fixed["servers"]))
             return
         if "discovery" in changed:
             self.discovery.move(new.discovery)
             self.config = dataclasses.replace(self.config, discovery=new.discovery)
-        log.info("configuration reloaded: discovery at %s:%d", *new.discovery)
+        log.info("configuration reloaded: discovery=%s:%d", *new.discovery)
--- a/loadbalancer/proxy/request_table.py
+++ b/loadbalancer/proxy/request_table.py
@@ -71,7 +71,7 @@
         try:
             how(request.client)
         except Exception:
-            log.exception("request %s: its answer failed", request.arrival.request)
+            log.exception("answer failed: request=%s", request.arrival.request)
             request.client.abort()
         if request.stream is not None and not request.stream.ended:
             request.stream.fail()  # answered ahead of its end
@@ -117,4 +117,4 @@
     def _overdue(self, request: OpenRequest) -> None:
         """Keep the rule that each request is answered where the policy has failed to."""
         if self.fail_unanswered(request, HTTPStatus.GATEWAY_TIMEOUT):
-            log.error("request %s was not answered by its deadline", request.arrival.request)
+            log.error("request not answered by its deadline: request=%s", request.arrival.request)
