--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -127,16 +127,16 @@
     """
     relative_speeds = {
         number: (round(speed, 4), endpoints[number].started_ms / MS_PER_S)
-        for number, (speed, _) in learned.paces.items()
+        for number, (speed, _) in learned.relative_service_times.items()
         if number in endpoints
     }
     return SavedLearnedState(
         unix_s(),
         learned.rate,
         dict(learned.demands),
-        dict(learned.taken),
+        dict(learned.service_times),
         learned.per_request_ns,
-        learned.calm,
+        learned.baseline_latency_ratio,
         learned.window,
         relative_speeds,
     )
