--- a/loadbalancer/failover/observer.py
+++ b/loadbalancer/failover/observer.py
@@ -262,14 +262,16 @@
     def _plan_of(self, shares: TrafficShares) -> api.TrafficPlan:
         slow_start = shares.slow_start.get(self.name, {})
         return api.TrafficPlan(
-            dict(shares.zones.get(self.here, {})),
-            shares.excess,
-            dict(shares.quotas.get(self.name, {})),
-            shares.retries,
-            shares.allows_hedging,
-            dict(shares.classes),
-            (shares.retry_window_ns[0], shares.retry_window_ns[1]),
-            {upstream: slow_start.get(upstream, 0.0) for upstream in shares.slow_start_upstreams},
+            zone_fractions=dict(shares.zones.get(self.here, {})),
+            excess_reject_fraction=shares.excess,
+            tenant_rates=dict(shares.quotas.get(self.name, {})),
+            retry_reject_fraction=shares.retries,
+            hedging_allowed=shares.allows_hedging,
+            class_reject_fractions=dict(shares.classes),
+            retry_window_ns=(shares.retry_window_ns[0], shares.retry_window_ns[1]),
+            slow_start_rates_per_s={
+                upstream: slow_start.get(upstream, 0.0) for upstream in shares.slow_start_upstreams
+            },
         )
 
     def _plan_by_loss(self) -> api.TrafficPlan:
--- a/loadbalancer/proxy/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -14,7 +14,7 @@
 from loadbalancer.policy.rules import Denied
 from loadbalancer.proxy.body_stream import Body
 from loadbalancer.proxy.messages import message
-from loadbalancer.proxy.policy_violations import Denials
+from loadbalancer.proxy.policy_violations import PolicyViolations
 from loadbalancer.proxy.requests import OpenRequest
 
 DEADLINE_HEADER = b"X-Deadline-Ms"
@@ -50,7 +50,7 @@
     request: OpenRequest
     number: int
     limits: AttemptLimits
-    denials: Denials
+    violations: PolicyViolations
     client_gone: Callable[[OpenRequest], None]
     promised_ms: int = 0
 
@@ -107,7 +107,9 @@
 
     def report_denial(self, denied: Denied, state: str) -> None:
         """Count a denial, and end a request whose client is found to have disconnected."""
-        self.denials.note(denied, self.request.arrival.request, f"attempt {self.number}, {state}")
+        self.violations.record(
+            denied, self.request.arrival.request, f"attempt {self.number}, {state}"
+        )
         if denied.reason is rules.Reason.CLIENT_GONE:
             self.client_gone(self.request)
 
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery_watch import CALL_S, Call, Calls, End
-from loadbalancer.proxy.endpoint_staleness import ListAge
+from loadbalancer.proxy.endpoint_staleness import EndpointStaleness
 from loadbalancer.proxy.exchange import Exchange, ExpectedResponse
 from loadbalancer.proxy.messages import Response, message
 from loadbalancer.proxy.policy_driver import Driver
@@ -110,7 +110,7 @@
         self.calls = Calls(
             driver.settings.instance_count, driver.settings.instance_index, random.Random(seed)
         )
-        self.age = ListAge(driver)
+        self.staleness = EndpointStaleness(driver)
         self.version = -1
         self.answered_s = 0.0  # when it last said something, be it that nothing changed
         self.connection: UpstreamConnection | None = None
@@ -161,7 +161,7 @@
         if self.task is not None:
             self.task.cancel()
         if work is None:
-            self.age.close()
+            self.staleness.close()
         self.task = asyncio.get_running_loop().create_task(work) if work is not None else None
 
     async def _watch(self) -> None:
@@ -174,7 +174,7 @@
                 pause_s = self.calls.ended(end_of(error), time.monotonic())
                 self._failed(error)  # the old list stands
                 if self.calls.term_s is not None:
-                    self.age.fell_silent(self.calls.term_s)
+                    self.staleness.on_watch_silent(self.calls.term_s)
             if pause_s is None and not self.push:
                 self.watching = False
                 self.tell(api.EndpointListKind.FAILED, [])  # the module says when to ask again
@@ -215,7 +215,7 @@
         if version < self.version or (version == self.version and not full):
             endpoints, full = [], False
         self.version = max(self.version, version)
-        self.age.answered()
+        self.staleness.on_answer()
         if endpoints or full or not self.push:
             self.tell(api.EndpointListKind.FULL if full else api.EndpointListKind.DELTA, endpoints)
         self.driver.starts.listed(time.monotonic_ns())
--- a/loadbalancer/proxy/endpoint_staleness.py
+++ b/loadbalancer/proxy/endpoint_staleness.py
@@ -1,10 +1,9 @@
-"""Whether the list of upstreams may be gone by: not once a change that a silent watch hid counts as
-told.
+"""Whether the endpoint list may be used: not once a change that a silent watch hid is in force.
 
-A list that is older than that names upstreams of which any may drain, and none of them tells.
-Nothing new is sent by it until discovery has answered. That ends by itself after `LONGEST_S`: where
-discovery is out of reach for good, a fleet that serves nobody is worse than one that goes by an old
-list.
+A list that is older than that names upstreams of which any may be draining, and none of them says
+so. Nothing new is sent by it until discovery has answered. That ends by itself after `MAX_STALE_S`:
+where discovery is unreachable for good, a fleet that serves nobody is worse than one that uses an
+old list.
 """
 
 from __future__ import annotations
@@ -14,77 +13,78 @@
 import time
 from collections.abc import Callable
 from enum import Enum
+from typing import Final
 
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.timers import call_after
 
 log = logging.getLogger(__name__)
 
-LONGEST_S = 10.0
+MAX_STALE_S: Final = 10.0
 # Sends end so long before the grace of the drain rule does: a process may be held up between its
-# look at the clock and its write.
-HELD_UP_S = 0.2
+# reading of the clock and its write.
+PROCESSING_MARGIN_S: Final = 0.2
+NS_PER_S: Final = 1e9
 
 
-class Trust(Enum):
-    """How far the list is believed."""
+class Staleness(Enum):
+    """How far the list is trusted."""
 
     FRESH = "discovery has answered since the last silence"
-    AGING = "a watch fell silent: what it hid does not count yet"
-    EXPIRED = "what it hid counts by now: nothing new is sent"
-    RESUMED = "discovery is out of reach for too long: the old list stands after all"
+    SUSPECT = "a watch fell silent: what it hid is not in force yet"
+    STALE = "what it hid is in force by now: nothing new is sent"
+    OVERRIDDEN = "discovery is unreachable for too long: the old list is used after all"
 
 
-class ListAge:
-    """The state of one list, and its timer."""
+class EndpointStaleness:
+    """The staleness of one list, and its timer."""
 
     def __init__(self, driver: Driver) -> None:
         self.driver = driver
-        self.state = Trust.FRESH
+        self.state = Staleness.FRESH
         self.timer: asyncio.TimerHandle | None = None
 
-    def fell_silent(self, term_s: float) -> None:
-        """A watch did; from `term_s` on, monotonic seconds, what it hid counts as told. Said again
-        while it lasts, it changes nothing.
+    def on_watch_silent(self, deadline_s: float) -> None:
+        """Handle a watch that fell silent. Called again while that lasts, it changes nothing.
+
+        Args:
+            deadline_s: From then on, monotonic seconds, what the watch hid is in force.
         """
-        if self.state is Trust.FRESH:
-            self.state = Trust.AGING
-            grace_s = self.driver.settings.rules.drain_grace_ns / 1e9
-            until_s = term_s + max(0.0, grace_s - HELD_UP_S)
+        if self.state is Staleness.FRESH:
+            self.state = Staleness.SUSPECT
+            grace_s = self.driver.settings.rules.drain_grace_ns / NS_PER_S
+            until_s = deadline_s + max(0.0, grace_s - PROCESSING_MARGIN_S)
             self._set_timer(until_s - time.monotonic(), self._expire)
 
-    def answered(self) -> None:
-        """Discovery told what is, or what changed."""
-        self._cancel()
-        expired, self.state = self.state is Trust.EXPIRED, Trust.FRESH
-        if expired:
-            log.info("discovery: the list is known again")
+    def on_answer(self) -> None:
+        """Handle a list, or changes, from discovery."""
+        self._cancel_timer()
+        was_stale = self.state is Staleness.STALE
+        self.state = Staleness.FRESH
+        if was_stale:
+            log.info("endpoint list fresh again")
             self.driver.trust(True)
 
     def close(self) -> None:
-        """Nobody asks discovery any more: another source tells the list."""
-        self.answered()
+        """Trust the list: discovery is no longer polled, another source provides it."""
+        self.on_answer()
 
     def _expire(self) -> None:
-        self.state = Trust.EXPIRED
-        log.warning(
-            "discovery: a watch fell silent and nothing was told since: the list is not gone by"
-        )
+        self.state = Staleness.STALE
+        log.warning("endpoint list stale: nothing new is sent until discovery answers")
         self.driver.trust(False)
-        self._set_timer(LONGEST_S, self._resume)
+        self._set_timer(MAX_STALE_S, self._override)
 
-    def _resume(self) -> None:
-        self.state = Trust.RESUMED
-        log.error(
-            "discovery: not reached for %.0f s more: the old list is gone by again", LONGEST_S
-        )
+    def _override(self) -> None:
+        self.state = Staleness.OVERRIDDEN
+        log.error("endpoint list used although stale: stale_s=%.0f", MAX_STALE_S)
         self.driver.trust(True)
 
-    def _set_timer(self, seconds: float, then: Callable[[], None]) -> None:
-        self._cancel()
-        self.timer = call_after(seconds, then)
+    def _set_timer(self, seconds: float, callback: Callable[[], None]) -> None:
+        self._cancel_timer()
+        self.timer = call_after(seconds, callback)
 
-    def _cancel(self) -> None:
+    def _cancel_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -21,7 +21,7 @@
 from loadbalancer.proxy.attempt import AttemptLimits, OutgoingAttempt
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.messages import Response
-from loadbalancer.proxy.policy_violations import Denials
+from loadbalancer.proxy.policy_violations import PolicyViolations
 from loadbalancer.proxy.request_table import RequestTable
 from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.timers import call_after
@@ -80,7 +80,7 @@
         self.peers: Peers | None = None
         self.loop = asyncio.get_running_loop()
         self.balancer = Balancer(settings, seed, time.monotonic_ns())
-        self.denials = Denials()
+        self.violations = PolicyViolations()
         self.starts = StartTimes()
         self.waiting: list[api.Event] = []
         self.table = RequestTable(settings.limits.max_open, self.post)
@@ -345,7 +345,7 @@
             now + timeout_ns,
             now + action.start_by_ns if action.start_by_ns else 0,
         )
-        return OutgoingAttempt(request, number, limits, self.denials, self.client_gone)
+        return OutgoingAttempt(request, number, limits, self.violations, self.client_gone)
 
     def _timing(self, attempt: OutgoingAttempt, now: int, start_by_ns: int) -> Timing:
         """The attempt's timers; without a time-out it waits for a body that is still to come."""
--- a/loadbalancer/proxy/policy_violations.py
+++ b/loadbalancer/proxy/policy_violations.py
@@ -4,14 +4,15 @@
 
 import logging
 from collections import Counter
+from typing import Final
 
 from loadbalancer.policy.rules import Denied, Reason
 
 log = logging.getLogger(__name__)
 
-# Reasons that arise between a decision and the moment at which its connection is up. All others
-# mean that the decision itself was wrong.
-CROSSED = frozenset(
+# Reasons that arise between a decision and the moment at which its connection is up. Any other
+# means that the decision itself was wrong.
+RACE_REASONS: Final = frozenset(
     {
         Reason.REQUEST_FINISHED,
         Reason.CLIENT_GONE,
@@ -24,18 +25,24 @@
 )
 
 
-class Denials:
-    """Counts for the life of a process."""
+class PolicyViolations:
+    """Counts denials since the start of the process."""
 
     def __init__(self) -> None:
         self.counts: Counter[Reason] = Counter()
 
-    def note(self, denied: Denied, request: str, state: str) -> None:
-        """`state`: what the attempt was doing, such as `attempt 1 of 2, connection up`."""
+    def record(self, denied: Denied, request: str, state: str) -> None:
+        """Count and log a denial.
+
+        Args:
+            denied: The denial.
+            request: The request's id.
+            state: What the attempt was doing, such as `attempt 1, connection up`.
+        """
         reason = denied.reason
         self.counts[reason] += 1
-        level = logging.INFO if reason in CROSSED else logging.ERROR
-        log.log(level, "denied: request %s, %s: %s", request, state, reason.value)
+        level = logging.INFO if reason in RACE_REASONS else logging.ERROR
+        log.log(level, "policy denied: request=%s state=%s reason=%s", request, state, reason.value)
 
     def __str__(self) -> str:
         return ", ".join(
--- a/loadbalancer/testbed/soak/checker.py
+++ b/loadbalancer/testbed/soak/checker.py
@@ -40,7 +40,7 @@
 FORESEEN = (
     "accept:",
     "not saved",
-    "discovery: not reached",
+    "endpoint list used although stale",
     "can't be read",
     "not told of this one yet",
 )
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -22,7 +22,7 @@
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.frontend import Frontend
 from loadbalancer.proxy.messages import Response
-from loadbalancer.proxy.policy_violations import Denials
+from loadbalancer.proxy.policy_violations import PolicyViolations
 from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from tests.fakes import (
@@ -257,7 +257,7 @@
     now_ns = start_ns + decided_ms * MS
     timeout_ns = (timeout_ms or 4000) * MS
     attempt_limits = AttemptLimits(limits, timeout_ns, now_ns + timeout_ns, 0)
-    attempt = OutgoingAttempt(request, number, attempt_limits, Denials(), lambda r: None)
+    attempt = OutgoingAttempt(request, number, attempt_limits, PolicyViolations(), lambda r: None)
     clock = now_ns + connect_ms * MS
     with mock.patch("loadbalancer.proxy.attempt.time.monotonic_ns", lambda: clock):
         data = attempt.begin(ALLOWED)
