--- a/loadbalancer/store/durable/__init__.py
+++ b/loadbalancer/store/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What a store node keeps on disk: the journal of its log, the state in SQLite, and snapshots."""
+"""What a store node stores on disk: the journal of its log, the state in SQLite, and snapshots."""
--- a/loadbalancer/store/node.py
+++ b/loadbalancer/store/node.py
@@ -105,7 +105,7 @@
         """Opens the node of a folder.
 
         Raises:
-            Damaged: The folder's content is not valid.
+            DamagedError: The folder's content is not valid.
             Malformed: The folder can't be used.
         """
         lock = lock_directory(settings.folder)
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -1,6 +1,4 @@
-"""Rows in the store's state: they name only what is there, are written whole or not at all, and
-begin with format 3.
-"""
+"""Rows in the store's state: references have targets, writes are atomic; from format 3 on."""
 
 from __future__ import annotations
 
