--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -100,7 +100,10 @@
             return self.tls.context(False) if self.tls else None
 
         return Client(
-            self.store.addresses, tls_context, self.store.balancer, reach=self.store.address_map
+            self.store.addresses,
+            tls_context,
+            self.store.balancer,
+            address_map=self.store.address_map,
         )
 
     def read(self) -> Config:
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -198,7 +198,7 @@
                 self.client.addresses,
                 self.client.tls,
                 self.options.balancer,
-                address_map=self.client.reach,
+                address_map=self.client.address_map,
             ),
             [self._table.keys.scope, GLOBAL],
             follower.check_row,
--- a/loadbalancer/store/client.py
+++ b/loadbalancer/store/client.py
@@ -13,7 +13,7 @@
 from collections.abc import AsyncIterator, Callable, Mapping, Sequence
 from contextlib import suppress
 from dataclasses import dataclass, field
-from typing import Any, Final, cast
+from typing import Any, Final, NamedTuple, cast
 
 import msgspec
 
@@ -68,6 +68,15 @@
 NO_BACKUP: Final = (0, 0, 0, 0)
 
 
+class BackupMeta(NamedTuple):
+    """Describes a backup: the last entry that it holds, its size in bytes and its CRC-32C."""
+
+    last_index: int
+    term: int
+    size: int
+    checksum: int
+
+
 def _no_tls() -> ssl.SSLContext | None:
     return None
 
@@ -82,7 +91,7 @@
         name: A name for the logs of the nodes.
         cluster: The cluster's name; empty for any.
         deadline_s: Time limit of calls that have none of their own.
-        reach: For advertised addresses, where they are reached from here.
+        address_map: For advertised addresses, where they are reached from here.
         rng: For session numbers and the jitter of the backoff.
     """
 
@@ -91,12 +100,12 @@
     name: str = ""
     cluster: str = ""
     deadline_s: float = DEFAULT_DEADLINE_S
-    reach: Mapping[str, str] = field(default_factory=dict)
+    address_map: Mapping[str, str] = field(default_factory=dict)
     rng: random.Random = field(default_factory=lambda: random.Random(os.urandom(8)))
 
     def __post_init__(self) -> None:
         hello = new_hello(self.cluster, self.name)
-        options = ChannelOptions(self.addresses, self.tls, hello, self.reach, self.rng)
+        options = ChannelOptions(self.addresses, self.tls, hello, self.address_map, self.rng)
         self._channel = RequestChannel(options)
         self._session = WriteSession(self._channel, self.name, self.rng)
 
@@ -317,7 +326,7 @@
 
     async def read_backup(
         self, take: Callable[[bytes], object], timeout_s: float = BACKUP_TIMEOUT_S
-    ) -> tuple[int, int, int, int]:
+    ) -> BackupMeta:
         """Reads a backup of the state chunk by chunk.
 
         Args:
@@ -325,7 +334,7 @@
             timeout_s: Time limit of the complete backup.
 
         Returns:
-            Index, term, size and checksum.
+            What the backup holds, to verify it.
 
         Raises:
             UnavailableError: No node replied in time.
@@ -339,9 +348,9 @@
             meta_id = chunk.meta_id
             take(chunk.data)
             offset += len(chunk.data)
-            _, _, size, _ = meta_id
-            if offset >= size:
-                return meta_id
+            meta = BackupMeta(*meta_id)
+            if offset >= meta.size:
+                return meta
 
     async def _read_chunk(
         self, offset: int, meta_id: tuple[int, int, int, int], deadline_s: float
--- a/loadbalancer/store/metrics.py
+++ b/loadbalancer/store/metrics.py
@@ -60,8 +60,8 @@
         """Yields all metric families."""
         status = self.node.status()
         fields = cast(Mapping[str, Any], status)
-        yield from _gauges("lanelift_store", GAUGES, fields)
-        yield from _counters("lanelift_store", COUNTERS, fields)
+        yield from _families(GaugeMetricFamily, "lanelift_store", GAUGES, fields)
+        yield from _families(CounterMetricFamily, "lanelift_store", COUNTERS, fields)
         yield GaugeMetricFamily(
             "lanelift_store_leads",
             "1 where this node leads",
@@ -69,8 +69,8 @@
         )
         yield self._sync_times()
         feed = status["feed"] or {}
-        yield from _gauges("lanelift_feed", FEED_GAUGES, feed)
-        yield from _counters("lanelift_feed", FEED_COUNTERS, feed)
+        yield from _families(GaugeMetricFamily, "lanelift_feed", FEED_GAUGES, feed)
+        yield from _families(CounterMetricFamily, "lanelift_feed", FEED_COUNTERS, feed)
         yield from _lease_metrics(list(self.node.replica.state.leases.values()))
         yield _member_lag(status)
 
@@ -84,20 +84,14 @@
         return gauge
 
 
-def _gauges(
-    prefix: str, descriptions: Mapping[str, str], fields: Mapping[str, Any]
+def _families(
+    family: type[GaugeMetricFamily] | type[CounterMetricFamily],
+    prefix: str,
+    descriptions: Mapping[str, str],
+    fields: Mapping[str, Any],
 ) -> Iterable[Metric]:
     for name, description in descriptions.items():
-        value = float(fields.get(name, 0))
-        yield GaugeMetricFamily(f"{prefix}_{name}", description, value=value)
-
-
-def _counters(
-    prefix: str, descriptions: Mapping[str, str], fields: Mapping[str, Any]
-) -> Iterable[Metric]:
-    for name, description in descriptions.items():
-        value = float(fields.get(name, 0))
-        yield CounterMetricFamily(f"{prefix}_{name}", description, value=value)
+        yield family(f"{prefix}_{name}", description, value=float(fields.get(name, 0)))
 
 
 def _lease_metrics(leases: list[Lease]) -> Iterable[Metric]:
--- a/loadbalancer/testbed/size/hollow.py
+++ b/loadbalancer/testbed/size/hollow.py
@@ -224,7 +224,7 @@
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.client = Client(
-            self.told.addresses, name=self.told.name, reach=self.reach, rng=self.rng
+            self.told.addresses, name=self.told.name, address_map=self.reach, rng=self.rng
         )
         self.tasks: list[asyncio.Task[None]] = []
 
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -97,7 +97,7 @@
         by: dict[str, list[int]] = {}
         for what in self.applied:
             by.setdefault(what.scope, []).append(what.revision)
-        return all(seen == sorted(seen) for seen in by.values())
+        return all(revisions == sorted(revisions) for revisions in by.values())
 
 
 def key(scope: str, name: str) -> str:
@@ -121,13 +121,13 @@
         await balancer.client.close()
 
 
-def feed_of(c: Cluster, place: int) -> dict[str, Any]:
-    found: dict[str, Any] | None = c.nodes[place].node.status()["feed"]
+def feed_of(c: Cluster, node_index: int) -> dict[str, Any]:
+    found: dict[str, Any] | None = c.nodes[node_index].node.status()["feed"]
     assert found is not None
     return found
 
 
-def test_each_hears_its_scopes_from_any_member_a_learner_too(tmp_path: Path) -> None:
+def test_balancer_receives_its_scopes_from_any_member_including_a_learner(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
             client = c.client()
@@ -174,7 +174,7 @@
     run(test)
 
 
-def test_a_node_that_has_no_rows_and_no_subscriber_has_no_feed(tmp_path: Path) -> None:
+def test_node_without_rows_and_subscribers_has_no_feed(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
             await c.client().put("config/a", b"1")
@@ -186,7 +186,7 @@
     run(test)
 
 
-def test_a_node_that_restarts_goes_on_from_what_it_kept(tmp_path: Path) -> None:
+def test_restarted_node_resumes_subscriptions_from_its_log(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
             client = c.client()
@@ -211,7 +211,7 @@
 @pytest.mark.parametrize(
     "again", [False, True]
 )  # a snapshot of the store comes meanwhile, with the change
-def test_what_comes_while_rows_are_loaded_is_neither_lost_nor_told_twice(
+def test_changes_while_rows_are_loaded_are_sent_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, again: bool
 ) -> None:
     async def test() -> None:
@@ -220,21 +220,21 @@
             await put(client, ORDERS, b"0", "a")
             one = Balancer([c.settings[0].advertise], [ORDERS])
             await one.has(ORDERS, "upstream/a", b"0")
-            may_look, has_looked, may_go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
+            may_query, has_queried, may_continue = asyncio.Event(), asyncio.Event(), asyncio.Event()
             query = node.runtime.query
 
-            async def late(look: Any) -> Any:
-                await may_look.wait()
-                found = await query(look)
-                has_looked.set()
-                await may_go_on.wait()
+            async def late(read: Any) -> Any:
+                await may_query.wait()
+                found = await query(read)
+                has_queried.set()
+                await may_continue.wait()
                 return found
 
             monkeypatch.setattr(node.runtime, "query", late)
             node.changefeed.snapshot_installed()
             before = await put(client, ORDERS, b"1", "a", "before")
-            may_look.set()
-            await has_looked.wait()
+            may_query.set()
+            await has_queried.wait()
             with monkeypatch.context() as patch:
                 if again:
                     patch.setattr(node.changefeed, "entries_applied", lambda *what: None)
@@ -242,7 +242,7 @@
             if again:
                 node.changefeed.snapshot_installed()
             assert node.changefeed.is_loading and list(feed_of(c, 0)["reached"][0]) == [0, 1]
-            may_go_on.set()
+            may_continue.set()
             await one.has(ORDERS, "upstream/a", b"2")
             assert set(one.rows[ORDERS]) == {"upstream/a", "upstream/before", "upstream/after"}
             assert one.applied[-1].revision == after > before and one.goes_forward()
@@ -252,7 +252,7 @@
     run(test)
 
 
-def test_a_log_that_was_cut_under_a_resume_gives_a_snapshot(
+def test_resume_from_a_compacted_log_sends_a_snapshot(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -277,7 +277,7 @@
     run(test)
 
 
-def test_a_snapshot_of_the_store_under_a_live_subscriber(tmp_path: Path) -> None:
+def test_store_snapshot_is_installed_under_a_live_subscriber(tmp_path: Path) -> None:
     async def test() -> None:
         small = '[limits]\nkeep = 5\nlog = "64KiB"'
         async with cluster(tmp_path, 3, extra=small) as c:
@@ -311,10 +311,10 @@
 @pytest.mark.parametrize(
     "window", ["64KiB", "64MiB"]
 )  # within it, and beyond what its connection takes
-def test_who_stops_reading_holds_nobody_up_and_hears_the_last_value(
+def test_subscriber_that_stops_reading_delays_no_other_and_receives_the_last_value(
     tmp_path: Path, window: str
 ) -> None:
-    """What it is not told are 10 MB."""
+    """What it is not sent are 10 MB."""
 
     async def test() -> None:
         async with cluster(tmp_path, 1, extra=f'[feed]\nwindow = "{window}"') as c:
@@ -349,17 +349,17 @@
                 if one.transport is not None
             ]
             assert max(unread) < 512 << 10 and feed_of(c, 0)["laggards"][0]["name"] == "slow"
-            told = len(slow.applied)
+            applied_before = len(slow.applied)
             slow.client.connection.transport.resume_reading()
             await slow.has(ORDERS, "upstream/a", b"50")
-            assert len(slow.applied) - told < 10 and slow.applied[-1].revision == revision
+            assert len(slow.applied) - applied_before < 10 and slow.applied[-1].revision == revision
             assert slow.goes_forward() and slow.rows == quick.rows
             await leave(slow, quick)
 
     run(test)
 
 
-def test_a_machine_that_vanished_is_not_counted_for_long(
+def test_vanished_host_is_removed_from_the_subscribers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its connection was never closed: here nobody reads it, and it takes nothing more."""
@@ -386,7 +386,7 @@
     run(test)
 
 
-def test_a_node_dies_and_nobody_goes_back_in_time(tmp_path: Path) -> None:
+def test_balancers_of_a_killed_node_never_go_back_in_revision(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
             client = c.client()
@@ -398,10 +398,10 @@
             assert len({one.client.address for one in some}) == 3, "they are spread"
             for number in range(1, 21):
                 if number in (5, 12):  # no majority is needed to hear, but it is to write
-                    place = (
+                    node_index = (
                         c.leader() if number == 5 else next(p for p in c.nodes if p != c.leader())
                     )
-                    await c.stop(place)
+                    await c.stop(node_index)
                 if number == 10:
                     await c.begin(next(p for p in c.settings if p not in c.nodes))
                 await put(client, ORDERS, b"%d" % number, "a")
@@ -413,7 +413,7 @@
     run(test)
 
 
-def test_a_node_that_is_cut_off_sends_balancers_elsewhere_and_claims_nothing(
+def test_isolated_node_ends_subscriptions_and_sends_no_bookmarks(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(changefeed_server, "MAX_LEADERLESS_MS", 300)
@@ -441,12 +441,12 @@
                 free.client.subscription.disconnect_reason
                 == f"{here}: this node knows of no leader"
             )
-            told, tell = list[int](), Connection.send_messages
+            sequences, send_messages = list[int](), Connection.send_messages
 
             def noted(self: Connection, sends: Sequence[Send]) -> None:
                 if self.node is node:
-                    told.extend(one.sequence for one in sends)
-                tell(self, sends)
+                    sequences.extend(one.sequence for one in sends)
+                send_messages(self, sends)
 
             monkeypatch.setattr(Connection, "send_messages", noted)
             fanout = node.changefeed.fanout
@@ -458,7 +458,11 @@
                 came = fanout.status().sent_messages
                 while fanout.status().sent_messages < came + 3:  # bookmarks, as the fan-out thinks
                     await asyncio.sleep(0.02)
-            assert told == [] and back.name == "bound" and bound.value(ORDERS, "upstream/a") == b"1"
+            assert (
+                sequences == []
+                and back.name == "bound"
+                and bound.value(ORDERS, "upstream/a") == b"1"
+            )
             node.message_received = message_received  # type: ignore[method-assign]
             await bound.has(ORDERS, "upstream/a", b"2")
             assert bound.wholes(ORDERS) == 1
@@ -467,7 +471,7 @@
     run(test)
 
 
-def test_a_restored_store_is_read_anew(tmp_path: Path) -> None:
+def test_restored_store_is_read_from_the_start(tmp_path: Path) -> None:
     """It is at an earlier revision, under a new name: rows as it has them, and cursors of the old
     mean nothing.
     """
@@ -496,7 +500,7 @@
     run(test)
 
 
-def test_an_older_program_among_the_members_has_no_rows_and_holds_them_back(tmp_path: Path) -> None:
+def test_member_of_an_older_program_prevents_rows(tmp_path: Path) -> None:
     async def test() -> None:
         old = RealCluster(tmp_path, 2, '[timing]\nheartbeat = "40ms"\nelection = "200ms"\n')
         client = old.client(deadline_s=1.0)
@@ -527,7 +531,7 @@
     run(test)
 
 
-def test_a_row_that_a_balancer_can_not_take_is_told_and_the_last_good_stands(
+def test_row_that_a_balancer_rejects_is_reported_and_the_last_good_one_stays(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -554,7 +558,7 @@
     run(test)
 
 
-def test_the_feed_needs_a_certificate_that_may_read(tmp_path: Path) -> None:
+def test_feed_requires_a_certificate_with_the_read_role(tmp_path: Path) -> None:
     authority = Authority(tmp_path)
     node, read = authority.issue("node"), authority.issue("read")
     authority.issue("admin")
@@ -575,7 +579,7 @@
     run(test)
 
 
-def test_a_word_that_none_says_ends_its_connection_in_one_line(tmp_path: Path) -> None:
+def test_invalid_message_ends_its_connection_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
             wire, why = await greeted(c, Hello(1, "", 0))
@@ -596,7 +600,7 @@
         )
 
 
-def test_a_feed_that_fails_begins_anew_and_the_store_goes_on(
+def test_feed_that_fails_starts_over_and_the_store_goes_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -616,19 +620,19 @@
     run(test)
 
 
-def test_all_of_another_nodes_connections_come_at_once_and_hold_up_nothing_else(
+def test_simultaneous_connections_of_another_node_delay_nothing_else(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They wait to be accepted, and between any two of them the loop does what else there is."""
-    turns, made = 0, list[int]()
+    iterations, made = 0, list[int]()
     connection_made = Connection.connection_made
 
     def noted(self: Connection, transport: asyncio.BaseTransport) -> None:
-        made.append(turns)
+        made.append(iterations)
         connection_made(self, transport)
 
     async def test() -> None:
-        nonlocal turns
+        nonlocal iterations
         async with cluster(tmp_path, 1) as c:
             monkeypatch.setattr(Connection, "connection_made", noted)
             some = [socket.socket() for _ in range(320)]
@@ -637,7 +641,7 @@
                 one.connect(c.settings[0].listen)
             while len(made) < 320:
                 await asyncio.sleep(0)
-                turns += 1
+                iterations += 1
             assert len(set(made)) == 320
             for one in some:
                 one.close()
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -53,8 +53,8 @@
         self.settings: dict[int, StoreSettings] = {}
         self.clients: list[Client] = []
 
-    def read(self, place: int, extra: str = "") -> StoreSettings:
-        path = self.folder / f"{place}.toml"
+    def read(self, node_index: int, extra: str = "") -> StoreSettings:
+        path = self.folder / f"{node_index}.toml"
         keys = (
             (
                 f'[tls]\ncertificate = "{self.tls.certificate}"\nkey = "{self.tls.key}"\n'
@@ -64,25 +64,25 @@
             else ""
         )
         path.write_text(
-            f'folder = "n{place}"\nlisten = "127.0.0.1:{free_port()}"\n{extra}\n{keys}'
+            f'folder = "n{node_index}"\nlisten = "127.0.0.1:{free_port()}"\n{extra}\n{keys}'
             '[timing]\nheartbeat = "40ms"\nelection = "200ms"\n'
         )
-        self.settings[place] = read_store(path)
-        return self.settings[place]
+        self.settings[node_index] = read_store(path)
+        return self.settings[node_index]
 
-    async def begin(self, place: int) -> StoreServer:
-        self.nodes[place] = StoreServer(self.settings[place])
-        await self.nodes[place].start()
-        return self.nodes[place]
+    async def begin(self, node_index: int) -> StoreServer:
+        self.nodes[node_index] = StoreServer(self.settings[node_index])
+        await self.nodes[node_index].start()
+        return self.nodes[node_index]
 
     async def start(self, size: int, extra: str = "") -> None:
         running.init(self.read(0, extra), "c")
         await self.begin(0)
         client = self.client()
-        for place in range(1, size):
-            made = running.prepare(self.read(place, extra), "c")
-            await self.insist(client, "learn", made.node, self.settings[place].advertise)
-            await self.begin(place)
+        for node_index in range(1, size):
+            made = running.prepare(self.read(node_index, extra), "c")
+            await self.insist(client, "learn", made.node, self.settings[node_index].advertise)
+            await self.begin(node_index)
             await self.insist(client, "promote", made.node)
 
     @staticmethod
@@ -100,10 +100,12 @@
     ) -> Client:
         keys = tls or self.tls_of_client()
         context = keys.context(False) if keys else None
-        places = [only] if only >= 0 else sorted(self.settings)
+        node_indexes = [only] if only >= 0 else sorted(self.settings)
         self.clients.append(
             Client(
-                [self.settings[p].advertise for p in places], lambda: context, deadline_s=deadline_s
+                [self.settings[p].advertise for p in node_indexes],
+                lambda: context,
+                deadline_s=deadline_s,
             )
         )
         return self.clients[-1]
@@ -117,14 +119,14 @@
     def leader(self) -> int:
         return next(p for p, r in self.nodes.items() if r.node.core.role.value == "leader")
 
-    async def stop(self, place: int) -> None:
-        await self.nodes.pop(place).close()
+    async def stop(self, node_index: int) -> None:
+        await self.nodes.pop(node_index).close()
 
     async def close(self) -> None:
         for client in self.clients:
             await client.close()
-        for place in list(self.nodes):
-            await self.stop(place)
+        for node_index in list(self.nodes):
+            await self.stop(node_index)
 
 
 @asynccontextmanager
@@ -143,24 +145,24 @@
     asyncio.run(asyncio.wait_for(work(), 60))
 
 
-def test_what_was_answered_is_read_from_any_node_and_after_a_restart(tmp_path: Path) -> None:
+def test_acknowledged_write_is_read_from_any_node_and_after_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
             client = c.client()
             assert await client.put("config/a", b"1", 0) == 1
             with pytest.raises(ConflictError, match="config/a is at version 1"):
                 await client.put("config/a", b"2", 0)
-            for place in c.nodes:
-                row = (await c.client(only=place).get("config/a")).rows[0]
+            for node_index in c.nodes:
+                row = (await c.client(only=node_index).get("config/a")).rows[0]
                 assert (row.value, row.version) == (b"1", 1)
             result = await client.write(
                 [Op("b", b"x", 0), Op("config/a", b"2", 1)], WriteOptions(note="both")
             )
             assert result.versions == (1, 2)
-            for place in list(c.nodes):
-                await c.stop(place)
-            for place in list(c.settings):
-                await c.begin(place)
+            for node_index in list(c.nodes):
+                await c.stop(node_index)
+            for node_index in list(c.settings):
+                await c.begin(node_index)
             again = await c.client().scan("")
             assert [(r.key, r.version) for r in again.rows] == [("b", 1), ("config/a", 2)]
             past = await c.client().history("config/a")
@@ -171,7 +173,7 @@
     run(test)
 
 
-def test_the_leaders_loss_is_borne_and_a_lone_node_says_since_when(tmp_path: Path) -> None:
+def test_cluster_survives_loss_of_leader_and_lone_node_reports_since_when(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
             client = c.client()
@@ -188,7 +190,7 @@
                 while not c.nodes[lone].node.leaderless_ms():
                     await asyncio.sleep(0.01)
             stale = await one.get("a", stale=True)
-            # It holds the last write, and may not have been told yet that it was committed.
+            # It holds the last write, and may not have been notified yet that it was committed.
             assert stale.rows[0].value in (b"1", b"2") and stale.behind_ms > 0
             with pytest.raises(UnavailableError):
                 await one.get("a")
@@ -198,18 +200,18 @@
     run(test)
 
 
-def test_a_write_sent_twice_is_made_once(tmp_path: Path) -> None:
+def test_retried_write_is_applied_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
             client = c.client()
             await client.put("n", b"0")
-            wire = client.connection
-            assert wire is not None
+            connection = client.connection
+            assert connection is not None
             session = 4242
             write = pack(Write(session, 1, 0, (Op("n", b"1"),)))
-            await wire.request(Propose(9001, 1000, pack(OpenSession(session))))
+            await connection.request(Propose(9001, 1000, pack(OpenSession(session))))
             first, second = await asyncio.gather(
-                *(wire.request(Propose(n, 1000, write)) for n in (9002, 9003))
+                *(connection.request(Propose(n, 1000, write)) for n in (9002, 9003))
             )
             assert isinstance(first, protocol.Committed) and isinstance(second, protocol.Committed)
             assert first.result == second.result
@@ -218,17 +220,17 @@
     run(test)
 
 
-def test_a_watch_sees_every_change_over_a_change_of_leader(tmp_path: Path) -> None:
+def test_watch_receives_every_change_over_a_change_of_leader(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
             client, watcher = c.client(), c.client()
             start = (await client.get("w/x")).revision
-            seen: list[int] = []
+            versions: list[int] = []
 
             async def watch() -> None:
-                async for told in watcher.watch("w/", start):
-                    seen.extend(change.version for change in told.changes)
-                    if seen and seen[-1] == 60:
+                async for received in watcher.watch("w/", start):
+                    versions.extend(change.version for change in received.changes)
+                    if versions and versions[-1] == 60:
                         return
 
             task = asyncio.create_task(watch())
@@ -238,14 +240,12 @@
                 await client.put("w/x", b"%d" % i)
                 await client.put("other", b"")
             await task
-            assert seen == list(range(1, 61))
+            assert versions == list(range(1, 61))
 
     run(test)
 
 
-def test_a_watch_whose_history_is_gone_says_so(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_watch_of_compacted_history_raises(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(states, "EVENTS", 3)
 
     async def test() -> None:
@@ -260,7 +260,7 @@
     run(test)
 
 
-def test_a_newcomer_far_behind_takes_a_snapshot(tmp_path: Path) -> None:
+def test_new_member_far_behind_installs_a_snapshot(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1, extra='[limits]\nkeep = 5\nlog = "64KiB"') as c:
             client = c.client()
@@ -282,7 +282,7 @@
     run(test)
 
 
-def test_who_was_removed_is_refused_and_quiet(
+def test_removed_member_is_declined_and_disturbs_no_term(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -308,24 +308,24 @@
     c: Cluster, hello: Hello, tls: TlsFiles | None = None
 ) -> tuple[ClientConnection, str]:
     """A connection that says this, and what came of it: empty where it was welcomed."""
-    wire = ClientConnection(hello)
+    connection = ClientConnection(hello)
     host, port = c.settings[0].listen
     await asyncio.get_running_loop().create_connection(
-        lambda: wire, host, port, ssl=tls.context(False) if tls else None
+        lambda: connection, host, port, ssl=tls.context(False) if tls else None
     )
     try:
-        await asyncio.wait_for(wire.welcomed, 5)
+        await asyncio.wait_for(connection.welcomed, 5)
     except ConnectionError as error:
-        return wire, str(error)
-    return wire, ""
+        return connection, str(error)
+    return connection, ""
 
 
-def test_what_is_not_of_this_cluster_is_refused_in_one_line(
+def test_foreign_connection_is_declined_in_one_line(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def closed(wire: ClientConnection) -> None:
+    async def closed(connection: ClientConnection) -> None:
         async with asyncio.timeout(5):
-            while not wire.closed:
+            while not connection.closed:
                 await asyncio.sleep(0.005)
 
     async def test() -> None:
@@ -366,7 +366,7 @@
         run(test)
 
 
-def test_certificates_give_roles_and_are_replaced_while_it_runs(tmp_path: Path) -> None:
+def test_certificates_give_roles_and_are_reloaded_while_the_node_runs(tmp_path: Path) -> None:
     authority = Authority(tmp_path)
     node = authority.issue("node")
     admin, write, read = (authority.issue(role) for role in ("admin", "write", "read"))
@@ -405,7 +405,7 @@
     run(test)
 
 
-def test_a_copy_becomes_a_new_cluster_that_the_old_one_does_not_know(tmp_path: Path) -> None:
+def test_backup_becomes_a_new_cluster_that_the_old_one_does_not_accept(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
             client = c.client()
@@ -425,7 +425,7 @@
     run(test)
 
 
-def test_what_a_killed_node_leaves_becomes_a_new_cluster(tmp_path: Path) -> None:
+def test_folder_of_a_killed_node_becomes_a_new_cluster(tmp_path: Path) -> None:
     async def test() -> None:
         old = RealCluster(tmp_path, 1)
         try:
@@ -449,7 +449,7 @@
     run(test)
 
 
-def test_a_full_disk_stops_writes_and_not_reads(
+def test_full_disk_stops_writes_but_not_reads(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     full = {"log": False, "state": False}
@@ -493,7 +493,7 @@
         run(test)
 
 
-def test_a_folder_that_can_not_be_used_is_told_in_one_line(tmp_path: Path) -> None:
+def test_unusable_folder_is_reported_in_one_line(tmp_path: Path) -> None:
     c = Cluster(tmp_path)
     settings = c.read(0)
     running.init(settings, "c")
@@ -517,7 +517,7 @@
     assert len(running.verify(settings)) == 1
 
 
-def test_nothing_is_lost_doubled_or_halved_while_nodes_are_killed() -> None:
+def test_no_write_is_lost_repeated_or_partial_while_nodes_are_killed() -> None:
     result = play(read(builtin("churn")), 3)
     assert result.wrong == [], (
         "loadbalancer lab rig run churn --seed 3",
@@ -530,25 +530,25 @@
     assert result.figures["store changes"] >= result.figures["writes"]
 
 
-@pytest.mark.parametrize("turns", [0, 1, 2])
-def test_a_watch_ends_when_it_is_left_as_its_connection_closes(tmp_path: Path, turns: int) -> None:
+@pytest.mark.parametrize("iterations", [0, 1, 2])
+def test_watch_is_cancelled_as_its_connection_closes(tmp_path: Path, iterations: int) -> None:
     """Else a process that leaves, and closes its connections first, never ends."""
 
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
-            client, told = c.client(), asyncio.Event()
+            client, received = c.client(), asyncio.Event()
             await client.put("k", b"1")
 
             async def watch() -> None:
                 async for _ in client.watch("k", 0):
-                    told.set()
+                    received.set()
 
             task = asyncio.ensure_future(watch())
-            await told.wait()
+            await received.wait()
             assert client.connection is not None
             for queue in client.connection.watches.values():
                 queue.put_nowait(None)
-            for _ in range(turns):
+            for _ in range(iterations):
                 await asyncio.sleep(0)
             task.cancel()
             await asyncio.wait({task}, timeout=5)
@@ -557,7 +557,7 @@
     run(test)
 
 
-def test_a_watch_that_looks_while_its_node_stops_says_nothing(
+def test_watch_that_reads_while_its_node_stops_logs_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
