--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -89,7 +89,7 @@
         if request is None:
             return
         request_class = self.driver.settings.classes[request.arrival.class_name]
-        usual_ns = self.driver.balancer.crowding.taken.get(request_class.name, 0.0)
+        usual_ns = self.driver.balancer.concurrency.service_times.get(request_class.name, 0.0)
         self.member.tried(event, request_class.latency_objective_ns, usual_ns, boot_clock_ns())
 
     async def observe(self) -> None:
@@ -143,7 +143,9 @@
         """
         while True:
             if self.member.row_due(boot_clock_ns()) and self.name_lease.token():
-                report = self.member.row(self.driver.balancer.crowding.taken, boot_clock_ns())
+                report = self.member.row(
+                    self.driver.balancer.concurrency.service_times, boot_clock_ns()
+                )
                 with suppress(NotLeaseHolderError):
                     await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
                     self.has_report = True
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -17,7 +17,6 @@
 import msgspec
 import pytest
 
-from loadbalancer.__main__ import Parts
 from loadbalancer.changefeed.messages import MAX_ROW_BYTES, Row, split_key
 from loadbalancer.changefeed.subscription import Apply
 from loadbalancer.daemon import endpoint_publisher, row_codec
@@ -42,6 +41,7 @@
 from loadbalancer.proxy import discovery_watch
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.discovery import Discovery, read_endpoint
+from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.settings import Json, Malformed
@@ -671,7 +671,10 @@
                     )
                 ],
             )
-            module.crowding.taken["q"], module.fleet.servers[number_of("s-2")].pace = 5e6, 3.0
+            (
+                module.concurrency.service_times["q"],
+                module.upstream_set.upstreams[number_of("s-2")].relative_service_time,
+            ) = 5e6, 3.0
             await until(lambda: bool(two.state_sync.name_lease.token()))
             await one.close()
             await two.close()
@@ -680,7 +683,9 @@
             # What was learnt comes behind the list, and is of the same start of each upstream.
             await until(lambda: bool(again.driver.posted))
             (learnt,) = again.driver.posted
-            assert isinstance(learnt, api.LearnedState) and learnt.paces[number_of("s-2")] == (
+            assert isinstance(learnt, api.LearnedState) and learnt.relative_service_times[
+                number_of("s-2")
+            ] == (
                 3.0,
                 again.driver.upstreams.targets[number_of("s-2")].endpoint.entry.started_ns,
             )
