--- a/loadbalancer/daemon/documents.py
+++ b/loadbalancer/daemon/documents.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.daemon import site_config
 from loadbalancer.daemon.settings import read_raw
-from loadbalancer.failover.plan import Place
+from loadbalancer.failover.fleet_model import SiteCapacity
 from loadbalancer.proxy.configuration import Config
 from loadbalancer.settings import Json, Malformed
 
@@ -34,7 +34,7 @@
     return read_raw(parse(name, text), name)
 
 
-def read_sites(name: str, text: str) -> dict[str, Place]:
+def read_sites(name: str, text: str) -> dict[str, SiteCapacity]:
     """Reads a document that describes the sites.
 
     Raises:
--- a/loadbalancer/store/raft/node.py
+++ b/loadbalancer/store/raft/node.py
@@ -38,8 +38,10 @@
     NodeRemoved,
     ReadIndexRequest,
     ReadIndexResponse,
+    RequestMessage,
     RequestVote,
     RequestVoteResponse,
+    ResponseMessage,
     TimeoutNow,
 )
 from loadbalancer.store.raft.ready import Batch, ConfirmedRead
@@ -136,23 +138,32 @@
         if message.term < self.term:
             self._answer_older_term(sender, message)
             return
+        if isinstance(message, ResponseMessage):
+            self._on_response(sender, message)
+        else:
+            self._on_request(sender, message)
+
+    def _on_request(self, sender: int, message: RequestMessage) -> None:
         match message:
             case RequestVote():
                 self._on_request_vote(sender, message)
-            case RequestVoteResponse():
-                self._on_vote_response(sender, message)
             case AppendEntries():
                 self._on_append(sender, message)
-            case AppendEntriesResponse():
-                self._on_append_response(sender, message)
             case InstallSnapshotChunk():
                 self._on_chunk(sender, message)
-            case InstallSnapshotChunkResponse():
-                self._on_chunk_response(sender, message)
             case TimeoutNow():
                 self._on_timeout_now()
             case ReadIndexRequest():
                 self._on_read_index_request(sender, message)
+
+    def _on_response(self, sender: int, message: ResponseMessage) -> None:
+        match message:
+            case RequestVoteResponse():
+                self._on_vote_response(sender, message)
+            case AppendEntriesResponse():
+                self._on_append_response(sender, message)
+            case InstallSnapshotChunkResponse():
+                self._on_chunk_response(sender, message)
             case ReadIndexResponse():
                 self.confirmed_reads.append(ConfirmedRead(message.ticket, message.index))
 
--- a/loadbalancer/store/read_requests.py
+++ b/loadbalancer/store/read_requests.py
@@ -4,7 +4,8 @@
 
 from typing import Final, NamedTuple
 
-from loadbalancer.store.durable.state import Item, State
+from loadbalancer.store.durable.items import Item
+from loadbalancer.store.durable.state import State
 from loadbalancer.store.wire import protocol
 from loadbalancer.store.wire.protocol import Row
 
--- a/loadbalancer/store/replica.py
+++ b/loadbalancer/store/replica.py
@@ -15,10 +15,12 @@
 import msgspec
 
 from loadbalancer.store.commands import Result
-from loadbalancer.store.durable.files import Files, write_whole
-from loadbalancer.store.durable.journal import Damaged, Found, Journal
+from loadbalancer.store.durable.errors import DamagedError
+from loadbalancer.store.durable.files import Files, replace_file
+from loadbalancer.store.durable.journal import Journal
+from loadbalancer.store.durable.journal_reader import JournalContents
 from loadbalancer.store.durable.state import State
-from loadbalancer.store.durable.state_directory import Vault
+from loadbalancer.store.durable.state_directory import StateDirectory
 from loadbalancer.store.raft.config import RaftConfig
 from loadbalancer.store.raft.log import Log
 from loadbalancer.store.raft.messages import Entry, Members
@@ -66,7 +68,7 @@
     """Where a replica stores its log and state."""
 
     journal: Journal
-    vault: Vault
+    state_directory: StateDirectory
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,31 +90,31 @@
 
 def write_identity(files: Files, identity: Identity) -> None:
     """Writes the identity of a folder."""
-    write_whole(files, IDENTITY_FILE, msgspec.json.encode(identity))
+    replace_file(files, IDENTITY_FILE, msgspec.json.encode(identity))
 
 
 def read_identity(files: Files) -> Identity:
     """Reads the identity of a folder.
 
     Raises:
-        Damaged: There is none, or it is not valid.
+        DamagedError: There is none, or it is not valid.
     """
     try:
         raw = files.read(IDENTITY_FILE)
     except FileNotFoundError:
-        raise Damaged(
+        raise DamagedError(
             f"there is no {IDENTITY_FILE}: this folder belongs to no cluster yet"
         ) from None
     try:
         version = msgspec.json.decode(raw)["format"]
         if version > IDENTITY_FORMAT:
-            raise Damaged(
+            raise DamagedError(
                 f"{IDENTITY_FILE}: format {version} is newer than {IDENTITY_FORMAT}, "
                 "which this program knows"
             )
         return msgspec.json.decode(raw, type=Identity)
     except (ValueError, KeyError, TypeError) as error:
-        raise Damaged(f"{IDENTITY_FILE}: {error}") from None
+        raise DamagedError(f"{IDENTITY_FILE}: {error}") from None
 
 
 class Replica:
@@ -132,7 +134,7 @@
     ) -> None:
         self.identity = identity
         self.journal = storage.journal
-        self.vault = storage.vault
+        self.state_directory = storage.state_directory
         self.state = state
         self.core = core
         self.log_limits = log_limits
@@ -149,16 +151,16 @@
         """Makes a replica from what is on disk.
 
         Raises:
-            Damaged: Log and state are not valid, or don't belong together.
+            DamagedError: Log and state are not valid, or don't belong together.
         """
         found = storage.journal.open()
-        state = storage.vault.open()
+        state = storage.state_directory.open()
         if found.install is not None and found.install.index > state.applied:
             # The process ended between the record in the log and the installation.
-            state = storage.vault.swap(state, found.install)
-        log = Log(found.base, found.base_term, found.entries)
+            state = storage.state_directory.install_incoming(state, found.install)
+        log = Log(found.base_index, found.base_term, found.entries)
         _check(identity, found, state, log)
-        stored = StoredState(found.hard, log, state.members, state.applied)
+        stored = StoredState(found.hard_state, log, state.members, state.applied)
         core = options.core_type(identity.node, options.config, stored, options.now_ns, options.rng)
         core.compact(state.applied - log_limits.retained_entries)
         return cls(identity, storage, state, core, log_limits)
@@ -174,15 +176,15 @@
             Full: The disk is full.
         """
         for chunk in batch.chunks:
-            self.vault.write_piece(chunk.offset, chunk.data)
+            self.state_directory.write_chunk(chunk.offset, chunk.data)
         if batch.hard_state is not None or batch.entries:
             self.journal.write(batch.hard_state, batch.entries)
         if batch.install is None:
             return True
-        if not self.vault.arrived(batch.install):
+        if not self.state_directory.verify_incoming(batch.install):
             return False
         self.journal.write(None, (), batch.install)
-        self.state = self.vault.swap(self.state, batch.install)
+        self.state = self.state_directory.install_incoming(self.state, batch.install)
         return True
 
     def apply(self, entries: Sequence[Entry]) -> list[Result]:
@@ -205,7 +207,7 @@
         Raises:
             Full: The disk is full.
         """
-        self.flushed = self.vault.flush(self.state)
+        self.flushed = self.state_directory.flush(self.state)
         return self.flushed
 
     def compaction_index(self) -> int:
@@ -223,22 +225,26 @@
         """Drops the entries of the log that are not needed."""
         index = self.compaction_index()
         self.core.compact(index)
-        self.journal.cut(index)
+        self.journal.compact(index)
 
     def close(self) -> None:
         """Closes log and state."""
         self.journal.close()
         self.state.close()
-        self.vault.close()
+        self.state_directory.close()
 
 
-def _check(identity: Identity, found: Found, state: State, log: Log) -> None:
+def _check(identity: Identity, found: JournalContents, state: State, log: Log) -> None:
     if state.cluster != identity.cluster:
-        raise Damaged(f"the state belongs to cluster {state.cluster}")
-    if state.applied < found.base:
-        raise Damaged(f"the state ends at entry {state.applied}, the log begins after {found.base}")
+        raise DamagedError(f"the state belongs to cluster {state.cluster}")
+    if state.applied < found.base_index:
+        raise DamagedError(
+            f"the state ends at entry {state.applied}, the log begins after {found.base_index}"
+        )
     if state.applied > log.last_index:
-        raise Damaged(f"the log ends at entry {log.last_index}, the state holds {state.applied}")
+        raise DamagedError(
+            f"the log ends at entry {log.last_index}, the state holds {state.applied}"
+        )
 
 
 def single_member(node: int, address: str) -> Members:
--- a/loadbalancer/store/run.py
+++ b/loadbalancer/store/run.py
@@ -15,10 +15,10 @@
 from loadbalancer.settings import Malformed
 from loadbalancer.store import metrics
 from loadbalancer.store.directory_lock import LOCK_FILE, lock_directory
-from loadbalancer.store.durable import state as states
-from loadbalancer.store.durable import state_directory
+from loadbalancer.store.durable import state_directory, state_files
+from loadbalancer.store.durable.errors import DamagedError
 from loadbalancer.store.durable.files import Folder
-from loadbalancer.store.durable.journal import Damaged, Journal
+from loadbalancer.store.durable.journal import Journal
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.node import Node
 from loadbalancer.store.raft.messages import Members
@@ -72,7 +72,9 @@
     """
     identity = _new_identity(cluster or new_cluster_name(), name)
     members = single_member(identity.node, settings.advertise)
-    return _fill(settings, identity, lambda path: states.create(path, identity.cluster, members))
+    return _fill(
+        settings, identity, lambda path: state_files.create_state(path, identity.cluster, members)
+    )
 
 
 def prepare(settings: StoreSettings, cluster: str, name: str = "") -> Identity:
@@ -82,7 +84,9 @@
         Malformed: The folder is not empty, or can't be used.
     """
     identity = _new_identity(cluster, name)
-    return _fill(settings, identity, lambda path: states.create(path, cluster, Members()))
+    return _fill(
+        settings, identity, lambda path: state_files.create_state(path, cluster, Members())
+    )
 
 
 def restore(settings: StoreSettings, copy: Path, cluster: str = "", name: str = "") -> Identity:
@@ -91,12 +95,12 @@
     It has a name of its own, so that members of the old cluster can't talk to it.
 
     Raises:
-        Damaged: The backup is not valid.
+        DamagedError: The backup is not valid.
         Malformed: The folder is not empty, or can't be used.
     """
-    reason = states.verify(copy)
+    reason = state_files.verify(copy)
     if reason:
-        raise Damaged(f"{copy}: {reason}")
+        raise DamagedError(f"{copy}: {reason}")
     identity = _new_identity(cluster or new_cluster_name(), name)
     members = single_member(identity.node, settings.advertise)
 
@@ -105,7 +109,7 @@
         wal = Path(f"{copy}-wal")  # of a node that was killed: its last entries
         if wal.exists():
             shutil.copyfile(wal, f"{path}-wal")
-        return states.adopt(path, identity.cluster, members, int(unix_s()))
+        return state_files.adopt_copy(path, identity.cluster, members, int(unix_s()))
 
     return _fill(settings, identity, make_state)
 
@@ -154,15 +158,15 @@
     try:
         identity = read_identity(files)
         found = Journal(files, identity.cluster, identity.node).open(repair=False)
-    except Damaged as error:
+    except DamagedError as error:
         return [str(error)]
-    if not found.cut:
+    if not found.torn_bytes:
         return []
-    return [f"the log ends in a torn tail of {found.cut} bytes; the next start cuts it off"]
+    return [f"the log ends in a torn tail of {found.torn_bytes} bytes; the next start cuts it off"]
 
 
 def _state_faults(folder: Path) -> list[str]:
-    reason = states.verify(folder / state_directory.STATE)
+    reason = state_files.verify(folder / state_directory.STATE)
     return [f"{state_directory.STATE}: {reason}"] if reason else []
 
 
@@ -170,7 +174,7 @@
     """A node with its listeners.
 
     Raises:
-        Damaged: The folder's content is not valid.
+        DamagedError: The folder's content is not valid.
         Malformed: The folder can't be used.
     """
 
@@ -208,7 +212,7 @@
     """Runs a node until SIGTERM or SIGINT; returns why it failed, empty after a signal.
 
     Raises:
-        Damaged: The folder's content is not valid.
+        DamagedError: The folder's content is not valid.
         Malformed: Folder, address or certificates can't be used.
     """
     loop = asyncio.get_running_loop()
--- a/loadbalancer/store/state_worker.py
+++ b/loadbalancer/store/state_worker.py
@@ -4,13 +4,13 @@
 
 import asyncio
 import logging
+import sqlite3
 import time
 from collections.abc import Callable, Sequence
 from typing import Final
 
 from loadbalancer.store.commands import Result
-from loadbalancer.store.durable import state as states
-from loadbalancer.store.durable.journal import Full
+from loadbalancer.store.durable.errors import DiskFullError
 from loadbalancer.store.log_writer import FULL_RETRY_S
 from loadbalancer.store.node_runtime import NodeRuntime
 from loadbalancer.store.raft.messages import Entry
@@ -60,7 +60,7 @@
     def _apply_inline(self, entries: list[Entry]) -> None:
         try:
             results = self._runtime.replica.apply(entries)
-        except states.Failed:  # the thread retries it, and can wait for room
+        except sqlite3.Error:  # the thread retries it, and can wait for room
             self._start_apply(entries)
         else:
             self._entries_applied(entries, results)
@@ -89,7 +89,7 @@
         """Applies entries; None if the disk is full, which leaves no trace in the state."""
         try:
             return await self._runtime.on_state_thread(self._runtime.replica.apply, entries)
-        except states.Failed as error:
+        except sqlite3.Error as error:
             if "full" not in str(error):
                 raise
             self._runtime.statistics.note_full(Storage.STATE, error)
@@ -105,10 +105,12 @@
 
     async def _export(self) -> None:
         try:
-            meta = await self._runtime.on_export_thread(self._runtime.replica.vault.export)
+            meta = await self._runtime.on_export_thread(
+                self._runtime.replica.state_directory.export_snapshot
+            )
             self._runtime.statistics.exports += 1
             self._runtime.core.snapshot_exported(meta)
-        except Full as error:
+        except DiskFullError as error:
             log.error("snapshot can't be exported: error=%s", error)
             await asyncio.sleep(FULL_RETRY_S)
         finally:
@@ -140,9 +142,9 @@
                 # The journal belongs to the log's thread; the core, to this one.
                 index = replica.compaction_index()
                 self._runtime.core.compact(index)
-                await self._runtime.on_log_thread(replica.journal.cut, index)
-            await self._runtime.on_log_thread(replica.journal.mark)
-        except Full as error:
+                await self._runtime.on_log_thread(replica.journal.compact, index)
+            await self._runtime.on_log_thread(replica.journal.write_end_mark)
+        except DiskFullError as error:
             log.error("state can't be synced: error=%s", error)
             await asyncio.sleep(FULL_RETRY_S)
         finally:
@@ -153,7 +155,7 @@
         """Syncs the state.
 
         Raises:
-            Full: The disk is full.
+            DiskFullError: The disk is full.
         """
         async with self._runtime.state_lock:
             await self._runtime.on_state_thread(self._runtime.replica.flush)
