--- a/loadbalancer/store/changefeed_server.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -26,7 +26,7 @@
 )
 from loadbalancer.changefeed.messages import PREFIX, Bookmark, unpack_server_message
 from loadbalancer.changefeed.status import FeedStatus
-from loadbalancer.store.durable.rows import Event, Loaded
+from loadbalancer.store.durable.rows import LoadedRows, WatchEvent
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.replica import Replica
 from loadbalancer.store.timer import WakeTimer
@@ -111,7 +111,7 @@
         if self._host.replica.state.scan(PREFIX, "", 1):
             self._start_loading()
 
-    def entries_applied(self, revision: int, events: Sequence[Event]) -> None:
+    def entries_applied(self, revision: int, events: Sequence[WatchEvent]) -> None:
         """Passes on changes, in the iteration of the event loop in which they were applied."""
         if self.fanout is None and self._queued is None:
             if events:
@@ -297,11 +297,11 @@
         self._timer.cancel()
 
 
-def _feed_changes(events: Sequence[Event]) -> list[FeedChange]:
+def _feed_changes(events: Sequence[WatchEvent]) -> list[FeedChange]:
     return [FeedChange(event.revision, event.key, event.version, event.value) for event in events]
 
 
-def _fill(fanout: Fanout, loaded: Loaded) -> None:
+def _fill(fanout: Fanout, loaded: LoadedRows) -> None:
     changes = _feed_changes(loaded.events)
     snapshot = StoreSnapshot(loaded.revision, loaded.rows, loaded.base, changes)
     fanout.load(snapshot, time.monotonic_ns())
--- a/loadbalancer/store/housekeeping.py
+++ b/loadbalancer/store/housekeeping.py
@@ -44,9 +44,9 @@
     def leadership_gained(self, term: int, state: State, now_ns: int) -> None:
         """Starts over for a term: a new leader lets every claim run its full TTL again."""
         if term != self.term:
-            state.take_claimed()
+            state.take_changed_claims()
             self.term = term
-            self._expiry = LeaseExpiry(state.running(), now_ns)
+            self._expiry = LeaseExpiry(state.active_claims(), now_ns)
             self._proposed = None
 
     def leadership_lost(self) -> None:
--- a/loadbalancer/store/watch_session.py
+++ b/loadbalancer/store/watch_session.py
@@ -8,7 +8,8 @@
 from typing import Final, Protocol, TypeVar
 
 from loadbalancer.store.change_notifier import ChangeNotifier
-from loadbalancer.store.durable.state import Compacted, State
+from loadbalancer.store.durable.errors import CompactedError
+from loadbalancer.store.durable.state import State
 from loadbalancer.store.errors import DeadlineExceededError
 from loadbalancer.store.wire.protocol import Change, Changes, FailureCode, Reply, Watch
 
@@ -95,7 +96,7 @@
                 )
             except DeadlineExceededError:
                 return  # the node stops and closes the connection
-            except Compacted as error:
+            except CompactedError as error:
                 self._owner.watch_compacted(self._id, FailureCode.COMPACTED, str(error))
                 self.stop()
                 return
