--- a/loadbalancer/cli/roll.py
+++ b/loadbalancer/cli/roll.py
@@ -18,7 +18,7 @@
 from loadbalancer.cli.store import At, Authority, Cert, Key, client, using
 from loadbalancer.daemon.persisted import decode_row
 from loadbalancer.daemon.rolling_restart import explain_wait, find_error
-from loadbalancer.daemon.rolling_restart_controller import (
+from loadbalancer.daemon.rolling_restart_reader import (
     RollingRestartKeys,
     RollingRestartReader,
 )
--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -86,15 +86,15 @@
             if (held is not None and held.is_held)
             else "nobody"
         )
-        blind = seen.look.blind
+        blind = seen.evidence.blind
         out.print(
-            f"owner: {who}; {len(seen.look.rows)} balancers tell"
+            f"owner: {who}; {len(seen.evidence.rows)} balancers tell"
             + (f"; the work rests: {blind}" if blind else ""),
             soft_wrap=True,
         )
-        what = heard(seen.look.rows)
+        what = heard(seen.evidence.rows)
         verdicts = {
-            n: verdict(n, what, seen.look.listed.get(n, 0), seen.look.usual.get(n, 0))
+            n: verdict(n, what, seen.evidence.listed.get(n, 0), seen.evidence.usual.get(n, 0))
             for n in seen.sites
         }
         rows = Rows()
@@ -156,11 +156,11 @@
             ["site"],
             registry=registry,
         )
-        what, fleet = heard(seen.look.rows), seen.fleet
+        what, fleet = heard(seen.evidence.rows), seen.fleet
         for name in seen.sites:
             part.labels(name).set(seen.plan.state_of(name).part)
             now = verdict(
-                name, what, seen.look.listed.get(name, 0), seen.look.usual.get(name, 0)
+                name, what, seen.evidence.listed.get(name, 0), seen.evidence.usual.get(name, 0)
             ).state
             state.labels(name, now.value).set(1)
             if fleet.loads and len(seen.sites) > 1:
@@ -212,7 +212,7 @@
         seen = await _looked(c, service)
         fleet = seen.fleet
         if not seen.sites:
-            raise Malformed(seen.look.blind)
+            raise Malformed(seen.evidence.blind)
         if not fleet.loads:
             raise Malformed("no balancer tells of any load: there is nothing to plan with")
         names = [n.strip() for n in lose.split(",") if n.strip()]
@@ -266,7 +266,7 @@
             raise Malformed(
                 f"{name}: there is no such site in the document of sites"
                 if seen.sites
-                else seen.look.blind
+                else seen.evidence.blind
             )
         if aim is not Aim.IN and not force and fleet.loads:
             out_ = {x.site for x in seen.plan.site_states if x.part < 1} | {name}
--- a/loadbalancer/daemon/address_map.py
+++ b/loadbalancer/daemon/address_map.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.settings import split_address
 
 Address = tuple[str, int]
--- /dev/null
+++ b/loadbalancer/daemon/balancer_reporter.py
@@ -0,0 +1,104 @@
+"""Reports of a balancer while a rolling restart is under way."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from contextlib import suppress
+
+import msgspec
+
+from loadbalancer.daemon.identity import BalancerIdentity
+from loadbalancer.daemon.leased_row import LeasedRow
+from loadbalancer.daemon.persisted import decode_row
+from loadbalancer.daemon.rolling_restart_reader import RollingRestartKeys
+from loadbalancer.daemon.rolling_restart_state import BalancerReport, RollingRestart, State
+from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
+from loadbalancer.proxy.endpoint import number_of
+from loadbalancer.proxy.policy_driver import Driver
+from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.wire.protocol import Row
+
+CHECK_INTERVAL_S = 0.5  # between checks for a changed report
+IDLE_INTERVAL_S = 2.0  # while there is no rolling restart
+# A report is repeated after this, the longer the more balancers there are; at most after half of
+# the age at which it is no longer evidence.
+MIN_REPORT_INTERVAL_S = 2.0
+REPORT_INTERVAL_PER_BALANCER_S = 0.025
+MAX_REPORT_INTERVAL_S = 5.0
+
+
+class BalancerReporter:
+    """Writes a balancer's reports while a rolling restart is under way."""
+
+    def __init__(
+        self,
+        driver: Driver,
+        disabled: DisabledUpstreams,
+        name_lease: Owner,
+        identity: BalancerIdentity,
+    ) -> None:
+        self.driver = driver
+        self.disabled = disabled
+        self.keys = RollingRestartKeys(identity.service)
+        self.row = LeasedRow(name_lease, self.keys.reports + identity.balancer)
+        self.disabled_version = 0  # of the set in force on this balancer
+        self.is_active = False
+        self.sequence = 0
+        self.changed = asyncio.Event()
+        balancer_count = driver.settings.instance_count
+        self.interval_s = min(
+            MAX_REPORT_INTERVAL_S,
+            max(MIN_REPORT_INTERVAL_S, REPORT_INTERVAL_PER_BALANCER_S * balancer_count),
+        )
+
+    def set_disabled_version(self, version: int) -> None:
+        """Notes which version of the disabled set is in force here."""
+        self.disabled_version = version
+        self.changed.set()
+
+    async def on_restart_changed(self, value: bytes | None, version: int) -> None:
+        """Handles a change of the rolling restart's document."""
+        restart = decode_row(Row(self.keys.restart, value, version, 0), RollingRestart)
+        self.is_active = restart is not None and restart.state is not State.ENDED
+        self.changed.set()
+
+    def busy_upstreams(self) -> tuple[str, ...]:
+        """Returns the disabled upstreams that still have attempts of this balancer."""
+        names = {number_of(name): name for name in self.disabled.names}
+        busy = {
+            names[attempt.server.id]
+            for request in self.driver.balancer.requests.values()
+            for attempt in request.attempts
+            if attempt.result is None and attempt.server.id in names
+        }
+        return tuple(sorted(busy))
+
+    async def run(self) -> None:
+        """Reports each change, and again after each interval.
+
+        Raises:
+            StoreError: The store did not serve a write.
+        """
+        reported: tuple[int, tuple[str, ...]] | None = None
+        reported_s = 0.0
+        while True:
+            current = self.disabled_version, self.busy_upstreams()
+            is_due = current != reported or time.monotonic() - reported_s >= self.interval_s
+            if self.is_active and is_due and self.row.is_writable:
+                report = self._next_report(*current)
+                if await self.row.write(msgspec.json.encode(report)):
+                    reported = current
+                    reported_s = time.monotonic()
+            self.changed.clear()
+            with suppress(TimeoutError):
+                async with asyncio.timeout(CHECK_INTERVAL_S if self.is_active else IDLE_INTERVAL_S):
+                    await self.changed.wait()
+
+    def _next_report(self, disabled_version: int, busy: tuple[str, ...]) -> BalancerReport:
+        self.sequence += 1
+        rate = self.driver.balancer.rate
+        served = min(rate.served, rate.sent)
+        return BalancerReport(
+            disabled_version, busy, round(rate.sent, 2), round(served, 2), self.sequence
+        )
--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -33,8 +33,8 @@
 from loadbalancer.leases.table import format_token
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery import Discovery
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.proxy.policy_driver import Driver
-from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.client import Client
 from loadbalancer.store.lease_client import Owner, clock_ns
 from loadbalancer.store.wire.protocol import Row
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -27,7 +27,7 @@
     save_endpoints,
 )
 from loadbalancer.policy import api
-from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.settings import Malformed
 from loadbalancer.store.client import StoreError
 from loadbalancer.store.commands import Op
@@ -270,7 +270,7 @@
         confirmation = LeaderConfirmation(token, self.sequence, self.heartbeat)
         await self.owner.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
 
-    def _listed(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
+    def _canonical_endpoints(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
         """Returns the listed endpoints of these numbers, or all, with canonical addresses."""
         targets = self.driver.upstreams.targets
         if numbers is None:
@@ -281,7 +281,7 @@
 
     async def _publish_document(self, token: int) -> bool:
         """Writes the document if it differs from the last one; returns whether it did."""
-        endpoints = save_endpoints(self._listed())
+        endpoints = save_endpoints(self._canonical_endpoints())
         publication = Publication(token, self.discovery.version, endpoints)
         if not self.is_overwritten and self.published == publication:
             return False
@@ -307,7 +307,7 @@
         if self.writer is None:
             return False
         discovery = DiscoveryVersion(self.discovery.version, self.source)
-        has_written = await self.writer.write(self._listed, token, discovery)
+        has_written = await self.writer.write(self._canonical_endpoints, token, discovery)
         self.sequence = self.writer.sequence
         self.published = Publication(token, self.discovery.version)
         self.last_error = ""
@@ -316,7 +316,9 @@
         if not self.is_document_due:
             return has_written
         if self.publishes_documents:
-            await self._write_document(token, self.sequence, save_endpoints(self._listed()))
+            await self._write_document(
+                token, self.sequence, save_endpoints(self._canonical_endpoints())
+            )
         else:  # a balancer that knows no rows would go by it, however old it is
             await self.owner.write([Op(self.keys.list, None)])
         self.is_document_due = False
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -17,7 +17,7 @@
 from loadbalancer.daemon.persisted import SavedEndpointList, decode_row, save_endpoints
 from loadbalancer.daemon.row_codec import ListRow, RowKeys, plan_writes
 from loadbalancer.leases.fence import FencingPosition
-from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import MOST_OPS, Op
 from loadbalancer.store.lease_client import Owner
@@ -29,7 +29,7 @@
 # Operations of a write beside the upstreams: the list's row, and the service's where it is missing.
 OVERHEAD_OPERATIONS = 2
 
-ListedEndpoints = Callable[[Iterable[int] | None], Iterable[Endpoint]]
+EndpointLookup = Callable[[Iterable[int] | None], Iterable[Endpoint]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,11 +101,11 @@
         self.is_synchronized = True
         return position
 
-    async def write(self, listed: ListedEndpoints, token: int, discovery: DiscoveryVersion) -> bool:
+    async def write(self, lookup: EndpointLookup, token: int, discovery: DiscoveryVersion) -> bool:
         """Writes the rows that differ from the list.
 
         Args:
-            listed: Returns the listed endpoints of some numbers, or all, with canonical addresses.
+            lookup: Returns the listed endpoints of some numbers, or all, with canonical addresses.
             token: The lease's token.
             discovery: Version of the list.
 
@@ -118,7 +118,7 @@
         """
         if not self.is_synchronized:
             await self.read()
-        batches = self._plan(listed)
+        batches = self._plan(lookup)
         is_new_term = self.last_position is None or self.last_position.token != token
         if not batches and is_new_term:
             batches = [()]  # the new leader's position, at least: its later ones build on it
@@ -132,10 +132,10 @@
         self.is_synchronized = True
         return bool(batches)
 
-    def _plan(self, listed: ListedEndpoints) -> list[row_codec.Batch]:
+    def _plan(self, lookup: EndpointLookup) -> list[row_codec.Batch]:
         desired = {
             self.keys.upstream(endpoint.entry.id): row_codec.encode_upstream(endpoint)
-            for endpoint in listed(self.touched)
+            for endpoint in lookup(self.touched)
         }
         stored: Mapping[str, tuple[int, bytes]] = self.stored
         if self.touched is not None:
--- /dev/null
+++ b/loadbalancer/daemon/leased_row.py
@@ -0,0 +1,51 @@
+"""A row of the store that has one writer: the process that holds a lease."""
+
+from __future__ import annotations
+
+from loadbalancer.store.commands import Op
+from loadbalancer.store.lease_client import NotOwner, Owner
+
+REMOVE_TIMEOUT_S = 0.3
+
+
+class LeasedRow:
+    """Writes and deletes one row under a lease."""
+
+    def __init__(self, lease: Owner, key: str) -> None:
+        self.lease = lease
+        self.key = key
+        self.exists = False  # whether a value of this process stands in the store
+
+    @property
+    def is_writable(self) -> bool:
+        """Whether the lease is held now."""
+        return bool(self.lease.token())
+
+    async def write(self, value: bytes) -> bool:
+        """Writes a value.
+
+        Returns:
+            Whether it was written; else the lease was lost meanwhile.
+
+        Raises:
+            StoreError: The store did not serve the write.
+        """
+        try:
+            await self.lease.write([Op(self.key, value)])
+        except NotOwner:
+            return False
+        self.exists = True
+        return True
+
+    async def remove(self) -> None:
+        """Deletes this process's value, if the lease is still held.
+
+        Raises:
+            StoreError: The store did not serve the write.
+        """
+        if not self.exists or not self.is_writable:
+            return
+        try:
+            await self.lease.write([Op(self.key, None)], within_s=REMOVE_TIMEOUT_S)
+        except NotOwner:
+            return  # the next holder writes its own
--- a/loadbalancer/daemon/observation.py
+++ b/loadbalancer/daemon/observation.py
@@ -15,19 +15,19 @@
     """How long each row has stood as it is, by this process's own clock: no other is trusted."""
 
     def __init__(self) -> None:
-        self.first_seen: dict[str, tuple[int, float]] = {}
+        self.first_read: dict[str, tuple[int, float]] = {}
 
     def age_s(self, key: str, version: int) -> float:
-        """Returns the time since the key was first seen at this version."""
+        """Returns the time since the key was first read at this version."""
         now_s = time.monotonic()
-        if self.first_seen.get(key, (-1, 0.0))[0] != version:
-            self.first_seen[key] = version, now_s
-        return now_s - self.first_seen[key][1]
+        if self.first_read.get(key, (-1, 0.0))[0] != version:
+            self.first_read[key] = version, now_s
+        return now_s - self.first_read[key][1]
 
     def retain(self, keys: set[str]) -> None:
         """Forgets all other keys."""
-        for removed in self.first_seen.keys() - keys:
-            del self.first_seen[removed]
+        for removed in self.first_read.keys() - keys:
+            del self.first_read[removed]
 
 
 async def read_live_balancers(client: Client, prefix: str, stale: bool = False) -> set[str]:
--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.wallclock import age_s, unix_s
 
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -19,12 +19,12 @@
 
 from loadbalancer.daemon.rolling_restart_state import (
     FleetView,
-    ListedUpstream,
     Phase,
     RollingRestart,
     State,
     Step,
     UpstreamRestart,
+    UpstreamStatus,
 )
 
 MAX_UPSTREAMS = 1000
@@ -82,7 +82,7 @@
         error = f"{restart.restart_path!r} is no path of an upstream's admin API"
     elif not 0 <= restart.min_available <= 1:
         error = "the fraction that stays in use is 0 to 1"
-    elif restart.warm_up_s < 0 or restart.restart_timeout_s <= 0:
+    elif restart.slow_start_s < 0 or restart.restart_timeout_s <= 0:
         error = "times must not be negative"
     return error
 
@@ -126,7 +126,7 @@
     disabled = {upstream.number for upstream in restart.upstreams if upstream.name in view.disabled}
     own_names = {upstream.name for upstream in restart.upstreams}
     disabled_by_others = len(view.disabled) - len(own_names & view.disabled)
-    not_ready = {number for number, listed in view.upstreams.items() if not listed.is_ready}
+    not_ready = {number for number, status in view.upstreams.items() if not status.is_ready}
     return len(not_ready | disabled | warming_up) + disabled_by_others
 
 
@@ -178,24 +178,24 @@
     """Moves each upstream that is under way as far as the evidence permits."""
     draft = _Draft(restart, set(view.disabled))
     for upstream in restart.upstreams:
-        listed = view.upstreams.get(upstream.number)
+        status = view.upstreams.get(upstream.number)
         if upstream.phase is Phase.DRAINING and is_drained(upstream, view):
             draft.enter_phase(upstream, Phase.DRAINED, view.now_ms)
-        elif listed is None or not listed.is_ready:
+        elif status is None or not status.is_ready:
             continue
-        elif upstream.phase is Phase.DRAINED and _is_restarted(upstream, listed):
+        elif upstream.phase is Phase.DRAINED and _is_restarted(upstream, status):
             draft.disabled.discard(upstream.name)
             draft.enter_phase(upstream, Phase.WARMING_UP, view.now_ms)
         elif (
             upstream.phase is Phase.WARMING_UP
-            and view.phase_ages_s.get(upstream.name, 0.0) >= restart.warm_up_s
+            and view.phase_ages_s.get(upstream.name, 0.0) >= restart.slow_start_s
         ):
             draft.enter_phase(upstream, Phase.DONE, view.now_ms)
     return draft
 
 
-def _is_restarted(upstream: UpstreamRestart, listed: ListedUpstream) -> bool:
-    has_later_start = listed.started_s > upstream.previous_start_s + MIN_START_DISTANCE_S
+def _is_restarted(upstream: UpstreamRestart, status: UpstreamStatus) -> bool:
+    has_later_start = status.started_s > upstream.previous_start_s + MIN_START_DISTANCE_S
     return has_later_start or upstream.is_confirmed
 
 
@@ -229,9 +229,9 @@
     if (
         upstream.phase is Phase.WARMING_UP
         and is_unlisted
-        and age_s > restart.warm_up_s + PATIENCE_S
+        and age_s > restart.slow_start_s + PATIENCE_S
     ):
-        return f"{upstream.name} is no longer listed, {age_s:.0f} s after it was enabled"
+        return f"{upstream.name} is no longer status, {age_s:.0f} s after it was enabled"
     if upstream.is_out_of_service and upstream.name not in view.disabled:
         return f"{upstream.name} was enabled by an operator during its restart"
     return ""
@@ -275,11 +275,11 @@
         for upstream in under_way
     )
     for upstream in restart.upstreams:
-        listed = view.upstreams.get(upstream.number)
+        status = view.upstreams.get(upstream.number)
         is_candidate = upstream.phase is Phase.WAITING and upstream.name not in view.disabled
-        if not is_candidate or listed is None or not listed.is_ready:
+        if not is_candidate or status is None or not status.is_ready:
             continue
-        if not restart.max_per_site or site_counts[listed.site] < restart.max_per_site:
+        if not restart.max_per_site or site_counts[status.site] < restart.max_per_site:
             return upstream
     return None
 
--- a/loadbalancer/daemon/rolling_restart_state.py
+++ b/loadbalancer/daemon/rolling_restart_state.py
@@ -76,7 +76,7 @@
     max_unavailable: int = msgspec.field(name="at_once")
     max_per_site: int = msgspec.field(name="per_site", default=0)  # 0: no limit
     min_available: float = msgspec.field(name="least", default=0.7)
-    warm_up_s: float = msgspec.field(name="warm_s", default=30.0)
+    slow_start_s: float = msgspec.field(name="warm_s", default=30.0)
     restart_timeout_s: float = msgspec.field(name="wait_s", default=900.0)
     state: State = State.RUNNING
     pause_reason: str = msgspec.field(name="why", default="")
@@ -115,8 +115,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListedUpstream:
-    """An upstream in the endpoint list. `started_s`: Unix time, 0: long ago."""
+class UpstreamStatus:
+    """An upstream as it stands in the endpoint list. `started_s`: Unix time, 0: long ago."""
 
     site: str
     started_s: float
@@ -143,7 +143,7 @@
     disabled: frozenset[str]
     disabled_version: int
     balancers: Mapping[str, ObservedReport]
-    upstreams: Mapping[int, ListedUpstream]
+    upstreams: Mapping[int, UpstreamStatus]
     list_age_s: float
     phase_ages_s: Mapping[str, float]
 
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -20,7 +20,7 @@
 from loadbalancer.daemon.persisted import UpstreamLocation
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery import LATEST_MS
-from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.settings import Malformed
 from loadbalancer.store.commands import MOST_OPS, Op
 
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -10,7 +10,6 @@
 import logging
 import random
 from collections.abc import Sequence
-from contextlib import suppress
 from dataclasses import replace
 from functools import partial
 
@@ -18,6 +17,7 @@
 
 from loadbalancer.daemon.endpoint_follower import log_stale_message
 from loadbalancer.daemon.identity import BalancerIdentity
+from loadbalancer.daemon.leased_row import LeasedRow
 from loadbalancer.daemon.persisted import LeaderConfirmation, decode_row
 from loadbalancer.daemon.site_documents import LossTablesDocument, SiteKeys, SitePlanDocument
 from loadbalancer.failover.evidence import Said
@@ -29,8 +29,7 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Report
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import Op
-from loadbalancer.store.lease_client import NotOwner, Owner, clock_ns
+from loadbalancer.store.lease_client import Owner, clock_ns
 from loadbalancer.store.wire.protocol import Row
 
 log = logging.getLogger(__name__)
@@ -38,7 +37,6 @@
 STEP_INTERVAL_S = 0.25
 REPORT_JITTER = (0.5, 1.0)
 MAX_RENEWAL_FAILURES = 2  # in a row; from then on the store counts as unavailable
-REMOVE_TIMEOUT_S = 0.3
 
 
 class SiteAgent:
@@ -58,7 +56,7 @@
         self.name_lease = name_lease
         self.balancer = identity.balancer
         self.keys = SiteKeys(identity.service)
-        self.key = self.keys.rows + identity.balancer
+        self.row = LeasedRow(name_lease, self.keys.rows + identity.balancer)
         self.member = Member(
             settings.zone, identity.balancer, settings.instance_count, rng, clock_ns()
         )
@@ -66,7 +64,6 @@
         self.plan = SitePlanDocument()
         self.heartbeat = 0
         self.is_following_plan = False
-        self.has_report = False  # a report of this process stands in the store
         driver.tap = self._on_events
 
     # ---- observation -----------------------------------------------------------------------------
@@ -140,23 +137,11 @@
             StoreError: The store did not serve a write.
         """
         while True:
-            if self.member.row_due(clock_ns()) and self.name_lease.token():
+            if self.member.row_due(clock_ns()) and self.row.is_writable:
                 report = self.member.row(self.driver.balancer.crowding.taken, clock_ns())
-                with suppress(NotOwner):
-                    await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
-                    self.has_report = True
+                await self.row.write(msgspec.json.encode(report))
             await asyncio.sleep(STEP_INTERVAL_S * self.member.rng.uniform(*REPORT_JITTER))
 
-    async def remove(self) -> None:
-        """Deletes this balancer's report.
-
-        Raises:
-            StoreError: The store did not serve the write.
-        """
-        if self.has_report and self.name_lease.token():
-            with suppress(NotOwner):
-                await self.name_lease.write([Op(self.key, None)], within_s=REMOVE_TIMEOUT_S)
-
     # ---- the leader's plan -----------------------------------------------------------------------
 
     async def follow(self) -> None:
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -105,14 +105,14 @@
         except Malformed as error:
             self._set_idle_reason(str(error))
             return IDLE_INTERVAL_S
-        self._set_idle_reason(observation.look.blind)
-        if observation.look.blind:
+        self._set_idle_reason(observation.evidence.blind)
+        if observation.evidence.blind:
             return IDLE_INTERVAL_S
         if not self.sequence and observation.plan.token == self.owner.token():
             # Plans under this token may have been written before this task began.
             self.sequence = observation.plan.sequence
         current = tuple(map(observation.plan.state_of, observation.sites))
-        planned = self.planner.plan(current, observation.look, time.monotonic_ns())
+        planned = self.planner.plan(current, observation.evidence, time.monotonic_ns())
         _log_transitions(current, planned.courses)
         await self._write_plan(observation, planned.courses, planned.orders)
         await self._write_tables(observation, planned.fleet)
@@ -155,7 +155,8 @@
                 100 * planned.excess,
                 100 * planned.repeats,
                 "on" if planned.copies else "off",
-                ",".join(f"{name}:{part:.0%}" for name, part in planned.classes.items()) or "none",
+                ",".join(f"{name}:{fraction:.0%}" for name, fraction in planned.classes.items())
+                or "none",
             )
         elif self.is_shedding:
             log.info("site load shedding ended")
@@ -174,7 +175,7 @@
         # In a thread: it takes too long for the event loop.
         computed = await asyncio.to_thread(tables, fleet)
         self._warn_of_unbearable_losses(computed)
-        reports = observation.look.rows
+        reports = observation.evidence.rows
         rows = await asyncio.to_thread(
             lambda: tuple(
                 loss_table(fleet, table, reports) for table in computed.values() if table.lost
--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -35,15 +35,15 @@
 
     plan_row: Row
     plan: SitePlanDocument
-    look: Look
+    evidence: Look
     sites: tuple[str, ...]
 
     @property
     def fleet(self) -> Fleet:
         """The fleet as it is now, not smoothed."""
-        look = self.look
-        fresh = {name: report for name, report in look.rows.items() if report.fresh}
-        return fleet_of(look.places.values(), look.worths, look.quotas, fresh)
+        evidence = self.evidence
+        fresh = {name: report for name, report in evidence.rows.items() if report.fresh}
+        return fleet_of(evidence.places.values(), evidence.worths, evidence.quotas, fresh)
 
 
 class SiteReader:
@@ -96,22 +96,22 @@
         list_version = confirmation_row.version + list_row.version + position_row.version
         list_age_s = self._list_age_s(saved, list_version)
         self.ages.retain({LIST_AGE_KEY, *report_keys})
-        listed, starting = self._count_upstreams(saved, list_age_s)
-        for site, count in listed.items():
+        ready_counts, starting = self._count_upstreams(saved, list_age_s)
+        for site, count in ready_counts.items():
             self.usual_counts[site] = max(self.usual_counts.get(site, 0), count)
-        look = Look(
+        evidence = Look(
             sites,
             reports,
             self._class_values(reports),
             self._tenant_quotas(sites),
-            listed,
+            ready_counts,
             dict(self.usual_counts),
             tuple(starting),
             _success_ratio(reports.values()),
             self._find_missing_evidence(sites, reports, list_age_s),
         )
         plan = decode_row(plan_row, SitePlanDocument) or SitePlanDocument()
-        return SiteObservation(plan_row, plan, look, tuple(sorted(sites)))
+        return SiteObservation(plan_row, plan, evidence, tuple(sorted(sites)))
 
     async def _read_reports(self) -> tuple[dict[str, Told], set[str]]:
         """Returns the reports by balancer, and the keys of all report rows."""
@@ -136,12 +136,12 @@
         self, saved: SavedEndpointList | None, list_age_s: float
     ) -> tuple[dict[str, int], list[ColdBox]]:
         """Returns the ready upstreams by site, and those whose start is known."""
-        listed: dict[str, int] = {}
+        ready_counts: dict[str, int] = {}
         starting: list[ColdBox] = []
         now_ns = time.monotonic_ns()
         for endpoint in saved.endpoints if saved else ():
             is_ready = not endpoint.is_draining
-            listed[endpoint.zone] = listed.get(endpoint.zone, 0) + is_ready
+            ready_counts[endpoint.zone] = ready_counts.get(endpoint.zone, 0) + is_ready
             if endpoint.started_s and is_ready:
                 started_ns = self.starts.started_ns(
                     endpoint.id, round(endpoint.started_s * MS_PER_S), now_ns
@@ -150,7 +150,7 @@
                 starting.append(ColdBox(endpoint.id, endpoint.zone, age_s))
         if saved is not None and list_age_s < MAX_LIST_AGE_S:
             self.starts.listed(now_ns)
-        return listed, starting
+        return ready_counts, starting
 
     def _find_missing_evidence(
         self, sites: Mapping[str, Place], reports: Mapping[str, Told], list_age_s: float
--- a/loadbalancer/daemon/snapshot_sync.py
+++ b/loadbalancer/daemon/snapshot_sync.py
@@ -27,8 +27,8 @@
     save_learned_state,
 )
 from loadbalancer.daemon.store_monitor import StoreMonitor
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.proxy.policy_driver import Driver
-from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store.commands import Op
 from loadbalancer.store.lease_client import NotOwner, Owner
 from loadbalancer.store.wire.protocol import Row
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -19,16 +19,14 @@
 from loadbalancer.__main__ import Parts
 from loadbalancer.changefeed.messages import GLOBAL
 from loadbalancer.daemon.address_map import AddressMap
+from loadbalancer.daemon.balancer_reporter import BalancerReporter
 from loadbalancer.daemon.disabled_sync import DisabledSync
 from loadbalancer.daemon.endpoint_follower import EndpointListContext
 from loadbalancer.daemon.endpoint_publisher import EndpointPublisher
 from loadbalancer.daemon.endpoint_rows import RowTable, RowWriter
 from loadbalancer.daemon.identity import BalancerIdentity
 from loadbalancer.daemon.leased_task import LeaseFactory
-from loadbalancer.daemon.rolling_restart_controller import (
-    BalancerReporter,
-    RollingRestartController,
-)
+from loadbalancer.daemon.rolling_restart_controller import RollingRestartController
 from loadbalancer.daemon.settings_sync import SettingsSync
 from loadbalancer.daemon.site_agent import SiteAgent
 from loadbalancer.daemon.site_controller import SiteController
@@ -102,7 +100,7 @@
             f"name/{service}/{options.balancer}",
             options.balancer,
             options.lease_s,
-            seen=self._on_name_lease_seen,
+            seen=self._on_name_lease_changed,
         )
         self.list_lease = self._lease_factory("list")(
             self._on_list_lease_acquired, self._on_list_lease_lost
@@ -219,7 +217,7 @@
         if self.publisher is not None:
             self.publisher.on_lease_lost()
 
-    def _on_name_lease_seen(self, lease: Lease) -> None:
+    def _on_name_lease_changed(self, lease: Lease) -> None:
         """Logs that another process has this name, unless one takes over from the other."""
         is_own = lease.claim == self.name_lease.holder.claim
         if not lease.is_held or is_own or self.has_logged_name_conflict:
@@ -300,8 +298,8 @@
             await self.feed.close()
         with suppress(StoreError):
             await self.save(CLOSE_SAVE_TIMEOUT_S)
-            await self.reporter.remove()
+            await self.reporter.row.remove()
             if self.site_agent is not None:
-                await self.site_agent.remove()
+                await self.site_agent.row.remove()
         await asyncio.gather(*(lease.close() for lease in self._leases))
         await self.client.close()
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -26,7 +26,7 @@
 from loadbalancer.daemon.endpoint_follower import EndpointListContext
 from loadbalancer.daemon.endpoint_publisher import EndpointPublisher, Publication
 from loadbalancer.daemon.endpoint_rows import RowWriter
-from loadbalancer.daemon.rolling_restart_controller import RollingRestartReader
+from loadbalancer.daemon.rolling_restart_reader import RollingRestartReader
 from loadbalancer.daemon.row_codec import (
     ListRow,
     RowKeys,
@@ -57,7 +57,7 @@
 
 KEYS = RowKeys("orders")
 SCOPE = "service:orders"
-BOX = {
+SERVER = {
     "id": "box-7",
     "addr": "10.1.2.3:8080",
     "zone": "accra-a",
@@ -70,27 +70,27 @@
 
 
 def upstream(**change: object) -> Endpoint:
-    return read_endpoint({**BOX, **change})
+    return read_endpoint({**SERVER, **change})
 
 
 # ---- what a row is -------------------------------------------------------------------------------
 
 
-def test_a_row_holds_what_discovery_told_and_is_the_same_each_time() -> None:
-    box = upstream(state="Terminating", weight=0.35)
-    value = row_codec.encode_upstream(box)
-    assert row_codec.to_endpoint(row_codec.decode_upstream(value)) == box
+def test_a_row_holds_what_discovery_reported_and_encodes_deterministically() -> None:
+    endpoint = upstream(state="Terminating", weight=0.35)
+    value = row_codec.encode_upstream(endpoint)
+    assert row_codec.to_endpoint(row_codec.decode_upstream(value)) == endpoint
     assert {
         row_codec.encode_upstream(upstream(state="Terminating", weight=0.35)) for _ in range(100)
     } == {value}
-    assert row_codec.decode_upstream(value).started_ms == BOX["started_ms"]
+    assert row_codec.decode_upstream(value).started_ms == SERVER["started_ms"]
     assert (
         row_codec.to_endpoint(
             row_codec.decode_upstream(row_codec.encode_upstream(upstream(started_ms=0)))
         ).entry.started_ns
         == 0
     )
-    key = KEYS.upstream(box.entry.id)
+    key = KEYS.upstream(endpoint.entry.id)
     assert (
         split(key) == (SCOPE, f"upstream/{number_of('box-7'):016x}")
         and split(KEYS.list)[0] == SCOPE
@@ -109,12 +109,12 @@
         (encode(UpstreamRow(8, "::1", 80, "", "", 0, 1, 0, False)), "its id is 0000000000000008"),
     ],
 )
-def test_a_row_that_does_not_read_is_refused_in_one_line(value: bytes, why: str) -> None:
-    said = find_row_error(SCOPE, Row(f"upstream/{7:016x}", 1, value))
-    assert why in said and "\n" not in said
+def test_a_row_that_can_not_be_decoded_is_rejected_in_one_line(value: bytes, why: str) -> None:
+    error = find_row_error(SCOPE, Row(f"upstream/{7:016x}", 1, value))
+    assert why in error and "\n" not in error
 
 
-def test_a_later_programs_row_is_taken_where_what_is_known_of_it_reads() -> None:
+def test_a_row_of_a_later_version_is_accepted_where_its_known_fields_decode() -> None:
     value = encode((*msgspec.msgpack.decode(row_codec.encode_upstream(upstream())), "rack-9"))
     key = f"upstream/{number_of('box-7'):016x}"
     assert find_row_error(SCOPE, Row(key, 1, value)) == ""
@@ -132,7 +132,7 @@
     "bad",
     [upstream(zone="z" * MOST_ROW), upstream(cell=1 << 70), replace(upstream(), host="name.svc")],
 )
-def test_an_upstream_that_can_be_no_row_is_one_line(bad: Endpoint) -> None:
+def test_an_upstream_that_can_not_be_a_row_is_a_one_line_error(bad: Endpoint) -> None:
     with pytest.raises(Malformed, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
         row_codec.encode_upstream(bad)
 
@@ -140,33 +140,33 @@
 # ---- which are written ---------------------------------------------------------------------------
 
 
-def test_only_what_differs_is_written_in_a_fixed_order_and_what_goes_goes_last() -> None:
+def test_only_differences_are_written_in_key_order_with_deletions_last() -> None:
     stored = {"a": (3, b"1"), "b": (9, b"2"), "c": (1, b"3")}
     (batch,) = plan_writes(stored, {"d": b"4", "c": b"3", "b": b"5"})
     assert batch == (Op("b", b"5", 9), Op("d", b"4", 0), Op("a", None, 3))
     assert plan_writes(stored, {k: v for k, (_, v) in stored.items()}) == []
 
 
-def test_a_zone_that_goes_takes_few_writes() -> None:
+def test_removal_of_a_zone_takes_few_writes() -> None:
     stored = {f"{n:05}": (1, b"x") for n in range(5000)}
-    wanted = {key: value for key, (_, value) in stored.items() if int(key) >= 2200}
-    batches = plan_writes(stored, wanted)
+    desired = {key: value for key, (_, value) in stored.items() if int(key) >= 2200}
+    batches = plan_writes(stored, desired)
     assert len(batches) == 9 and all(len(b) <= MOST_OPS for b in batches)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_whoever_writes_on_from_anywhere_ends_at_what_is_wanted(seed: int) -> None:
-    """Owners die between any two of their writes, and the wanted list changes from one to the
+def test_a_writer_that_continues_from_any_state_reaches_the_desired_one(seed: int) -> None:
+    """Owners die between any two of their writes, and the desired list changes from one to the
     next.
     """
     rng = random.Random(seed)
     stored: dict[str, tuple[int, bytes]] = {}
-    wanted: dict[str, bytes] = {}
+    desired: dict[str, bytes] = {}
     versions = 0
     for _ in range(30):
-        wanted = {f"{n:02}": rng.randbytes(1) for n in rng.sample(range(40), rng.randrange(1, 40))}
-        batches = plan_writes(stored, wanted, max_operations=rng.randrange(1, 9))
-        kept = {key for key in wanted if key in stored}
+        desired = {f"{n:02}": rng.randbytes(1) for n in rng.sample(range(40), rng.randrange(1, 40))}
+        batches = plan_writes(stored, desired, max_operations=rng.randrange(1, 9))
+        unchanged = {key for key in desired if key in stored}
         for batch in batches[: rng.randrange(len(batches) + 1)]:
             for op in batch:
                 assert op.version == stored.get(op.key, (0, b""))[0]
@@ -175,13 +175,13 @@
                     del stored[op.key]
                 else:
                     stored[op.key] = versions, op.value
-            assert kept <= stored.keys()  # none is missing on the way
-    for batch in plan_writes(stored, wanted, max_operations=5):
+            assert unchanged <= stored.keys()  # none is missing on the way
+    for batch in plan_writes(stored, desired, max_operations=5):
         for op in batch:
             stored.pop(op.key, None)
             if op.value is not None:
                 stored[op.key] = 1, op.value
-    assert {key: value for key, (_, value) in stored.items()} == wanted
+    assert {key: value for key, (_, value) in stored.items()} == desired
     assert api.UpstreamState.REMOVED is row_codec.removed_endpoint(7).entry.state
 
 
@@ -190,16 +190,16 @@
 LEASE_S = 0.6
 
 
-def box(name: str, state: str = "Ready", port: int = 9001, **more: object) -> Json:
-    return {**BOX, "id": name, "addr": f"127.0.0.1:{port}", "state": state, **more}
+def server(name: str, state: str = "Ready", port: int = 9001, **more: object) -> Json:
+    return {**SERVER, "id": name, "addr": f"127.0.0.1:{port}", "state": state, **more}
 
 
 class RowDriver(FakeDriver):
     """Knows what a driver knows after each list."""
 
-    def __init__(self, told: Callable[[], None]) -> None:
+    def __init__(self, poke: Callable[[], None]) -> None:
         super().__init__()
-        self.poke = told
+        self.poke = poke
 
     def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         self.lists.append((kind, endpoints))
@@ -215,7 +215,7 @@
         self.poke()
 
 
-class Bank(Watched):
+class RowBalancer(Watched):
     """A balancer's state_sync and list. Without a discovery it knows only what the store says."""
 
     def __init__(
@@ -261,13 +261,13 @@
     def known(self) -> dict[int, api.UpstreamState]:
         return {n: t.endpoint.entry.state for n, t in self.driver.upstreams.targets.items()}
 
-    async def owns(self) -> Bank:
+    async def leads(self) -> RowBalancer:
         await self.until(lambda: self.state_sync.list_lease.working)
         return self
 
     async def knows(self, *rows: Json) -> None:
-        wanted = {e.entry.id: e.entry.state for e in map(read_endpoint, rows)}
-        await self.until(lambda: self.known == wanted)
+        desired = {e.entry.id: e.entry.state for e in map(read_endpoint, rows)}
+        await self.until(lambda: self.known == desired)
 
     async def close(self) -> None:
         self.discovery.close()
@@ -290,9 +290,9 @@
             self.state_sync.client.wire.abort()
 
 
-def told(word: ListRow, *boxes: Json, whole: bool = False) -> Apply:
+def feed_update(position: ListRow, *upstreams: Json, is_snapshot: bool = False) -> Apply:
     """Rows as the feed hands them over."""
-    listed = [read_endpoint(b) for b in boxes]
+    endpoints = [read_endpoint(b) for b in upstreams]
     put = [
         Row(
             split(KEYS.upstream(e.entry.id))[1],
@@ -301,12 +301,12 @@
             if e.entry.state is not api.UpstreamState.REMOVED
             else None,
         )
-        for e in listed
+        for e in endpoints
     ]
-    return Apply(SCOPE, whole, (*put, Row("list/orders", 1, encode(word))), 1)
+    return Apply(SCOPE, is_snapshot, (*put, Row("list/orders", 1, encode(position))), 1)
 
 
-def test_what_a_balancer_makes_of_rows() -> None:
+def test_a_follower_turns_rows_into_lists_and_deltas() -> None:
     async def test() -> None:
         driver, owner = RowDriver(lambda: None), SimpleNamespace(working=0)
         discovery = Discovery(cast(Any, driver), ("127.0.0.1", 1), 1)
@@ -327,31 +327,33 @@
             driver.lists.clear()
             return found
 
-        def word(token: int, number: int) -> ListRow:
+        def position(token: int, number: int) -> ListRow:
             return ListRow(token, number, 1, "a", int(time.time()))
 
-        # Before a majority was heard it is something to begin with, and after it a list.
-        follower.apply_rows(told(word(3, 7), box("s-1"), whole=True))
-        follower.apply_rows(told(word(3, 8), box("s-2")))
+        # Before the committed position is known rows are a cached list, and after it a list.
+        follower.apply_rows(feed_update(position(3, 7), server("s-1"), is_snapshot=True))
+        follower.apply_rows(feed_update(position(3, 8), server("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
         follower.source.learn_committed(FencingPosition(3, 7), clock_ns())
-        follower.apply_rows(told(word(3, 9), box("s-3")))
-        follower.apply_rows(told(word(3, 10), box("s-3", "Gone"), box("never there", "Gone")))
+        follower.apply_rows(feed_update(position(3, 9), server("s-3")))
+        follower.apply_rows(
+            feed_update(position(3, 10), server("s-3", "Gone"), server("never there", "Gone"))
+        )
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
         dialled = driver.upstreams.targets[number_of("s-1")].endpoint
         assert (dialled.host, dialled.port) == ("127.0.0.2", 19001)
         # Of an owner of before, as from a node that lags, nothing is taken; nor is a list without
         # any.
-        follower.apply_rows(told(word(2, 99), box("s-4"), whole=True))
-        follower.apply_rows(told(word(3, 11), whole=True))
+        follower.apply_rows(feed_update(position(2, 99), server("s-4"), is_snapshot=True))
+        follower.apply_rows(feed_update(position(3, 11), is_snapshot=True))
         assert kinds() == []
-        follower.apply_rows(told(word(3, 12), box("s-1"), whole=True))
+        follower.apply_rows(feed_update(position(3, 12), server("s-1"), is_snapshot=True))
         assert kinds() == [(api.EndpointListKind.FULL, 1)]
-        # What comes while it owns the list itself, and is the next owner's, counts once it does
+        # What comes while it leads the list itself, and is the next owner's, counts once it does
         # not.
         owner.working, publisher.published = 4, Publication(4, 1, [])
-        follower.apply_rows(told(word(4, 1), box("s-5")))
-        follower.apply_rows(told(word(5, 1), box("s-6")))
+        follower.apply_rows(feed_update(position(4, 1), server("s-5")))
+        follower.apply_rows(feed_update(position(5, 1), server("s-6")))
         assert kinds() == []
         owner.working = 0
         publisher.on_lease_lost()
@@ -363,7 +365,7 @@
     run(test())
 
 
-class Stored:
+class StoredRows:
     """The upstreams' rows in the store, and which writes made them, as a watch of all changes tells
     it.
     """
@@ -371,16 +373,16 @@
     def __init__(self, client: Client) -> None:
         self.client = client
         self.rows: dict[int, UpstreamRow] = {}
-        self.token = 0  # of the last owner's word
+        self.token = 0  # of the last owner's position
         self.writes: dict[int, int] = {}  # revision -> rows that it changed
         self.revision = 0
 
     async def until(self, holds: Callable[[], object]) -> None:
         if holds():
             return
-        async for told in self.client.watch(KEYS.prefix, self.revision):
-            self.revision = told.revision
-            for change in told.changes:
+        async for event in self.client.watch(KEYS.prefix, self.revision):
+            self.revision = event.revision
+            for change in event.changes:
                 if change.key == KEYS.list and change.value is not None:
                     self.token = row_codec.decode_list(change.value).token
                 if change.key.startswith(KEYS.upstreams):
@@ -393,44 +395,50 @@
             if holds():
                 return
 
-    async def are(self, *wanted: Json) -> None:
+    async def are(self, *desired: Json) -> None:
         """Wait until just these stand."""
-        now = {e.entry.id: row_codec.upstream_row(e) for e in map(read_endpoint, wanted)}
+        now = {e.entry.id: row_codec.upstream_row(e) for e in map(read_endpoint, desired)}
         await self.until(lambda: self.rows == now)
 
 
 @asynccontextmanager
-async def fleet(folder: Path, *boxes: Json) -> AsyncIterator[tuple[Cluster, FakeDiscovery, Stored]]:
-    discovery = FakeDiscovery(boxes)
+async def fleet(
+    folder: Path, *upstreams: Json
+) -> AsyncIterator[tuple[Cluster, FakeDiscovery, StoredRows]]:
+    discovery = FakeDiscovery(upstreams)
     await discovery.start()
     try:
         async with cluster(folder, 1) as c:
-            yield c, discovery, Stored(c.client())
+            yield c, discovery, StoredRows(c.client())
     finally:
         discovery.stop()
 
 
-def test_a_change_reaches_the_others_as_one_row_and_one_delta(tmp_path: Path) -> None:
+def test_a_change_arrives_at_followers_as_one_row_and_one_delta(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, *(box(f"s-{n}") for n in range(40))) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
-            two = Bank(c, "two", None)
+        async with fleet(tmp_path, *(server(f"s-{n}") for n in range(40))) as (
+            c,
+            discovery,
+            stored,
+        ):
+            one = await RowBalancer(c, "one", discovery).leads()
+            two = RowBalancer(c, "two", None)
             await two.knows(*discovery.rows)
             assert two.driver.lists[-1][0] is api.EndpointListKind.FULL
             await stored.are(*discovery.rows)
             lists, writes = len(two.driver.lists), len(stored.writes)
             client, reader = c.client(), RollingRestartReader(c.client(), "orders")
             assert len((await reader.read()).view.upstreams) == 40
-            discovery.change(box("s-7", "Terminating"))
+            discovery.change(server("s-7", "Terminating"))
             await two.knows(*discovery.rows)
-            discovery.change(box("s-8", "Gone"), box("s-new"))
+            discovery.change(server("s-8", "Gone"), server("s-new"))
             await two.knows(*discovery.rows)
             await stored.are(*discovery.rows)
             assert list(stored.writes.values())[writes:] == [1, 2]
             drained, went = two.driver.lists[lists:]
             assert drained == (
                 api.EndpointListKind.DELTA,
-                [read_endpoint(box("s-7", "Terminating"))],
+                [read_endpoint(server("s-7", "Terminating"))],
             )
             assert went[0] is api.EndpointListKind.DELTA and {
                 e.entry.id: e.entry.state for e in went[1]
@@ -446,26 +454,26 @@
             assert (await client.get("list/orders")).rows[0].value is None
             with pytest.raises(Rejected, match="names"):
                 await client.write_rows([Op(KEYS.service, None)])
-            for bank in (one, two):
-                await bank.close()
+            for balancer in (one, two):
+                await balancer.close()
 
     run(test())
 
 
-def test_the_owner_says_of_the_rows_that_they_stand(
+def test_the_leader_confirms_unchanged_rows(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, box("s-1")) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
-            two = Bank(c, "two", None)
+        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
+            one = await RowBalancer(c, "one", discovery).leads()
+            two = RowBalancer(c, "two", None)
             await two.knows(*discovery.rows)
             for _ in range(2):
-                heard = two.publisher.follower.source.last_message_ns
-                await until(lambda: two.publisher.follower.source.last_message_ns > heard)  # noqa: B023
+                last_message_ns = two.publisher.follower.source.last_message_ns
+                await until(lambda: two.publisher.follower.source.last_message_ns > last_message_ns)  # noqa: B023
             assert len(stored.writes) <= 1 and not two.publisher.follower.source.is_polling
-            for bank in (one, two):
-                await bank.close()
+            for balancer in (one, two):
+                await balancer.close()
 
     monkeypatch.setattr(endpoint_publisher, "HEARTBEAT_INTERVAL_S", 0.05)
     monkeypatch.setattr(discovery_watch, "HOLD_MS", 50)
@@ -474,27 +482,28 @@
     run(test())
 
 
-def test_a_zone_that_goes_is_a_few_writes_and_the_rest_stands_meanwhile(tmp_path: Path) -> None:
+def test_removal_of_a_zone_is_a_few_writes_and_leaves_the_other_rows(tmp_path: Path) -> None:
     async def test() -> None:
-        boxes = [box(f"s-{n}", zone="gone" if n < 600 else "stays") for n in range(700)]
-        async with fleet(tmp_path, *boxes) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
-            await stored.are(*boxes)
+        upstreams = [server(f"s-{n}", zone="gone" if n < 600 else "stays") for n in range(700)]
+        async with fleet(tmp_path, *upstreams) as (c, discovery, stored):
+            one = await RowBalancer(c, "one", discovery).leads()
+            await stored.are(*upstreams)
             assert len(stored.writes) == 3  # of at most 256 operations
-            discovery.change(*({**b, "state": "Gone"} for b in boxes[:600]))
-            await stored.are(*boxes[600:])
+            discovery.change(*({**b, "state": "Gone"} for b in upstreams[:600]))
+            await stored.are(*upstreams[600:])
             assert len(stored.writes) == 6 and sum(stored.writes.values()) == 1300
             await one.close()
 
     run(test())
 
 
-def stopped_at(bank: Bank, write: int) -> tuple[asyncio.Event, asyncio.Event]:
-    """The bank's client stops just before its rows' write of this number: set when it does, and to
-    be set for it to go on.
+def stop_before_write(balancer: RowBalancer, write: int) -> tuple[asyncio.Event, asyncio.Event]:
+    """Stop the balancer's client just before its rows' write of this number.
+
+    The first event is set when it does; the second is to be set for it to go on.
     """
     stopped, on, count = asyncio.Event(), asyncio.Event(), 0
-    client = bank.state_sync.client
+    client = balancer.state_sync.client
     write_rows = client.write_rows
 
     async def stop(*args: Any, **more: Any) -> Result:
@@ -509,40 +518,40 @@
     return stopped, on
 
 
-def test_what_an_owner_leaves_half_done_the_next_one_completes(tmp_path: Path) -> None:
+def test_the_next_leader_completes_an_interrupted_publication(tmp_path: Path) -> None:
     async def test() -> None:
-        boxes = [box(f"s-{n}") for n in range(600)]
-        async with fleet(tmp_path, *boxes) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
-            stopped, _ = stopped_at(one, 2)
+        upstreams = [server(f"s-{n}") for n in range(600)]
+        async with fleet(tmp_path, *upstreams) as (c, discovery, stored):
+            one = await RowBalancer(c, "one", discovery).leads()
+            stopped, _ = stop_before_write(one, 2)
             await stopped.wait()
-            two = Bank(c, "two", discovery)
+            two = RowBalancer(c, "two", discovery)
             await stored.until(lambda: len(stored.rows) == 254)
             await one.die()
-            await two.owns()
-            await stored.are(*boxes)
+            await two.leads()
+            await stored.are(*upstreams)
             assert list(stored.writes.values()) == [254, 254, 92]  # what stood is not written again
-            three = Bank(c, "three", discovery)
+            three = RowBalancer(c, "three", discovery)
             await two.close()
-            await three.owns()
+            await three.leads()
             await stored.until(lambda: stored.token == three.state_sync.list_lease.working)
-            assert len(stored.writes) == 3  # nothing but its own word
+            assert len(stored.writes) == 3  # nothing but its own position
             await three.close()
 
     run(test())
 
 
-def test_the_next_owner_does_not_believe_an_older_list(tmp_path: Path) -> None:
+def test_the_next_leader_does_not_publish_an_older_list(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, box("s-1")) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
-            discovery.change(box("s-2"))
+        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
+            one = await RowBalancer(c, "one", discovery).leads()
+            discovery.change(server("s-2"))
             await stored.are(*discovery.rows)
             await one.close()
-            discovery.version, discovery.rows = 1, [box("s-1")]  # as a replica of it that lags
-            two = await Bank(c, "two", discovery).owns()
+            discovery.version, discovery.rows = 1, [server("s-1")]  # as a replica of it that lags
+            two = await RowBalancer(c, "two", discovery).leads()
             await until(lambda: two.discovery.version == 1 and two.publisher.min_version == 2)
-            discovery.change(box("s-2"), box("s-3"))
+            discovery.change(server("s-2"), server("s-3"))
             await stored.are(*discovery.rows)
             assert sum(stored.writes.values()) == 3  # s-2 did not go meanwhile
             await two.close()
@@ -550,33 +559,31 @@
     run(test())
 
 
-def test_a_deposed_owners_write_changes_nothing(
+def test_a_deposed_leaders_write_changes_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, box("s-1"), box("s-2")) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
+            one = await RowBalancer(c, "one", discovery).leads()
             await stored.are(*discovery.rows)
-            stopped, on = stopped_at(one, 1)
-            discovery.change(box("s-1", "Terminating"))
+            stopped, on = stop_before_write(one, 1)
+            discovery.change(server("s-1", "Terminating"))
             await stopped.wait()  # it looked at its clock, and its write is still to leave
             owned = one.publisher.running
             assert owned is not None
-            one.publisher.running = (
-                None  # nobody tells it to stop, as where the whole process stands still
-            )
-            two = Bank(c, "two", discovery)
+            one.publisher.running = None  # nobody stops it, as where the whole process stands still
+            two = RowBalancer(c, "two", discovery)
             await c.client().release(
                 Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
             )
-            await two.owns()
-            discovery.change(box("s-1"), box("s-2", "Gone"))
-            await stored.are(box("s-1"))
+            await two.leads()
+            discovery.change(server("s-1"), server("s-2", "Gone"))
+            await stored.are(server("s-1"))
             writes = len(stored.writes)
             on.set()
             await asyncio.wait((owned,))
             assert one.state_sync.list_lease.refused == 1
-            await stored.are(box("s-1"))
+            await stored.are(server("s-1"))
             assert len(stored.writes) == writes
             await one.close()
             await two.close()
@@ -585,76 +592,76 @@
     assert "a write was refused" in caplog.text
 
 
-def test_an_owner_of_before_goes_by_the_rows_of_the_next(tmp_path: Path) -> None:
+def test_a_former_leader_follows_the_rows_of_the_next(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, box("s-1"), box("s-2")) as (c, first, stored):
-            second = FakeDiscovery([box("s-1"), box("s-3")])
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, first, stored):
+            second = FakeDiscovery([server("s-1"), server("s-3")])
             await second.start()
-            one = await Bank(c, "one", first).owns()
+            one = await RowBalancer(c, "one", first).leads()
             await stored.are(*first.rows)
-            two = Bank(c, "two", second)
+            two = RowBalancer(c, "two", second)
             await two.knows(*first.rows)
             first.silent = True
             await c.client().release(
                 Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
             )
-            await two.owns()
+            await two.leads()
             await one.knows(*second.rows)
             lists = len(one.driver.lists)
-            second.change(box("s-3", "Terminating"))
+            second.change(server("s-3", "Terminating"))
             await one.knows(*second.rows)
             assert one.driver.lists[lists:] == [
-                (api.EndpointListKind.DELTA, [read_endpoint(box("s-3", "Terminating"))])
+                (api.EndpointListKind.DELTA, [read_endpoint(server("s-3", "Terminating"))])
             ]
             first.silent = False
             one.discovery.fetch()  # as where the owner is silent
             await one.knows(*first.rows)
-            second.change(box("s-4"))
+            second.change(server("s-4"))
             await one.knows(*second.rows)
-            for bank in (one, two):
-                await bank.close()
+            for balancer in (one, two):
+                await balancer.close()
             second.stop()
 
     run(test())
 
 
-def test_a_row_that_does_not_read_is_refused_and_what_was_known_stands(
+def test_a_rejected_row_keeps_its_previous_value(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, box("s-1"), box("s-2")) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
-            two = Bank(c, "two", None)
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
+            one = await RowBalancer(c, "one", discovery).leads()
+            two = RowBalancer(c, "two", None)
             await two.knows(*discovery.rows)
             client = c.client()
             key = KEYS.upstream(number_of("s-1"))
             await client.write_rows([Op(key, encode(("of", "another", "program")))], [()])
-            discovery.change(box("s-2", "Terminating"))
-            await two.knows(box("s-1"), box("s-2", "Terminating"))
+            discovery.change(server("s-2", "Terminating"))
+            await two.knows(server("s-1"), server("s-2", "Terminating"))
             async with asyncio.timeout(10):
                 while (feed := (await client.status())["feed"])["refusals"] < 2:
                     await asyncio.sleep(0.01)  # the acknowledgement is on its way
-            told = [(r["name"], *r["refusal"][:2]) for r in feed["refused"]]
-            assert sorted(told) == [(name, SCOPE, split(key)[1]) for name in ("one", "two")]
-            for bank in (one, two):
-                await bank.close()
+            refusals = [(r["name"], *r["refusal"][:2]) for r in feed["refused"]]
+            assert sorted(refusals) == [(name, SCOPE, split(key)[1]) for name in ("one", "two")]
+            for balancer in (one, two):
+                await balancer.close()
 
     run(test())
     assert "keeping its previous value" in caplog.text
 
 
-def test_a_restart_takes_the_rows_from_the_node_and_an_upstream_that_cant_be_one_stops_all(
+def test_a_restart_loads_rows_from_the_node_and_an_invalid_upstream_stops_publication(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, box("s-1")) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
+        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
+            one = await RowBalancer(c, "one", discovery).leads()
             await stored.are(*discovery.rows)
-            discovery.change(box("s-2"), box("s-3", zone="z" * MOST_ROW))
+            discovery.change(server("s-2"), server("s-3", zone="z" * MOST_ROW))
             await until(lambda: bool(one.publisher.last_error))
-            two = Bank(c, "two", None)
-            await two.knows(box("s-1"))
-            discovery.change(box("s-3"))
+            two = RowBalancer(c, "two", None)
+            await two.knows(server("s-1"))
+            discovery.change(server("s-3"))
             await two.knows(*discovery.rows)
             module = two.driver.module
             module.handle(
@@ -670,7 +677,7 @@
             await until(lambda: bool(two.state_sync.name_lease.token()))
             await one.close()
             await two.close()
-            again = Bank(c, "two", None)
+            again = RowBalancer(c, "two", None)
             await again.knows(*discovery.rows)
             # What was learnt comes behind the list, and is of the same start of each upstream.
             await until(lambda: bool(again.driver.posted))
@@ -685,16 +692,16 @@
     assert caplog.text.count("endpoint list not published: key=list/orders error=upstream") == 1
 
 
-def test_a_restored_store_is_gone_by_from_its_new_owners_word_on(tmp_path: Path) -> None:
+def test_a_restored_store_is_followed_from_its_new_leaders_first_write(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, box("s-1"), box("s-2")) as (c, discovery, stored):
-            one = await Bank(c, "one", discovery).owns()
-            two = Bank(c, "two", None)
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
+            one = await RowBalancer(c, "one", discovery).leads()
+            two = RowBalancer(c, "two", None)
             await two.knows(*discovery.rows)
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
                 await c.client().copy(file.write)
-            discovery.change(box("s-2", "Gone"), box("s-3"))
+            discovery.change(server("s-2", "Gone"), server("s-3"))
             await two.knows(*discovery.rows)
             lists = len(two.driver.lists)
             await c.stop(0)
@@ -703,21 +710,21 @@
             c.settings[0] = read_store(path)
             running.restore(c.settings[0], copy)
             await c.begin(0)
-            discovery.change(box("s-4"))
+            discovery.change(server("s-4"))
             await two.knows(*discovery.rows)
-            # The copy's rows are older than what was heard: s-2 does not come back for a moment.
+            # The copy's rows are older than what was received: s-2 does not come back for a moment.
             assert all(
                 number_of("s-2") != e.entry.id or e.entry.state is api.UpstreamState.REMOVED
-                for _, listed in two.driver.lists[lists:]
-                for e in listed
+                for _, endpoints in two.driver.lists[lists:]
+                for e in endpoints
             )
-            for bank in (one, two):
-                await bank.close()
+            for balancer in (one, two):
+                await balancer.close()
 
     run(test())
 
 
-def test_a_process_that_can_reach_no_discovery_serves_by_the_rows(tmp_path: Path) -> None:
+def test_a_process_without_discovery_serves_from_the_rows(tmp_path: Path) -> None:
     async def begin(
         store: RealCluster, name: str, discovery: int, port: int
     ) -> asyncio.subprocess.Process:
@@ -750,14 +757,14 @@
             await store.start()
             processes.append(await begin(store, "one", discovery.port, free_port()))
             client = store.client()
-            stored = Stored(client)
+            stored = StoredRows(client)
             await stored.are(first.row())
             port = free_port()
             processes.append(await begin(store, "two", free_port(), port))
-            asked = await answered(port)
+            connection = await answered(port)
             async with asyncio.timeout(10):
                 for number in itertools.count():  # it refuses until it knows of an upstream
-                    if (await asked.ask(f"r{number}")).body == b"s-0":
+                    if (await connection.ask(f"r{number}")).body == b"s-0":
                         break
                     await asyncio.sleep(0.01)
             discovery.change(first.row("Gone"), second.row())
@@ -766,7 +773,7 @@
             async with asyncio.timeout(10):
                 while any(at < revision for at, _ in (await client.status())["feed"]["reached"]):
                     await asyncio.sleep(0.01)
-            assert (await asked.ask("last")).body == b"s-1"
+            assert (await connection.ask("last")).body == b"s-1"
             await client.close()
         finally:
             for process in processes:
@@ -782,38 +789,38 @@
 # ---- beside balancers that know no rows ----------------------------------------------------------
 
 
-async def document_goes(c: Cluster) -> None:
-    async for told in c.client().watch("list/orders", 0):
-        if any(change.value is None for change in told.changes):
+async def document_is_deleted(c: Cluster) -> None:
+    async for event in c.client().watch("list/orders", 0):
+        if any(change.value is None for change in event.changes):
             return
 
 
-def test_rows_and_documents_beside_each_other_the_later_owners_word_counts(tmp_path: Path) -> None:
+def test_of_rows_and_documents_those_of_the_later_leader_are_followed(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, box("s-1")) as (c, discovery, stored):
-            old = await Bank(c, "old", discovery, rows=False).owns()
-            new, plain = Bank(c, "new", None), Bank(c, "plain", None, rows=False)
-            await new.knows(box("s-1"))  # of the document
+        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
+            old = await RowBalancer(c, "old", discovery, rows=False).leads()
+            new, plain = RowBalancer(c, "new", None), RowBalancer(c, "plain", None, rows=False)
+            await new.knows(server("s-1"))  # of the document
             assert not stored.rows
             await old.close()
             await new.close()
-            both = await Bank(c, "both", discovery, documents=True).owns()
-            new = Bank(c, "new", None)
-            discovery.change(box("s-2"))
+            both = await RowBalancer(c, "both", discovery, documents=True).leads()
+            new = RowBalancer(c, "new", None)
+            discovery.change(server("s-2"))
             await new.knows(*discovery.rows)
             await plain.knows(*discovery.rows)
             await both.close()
-            alone = await Bank(c, "alone", discovery).owns()
-            discovery.change(box("s-3"))
+            alone = await RowBalancer(c, "alone", discovery).leads()
+            discovery.change(server("s-3"))
             await new.knows(*discovery.rows)
             # A document that nobody keeps up would be the list of whoever starts and knows no rows.
-            await document_goes(c)
+            await document_is_deleted(c)
             await alone.close()
-            old = await Bank(c, "old", discovery, rows=False).owns()
-            discovery.change(box("s-1", "Gone"))
+            old = await RowBalancer(c, "old", discovery, rows=False).leads()
+            discovery.change(server("s-1", "Gone"))
             await new.knows(*discovery.rows)
-            for bank in (old, new, plain):
-                await bank.close()
+            for balancer in (old, new, plain):
+                await balancer.close()
 
     run(test())
 
@@ -829,9 +836,7 @@
         ("rows = 1", "rows"),
     ],
 )
-def test_settings_that_contradict_each_other_are_one_line(
-    tmp_path: Path, text: str, why: str
-) -> None:
+def test_contradicting_settings_are_a_one_line_error(tmp_path: Path, text: str, why: str) -> None:
     path = tmp_path / "b.toml"
     path.write_text(f"[store]\naddresses = ['127.0.0.1:1']\nservice = 'orders'\n{text}\n")
     with pytest.raises(Malformed, match=rf"{why}[^\n]*\Z"):
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -23,13 +23,13 @@
 from tests.store.test_node import Cluster, cluster, run
 
 
-async def feed(c: Cluster, *words: str) -> Result:
+async def feed(c: Cluster, *arguments: str) -> Result:
     """In a thread: the nodes run in this one's loop."""
     at = ",".join(
-        c.settings[place].advertise for place in sorted(c.settings)[:2]
-    )  # the rest is told by them
+        c.settings[index].advertise for index in sorted(c.settings)[:2]
+    )  # they list the rest
     return await asyncio.to_thread(
-        CliRunner().invoke, application(["feed"]), ["feed", *words, "--at", at]
+        CliRunner().invoke, application(["feed"]), ["feed", *arguments, "--at", at]
     )
 
 
@@ -37,7 +37,7 @@
     return " ".join(result.output.split())
 
 
-def test_what_is_in_force_adds_up_over_all_members(tmp_path: Path) -> None:
+def test_progress_adds_up_over_all_members(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
             some = [
@@ -54,18 +54,18 @@
             assert all(one.value(ORDERS, "upstream/a") == b"1" for one in some)
             shown = await feed(c, "status", "--revision", str(revision))
             assert f"revision {revision} is in force on 6 of 6 balancers" in plain(shown)
-            told = json.loads((await feed(c, "status", "--json")).output)
-            assert sorted(m["feed"]["subscribers"] for m in told["members"]) == [1, 2, 3]
-            told_of = {
+            shown_json = json.loads((await feed(c, "status", "--json")).output)
+            assert sorted(m["feed"]["subscribers"] for m in shown_json["members"]) == [1, 2, 3]
+            gauges = {
                 m.name: m.samples[0].value
                 for m in Collector(c.nodes[2].node).collect()
                 if m.samples
             }
             assert (
-                told_of["lanelift_feed_subscribers"] == 3
-                and told_of["lanelift_feed_sent_bytes"] > 100
+                gauges["lanelift_feed_subscribers"] == 3
+                and gauges["lanelift_feed_sent_bytes"] > 100
             )
-            assert told["rollout"]["balancers"] == 6 and told["rollout"]["silent"] == []
+            assert shown_json["rollout"]["balancers"] == 6 and shown_json["rollout"]["silent"] == []
             early = await feed(c, "wait", str(revision + 1000), "--within", "200ms")
             assert early.exit_code == 1 and f"is itself at {revision}" in str(early.exception)
             assert "on 6 of 6 balancers" in str(early.exception)
@@ -74,7 +74,7 @@
     run(test)
 
 
-def test_who_lags_is_named_in_the_one_line_that_a_wait_fails_with(tmp_path: Path) -> None:
+def test_a_lagging_balancer_is_named_in_the_one_line_of_a_failed_wait(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 2) as c:
             client = c.client()
@@ -88,12 +88,12 @@
             revision = await put(client, ORDERS, b"2", "a")
             await quick.has(ORDERS, "upstream/a", b"2")
             late = await feed(c, "wait", str(revision), "--within", "0.5")
-            said = str(late.exception)
-            assert late.exit_code == 1 and "\n" not in said
-            assert said.startswith(
+            output = str(late.exception)
+            assert late.exit_code == 1 and "\n" not in output
+            assert output.startswith(
                 f"revision {revision} is not in force on 1 of 2 balancers: slow at"
                 f" {c.settings[1].advertise} is at {first}, "
-            ), said
+            ), output
             assert "slow at" in plain(await feed(c, "status"))
             waiting = asyncio.create_task(feed(c, "wait", str(revision), "--within", "20s"))
             slow.client.wire.transport.resume_reading()
@@ -103,11 +103,11 @@
     run(test)
 
 
-def test_a_refused_row_and_a_silent_member_are_no_success(tmp_path: Path) -> None:
+def test_a_rejected_row_or_a_silent_member_is_a_failure(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
             client = c.client()
-            place = next(p for p in c.nodes if p != c.leader())
+            index = next(p for p in c.nodes if p != c.leader())
             one = Balancer(
                 [c.settings[c.leader()].advertise],
                 [ORDERS],
@@ -125,7 +125,7 @@
                 " at version 1: it is too new"
             ), failed.exception
             assert (await feed(c, "wait", str(revision), "--despite-refusals")).exit_code == 0
-            await c.stop(place)
+            await c.stop(index)
             silent = await feed(c, "wait", str(revision), "--within", "300ms", "--despite-refusals")
             assert silent.exit_code == 1 and "does not answer" in str(silent.exception)
             assert (
@@ -157,15 +157,15 @@
 
 
 @pytest.mark.parametrize(
-    "words", [["wait", "5", "--within", "4 moons"], ["wait", "5", "--within", "0"]]
+    "arguments", [["wait", "5", "--within", "4 moons"], ["wait", "5", "--within", "0"]]
 )
-def test_bad_input_is_one_line(words: list[str]) -> None:
-    result = CliRunner().invoke(application(["feed"]), ["feed", *words, "--at", "127.0.0.1:1"])
+def test_invalid_input_is_a_one_line_error(arguments: list[str]) -> None:
+    result = CliRunner().invoke(application(["feed"]), ["feed", *arguments, "--at", "127.0.0.1:1"])
     assert type(result.exception).__name__ == "Malformed" and "\n" not in str(result.exception)
 
 
 def status(node: str, revision: int, **feed: Any) -> dict[str, Any]:
-    whole = {
+    fields = {
         "epoch": "c",
         "revision": revision,
         "subscribers": 0,
@@ -181,11 +181,11 @@
         "node": node,
         "applied": revision,
         "members": members,
-        "feed": msgspec.to_builtins(msgspec.convert(whole, FeedStatus)),
+        "feed": msgspec.to_builtins(msgspec.convert(fields, FeedStatus)),
     }
 
 
-def test_counts_are_never_more_than_what_is_known() -> None:
+def test_counts_never_exceed_what_is_known() -> None:
     a = status(
         "a", 90, subscribers=10, reached=((50, 2), (90, 8)), laggards=(Laggard("x", 50, 1500),)
     )
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "why"),
     [
         (('aim = "200ms"', "aim = 200"), "a time is a number with a unit"),
         (('memory = "256MiB"', "memory = 256"), "a size is a number with a unit"),
@@ -39,17 +39,19 @@
         (("listen = ", "listne = "), "unknown field `listne`"),
     ],
 )
-def test_bad_settings_are_one_line(tmp_path: Path, change: tuple[str, str], said: str) -> None:
+def test_invalid_settings_are_a_one_line_error(
+    tmp_path: Path, change: tuple[str, str], why: str
+) -> None:
     path = tmp_path / "bad.toml"
     assert change[0] in EXAMPLE
     path.write_text(EXAMPLE.replace(*change, 1))
     with pytest.raises(Malformed) as error:
         read_file(path)
-    assert str(error.value).startswith(f"{path}: ") and said in str(error.value)
+    assert str(error.value).startswith(f"{path}: ") and why in str(error.value)
     assert "\n" not in str(error.value)
 
 
-def test_the_command_says_it_in_one_line_with_status_2(tmp_path: Path) -> None:
+def test_the_command_fails_with_one_line_and_status_2(tmp_path: Path) -> None:
     words = [
         sys.executable,
         "-m",
@@ -62,7 +64,7 @@
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "none.toml" in done.stderr
 
 
-def test_a_daemon_with_a_fixed_list_serves_reloads_and_leaves(tmp_path: Path) -> None:
+def test_a_daemon_with_a_fixed_list_serves_reloads_and_shuts_down(tmp_path: Path) -> None:
     async def test() -> None:
         first, second = FakeUpstream("s-0"), FakeUpstream("s-1")
         await first.start()
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -41,14 +41,14 @@
 prices = {a = 1.0}
 """
 CLASSES = {"q": api.RequestClass("q", latency_objective_ns=200_000_000)}
-BOXES = [
+UPSTREAMS = [
     Endpoint(api.Upstream(n, api.UpstreamState.READY, "ab"[n % 2]), "127.0.0.1", 9000 + n)
     for n in range(8)
 ]
 
 
 class SiteDriver(FakeDriver):
-    """Its clients ask at a steady pace; `gone`: boxes that give no sign."""
+    """Its clients send at a steady rate; `gone`: upstreams that do not answer."""
 
     def __init__(self, zone: str) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
         self.requests: dict[str, Any] = {}
         self.gone: set[int] = set()
         self.upstreams = SimpleNamespace(
-            targets={e.entry.id: SimpleNamespace(endpoint=e) for e in BOXES}, probe=self.probe
+            targets={e.entry.id: SimpleNamespace(endpoint=e) for e in UPSTREAMS}, probe=self.probe
         )
         self.plans: list[api.TrafficPlan] = []
 
@@ -73,14 +73,14 @@
         )
         return True
 
-    async def ask(self, rate: float) -> None:
+    async def send_requests(self, rate: float) -> None:
         count = 0
         while True:
             count += 1
             now = time.monotonic_ns()
             arrival = api.RequestArrived(f"r{count}", "q", "t", now + 10**9)
             self.requests = {arrival.request: SimpleNamespace(arrival=arrival)}
-            number = count % len(BOXES)
+            number = count % len(UPSTREAMS)
             result = (
                 api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK
             )
@@ -94,7 +94,7 @@
             await asyncio.sleep(1 / rate)
 
 
-class Sited:
+class SiteBalancer:
     def __init__(self, c: Cluster, name: str, zone: str) -> None:
         self.driver = SiteDriver(zone)
         disabled = DisabledUpstreams(None, name, Siblings(None), self.driver)
@@ -103,7 +103,7 @@
             c.client(), parts, StateSyncOptions("orders", name, lease_s=0.6, has_site_failover=True)
         )
         self.state_sync.start()
-        self.asking = asyncio.create_task(self.driver.ask(40.0))
+        self.sending = asyncio.create_task(self.driver.send_requests(40.0))
 
     @property
     def owns_sites(self) -> bool:
@@ -111,17 +111,19 @@
         return controller is not None and bool(controller.owner.working)
 
     async def close(self) -> None:
-        self.asking.cancel()
+        self.sending.cancel()
         await self.state_sync.close()
 
 
-async def command(c: Cluster, *words: str) -> tuple[int, str]:
+async def command(c: Cluster, *arguments: str) -> tuple[int, str]:
     at = ",".join(c.settings[place].advertise for place in c.nodes)
     result = await asyncio.to_thread(
-        CliRunner().invoke, application(words), ["site", *words, "--service", "orders", "--at", at]
+        CliRunner().invoke,
+        application(arguments),
+        ["site", *arguments, "--service", "orders", "--at", at],
     )
-    said = str(result.exception) if isinstance(result.exception, Exception) else result.output
-    return result.exit_code, said
+    output = str(result.exception) if isinstance(result.exception, Exception) else result.output
+    return result.exit_code, output
 
 
 async def doc(client: Client) -> SitePlanDocument:
@@ -133,14 +135,14 @@
     )
 
 
-def test_a_site_is_described_held_and_let_back_by_word_and_lost_by_what_is_seen(
+def test_a_site_is_described_drained_returned_and_lost_by_evidence(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
             client = c.client()
             assert "no document" in (await command(c, "plan"))[1]
-            one, two = Sited(c, "one", "a"), Sited(c, "two", "b")
+            one, two = SiteBalancer(c, "one", "a"), SiteBalancer(c, "two", "b")
             await until(
                 lambda: (
                     "site controller idle: reason=there is no document sites/orders" in caplog.text
@@ -158,8 +160,8 @@
             async with asyncio.timeout(15):
                 while (await command(c, "plan"))[0] != 1:  # 80 a second come, and one site bears 40
                     pass
-            status, said = await command(c, "hold", "b")
-            assert status == 1 and "do not bear it" in said
+            status, output = await command(c, "hold", "b")
+            assert status == 1 and "do not bear it" in output
             assert "no such site" in (await command(c, "hold", "nowhere"))[1]
             assert (await command(c, "hold", "b", "--force"))[0] == 0
             await until(
@@ -172,7 +174,7 @@
             assert (await command(c, "return", "b"))[0] == 0
             await until(lambda: one.driver.plans[-1] == api.TrafficPlan(), 30.0)
             for beside in (one, two):
-                beside.driver.gone = {e.entry.id for e in BOXES if e.entry.zone == "b"}
+                beside.driver.gone = {e.entry.id for e in UPSTREAMS if e.entry.zone == "b"}
             await until(lambda: one.driver.plans[-1].zones.get("b") == 0.0)
             async with asyncio.timeout(15):
                 while all(x.part > 0 for x in (await doc(client)).site_states):
@@ -214,6 +216,6 @@
         ("", "site"),
     ],
 )
-def test_a_wrong_document_of_sites_is_one_line(text: str, why: str) -> None:
-    said = docs.find_error("sites/orders", text)
-    assert why in said and "\n" not in said
+def test_an_invalid_sites_document_is_a_one_line_error(text: str, why: str) -> None:
+    output = docs.find_error("sites/orders", text)
+    assert why in output and "\n" not in output
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -67,11 +67,11 @@
             stderr=asyncio.subprocess.PIPE,
         )
 
-    async def heard(process: asyncio.subprocess.Process, words: str) -> None:
+    async def wait_for_log(process: asyncio.subprocess.Process, text: str) -> None:
         assert process.stderr is not None
         async with asyncio.timeout(20):
-            while words.encode() not in (line := await process.stderr.readline()):
-                assert line, words
+            while text.encode() not in (line := await process.stderr.readline()):
+                assert line, text
 
     async def test() -> None:
         first, second = FakeUpstream("s-0"), FakeUpstream("s-1")
@@ -89,14 +89,14 @@
                 "document = 'balancer/orders'\nfolder = 'copy'\n"
             )
             process = await begin(boot)
-            await heard(process, "not available from the store, and no local copy exists")
+            await wait_for_log(process, "not available from the store, and no local copy exists")
             assert await process.wait() == 2
             await documents.put(
                 client, "balancer/orders", settings(port, first), find_error, 0, "me"
             )
             process = await begin(boot)
-            asked = await answered(port)
-            assert (await asked.ask("r1")).body == b"s-0"
+            connection = await answered(port)
+            assert (await connection.ask("r1")).body == b"s-0"
             with pytest.raises(Rejected, match="missing required field"):
                 await documents.put(
                     client, "balancer/orders", "listen = 'x'\n[[class]]\n", find_error, 1, "me"
@@ -108,13 +108,13 @@
             await documents.put(
                 client, "balancer/orders", settings(port, second), find_error, 1, "me"
             )
-            await heard(process, "reloaded: 1 upstreams")
-            assert (await asked.ask("r2")).body == b"s-1"
+            await wait_for_log(process, "reloaded: 1 upstreams")
+            assert (await connection.ask("r2")).body == b"s-1"
             # The store goes: the balancer goes on, says so, and even starts again.
             await client.close()
             await store.kill(store.members[0], signal.SIGKILL)
-            await heard(process, "store unavailable, using last known state")
-            assert (await asked.ask("r3")).body == b"s-1"
+            await wait_for_log(process, "store unavailable, using last known state")
+            assert (await connection.ask("r3")).body == b"s-1"
             process.terminate()
             assert await process.wait() == 0
             process = await begin(boot)
@@ -141,7 +141,7 @@
         self.upstreams = SimpleNamespace(targets={})
         self.lists: list[tuple[api.EndpointListKind, list[Endpoint]]] = []
         self.posted: list[api.Event] = []
-        self.banned: dict[str, bool] = {}
+        self.disabled_calls: dict[str, bool] = {}
         self.module = Balancer(
             api.Settings(classes={"q": api.RequestClass("q")}), 1, time.monotonic_ns()
         )
@@ -161,10 +161,10 @@
         return True
 
     def ban(self, name: str, on: bool) -> None:
-        self.banned[name] = on
+        self.disabled_calls[name] = on
 
 
-class Beside:
+class SyncedBalancer:
     """A state sync with a driver of its own."""
 
     def __init__(self, c: Cluster, name: str) -> None:
@@ -175,38 +175,38 @@
         self.state_sync.start()
 
 
-def test_what_operators_take_out_on_one_balancer_is_out_on_all(tmp_path: Path) -> None:
+def test_an_upstream_disabled_on_one_balancer_is_disabled_on_all(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
-            one, two = Beside(c, "one"), Beside(c, "two")
+            one, two = SyncedBalancer(c, "one"), SyncedBalancer(c, "two")
             await asyncio.gather(one.disabled.disable("box-1"), two.disabled.disable("box-2"))
             both = frozenset({"box-1", "box-2"})
             await until(lambda: one.disabled.names == two.disabled.names == both)
             await c.stop(c.leader())
             await one.disabled.enable("box-2")
             await until(lambda: two.disabled.names == {"box-1"})
-            assert two.driver.banned == {"box-1": True, "box-2": False}
-            late = Beside(c, "late")
-            await until(lambda: late.driver.banned == {"box-1": True})
+            assert two.driver.disabled_calls == {"box-1": True, "box-2": False}
+            late = SyncedBalancer(c, "late")
+            await until(lambda: late.driver.disabled_calls == {"box-1": True})
             for beside in (one, two, late):
                 await beside.state_sync.close()
 
     run(test())
 
 
-def test_operators_need_no_store_and_it_hears_of_them_later(
+def test_a_change_made_without_the_store_is_published_later(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
-            one = Beside(c, "one")
+            one = SyncedBalancer(c, "one")
             await c.stop(0)
             await one.disabled.disable("box-1")
-            assert one.driver.banned == {"box-1": True}
+            assert one.driver.disabled_calls == {"box-1": True}
             await until(lambda: "store unavailable, using last known state" in caplog.text)
             await c.begin(0)
-            two = Beside(c, "two")
-            await until(lambda: two.driver.banned == {"box-1": True})
+            two = SyncedBalancer(c, "two")
+            await until(lambda: two.driver.disabled_calls == {"box-1": True})
             await until(lambda: "store available again" in caplog.text)
             await one.state_sync.close()
             await two.state_sync.close()
@@ -215,7 +215,7 @@
         run(test())
 
 
-def test_the_last_list_and_what_was_learnt_come_back(tmp_path: Path) -> None:
+def test_the_last_list_and_the_learned_state_are_restored(tmp_path: Path) -> None:
     now = time.monotonic_ns()
     started_ms = time.time_ns() // 1_000_000 - 9_000
     old = [
@@ -230,7 +230,7 @@
 
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
-            one = Beside(c, "one")
+            one = SyncedBalancer(c, "one")
             one.driver.learn(api.EndpointListKind.FULL, old)
             one.driver.module.handle(
                 now, [api.EndpointsUpdated(api.EndpointListKind.FULL, [e.entry for e in old])]
@@ -244,7 +244,7 @@
             )
             await one.state_sync.save()
             await one.state_sync.close()
-            two = Beside(c, "one")
+            two = SyncedBalancer(c, "one")
             await until(lambda: bool(two.driver.posted))
             ((kind, listed),) = two.driver.lists
             assert kind is api.EndpointListKind.CACHED and [e.port for e in listed] == [9001, 9002]
@@ -263,7 +263,7 @@
     run(test())
 
 
-def test_the_older_the_less_is_believed_and_nothing_of_another_start() -> None:
+def test_older_learned_state_counts_less_and_another_starts_not_at_all() -> None:
     def paces(age_s: float, started: int) -> float:
         now = 10**12
         module = Balancer(api.Settings(classes={"q": api.RequestClass("q")}), 1, now)
@@ -301,7 +301,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
-def test_what_was_learnt_before_a_step_of_the_clock_is_of_unknown_age(
+def test_state_learned_before_a_clock_step_has_an_unknown_age(
     step_s: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is left aside, or believed as little as what is an hour old."""
