--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -34,10 +34,11 @@
 from loadbalancer.proxy.connection_phase import Phase
 from loadbalancer.proxy.discovery import read_endpoint
 from loadbalancer.proxy.frontend import Frontend
-from loadbalancer.proxy.parse import message
+from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
+from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from loadbalancer.settings import Json
 from tests.bench import CELL, MS, Desk, arrival, of, settings
 from tests.fakes import (
@@ -96,15 +97,15 @@
             with await plain(w) as sock:
                 crossing = REQUEST.replace(b"r1", b"crossing")
                 if when == "behind the last answer":
-                    write = ClientConnection._write
+                    write = ClientConnection.write
 
-                    def cross(client: ClientConnection, data: bytes | None) -> None:
+                    def cross(client: ClientConnection, data: bytes) -> None:
                         write(client, data)
                         if sock.fileno() >= 0:  # not for the last request
                             sock.send(crossing)
 
                     sock.send(REQUEST.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-                    monkeypatch.setattr(ClientConnection, "_write", cross)
+                    monkeypatch.setattr(ClientConnection, "write", cross)
                 else:
                     if when == "at rest":
                         sock.send(REQUEST)
@@ -175,7 +176,7 @@
             request = connection.open
             assert request is not None and request.attempts[0] is not None
             upstream = request.attempts[0].connection
-            assert upstream is not None and upstream.transport is not None
+            assert isinstance(upstream, UpstreamConnection) and upstream.transport is not None
             for transport in (connection.transport, upstream.transport):
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -380,7 +381,7 @@
 
 
 def short_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "LONGEST_NS", SECOND // 10)
+    monkeypatch.setattr(frontend, "MAX_ANSWER_NS", SECOND // 10)
     monkeypatch.setattr(frontend, "LEAVE_NS", SECOND // 10)
 
 
@@ -488,7 +489,7 @@
             monkeypatch.setattr(ClientConnection, "_begin", without_length(ClientConnection._begin))
             with await plain(w) as sock:
                 sock.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0"))
-                while not any(c.answer for c in made[0].clients):
+                while not any(c.writer.body for c in made[0].clients):
                     await asyncio.sleep(0)
                 made[0].drain()
                 with pytest.raises(ConnectionResetError):
@@ -531,9 +532,9 @@
 def test_while_it_leaves_idle_clients_make_room_for_those_in_the_queue(
     made: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend, "KEPT_S", 1000.0)
-    monkeypatch.setattr(client_connection, "CROWDED", 9.0)
-    monkeypatch.setattr(client_connection, "FULL", 9.0)
+    monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
+    monkeypatch.setattr(client_connection, "CLOSE_REJECTED_FRACTION", 9.0)
+    monkeypatch.setattr(client_connection, "CLOSE_FRACTION", 9.0)
 
     async def test() -> None:
         async with world(sockets=RESERVE + 2 * 2) as w:  # places for two clients
