--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -18,7 +18,7 @@
 import pytest
 
 from loadbalancer.__main__ import Parts
-from loadbalancer.changefeed.messages import MOST_ROW, Row, split
+from loadbalancer.changefeed.messages import MAX_ROW_BYTES, Row, split_key
 from loadbalancer.changefeed.subscription import Apply
 from loadbalancer.daemon import endpoint_publisher, row_codec
 from loadbalancer.daemon.address_map import AddressMap
@@ -92,10 +92,10 @@
     )
     key = KEYS.upstream(endpoint.entry.id)
     assert (
-        split(key) == (SCOPE, f"upstream/{number_of('box-7'):016x}")
-        and split(KEYS.list)[0] == SCOPE
+        split_key(key) == (SCOPE, f"upstream/{number_of('box-7'):016x}")
+        and split_key(KEYS.list)[0] == SCOPE
     )
-    assert len(key) + len(value) < 134 < len(key) + MOST_ROW
+    assert len(key) + len(value) < 134 < len(key) + MAX_ROW_BYTES
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,11 @@
 
 @pytest.mark.parametrize(
     "bad",
-    [upstream(zone="z" * MOST_ROW), upstream(cell=1 << 70), replace(upstream(), host="name.svc")],
+    [
+        upstream(zone="z" * MAX_ROW_BYTES),
+        upstream(cell=1 << 70),
+        replace(upstream(), host="name.svc"),
+    ],
 )
 def test_an_upstream_that_can_not_be_a_row_is_a_one_line_error(bad: Endpoint) -> None:
     with pytest.raises(Malformed, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
@@ -295,7 +299,7 @@
     endpoints = [read_endpoint(b) for b in upstreams]
     put = [
         Row(
-            split(KEYS.upstream(e.entry.id))[1],
+            split_key(KEYS.upstream(e.entry.id))[1],
             1,
             row_codec.encode_upstream(e)
             if e.entry.state is not api.UpstreamState.REMOVED
@@ -642,7 +646,7 @@
                 while (feed := (await client.status())["feed"])["refusals"] < 2:
                     await asyncio.sleep(0.01)  # the acknowledgement is on its way
             refusals = [(r["name"], *r["refusal"][:2]) for r in feed["refused"]]
-            assert sorted(refusals) == [(name, SCOPE, split(key)[1]) for name in ("one", "two")]
+            assert sorted(refusals) == [(name, SCOPE, split_key(key)[1]) for name in ("one", "two")]
             for balancer in (one, two):
                 await balancer.close()
 
@@ -657,7 +661,7 @@
         async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
             one = await RowBalancer(c, "one", discovery).leads()
             await stored.are(*discovery.rows)
-            discovery.change(server("s-2"), server("s-3", zone="z" * MOST_ROW))
+            discovery.change(server("s-2"), server("s-3", zone="z" * MAX_ROW_BYTES))
             await until(lambda: bool(one.publisher.last_error))
             two = RowBalancer(c, "two", None)
             await two.knows(server("s-1"))
