--- a/loadbalancer/cli/config.py
+++ b/loadbalancer/cli/config.py
@@ -17,6 +17,7 @@
 from loadbalancer.settings import Malformed
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
+from loadbalancer.store.documents import DocumentChange
 from loadbalancer.store.wire.protocol import Row
 
 app = typer.Typer(no_args_is_help=True, help="Configuration documents: checked, versioned, whole.")
@@ -50,7 +51,9 @@
     authority: Authority = None,
 ) -> None:
     """Print a document as it stands."""
-    row = using(client(at, certificate, key, authority), lambda c: documents.get(c, name, version))
+    row = using(
+        client(at, certificate, key, authority), lambda c: documents.get(c, name, version or None)
+    )
     sys.stdout.write((row.value or b"").decode())
     print(f"{name}: version {row.version}", file=sys.stderr)
 
@@ -75,7 +78,9 @@
         raise Malformed(f"{file}: {getattr(error, 'strerror', None) or error}") from None
     made = using(
         client(at, certificate, key, authority),
-        lambda c: documents.put(c, name, text, find_error, version, _author(), note),
+        lambda c: documents.put(
+            c, name, text, find_error, DocumentChange(version, _author(), note)
+        ),
     )
     out.print(f"{name}: version {made}")
 
@@ -93,9 +98,9 @@
     """What changed between two versions."""
 
     async def work(c: Client) -> str:
-        new = await documents.get(c, name, b)
+        new = await documents.get(c, name, b or None)
         if a:
-            old = await documents.get(c, name, a)
+            old = await documents.get(c, name, a or None)
         else:
             before = [
                 r for r in (await c.history(documents.key(name))).rows if r.version < new.version
--- a/loadbalancer/daemon/balancer_reporter.py
+++ b/loadbalancer/daemon/balancer_reporter.py
@@ -16,7 +16,7 @@
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.endpoint import number_of
 from loadbalancer.proxy.policy_driver import Driver
-from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire.protocol import Row
 
 CHECK_INTERVAL_S = 0.5  # between checks for a changed report
@@ -35,7 +35,7 @@
         self,
         driver: Driver,
         disabled: DisabledUpstreams,
-        name_lease: Owner,
+        name_lease: LeaseClient,
         identity: BalancerIdentity,
     ) -> None:
         self.driver = driver
--- a/loadbalancer/daemon/disabled_sync.py
+++ b/loadbalancer/daemon/disabled_sync.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.daemon.store_monitor import RETRY_S, StoreMonitor
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
-from loadbalancer.store.client import Conflict, StoreError
+from loadbalancer.store.errors import ConflictError, StoreError
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +89,7 @@
             while self.pending:
                 try:
                     await self._publish_pending()
-                except Conflict:
+                except ConflictError:
                     continue
                 except StoreError as error:
                     self.monitor.mark_unavailable(str(error))
--- a/loadbalancer/daemon/leased_row.py
+++ b/loadbalancer/daemon/leased_row.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 from loadbalancer.store.commands import Op
-from loadbalancer.store.lease_client import NotOwner, Owner
+from loadbalancer.store.errors import NotLeaseHolderError
+from loadbalancer.store.lease_client import LeaseClient
+from loadbalancer.store.write_session import WriteOptions
 
 REMOVE_TIMEOUT_S = 0.3
 
@@ -11,7 +13,7 @@
 class LeasedRow:
     """Writes and deletes one row under a lease."""
 
-    def __init__(self, lease: Owner, key: str) -> None:
+    def __init__(self, lease: LeaseClient, key: str) -> None:
         self.lease = lease
         self.key = key
         self.exists = False  # whether a value of this process stands in the store
@@ -32,7 +34,7 @@
         """
         try:
             await self.lease.write([Op(self.key, value)])
-        except NotOwner:
+        except NotLeaseHolderError:
             return False
         self.exists = True
         return True
@@ -46,6 +48,6 @@
         if not self.exists or not self.is_writable:
             return
         try:
-            await self.lease.write([Op(self.key, None)], within_s=REMOVE_TIMEOUT_S)
-        except NotOwner:
+            await self.lease.write([Op(self.key, None)], WriteOptions(timeout_s=REMOVE_TIMEOUT_S))
+        except NotLeaseHolderError:
             return  # the next holder writes its own
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -37,6 +37,7 @@
 )
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
+from loadbalancer.store.write_session import WriteOptions
 
 log = logging.getLogger(__name__)
 
@@ -142,4 +143,6 @@
             operations.append(Op(self.keys.disabled, names, disabled_row.version))
         else:
             checks.append((self.keys.disabled, disabled_row.version))
-        await self.owner.write(operations, checks, note=step.summary[:MAX_NOTE_LENGTH])
+        await self.owner.write(
+            operations, WriteOptions(checks=checks, note=step.summary[:MAX_NOTE_LENGTH])
+        )
--- a/loadbalancer/daemon/rolling_restart_reader.py
+++ b/loadbalancer/daemon/rolling_restart_reader.py
@@ -20,7 +20,7 @@
     UpstreamStatus,
 )
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import LEASES
+from loadbalancer.store.commands import LEASE_PREFIX
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.wallclock import unix_ms
 
@@ -36,7 +36,7 @@
         self.list = f"list/{service}"
         self.confirmation = f"listed/{service}"
         self.reports = f"report/{service}/"
-        self.names = f"{LEASES}name/{service}/"
+        self.names = f"{LEASE_PREFIX}name/{service}/"
 
 
 @dataclass(frozen=True, slots=True)
--- a/loadbalancer/daemon/site_documents.py
+++ b/loadbalancer/daemon/site_documents.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.failover.site_state import Course
 from loadbalancer.failover.traffic_shares import Orders
-from loadbalancer.store.commands import LEASES
+from loadbalancer.store.commands import LEASE_PREFIX
 
 
 class SiteKeys:
@@ -24,7 +24,7 @@
         self.confirmation = f"site/{service}/stands"
         self.tables = f"site/{service}/tables"
         self.prefix = f"site/{service}"
-        self.names = f"{LEASES}name/{service}/"
+        self.names = f"{LEASE_PREFIX}name/{service}/"
 
 
 class SitePlanDocument(msgspec.Struct, frozen=True):
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -34,9 +34,10 @@
 from loadbalancer.daemon.store_monitor import StoreMonitor
 from loadbalancer.leases.table import Lease
 from loadbalancer.proxy.discovery import Discovery
-from loadbalancer.store.changefeed_client import FeedClient
-from loadbalancer.store.client import Client, StoreError
-from loadbalancer.store.lease_client import Owner
+from loadbalancer.store.changefeed_client import ChangefeedClient, ChangefeedTarget
+from loadbalancer.store.client import Client
+from loadbalancer.store.errors import StoreError
+from loadbalancer.store.lease_client import LeaseClient
 
 log = logging.getLogger(__name__)
 
@@ -95,13 +96,13 @@
         self.tasks: list[asyncio.Task[None]] = []
         # One process of a name writes its learned state; a name given to two is logged.
         self.has_logged_name_conflict = False
-        self.name_lease = Owner(
+        self.name_lease = LeaseClient(
             client,
             f"name/{service}/{options.balancer}",
             options.balancer,
             options.lease_s,
-            seen=self._on_name_lease_changed,
         )
+        self.name_lease.on_change(self._on_name_lease_changed)
         self.list_lease = self._lease_factory("list")(
             self._on_list_lease_acquired, self._on_list_lease_lost
         )
@@ -130,17 +131,17 @@
     def _lease_factory(self, work: str) -> LeaseFactory:
         """Returns a factory of the lease of one of the fleet's controllers."""
 
-        def create(on_acquired: Callable[[int], None], on_lost: Callable[[], None]) -> Owner:
+        def create(on_acquired: Callable[[int], None], on_lost: Callable[[], None]) -> LeaseClient:
             options = self.options
-            return Owner(
+            lease = LeaseClient(
                 self.client,
                 f"work/{work}/{options.service}",
                 options.balancer,
                 options.lease_s,
                 options.rank,
-                began=on_acquired,
-                ended=on_lost,
             )
+            lease.on_tenure(on_acquired, on_lost)
+            return lease
 
         return create
 
@@ -186,24 +187,26 @@
     def _table(self) -> RowTable | None:
         return self.publisher.follower.table if self.publisher is not None else None
 
-    def _create_feed(self) -> FeedClient | None:
+    def _create_feed(self) -> ChangefeedClient | None:
         if self.publisher is None or self._table is None:
             return None
         follower = self.publisher.follower
-        return FeedClient(
-            self.client.addresses,
-            self.client.tls,
-            self.options.balancer,
+        return ChangefeedClient(
+            ChangefeedTarget(
+                self.client.addresses,
+                self.client.tls,
+                self.options.balancer,
+                address_map=self.client.reach,
+            ),
             [self._table.keys.scope, GLOBAL],
             follower.check_row,
             follower.apply_rows,
-            reach=self.client.reach,
         )
 
     # ---- leases ----------------------------------------------------------------------------------
 
     @property
-    def _leases(self) -> list[Owner]:
+    def _leases(self) -> list[LeaseClient]:
         leases = [self.name_lease, self.list_lease, self.rolling_restart.owner]
         if self.site_controller is not None:
             leases.append(self.site_controller.owner)
--- a/loadbalancer/store/metrics.py
+++ b/loadbalancer/store/metrics.py
@@ -1,21 +1,22 @@
-"""A node's figures for a collector of metrics: OpenMetrics text over plain HTTP, on an address of
-its own.
-"""
+"""A node's metrics: OpenMetrics text over plain HTTP, on an address of its own."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Iterable
-from typing import cast
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any, Final, cast
 
 from prometheus_client import CollectorRegistry
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.openmetrics.exposition import CONTENT_TYPE_LATEST, generate_latest
 
+from loadbalancer.leases.table import Lease
 from loadbalancer.store.node import Node
+from loadbalancer.store.status import NodeStatus
 
-MOST_HEAD = 8 << 10
-GAUGES = {
+MAX_HEAD_BYTES: Final = 8 << 10
+QUANTILES: Final = (0.5, 0.99)
+GAUGES: Final = {
     "term": "the current term",
     "last": "last index of the log",
     "commit": "last committed index",
@@ -28,107 +29,143 @@
     "leaderless_ms": "since when no leader is known",
     "disk_full_s": "since when the disk takes nothing",
 }
-FEED_GAUGES = {
+COUNTERS: Final = {
+    "elections": "times this node stood for election",
+    "batches": "batches synced",
+    "entries": "entries written",
+    "late_turns": "turns of the loop that came late",
+}
+FEED_GAUGES: Final = {
     "subscribers": "balancers that hear this node",
     "waiting": "in the queue for snapshots",
     "parked": "know more than this node",
     "refusals": "rows that balancers refuse",
 }
-FEED_COUNTERS = {
+FEED_COUNTERS: Final = {
     "sent_bytes": "bytes told",
     "snapshots": "scopes sent whole",
     "later": "asked to come later",
     "resumes": "scopes that went on from the log",
     "failures": "times that the feed began anew",
 }
-COUNTERS = {
-    "elections": "times this node stood for election",
-    "batches": "batches synced",
-    "entries": "entries written",
-    "late_turns": "turns of the loop that came late",
-}
 
 
 class Collector:
+    """Collects a node's metrics for a Prometheus registry."""
+
     def __init__(self, node: Node) -> None:
         self.node = node
 
     def collect(self) -> Iterable[Metric]:
+        """Yields all metric families."""
         status = self.node.status()
-        for name, what in GAUGES.items():
-            yield GaugeMetricFamily(f"lanelift_store_{name}", what, value=float(status[name]))
-        for name, what in COUNTERS.items():
-            yield CounterMetricFamily(f"lanelift_store_{name}", what, value=float(status[name]))
+        fields = cast(Mapping[str, Any], status)
+        yield from _gauges("lanelift_store", GAUGES, fields)
+        yield from _counters("lanelift_store", COUNTERS, fields)
         yield GaugeMetricFamily(
             "lanelift_store_leads",
             "1 where this node leads",
             value=float(status["role"] == "leader"),
         )
-        sync = GaugeMetricFamily(
-            "lanelift_store_sync_seconds", "of the last batches", labels=["quantile"]
-        )
-        for part in (0.5, 0.99):
-            sync.add_metric([str(part)], self.node.figures.quantile(part))
-        yield sync
+        yield self._sync_times()
         feed = status["feed"] or {}
-        for name, what in FEED_GAUGES.items():
-            yield GaugeMetricFamily(f"lanelift_feed_{name}", what, value=float(feed.get(name, 0)))
-        for name, what in FEED_COUNTERS.items():
-            yield CounterMetricFamily(f"lanelift_feed_{name}", what, value=float(feed.get(name, 0)))
-        leases = list(self.node.replica.state.leases.values())
-        for name, what, values in (
-            (
-                "held",
-                "1 where somebody holds the lease",
-                [float(lease.is_held) for lease in leases],
-            ),
-            ("token", "the last token granted", [float(lease.token) for lease in leases]),
-            ("waiting", "candidates", [float(len(lease.candidates)) for lease in leases]),
-        ):
-            gauge = GaugeMetricFamily(f"lanelift_lease_{name}", what, labels=["lease"])
-            for lease, value in zip(leases, values, strict=True):
-                gauge.add_metric([lease.name], value)
-            yield gauge
-        refused = CounterMetricFamily(
-            "lanelift_lease_refused", "writes refused that bore another token", labels=["lease"]
-        )
-        for lease in leases:
-            refused.add_metric([lease.name], float(lease.rejected_writes))
-        yield refused
-        lag = GaugeMetricFamily(
-            "lanelift_store_member_lag", "entries, as the leader knows", labels=["node"]
+        yield from _gauges("lanelift_feed", FEED_GAUGES, feed)
+        yield from _counters("lanelift_feed", FEED_COUNTERS, feed)
+        yield from _lease_metrics(list(self.node.replica.state.leases.values()))
+        yield _member_lag(status)
+
+    def _sync_times(self) -> Metric:
+        gauge = GaugeMetricFamily(
+            "lanelift_store_sync_seconds", "of the last batches", labels=["quantile"]
         )
-        for member in status["members"]:
-            if member["lag"] is not None:
-                lag.add_metric([member["node"]], float(member["lag"]))
-        yield lag
+        statistics = self.node.runtime.statistics
+        for quantile in QUANTILES:
+            gauge.add_metric([str(quantile)], statistics.sync_quantile_s(quantile))
+        return gauge
+
+
+def _gauges(
+    prefix: str, descriptions: Mapping[str, str], fields: Mapping[str, Any]
+) -> Iterable[Metric]:
+    for name, description in descriptions.items():
+        value = float(fields.get(name, 0))
+        yield GaugeMetricFamily(f"{prefix}_{name}", description, value=value)
+
+
+def _counters(
+    prefix: str, descriptions: Mapping[str, str], fields: Mapping[str, Any]
+) -> Iterable[Metric]:
+    for name, description in descriptions.items():
+        value = float(fields.get(name, 0))
+        yield CounterMetricFamily(f"{prefix}_{name}", description, value=value)
+
 
+def _lease_metrics(leases: list[Lease]) -> Iterable[Metric]:
+    yield _lease_gauge(
+        "held", "1 where somebody holds the lease", leases, lambda lease: lease.is_held
+    )
+    yield _lease_gauge("token", "the last token granted", leases, lambda lease: lease.token)
+    yield _lease_gauge("waiting", "candidates", leases, lambda lease: len(lease.candidates))
+    rejected = CounterMetricFamily(
+        "lanelift_lease_refused", "writes refused that bore another token", labels=["lease"]
+    )
+    for lease in leases:
+        rejected.add_metric([lease.name], float(lease.rejected_writes))
+    yield rejected
 
-class Page(asyncio.Protocol):
-    """One request, one answer, whatever was asked."""
+
+def _lease_gauge(
+    name: str, description: str, leases: list[Lease], value: Callable[[Lease], int]
+) -> Metric:
+    gauge = GaugeMetricFamily(f"lanelift_lease_{name}", description, labels=["lease"])
+    for lease in leases:
+        gauge.add_metric([lease.name], float(value(lease)))
+    return gauge
+
+
+def _member_lag(status: NodeStatus) -> Metric:
+    gauge = GaugeMetricFamily(
+        "lanelift_store_member_lag", "entries, as the leader knows", labels=["node"]
+    )
+    for member in status["members"]:
+        if member["lag"] is not None:
+            gauge.add_metric([member["node"]], float(member["lag"]))
+    return gauge
+
+
+class MetricsConnection(asyncio.Protocol):
+    """Answers one request with the metrics, whatever its path."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        self.registry = registry
-        self.head = b""
-        self.transport: asyncio.Transport | None = None
+        self._registry = registry
+        self._head = b""
+        self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
+        """Waits for the request."""
+        self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.head += data
-        if self.transport is None or (b"\r\n\r\n" not in self.head and len(self.head) < MOST_HEAD):
+        """Replies once the head of the request is complete, or too long."""
+        self._head += data
+        is_complete = b"\r\n\r\n" in self._head or len(self._head) >= MAX_HEAD_BYTES
+        if self._transport is None or not is_complete:
             return
-        body: bytes = generate_latest(self.registry)  # type: ignore[no-untyped-call]
-        self.transport.write(
+        body: bytes = generate_latest(self._registry)  # type: ignore[no-untyped-call]
+        self._transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: %b\r\nContent-Length: %d\r\nConnection: close"
             b"\r\n\r\n" % (CONTENT_TYPE_LATEST.encode(), len(body)) + body
         )
-        self.transport.close()
+        self._transport.close()
 
 
 async def serve(node: Node, address: tuple[str, int]) -> asyncio.Server:
-    """Raises OSError."""
+    """Serves a node's metrics.
+
+    Raises:
+        OSError: The address can't be used.
+    """
     registry = CollectorRegistry()
     registry.register(Collector(node))
-    return await asyncio.get_running_loop().create_server(lambda: Page(registry), *address)
+    loop = asyncio.get_running_loop()
+    return await loop.create_server(lambda: MetricsConnection(registry), *address)
--- a/loadbalancer/store/replica.py
+++ b/loadbalancer/store/replica.py
@@ -1,8 +1,7 @@
-"""One member's consensus, log and state put together, still without sockets, threads or a clock of
-its own.
+"""One member's consensus core, log and state, without sockets, threads or a clock of its own.
 
-Whoever drives it, a node or a simulator, may carry out `write` in one thread and `apply`, `flush`
-in another: they share nothing but the state, which `write` takes only to install a snapshot while
+Its driver, a node or a simulator, may call `write` in one thread and `apply` and `flush` in
+another: they share nothing but the state, which `write` uses only to install a snapshot while
 nothing is being applied.
 """
 
@@ -10,26 +9,29 @@
 
 import random
 from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Final
 
 import msgspec
 
 from loadbalancer.store.commands import Result
 from loadbalancer.store.durable.files import Files, write_whole
-from loadbalancer.store.durable.journal import Damaged, Journal
+from loadbalancer.store.durable.journal import Damaged, Found, Journal
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.durable.state_directory import Vault
 from loadbalancer.store.raft.config import RaftConfig
 from loadbalancer.store.raft.log import Log
-from loadbalancer.store.raft.messages import ArrayStruct, Entry, Members
+from loadbalancer.store.raft.messages import Entry, Members
 from loadbalancer.store.raft.node import RaftNode
 from loadbalancer.store.raft.ready import Batch
 from loadbalancer.store.raft.state import StoredState
 
-IDENTITY = "identity.json"
-FORMAT = 1
-KEEP = 2_000  # entries that stay in the log behind the state, for members that are a little behind
-CUT_BYTES, CUT_ENTRIES = 16 << 20, 10_000  # the log is cut when it holds more
-PATIENCE = 4  # times that, where a member that takes a snapshot will need the entries after it
+IDENTITY_FILE: Final = "identity.json"
+IDENTITY_FORMAT: Final = 1
+RETAINED_ENTRIES: Final = 2_000
+MAX_LOG_BYTES: Final = 16 << 20
+MAX_LOG_ENTRIES: Final = 10_000
+FOLLOWER_LOG_FACTOR: Final = 4  # of the limit, while a follower will need the entries
 
 
 class Identity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -41,93 +43,138 @@
     name: str = ""
 
 
-class Boundaries(ArrayStruct, frozen=True):
-    """When the log is cut, and what of it is kept."""
+@dataclass(frozen=True, slots=True)
+class LogLimits:
+    """When the log is compacted, and what of it is retained.
 
-    keep: int = KEEP
-    entries: int = CUT_ENTRIES
-    bytes: int = CUT_BYTES
+    Attributes:
+        retained_entries: Entries that stay, for followers that are a little behind.
+        max_entries: It is compacted when it holds more.
+        max_bytes: It is compacted when it holds more.
+    """
+
+    retained_entries: int = RETAINED_ENTRIES
+    max_entries: int = MAX_LOG_ENTRIES
+    max_bytes: int = MAX_LOG_BYTES
+
+
+DEFAULT_LOG_LIMITS: Final = LogLimits()
+
+
+@dataclass(frozen=True, slots=True)
+class Storage:
+    """Where a replica stores its log and state."""
+
+    journal: Journal
+    vault: Vault
+
+
+@dataclass(frozen=True, slots=True)
+class CoreOptions:
+    """How a replica's consensus core is made.
+
+    Attributes:
+        config: Timing and limits.
+        now_ns: The clock.
+        rng: For election timeouts.
+        core_type: The core's class.
+    """
+
+    config: RaftConfig
+    now_ns: int
+    rng: random.Random
+    core_type: type[RaftNode] = RaftNode
 
 
 def write_identity(files: Files, identity: Identity) -> None:
-    write_whole(files, IDENTITY, msgspec.json.encode(identity))
+    """Writes the identity of a folder."""
+    write_whole(files, IDENTITY_FILE, msgspec.json.encode(identity))
 
 
 def read_identity(files: Files) -> Identity:
-    """Raises Damaged."""
+    """Reads the identity of a folder.
+
+    Raises:
+        Damaged: There is none, or it is not valid.
+    """
     try:
-        raw = files.read(IDENTITY)
+        raw = files.read(IDENTITY_FILE)
     except FileNotFoundError:
-        raise Damaged(f"there is no {IDENTITY}: this folder belongs to no cluster yet") from None
+        raise Damaged(
+            f"there is no {IDENTITY_FILE}: this folder belongs to no cluster yet"
+        ) from None
     try:
         version = msgspec.json.decode(raw)["format"]
-        if version > FORMAT:
+        if version > IDENTITY_FORMAT:
             raise Damaged(
-                f"{IDENTITY}: format {version} is newer than {FORMAT}, which this program knows"
+                f"{IDENTITY_FILE}: format {version} is newer than {IDENTITY_FORMAT}, "
+                "which this program knows"
             )
         return msgspec.json.decode(raw, type=Identity)
     except (ValueError, KeyError, TypeError) as error:
-        raise Damaged(f"{IDENTITY}: {error}") from None
+        raise Damaged(f"{IDENTITY_FILE}: {error}") from None
 
 
 class Replica:
+    """Consensus core, log and state of one member; `open` makes it from what is on disk.
+
+    Attributes:
+        flushed: The index up to which the state is durable.
+    """
+
     def __init__(
         self,
         identity: Identity,
-        journal: Journal,
-        vault: Vault,
+        storage: Storage,
         state: State,
         core: RaftNode,
-        boundaries: Boundaries,
+        log_limits: LogLimits,
     ) -> None:
         self.identity = identity
-        self.journal = journal
-        self.vault = vault
+        self.journal = storage.journal
+        self.vault = storage.vault
         self.state = state
         self.core = core
-        self.boundaries = boundaries
-        self.flushed = 0  # the state holds so much durably
+        self.log_limits = log_limits
+        self.flushed = 0
 
     @classmethod
     def open(
         cls,
         identity: Identity,
-        journal: Journal,
-        vault: Vault,
-        config: RaftConfig,
-        now: int,
-        rng: random.Random,
-        boundaries: Boundaries = Boundaries(),  # noqa: B008 (it can't be changed)
-        make: type[RaftNode] = RaftNode,
+        storage: Storage,
+        options: CoreOptions,
+        log_limits: LogLimits = DEFAULT_LOG_LIMITS,
     ) -> Replica:
-        """From what is on disk. Raises Damaged."""
-        found = journal.open()
-        state = vault.open()
+        """Makes a replica from what is on disk.
+
+        Raises:
+            Damaged: Log and state are not valid, or don't belong together.
+        """
+        found = storage.journal.open()
+        state = storage.vault.open()
         if found.install is not None and found.install.index > state.applied:
-            # Power went between the word in the log and the deed.
-            state = vault.swap(state, found.install)
-        if state.cluster != identity.cluster:
-            raise Damaged(f"the state belongs to cluster {state.cluster}")
-        if state.applied < found.base:
-            raise Damaged(
-                f"the state ends at entry {state.applied}, the log begins after {found.base}"
-            )
+            # The process ended between the record in the log and the installation.
+            state = storage.vault.swap(state, found.install)
         log = Log(found.base, found.base_term, found.entries)
-        if state.applied > log.last_index:
-            raise Damaged(
-                f"the log ends at entry {log.last_index}, the state holds {state.applied}"
-            )
+        _check(identity, found, state, log)
         stored = StoredState(found.hard, log, state.members, state.applied)
-        core = make(identity.node, config, stored, now, rng)
-        core.compact(state.applied - boundaries.keep)
-        return cls(identity, journal, vault, state, core, boundaries)
+        core = options.core_type(identity.node, options.config, stored, options.now_ns, options.rng)
+        core.compact(state.applied - log_limits.retained_entries)
+        return cls(identity, storage, state, core, log_limits)
 
     def write(self, batch: Batch) -> bool:
-        """Make a batch durable; False where the snapshot in it is not whole. Raises Full, and may
-        be called again with the same batch; raises Broken.
+        """Makes a batch durable; may be called again with the same one after `Full`.
+
+        Returns:
+            False if the batch's snapshot is incomplete.
+
+        Raises:
+            Broken: The log can't be written any more.
+            Full: The disk is full.
         """
-        for piece in batch.chunks:
-            self.vault.write_piece(piece.offset, piece.data)
+        for chunk in batch.chunks:
+            self.vault.write_piece(chunk.offset, chunk.data)
         if batch.hard_state is not None or batch.entries:
             self.journal.write(batch.hard_state, batch.entries)
         if batch.install is None:
@@ -139,42 +186,61 @@
         return True
 
     def apply(self, entries: Sequence[Entry]) -> list[Result]:
+        """Applies committed entries to the state."""
         return self.state.apply(entries)
 
     @property
-    def wants_cut(self) -> bool:
-        """Is there so much log that the state should be synced and the log cut?"""
-        log, b = self.core.log, self.boundaries
-        behind = self.core.applied_index - log.base_index
-        return behind > b.keep and (behind > b.entries or log.size_bytes > b.bytes)
+    def needs_compaction(self) -> bool:
+        """Whether the state should be synced and the log compacted."""
+        log = self.core.log
+        limits = self.log_limits
+        length = self.core.applied_index - log.base_index
+        return length > limits.retained_entries and (
+            length > limits.max_entries or log.size_bytes > limits.max_bytes
+        )
 
     def flush(self) -> int:
-        """Sync the state. Raises Full."""
+        """Syncs the state; returns the index up to which it is durable.
+
+        Raises:
+            Full: The disk is full.
+        """
         self.flushed = self.vault.flush(self.state)
         return self.flushed
 
-    def cut_index(self) -> int:
-        """Up to which entry the log may be dropped: what is durable in the state, but for the last
-        entries."""
+    def compaction_index(self) -> int:
+        """Returns the index up to which the log may be dropped."""
         log = self.core.log
-        index = min(self.flushed, self.core.applied_index - self.boundaries.keep)
-        if log.size_bytes > self.boundaries.bytes:
-            index = self.flushed  # what is kept must not outgrow memory
-        if log.size_bytes < PATIENCE * self.boundaries.bytes:
+        limits = self.log_limits
+        index = min(self.flushed, self.core.applied_index - limits.retained_entries)
+        if log.size_bytes > limits.max_bytes:
+            index = self.flushed  # what is retained must not outgrow memory
+        if log.size_bytes < FOLLOWER_LOG_FACTOR * limits.max_bytes:
             index = min(index, self.core.first_needed_index)
         return max(index, log.base_index)
 
-    def cut(self) -> None:
-        index = self.cut_index()
+    def compact(self) -> None:
+        """Drops the entries of the log that are not needed."""
+        index = self.compaction_index()
         self.core.compact(index)
         self.journal.cut(index)
 
     def close(self) -> None:
+        """Closes log and state."""
         self.journal.close()
         self.state.close()
         self.vault.close()
 
 
-def members_of(node: int, address: str) -> Members:
-    """A cluster of one."""
+def _check(identity: Identity, found: Found, state: State, log: Log) -> None:
+    if state.cluster != identity.cluster:
+        raise Damaged(f"the state belongs to cluster {state.cluster}")
+    if state.applied < found.base:
+        raise Damaged(f"the state ends at entry {state.applied}, the log begins after {found.base}")
+    if state.applied > log.last_index:
+        raise Damaged(f"the log ends at entry {log.last_index}, the state holds {state.applied}")
+
+
+def single_member(node: int, address: str) -> Members:
+    """Returns the members of a cluster of one."""
     return Members((node,), (), {node: address})
--- a/loadbalancer/testbed/cluster/sim.py
+++ b/loadbalancer/testbed/cluster/sim.py
@@ -17,7 +17,7 @@
 from loadbalancer.store.durable import journal as journals
 from loadbalancer.store.durable.journal import Damaged, Full, Journal
 from loadbalancer.store.durable.state import Event, State
-from loadbalancer.store.housekeeping import Steward
+from loadbalancer.store.housekeeping import Housekeeper
 from loadbalancer.store.raft.config import RaftConfig
 from loadbalancer.store.raft.errors import BusyError, MembershipError, NotLeaderError
 from loadbalancer.store.raft.members import MembershipChange
@@ -32,7 +32,7 @@
 from loadbalancer.store.raft.node import RaftNode
 from loadbalancer.store.raft.ready import Batch
 from loadbalancer.store.raft.state import Role
-from loadbalancer.store.replica import Boundaries, Identity, Replica
+from loadbalancer.store.replica import CoreOptions, Identity, LogLimits, Replica, Storage
 from loadbalancer.testbed.cluster.checks import Broken, Checks
 from loadbalancer.testbed.cluster.disk import Disk, MemoryVault, PowerLost
 
@@ -48,7 +48,7 @@
     slow_disk_timeout_ns=600 * MS,
     max_promotion_lag=50,
 )
-BOUNDARIES = Boundaries(keep=20, entries=60, bytes=1 << 20)
+BOUNDARIES = LogLimits(retained_entries=20, max_entries=60, max_bytes=1 << 20)
 SEGMENT = 6_000
 Answer = Callable[[str, Any], None]  # how it ended, and a Result, a reading or the leader
 
@@ -84,8 +84,8 @@
     )  # index: term, whom to answer
     reads: dict[int, tuple[int, Callable[[], Any], Answer]] = field(default_factory=dict)
     tickets: int = 0
-    steward: Steward = field(default_factory=Steward)
-    format: int = commands.FORMAT  # the newest that its program knows
+    housekeeper: Housekeeper = field(default_factory=Housekeeper)
+    format: int = commands.STATE_FORMAT  # the newest that its program knows
     dead: str = ""  # why it will not come back
     fuse: int = -1  # boundaries until its power goes
 
@@ -141,7 +141,7 @@
         disk = Disk()
         vault = MemoryVault(disk, "sim", members)
         node = self.nodes[number] = Node(number, disk, vault, rng)
-        identity = Identity(replica.FORMAT, "sim", number)
+        identity = Identity(replica.IDENTITY_FORMAT, "sim", number)
         fresh = self._journal(node)
         fresh.create()
         replica.write_identity(disk, identity)
@@ -159,20 +159,16 @@
             return
         node.epoch += 1
         node.due = 0  # a tick that was due is of the life before
-        node.steward = Steward()
+        node.housekeeper = Housekeeper()
         node.disk.trip = lambda: None
         node.fuse = -1
         try:
             identity = replica.read_identity(node.disk)
             node.replica = Replica.open(
                 identity,
-                self._journal(node),
-                node.vault,
-                self.config,
-                self.clock(node),
-                node.rng,
+                Storage(self._journal(node), node.vault),
+                CoreOptions(self.config, self.clock(node), node.rng, self.make),
                 BOUNDARIES,
-                self.make,
             )
         except Damaged as error:
             node.dead = str(error)
@@ -263,7 +259,7 @@
             self.at(
                 self.between((MS, 30 * MS)), self.guarded(node, lambda r: self._export(node, r))
             )
-        wake_ns = min(core.wake_ns, node.steward.wake_ns or core.wake_ns)
+        wake_ns = min(core.wake_ns, node.housekeeper.wake_ns or core.wake_ns)
         wake = self.now + max(MS, wake_ns - self.clock(node))
         if not self.now < node.due <= wake:
             node.due = wake
@@ -272,15 +268,15 @@
     def _lead(self, node: Node, r: Replica) -> None:
         if not self.leases or r.core.role is not Role.LEADER or node.applying:
             if r.core.role is not Role.LEADER:
-                node.steward.follows()
+                node.housekeeper.leadership_lost()
             return
-        node.steward.leads(r.core.term, r.state, self.clock(node))
+        node.housekeeper.leadership_gained(r.core.term, r.state, self.clock(node))
         formats = {n: self.nodes[n].format if n in self.nodes else 0 for n in r.core.members.all}
-        due = node.steward.proposals(r.state.format, formats, self.clock(node))
+        due = node.housekeeper.proposals(r.state.format, formats, self.clock(node))
         if due:
             with suppress(BusyError, NotLeaderError):
                 r.core.propose([commands.pack(command) for command in due])
-                self.counts["lapses"] += sum(isinstance(c, commands.Lapse) for c in due)
+                self.counts["lapses"] += sum(isinstance(c, commands.ExpireClaim) for c in due)
                 self.turn(node)
 
     def _tick(self, node: Node, r: Replica, due: int) -> None:
@@ -324,13 +320,13 @@
                 else:
                     answer("unknown", None)
         r.core.mark_applied(entries[-1].index)
-        node.steward.applied(r.state.take_claimed(), self.clock(node))
+        node.housekeeper.claims_applied(r.state.take_claimed(), self.clock(node))
         self.fed(node, r.state, r.state.take_fed())
         node.applying = False
-        if r.wants_cut:
+        if r.needs_compaction:
             try:
                 r.flush()
-                r.cut()
+                r.compact()
                 self.counts["cuts"] += 1
             except Full:
                 pass
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -46,9 +46,10 @@
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.settings import Json, Malformed
 from loadbalancer.store import run as running
-from loadbalancer.store.client import Client, Rejected
-from loadbalancer.store.commands import MOST_OPS, Op, Release, Result
-from loadbalancer.store.lease_client import clock_ns
+from loadbalancer.store.client import Client
+from loadbalancer.store.commands import MAX_OPERATIONS, Op, Release, Result
+from loadbalancer.store.errors import RejectedError
+from loadbalancer.store.lease_client import boot_clock_ns
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.daemon.test_state_sync import FakeDriver, answered, until
@@ -155,7 +156,7 @@
     stored = {f"{n:05}": (1, b"x") for n in range(5000)}
     desired = {key: value for key, (_, value) in stored.items() if int(key) >= 2200}
     batches = plan_writes(stored, desired)
-    assert len(batches) == 9 and all(len(b) <= MOST_OPS for b in batches)
+    assert len(batches) == 9 and all(len(b) <= MAX_OPERATIONS for b in batches)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -248,7 +249,7 @@
         assert self.state_sync.publisher is not None
         self.publisher = self.state_sync.publisher
         list_lease = self.state_sync.list_lease
-        list_lease.began, list_lease.ended = self.began, self.ended
+        list_lease.on_tenure(self.began, self.ended)
         if discovery is None:  # it does not ask for the list's lease
             list_lease.start = lambda: None  # type: ignore[method-assign]
         self.state_sync.start()
@@ -266,7 +267,7 @@
         return {n: t.endpoint.entry.state for n, t in self.driver.upstreams.targets.items()}
 
     async def leads(self) -> RowBalancer:
-        await self.until(lambda: self.state_sync.list_lease.working)
+        await self.until(lambda: self.state_sync.list_lease.active_token)
         return self
 
     async def knows(self, *rows: Json) -> None:
@@ -290,8 +291,8 @@
             task.cancel()
         if self.state_sync.feed is not None:
             await self.state_sync.feed.close()
-        if self.state_sync.client.wire is not None:
-            self.state_sync.client.wire.abort()
+        if self.state_sync.client.connection is not None:
+            self.state_sync.client.connection.abort()
 
 
 def feed_update(position: ListRow, *upstreams: Json, is_snapshot: bool = False) -> Apply:
@@ -312,7 +313,7 @@
 
 def test_a_follower_turns_rows_into_lists_and_deltas() -> None:
     async def test() -> None:
-        driver, owner = RowDriver(lambda: None), SimpleNamespace(working=0)
+        driver, owner = RowDriver(lambda: None), SimpleNamespace(active_token=0)
         discovery = Discovery(cast(Any, driver), ("127.0.0.1", 1), 1)
         writer = RowWriter(cast(Any, None), cast(Any, owner), "orders")
         context = EndpointListContext(
@@ -338,7 +339,7 @@
         follower.apply_rows(feed_update(position(3, 7), server("s-1"), is_snapshot=True))
         follower.apply_rows(feed_update(position(3, 8), server("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
-        follower.source.learn_committed(FencingPosition(3, 7), clock_ns())
+        follower.source.learn_committed(FencingPosition(3, 7), boot_clock_ns())
         follower.apply_rows(feed_update(position(3, 9), server("s-3")))
         follower.apply_rows(
             feed_update(position(3, 10), server("s-3", "Gone"), server("never there", "Gone"))
@@ -355,11 +356,11 @@
         assert kinds() == [(api.EndpointListKind.FULL, 1)]
         # What comes while it leads the list itself, and is the next owner's, counts once it does
         # not.
-        owner.working, publisher.published = 4, Publication(4, 1, [])
+        owner.active_token, publisher.published = 4, Publication(4, 1, [])
         follower.apply_rows(feed_update(position(4, 1), server("s-5")))
         follower.apply_rows(feed_update(position(5, 1), server("s-6")))
         assert kinds() == []
-        owner.working = 0
+        owner.active_token = 0
         publisher.on_lease_lost()
         assert kinds() == [(api.EndpointListKind.FULL, 3)] and follower.mirrors_table
         publisher.published = Publication(6, 1, [])
@@ -456,7 +457,7 @@
                 n: state is api.UpstreamState.READY for n, state in two.known.items()
             }
             assert (await client.get("list/orders")).rows[0].value is None
-            with pytest.raises(Rejected, match="names"):
+            with pytest.raises(RejectedError, match="names"):
                 await client.write_rows([Op(KEYS.service, None)])
             for balancer in (one, two):
                 await balancer.close()
@@ -538,7 +539,7 @@
             three = RowBalancer(c, "three", discovery)
             await two.close()
             await three.leads()
-            await stored.until(lambda: stored.token == three.state_sync.list_lease.working)
+            await stored.until(lambda: stored.token == three.state_sync.list_lease.active_token)
             assert len(stored.writes) == 3  # nothing but its own position
             await three.close()
 
@@ -586,14 +587,14 @@
             writes = len(stored.writes)
             on.set()
             await asyncio.wait((owned,))
-            assert one.state_sync.list_lease.refused == 1
+            assert one.state_sync.list_lease.fenced_writes == 1
             await stored.are(server("s-1"))
             assert len(stored.writes) == writes
             await one.close()
             await two.close()
 
     run(test())
-    assert "a write was refused" in caplog.text
+    assert "fenced write rejected" in caplog.text
 
 
 def test_a_former_leader_follows_the_rows_of_the_next(tmp_path: Path) -> None:
@@ -704,7 +705,7 @@
             await two.knows(*discovery.rows)
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
-                await c.client().copy(file.write)
+                await c.client().read_backup(file.write)
             discovery.change(server("s-2", "Gone"), server("s-3"))
             await two.knows(*discovery.rows)
             lists = len(two.driver.lists)
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -83,8 +83,10 @@
             )
             first = await put(client, ORDERS, b"1", "a")
             assert (await feed(c, "wait", str(first), "--within", "20s")).exit_code == 0
-            assert slow.client.wire is not None and slow.client.wire.transport is not None
-            slow.client.wire.transport.pause_reading()
+            assert (
+                slow.client.connection is not None and slow.client.connection.transport is not None
+            )
+            slow.client.connection.transport.pause_reading()
             revision = await put(client, ORDERS, b"2", "a")
             await quick.has(ORDERS, "upstream/a", b"2")
             late = await feed(c, "wait", str(revision), "--within", "0.5")
@@ -96,7 +98,7 @@
             ), output
             assert "slow at" in plain(await feed(c, "status"))
             waiting = asyncio.create_task(feed(c, "wait", str(revision), "--within", "20s"))
-            slow.client.wire.transport.resume_reading()
+            slow.client.connection.transport.resume_reading()
             assert (await waiting).exit_code == 0 and slow.value(ORDERS, "upstream/a") == b"2"
             await leave(quick, slow)
 
@@ -191,32 +193,32 @@
     )
     b = status("b", 100, subscribers=400, reached=tuple((n, 1) for n in range(0, 100)))
     found = add_up([a, b, a], 90)
-    assert (found.balancers, found.reached) == (410, 8 + 310), (
+    assert (found.balancers, found.in_force) == (410, 8 + 310), (
         "a member asked at two addresses counts once"
     )
-    assert add_up([a, b], 100).reached == 0, (
+    assert add_up([a, b], 100).in_force == 0, (
         "300 of b are past 99, and nobody says that they are at 100"
     )
     assert (
         add_up([a, b]).revision == 100
-        and "node a at ha:1 is itself at 90" in add_up([a, b]).trailing
+        and "node a at ha:1 is itself at 90" in add_up([a, b]).lagging_nodes
     )
-    assert [one.name for one in found.late] == ["x"] and found.silent == ()
-    assert add_up([a], 50).wrong() == (
+    assert [one.name for one in found.lagging] == ["x"] and found.unreachable == ()
+    assert add_up([a], 50).incomplete_reason() == (
         "revision 50 is not in force as far as can be told: node b at hb:1"
         " does not answer: it was not asked"
     )
-    assert add_up([a], 50).wrong(10) == ""
+    assert add_up([a], 50).incomplete_reason(10) is None
     refused = status(
         "b", 100, refusals=1, refused=(RefusedRow("x", Refusal(ORDERS, "u/a", 3, "why")),)
     )
     assert (
-        add_up([a, refused], 50).wrong(despite_refusals=True)
-        == ""
-        != add_up([a, refused], 50).wrong()
+        add_up([a, refused], 50).incomplete_reason(ignore_rejected=True)
+        is None
+        is not add_up([a, refused], 50).incomplete_reason()
     )
     nobody = add_up([{"address": "h:1", "trouble": "no answer"}], 5)
-    assert (nobody.balancers, nobody.silent) == (
+    assert (nobody.balancers, nobody.unreachable) == (
         0,
         ("h:1 does not answer: no answer",),
-    ) and nobody.wrong()
+    ) and nobody.incomplete_reason()
