--- a/loadbalancer/daemon/balancer_reporter.py
+++ b/loadbalancer/daemon/balancer_reporter.py
@@ -67,10 +67,10 @@
         """Returns the disabled upstreams that still have attempts of this balancer."""
         names = {number_of(name): name for name in self.disabled.names}
         busy = {
-            names[attempt.server.id]
+            names[attempt.upstream.id]
             for request in self.driver.balancer.requests.values()
             for attempt in request.attempts
-            if attempt.result is None and attempt.server.id in names
+            if attempt.result is None and attempt.upstream.id in names
         }
         return tuple(sorted(busy))
 
@@ -97,8 +97,8 @@
 
     def _next_report(self, disabled_version: int, busy: tuple[str, ...]) -> BalancerReport:
         self.sequence += 1
-        rate = self.driver.balancer.rate
-        served = min(rate.served, rate.sent)
+        rate = self.driver.balancer.rate_controller
+        served = min(rate.served_per_s, rate.finished_per_s)
         return BalancerReport(
-            disabled_version, busy, round(rate.sent, 2), round(served, 2), self.sequence
+            disabled_version, busy, round(rate.finished_per_s, 2), round(served, 2), self.sequence
         )
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -84,7 +84,7 @@
         if request is None:
             return
         request_class = self.driver.settings.classes[request.arrival.class_name]
-        usual_ns = self.driver.balancer.crowding.taken.get(request_class.name, 0.0)
+        usual_ns = self.driver.balancer.concurrency.service_times.get(request_class.name, 0.0)
         self.member.tried(event, request_class.latency_objective_ns, usual_ns, boot_clock_ns())
 
     async def observe(self) -> None:
@@ -138,7 +138,9 @@
         """
         while True:
             if self.member.row_due(boot_clock_ns()) and self.row.is_writable:
-                report = self.member.row(self.driver.balancer.crowding.taken, boot_clock_ns())
+                report = self.member.row(
+                    self.driver.balancer.concurrency.service_times, boot_clock_ns()
+                )
                 await self.row.write(msgspec.json.encode(report))
             await asyncio.sleep(STEP_INTERVAL_S * self.member.rng.uniform(*REPORT_JITTER))
 
--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -165,7 +165,7 @@
 
     def _class_values(self, reports: Mapping[str, Told]) -> dict[str, float]:
         if self.settings is not None:
-            return {name: entry.worth for name, entry in self.settings.classes.items()}
+            return {name: entry.priority_weight for name, entry in self.settings.classes.items()}
         return {
             class_name: 1.0 for report in reports.values() for class_name, *_ in report.row.loads
         }
--- a/loadbalancer/daemon/snapshot_sync.py
+++ b/loadbalancer/daemon/snapshot_sync.py
@@ -141,8 +141,8 @@
         Raises:
             StoreError: The store did not serve the write.
         """
-        learned = self.driver.balancer.learnt()
-        if not learned.taken or not self.name_lease.token():
+        learned = self.driver.balancer.learned_state()
+        if not learned.service_times or not self.name_lease.token():
             return
         with suppress(NotLeaseHolderError):
             saved = save_learned_state(learned, endpoints_of(self.driver))
