--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -125,7 +125,7 @@
                 find_error,
                 DocumentChange(1, "me"),
             )
-            await wait_for_log(process, "reloaded: 1 upstreams")
+            await wait_for_log(process, "configuration reloaded: upstreams=1")
             assert (await connection.ask("r2")).body == b"s-1"
             # The store goes: the balancer goes on, says so, and even starts again.
             await client.close()
