--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -20,7 +20,7 @@
 from loadbalancer.daemon import documents as docs
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
 from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
-from loadbalancer.failover.traffic_shares import Orders
+from loadbalancer.failover.traffic_shares import TrafficShares
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.process import Parts
@@ -184,7 +184,7 @@
                 beside.driver.gone = {e.entry.id for e in UPSTREAMS if e.entry.zone == "b"}
             await until(lambda: one.driver.plans[-1].zone_fractions.get("b") == 0.0)
             async with asyncio.timeout(15):
-                while all(x.part > 0 for x in (await doc(client)).site_states):
+                while all(x.fraction > 0 for x in (await doc(client)).site_states):
                     await asyncio.sleep(0.05)
             token = (await doc(client)).token
             for beside in (one, two):
@@ -193,12 +193,12 @@
             await owner.close()  # the next one goes on from what stands
             async with asyncio.timeout(40):
                 while (now := await doc(client)).token == token or any(
-                    not x.well for x in now.site_states
+                    not x.is_normal for x in now.site_states
                 ):
                     await asyncio.sleep(0.05)
             await until(lambda: other.driver.plans[-1].zone_fractions.get("b") is None)
-            shut = Orders({"a": {"b": 0.0}, "b": {"b": 0.0}})
-            old = msgspec.structs.replace(now, token=token, orders=shut)
+            shut = TrafficShares({"a": {"b": 0.0}, "b": {"b": 0.0}})
+            old = msgspec.structs.replace(now, token=token, traffic_shares=shut)
             await client.put(
                 SiteKeys("orders").plan, msgspec.json.encode(old)
             )  # of an owner that wakes late
