--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -148,13 +148,14 @@
     def on_lease_acquired(self, token: int) -> None:
         """Begins a term."""
         self.follower.source.set_leader(True, boot_clock_ns())
-        self.discovery.calls.speak_for_all(True)
+        self.discovery.watch.set_sole_poller(True)
         if token != self.published.token:  # a lease that is lost and found again goes on counting
             self.sequence = 0
             self.heartbeat = 0
         if self.writer is not None:
             self.writer.begin_term()
-        self.discovery.calls.forget()  # what was learned of the other leader does not count there
+        # What was learned of the other leader does not count there.
+        self.discovery.watch.forget_list()
         self.running = asyncio.get_running_loop().create_task(self._run())
         self.discovery.subscribe(True)
 
@@ -165,7 +166,7 @@
         follower.mirrors_table = False  # rows that arrived meanwhile were not put in force
         if follower.table is not None and follower.table.position.token > self.published.token:
             follower.apply_table(None)  # the next leader's rows are there already
-        self.discovery.calls.speak_for_all(False)
+        self.discovery.watch.set_sole_poller(False)
         self.discovery.subscribe(False)
         self._stop()
 
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -13,7 +13,12 @@
 from typing import Any
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.discovery_watch import CALL_S, Call, Calls, End
+from loadbalancer.proxy.discovery_watch import (
+    POLL_TIMEOUT_S,
+    DiscoveryWatch,
+    PollKind,
+    PollOutcome,
+)
 from loadbalancer.proxy.endpoint_staleness import EndpointStaleness
 from loadbalancer.proxy.exchange import Exchange, ExpectedResponse
 from loadbalancer.proxy.messages import Response, message
@@ -92,13 +97,13 @@
     return need(raw, "version", int), maybe(raw, "full", bool, False), endpoints
 
 
-def end_of(error: Exception) -> End:
+def end_of(error: Exception) -> PollOutcome:
     """How a call ended that raised this."""
     if isinstance(error, Silent):
-        return End.SILENT
+        return PollOutcome.TIMED_OUT
     if isinstance(error, Unread | Malformed):
-        return End.UNREAD
-    return End.REFUSED if isinstance(error, Unanswered) else End.LOST
+        return PollOutcome.MALFORMED
+    return PollOutcome.REFUSED if isinstance(error, Unanswered) else PollOutcome.FAILED
 
 
 class Discovery:
@@ -107,7 +112,7 @@
         self.tell = self._tell  # who is told what comes
         self.address = address
         self.push = driver.settings.discovery_push
-        self.calls = Calls(
+        self.watch = DiscoveryWatch(
             driver.settings.instance_count, driver.settings.instance_index, random.Random(seed)
         )
         self.staleness = EndpointStaleness(driver)
@@ -121,7 +126,7 @@
         """Begin from the list as last known, and watch at once where changes are pushed."""
         if known is not None:
             self.version, _, endpoints = read_list(known)
-            self.calls.knows()
+            self.watch.on_list_known()
             self.tell(api.EndpointListKind.CACHED, endpoints)
         if self.push:
             self.subscribe(True)
@@ -135,7 +140,7 @@
 
     def fetch(self) -> None:
         """Ask for the whole list; a watch begins anew with it."""
-        self.calls.forget()
+        self.watch.forget_list()
         self._run(self._watch() if self.watching else self._fetch())
 
     def move(self, address: tuple[str, int]) -> None:
@@ -145,7 +150,7 @@
         """
         self.address = address
         self.version = -1
-        self.calls.forget()
+        self.watch.forget_list()
         if self.connection is not None:
             self.connection.abort()
         if self.task is not None:  # also one that has failed, and waits to be told to ask again
@@ -169,17 +174,17 @@
         while True:
             try:
                 await self._call()
-                pause_s = self.calls.ended(End.ANSWERED, time.monotonic())
+                pause_s = self.watch.on_outcome(PollOutcome.ANSWERED, time.monotonic())
             except Exception as error:
-                pause_s = self.calls.ended(end_of(error), time.monotonic())
+                pause_s = self.watch.on_outcome(end_of(error), time.monotonic())
                 self._failed(error)  # the old list stands
-                if self.calls.term_s is not None:
-                    self.staleness.on_watch_silent(self.calls.term_s)
+                if self.watch.deadline_s is not None:
+                    self.staleness.on_watch_silent(self.watch.deadline_s)
             if pause_s is None and not self.push:
                 self.watching = False
                 self.tell(api.EndpointListKind.FAILED, [])  # the module says when to ask again
                 return
-            await asyncio.sleep(self.calls.again() if pause_s is None else pause_s)
+            await asyncio.sleep(self.watch.backoff_pause_s() if pause_s is None else pause_s)
 
     def _failed(self, error: Exception) -> None:
         """One line for what may happen. What nobody thought of must not end the watch for good,
@@ -193,16 +198,17 @@
     async def _fetch(self) -> None:
         try:
             await self._call()
-            self.calls.knows()
+            self.watch.on_list_known()
         except Exception as error:
             self._failed(error)
             self.tell(api.EndpointListKind.FAILED, [])
 
     async def _call(self) -> None:
-        ask, target = self.calls.ask(time.monotonic()), b"/v1/endpoints"
-        if ask.call is not Call.WHOLE:
-            target += b"?from=%d&hold_ms=%d" % (self.version, ask.hold_ms)
-        response = await self._get(target, ask.wait_s)
+        poll = self.watch.next_poll(time.monotonic())
+        target = b"/v1/endpoints"
+        if poll.kind is not PollKind.FULL_LIST:
+            target += b"?from=%d&hold_ms=%d" % (self.version, poll.hold_ms)
+        response = await self._get(target, poll.timeout_s)
         if response.status != 200:
             raise Unanswered(f"answered {response.status}")
         try:
@@ -221,11 +227,11 @@
         self.driver.starts.listed(time.monotonic_ns())
 
     async def _get(self, target: bytes, wait_s: float | None) -> Response:
-        """One answer; it may take so long, or what is left of `CALL_S` once there is a
+        """One answer; it may take so long, or what is left of `POLL_TIMEOUT_S` once there is a
         connection.
         """
         loop = asyncio.get_running_loop()
-        by = loop.time() + CALL_S
+        by = loop.time() + POLL_TIMEOUT_S
         if self.connection is None or not self.connection.clear:
             if self.connection is not None:
                 self.connection.abort()
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -473,9 +473,9 @@
                 await bank.close()
 
     monkeypatch.setattr(endpoint_publisher, "HEARTBEAT_INTERVAL_S", 0.05)
-    monkeypatch.setattr(discovery_watch, "HOLD_MS", 50)
-    monkeypatch.setattr(discovery_watch, "HOLD_LEAST_MS", 50)
-    monkeypatch.setattr(discovery_watch, "SPREAD_EACH_MS", 0)
+    monkeypatch.setattr(discovery_watch, "MIN_MEAN_HOLD_MS", 50)
+    monkeypatch.setattr(discovery_watch, "MIN_HOLD_MS", 50)
+    monkeypatch.setattr(discovery_watch, "SPREAD_PER_BALANCER_MS", 0)
     run(test())
 
 
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -15,7 +15,7 @@
 
 from loadbalancer.policy import subscription
 from loadbalancer.proxy import discovery_watch
-from loadbalancer.proxy.discovery_watch import Call, Calls, End
+from loadbalancer.proxy.discovery_watch import DiscoveryWatch, PollKind, PollOutcome
 from tests.fakes import SECOND
 
 FLEETS = 1, 6, 30, 200
@@ -36,7 +36,7 @@
 
 @dataclass(eq=False)
 class Caller:
-    calls: Calls
+    watch: DiscoveryWatch
     rng: random.Random
     push: bool
     known_s: float | None = None  # when it knew of the change
@@ -45,16 +45,16 @@
     begun_s: float = 0.0
     term_s: float = 0.0
 
-    def pause_s(self, end: End, now: float) -> float:
+    def pause_s(self, end: PollOutcome, now: float) -> float:
         """Before its next call; where lists are asked for, the module's pause behind one that
         failed.
         """
-        pause_s = self.calls.ended(end, now)
+        pause_s = self.watch.on_outcome(end, now)
         if pause_s is not None:
-            self.failures = 0 if end is End.ANSWERED else self.failures
+            self.failures = 0 if end is PollOutcome.ANSWERED else self.failures
             return pause_s
         if self.push:
-            return self.calls.again()
+            return self.watch.backoff_pause_s()
         self.failures += 1
         whole_s = subscription.MAX_BACKOFF_NS / SECOND
         return whole_s * min(1.0, 2.0 ** (self.failures - 3)) * self.rng.uniform(0.4, 1.0)
@@ -80,42 +80,45 @@
     def __post_init__(self) -> None:
         rng = random.Random(self.seed)
         self.callers = [
-            Caller(Calls(self.balancers, me, random.Random(rng.random())), rng, self.push)
+            Caller(DiscoveryWatch(self.balancers, me, random.Random(rng.random())), rng, self.push)
             for me in range(self.balancers)
         ]
         for caller in self.callers:
-            caller.calls.ended(End.ANSWERED, 0.0)  # its list is known
+            caller.watch.on_outcome(PollOutcome.ANSWERED, 0.0)  # its list is known
 
     def at(self, when_s: float, what: Callable[[float], None]) -> None:
         heapq.heappush(self.queue, (when_s, next(self.order), what))
 
     def call(self, caller: Caller, now: float) -> None:
-        ask = caller.calls.ask(now)
-        cost_s = WHOLE_S if ask.call is Call.WHOLE else CHANGES_S
-        if ask.call is not Call.WHOLE and now > caller.answered_s + WATCH_GAP_S:
+        poll = caller.watch.next_poll(now)
+        cost_s = WHOLE_S if poll.kind is PollKind.FULL_LIST else CHANGES_S
+        if poll.kind is not PollKind.FULL_LIST and now > caller.answered_s + WATCH_GAP_S:
             cost_s = self.new_watch_s
-        self.wholes += ask.call is Call.WHOLE
+        self.wholes += poll.kind is PollKind.FULL_LIST
         if now < self.back_s:
             end_s, end = {
-                "turned away": (now + 0.004, End.REFUSED),
-                "broken": (now + 0.004, End.REFUSED),
-                "never connected": (now + discovery_watch.CALL_S, End.REFUSED),
+                "turned away": (now + 0.004, PollOutcome.REFUSED),
+                "broken": (now + 0.004, PollOutcome.REFUSED),
+                "never connected": (now + discovery_watch.POLL_TIMEOUT_S, PollOutcome.REFUSED),
                 "silent": (
-                    now + (discovery_watch.CALL_S if ask.wait_s is None else ask.wait_s),
-                    End.SILENT,
+                    now
+                    + (
+                        discovery_watch.POLL_TIMEOUT_S if poll.timeout_s is None else poll.timeout_s
+                    ),
+                    PollOutcome.TIMED_OUT,
                 ),
-                "unread": (now + 0.02, End.UNREAD),
+                "unread": (now + 0.02, PollOutcome.MALFORMED),
             }[self.trouble]
         elif self.free_s - now > LINE_S:
-            end_s, end = now + 0.004, End.REFUSED
+            end_s, end = now + 0.004, PollOutcome.REFUSED
         else:
             self.free_s = end_s = max(now, self.free_s) + cost_s
-            end = End.ANSWERED
+            end = PollOutcome.ANSWERED
         self.at(end_s, partial(self.ended, caller, end))
 
-    def ended(self, caller: Caller, end: End, now: float) -> None:
+    def ended(self, caller: Caller, end: PollOutcome, now: float) -> None:
         pause_s = caller.pause_s(end, now)
-        if end is End.ANSWERED:
+        if end is PollOutcome.ANSWERED:
             caller.known_s = caller.answered_s = now
         else:
             self.at(now + pause_s, partial(self.call, caller))
@@ -134,46 +137,49 @@
         began = [(0.01 + CHANGES_S * i, caller) for i, caller in enumerate(self.callers)]
         silent_s = began[-1][0]
         for begun_s, caller in began:
-            ask = caller.calls.ask(begun_s)
-            assert ask.call is Call.HOLD and ask.wait_s is not None
+            poll = caller.watch.next_poll(begun_s)
+            assert poll.kind is PollKind.WATCH and poll.timeout_s is not None
             caller.term_s = max(
-                silent_s + discovery_watch.TERM_S,
-                begun_s + ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S,
+                silent_s + discovery_watch.CHANGE_DEADLINE_S,
+                begun_s + poll.hold_ms / 1000 + discovery_watch.HOLD_DEADLINE_S,
             )
-            self.at(begun_s + ask.wait_s, partial(self.ended, caller, End.SILENT))
+            self.at(begun_s + poll.timeout_s, partial(self.ended, caller, PollOutcome.TIMED_OUT))
         return self.latest()
 
     def silence_at_random(self) -> float:
         """The same, of watches that began each at its own time."""
         silent_s = 100.0
         for caller in self.callers:
-            pace = caller.calls.pace
+            pace = caller.watch.pacing
             begun_s = (
-                silent_s - caller.rng.random() * pace.hold_ms(caller.calls.me, caller.rng) / 1000
+                silent_s - caller.rng.random() * pace.hold_ms(caller.watch.index, caller.rng) / 1000
             )
-            ask = caller.calls.ask(begun_s)
-            assert ask.wait_s is not None
+            poll = caller.watch.next_poll(begun_s)
+            assert poll.timeout_s is not None
             caller.term_s = max(
-                silent_s + discovery_watch.TERM_S,
-                begun_s + ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S,
+                silent_s + discovery_watch.CHANGE_DEADLINE_S,
+                begun_s + poll.hold_ms / 1000 + discovery_watch.HOLD_DEADLINE_S,
+            )
+            self.at(
+                max(silent_s, begun_s + poll.timeout_s),
+                partial(self.ended, caller, PollOutcome.TIMED_OUT),
             )
-            self.at(max(silent_s, begun_s + ask.wait_s), partial(self.ended, caller, End.SILENT))
         return self.latest()
 
     def move(self) -> float:
         """Told to go elsewhere: versions count anew there, so each asks for a whole list."""
         for caller in self.callers:
-            caller.calls.forget()
+            caller.watch.forget_list()
             caller.term_s = MOVE_TERM_S
             self.at(0.0, partial(self.call, caller))
         return self.latest()
 
     def outage(self) -> float:
-        """Calls end in `trouble`; when discovery is there again, something changes in that
+        """DiscoveryWatch end in `trouble`; when discovery is there again, something changes in that
         moment.
         """
         for caller in self.callers:
-            caller.term_s = self.back_s + discovery_watch.TERM_S
+            caller.term_s = self.back_s + discovery_watch.CHANGE_DEADLINE_S
             self.at(0.2 * caller.rng.random(), partial(self.call, caller))
         return self.latest()
 
@@ -224,96 +230,108 @@
 @pytest.mark.parametrize(
     ("was", "known", "end", "then"),
     [
-        (Call.HOLD, True, End.SILENT, Call.CHECK),
-        (Call.HOLD, True, End.REFUSED, Call.CATCH_UP),
-        (Call.HOLD, True, End.UNREAD, Call.CATCH_UP),
-        (Call.HOLD, True, End.LOST, Call.WHOLE),
-        (Call.CATCH_UP, True, End.SILENT, Call.CHECK),
-        (Call.CATCH_UP, True, End.REFUSED, Call.CATCH_UP),
-        (Call.CATCH_UP, True, End.UNREAD, Call.WHOLE),
-        (Call.WHOLE, True, End.UNREAD, Call.CATCH_UP),
-        (Call.WHOLE, True, End.REFUSED, Call.CATCH_UP),
-        (Call.WHOLE, False, End.SILENT, Call.WHOLE),
-        (Call.WHOLE, False, End.REFUSED, Call.WHOLE),
-        (Call.WHOLE, False, End.UNREAD, Call.WHOLE),
-        (Call.WHOLE, False, End.ANSWERED, Call.HOLD),
+        (PollKind.WATCH, True, PollOutcome.TIMED_OUT, PollKind.CHECK),
+        (PollKind.WATCH, True, PollOutcome.REFUSED, PollKind.CATCH_UP),
+        (PollKind.WATCH, True, PollOutcome.MALFORMED, PollKind.CATCH_UP),
+        (PollKind.WATCH, True, PollOutcome.FAILED, PollKind.FULL_LIST),
+        (PollKind.CATCH_UP, True, PollOutcome.TIMED_OUT, PollKind.CHECK),
+        (PollKind.CATCH_UP, True, PollOutcome.REFUSED, PollKind.CATCH_UP),
+        (PollKind.CATCH_UP, True, PollOutcome.MALFORMED, PollKind.FULL_LIST),
+        (PollKind.FULL_LIST, True, PollOutcome.MALFORMED, PollKind.CATCH_UP),
+        (PollKind.FULL_LIST, True, PollOutcome.REFUSED, PollKind.CATCH_UP),
+        (PollKind.FULL_LIST, False, PollOutcome.TIMED_OUT, PollKind.FULL_LIST),
+        (PollKind.FULL_LIST, False, PollOutcome.REFUSED, PollKind.FULL_LIST),
+        (PollKind.FULL_LIST, False, PollOutcome.MALFORMED, PollKind.FULL_LIST),
+        (PollKind.FULL_LIST, False, PollOutcome.ANSWERED, PollKind.WATCH),
     ],
 )
-def test_what_is_asked_behind_each_end(was: Call, known: bool, end: End, then: Call) -> None:
-    watch = Calls(6, 0, random.Random(1))
-    watch.next, watch.known = was, known
-    watch.ask(0.0)
-    pause_s = watch.ended(end, 0.0)
-    assert watch.next is then
+def test_what_is_asked_behind_each_end(
+    was: PollKind, known: bool, end: PollOutcome, then: PollKind
+) -> None:
+    watch = DiscoveryWatch(6, 0, random.Random(1))
+    watch.next_kind, watch.has_list = was, known
+    watch.next_poll(0.0)
+    pause_s = watch.on_outcome(end, 0.0)
+    assert watch.next_kind is then
     # Only a watch that fell silent is followed at once: behind other ends calls must not come at
     # once.
-    watched = was in (Call.HOLD, Call.CATCH_UP)
-    assert (pause_s is not None) == (end is End.ANSWERED or watched and end is End.SILENT)
+    watched = was in (PollKind.WATCH, PollKind.CATCH_UP)
+    assert (pause_s is not None) == (
+        end is PollOutcome.ANSWERED or watched and end is PollOutcome.TIMED_OUT
+    )
 
 
 # How a call behind a silence may end, and how long that takes at the most.
 ENDS = {
-    "answered": (End.ANSWERED, 0.9),
-    "turned away": (End.REFUSED, 0.004),
-    "never connected": (End.REFUSED, discovery_watch.CALL_S),
-    "silent again": (End.SILENT, discovery_watch.CHECK_S),
-    "unread": (End.UNREAD, 0.9),
-    "lost": (End.LOST, 0.01),
+    "answered": (PollOutcome.ANSWERED, 0.9),
+    "turned away": (PollOutcome.REFUSED, 0.004),
+    "never connected": (PollOutcome.REFUSED, discovery_watch.POLL_TIMEOUT_S),
+    "silent again": (PollOutcome.TIMED_OUT, discovery_watch.CHECK_TIMEOUT_S),
+    "unread": (PollOutcome.MALFORMED, 0.9),
+    "lost": (PollOutcome.FAILED, 0.01),
 }
 
 
-@pytest.mark.parametrize("watched", [Call.HOLD, Call.CATCH_UP])
+@pytest.mark.parametrize("watched", [PollKind.WATCH, PollKind.CATCH_UP])
 @pytest.mark.parametrize("balancers", FLEETS)
 def test_behind_a_silence_it_asks_again_in_each_order_of_ends(
-    balancers: int, watched: Call
+    balancers: int, watched: PollKind
 ) -> None:
     """All orders of five ends. Its term is reckoned from the call, stands until an answer comes,
     and no pause is longer than that between two checks until the recovery is given up.
     """
     for order in itertools.product(ENDS, repeat=5):
-        watch = Calls(balancers, balancers - 1, random.Random(1))
-        watch.next, watch.known = watched, True
-        ask = watch.ask(0.0)
-        assert ask.wait_s is not None
-        term_s = max(discovery_watch.TERM_S, ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S)
-        now = ask.wait_s
-        pause_s = watch.ended(End.SILENT, now)
+        watch = DiscoveryWatch(balancers, balancers - 1, random.Random(1))
+        watch.next_kind, watch.has_list = watched, True
+        poll = watch.next_poll(0.0)
+        assert poll.timeout_s is not None
+        term_s = max(
+            discovery_watch.CHANGE_DEADLINE_S, poll.hold_ms / 1000 + discovery_watch.HOLD_DEADLINE_S
+        )
+        now = poll.timeout_s
+        pause_s = watch.on_outcome(PollOutcome.TIMED_OUT, now)
         for end, took_s in (ENDS[name] for name in order):
-            assert watch.term_s == term_s
+            assert watch.deadline_s == term_s
             if pause_s is None:
-                assert now > term_s + discovery_watch.RECOVER_S
-                pause_s = watch.again()
-            assert pause_s <= watch.pace.recheck_s or now > term_s + discovery_watch.RECOVER_S
+                assert now > term_s + discovery_watch.MAX_RECOVERY_S
+                pause_s = watch.backoff_pause_s()
+            assert (
+                pause_s <= watch.pacing.recheck_pause_s
+                or now > term_s + discovery_watch.MAX_RECOVERY_S
+            )
             now += pause_s
-            ask = watch.ask(now)
-            assert ask.hold_ms == 0  # a hold would keep what was missed, if nothing was
+            poll = watch.next_poll(now)
+            assert poll.hold_ms == 0  # a hold would keep what was missed, if nothing was
             now += took_s
-            pause_s = watch.ended(end, now)
-            if end is End.ANSWERED:
-                assert watch.term_s is None and watch.next is Call.HOLD
+            pause_s = watch.on_outcome(end, now)
+            if end is PollOutcome.ANSWERED:
+                assert watch.deadline_s is None and watch.next_kind is PollKind.WATCH
                 break
 
 
 def test_a_second_silence_does_not_put_off_the_term_of_the_first() -> None:
-    watch = Calls(6, 0, random.Random(1))
-    watch.next, watch.known = Call.CATCH_UP, True
-    ask = watch.ask(0.0)
-    watch.ended(End.SILENT, 4.0)
-    watch.next = Call.HOLD
-    watch.ask(5.0)
-    watch.ended(End.SILENT, 10.0)
-    assert watch.term_s == max(
-        discovery_watch.TERM_S, ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S
+    watch = DiscoveryWatch(6, 0, random.Random(1))
+    watch.next_kind, watch.has_list = PollKind.CATCH_UP, True
+    poll = watch.next_poll(0.0)
+    watch.on_outcome(PollOutcome.TIMED_OUT, 4.0)
+    watch.next_kind = PollKind.WATCH
+    watch.next_poll(5.0)
+    watch.on_outcome(PollOutcome.TIMED_OUT, 10.0)
+    assert watch.deadline_s == max(
+        discovery_watch.CHANGE_DEADLINE_S, poll.hold_ms / 1000 + discovery_watch.HOLD_DEADLINE_S
     )
 
 
 @pytest.mark.parametrize("balancers", FLEETS)
 def test_a_second_is_left_behind_each_call_that_is_given_up(balancers: int) -> None:
-    watch = Calls(balancers, balancers - 1, random.Random(1))
-    for call in (Call.HOLD, Call.CATCH_UP):
+    watch = DiscoveryWatch(balancers, balancers - 1, random.Random(1))
+    for call in (PollKind.WATCH, PollKind.CATCH_UP):
         for _ in range(1000):
-            watch.next = call
-            ask = watch.ask(0.0)
-            assert ask.wait_s is not None
-            term_s = max(discovery_watch.TERM_S, ask.hold_ms / 1000 + discovery_watch.HOLD_TERM_S)
-            assert ask.wait_s + 1.0 <= term_s + 1e-9
+            watch.next_kind = call
+            poll = watch.next_poll(0.0)
+            assert poll.timeout_s is not None
+            term_s = max(
+                discovery_watch.CHANGE_DEADLINE_S,
+                poll.hold_ms / 1000 + discovery_watch.HOLD_DEADLINE_S,
+            )
+            assert poll.timeout_s + 1.0 <= term_s + 1e-9
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -590,15 +590,16 @@
     before: str, push: bool, heard: Heard, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The call behind it waited for 20 s: fallen silent, it hid all changes meanwhile."""
-    pause_s = max(discovery_watch.BACKOFF_S[1], subscription.MAX_BACKOFF_NS / SECOND)
+    pause_s = max(discovery_watch.MAX_BACKOFF_S, subscription.MAX_BACKOFF_NS / SECOND)
     assert (
         pause_s
         + max(
-            2 * discovery_watch.CALL_S, discovery_watch.CATCH_UP_MS / 1000 + discovery_watch.GRACE_S
+            2 * discovery_watch.POLL_TIMEOUT_S,
+            discovery_watch.CATCH_UP_HOLD_MS / 1000 + discovery_watch.ANSWER_GRACE_S,
         )
-        <= discovery_watch.TERM_S
+        <= discovery_watch.CHANGE_DEADLINE_S
     )
-    monkeypatch.setattr(discovery, "CALL_S", 0.3)
+    monkeypatch.setattr(discovery, "POLL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         async with world(2, settings=replace(FLEET, discovery_push=push)) as w:
@@ -613,7 +614,7 @@
                 lists.close_links()
             await lists.until(lambda: len(lists.seen) > asked + 1)
             lists.mute_ms, lists.busy, lists.down, lists.silent = (
-                discovery_watch.CATCH_UP_MS,
+                discovery_watch.CATCH_UP_HOLD_MS,
                 False,
                 False,
                 False,
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -102,13 +102,13 @@
 def test_a_watch_that_fell_silent_is_given_up_before_its_changes_count_as_told(
     push: bool, monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    most_ms = discovery_watch.Pace.of(1).most_hold_ms
-    assert most_ms / 1000 + discovery_watch.GRACE_S < 6
-    monkeypatch.setattr(discovery_watch, "HOLD_MS", 100)
-    monkeypatch.setattr(discovery_watch, "HOLD_LEAST_MS", 100)
-    monkeypatch.setattr(discovery_watch, "SPREAD_EACH_MS", 0)
-    monkeypatch.setattr(discovery_watch, "CATCH_UP_MS", 50)
-    monkeypatch.setattr(discovery_watch, "GRACE_S", 0.1)
+    most_ms = discovery_watch.PollPacing.for_fleet(1).max_hold_ms
+    assert most_ms / 1000 + discovery_watch.ANSWER_GRACE_S < 6
+    monkeypatch.setattr(discovery_watch, "MIN_MEAN_HOLD_MS", 100)
+    monkeypatch.setattr(discovery_watch, "MIN_HOLD_MS", 100)
+    monkeypatch.setattr(discovery_watch, "SPREAD_PER_BALANCER_MS", 0)
+    monkeypatch.setattr(discovery_watch, "CATCH_UP_HOLD_MS", 50)
+    monkeypatch.setattr(discovery_watch, "ANSWER_GRACE_S", 0.1)
 
     async def test() -> None:
         async with world(2, settings=replace(SETTINGS, discovery_push=push)) as w:
@@ -142,13 +142,13 @@
     tells.
     """
     for name, value in (
-        ("HOLD_MS", 100),
-        ("HOLD_LEAST_MS", 100),
-        ("SPREAD_EACH_MS", 0),
-        ("TERM_S", 0.3),
-        ("HOLD_TERM_S", 0.1),
-        ("GRACE_S", 0.1),
-        ("CHECK_S", 0.1),
+        ("MIN_MEAN_HOLD_MS", 100),
+        ("MIN_HOLD_MS", 100),
+        ("SPREAD_PER_BALANCER_MS", 0),
+        ("CHANGE_DEADLINE_S", 0.3),
+        ("HOLD_DEADLINE_S", 0.1),
+        ("ANSWER_GRACE_S", 0.1),
+        ("CHECK_TIMEOUT_S", 0.1),
     ):
         monkeypatch.setattr(discovery_watch, name, value)
 
@@ -212,8 +212,8 @@
                 Upstreams(SETTINGS.limits, 4, (), BodyMemory(1)),
             )
             watch = discovery.Discovery(driver, ("127.0.0.1", 1), 1)
-            assert balancers / (watch.calls.hold_ms / 1000) < calls_s
-            assert watch.calls.pace.pause_s < 0.2  # a watch that pauses longer has ended
+            assert balancers / (watch.watch.mean_hold_ms / 1000) < calls_s
+            assert watch.watch.pacing.pause_s < 0.2  # a watch that pauses longer has ended
 
     run(test())
 
