--- a/loadbalancer/store/administration.py
+++ b/loadbalancer/store/administration.py
@@ -56,7 +56,9 @@
         return await self._change_members(request, deadline_s)
 
     async def _export_snapshot(self) -> str:
-        meta = await self._runtime.on_export_thread(self._runtime.replica.vault.export)
+        meta = await self._runtime.on_export_thread(
+            self._runtime.replica.state_directory.export_snapshot
+        )
         await self._state_worker.flush()
         return f"snapshot up to entry {meta.index}, {meta.size} bytes"
 
--- a/loadbalancer/store/node_runtime.py
+++ b/loadbalancer/store/node_runtime.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any, Final, TypeVar
 
-from loadbalancer.store.durable.journal import Broken, Damaged
+from loadbalancer.store.durable.errors import DamagedError, SyncFailedError
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.errors import DeadlineExceededError
 from loadbalancer.store.replica import Replica
@@ -82,7 +82,7 @@
     async def _guarded(self, work: Coroutine[Any, Any, None]) -> None:
         try:
             await work
-        except (Broken, Damaged) as error:
+        except (SyncFailedError, DamagedError) as error:
             self.fail(str(error))
         except Exception as error:  # noqa: BLE001 (an unknown fault stops the node)
             self._fail_unexpectedly(error)
--- a/loadbalancer/store/request_handler.py
+++ b/loadbalancer/store/request_handler.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.store import commands, read_requests
 from loadbalancer.store.commands import AnyCommand, Result
-from loadbalancer.store.durable.journal import Full
+from loadbalancer.store.durable.errors import DiskFullError
 from loadbalancer.store.durable.state import State
 from loadbalancer.store.errors import (
     DeadlineExceededError,
@@ -195,13 +195,13 @@
 
     async def _read_backup(self, request: ReadBackup) -> None:
         runtime = self._node.runtime
-        vault = runtime.replica.vault
+        state_directory = runtime.replica.state_directory
         if request.offset == 0:
-            meta = await runtime.on_export_thread(vault.export)
+            meta = await runtime.on_export_thread(state_directory.export_snapshot)
         else:
             index, term, size, checksum = request.meta_id
             meta = SnapshotMeta(index, term, self._node.core.members, size, checksum)
-        data = vault.read_piece(meta, request.offset, BACKUP_CHUNK_BYTES)
+        data = state_directory.read_chunk(meta, request.offset, BACKUP_CHUNK_BYTES)
         if data is None:
             reason = "another copy was made meanwhile: begin anew"
             self.fail(request.id, FailureCode.OUTCOME_UNKNOWN, reason)
@@ -269,7 +269,7 @@
             self.fail(request_id, FailureCode.OUTCOME_UNKNOWN, str(error), leader)
         except DeadlineExceededError as error:
             self.fail(request_id, FailureCode.DEADLINE_EXCEEDED, str(error))
-        except Full as error:
+        except DiskFullError as error:
             self.fail(request_id, FailureCode.DISK_FULL, str(error))
         finally:
             self._open_count -= 1
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -23,7 +23,7 @@
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
 from loadbalancer.store.connection import Connection
-from loadbalancer.store.durable import state as states
+from loadbalancer.store.durable import watch_events
 from loadbalancer.store.errors import RejectedError, UnavailableError, UndecidedError
 from loadbalancer.store.security import TlsFiles
 from loadbalancer.store.wire import protocol
@@ -262,7 +262,7 @@
             one = Balancer([c.settings[0].advertise], [ORDERS, CARTS])
             await one.has(ORDERS, "upstream/a", b"1")
             await c.stop(0)
-            monkeypatch.setattr(states, "EVENTS", 2)
+            monkeypatch.setattr(watch_events, "MAX_EVENTS", 2)
             await c.begin(0)
             for number in range(2, 9):
                 await put(client, ORDERS, b"%d" % number, "a")
