--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -27,7 +27,7 @@
     save_endpoints,
 )
 from loadbalancer.policy import api
-from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.settings import Malformed
 from loadbalancer.store.commands import Op
 from loadbalancer.store.errors import NotLeaseHolderError, StoreError
@@ -148,13 +148,14 @@
     def on_lease_acquired(self, token: int) -> None:
         """Begins a term."""
         self.follower.source.set_leader(True, boot_clock_ns())
-        self.discovery.calls.speak_for_all(True)
+        self.discovery.watch.set_sole_poller(True)
         if token != self.published.token:  # a lease that is lost and found again goes on counting
             self.sequence = 0
             self.heartbeat = 0
         if self.writer is not None:
             self.writer.begin_term()
-        self.discovery.calls.forget()  # what was learned of the other leader does not count there
+        # What was learned of the other leader does not count there.
+        self.discovery.watch.forget_list()
         self.running = asyncio.get_running_loop().create_task(self._run())
         self.discovery.subscribe(True)
 
@@ -165,7 +166,7 @@
         follower.mirrors_table = False  # rows that arrived meanwhile were not put in force
         if follower.table is not None and follower.table.position.token > self.published.token:
             follower.apply_table(None)  # the next leader's rows are there already
-        self.discovery.calls.speak_for_all(False)
+        self.discovery.watch.set_sole_poller(False)
         self.discovery.subscribe(False)
         self._stop()
 
@@ -270,7 +271,7 @@
         confirmation = LeaderConfirmation(token, self.sequence, self.heartbeat)
         await self.owner.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
 
-    def _listed(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
+    def _canonical_endpoints(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
         """Returns the listed endpoints of these numbers, or all, with canonical addresses."""
         targets = self.driver.upstreams.targets
         if numbers is None:
@@ -281,7 +282,7 @@
 
     async def _publish_document(self, token: int) -> bool:
         """Writes the document if it differs from the last one; returns whether it did."""
-        endpoints = save_endpoints(self._listed())
+        endpoints = save_endpoints(self._canonical_endpoints())
         publication = Publication(token, self.discovery.version, endpoints)
         if not self.is_overwritten and self.published == publication:
             return False
@@ -307,7 +308,7 @@
         if self.writer is None:
             return False
         discovery = DiscoveryVersion(self.discovery.version, self.source)
-        has_written = await self.writer.write(self._listed, token, discovery)
+        has_written = await self.writer.write(self._canonical_endpoints, token, discovery)
         self.sequence = self.writer.sequence
         self.published = Publication(token, self.discovery.version)
         self.last_error = ""
@@ -316,7 +317,9 @@
         if not self.is_document_due:
             return has_written
         if self.publishes_documents:
-            await self._write_document(token, self.sequence, save_endpoints(self._listed()))
+            await self._write_document(
+                token, self.sequence, save_endpoints(self._canonical_endpoints())
+            )
         else:  # a balancer that knows no rows would go by it, however old it is
             await self.owner.write([Op(self.keys.list, None)])
         self.is_document_due = False
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -163,7 +163,8 @@
                 100 * planned.excess,
                 100 * planned.retries,
                 "on" if planned.allows_hedging else "off",
-                ",".join(f"{name}:{part:.0%}" for name, part in planned.classes.items()) or "none",
+                ",".join(f"{name}:{fraction:.0%}" for name, fraction in planned.classes.items())
+                or "none",
             )
         elif self.is_shedding:
             log.info("site load shedding ended")
