--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -117,7 +117,7 @@
     )
     assert (first.entry.id, first.port, second.entry.zone) == (7, 8001, "b")
     learned = msgspec.json.decode(values["learnt/orders/b-1"], type=SavedLearnedState)
-    assert learned.relative_speeds == {7: (1.25, 1790000000.25)}
+    assert learned.relative_service_times == {7: (1.25, 1790000000.25)}
 
 
 def test_a_balancer_reads_the_recorded_state_folder(stored: Path) -> None:
