--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -102,7 +102,7 @@
         self.min_version = NO_VERSION  # that the next list must reach
         self.min_version_read_s = 0.0
         self.running: asyncio.Task[None] | None = None
-        self.discovery.tell = self._on_discovery
+        self.discovery.listener = self._on_discovery
 
     @property
     def source(self) -> str:
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -19,7 +19,7 @@
 from loadbalancer.changefeed.messages import MAX_ROW_BYTES, PREFIX, SERVICE, Row
 from loadbalancer.daemon.persisted import UpstreamLocation
 from loadbalancer.policy import api
-from loadbalancer.proxy.discovery import LATEST_MS
+from loadbalancer.proxy.endpoint_list import MAX_STARTED_MS
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.settings import Malformed
 from loadbalancer.store.commands import MAX_OPERATIONS, Op
@@ -200,7 +200,7 @@
         return "port: must be 1 to 65535"
     if not 0 <= row.id < ID_LIMIT:
         return "id: must have 64 bits"
-    if not (math.isfinite(row.weight) and 0 <= row.started_ms <= LATEST_MS):
+    if not (math.isfinite(row.weight) and 0 <= row.started_ms <= MAX_STARTED_MS):
         return "weight or started_ms is out of range"
     return ""
 
--- a/loadbalancer/daemon/settings.py
+++ b/loadbalancer/daemon/settings.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from loadbalancer.proxy.configuration import DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, Config
-from loadbalancer.proxy.discovery import read_list
+from loadbalancer.proxy.endpoint_list import read_list
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.settings import Json, Malformed, read_settings, split_address, write_class
 from loadbalancer.units import Duration, PerSecond, Size, convert, read_toml, repeated
@@ -231,7 +231,7 @@
     }
     for server in servers:
         split_address(server.address)
-    if len(read_list(fixed)[2]) != len(servers):
+    if len(read_list(fixed).endpoints) != len(servers):
         raise Malformed("server: an address must be IP:PORT")
     return fixed
 
--- a/loadbalancer/proxy/configuration.py
+++ b/loadbalancer/proxy/configuration.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.discovery import read_list
+from loadbalancer.proxy.endpoint_list import read_list
 from loadbalancer.proxy.gossip import Address
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.settings import Json, Malformed, maybe, need, read_settings, split_address, typed
--- a/loadbalancer/proxy/discovery_watch.py
+++ b/loadbalancer/proxy/discovery_watch.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PollPacing:
+class PollSchedule:
     """How often one of so many balancers polls, and how wide the slot of each is."""
 
     min_hold_ms: float
@@ -108,8 +108,8 @@
     recheck_pause_s: float
 
     @classmethod
-    def for_fleet(cls, balancers: int) -> PollPacing:
-        """Return the pacing of one of so many balancers."""
+    def for_fleet(cls, balancers: int) -> PollSchedule:
+        """Return the schedule of one of so many balancers."""
         mean_ms = min(MAX_MEAN_HOLD_MS, max(MIN_MEAN_HOLD_MS, HOLD_PER_BALANCER_MS * balancers))
         spread_ms = min(MAX_SPREAD_MS, SPREAD_PER_BALANCER_MS * balancers)
         min_hold_ms = max(MIN_HOLD_MS, mean_ms - spread_ms / 2)
@@ -155,12 +155,12 @@
     @property
     def mean_hold_ms(self) -> float:
         """The mean hold over the fleet."""
-        return (self.pacing.min_hold_ms + self.pacing.max_hold_ms) / 2
+        return (self.schedule.min_hold_ms + self.schedule.max_hold_ms) / 2
 
     def set_sole_poller(self, is_sole: bool) -> None:
         """Poll in place of all balancers, which need not spare discovery as one of many would."""
         self.index = 0 if is_sole else self._fleet_index
-        self.pacing = PollPacing.for_fleet(1 if is_sole else self._fleet_size)
+        self.schedule = PollSchedule.for_fleet(1 if is_sole else self._fleet_size)
 
     def on_list_known(self) -> None:
         """Handle a list from a cache or from a separate poll: changes since are polled for."""
@@ -184,7 +184,7 @@
             return Poll(PollKind.FULL_LIST, 0, None)
         if self.next_kind is PollKind.CHECK:
             return Poll(PollKind.CHECK, 0, CHECK_TIMEOUT_S)
-        hold_ms = self.pacing.hold_ms(self.index, self.rng)
+        hold_ms = self.schedule.hold_ms(self.index, self.rng)
         if self.next_kind is PollKind.CATCH_UP:
             hold_ms = min(hold_ms, CATCH_UP_HOLD_MS)
         return Poll(self.next_kind, hold_ms, hold_ms / MS_PER_S + ANSWER_GRACE_S)
@@ -203,7 +203,7 @@
             self.deadline_s = None
             if kind is not PollKind.FULL_LIST:
                 self._backoff_s = MIN_BACKOFF_S
-            return self._jittered(self.pacing.pause_s)
+            return self._jittered(self.schedule.pause_s)
         is_watch_silent = outcome is PollOutcome.TIMED_OUT and kind in (
             PollKind.WATCH,
             PollKind.CATCH_UP,
@@ -214,7 +214,7 @@
         if self.deadline_s is None or now_s > self.deadline_s + MAX_RECOVERY_S:
             return None
         return self._jittered(
-            self.pacing.pause_s if is_watch_silent else self.pacing.recheck_pause_s
+            self.schedule.pause_s if is_watch_silent else self.schedule.recheck_pause_s
         )
 
     def _choose_after_failure(self, kind: PollKind, outcome: PollOutcome) -> None:
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -17,7 +17,8 @@
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.configuration import Config, read_config
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
-from loadbalancer.proxy.discovery import Discovery, FixedList
+from loadbalancer.proxy.discovery import Discovery
+from loadbalancer.proxy.fixed_list import FixedList
 from loadbalancer.proxy.frontend import Frontend
 from loadbalancer.proxy.gossip import Peers
 from loadbalancer.proxy.policy_driver import Driver
--- a/loadbalancer/proxy/reloader.py
+++ b/loadbalancer/proxy/reloader.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable
 
 from loadbalancer.proxy.configuration import Config
-from loadbalancer.proxy.discovery import Discovery, FixedList
+from loadbalancer.proxy.discovery import Discovery
+from loadbalancer.proxy.fixed_list import FixedList
 
 log = logging.getLogger(__name__)
 
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -40,7 +40,8 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy import discovery_watch
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
-from loadbalancer.proxy.discovery import Discovery, read_endpoint
+from loadbalancer.proxy.discovery import Discovery
+from loadbalancer.proxy.endpoint_list import read_endpoint
 from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint, number_of
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -150,7 +150,7 @@
         """The same, of watches that began each at its own time."""
         silent_s = 100.0
         for caller in self.callers:
-            pace = caller.watch.pacing
+            pace = caller.watch.schedule
             begun_s = (
                 silent_s - caller.rng.random() * pace.hold_ms(caller.watch.index, caller.rng) / 1000
             )
@@ -296,7 +296,7 @@
                 assert now > term_s + discovery_watch.MAX_RECOVERY_S
                 pause_s = watch.backoff_pause_s()
             assert (
-                pause_s <= watch.pacing.recheck_pause_s
+                pause_s <= watch.schedule.recheck_pause_s
                 or now > term_s + discovery_watch.MAX_RECOVERY_S
             )
             now += pause_s
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -26,13 +26,14 @@
     connection_pool,
     discovery,
     discovery_watch,
+    endpoint_list,
     frontend,
 )
 from loadbalancer.proxy import process as balancer_process
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_phase import Phase
-from loadbalancer.proxy.discovery import read_endpoint
+from loadbalancer.proxy.endpoint_list import read_endpoint
 from loadbalancer.proxy.frontend import Frontend
 from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.process_handover import Siblings
@@ -737,7 +738,7 @@
 ) -> None:
     bad = [{"id": f"s-{n}", "addr": "a.host:80"} for n in range(1000)]
     good = {"id": "s-0", "addr": "127.0.0.1:80"}
-    version, full, endpoints = discovery.read_list({"version": 1, "servers": [*bad, good]})
+    version, full, endpoints = endpoint_list.read_list({"version": 1, "servers": [*bad, good]})
     assert (version, full, len(endpoints), len(caplog.records)) == (1, False, 1, 1)
 
 
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -13,7 +13,7 @@
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy import discovery, discovery_watch, policy_driver, process
 from loadbalancer.proxy.body_stream import BodyMemory
-from loadbalancer.proxy.discovery import read_endpoint
+from loadbalancer.proxy.endpoint_list import read_endpoint
 from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
@@ -102,7 +102,7 @@
 def test_a_watch_that_fell_silent_is_given_up_before_its_changes_count_as_told(
     push: bool, monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    most_ms = discovery_watch.PollPacing.for_fleet(1).max_hold_ms
+    most_ms = discovery_watch.PollSchedule.for_fleet(1).max_hold_ms
     assert most_ms / 1000 + discovery_watch.ANSWER_GRACE_S < 6
     monkeypatch.setattr(discovery_watch, "MIN_MEAN_HOLD_MS", 100)
     monkeypatch.setattr(discovery_watch, "MIN_HOLD_MS", 100)
@@ -213,7 +213,7 @@
             )
             watch = discovery.Discovery(driver, ("127.0.0.1", 1), 1)
             assert balancers / (watch.watch.mean_hold_ms / 1000) < calls_s
-            assert watch.watch.pacing.pause_s < 0.2  # a watch that pauses longer has ended
+            assert watch.watch.schedule.pause_s < 0.2  # a watch that pauses longer has ended
 
     run(test())
 
