--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,8 +1,9 @@
-"""What `build` does: a virtual environment, and a copy of the package in `.compiled` whose hot
-modules are compiled with mypyc. Where that can't be done (no compiler, say) the copy is left as
-plain Python, and says so.
+"""The platform's `build`: a virtual environment, and a copy of the package with compiled modules.
 
-It does again only what is needed: the copy bears the checksum of all it was made from.
+The copy stands in `.compiled`; its hot modules are compiled with mypyc. Where that can't be done
+(without a compiler, say) the copy is left as plain Python, and a message says so.
+
+Only what is needed is done again: the copy holds the checksum of all its sources.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 ROOT = Path(__file__).resolve().parent.parent
 PYTHON = ROOT / ".venv/bin/python"
 COMPILED = ROOT / ".compiled"
-HOT = (
+HOT_MODULES = (
     "loadbalancer/policy/*.py",
     "loadbalancer/proxy/messages.py",
     "loadbalancer/proxy/parse.py",
 )
 # What the platform's `run` and `sim` need; the operators' larger program is installed by pip.
-PACKAGE = ("loadbalancer/*.py", "loadbalancer/policy/*.py", "loadbalancer/proxy/*.py")
-LONGEST_S = 600
-# What compiled modules have to do before they are taken: one request through the decisions.
-TRIAL = """
+PACKAGE_MODULES = ("loadbalancer/*.py", "loadbalancer/policy/*.py", "loadbalancer/proxy/*.py")
+TIMEOUT_S = 600
+# What compiled modules have to run before they are used: one request through the policy.
+SMOKE_TEST = """
 from loadbalancer.policy import Balancer, api
 balancer = Balancer(api.Settings(classes={"read": api.RequestClass("read")}), seed=1, now=0)
 balancer.handle(0, [api.EndpointsUpdated(api.EndpointListKind.FULL, [api.Upstream(7)])])
@@ -36,87 +37,116 @@
 """
 
 
-def environment() -> None:
-    wanted = (ROOT / "requirements.txt").read_text()
+def create_environment() -> None:
+    """Create the virtual environment, unless it has the required packages."""
+    required = (ROOT / "requirements.txt").read_text()
     stamp = ROOT / ".venv/requirements.txt"
-    if PYTHON.exists() and stamp.exists() and stamp.read_text() == wanted:
+    if PYTHON.exists() and stamp.exists() and stamp.read_text() == required:
         return
     venv.create(ROOT / ".venv", with_pip=True)
     subprocess.run(
         [PYTHON, "-m", "pip", "-q", "install", "-r", ROOT / "requirements.txt"], check=True
     )
-    stamp.write_text(wanted)
+    stamp.write_text(required)
 
 
 def sources() -> list[Path]:
-    return sorted(path for pattern in PACKAGE for path in ROOT.glob(pattern))
+    """Return the files of the package that are copied."""
+    return sorted(path for pattern in PACKAGE_MODULES for path in ROOT.glob(pattern))
+
 
+def hot_modules(folder: Path) -> list[str]:
+    """Return the paths in the folder of what is compiled.
 
-def hot(folder: Path) -> list[str]:
-    """What is compiled, by its path in the folder: not a package's own file, which only imports."""
-    found = [path.relative_to(folder) for pattern in HOT for path in sorted(folder.glob(pattern))]
+    A package's `__init__.py`, which only imports, is not.
+    """
+    found = [
+        path.relative_to(folder) for pattern in HOT_MODULES for path in sorted(folder.glob(pattern))
+    ]
     return [str(path) for path in found if path.name != "__init__.py"]
 
 
-def checksum() -> str:
+def source_checksum() -> str:
+    """Return a checksum of the interpreter, this program and all sources."""
     total = hashlib.sha256(sys.version.encode() + Path(__file__).read_bytes())
     for path in sources():
         total.update(str(path.relative_to(ROOT)).encode() + path.read_bytes())
     return total.hexdigest()
 
 
-def tried(folder: Path) -> list[str]:
-    """Why the compiled modules do not run, in one line; empty: they do."""
-    environ = {**os.environ, "PYTHONPATH": str(folder)}
+def copy_sources(folder: Path) -> None:
+    """Copy the sources into a new folder."""
+    shutil.rmtree(folder, ignore_errors=True)
+    for path in sources():
+        copy = folder / path.relative_to(ROOT)
+        copy.parent.mkdir(parents=True, exist_ok=True)
+        shutil.copyfile(path, copy)
+
+
+def compile_modules(folder: Path) -> str | None:
+    """Compile the hot modules in place.
+
+    Returns:
+        Why that failed, in one line; None if it did not.
+    """
+    done = subprocess.run(
+        [PYTHON, "-m", "mypyc", "--follow-imports=silent", *hot_modules(folder)],
+        cwd=folder,
+        timeout=TIMEOUT_S,
+        env={**os.environ, "MYPYC_OPT_LEVEL": "3"},
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    if not done.returncode:
+        return None
+    lines = (done.stderr or done.stdout).strip().splitlines()
+    return lines[-1] if lines else None
+
+
+def run_smoke_test(folder: Path) -> str | None:
+    """Run the smoke test on the compiled modules.
+
+    Returns:
+        Why it failed, in one line; None if it did not.
+    """
     done = subprocess.run(
-        [PYTHON, "-P", "-c", TRIAL],
+        [PYTHON, "-P", "-c", SMOKE_TEST],
         cwd=folder,
-        env=environ,
-        timeout=LONGEST_S,
+        env={**os.environ, "PYTHONPATH": str(folder)},
+        timeout=TIMEOUT_S,
         capture_output=True,
         text=True,
+        check=False,
     )
     if not done.returncode:
-        return []
-    return (
-        done.stderr.strip().splitlines() or [f"the compiled modules end with {done.returncode}"]
-    )[-1:]
+        return None
+    lines = done.stderr.strip().splitlines()
+    return lines[-1] if lines else f"the compiled modules end with {done.returncode}"
 
 
-def package(wanted: str) -> None:
+def build_package(checksum: str) -> None:
+    """Build the copy of the package, unless it has this checksum."""
     stamp = COMPILED / "checksum"
-    if stamp.exists() and stamp.read_text() == wanted:
+    if stamp.exists() and stamp.read_text() == checksum:
         return
     fresh = ROOT / ".compiled.new"
-    shutil.rmtree(fresh, ignore_errors=True)
-    for path in sources():
-        copy = fresh / path.relative_to(ROOT)
-        copy.parent.mkdir(parents=True, exist_ok=True)
-        shutil.copyfile(path, copy)
+    copy_sources(fresh)
     try:
-        done = subprocess.run(
-            [PYTHON, "-m", "mypyc", "--follow-imports=silent", *hot(fresh)],
-            cwd=fresh,
-            timeout=LONGEST_S,
-            env={**os.environ, "MYPYC_OPT_LEVEL": "3"},
-            capture_output=True,
-            text=True,
-        )
-        failed = (done.stderr or done.stdout).strip().splitlines()[-1:] if done.returncode else []
-        failed = failed or tried(fresh)
+        failure = compile_modules(fresh) or run_smoke_test(fresh)
     except (OSError, subprocess.SubprocessError) as error:
-        failed = [str(error)]
-    if failed:
-        print(f"not compiled, plain Python runs: {failed[0]}", file=sys.stderr)
-        for left in fresh.rglob("*.so"):
-            left.unlink()
+        failure = str(error)
+    if failure:
+        print(f"not compiled, plain Python runs: {failure}", file=sys.stderr)
+        for library in fresh.rglob("*.so"):
+            library.unlink()
     shutil.rmtree(fresh / "build", ignore_errors=True)
     shutil.rmtree(fresh / ".mypy_cache", ignore_errors=True)
-    (fresh / "checksum").write_text(wanted)
+    (fresh / "checksum").write_text(checksum)
     shutil.rmtree(COMPILED, ignore_errors=True)
     fresh.rename(COMPILED)
 
 
 if __name__ == "__main__":
-    environment()
-    package(checksum())
+    create_environment()
+    build_package(source_checksum())
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -14,7 +14,7 @@
 from loadbalancer.proxy.configuration import Config, read_config
 from loadbalancer.proxy.listener import listening_socket
 from loadbalancer.proxy.process import Companion, Parts, serve
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 
 EXIT_BAD_CONFIGURATION = 2
 
@@ -37,7 +37,7 @@
             admin_socket = listening_socket(config.mgmt)
             # Only now does an address that is taken show for certain; callers wait meanwhile.
             admin_socket.listen()
-    except (Malformed, OSError) as error:
+    except (MalformedError, OSError) as error:
         print(f"loadbalancer: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/loadbalancer/cli/config.py
+++ b/loadbalancer/cli/config.py
@@ -14,7 +14,7 @@
 from loadbalancer.cli.console import out
 from loadbalancer.cli.store import At, Authority, Cert, Key, client, using
 from loadbalancer.daemon.documents import find_error
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
 from loadbalancer.store.documents import DocumentChange
@@ -75,7 +75,7 @@
     try:
         text = sys.stdin.read() if str(file) == "-" else file.read_text(encoding="utf-8")
     except (OSError, ValueError) as error:
-        raise Malformed(f"{file}: {getattr(error, 'strerror', None) or error}") from None
+        raise MalformedError(f"{file}: {getattr(error, 'strerror', None) or error}") from None
     made = using(
         client(at, certificate, key, authority),
         lambda c: documents.put(
--- a/loadbalancer/cli/feed.py
+++ b/loadbalancer/cli/feed.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.cli.console import out
 from loadbalancer.cli.store import At, Authority, Cert, Key, addresses, client
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store import feed_progress
 from loadbalancer.store.errors import NotInForceError
 from loadbalancer.store.feed_progress import MemberStatusReader, Rollout
@@ -42,7 +42,7 @@
     authority: Path | None,
     work: Callable[[MemberStatusReader], Awaitable[T]],
 ) -> T:
-    """Raises Malformed."""
+    """Raises MalformedError."""
     members = MemberStatusReader(
         addresses(at), lambda address: client(address, certificate, key, authority)
     )
@@ -57,13 +57,13 @@
 
 
 def seconds(text: str) -> float:
-    """`4s`, or as for other commands, a number of seconds. Raises Malformed."""
+    """`4s`, or as for other commands, a number of seconds. Raises MalformedError."""
     try:
         found = float(text) if text.replace(".", "", 1).isdigit() else duration(text) / 1e9
     except ValueError as error:
-        raise Malformed(f"--within: {error}") from None
+        raise MalformedError(f"--within: {error}") from None
     if not 0 < found < math.inf:
-        raise Malformed("--within: must be more than 0")
+        raise MalformedError("--within: must be more than 0")
     return found
 
 
--- a/loadbalancer/cli/lease.py
+++ b/loadbalancer/cli/lease.py
@@ -12,7 +12,7 @@
 from loadbalancer.cli.store import At, Authority, Cert, Key, Within, client, using
 from loadbalancer.leases import table
 from loadbalancer.leases.table import Lease
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import LEASE_PREFIX, Release
 from loadbalancer.store.wire.protocol import Row
@@ -28,11 +28,11 @@
 
 
 def _lease(row: Row) -> Lease:
-    """Raises Malformed."""
+    """Raises MalformedError."""
     try:
         return table.unpack(row.value or b"")
     except ValueError as error:
-        raise Malformed(f"{row.key}: it does not read: {error}") from None
+        raise MalformedError(f"{row.key}: it does not read: {error}") from None
 
 
 def _holder(lease: Lease) -> str:
@@ -71,7 +71,7 @@
         0
     ]
     if row.value is None:
-        raise Malformed(f"{name}: nobody ever asked for it")
+        raise MalformedError(f"{name}: nobody ever asked for it")
     lease = _lease(row)
     out.print(
         f"{name}: {_holder(lease)}{f', {lease.note}' if lease.note else ''}\n"
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -11,7 +11,7 @@
 
 import typer
 
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.durable.journal import Damaged, Full
 from loadbalancer.store.errors import StoreError
 from loadbalancer.testbed.topology import Unusable
@@ -61,7 +61,7 @@
 def main() -> None:
     try:
         application(sys.argv[1:])()
-    except (Unusable, Malformed) as error:
+    except (Unusable, MalformedError) as error:
         print(f"loadbalancer: {error}", file=sys.stderr)
         sys.exit(2)
     except (StoreError, Damaged, Full) as error:
--- a/loadbalancer/cli/roll.py
+++ b/loadbalancer/cli/roll.py
@@ -31,7 +31,7 @@
 )
 from loadbalancer.leases import table
 from loadbalancer.proxy.upstream import number_of
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
 from loadbalancer.store.errors import ConflictError
 from loadbalancer.store.write_session import WriteOptions
@@ -88,13 +88,13 @@
     )
     why = find_error(roll)
     if why:
-        raise Malformed(why)
+        raise MalformedError(why)
 
     async def work(c: Client) -> str:
         row = (await c.get(RollingRestartKeys(service).restart)).rows[0]
         old = decode_row(row, RollingRestart)
         if old is not None and old.state is not State.ENDED:
-            raise Malformed(
+            raise MalformedError(
                 f"roll {old.id} of {old.started_by} is not over:"
                 " `loadbalancer roll status` shows it"
             )
@@ -149,14 +149,14 @@
 def _change(
     service: str, made: Client, change: Callable[[RollingRestart], RollingRestart], note: str
 ) -> None:
-    """An operator's word, merged into what the owner does meanwhile. Raises Malformed."""
+    """An operator's word, merged into what the owner does meanwhile. Raises MalformedError."""
 
     async def work(c: Client) -> str:
         while True:
             row = (await c.get(RollingRestartKeys(service).restart)).rows[0]
             roll = decode_row(row, RollingRestart)
             if roll is None or roll.state is State.ENDED:
-                raise Malformed("there is no roll under way")
+                raise MalformedError("there is no roll under way")
             with suppress(ConflictError):
                 await c.put(
                     RollingRestartKeys(service).restart,
@@ -235,9 +235,9 @@
         keys = RollingRestartKeys(service)
         report, name = (await c.get(keys.reports + balancer, keys.names + balancer)).rows
         if report.value is None:
-            raise Malformed(f"{balancer}: it never reported")
+            raise MalformedError(f"{balancer}: it never reported")
         if name.value is not None and table.unpack(name.value).is_held:
-            raise Malformed(f"{balancer}: it holds its name, so it is there")
+            raise MalformedError(f"{balancer}: it holds its name, so it is there")
         await c.delete(
             keys.reports + balancer,
             report.version,
@@ -261,7 +261,7 @@
 
     def change(roll: RollingRestart) -> RollingRestart:
         if not any(b.name == box and b.phase is Phase.DRAINED for b in roll.upstreams):
-            raise Malformed(f"{box}: it is not quiet in this roll")
+            raise MalformedError(f"{box}: it is not quiet in this roll")
         return msgspec.structs.replace(
             roll,
             upstreams=tuple(
--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -31,7 +31,7 @@
 from loadbalancer.failover.site_reports import heard, verdict
 from loadbalancer.failover.site_state import Aim, ordered
 from loadbalancer.leases import table as leases
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import LEASE_PREFIX
 from loadbalancer.store.errors import ConflictError
@@ -52,11 +52,11 @@
 
 
 def _seconds(text: str) -> float:
-    """Raises Malformed."""
+    """Raises MalformedError."""
     try:
         return float(duration(text)) / 1e9
     except ValueError as error:
-        raise Malformed(str(error)) from None
+        raise MalformedError(str(error)) from None
 
 
 def _rung(fleet: Fleet, a: Admission) -> str:
@@ -69,7 +69,7 @@
 
 
 async def _looked(c: Client, service: str) -> SiteObservation:
-    """Raises StoreError, Malformed."""
+    """Raises StoreError, MalformedError."""
     return await SiteReader(c, service).read()
 
 
@@ -214,13 +214,13 @@
         seen = await _looked(c, service)
         fleet = seen.fleet
         if not seen.sites:
-            raise Malformed(seen.look.blind)
+            raise MalformedError(seen.look.blind)
         if not fleet.loads:
-            raise Malformed("no balancer tells of any load: there is nothing to plan with")
+            raise MalformedError("no balancer tells of any load: there is nothing to plan with")
         names = [n.strip() for n in lose.split(",") if n.strip()]
         unknown = [n for n in names if n not in seen.sites]
         if unknown or len(names) >= len(seen.sites):
-            raise Malformed(
+            raise MalformedError(
                 f"{unknown[0]}: there is no such site" if unknown else "all sites can't be lost"
             )
         found = {frozenset(names): table(fleet, names)} if names else tables(fleet)
@@ -256,7 +256,7 @@
     hold_s: float = 0.0,
     force: bool = False,
 ) -> None:
-    """An operator's word, merged into what the owner does meanwhile. Raises Malformed."""
+    """An operator's word, merged into what the owner does meanwhile. Raises MalformedError."""
     by = "an operator"
     with suppress(KeyError, OSError):
         by = getpass.getuser()
@@ -265,7 +265,7 @@
         seen = await _looked(c, service)
         fleet = seen.fleet
         if name not in seen.sites:
-            raise Malformed(
+            raise MalformedError(
                 f"{name}: there is no such site in the document of sites"
                 if seen.sites
                 else seen.look.blind
@@ -273,10 +273,10 @@
         if aim is not Aim.IN and not force and fleet.loads:
             out_ = {x.site for x in seen.plan.site_states if x.part < 1} | {name}
             if out_ >= set(seen.sites):
-                raise Malformed("all sites would be out")
+                raise MalformedError("all sites would be out")
             t = table(fleet, out_)
             if t.admission.rung > EXCESS:
-                raise Malformed(
+                raise MalformedError(
                     f"the others do not bear it: {_rung(fleet, t.admission)} would be"
                     f" refused, {t.worth / max(1e-9, t.usual):.0%} of the worth be left; --force"
                     " does it all the same"
@@ -287,7 +287,7 @@
             try:
                 course = ordered(doc.state_of(name), aim, by, over_s, hold_s)
             except ValueError as error:
-                raise Malformed(str(error)) from None
+                raise MalformedError(str(error)) from None
             with suppress(ConflictError):
                 value = msgspec.json.encode(doc.with_state(course))
                 await c.put(
--- a/loadbalancer/cli/store.py
+++ b/loadbalancer/cli/store.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from loadbalancer.cli.console import out
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store import run as running
 from loadbalancer.store.client import Client
 from loadbalancer.store.durable import state as states
@@ -57,10 +57,10 @@
 
 
 def addresses(at: str) -> list[str]:
-    """Raises Malformed."""
+    """Raises MalformedError."""
     found = [a.strip() for a in at.split(",") if a.strip()]
     if not found:
-        raise Malformed("--at: addresses of members are needed, HOST:PORT")
+        raise MalformedError("--at: addresses of members are needed, HOST:PORT")
     return found
 
 
@@ -72,12 +72,12 @@
     name: str = "loadbalancer command",
     within_s: float = 5.0,
 ) -> Client:
-    """Raises Malformed."""
+    """Raises MalformedError."""
     known = addresses(at)
     if not certificate:
         return Client(known, name=name, deadline_s=within_s)
     if not key or not authority:
-        raise Malformed("--key and --authority: both go with --certificate")
+        raise MalformedError("--key and --authority: both go with --certificate")
     context = TlsFiles(certificate, key, authority).context(False)
     return Client(known, lambda: context, name=name, deadline_s=within_s)
 
@@ -96,7 +96,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise Malformed(
+        raise MalformedError(
             f"{text!r} is no node's number: `loadbalancer store status` shows them"
         ) from None
 
@@ -338,7 +338,7 @@
                 client(at, certificate, key, authority), lambda c: c.read_backup(file.write, within)
             )
         if fresh.stat().st_size != size or states.checksum(fresh) != checksum:
-            raise Malformed(f"{copy}: it did not come whole: try again")
+            raise MalformedError(f"{copy}: it did not come whole: try again")
         fresh.rename(copy)
     finally:
         fresh.unlink(missing_ok=True)
@@ -380,7 +380,7 @@
             meta = states.describe(copy)
             out.print(f"{copy}: entries up to {meta.index}, {meta.size} bytes")
     if settings is None and copy is None:
-        raise Malformed("--settings or --copy: one of them is needed")
+        raise MalformedError("--settings or --copy: one of them is needed")
     for line in wrong:
         print(f"loadbalancer: {line}", file=sys.stderr)
     if wrong:
--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -29,7 +29,7 @@
 from loadbalancer.proxy.atomic_files import write_whole
 from loadbalancer.proxy.configuration import Config
 from loadbalancer.proxy.process import Parts
-from loadbalancer.settings import Json, Malformed, split_address
+from loadbalancer.settings import Json, MalformedError, split_address
 from loadbalancer.store.client import Client
 from loadbalancer.store.documents import key
 from loadbalancer.store.settings import TlsTable
@@ -78,7 +78,7 @@
             other_settings: All other settings in the file.
 
         Raises:
-            Malformed: The settings are not valid.
+            MalformedError: The settings are not valid.
         """
         _validate(path, store)
         _validate_combination(path, store, other_settings)
@@ -90,7 +90,7 @@
             try:
                 folder.mkdir(parents=True, exist_ok=True)
             except OSError as error:
-                raise Malformed(f"{folder}: {error.strerror}") from None
+                raise MalformedError(f"{folder}: {error.strerror}") from None
         self.tls = store.tls.beside(path.parent) if store.tls else None
         self.is_fetched = False
 
@@ -111,7 +111,7 @@
         which the state sync keeps up to date.
 
         Raises:
-            Malformed: The settings are not valid, or there is neither a store nor a copy.
+            MalformedError: The settings are not valid, or there is neither a store nor a copy.
         """
         if self.copy_path is None:
             raw = read_table(self.path)
@@ -124,7 +124,7 @@
         try:
             text = self.copy_path.read_text(encoding="utf-8")
         except OSError:
-            raise Malformed(
+            raise MalformedError(
                 f"{self.store.document}: not available from the store, and no local copy exists"
             ) from None
         return documents.read_balancer(self.store.document, text)
@@ -180,7 +180,7 @@
         None where the file names no store.
 
     Raises:
-        Malformed: The settings are not valid.
+        MalformedError: The settings are not valid.
     """
     raw = read_table(path)
     if "store" not in raw:
@@ -189,44 +189,44 @@
     try:
         return Bootstrap(path, convert(table, StoreSettings), raw)
     except ValueError as error:
-        raise Malformed(f"{path}: store: {error}") from None
+        raise MalformedError(f"{path}: store: {error}") from None
 
 
 def _validate(path: Path, store: StoreSettings) -> None:
     if not store.addresses:
-        raise Malformed(f"{path}: store.addresses: at least one is needed")
+        raise MalformedError(f"{path}: store.addresses: at least one is needed")
     for address in (*store.addresses, *store.address_map, *store.address_map.values()):
         split_address(address)
     for field, name in (("service", store.service), ("balancer", store.balancer)):
         if len(name) > MAX_NAME_LENGTH or not NAME.match(name):
-            raise Malformed(
+            raise MalformedError(
                 f"{path}: store.{field}: {name[:MAX_SHOWN_NAME]!r} is no name: a letter or digit,"
                 f" then letters, digits and ._:@-, {MAX_NAME_LENGTH} characters at most"
             )
     if not MIN_LEASE_NS <= store.lease <= MAX_LEASE_NS:
-        raise Malformed(f"{path}: store.lease: must be 500ms to 10m")
+        raise MalformedError(f"{path}: store.lease: must be 500ms to 10m")
     if not 0 <= store.rank < RANK_LIMIT:
-        raise Malformed(f"{path}: store.rank: must be 0 to {RANK_LIMIT - 1}")
+        raise MalformedError(f"{path}: store.rank: must be 0 to {RANK_LIMIT - 1}")
 
 
 def _validate_combination(path: Path, store: StoreSettings, other_settings: Json) -> None:
     if store.documents and not store.rows:
-        raise Malformed(
+        raise MalformedError(
             f"{path}: store.documents: goes with rows alone: without them the list is a"
             " document anyway"
         )
     if store.rows and "server" in other_settings:
-        raise Malformed(
+        raise MalformedError(
             f"{path}: store.rows: the list of upstreams is written down in server: there are"
             " no rows of it"
         )
     if store.document and other_settings:
-        raise Malformed(
+        raise MalformedError(
             f"{path}: {min(other_settings)}: the rest of the settings stands in the document"
             f" {store.document}"
         )
     if store.document and not store.folder:
-        raise Malformed(f"{path}: store.folder: is needed, for a copy of the document")
+        raise MalformedError(f"{path}: store.folder: is needed, for a copy of the document")
 
 
 def _write_copy(path: Path, value: bytes) -> None:
--- a/loadbalancer/daemon/documents.py
+++ b/loadbalancer/daemon/documents.py
@@ -8,7 +8,7 @@
 from loadbalancer.daemon.settings import read_raw
 from loadbalancer.failover.plan import Place
 from loadbalancer.proxy.configuration import Config
-from loadbalancer.settings import Json, Malformed
+from loadbalancer.settings import Json, MalformedError
 
 BALANCER = "balancer"  # and `balancer/NAME`: the operators' settings of balancers
 
@@ -17,19 +17,19 @@
     """Parses a document's TOML.
 
     Raises:
-        Malformed: The text is not TOML.
+        MalformedError: The text is not TOML.
     """
     try:
         return tomllib.loads(text)
     except ValueError as error:
-        raise Malformed(f"{name}: {error}") from None
+        raise MalformedError(f"{name}: {error}") from None
 
 
 def read_balancer(name: str, text: str) -> Config:
     """Reads a document of balancer settings.
 
     Raises:
-        Malformed: The document is not valid.
+        MalformedError: The document is not valid.
     """
     return read_raw(parse(name, text), name)
 
@@ -38,13 +38,13 @@
     """Reads a document that describes the sites.
 
     Raises:
-        Malformed: The document is not valid.
+        MalformedError: The document is not valid.
     """
     raw = parse(name, text)
     try:
         return site_config.read(raw)
     except ValueError as error:
-        raise Malformed(f"{name}: {error}") from None
+        raise MalformedError(f"{name}: {error}") from None
 
 
 def find_error(name: str, text: str) -> str:
@@ -56,6 +56,6 @@
             read_sites(name, text)
         else:
             parse(name, text)
-    except Malformed as error:
+    except MalformedError as error:
         return str(error).removeprefix(f"{name}: ")
     return ""
--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -38,7 +38,7 @@
 from loadbalancer.store.client import Client
 from loadbalancer.store.lease_client import LeaseClient, boot_clock_ns
 from loadbalancer.store.wire.protocol import Row
-from loadbalancer.wallclock import age_s, shown_age
+from loadbalancer.wallclock import age_s, format_age
 
 log = logging.getLogger(__name__)
 
@@ -231,7 +231,7 @@
             log.info(
                 "endpoint list loaded from rows: upstreams=%d age=%s",
                 len(endpoints),
-                shown_age(age_s(table.list_row.written_at_s)),
+                format_age(age_s(table.list_row.written_at_s)),
             )
 
     def _learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -28,7 +28,7 @@
 )
 from loadbalancer.policy import api
 from loadbalancer.proxy.upstream import Endpoint
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.commands import Op
 from loadbalancer.store.errors import NotLeaseHolderError, StoreError
 from loadbalancer.store.lease_client import boot_clock_ns
@@ -187,7 +187,7 @@
                 await self._publish_or_confirm()
             except NotLeaseHolderError:
                 return
-            except Malformed as error:
+            except MalformedError as error:
                 if str(error) != self.last_error:  # it stands until discovery reports otherwise
                     log.error("endpoint list not published: key=%s error=%s", self.keys.list, error)
                 self.last_error = str(error)
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -114,7 +114,7 @@
 
         Raises:
             StoreError: The store did not serve a read or a write.
-            Malformed: An endpoint can't be a row; nothing is written.
+            MalformedError: An endpoint can't be a row; nothing is written.
         """
         if not self.is_synchronized:
             await self.read()
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -21,7 +21,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery import LATEST_MS
 from loadbalancer.proxy.upstream import Endpoint
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.commands import MAX_OPERATIONS, Op
 
 Batch = tuple[Op, ...]  # the operations of one write
@@ -90,7 +90,7 @@
     Every process that knows the same of an endpoint makes an equal row.
 
     Raises:
-        Malformed: No balancer would accept the row.
+        MalformedError: No balancer would accept the row.
     """
     entry = endpoint.entry
     # A whole number takes one byte in place of nine.
@@ -108,7 +108,7 @@
     )
     error = _find_upstream_error(row)
     if error:
-        raise Malformed(error)
+        raise MalformedError(error)
     return row
 
 
@@ -116,14 +116,14 @@
     """Returns the encoded row of an endpoint.
 
     Raises:
-        Malformed: The endpoint can't be a row; the message is one line.
+        MalformedError: The endpoint can't be a row; the message is one line.
     """
     try:
         value = encode(upstream_row(endpoint))
-    except (Malformed, ValueError, OverflowError) as error:
-        raise Malformed(f"upstream {endpoint.entry.id:016x}: {error}") from None
+    except (MalformedError, ValueError, OverflowError) as error:
+        raise MalformedError(f"upstream {endpoint.entry.id:016x}: {error}") from None
     if len(value) > MAX_ROW_BYTES:
-        raise Malformed(
+        raise MalformedError(
             f"upstream {endpoint.entry.id:016x}: a row has {MAX_ROW_BYTES} bytes at most,"
             f" not {len(value)}"
         )
--- a/loadbalancer/daemon/settings.py
+++ b/loadbalancer/daemon/settings.py
@@ -15,7 +15,7 @@
 from loadbalancer.proxy.configuration import DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, Config
 from loadbalancer.proxy.discovery import read_list
 from loadbalancer.proxy.resource_limits import RESERVE
-from loadbalancer.settings import Json, Malformed, read_settings, split_address, write_class
+from loadbalancer.settings import Json, MalformedError, read_settings, split_address, write_class
 from loadbalancer.units import Duration, PerSecond, Size, convert, read_toml, repeated
 
 MS = 1_000_000
@@ -150,7 +150,7 @@
     """Returns the configuration of a settings file.
 
     Raises:
-        Malformed: The file is not valid; the message is one line.
+        MalformedError: The file is not valid; the message is one line.
     """
     return read_raw(read_table(path), str(path))
 
@@ -159,12 +159,12 @@
     """Returns a file as parsed TOML.
 
     Raises:
-        Malformed: The file can't be read or is not TOML; the message is one line.
+        MalformedError: The file can't be read or is not TOML; the message is one line.
     """
     try:
         return read_toml(path)
     except ValueError as error:
-        raise Malformed(f"{path}: {error}") from None
+        raise MalformedError(f"{path}: {error}") from None
 
 
 def read_raw(raw: Json, origin: str) -> Config:
@@ -175,23 +175,23 @@
         origin: File or document that errors name.
 
     Raises:
-        Malformed: The settings are not valid; the message is one line.
+        MalformedError: The settings are not valid; the message is one line.
     """
     try:
         file = convert(raw, SettingsFile)
         contradiction = find_contradiction(file)
         if contradiction:
-            raise Malformed(contradiction)
+            raise MalformedError(contradiction)
         return to_config(file)
-    except (ValueError, Malformed) as error:
-        raise Malformed(f"{origin}: {error}") from None
+    except (ValueError, MalformedError) as error:
+        raise MalformedError(f"{origin}: {error}") from None
 
 
 def to_config(file: SettingsFile) -> Config:
     """Returns the configuration of a balancer.
 
     Raises:
-        Malformed: An address is not valid.
+        MalformedError: An address is not valid.
     """
     fixed = _fixed_list(file.servers) if file.servers else None
     return Config(
@@ -232,7 +232,7 @@
     for server in servers:
         split_address(server.address)
     if len(read_list(fixed)[2]) != len(servers):
-        raise Malformed("server: an address must be IP:PORT")
+        raise MalformedError("server: an address must be IP:PORT")
     return fixed
 
 
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -30,7 +30,7 @@
 from loadbalancer.failover.site_state import Course
 from loadbalancer.failover.traffic_shares import Orders, orders, quotas
 from loadbalancer.policy import api
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
 from loadbalancer.store.errors import NotLeaseHolderError
@@ -102,7 +102,7 @@
         """
         try:
             observation = await self.reader.read()
-        except Malformed as error:
+        except MalformedError as error:
             self._set_idle_reason(str(error))
             return IDLE_INTERVAL_S
         self._set_idle_reason(observation.look.blind)
--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -78,7 +78,7 @@
 
         Raises:
             StoreError: The store did not serve a read.
-            Malformed: The operators' description of the sites is not valid.
+            MalformedError: The operators' description of the sites is not valid.
         """
         found = await self.client.get(
             self.keys.plan,
@@ -149,7 +149,7 @@
                 age_s = (now_ns - started_ns) / NS_PER_S
                 starting.append(ColdBox(endpoint.id, endpoint.zone, age_s))
         if saved is not None and list_age_s < MAX_LIST_AGE_S:
-            self.starts.listed(now_ns)
+            self.starts.list_received(now_ns)
         return listed, starting
 
     def _find_missing_evidence(
--- a/loadbalancer/daemon/snapshot_sync.py
+++ b/loadbalancer/daemon/snapshot_sync.py
@@ -34,7 +34,7 @@
 from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.store.write_session import WriteOptions
-from loadbalancer.wallclock import age_s, shown_age, unix_s
+from loadbalancer.wallclock import age_s, format_age, unix_s
 
 log = logging.getLogger(__name__)
 
@@ -95,7 +95,7 @@
             log.info(
                 "endpoint list loaded from document: upstreams=%d age=%s",
                 len(endpoints),
-                shown_age(age_s(saved.saved_at_s)),
+                format_age(age_s(saved.saved_at_s)),
             )
 
     def _restore_learned_state(self, row: Row) -> None:
@@ -107,7 +107,7 @@
             self.driver.post(learned)
         log.info(
             "learned state loaded: age=%s used=%s",
-            shown_age(age_s(saved.saved_at_s)),
+            format_age(age_s(saved.saved_at_s)),
             "yes" if learned is not None else "no",
         )
 
--- a/loadbalancer/errnos.py
+++ b/loadbalancer/errnos.py
@@ -1,8 +1,8 @@
-"""What a failed system call says: whose trouble it is, and so what follows. One table for all
-calls.
+"""What a failed system call means: whose fault it is, and so what follows.
 
-Source: the manual pages accept(2), socket(2), connect(2), recv(2), send(2), epoll_wait(2) and
-fsync(2) of Linux. What is not in a call's row is `REST` for it.
+One table for all calls. Source: the manual pages accept(2), socket(2), connect(2), recv(2),
+send(2), epoll_wait(2) and fsync(2) of Linux. `DEFAULT_CAUSES` holds for what is not in a call's
+row.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Cause(Enum):
-    """Whose trouble it is."""
+    """Whose fault it is."""
 
     PEER = "the other side's, or the way's to it: it counts against that"
     HERE = "this machine's: it counts against nobody, and is tried again after a pause"
@@ -52,8 +52,8 @@
         ),
         Cause.TRANSIENT,
     ),
-    # No port is free here (EADDRNOTAVAIL, EADDRINUSE, EAGAIN), no way leads out (ENETUNREACH,
-    # ENETDOWN), a filter of this machine says no (EACCES, EPERM).
+    # No port is free here (EADDRNOTAVAIL, EADDRINUSE, EAGAIN), there is no route (ENETUNREACH,
+    # ENETDOWN), or a filter of this machine denies it (EACCES, EPERM).
     Operation.CONNECT: _EXHAUSTED
     | dict.fromkeys(
         (
@@ -72,7 +72,7 @@
     Operation.WAIT: {errno.EINTR: Cause.TRANSIENT},
     Operation.SYNC: {errno.EINTR: Cause.TRANSIENT},
 }
-REST = {
+DEFAULT_CAUSES = {
     Operation.ACCEPT: Cause.HERE,
     Operation.CONNECT: Cause.PEER,
     Operation.TRANSFER: Cause.PEER,
@@ -82,7 +82,7 @@
 
 
 def cause(operation: Operation, error: BaseException) -> Cause:
-    """Whose trouble made this call fail. A time-out is the peer's."""
+    """Return whose fault made this call fail; a timeout is the peer's."""
     if not isinstance(error, OSError) or error.errno is None:
         return Cause.PEER
-    return TABLE[operation].get(error.errno, REST[operation])
+    return TABLE[operation].get(error.errno, DEFAULT_CAUSES[operation])
--- a/loadbalancer/proxy/configuration.py
+++ b/loadbalancer/proxy/configuration.py
@@ -11,7 +11,15 @@
 from loadbalancer.proxy.discovery import read_list
 from loadbalancer.proxy.gossip import Address
 from loadbalancer.proxy.resource_limits import RESERVE
-from loadbalancer.settings import Json, Malformed, maybe, need, read_settings, split_address, typed
+from loadbalancer.settings import (
+    Json,
+    MalformedError,
+    checked,
+    optional,
+    read_settings,
+    required,
+    split_address,
+)
 
 # Where the configuration sets no limit.
 DEFAULT_SOCKETS = 1024
@@ -55,40 +63,42 @@
 
     def address(self, key: str) -> Address | None:
         """An address, if there is one."""
-        text = maybe(self.raw, key, str, self.environ.get(f"BALANCER_{key.upper()}"))
+        text = optional(self.raw, key, str, self.environ.get(f"BALANCER_{key.upper()}"))
         return split_address(text) if text else None
 
     def required_address(self, key: str) -> Address:
         """An address that has to be there."""
         found = self.address(key)
         if found is None:
-            raise Malformed(f"{key} is not set")
+            raise MalformedError(f"{key} is not set")
         return found
 
     def seed(self) -> int:
         """The seed of the policy's random draws."""
         try:
-            return int(maybe(self.raw, "seed", str, "0"), 16)
+            return int(optional(self.raw, "seed", str, "0"), 16)
         except ValueError:
-            raise Malformed("seed must be hexadecimal") from None
+            raise MalformedError("seed must be hexadecimal") from None
 
     def known(self) -> Json | None:
         """The endpoint list that is known, checked."""
-        found: Json | None = maybe(self.raw, "known", dict, None)
+        found: Json | None = optional(self.raw, "known", dict, None)
         if found is not None:
             read_list(found)
         return found
 
     def peers(self) -> list[Address]:
         """The other balancers' addresses for gossip."""
-        return [split_address(typed(p, "peers", str)) for p in maybe(self.raw, "peers", list, [])]
+        return [
+            split_address(checked(p, "peers", str)) for p in optional(self.raw, "peers", list, [])
+        ]
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
     """Read the file that BALANCER_CONFIG names.
 
     Raises:
-        Malformed: It can't be used; the message is one line.
+        MalformedError: It can't be used; the message is one line.
     """
     reader = _Reader(_read_file(environ.get("BALANCER_CONFIG")), environ)
     raw = reader.raw
@@ -96,39 +106,39 @@
     discovery = reader.required_address("discovery")
     mgmt = reader.address("mgmt")
     if mgmt == listen:
-        raise Malformed("mgmt must be an address of its own")
+        raise MalformedError("mgmt must be an address of its own")
     seed = reader.seed()
     known = reader.known()
     peers = reader.peers()
-    limits = maybe(raw, "limits", dict, {})
-    sockets = maybe(limits, "sockets", int, DEFAULT_SOCKETS)
+    limits = optional(raw, "limits", dict, {})
+    sockets = optional(limits, "sockets", int, DEFAULT_SOCKETS)
     if sockets < MIN_SOCKETS:
-        raise Malformed(f"limits.sockets must be {MIN_SOCKETS} at least")
+        raise MalformedError(f"limits.sockets must be {MIN_SOCKETS} at least")
     folder = environ.get("TMPDIR")
     return Config(
         listen,
         discovery,
         seed,
         sockets,
-        read_settings(need(raw, "settings", dict)),
+        read_settings(required(raw, "settings", dict)),
         known,
         reader.address("peer_listen"),
         peers,
         reader.address("peers_all"),
         mgmt,
-        maybe(raw, "name", str, environ.get("BALANCER_NAME", "")),
-        int(maybe(limits, "memory_mb", float, DEFAULT_MEMORY_MB)),
+        optional(raw, "name", str, environ.get("BALANCER_NAME", "")),
+        int(optional(limits, "memory_mb", float, DEFAULT_MEMORY_MB)),
         Path(folder) if folder else None,
     )
 
 
 def _read_file(path: str | None) -> Json:
     if not path:
-        raise Malformed("BALANCER_CONFIG is not set")
+        raise MalformedError("BALANCER_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
     except (OSError, ValueError) as error:
-        raise Malformed(f"{path}: {error}") from None
-    found: Json = typed(raw, "configuration", dict)
+        raise MalformedError(f"{path}: {error}") from None
+    found: Json = checked(raw, "configuration", dict)
     return found
--- a/loadbalancer/proxy/disabled_upstreams.py
+++ b/loadbalancer/proxy/disabled_upstreams.py
@@ -24,7 +24,7 @@
 from loadbalancer.proxy.admin_api import No
 from loadbalancer.proxy.atomic_files import clear, write_whole
 from loadbalancer.proxy.process_handover import Siblings
-from loadbalancer.settings import Malformed, need, typed
+from loadbalancer.settings import MalformedError, checked, required
 
 log = logging.getLogger(__name__)
 
@@ -238,7 +238,7 @@
         self.seen, self.seen_broken = now, False
         try:
             names, version = self._parse(json.loads(data))
-        except (ValueError, RecursionError, Malformed) as error:
+        except (ValueError, RecursionError, MalformedError) as error:
             self._lost(str(error), always=True)
             return
         self.missing = False
@@ -254,13 +254,15 @@
         self.missing = bool(self.version)
 
     def _parse(self, raw: Any) -> tuple[frozenset[str], int]:
-        raw = typed(raw, FILE, dict)
-        if need(raw, "format", int) != FORMAT:
-            raise Malformed(f"format {raw['format']} is not known")
-        if need(raw, "balancer", str) != self.balancer:
-            raise Malformed(f"it is balancer {raw['balancer']}'s")
-        names = frozenset(typed(name, "disabled", str) for name in need(raw, "disabled", list))
-        return names, need(raw, "version", int)
+        raw = checked(raw, FILE, dict)
+        if required(raw, "format", int) != FORMAT:
+            raise MalformedError(f"format {raw['format']} is not known")
+        if required(raw, "balancer", str) != self.balancer:
+            raise MalformedError(f"it is balancer {raw['balancer']}'s")
+        names = frozenset(
+            checked(name, "disabled", str) for name in required(raw, "disabled", list)
+        )
+        return names, required(raw, "version", int)
 
     # ---- in force --------------------------------------------------------------------------------
 
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -20,7 +20,15 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
-from loadbalancer.settings import Json, Malformed, maybe, need, split_address, typed, word
+from loadbalancer.settings import (
+    Json,
+    MalformedError,
+    checked,
+    choice,
+    optional,
+    required,
+    split_address,
+)
 
 log = logging.getLogger(__name__)
 
@@ -46,29 +54,34 @@
 
 
 def read_endpoint(row: Any) -> Endpoint:
-    row = typed(row, "server", dict)
-    state = word(row, "state", STATES, "Ready")
+    row = checked(row, "server", dict)
+    state = choice(row, "state", STATES, "Ready")
     # What has gone needs no address.
     host, port = (
-        split_address(need(row, "addr", str)) if state is not api.UpstreamState.REMOVED else ("", 0)
+        split_address(required(row, "addr", str))
+        if state is not api.UpstreamState.REMOVED
+        else ("", 0)
     )
     try:
         ipaddress.ip_address(
             host or "::"
         )  # no name: looking one up takes a thread, and may take long
     except ValueError as error:
-        raise Malformed(f"addr: {error}") from None
-    started_ms, weight = maybe(row, "started_ms", float, 0), float(maybe(row, "weight", float, 1.0))
+        raise MalformedError(f"addr: {error}") from None
+    started_ms, weight = (
+        optional(row, "started_ms", float, 0),
+        float(optional(row, "weight", float, 1.0)),
+    )
     if not (math.isfinite(weight) and 0 <= started_ms <= LATEST_MS):
-        raise Malformed("weight or started_ms is out of range")
+        raise MalformedError("weight or started_ms is out of range")
     return Endpoint(
         api.Upstream(
-            number_of(need(row, "id", str)),
+            number_of(required(row, "id", str)),
             state,
-            maybe(row, "zone", str, ""),
-            maybe(row, "cell", int, 0),
+            optional(row, "zone", str, ""),
+            optional(row, "cell", int, 0),
             weight,
-            kind=maybe(row, "kind", str, ""),
+            kind=optional(row, "kind", str, ""),
         ),
         host,
         port,
@@ -80,23 +93,23 @@
     """A list's version, whether it is whole, and its entries; those that can't be read are
     skipped.
     """
-    raw = typed(raw, "list", dict)
+    raw = checked(raw, "list", dict)
     endpoints, skipped = [], []
-    for row in need(raw, "servers", list):
+    for row in required(raw, "servers", list):
         try:
             endpoints.append(read_endpoint(row))
-        except Malformed as error:
+        except MalformedError as error:
             skipped.append(error)
     if skipped:  # one line for a list, however long
         log.warning("discovery: %d entries skipped, the first for: %s", len(skipped), skipped[0])
-    return need(raw, "version", int), maybe(raw, "full", bool, False), endpoints
+    return required(raw, "version", int), optional(raw, "full", bool, False), endpoints
 
 
 def end_of(error: Exception) -> End:
     """How a call ended that raised this."""
     if isinstance(error, Silent):
         return End.SILENT
-    if isinstance(error, Unread | Malformed):
+    if isinstance(error, Unread | MalformedError):
         return End.UNREAD
     return End.REFUSED if isinstance(error, Unanswered) else End.LOST
 
@@ -185,7 +198,7 @@
         """One line for what may happen. What nobody thought of must not end the watch for good,
         unseen.
         """
-        expected = isinstance(error, Unanswered | Malformed)
+        expected = isinstance(error, Unanswered | MalformedError)
         log.warning(
             "discovery: %s", error or type(error).__name__, exc_info=None if expected else error
         )
@@ -218,7 +231,7 @@
         self.age.answered()
         if endpoints or full or not self.push:
             self.tell(api.EndpointListKind.FULL if full else api.EndpointListKind.DELTA, endpoints)
-        self.driver.starts.listed(time.monotonic_ns())
+        self.driver.starts.list_received(time.monotonic_ns())
 
     async def _get(self, target: bytes, wait_s: float | None) -> Response:
         """One answer; it may take so long, or what is left of `CALL_S` once there is a
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -159,7 +159,7 @@
             now_ns = time.monotonic_ns()
             endpoints = [self._dated(e, now_ns) for e in endpoints]
             if kind is not api.EndpointListKind.CACHED:
-                self.starts.listed(now_ns)
+                self.starts.list_received(now_ns)
             self.upstreams.learn(endpoints, full=kind is not api.EndpointListKind.DELTA)
             self.told.set()
         self.post(api.EndpointsUpdated(kind, [e.entry for e in endpoints]))
--- a/loadbalancer/sim_adapter.py
+++ b/loadbalancer/sim_adapter.py
@@ -13,10 +13,19 @@
 import json
 import sys
 from collections.abc import Callable, Mapping, Sequence
-from typing import Any
+from types import TracebackType
+from typing import Any, Final
 
 from loadbalancer.policy import Balancer, api
-from loadbalancer.settings import Json, Malformed, maybe, need, read_settings, typed, word
+from loadbalancer.settings import (
+    Json,
+    MalformedError,
+    checked,
+    choice,
+    optional,
+    read_settings,
+    required,
+)
 
 RESULTS = {
     "delivered": api.AttemptResult.OK,
@@ -37,203 +46,234 @@
 }
 
 
+EXIT_MALFORMED: Final = 2
+
+
 def read_upstream(row: Any) -> api.Upstream:
-    row = typed(row, "rows_in", dict)
+    """Read an entry of the endpoint list.
+
+    Raises:
+        MalformedError: A field is missing or of another type.
+    """
+    row = checked(row, "rows_in", dict)
     return api.Upstream(
-        need(row, "upstream", int),
-        word(row, "availability", STATES, 1),
-        maybe(row, "locality", str, ""),
-        maybe(row, "cohort", int, 0),
-        maybe(row, "scale", float, 1.0),
-        maybe(row, "up_since_ns", int, 0),
-        maybe(row, "class_of_host", str, ""),
+        required(row, "upstream", int),
+        choice(row, "availability", STATES, 1),
+        optional(row, "locality", str, ""),
+        optional(row, "cohort", int, 0),
+        optional(row, "scale", float, 1.0),
+        optional(row, "up_since_ns", int, 0),
+        optional(row, "class_of_host", str, ""),
     )
 
 
-def _arrival(e: Json) -> api.Event:
-    group = e.get("user_group") or ""  # a site with no tenants may send 0
+def _read_request_arrived(event: Json) -> api.Event:
+    tenant = event.get("user_group") or ""  # a site with no tenants may send 0
     return api.RequestArrived(
-        need(e, "ticket", str),
-        need(e, "kind", str),
-        typed(group, "user_group", str),
-        need(e, "deadline_ns", int),
-        maybe(e, "cost_guess_ns", int, 0),
-        maybe(e, "entity", str, ""),
-        maybe(e, "resent", bool, False),
+        required(event, "ticket", str),
+        required(event, "kind", str),
+        checked(tenant, "user_group", str),
+        required(event, "deadline_ns", int),
+        optional(event, "cost_guess_ns", int, 0),
+        optional(event, "entity", str, ""),
+        optional(event, "resent", bool, False),
     )
 
 
-def _report(e: Json) -> Mapping[str, float] | None:
-    report = maybe(e, "metrics", dict, None)
-    return report and {name: typed(value, "metrics", float) for name, value in report.items()}
+def _read_load_report(event: Json) -> Mapping[str, float] | None:
+    report = optional(event, "metrics", dict, None)
+    return report and {name: checked(value, "metrics", float) for name, value in report.items()}
 
 
-def _outcome(e: Json) -> api.Event:
+def _read_attempt_finished(event: Json) -> api.Event:
     return api.AttemptFinished(
-        need(e, "ticket", str),
-        need(e, "attempt", int),
-        need(e, "upstream", int),
-        word(e, "result", RESULTS),
-        maybe(e, "took_ns", int, 0),
-        maybe(e, "complete", bool, False),
-        _report(e),
+        required(event, "ticket", str),
+        required(event, "attempt", int),
+        required(event, "upstream", int),
+        choice(event, "result", RESULTS),
+        optional(event, "took_ns", int, 0),
+        optional(event, "complete", bool, False),
+        _read_load_report(event),
     )
 
 
-def _begun(e: Json) -> api.Event:
+def _read_response_started(event: Json) -> api.Event:
     return api.ResponseStarted(
-        need(e, "ticket", str),
-        need(e, "attempt", int),
-        need(e, "upstream", int),
-        maybe(e, "took_ns", int, 0),
+        required(event, "ticket", str),
+        required(event, "attempt", int),
+        required(event, "upstream", int),
+        optional(event, "took_ns", int, 0),
     )
 
 
-def _probed(e: Json) -> api.Event:
+def _read_health_check_finished(event: Json) -> api.Event:
     return api.HealthCheckFinished(
-        need(e, "upstream", int),
-        word(e, "result", RESULTS),
-        maybe(e, "took_ns", int, 0),
-        _report(e),
+        required(event, "upstream", int),
+        choice(event, "result", RESULTS),
+        optional(event, "took_ns", int, 0),
+        _read_load_report(event),
     )
 
 
-def _message(e: Json) -> api.Event:
+def _read_gossip(event: Json) -> api.Event:
     try:
-        data = base64.b64decode(need(e, "blob", str), validate=True)
+        data = base64.b64decode(required(event, "blob", str), validate=True)
     except ValueError:
-        raise Malformed("message with a blob that is not base64") from None
-    return api.GossipReceived(need(e, "origin_peer", int), data)
-
-
-READ: dict[str, Callable[[Json], api.Event]] = {
-    "submit": _arrival,
-    "returned": _outcome,
-    "timer": lambda e: api.TimerFired(need(e, "name", str)),
-    "dropped": lambda e: api.ClientDisconnected(need(e, "ticket", str)),
-    "accepted": _begun,
-    "probe_result": _probed,
-    "message": _message,
+        raise MalformedError("message with a blob that is not base64") from None
+    return api.GossipReceived(required(event, "origin_peer", int), data)
+
+
+EVENT_READERS: dict[str, Callable[[Json], api.Event]] = {
+    "submit": _read_request_arrived,
+    "returned": _read_attempt_finished,
+    "timer": lambda event: api.TimerFired(required(event, "name", str)),
+    "dropped": lambda event: api.ClientDisconnected(required(event, "ticket", str)),
+    "accepted": _read_response_started,
+    "probe_result": _read_health_check_finished,
+    "message": _read_gossip,
 }
-WRITE: dict[type, Callable[[Any], Json]] = {
-    api.StartAttempt: lambda a: {
+ACTION_WRITERS: dict[type, Callable[[Any], Json]] = {
+    api.StartAttempt: lambda action: {
         "t": "submit_to",
-        "ticket": a.request,
-        "upstream": a.upstream,
-        "timeout_ns": a.timeout_ns,
+        "ticket": action.request,
+        "upstream": action.upstream,
+        "timeout_ns": action.timeout_ns,
     },
-    api.RejectRequest: lambda a: {
+    api.RejectRequest: lambda action: {
         "t": "push_back",
-        "ticket": a.request,
-        "backoff_ns": a.retry_after_ns,
+        "ticket": action.request,
+        "backoff_ns": action.retry_after_ns,
+    },
+    api.FailRequest: lambda action: {"t": "finish_error", "ticket": action.request},
+    api.CancelAttempt: lambda action: {
+        "t": "retract",
+        "ticket": action.request,
+        "attempt": action.attempt,
     },
-    api.FailRequest: lambda a: {"t": "finish_error", "ticket": a.request},
-    api.CancelAttempt: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
-    api.CheckHealth: lambda a: {"t": "sample", "upstream": a.upstream},
-    api.SendGossip: lambda a: {
+    api.CheckHealth: lambda action: {"t": "sample", "upstream": action.upstream},
+    api.SendGossip: lambda action: {
         "t": "announce",
-        "dst": a.peer,
-        "blob": base64.b64encode(a.data).decode(),
+        "dst": action.peer,
+        "blob": base64.b64encode(action.data).decode(),
     },
-    api.SubscribeEndpoints: lambda a: {"t": "track", "active": a.enabled},
-    api.FetchEndpoints: lambda a: {"t": "fetch"},
-    api.SetTimer: lambda a: {"t": "schedule", "wait_ns": a.delay_ns, "name": a.name},
-    api.LogMessage: lambda a: {"t": "write_log", "message": a.text},
+    api.SubscribeEndpoints: lambda action: {"t": "track", "active": action.enabled},
+    api.FetchEndpoints: lambda _: {"t": "fetch"},
+    api.SetTimer: lambda action: {
+        "t": "schedule",
+        "wait_ns": action.delay_ns,
+        "name": action.name,
+    },
+    api.LogMessage: lambda action: {"t": "write_log", "message": action.text},
 }
 
 
 class Host:
-    """The balancers of one process, and the numbered upstream lists that they share on the wire."""
+    """The balancers of one process, and the numbered endpoint lists that they share on the wire."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
         self.lists: dict[int, Sequence[api.Upstream]] = {}
 
     def batch(self, line: str | bytes) -> str:
+        """Handle a batch of events, and return the reply.
+
+        Raises:
+            MalformedError: The line is not a batch.
+        """
         try:
             batch = json.loads(line)
         except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from None
+            raise MalformedError(f"not JSON: {error}") from None
         if not isinstance(batch, dict):
-            raise Malformed("a batch must be an object")
-        now, number, happened = (batch.get(k) for k in ("sim_time_ns", "round", "happened"))
-        if not isinstance(now, int) or isinstance(now, bool):
-            raise Malformed("batch without a whole-number sim_time_ns")
-        if not isinstance(number, int) or isinstance(number, bool):
-            raise Malformed("batch without a whole-number round")
+            raise MalformedError("a batch must be an object")
+        now = _whole_number(batch, "sim_time_ns")
+        number = _whole_number(batch, "round")
+        happened = batch.get("happened")
         if not isinstance(happened, list):
-            raise Malformed("batch without the array happened")
-        # A balancer's events are gathered and handed over together, so that it sees all that a
-        # batch brings.
+            raise MalformedError("batch without the array happened")
+        # A balancer's events are handed over together, so that it knows all that a batch brings.
         waiting: dict[int, list[api.Event]] = {}
         commands: list[Json] = []
         for event in happened:
-            self._take(typed(event, "event", dict), now, waiting, commands)
-        for number_of, events in waiting.items():
-            self._run(number_of, now, events, commands)
+            self._take(checked(event, "event", dict), now, waiting, commands)
+        for balancer, events in waiting.items():
+            self._run(balancer, now, events, commands)
         return json.dumps({"round": number, "cmds": commands}, separators=(",", ":"))
 
     def _take(
         self, event: Json, now: int, waiting: dict[int, list[api.Event]], commands: list[Json]
     ) -> None:
-        kind = need(event, "t", str)
+        """Take one event: for the host itself, or in `waiting` for its balancer."""
+        kind = required(event, "t", str)
         if kind == "directory":
-            rows = need(event, "rows_in", list)
-            self.lists[need(event, "buffer", int)] = [read_upstream(row) for row in rows]
+            rows = required(event, "rows_in", list)
+            self.lists[required(event, "buffer", int)] = [read_upstream(row) for row in rows]
             return
-        number = need(event, "balancer", int)
+        number = required(event, "balancer", int)
         if kind == "new_instance":
             waiting.pop(number, None)
-            settings, seed = read_settings(need(event, "settings", dict)), need(event, "seed", int)
-            try:
-                self.balancers[number] = Balancer(settings, seed, now)
-            except Exception as error:
-                commands.append(_fault(number, error))
-            return
-        if kind == "power_off":
+            self._start(number, event, now, commands)
+        elif kind == "power_off":
             self.balancers.pop(number, None)
             waiting.pop(number, None)
-            return
-        if number not in self.balancers:
-            raise Malformed(f"event {kind} for balancer {number}, which was not started")
-        if kind == "membership":
-            form = word(event, "form", LISTS)
-            entries = (
-                () if form is api.EndpointListKind.FAILED else word(event, "buffer", self.lists)
-            )
-            waiting.setdefault(number, []).append(api.EndpointsUpdated(form, entries))
-        elif kind in READ:
-            waiting.setdefault(number, []).append(READ[kind](event))
+        elif number not in self.balancers:
+            raise MalformedError(f"event {kind} for balancer {number}, which was not started")
         else:
-            raise Malformed(f"unknown event {kind!r}")
+            waiting.setdefault(number, []).append(self._read_event(kind, event))
+
+    def _start(self, number: int, event: Json, now: int, commands: list[Json]) -> None:
+        settings = read_settings(required(event, "settings", dict))
+        seed = required(event, "seed", int)
+        try:
+            self.balancers[number] = Balancer(settings, seed, now)
+        except Exception as error:  # noqa: BLE001 (reported on the wire as the balancer's fault)
+            commands.append(_fault(number, error))
+
+    def _read_event(self, kind: str, event: Json) -> api.Event:
+        if kind == "membership":
+            form = choice(event, "form", LISTS)
+            has_entries = form is not api.EndpointListKind.FAILED
+            entries = choice(event, "buffer", self.lists) if has_entries else ()
+            return api.EndpointsUpdated(form, entries)
+        if kind not in EVENT_READERS:
+            raise MalformedError(f"unknown event {kind!r}")
+        return EVENT_READERS[kind](event)
 
     def _run(self, number: int, now: int, events: list[api.Event], commands: list[Json]) -> None:
         try:
             for action in self.balancers[number].handle(now, events):
-                command = WRITE[type(action)](action)
+                command = ACTION_WRITERS[type(action)](action)
                 command["balancer"] = number
                 commands.append(command)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 (reported on the wire as the balancer's fault)
             commands.append(_fault(number, error))
 
 
+def _whole_number(batch: Json, key: str) -> int:
+    value = batch.get(key)
+    if not isinstance(value, int) or isinstance(value, bool):
+        raise MalformedError(f"batch without a whole-number {key}")
+    return value
+
+
 def _fault(number: int, error: Exception) -> Json:
-    """A failure of the decision code, told to the simulator with the place where it happened."""
-    place = error.__traceback__
-    while place is not None and place.tb_next is not None:
-        place = place.tb_next
-    where = f" at {place.tb_frame.f_code.co_name}:{place.tb_lineno}" if place is not None else ""
+    """Return the report of an exception inside a balancer, with the line that raised it."""
+    frame: TracebackType | None = error.__traceback__
+    while frame is not None and frame.tb_next is not None:
+        frame = frame.tb_next
+    where = f" at {frame.tb_frame.f_code.co_name}:{frame.tb_lineno}" if frame is not None else ""
     return {"t": "fault", "balancer": number, "message": f"{type(error).__name__}: {error}{where}"}
 
 
 def main() -> int:
+    """Answer batches from standard input until it ends."""
     host = Host()
     for count, line in enumerate(sys.stdin.buffer, 1):  # bytes: bad UTF-8 is bad input, too
         try:
             reply = host.batch(line)
-        except Malformed as error:
+        except MalformedError as error:
             print(f"sim_adapter: line {count}: {error}", file=sys.stderr)
-            return 2
+            return EXIT_MALFORMED
         sys.stdout.write(reply + "\n")
         sys.stdout.flush()
     return 0
--- a/loadbalancer/store/changefeed_client.py
+++ b/loadbalancer/store/changefeed_client.py
@@ -22,7 +22,7 @@
     SubscriptionLimits,
     SubscriptionOptions,
 )
-from loadbalancer.settings import Malformed, split_address
+from loadbalancer.settings import MalformedError, split_address
 from loadbalancer.store import handshake
 from loadbalancer.store.errors import ProtocolError
 from loadbalancer.store.timer import WakeTimer
@@ -99,7 +99,7 @@
         address: The node that it is connected or connecting to.
 
     Raises:
-        Malformed: An address is not HOST:PORT.
+        MalformedError: An address is not HOST:PORT.
     """
 
     def __init__(
@@ -223,7 +223,7 @@
         reason = ""
         try:
             welcome = await self._connect(connection)
-        except (OSError, Malformed) as error:
+        except (OSError, MalformedError) as error:
             reason = f"{self.address}: {error}"
         except BaseException:
             connection.abort()
--- a/loadbalancer/store/directory_lock.py
+++ b/loadbalancer/store/directory_lock.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Final
 
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 
 LOCK_FILE: Final = "lock"
 
@@ -16,15 +16,15 @@
     """Locks a folder until the returned file descriptor is closed.
 
     Raises:
-        Malformed: Another process uses the folder, or it can't be used.
+        MalformedError: Another process uses the folder, or it can't be used.
     """
     try:
         descriptor = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     except OSError as error:
-        raise Malformed(f"{folder}: {error.strerror}") from None
+        raise MalformedError(f"{folder}: {error.strerror}") from None
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         os.close(descriptor)
-        raise Malformed(f"{folder}: another process uses it") from None
+        raise MalformedError(f"{folder}: another process uses it") from None
     return descriptor
--- a/loadbalancer/store/link.py
+++ b/loadbalancer/store/link.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Final, cast
 
-from loadbalancer.settings import Malformed, split_address
+from loadbalancer.settings import MalformedError, split_address
 from loadbalancer.store.backoff import Backoff
 from loadbalancer.store.commands import STATE_FORMAT
 from loadbalancer.store.handshake import DialedConnection
@@ -125,7 +125,7 @@
             try:
                 self.close_reason = await self._run_connection()
                 backoff.reset()
-            except (OSError, TimeoutError, Malformed, ssl.SSLError) as error:
+            except (OSError, TimeoutError, MalformedError, ssl.SSLError) as error:
                 self.close_reason = str(error) or "no connection in time"
             finally:
                 self.connection = None
--- a/loadbalancer/store/node.py
+++ b/loadbalancer/store/node.py
@@ -106,7 +106,7 @@
 
         Raises:
             Damaged: The folder's content is not valid.
-            Malformed: The folder can't be used.
+            MalformedError: The folder can't be used.
         """
         lock = lock_directory(settings.folder)
         try:
--- a/loadbalancer/store/run.py
+++ b/loadbalancer/store/run.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Final
 
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store import metrics
 from loadbalancer.store.directory_lock import LOCK_FILE, lock_directory
 from loadbalancer.store.durable import state as states
@@ -51,15 +51,15 @@
     """Makes a node's folder.
 
     Raises:
-        Malformed: It is not empty, or can't be made.
+        MalformedError: It is not empty, or can't be made.
     """
     try:
         settings.folder.mkdir(parents=True, exist_ok=True)
         names = [path.name for path in settings.folder.iterdir() if path.name != LOCK_FILE]
     except OSError as error:
-        raise Malformed(f"{settings.folder}: {error.strerror}") from None
+        raise MalformedError(f"{settings.folder}: {error.strerror}") from None
     if names:
-        raise Malformed(
+        raise MalformedError(
             f"{settings.folder}: it holds {min(names)}; a new node begins in an empty folder"
         )
 
@@ -68,7 +68,7 @@
     """Creates a new cluster of this one node.
 
     Raises:
-        Malformed: The folder is not empty, or can't be used.
+        MalformedError: The folder is not empty, or can't be used.
     """
     identity = _new_identity(cluster or new_cluster_name(), name)
     members = single_member(identity.node, settings.advertise)
@@ -79,7 +79,7 @@
     """Creates the folder of a node that will join a cluster.
 
     Raises:
-        Malformed: The folder is not empty, or can't be used.
+        MalformedError: The folder is not empty, or can't be used.
     """
     identity = _new_identity(cluster, name)
     return _fill(settings, identity, lambda path: states.create(path, cluster, Members()))
@@ -92,7 +92,7 @@
 
     Raises:
         Damaged: The backup is not valid.
-        Malformed: The folder is not empty, or can't be used.
+        MalformedError: The folder is not empty, or can't be used.
     """
     reason = states.verify(copy)
     if reason:
@@ -130,7 +130,7 @@
         files.sync_folder()
         write_identity(files, identity)  # last: without it the folder belongs to no cluster
     except OSError as error:
-        raise Malformed(f"{settings.folder}: {error.strerror}") from None
+        raise MalformedError(f"{settings.folder}: {error.strerror}") from None
     finally:
         os.close(lock)
     return identity
@@ -140,7 +140,7 @@
     """Returns what is wrong with the folder of a node that does not run.
 
     Raises:
-        Malformed: The folder can't be used.
+        MalformedError: The folder can't be used.
     """
     lock = lock_directory(settings.folder)
     try:
@@ -171,7 +171,7 @@
 
     Raises:
         Damaged: The folder's content is not valid.
-        Malformed: The folder can't be used.
+        MalformedError: The folder can't be used.
     """
 
     def __init__(self, settings: StoreSettings) -> None:
@@ -184,7 +184,7 @@
         """Listens, then begins to take part in the cluster.
 
         Raises:
-            Malformed: An address or certificate can't be used.
+            MalformedError: An address or certificate can't be used.
             OSError: An address can't be used.
         """
         await self.server.start()
@@ -209,7 +209,7 @@
 
     Raises:
         Damaged: The folder's content is not valid.
-        Malformed: Folder, address or certificates can't be used.
+        MalformedError: Folder, address or certificates can't be used.
     """
     loop = asyncio.get_running_loop()
     stopped: asyncio.Future[str] = loop.create_future()
@@ -225,7 +225,7 @@
         try:
             await server.start()
         except OSError as error:
-            raise Malformed(f"listen: {error.strerror or error}") from None
+            raise MalformedError(f"listen: {error.strerror or error}") from None
         started(server)
         done, _ = await asyncio.wait(
             {stopped, server.node.failed}, return_when=asyncio.FIRST_COMPLETED
--- a/loadbalancer/store/security.py
+++ b/loadbalancer/store/security.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 
 URI_SCHEME: Final = "lanelift://"
 ANY_CLUSTER: Final = "*"
@@ -55,7 +55,7 @@
         """Returns the context of one side, which always verifies the other's certificate.
 
         Raises:
-            Malformed: A file can't be used.
+            MalformedError: A file can't be used.
         """
         protocol = ssl.PROTOCOL_TLS_SERVER if is_server else ssl.PROTOCOL_TLS_CLIENT
         context = ssl.SSLContext(protocol)
@@ -67,7 +67,7 @@
             context.load_cert_chain(self.certificate, self.key)
             context.load_verify_locations(self.authority)
         except (OSError, ssl.SSLError) as error:
-            raise Malformed(
+            raise MalformedError(
                 f"tls: {self.certificate}, {self.key} or {self.authority}: "
                 f"{getattr(error, 'strerror', None) or error}"
             ) from None
--- a/loadbalancer/store/server.py
+++ b/loadbalancer/store/server.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from loadbalancer.errnos import Cause, Operation, cause
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.connection import GREETING_TIMEOUT_S, Connection
 from loadbalancer.store.node import Node
 
@@ -62,7 +62,7 @@
         """Begins to accept connections.
 
         Raises:
-            Malformed: Address or certificates can't be used.
+            MalformedError: Address or certificates can't be used.
             OSError: The system has no socket.
         """
         self._limit_connections()
@@ -95,7 +95,7 @@
             listener.bind((host, port))
         except OSError as error:
             listener.close()
-            raise Malformed(f"listen: {host}:{port}: {error.strerror}") from None
+            raise MalformedError(f"listen: {host}:{port}: {error.strerror}") from None
         return listener
 
     async def _accept(self, listener: socket.socket) -> None:
@@ -159,7 +159,7 @@
         try:
             server_context = tls.context(True)
             client_context = tls.context(False)
-        except Malformed as error:
+        except MalformedError as error:
             log.error("new certificates are not valid, the old ones stay in use: error=%s", error)
             self.stamp = stamp
             return False
--- a/loadbalancer/store/settings.py
+++ b/loadbalancer/store/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from loadbalancer.changefeed.fanout import FanoutLimits
-from loadbalancer.settings import Malformed, split_address
+from loadbalancer.settings import MalformedError, split_address
 from loadbalancer.store.raft.config import RaftConfig
 from loadbalancer.store.replica import LogLimits
 from loadbalancer.store.security import TlsFiles
@@ -92,13 +92,15 @@
         """Returns the limits of the fan-out.
 
         Raises:
-            Malformed: A limit is too low or too high.
+            MalformedError: A limit is too low or too high.
         """
         smallest = min(self.snapshots, self.window, self.log)
         if smallest < MIN_CHANGEFEED_BYTES or self.max_queued < 1:
-            raise Malformed("feed: snapshots, window and log must be 64KiB at least, and waiting 1")
+            raise MalformedError(
+                "feed: snapshots, window and log must be 64KiB at least, and waiting 1"
+            )
         if not MIN_BOOKMARK_NS <= self.bookmark <= MAX_BOOKMARK_NS:
-            raise Malformed("feed.bookmark: must be 100ms to 20s")
+            raise MalformedError("feed.bookmark: must be 100ms to 20s")
         return FanoutLimits(
             snapshot_bytes_s=int(self.snapshots),
             waiting_most=self.max_queued,
@@ -162,23 +164,23 @@
     """Reads a settings file.
 
     Raises:
-        Malformed: It is not valid, in one line.
+        MalformedError: It is not valid, in one line.
     """
     try:
         return checked_settings(convert(read_toml(path), StoreFile), path.parent)
-    except (ValueError, Malformed) as error:
-        raise Malformed(f"{path}: {error}") from None
+    except (ValueError, MalformedError) as error:
+        raise MalformedError(f"{path}: {error}") from None
 
 
 def checked_settings(file: StoreFile, folder: Path) -> StoreSettings:
     """Returns the settings of a file; relative paths count from this folder.
 
     Raises:
-        Malformed: They contradict each other or a limit.
+        MalformedError: They contradict each other or a limit.
     """
     listen = split_address(file.listen)
     if file.tls is None and not is_loopback(listen[0]):
-        raise Malformed("tls: without it the store listens on loopback only")
+        raise MalformedError("tls: without it the store listens on loopback only")
     advertised = [file.advertise] if file.advertise else []
     for address in (*advertised, *file.address_map, *file.address_map.values()):
         split_address(address)
@@ -205,11 +207,13 @@
 
 def _check_numbers(file: StoreFile) -> None:
     if not 0 < 2 * file.timing.heartbeat <= file.timing.election:
-        raise Malformed("timing: an election time-out is at least two heartbeats")
+        raise MalformedError("timing: an election time-out is at least two heartbeats")
     if file.limits.retained_entries < 0 or file.limits.connections < MIN_CONNECTIONS:
-        raise Malformed("limits: keep must not be negative, and connections must be 8 at least")
+        raise MalformedError(
+            "limits: keep must not be negative, and connections must be 8 at least"
+        )
     if file.limits.uncommitted < MIN_UNCOMMITTED_BYTES:
-        raise Malformed("limits.uncommitted: must be 2MiB at least")
+        raise MalformedError("limits.uncommitted: must be 2MiB at least")
 
 
 def _config(file: StoreFile) -> RaftConfig:
--- a/loadbalancer/units.py
+++ b/loadbalancer/units.py
@@ -1,12 +1,13 @@
-"""Times, sizes and rates as operators write them, with their units: `250ms`, `64KiB`, `340/s`, and
-ranges; and what reading a file of them comes to.
+"""Times, sizes and rates as operators write them, and the reading of files that hold them.
+
+They are written with their units (`250ms`, `64KiB`, `340/s`), and as ranges of these.
 """
 
 from __future__ import annotations
 
 import re
 import tomllib
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from pathlib import Path
 from typing import Any, Generic, TypeVar
 
@@ -30,8 +31,8 @@
     "GiB": 1 << 30,
 }
 PER_S = {"/s": 1.0, "/m": 1 / 60, "/h": 1 / 3600}
-T = TypeVar("T", int, float)
-File = TypeVar("File")
+NumberT = TypeVar("NumberT", int, float)
+FileT = TypeVar("FileT")
 NUMBER = re.compile(r"(\d+(?:\.\d+)?)\s*([A-Za-z/]*)\Z")
 
 
@@ -47,16 +48,17 @@
     """A rate a second, written with a unit: `/s`, `/m` or `/h`."""
 
 
-class Range(Generic[T]):
-    """What a run draws a figure from. A class of its own, no tuple: a plain pair must not pass for
-    one.
+class Range(Generic[NumberT]):
+    """A range that a run draws a figure from.
+
+    A class of its own, no tuple: a plain pair must not pass for one.
     """
 
     __slots__ = ("high", "low")
 
-    def __init__(self, low: T, high: T) -> None:
-        self.low: T = low
-        self.high: T = high
+    def __init__(self, low: NumberT, high: NumberT) -> None:
+        self.low: NumberT = low
+        self.high: NumberT = high
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, Range) and (self.low, self.high) == (other.low, other.high)
@@ -80,46 +82,70 @@
     __slots__ = ()
 
 
-def _measured(text: Any, units: dict[str, Any], what: str) -> float:
-    found = NUMBER.match(text.strip()) if isinstance(text, str) else None
-    if found is None or found[2] not in units:
+def _with_unit(text: Any, units: Mapping[str, float], description: str) -> float:
+    match = NUMBER.match(text.strip()) if isinstance(text, str) else None
+    if match is None or match[2] not in units:
         hint = ", ".join(units)
-        raise ValueError(f"{what} is a number with a unit ({hint}), not {text!r}")
-    return float(found[1]) * float(units[found[2]])
+        raise ValueError(f"{description} is a number with a unit ({hint}), not {text!r}")
+    return float(match[1]) * float(units[match[2]])
 
 
 def duration(text: Any) -> Duration:
-    """`"250ms"` as nanoseconds. Raises ValueError where the unit is missing or unknown."""
-    return Duration(round(_measured(text, NS, "a time")))
+    """Read `"250ms"` as nanoseconds.
+
+    Raises:
+        ValueError: The unit is missing or unknown.
+    """
+    return Duration(round(_with_unit(text, NS, "a time")))
 
 
 def size(text: Any) -> Size:
-    """`"64KiB"` as bytes. Raises ValueError where the unit is missing or unknown."""
-    return Size(round(_measured(text, BYTES, "a size")))
+    """Read `"64KiB"` as bytes.
+
+    Raises:
+        ValueError: The unit is missing or unknown.
+    """
+    return Size(round(_with_unit(text, BYTES, "a size")))
 
 
 def per_second(text: Any) -> PerSecond:
-    """`"340/s"` as a float a second. Raises ValueError where the unit is missing or unknown."""
-    return PerSecond(_measured(text, PER_S, "a rate"))
+    """Read `"340/s"` as a float a second.
+
+    Raises:
+        ValueError: The unit is missing or unknown.
+    """
+    return PerSecond(_with_unit(text, PER_S, "a rate"))
 
 
-def _pair(given: Any) -> tuple[Any, Any]:
-    if isinstance(given, list):
-        if len(given) != 2:
-            raise ValueError(f"a range has two ends, not {len(given)}")
-        return given[0], given[1]
-    return given, given
+def _ends(given: Any) -> tuple[Any, Any]:
+    if not isinstance(given, list):
+        return given, given
+    try:
+        low, high = given
+    except ValueError:
+        raise ValueError(f"a range has two ends, not {len(given)}") from None
+    return low, high
 
 
 def times(given: Any) -> Times:
-    low, high = (duration(end) for end in _pair(given))
+    """Read a time, or a list of two, as a range.
+
+    Raises:
+        ValueError: A unit is missing or unknown, or the range is reversed.
+    """
+    low, high = (duration(end) for end in _ends(given))
     if low > high:
         raise ValueError("a range goes from the smaller to the larger time")
     return Times(low, high)
 
 
 def numbers(given: Any) -> Numbers:
-    ends = _pair(given)
+    """Read a number, or a list of two, as a range.
+
+    Raises:
+        ValueError: An end is no number, or the range is reversed.
+    """
+    ends = _ends(given)
     for end in ends:
         if isinstance(end, bool) or not isinstance(end, (int, float)):
             raise ValueError(f"a range of numbers holds numbers, not {end!r}")
@@ -133,24 +159,32 @@
 
 
 def decode(kind: type, given: Any) -> Any:
-    """The hook that msgspec calls for the types of this module."""
+    """Decode a type of this module; the hook that msgspec calls."""
     reader = READERS.get(kind)
     if reader is None:
         raise NotImplementedError(f"no reader for {kind}")
     return reader(given)
 
 
-def convert(raw: Any, kind: type[File]) -> File:
-    """Parsed TOML or JSON as this type. Raises ValueError, in one line, where it does not fit."""
+def convert(raw: Any, kind: type[FileT]) -> FileT:
+    """Convert parsed TOML or JSON to this type.
+
+    Raises:
+        ValueError: It does not fit; the message is one line.
+    """
     try:
-        found: File = msgspec.convert(raw, kind, dec_hook=decode)
+        converted: FileT = msgspec.convert(raw, kind, dec_hook=decode)
     except (msgspec.ValidationError, ValueError) as error:
         raise ValueError(" ".join(str(error).split())) from None
-    return found
+    return converted
 
 
 def read_toml(path: Path) -> dict[str, Any]:
-    """A file of the operators'. Raises ValueError, in one line, where it can't be read."""
+    """Read a TOML file.
+
+    Raises:
+        ValueError: It can't be read; the message is one line.
+    """
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -158,17 +192,17 @@
 
 
 def repeated(names: Iterable[str]) -> str:
-    """The first name that stands there twice; empty if none does."""
-    seen: set[str] = set()
+    """Return the first name that occurs twice; empty if none does."""
+    known: set[str] = set()
     for name in names:
-        if name in seen:
+        if name in known:
             return name
-        seen.add(name)
+        known.add(name)
     return ""
 
 
 def written(ns: int) -> str:
-    """Nanoseconds as the shortest exact text that `duration` reads back."""
+    """Format nanoseconds as the shortest exact text that `duration` reads back."""
     for unit in ("h", "m", "s", "ms", "us"):
         if ns and ns % NS[unit] == 0:
             return f"{ns // NS[unit]}{unit}"
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -44,7 +44,7 @@
 from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint, number_of
-from loadbalancer.settings import Json, Malformed
+from loadbalancer.settings import Json, MalformedError
 from loadbalancer.store import run as running
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import MAX_OPERATIONS, Op, Release, Result
@@ -138,7 +138,7 @@
     ],
 )
 def test_an_upstream_that_can_be_no_row_is_one_line(bad: Endpoint) -> None:
-    with pytest.raises(Malformed, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
+    with pytest.raises(MalformedError, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
         row_codec.encode_upstream(bad)
 
 
@@ -844,5 +844,5 @@
 ) -> None:
     path = tmp_path / "b.toml"
     path.write_text(f"[store]\naddresses = ['127.0.0.1:1']\nservice = 'orders'\n{text}\n")
-    with pytest.raises(Malformed, match=rf"{why}[^\n]*\Z"):
+    with pytest.raises(MalformedError, match=rf"{why}[^\n]*\Z"):
         read_bootstrap(path)
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -163,7 +163,7 @@
 )
 def test_bad_input_is_one_line(words: list[str]) -> None:
     result = CliRunner().invoke(application(["feed"]), ["feed", *words, "--at", "127.0.0.1:1"])
-    assert type(result.exception).__name__ == "Malformed" and "\n" not in str(result.exception)
+    assert type(result.exception).__name__ == "MalformedError" and "\n" not in str(result.exception)
 
 
 def status(node: str, revision: int, **feed: Any) -> dict[str, Any]:
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -15,7 +15,7 @@
 import pytest
 
 from loadbalancer.daemon.settings import read_file
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from tests.fakes import Client, FakeDiscovery, FakeUpstream, free_port, run
 
 EXAMPLE = (Path(__file__).parents[2] / "deploy" / "example.toml").read_text()
@@ -43,7 +43,7 @@
     path = tmp_path / "bad.toml"
     assert change[0] in EXAMPLE
     path.write_text(EXAMPLE.replace(*change, 1))
-    with pytest.raises(Malformed) as error:
+    with pytest.raises(MalformedError) as error:
         read_file(path)
     assert str(error.value).startswith(f"{path}: ") and said in str(error.value)
     assert "\n" not in str(error.value)
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -17,7 +17,7 @@
 from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
-from loadbalancer.settings import Malformed, split_address
+from loadbalancer.settings import MalformedError, split_address
 from loadbalancer.wallclock import StartTimes
 from tests.fakes import SECOND, SETTINGS, FakeUpstream, Heard, never, run, world
 
@@ -269,7 +269,7 @@
         {"addr": "127.0.0.1:1"},
         7,
     ):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedError):
             read_endpoint(bad)
     assert split_address("[::1]:80") == ("::1", 80)
 
--- a/tests/recordings/policy_runs.py
+++ b/tests/recordings/policy_runs.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from loadbalancer.policy import Balancer, api
-from loadbalancer.sim_adapter import WRITE
+from loadbalancer.sim_adapter import ACTION_WRITERS
 
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
@@ -161,7 +161,7 @@
 
     def handle(self, events: list[Any]) -> None:
         for action in self.policy.handle(self.now, events):
-            self.write([self.now, WRITE[type(action)](action)])
+            self.write([self.now, ACTION_WRITERS[type(action)](action)])
             self.carry_out(action)
 
     def carry_out(self, action: api.Action) -> None:
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -16,7 +16,7 @@
 from loadbalancer.changefeed.fanout import Send
 from loadbalancer.changefeed.messages import Row
 from loadbalancer.changefeed.subscription import Apply, SubscriptionLimits
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store import changefeed_server, connection
 from loadbalancer.store import run as running
 from loadbalancer.store.changefeed_client import ChangefeedClient, ChangefeedTarget
@@ -587,7 +587,7 @@
             await put(c.client(), ORDERS, b"1", "a")
 
     run(test)
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         ChangefeedClient(
             ChangefeedTarget(["nowhere"], lambda: None, "b"),
             [],
