--- a/loadbalancer/store/log_writer.py
+++ b/loadbalancer/store/log_writer.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from loadbalancer.store.durable.journal import Full
+from loadbalancer.store.durable.errors import DiskFullError
 from loadbalancer.store.node_runtime import NodeRuntime
 from loadbalancer.store.raft.ready import Batch
 from loadbalancer.store.statistics import Storage
@@ -59,7 +59,7 @@
         while True:
             try:
                 is_installed, sync_s = await self._runtime.on_log_thread(self._timed_write, batch)
-            except Full as error:
+            except DiskFullError as error:
                 statistics.note_full(Storage.LOG, error)
                 await asyncio.sleep(FULL_RETRY_S)
                 continue
--- a/loadbalancer/store/node.py
+++ b/loadbalancer/store/node.py
@@ -22,7 +22,7 @@
 from loadbalancer.store.durable.files import Folder
 from loadbalancer.store.durable.journal import Journal
 from loadbalancer.store.durable.state import State
-from loadbalancer.store.durable.state_directory import DiskVault
+from loadbalancer.store.durable.state_directory import DiskStateDirectory
 from loadbalancer.store.housekeeping import Housekeeper, nodes_below_format
 from loadbalancer.store.link import LinkOptions, MemberLinks
 from loadbalancer.store.log_writer import LogWriter
@@ -116,7 +116,7 @@
             rng = random.Random(os.urandom(RNG_SEED_BYTES))
             replica = Replica.open(
                 identity,
-                Storage(journal, DiskVault(settings.folder)),
+                Storage(journal, DiskStateDirectory(settings.folder)),
                 CoreOptions(settings.config, time.monotonic_ns(), rng),
                 settings.log_limits,
             )
@@ -176,7 +176,7 @@
     def _send_snapshot_chunks(self) -> None:
         chunk_bytes = self.settings.config.snapshot_chunk_bytes
         for node, meta, offset, round_number in self.core.take_chunk_requests():
-            data = self.replica.vault.read_piece(meta, offset, chunk_bytes)
+            data = self.replica.state_directory.read_chunk(meta, offset, chunk_bytes)
             if data is None:
                 self.core.snapshot_lost()
                 return
@@ -251,9 +251,9 @@
         state = self.replica.state
         self.pending.entries_applied(entries, results)
         self.core.mark_applied(entries[-1].index)
-        self._housekeeper.claims_applied(state.take_claimed(), time.monotonic_ns())
-        self.changefeed.entries_applied(entries[-1].index, state.take_fed())
-        self.notifier.notify(state.take_touched())
+        self._housekeeper.claims_applied(state.take_changed_claims(), time.monotonic_ns())
+        self.changefeed.entries_applied(entries[-1].index, state.take_row_events())
+        self.notifier.notify(state.take_changed_keys())
 
     def _snapshot_installed(self) -> None:
         self.changefeed.snapshot_installed()
--- a/loadbalancer/store/raft/messages.py
+++ b/loadbalancer/store/raft/messages.py
@@ -171,18 +171,11 @@
     index: int
 
 
-AnyMessage = (
-    RequestVote
-    | RequestVoteResponse
-    | AppendEntries
-    | AppendEntriesResponse
-    | InstallSnapshotChunk
-    | InstallSnapshotChunkResponse
-    | TimeoutNow
-    | ReadIndexRequest
-    | ReadIndexResponse
-    | NodeRemoved
+RequestMessage = RequestVote | AppendEntries | InstallSnapshotChunk | TimeoutNow | ReadIndexRequest
+ResponseMessage = (
+    RequestVoteResponse | AppendEntriesResponse | InstallSnapshotChunkResponse | ReadIndexResponse
 )
+AnyMessage = RequestMessage | ResponseMessage | NodeRemoved
 
 _encoder = msgspec.msgpack.Encoder()
 _message_decoder = msgspec.msgpack.Decoder(AnyMessage)
