--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -20,7 +20,7 @@
 from loadbalancer.daemon.persisted import UpstreamLocation
 from loadbalancer.policy import api
 from loadbalancer.proxy.discovery import LATEST_MS
-from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.settings import MalformedError
 from loadbalancer.store.commands import MAX_OPERATIONS, Op
 
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -10,7 +10,6 @@
 import logging
 import random
 from collections.abc import Sequence
-from contextlib import suppress
 from functools import partial
 
 import msgspec
@@ -18,6 +17,7 @@
 
 from loadbalancer.daemon.endpoint_follower import log_stale_message
 from loadbalancer.daemon.identity import BalancerIdentity
+from loadbalancer.daemon.leased_row import LeasedRow
 from loadbalancer.daemon.persisted import LeaderConfirmation, decode_row
 from loadbalancer.daemon.site_documents import LossTablesDocument, SiteKeys, SitePlanDocument
 from loadbalancer.failover.health import PeerReport
@@ -29,18 +29,14 @@
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.upstream import Report
 from loadbalancer.store.client import Client
-from loadbalancer.store.commands import Op
-from loadbalancer.store.errors import NotLeaseHolderError
 from loadbalancer.store.lease_client import LeaseClient, boot_clock_ns
 from loadbalancer.store.wire.protocol import Row
-from loadbalancer.store.write_session import WriteOptions
 
 log = logging.getLogger(__name__)
 
 STEP_INTERVAL_S = 0.25
 REPORT_JITTER = (0.5, 1.0)
 MAX_RENEWAL_FAILURES = 2  # in a row; from then on the store counts as unavailable
-REMOVE_TIMEOUT_S = 0.3
 
 
 class SiteAgent:
@@ -60,7 +56,7 @@
         self.name_lease = name_lease
         self.balancer = identity.balancer
         self.keys = SiteKeys(identity.service)
-        self.key = self.keys.rows + identity.balancer
+        self.row = LeasedRow(name_lease, self.keys.rows + identity.balancer)
         self.observer = SiteObserver(
             settings.zone, identity.balancer, settings.instance_count, rng, boot_clock_ns()
         )
@@ -68,7 +64,6 @@
         self.plan = SitePlanDocument()
         self.heartbeat = 0
         self.is_following_plan = False
-        self.has_report = False  # a report of this process stands in the store
         driver.tap = self._on_events
 
     # ---- observation -----------------------------------------------------------------------------
@@ -147,27 +142,13 @@
             StoreError: The store did not serve a write.
         """
         while True:
-            if self.observer.is_report_due(boot_clock_ns()) and self.name_lease.token():
+            if self.observer.is_report_due(boot_clock_ns()) and self.row.is_writable:
                 report = self.observer.take_report(
                     self.driver.balancer.concurrency.service_times, boot_clock_ns()
                 )
-                with suppress(NotLeaseHolderError):
-                    await self.name_lease.write([Op(self.key, msgspec.json.encode(report))])
-                    self.has_report = True
+                await self.row.write(msgspec.json.encode(report))
             await asyncio.sleep(STEP_INTERVAL_S * self.observer.rng.uniform(*REPORT_JITTER))
 
-    async def remove(self) -> None:
-        """Deletes this balancer's report.
-
-        Raises:
-            StoreError: The store did not serve the write.
-        """
-        if self.has_report and self.name_lease.token():
-            with suppress(NotLeaseHolderError):
-                await self.name_lease.write(
-                    [Op(self.key, None)], WriteOptions(timeout_s=REMOVE_TIMEOUT_S)
-                )
-
     # ---- the leader's plan -----------------------------------------------------------------------
 
     async def follow(self) -> None:
--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -94,15 +94,15 @@
         list_version = confirmation_row.version + list_row.version + position_row.version
         list_age_s = self._list_age_s(saved, list_version)
         self.ages.retain({LIST_AGE_KEY, *report_keys})
-        listed, starting = self._count_upstreams(saved, list_age_s)
-        for site, count in listed.items():
+        ready_counts, starting = self._count_upstreams(saved, list_age_s)
+        for site, count in ready_counts.items():
             self.usual_counts[site] = max(self.usual_counts.get(site, 0), count)
         snapshot = FleetSnapshot(
             sites,
             reports,
             self._class_values(reports),
             self._tenant_quotas(sites),
-            listed,
+            ready_counts,
             dict(self.usual_counts),
             tuple(starting),
             _success_ratio(reports.values()),
@@ -134,12 +134,12 @@
         self, saved: SavedEndpointList | None, list_age_s: float
     ) -> tuple[dict[str, int], list[StartingUpstream]]:
         """Returns the ready upstreams by site, and those whose start is known."""
-        listed: dict[str, int] = {}
+        ready_counts: dict[str, int] = {}
         starting: list[StartingUpstream] = []
         now_ns = time.monotonic_ns()
         for endpoint in saved.endpoints if saved else ():
             is_ready = not endpoint.is_draining
-            listed[endpoint.zone] = listed.get(endpoint.zone, 0) + is_ready
+            ready_counts[endpoint.zone] = ready_counts.get(endpoint.zone, 0) + is_ready
             if endpoint.started_s and is_ready:
                 started_ns = self.starts.started_ns(
                     endpoint.id, round(endpoint.started_s * MS_PER_S), now_ns
@@ -148,7 +148,7 @@
                 starting.append(StartingUpstream(endpoint.id, endpoint.zone, age_s))
         if saved is not None and list_age_s < MAX_LIST_AGE_S:
             self.starts.list_received(now_ns)
-        return listed, starting
+        return ready_counts, starting
 
     def _find_missing_evidence(
         self,
