--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -27,8 +27,8 @@
     save_endpoints,
 )
 from loadbalancer.policy import api
-from loadbalancer.proxy.upstream import Endpoint
-from loadbalancer.settings import Malformed
+from loadbalancer.proxy.endpoint import Endpoint
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.commands import Op
 from loadbalancer.store.errors import NotLeaseHolderError, StoreError
 from loadbalancer.store.lease_client import boot_clock_ns
@@ -188,7 +188,7 @@
                 await self._publish_or_confirm()
             except NotLeaseHolderError:
                 return
-            except Malformed as error:
+            except MalformedError as error:
                 if str(error) != self.last_error:  # it stands until discovery reports otherwise
                     log.error("endpoint list not published: key=%s error=%s", self.keys.list, error)
                 self.last_error = str(error)
@@ -271,7 +271,7 @@
         confirmation = LeaderConfirmation(token, self.sequence, self.heartbeat)
         await self.owner.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
 
-    def _listed(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
+    def _canonical_endpoints(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
         """Returns the listed endpoints of these numbers, or all, with canonical addresses."""
         targets = self.driver.upstreams.targets
         if numbers is None:
@@ -282,7 +282,7 @@
 
     async def _publish_document(self, token: int) -> bool:
         """Writes the document if it differs from the last one; returns whether it did."""
-        endpoints = save_endpoints(self._listed())
+        endpoints = save_endpoints(self._canonical_endpoints())
         publication = Publication(token, self.discovery.version, endpoints)
         if not self.is_overwritten and self.published == publication:
             return False
@@ -308,7 +308,7 @@
         if self.writer is None:
             return False
         discovery = DiscoveryVersion(self.discovery.version, self.source)
-        has_written = await self.writer.write(self._listed, token, discovery)
+        has_written = await self.writer.write(self._canonical_endpoints, token, discovery)
         self.sequence = self.writer.sequence
         self.published = Publication(token, self.discovery.version)
         self.last_error = ""
@@ -317,7 +317,9 @@
         if not self.is_document_due:
             return has_written
         if self.publishes_documents:
-            await self._write_document(token, self.sequence, save_endpoints(self._listed()))
+            await self._write_document(
+                token, self.sequence, save_endpoints(self._canonical_endpoints())
+            )
         else:  # a balancer that knows no rows would go by it, however old it is
             await self.owner.write([Op(self.keys.list, None)])
         self.is_document_due = False
--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.upstream import Endpoint
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.store.wire.protocol import Row
 from loadbalancer.wallclock import age_s, unix_s
 
@@ -63,8 +63,8 @@
 class SavedLearnedState(msgspec.Struct, frozen=True):
     """What the policy learned.
 
-    `relative_speeds`: by upstream, its relative service time and the Unix time of the start that
-    it was learned of.
+    `relative_service_times`: by upstream, its service time relative to the others' and the Unix
+    time of the start that it was learned of.
     """
 
     saved_at_s: float = msgspec.field(name="at")
@@ -72,9 +72,9 @@
     demands: dict[str, float]
     service_times_ns: dict[str, float] = msgspec.field(name="taken")
     per_request_ns: float = msgspec.field(name="each_ns")
-    calm: float
+    baseline_latency_ratio: float = msgspec.field(name="calm")
     window: float
-    relative_speeds: dict[int, tuple[float, float]] = msgspec.field(name="paces")
+    relative_service_times: dict[int, tuple[float, float]] = msgspec.field(name="paces")
 
 
 class LeaderConfirmation(msgspec.Struct, frozen=True):
@@ -125,9 +125,9 @@
         learned: The policy's state.
         endpoints: The endpoints as listed now; what was learned of others is dropped.
     """
-    relative_speeds = {
-        number: (round(speed, 4), endpoints[number].started_ms / MS_PER_S)
-        for number, (speed, _) in learned.relative_service_times.items()
+    relative_service_times = {
+        number: (round(ratio, 4), endpoints[number].started_ms / MS_PER_S)
+        for number, (ratio, _) in learned.relative_service_times.items()
         if number in endpoints
     }
     return SavedLearnedState(
@@ -138,7 +138,7 @@
         learned.per_request_ns,
         learned.baseline_latency_ratio,
         learned.window,
-        relative_speeds,
+        relative_service_times,
     )
 
 
@@ -157,9 +157,9 @@
     age = age_s(saved.saved_at_s)
     if age is None:
         return None
-    relative_speeds = {
-        number: (speed, endpoints[number].entry.started_ns)
-        for number, (speed, started_s) in saved.relative_speeds.items()
+    relative_service_times = {
+        number: (ratio, endpoints[number].entry.started_ns)
+        for number, (ratio, started_s) in saved.relative_service_times.items()
         if number in endpoints
         and abs(endpoints[number].started_ms / MS_PER_S - started_s) < SAME_START_S
     }
@@ -169,9 +169,9 @@
         saved.demands,
         saved.service_times_ns,
         saved.per_request_ns,
-        saved.calm,
+        saved.baseline_latency_ratio,
         saved.window,
-        relative_speeds,
+        relative_service_times,
     )
 
 
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -37,7 +37,7 @@
     quotas_by_balancer,
 )
 from loadbalancer.policy import api
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
 from loadbalancer.store.errors import NotLeaseHolderError
@@ -108,7 +108,7 @@
         """
         try:
             observation = await self.reader.read()
-        except Malformed as error:
+        except MalformedError as error:
             self._set_idle_reason(str(error))
             return IDLE_INTERVAL_S
         self._set_idle_reason(observation.snapshot.blocked_reason)
@@ -163,7 +163,8 @@
                 100 * planned.excess,
                 100 * planned.retries,
                 "on" if planned.allows_hedging else "off",
-                ",".join(f"{name}:{part:.0%}" for name, part in planned.classes.items()) or "none",
+                ",".join(f"{name}:{fraction:.0%}" for name, fraction in planned.classes.items())
+                or "none",
             )
         elif self.is_shedding:
             log.info("site load shedding ended")
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -19,14 +19,14 @@
     PollKind,
     PollOutcome,
 )
+from loadbalancer.proxy.endpoint import Endpoint
 from loadbalancer.proxy.endpoint_list import EndpointList, read_list
 from loadbalancer.proxy.endpoint_staleness import EndpointStaleness
 from loadbalancer.proxy.exchange import Exchange, ExpectedResponse
 from loadbalancer.proxy.messages import Response, message
 from loadbalancer.proxy.policy_driver import Driver
-from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
-from loadbalancer.settings import Json, Malformed
+from loadbalancer.settings import Json, MalformedError
 
 log = logging.getLogger(__name__)
 
@@ -53,7 +53,7 @@
     """Return how a poll ended that raised this."""
     if isinstance(error, PollTimeoutError):
         return PollOutcome.TIMED_OUT
-    if isinstance(error, MalformedAnswerError | Malformed):
+    if isinstance(error, MalformedAnswerError | MalformedError):
         return PollOutcome.MALFORMED
     return PollOutcome.REFUSED if isinstance(error, PollError) else PollOutcome.FAILED
 
@@ -178,7 +178,7 @@
         if endpoints or is_full or not self.is_pushed:
             kind = api.EndpointListKind.FULL if is_full else api.EndpointListKind.DELTA
             self.listener(kind, endpoints)
-        self.driver.starts.listed(time.monotonic_ns())
+        self.driver.starts.list_received(time.monotonic_ns())
 
     def _target(self, poll: Poll) -> bytes:
         if poll.kind is PollKind.FULL_LIST:
@@ -251,7 +251,7 @@
 
 def _log_failure(error: Exception) -> None:
     """Log one line for an expected failure, and the traceback of any other."""
-    is_expected = isinstance(error, PollError | Malformed)
+    is_expected = isinstance(error, PollError | MalformedError)
     log.warning(
         "discovery poll failed: error=%s",
         error or type(error).__name__,
