--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -67,7 +67,7 @@
         text=True,
         timeout=60,
         check=False,
-        env={**os.environ, "PYTHONPATH": str(ROOT)},
+        env={**os.environ, "PYTHONPATH": str(ROOT), "PYTEST_ADDOPTS": ""},
     )
     out = done.stdout + done.stderr
     assert (done.returncode, says in out) == (status, True), out
