--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -44,7 +44,7 @@
 from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import Siblings
 from loadbalancer.proxy.upstream import Endpoint, number_of
-from loadbalancer.settings import Json, Malformed
+from loadbalancer.settings import Json, MalformedError
 from loadbalancer.store import run as running
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import MAX_OPERATIONS, Op, Release, Result
@@ -138,7 +138,7 @@
     ],
 )
 def test_an_upstream_that_can_not_be_a_row_is_a_one_line_error(bad: Endpoint) -> None:
-    with pytest.raises(Malformed, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
+    with pytest.raises(MalformedError, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
         row_codec.encode_upstream(bad)
 
 
@@ -849,5 +849,5 @@
 def test_contradicting_settings_are_a_one_line_error(tmp_path: Path, text: str, why: str) -> None:
     path = tmp_path / "b.toml"
     path.write_text(f"[store]\naddresses = ['127.0.0.1:1']\nservice = 'orders'\n{text}\n")
-    with pytest.raises(Malformed, match=rf"{why}[^\n]*\Z"):
+    with pytest.raises(MalformedError, match=rf"{why}[^\n]*\Z"):
         read_bootstrap(path)
