--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -29,7 +29,7 @@
 from loadbalancer.failover.site_reports import collect_opinions, judge_site
 from loadbalancer.failover.site_state import DesiredState, request_state
 from loadbalancer.leases import table as leases
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import LEASE_PREFIX
 from loadbalancer.store.errors import ConflictError
@@ -50,11 +50,11 @@
 
 
 def _seconds(text: str) -> float:
-    """Raises Malformed."""
+    """Raises MalformedError."""
     try:
         return float(duration(text)) / 1e9
     except ValueError as error:
-        raise Malformed(str(error)) from None
+        raise MalformedError(str(error)) from None
 
 
 def _level(fleet: Fleet, shedding: Shedding) -> str:
@@ -71,7 +71,7 @@
 
 
 async def _looked(c: Client, service: str) -> SiteObservation:
-    """Raises StoreError, Malformed."""
+    """Raises StoreError, MalformedError."""
     return await SiteReader(c, service).read()
 
 
@@ -216,13 +216,13 @@
         seen = await _looked(c, service)
         fleet = seen.fleet
         if not seen.sites:
-            raise Malformed(seen.snapshot.blocked_reason)
+            raise MalformedError(seen.snapshot.blocked_reason)
         if not fleet.loads:
-            raise Malformed("no balancer tells of any load: there is nothing to plan with")
+            raise MalformedError("no balancer tells of any load: there is nothing to plan with")
         names = [n.strip() for n in lose.split(",") if n.strip()]
         unknown = [n for n in names if n not in seen.sites]
         if unknown or len(names) >= len(seen.sites):
-            raise Malformed(
+            raise MalformedError(
                 f"{unknown[0]}: there is no such site" if unknown else "all sites can't be lost"
             )
         found = (
@@ -260,7 +260,7 @@
     hold_s: float = 0.0,
     force: bool = False,
 ) -> None:
-    """An operator's word, merged into what the owner does meanwhile. Raises Malformed."""
+    """An operator's word, merged into what the owner does meanwhile. Raises MalformedError."""
     by = "an operator"
     with suppress(KeyError, OSError):
         by = getpass.getuser()
@@ -269,7 +269,7 @@
         seen = await _looked(c, service)
         fleet = seen.fleet
         if name not in seen.sites:
-            raise Malformed(
+            raise MalformedError(
                 f"{name}: there is no such site in the document of sites"
                 if seen.sites
                 else seen.snapshot.blocked_reason
@@ -277,10 +277,10 @@
         if aim is not DesiredState.ACTIVE and not force and fleet.loads:
             out_ = {x.site for x in seen.plan.site_states if x.fraction < 1} | {name}
             if out_ >= set(seen.sites):
-                raise Malformed("all sites would be out")
+                raise MalformedError("all sites would be out")
             t = plan_for_loss(fleet, out_)
             if t.shedding.level > EXCESS:
-                raise Malformed(
+                raise MalformedError(
                     f"the others do not bear it: {_level(fleet, t.shedding)} would be"
                     f" refused, {t.served.fraction:.0%} of the worth be left; --force"
                     " does it all the same"
@@ -291,7 +291,7 @@
             try:
                 course = request_state(doc.state_of(name), aim, by, drain_s, hold_s)
             except ValueError as error:
-                raise Malformed(str(error)) from None
+                raise MalformedError(str(error)) from None
             with suppress(ConflictError):
                 value = msgspec.json.encode(doc.with_state(course))
                 await c.put(
