--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -37,7 +37,7 @@
     quotas_by_balancer,
 )
 from loadbalancer.policy import api
-from loadbalancer.settings import Malformed
+from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op
 from loadbalancer.store.errors import NotLeaseHolderError
@@ -108,7 +108,7 @@
         """
         try:
             observation = await self.reader.read()
-        except Malformed as error:
+        except MalformedError as error:
             self._set_idle_reason(str(error))
             return IDLE_INTERVAL_S
         self._set_idle_reason(observation.snapshot.blocked_reason)
--- a/loadbalancer/store/node.py
+++ b/loadbalancer/store/node.py
@@ -105,8 +105,8 @@
         """Opens the node of a folder.
 
         Raises:
-            DamagedError: The folder's content is not valid.
-            Malformed: The folder can't be used.
+            Damaged: The folder's content is not valid.
+            MalformedError: The folder can't be used.
         """
         lock = lock_directory(settings.folder)
         try:
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -163,7 +163,7 @@
 )
 def test_invalid_input_is_a_one_line_error(arguments: list[str]) -> None:
     result = CliRunner().invoke(application(["feed"]), ["feed", *arguments, "--at", "127.0.0.1:1"])
-    assert type(result.exception).__name__ == "Malformed" and "\n" not in str(result.exception)
+    assert type(result.exception).__name__ == "MalformedError" and "\n" not in str(result.exception)
 
 
 def status(node: str, revision: int, **feed: Any) -> dict[str, Any]:
