--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -64,7 +64,7 @@
     driver: Driver
     discovery: Discovery
     client: Client
-    owner: LeaseClient  # the lease of the list's leader
+    lease: LeaseClient  # the lease of the list's leader
     service: str
     address_map: AddressMap
 
@@ -89,7 +89,7 @@
         self.driver = context.driver
         self.discovery = context.discovery
         self.client = context.client
-        self.owner = context.owner
+        self.lease = context.lease
         self.address_map = context.address_map
         self.keys = ListKeys(context.service)
         self.table = RowTable(context.service) if has_rows else None
@@ -149,7 +149,7 @@
 
     def _receive_document(self, row: Row) -> None:
         saved = decode_row(row, SavedEndpointList)
-        if self.owner.active_token:
+        if self.lease.active_token:
             self.on_document_while_leading(row, saved)
             return
         if saved is None or not saved.token:
@@ -206,7 +206,7 @@
             delta: What changed in it; None: anything.
         """
         table = self.table
-        if table is None or self.owner.active_token:
+        if table is None or self.lease.active_token:
             return
         if table.list_row is None or not table.endpoints:
             # A list without any upstream is not believed; nor does the leader publish one.
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -82,7 +82,7 @@
         self.driver = context.driver
         self.discovery = context.discovery
         self.client = context.client
-        self.owner = context.owner
+        self.lease = context.lease
         self.address_map = context.address_map
         self.writer = writer
         self.publishes_documents = publishes_documents
@@ -114,7 +114,7 @@
 
     def subscribe(self, on: bool) -> None:
         """Subscribes at discovery if this process leads; a follower is notified by the leader."""
-        if self.owner.active_token:
+        if self.lease.active_token:
             self.discovery.subscribe(on)
 
     def fetch(self) -> None:
@@ -123,7 +123,7 @@
 
     def _on_discovery(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         has_failed = kind is api.EndpointListKind.FAILED
-        if has_failed and not self.owner.active_token:
+        if has_failed and not self.lease.active_token:
             return  # this process polled by itself and polls again: the policy need not
         if not has_failed:
             self.last_answer_s = time.monotonic()
@@ -232,7 +232,7 @@
     def _is_outdated(self) -> bool:
         """Whether discovery reports less than the previous leader knew, and not for long yet."""
         return (
-            bool(self.owner.active_token)
+            bool(self.lease.active_token)
             and self.discovery.version < self.min_version
             and time.monotonic() - self.min_version_read_s < VERSION_RESET_S
         )
@@ -256,7 +256,7 @@
                 self.min_version,
             )
             self.min_version = NO_VERSION
-        token = self.owner.token()
+        token = self.lease.token()
         if not self.driver.upstreams.targets or not token:
             return
         publish = self._publish_document if self.writer is None else self._publish_rows
@@ -269,7 +269,7 @@
     async def _confirm(self, token: int) -> None:
         self.heartbeat += 1
         confirmation = LeaderConfirmation(token, self.sequence, self.heartbeat)
-        await self.owner.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
+        await self.lease.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
 
     def _canonical_endpoints(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
         """Returns the listed endpoints of these numbers, or all, with canonical addresses."""
@@ -295,7 +295,7 @@
     ) -> None:
         version = self.discovery.version
         saved = SavedEndpointList(unix_s(), endpoints, token, sequence, version, self.source)
-        await self.owner.write([Op(self.keys.list, msgspec.json.encode(saved))])
+        await self.lease.write([Op(self.keys.list, msgspec.json.encode(saved))])
         self.sequence = sequence
         self.published = Publication(token, version, list(endpoints))
 
@@ -321,7 +321,7 @@
                 token, self.sequence, save_endpoints(self._canonical_endpoints())
             )
         else:  # a balancer that knows no rows would go by it, however old it is
-            await self.owner.write([Op(self.keys.list, None)])
+            await self.lease.write([Op(self.keys.list, None)])
         self.is_document_due = False
         self.is_overwritten = False
         return True
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -47,16 +47,16 @@
 
     Args:
         client: Client of the store.
-        owner: The lease under which rows are written.
+        lease: The lease under which rows are written.
         service: The service's name.
         max_operations: Operations of one write.
     """
 
     def __init__(
-        self, client: Client, owner: LeaseClient, service: str, max_operations: int = MAX_OPERATIONS
+        self, client: Client, lease: LeaseClient, service: str, max_operations: int = MAX_OPERATIONS
     ) -> None:
         self.client = client
-        self.owner = owner
+        self.lease = lease
         self.service = service
         self.keys = RowKeys(service)
         self.max_upstreams = max_operations - OVERHEAD_OPERATIONS
@@ -94,7 +94,7 @@
             row.key: (row.version, row.value) for row in scanned.rows if row.value is not None
         }
         position = _read_list(found.rows[1])
-        if position is not None and position.token == self.owner.active_token:
+        if position is not None and position.token == self.lease.active_token:
             self.sequence = max(self.sequence, position.sequence)
         self.last_position = position
         self.touched = None
@@ -153,7 +153,7 @@
             service_row = row_codec.encode(row_codec.ServiceRow(self.service))
             operations.append(Op(service_key, service_row, 0))
             references.append(())
-        result = await self.owner.write_rows(operations, references)
+        result = await self.lease.write_rows(operations, references)
         for operation, version in zip(operations, result.versions, strict=True):
             if operation.key in self.versions:
                 self.versions[operation.key] = version
--- a/loadbalancer/daemon/leased_task.py
+++ b/loadbalancer/daemon/leased_task.py
@@ -38,7 +38,7 @@
             lease_factory: Creates the lease with this task's callbacks.
             name: Name of the task in log lines.
         """
-        self.owner = lease_factory(self.on_lease_acquired, self.on_lease_lost)
+        self.lease = lease_factory(self.on_lease_acquired, self.on_lease_lost)
         self.name = name
         self.running: asyncio.Task[None] | None = None
 
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -81,10 +81,10 @@
         if restart is None or restart.state is State.ENDED:
             return IDLE_INTERVAL_S
         step = next_step(restart, observation.view, self._without_evidence_s(observation.view))
-        token = self.owner.token()
+        token = self.lease.token()
         if step is None:
             held_s = time.monotonic() - self.acquired_s
-            step = announce_requests(restart, token, held_s, self.owner.ttl_s)
+            step = announce_requests(restart, token, held_s, self.lease.ttl_s)
         if step is None:
             for upstream in pending_requests(restart, token):
                 await self._request_restart(restart, upstream, observation.view)
@@ -122,7 +122,7 @@
                 self.address_map.dialed_address(status.address),
                 restart.restart_path,
                 name,
-                lambda: self.owner.token() == upstream.request_token,
+                lambda: self.lease.token() == upstream.request_token,
             )
         except (OSError, TimeoutError) as failure:
             error = f"not reached: {str(failure) or 'timed out'}"
@@ -143,6 +143,6 @@
             operations.append(Op(self.keys.disabled, names, disabled_row.version))
         else:
             checks.append((self.keys.disabled, disabled_row.version))
-        await self.owner.write(
+        await self.lease.write(
             operations, WriteOptions(checks=checks, note=step.summary[:MAX_NOTE_LENGTH])
         )
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -114,7 +114,7 @@
         self._set_idle_reason(observation.snapshot.blocked_reason)
         if observation.snapshot.blocked_reason:
             return IDLE_INTERVAL_S
-        if not self.sequence and observation.plan.token == self.owner.token():
+        if not self.sequence and observation.plan.token == self.lease.token():
             # Plans under this token may have been written before this task began.
             self.sequence = observation.plan.sequence
         current = tuple(map(observation.plan.state_of, observation.sites))
@@ -129,7 +129,7 @@
         self, observation: SiteObservation, states: tuple[SiteState, ...], planned: TrafficShares
     ) -> None:
         """Writes the plan at the version that was read, or confirms the one that stands."""
-        token = self.owner.token()
+        token = self.lease.token()
         now_s = time.monotonic()
         if not token:
             raise NotLeaseHolderError("sites")
@@ -147,13 +147,13 @@
                 token, self.sequence, observation.sites, states, planned, unix_s()
             )
             version = observation.plan_row.version
-            await self.owner.write([Op(self.keys.plan, msgspec.json.encode(document), version)])
+            await self.lease.write([Op(self.keys.plan, msgspec.json.encode(document), version)])
             self.written_s = now_s
             self._log_load_shedding(planned)
         elif now_s - self.written_s >= HEARTBEAT_INTERVAL_S:
             self.heartbeat += 1
             confirmation = LeaderConfirmation(token, self.sequence, self.heartbeat)
-            await self.owner.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
+            await self.lease.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
             self.written_s = now_s
 
     def _log_load_shedding(self, planned: TrafficShares) -> None:
@@ -190,14 +190,14 @@
             )
         )
         document = LossTablesDocument(
-            self.owner.token(),
+            self.lease.token(),
             self.sequence,
             unix_s(),
             observation.sites,
             rows,
             quotas_by_balancer(reports, fleet),
         )
-        await self.owner.write([Op(self.keys.tables, msgspec.json.encode(document))])
+        await self.lease.write([Op(self.keys.tables, msgspec.json.encode(document))])
         self.tables_written_s = now_s
         self.tables_load = load
 
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -207,9 +207,9 @@
 
     @property
     def _leases(self) -> list[LeaseClient]:
-        leases = [self.name_lease, self.list_lease, self.rolling_restart.owner]
+        leases = [self.name_lease, self.list_lease, self.rolling_restart.lease]
         if self.site_controller is not None:
-            leases.append(self.site_controller.owner)
+            leases.append(self.site_controller.lease)
         return leases
 
     def _on_list_lease_acquired(self, token: int) -> None:
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -66,10 +66,10 @@
             targets={e.entry.id: SimpleNamespace(endpoint=e) for e in boxes}, probe=self.probe
         )
         self.balancer = SimpleNamespace(
-            learnt=lambda: LEARNT,
+            learned_state=lambda: LEARNT,
             requests={},
             concurrency=SimpleNamespace(service_times=dict(LEARNT.service_times)),
-            rate=SimpleNamespace(sent=86.0, served=86.0),
+            rate_controller=SimpleNamespace(finished_per_s=86.0, served_per_s=86.0),
         )
 
     def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
--- a/loadbalancer/testbed/size/storecommits.py
+++ b/loadbalancer/testbed/size/storecommits.py
@@ -252,7 +252,7 @@
 def installed(cluster: RealCluster, member: Member) -> int:
     """Snapshots that it has taken, by its log."""
     text = (cluster.folder / f"{member.place}.log").read_text(errors="replace")
-    return text.count(": installed")
+    return text.count("outcome=installed")
 
 
 async def catch_up(
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -285,7 +285,7 @@
         owners = (
             self.state_sync.name_lease,
             self.state_sync.list_lease,
-            self.state_sync.rolling_restart.owner,
+            self.state_sync.rolling_restart.lease,
         )
         for task in (*self.state_sync.tasks, *(t for owner in owners for t in owner.tasks)):
             task.cancel()
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -109,7 +109,7 @@
     @property
     def owns_sites(self) -> bool:
         controller = self.state_sync.site_controller
-        return controller is not None and bool(controller.owner.active_token)
+        return controller is not None and bool(controller.lease.active_token)
 
     async def close(self) -> None:
         self.sending.cancel()
