--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -26,7 +26,7 @@
 from loadbalancer.daemon.settings import read_raw, read_table
 from loadbalancer.daemon.state_sync import LEASE_S, StateSync, StateSyncOptions
 from loadbalancer.leases.table import NAME
-from loadbalancer.proxy.atomic_files import write_whole
+from loadbalancer.proxy.atomic_files import replace_file
 from loadbalancer.proxy.configuration import Config
 from loadbalancer.proxy.process import Parts
 from loadbalancer.settings import Json, MalformedError, split_address
@@ -235,6 +235,6 @@
 def _write_copy(path: Path, value: bytes) -> None:
     """A failure is only logged: the copy serves later starts, and this one can go on."""
     try:
-        write_whole(path, value)
+        replace_file(path, value)
     except OSError as error:
         log.error("settings copy not written: path=%s error=%s", path, error)
--- a/loadbalancer/daemon/disabled_sync.py
+++ b/loadbalancer/daemon/disabled_sync.py
@@ -53,7 +53,7 @@
         self.on_version = on_version
         self.pending: list[Change] = []  # changes here that the store has not yet
         self.has_pending = asyncio.Event()
-        disabled.heard.append(self._on_local_change)
+        disabled.on_change(self._on_local_change)
 
     def _on_local_change(self, name: str, on: bool) -> None:
         self.pending.append(Change(name, on))
--- a/loadbalancer/daemon/settings_sync.py
+++ b/loadbalancer/daemon/settings_sync.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from loadbalancer.daemon.store_monitor import StoreMonitor
-from loadbalancer.proxy.atomic_files import write_whole
+from loadbalancer.proxy.atomic_files import replace_file
 from loadbalancer.store.documents import PREFIX
 
 log = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
     retry_s = WRITE_RETRY_S
     while True:
         try:
-            write_whole(path, value)
+            replace_file(path, value)
             return
         except OSError as error:
             log.error("settings copy not written, retrying: path=%s error=%s", path, error)
--- a/loadbalancer/proxy/admin_api.py
+++ b/loadbalancer/proxy/admin_api.py
@@ -1,8 +1,8 @@
-"""The operators' door: the `mgmt` listener and its calls, one on each connection.
+"""The admin API: the `mgmt` listener and its calls, one on each connection.
 
-    GET /-/ready                      does this process take clients?
-    POST /-/upstreams/ID/disable      nothing more to this upstream
-    POST /-/upstreams/ID/enable       put it back
+    GET /-/ready                      whether this process accepts clients
+    POST /-/upstreams/ID/disable      send no new request to this upstream
+    POST /-/upstreams/ID/enable       use it again
 
 It keeps nothing but its connections. Yes is 2xx; no is 4xx or 5xx, with the reason as text.
 """
@@ -22,50 +22,63 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS = (
-    12  # calls open at a time; their descriptors are kept for them. Each takes milliseconds
-)
-TURN = 4  # connections that asyncio takes on one turn of the loop: it may hold so many over the cap
-BACKLOG = 128  # newcomers that the kernel holds meanwhile
-# A call must be whole this long after it connected. At the cap the oldest makes room sooner.
-WHOLE_S = 2.0
+# Calls that are open at a time; descriptors are kept for them. Each takes milliseconds.
+MAX_CALLS = 12
+# Connections that asyncio accepts on one turn of the loop: it may hold so many over the cap.
+ACCEPTED_PER_TURN = 4
+BACKLOG = 128  # connections that the kernel queues meanwhile
+# A call must be complete this long after it connected. At the cap the oldest is closed sooner.
+CALL_TIMEOUT_S = 2.0
 LINGER_S = 1.0  # an answer is left so long to be read
-MAX_CALL = 16 * 1024  # bytes: calls have no body worth reading
+MAX_CALL_BYTES = 16 * 1024  # calls have no body worth reading
 
 
-class No(Exception):
-    """The call is declined."""
+class CallDeclinedError(Exception):
+    """A call is declined, with this status and reason."""
 
-    def __init__(self, status: HTTPStatus, why: str, headers: Headers = ()) -> None:
-        super().__init__(why)
+    def __init__(self, status: HTTPStatus, reason: str, headers: Headers = ()) -> None:
+        super().__init__(reason)
         self.status = status
         self.headers = headers
 
 
-class Switch(Protocol):
-    """What takes upstreams out and puts them back. Raises `No`."""
+class UpstreamSwitch(Protocol):
+    """Disables upstreams and enables them; both raise `CallDeclinedError`."""
 
-    async def disable(self, name: str) -> None: ...
+    async def disable(self, name: str) -> None:
+        """Send no new request to an upstream."""
 
-    async def enable(self, name: str) -> None: ...
+    async def enable(self, name: str) -> None:
+        """Use an upstream again."""
 
 
-class Management:
-    def __init__(self, ready: Callable[[], bool], switch: Switch) -> None:
+class AdminApi:
+    """The listener and its calls.
+
+    Args:
+        ready: Whether this process accepts clients.
+        switch: Disables and enables upstreams.
+
+    Attributes:
+        calls: Open calls, the oldest first.
+    """
+
+    def __init__(self, ready: Callable[[], bool], switch: UpstreamSwitch) -> None:
         self.ready = ready
         self.switch = switch
-        self.calls: dict[Call, None] = {}  # the oldest first
+        self.calls: dict[Call, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
 
     async def start(self, listener: socket.socket) -> None:
-        # Few are taken at a time, and many may wait.
+        """Accept calls: few at a time, and many may wait."""
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: Call(self), sock=listener, backlog=TURN
+            lambda: Call(self), sock=listener, backlog=ACCEPTED_PER_TURN
         )
         listener.listen(BACKLOG)
 
     def close(self) -> None:
+        """Close the listener and all calls."""
         if self.server is not None:
             self.server.close()
         for task in self.tasks:
@@ -74,13 +87,15 @@
             call.abort()
 
     def opened(self, call: Call) -> None:
-        """The oldest without a whole call makes room: silent callers hold up nobody."""
+        """Note a call; at the cap the oldest incomplete one is closed."""
         self.calls[call] = None
-        if len(self.calls) > CONNECTIONS:
-            oldest = next((c for c in self.calls if not c.whole), None) or next(iter(self.calls))
+        if len(self.calls) > MAX_CALLS:
+            incomplete = next((c for c in self.calls if not c.is_complete), None)
+            oldest = incomplete or next(iter(self.calls))
             oldest.abort()
 
     def run(self, call: Call, request: Request) -> None:
+        """Carry out a call and answer it."""
         task = asyncio.get_running_loop().create_task(self._run(call, request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -88,35 +103,40 @@
     async def _run(self, call: Call, request: Request) -> None:
         try:
             call.answer(HTTPStatus.OK, await self._carry_out(request))
-        except No as no:
-            call.answer(no.status, str(no), no.headers)
+        except CallDeclinedError as declined:
+            call.answer(declined.status, str(declined), declined.headers)
         except Exception:
-            log.exception("management call %s failed", request.target.decode("latin-1"))
+            log.exception("admin call failed: target=%s", request.target.decode("latin-1"))
             call.answer(HTTPStatus.INTERNAL_SERVER_ERROR, "the call failed; see the log")
 
     async def _carry_out(self, request: Request) -> str:
         path = request.target.decode("latin-1").partition("?")[0]
         match path.split("/"):
             case ["", "-", "ready"]:
-                need_method(request, b"GET")
+                require_method(request, b"GET")
                 if not self.ready():
-                    raise No(HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
+                    raise CallDeclinedError(HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
                 return "ready"
             case ["", "-", "upstreams", name, "disable" | "enable" as what] if name:
-                need_method(request, b"POST")
+                require_method(request, b"POST")
                 name = unquote(name)
                 act: Callable[[str], Awaitable[None]] = (
                     self.switch.disable if what == "disable" else self.switch.enable
                 )
                 await act(name)
-                log.info("management: %s upstream %r", what, name)
+                log.info("admin call: action=%s upstream=%r", what, name)
                 return f"{what}d {name}"
-        raise No(HTTPStatus.NOT_FOUND, "no such call")
+        raise CallDeclinedError(HTTPStatus.NOT_FOUND, "no such call")
 
 
-def need_method(request: Request, method: bytes) -> None:
+def require_method(request: Request, method: bytes) -> None:
+    """Decline a call of another method.
+
+    Raises:
+        CallDeclinedError: It is another.
+    """
     if request.method != method:
-        raise No(
+        raise CallDeclinedError(
             HTTPStatus.METHOD_NOT_ALLOWED,
             f"{method.decode()} is the method of this call",
             [(b"Allow", method)],
@@ -124,29 +144,35 @@
 
 
 class Call(asyncio.Protocol):
-    """One connection, and the one call on it."""
+    """One connection, and the one call on it.
+
+    Attributes:
+        is_complete: Nothing more is read.
+    """
 
-    def __init__(self, door: Management) -> None:
-        self.door = door
-        self.reader = RequestReader(MAX_CALL)
+    def __init__(self, api: AdminApi) -> None:
+        self.api = api
+        self.reader = RequestReader(MAX_CALL_BYTES)
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.whole = False  # nothing more is read
-        self.answered = False
+        self.is_complete = False
+        self.is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
-        self.timer = asyncio.get_running_loop().call_later(WHOLE_S, self._too_late)
-        self.door.opened(self)
+        self.timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._too_late)
+        self.api.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.whole:
+        """Read the call; called by the event loop."""
+        if self.is_complete:
             return
         reader = self.reader
         reader.feed(data)
         if reader.ready:
-            self.whole = True
-            self.door.run(self, reader.ready.popleft())
+            self.is_complete = True
+            self.api.run(self, reader.ready.popleft())
         elif reader.fault is not None:
             self.answer(HTTPStatus(reader.fault.status), str(reader.fault))
         elif reader.expects_continue and self.transport is not None:
@@ -154,10 +180,12 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def eof_received(self) -> bool:
-        if not self.whole:
+        """Note the end of the caller's sending; called by the event loop."""
+        if not self.is_complete:
             self.answer(HTTPStatus.BAD_REQUEST, "the call is not whole")
             return False
-        return not self.answered  # a caller may end its sending and still wait for the answer
+        # A caller may end its sending and still wait for the answer.
+        return not self.is_answered
 
     def _too_late(self) -> None:
         if self.reader.begun:
@@ -166,7 +194,9 @@
             self.abort()
 
     def answer(self, status: HTTPStatus, text: str, headers: Headers = ()) -> None:
-        self.whole = self.answered = True
+        """Answer the call, and end the sending."""
+        self.is_complete = True
+        self.is_answered = True
         if self.transport is None or self.transport.is_closing():
             return
         body = text.encode() + b"\n"
@@ -190,12 +220,14 @@
         self.timer = asyncio.get_running_loop().call_later(LINGER_S, self.abort)
 
     def abort(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
-    def connection_lost(self, error: Exception | None) -> None:
-        self.whole = True
-        self.door.calls.pop(self, None)
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (a callback)
+        """Note the connection's end; called by the event loop."""
+        self.is_complete = True
+        self.api.calls.pop(self, None)
         self.reader.close()
         if self.timer is not None:
             self.timer.cancel()
--- a/loadbalancer/proxy/disabled_upstreams.py
+++ b/loadbalancer/proxy/disabled_upstreams.py
@@ -1,9 +1,9 @@
-"""The upstreams that operators have taken out: the set, its file, and who has to know of a change.
+"""The upstreams that operators have disabled: the set, its file, and who is notified of a change.
 
-The file in the state folder is the truth for every process of this balancer: it is replaced as a
-whole, under a lock, and each process looks at it every `POLL_S`. A change counts as made once it is
-saved and all of them obey it. What could not be saved is owed: it holds here at once, and is
-written until it is written, with bounded pauses, merged into what other processes have saved
+The file in the state folder is the truth for every process of this balancer: it is replaced
+atomically, under a lock, and each process checks it periodically. A change counts as made once it
+is saved and all processes apply it. What could not be saved is pending: it holds here at once, and
+is written again with bounded pauses until it is saved, merged into what other processes have saved
 meanwhile.
 """
 
@@ -14,246 +14,299 @@
 import json
 import logging
 import time
-from collections.abc import AsyncIterator, Callable, Mapping
-from contextlib import asynccontextmanager
+from collections.abc import AsyncIterator, Callable, Iterator, Mapping
+from contextlib import asynccontextmanager, contextmanager
 from dataclasses import replace
 from http import HTTPStatus
 from pathlib import Path
-from typing import Any, BinaryIO, Protocol
+from typing import Any, BinaryIO, NamedTuple, Protocol
 
-from loadbalancer.proxy.admin_api import No
-from loadbalancer.proxy.atomic_files import clear, write_whole
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.admin_api import CallDeclinedError
+from loadbalancer.proxy.atomic_files import remove_leftovers, replace_file
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.settings import MalformedError, checked, required
 
 log = logging.getLogger(__name__)
 
-FILE, LOCK = "lanelift-disabled.json", "lanelift-disabled.lock"
+FILE = "lanelift-disabled.json"
+LOCK = "lanelift-disabled.lock"
 FORMAT = 1
-MAX_FILE = 1024 * 1024
-# An answer is owed within 1 s. A lock is held for a moment; the other process looks every POLL_S.
-LOCK_S, AGREE_S = 0.2, 0.5
+MAX_FILE_BYTES = 1024 * 1024
+# An answer is owed within 1 s. A lock is held for a moment; the other process checks periodically.
+LOCK_TIMEOUT_S = 0.2
 LOCK_POLL_S = 0.005
-RETRY_S = 0.1, 2.0  # pauses between two writes that fail: the first, and the longest
+AGREEMENT_TIMEOUT_S = 0.5
+MIN_RETRY_S = 0.1  # between two writes that fail
+MAX_RETRY_S = 2.0
 
 
 class Upstreams(Protocol):
-    """Whoever has to keep to the set."""
+    """What applies the set."""
 
-    def listed(self, name: str) -> bool: ...
+    def listed(self, name: str) -> bool:
+        """Whether any endpoint list has ever named this upstream."""
 
-    def ban(self, name: str, on: bool) -> None: ...
+    def ban(self, name: str, on: bool) -> None:
+        """Disable an upstream, or enable it again."""
+
+
+class FileVersion(NamedTuple):
+    """Identifies one replacement of the file."""
+
+    inode: int
+    modified_ns: int
+
+
+class DisabledSet(NamedTuple):
+    """The set as the file has it."""
+
+    names: frozenset[str]
+    version: int
 
 
 class DisabledUpstreams:
-    """Without a folder the set lives as long as the process."""
+    """The set of disabled upstreams; without a folder it lives as long as the process.
+
+    Attributes:
+        balancer: A file that another balancer left is not used.
+        names: Those that are disabled: as saved, and what is pending.
+        saved: The set as the file has it.
+        version: The file's version.
+        pending: Changes that the file does not have; True: disabled.
+    """
 
     def __init__(
-        self, folder: Path | None, balancer: str, siblings: Siblings, upstreams: Upstreams
+        self,
+        folder: Path | None,
+        balancer: str,
+        registry: ProcessRegistry,
+        upstreams: Upstreams,
     ) -> None:
         self.folder = folder
-        self.balancer = balancer  # a file that another balancer left is not believed
-        self.siblings = siblings
+        self.balancer = balancer
+        self.registry = registry
         self.upstreams = upstreams
-        self.names: frozenset[str] = (
-            frozenset()
-        )  # those that are out: as saved, but for what is owed
-        self.saved: frozenset[str] = frozenset()  # the set as the file has it
-        self.version = 0  # and its version
-        self.owed: dict[str, bool] = {}  # changes that the file does not have: out, or back
-        self.missing = False  # the file has gone, or can't be used: it is to be put back
-        self.retry_s, self.pause_s = (
-            0.0,
-            RETRY_S[0],
-        )  # not written again before, and how long after that
-        self.seen: tuple[int, int] | None = None  # the file as it was when it was last read
-        self.seen_broken = False  # it could not be read, and that was said
-        self.turn = asyncio.Lock()
-        self.heard: list[
-            Callable[[str, bool], None]
-        ] = []  # who is told what operators asked for here
+        self.names: frozenset[str] = frozenset()
+        self.saved: frozenset[str] = frozenset()
+        self.version = 0
+        self.pending: dict[str, bool] = {}
+        self._is_file_missing = False  # it is gone, or can't be used: it is to be written again
+        self._retry_at_s = 0.0
+        self._retry_pause_s = MIN_RETRY_S
+        self._read_version: FileVersion | None = None
+        self._is_read_error_logged = False
+        self._change_lock = asyncio.Lock()
+        self._on_change: list[Callable[[str, bool], None]] = []
 
     def start(self) -> None:
-        """Do as the file says, now and whenever it changes."""
+        """Apply the file, now and whenever it changes."""
         if self.folder is not None and not (self.folder / FILE).exists():
-            log.info("no upstream is disabled: there is no %s yet", FILE)
-        self._clear()
+            log.info("no upstream is disabled, file not found: path=%s", FILE)
+        self._remove_leftovers()
         self.refresh()
-        self.siblings.changed.append(self.refresh)
+        self.registry.on_check(self.refresh)
+
+    def on_change(self, callback: Callable[[str, bool], None]) -> None:
+        """Call this with each change that operators request here."""
+        self._on_change.append(callback)
 
     async def disable(self, name: str) -> None:
-        """Nothing new to this upstream. Raises No."""
+        """Send no new request to this upstream.
+
+        Raises:
+            CallDeclinedError: It holds here, but is not saved or not applied everywhere yet.
+        """
         await self._change(name, True)
 
     async def enable(self, name: str) -> None:
-        """Put it back. Raises No: then it is out as before."""
+        """Use this upstream again.
+
+        Raises:
+            CallDeclinedError: It could not be saved, and the upstream is disabled as before.
+        """
         await self._change(name, False)
 
-    async def _change(self, name: str, on: bool) -> None:
+    async def _change(self, name: str, is_disabled: bool) -> None:
         if name not in self.names and not self.upstreams.listed(name):
-            raise No(HTTPStatus.NOT_FOUND, f"no upstream {name} was ever listed")
-        async with self.turn:
+            raise CallDeclinedError(HTTPStatus.NOT_FOUND, f"no upstream {name} was ever listed")
+        async with self._change_lock:
             if self.folder is None:
-                self._take(self.names | {name} if on else self.names - {name}, self.version + 1)
+                names = self.names | {name} if is_disabled else self.names - {name}
+                self._take(DisabledSet(names, self.version + 1))
             else:
-                await self._save_change(name, on)
+                await self._save_change(name, is_disabled)
             version = self.version
-            # The module has heard of it once the loop has turned.
+            # The policy has been notified once the loop has turned.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-        for hear in self.heard:
-            hear(name, on)
-        if not await self.siblings.agreed(lambda note: note.obeys >= version, AGREE_S):
-            raise No(
+        for callback in self._on_change:
+            callback(name, is_disabled)
+        if not await self.registry.agreed(
+            lambda note: note.applied_version >= version, AGREEMENT_TIMEOUT_S
+        ):
+            raise CallDeclinedError(
                 HTTPStatus.SERVICE_UNAVAILABLE, "done here, not yet by another process: repeat"
             )
 
-    async def _save_change(self, name: str, on: bool) -> None:
-        """A disable binds from 1 s after the call on, whatever is answered: it holds at once, and
-        is owed. An enable is made once it is saved.
+    async def _save_change(self, name: str, is_disabled: bool) -> None:
+        """Save a change.
+
+        A disable binds from 1 s after the call on, whatever is answered: it holds at once, and is
+        pending. An enable is made once it is saved.
         """
-        if on:
-            self.owed[name] = True
-            self._obey()
+        if is_disabled:
+            self.pending[name] = True
+            self._apply()
         else:
-            self.owed.pop(name, None)
+            self.pending.pop(name, None)
         try:
             async with self._locked():
-                self._save({} if on else {name: False})
+                self._save({} if is_disabled else {name: False})
         except (OSError, TimeoutError) as error:
-            log.error("the set of disabled upstreams is not saved: %s", error)
-            raise No(
+            log.error("disabled upstreams not saved: error=%s", error)
+            raise CallDeclinedError(
                 HTTPStatus.SERVICE_UNAVAILABLE, f"not saved: {error or 'the file is locked'}"
             ) from None
 
     async def adopt(self, names: frozenset[str]) -> None:
-        """The set as all balancers of the service keep it. It holds here even if it can't be saved
-        yet.
-        """
-        async with self.turn:
+        """Adopt the set of the service's balancers; it holds here even if it can't be saved yet."""
+        async with self._change_lock:
             if names == self.names:
                 return
             if self.folder is None:
-                self._take(names, self.version + 1)
+                self._take(DisabledSet(names, self.version + 1))
                 return
-            self.owed = {name: name in names for name in names ^ self.saved}
-            self._obey()
+            self.pending = {name: name in names for name in names ^ self.saved}
+            self._apply()
             try:
                 async with self._locked():
                     self._save({})
             except (OSError, TimeoutError) as error:
-                log.error("the set of disabled upstreams is not saved yet: %s", error)
+                log.error("disabled upstreams not saved, retrying: error=%s", error)
 
     # ---- the file --------------------------------------------------------------------------------
 
-    @asynccontextmanager
-    async def _locked(self) -> AsyncIterator[None]:
+    @contextmanager
+    def _lock_file(self) -> Iterator[BinaryIO]:
         assert self.folder is not None
         with open(self.folder / LOCK, "ab") as lock:
-            async with asyncio.timeout(LOCK_S):
-                while not _lock(lock):
+            yield lock
+
+    @asynccontextmanager
+    async def _locked(self) -> AsyncIterator[None]:
+        """Hold the file's lock.
+
+        Raises:
+            TimeoutError: Another process holds it.
+        """
+        with self._lock_file() as lock:
+            async with asyncio.timeout(LOCK_TIMEOUT_S):
+                while not _try_lock(lock):  # noqa: ASYNC110 (a lock on a file has no event)
                     await asyncio.sleep(LOCK_POLL_S)
             yield
 
-    def _save(self, more: Mapping[str, bool]) -> None:
-        """Write what is owed, and these changes, on top of what the file has now. The lock is held.
-        Raises OSError: then all of it is still owed, but for `more`.
+    def _save(self, changes: Mapping[str, bool]) -> None:
+        """Write what is pending, and these changes, on top of the file. The lock is held.
+
+        Raises:
+            OSError: It failed, and what was pending still is.
         """
         assert self.folder is not None
-        self._read_again()
-        changes = {**self.owed, **more}
-        names = _changed(self.saved, changes)
+        self._read_if_changed()
+        names = _with_changes(self.saved, {**self.pending, **changes})
         version = self.version
-        if names != self.saved or self.missing:
-            version = 1 + max(version, *(note.obeys for note in self.siblings.others), 0)
-            whole = {
+        if names != self.saved or self._is_file_missing:
+            applied = (note.applied_version for note in self.registry.others)
+            version = 1 + max(version, *applied, 0)
+            document = {
                 "format": FORMAT,
                 "balancer": self.balancer,
                 "version": version,
                 "disabled": sorted(names),
             }
-            write_whole(self.folder / FILE, json.dumps(whole).encode())
-        self.owed.clear()
-        self.missing = False
-        self.pause_s = RETRY_S[0]
-        self._take(names, version)
-
-    def _write_owed(self) -> None:
-        """Once more, unless somebody is at it, or it failed a moment ago."""
-        now = time.monotonic()
-        if (
-            self.folder is None
-            or not (self.owed or self.missing)
-            or self.turn.locked()
-            or now < self.retry_s
-        ):
+            replace_file(self.folder / FILE, json.dumps(document).encode())
+        self.pending.clear()
+        self._is_file_missing = False
+        self._retry_pause_s = MIN_RETRY_S
+        self._take(DisabledSet(names, version))
+
+    def _write_pending(self) -> None:
+        """Write once more, unless a change is under way, or a write failed a moment ago."""
+        now_s = time.monotonic()
+        has_work = bool(self.pending) or self._is_file_missing
+        if not has_work or self._change_lock.locked() or now_s < self._retry_at_s:
             return
-        self.retry_s, self.pause_s = now + self.pause_s, min(2 * self.pause_s, RETRY_S[1])
+        self._retry_at_s = now_s + self._retry_pause_s
+        self._retry_pause_s = min(2 * self._retry_pause_s, MAX_RETRY_S)
         try:
-            with open(self.folder / LOCK, "ab") as lock:
-                if _lock(lock):
+            with self._lock_file() as lock:
+                if _try_lock(lock):
                     self._save({})
-                    log.info("the set of disabled upstreams is saved")
+                    log.info("disabled upstreams saved: version=%d", self.version)
         except OSError as error:
-            log.error("the set of disabled upstreams is not saved yet: %s", error)
+            log.error("disabled upstreams not saved, retrying: error=%s", error)
 
-    def _clear(self) -> None:
+    def _remove_leftovers(self) -> None:
         """Remove what a process that was killed in the middle of a write has left."""
         if self.folder is None:
             return
         try:
-            with open(self.folder / LOCK, "ab") as lock:
-                if _lock(lock):
-                    clear(self.folder / FILE)
+            with self._lock_file() as lock:
+                if _try_lock(lock):
+                    remove_leftovers(self.folder / FILE)
         except OSError as error:
-            log.error("%s: %s", LOCK, error)
+            log.error("leftovers not removed: path=%s error=%s", LOCK, error)
 
     def refresh(self) -> None:
-        """Read the file if it is another than before, and do as it says; write what is owed."""
+        """Read and apply the file where it has changed, and write what is pending."""
         if self.folder is not None:
-            self._read_again()
-            self._write_owed()
+            self._read_if_changed()
+            self._write_pending()
 
-    def _read_again(self) -> None:
-        """One that can't be used changes nothing: what is out stays out, and whoever knows the set
-        puts it back. One that can't be read is read again.
+    def _read_if_changed(self) -> None:
+        """Read the file.
+
+        One that can't be used changes nothing: the set stands, and is written again by a process
+        that knows it. One that can't be read is read again.
         """
         assert self.folder is not None
         path = self.folder / FILE
         try:
             stat = path.stat()
-            now = stat.st_ino, stat.st_mtime_ns
-            if now == self.seen:
+            version = FileVersion(stat.st_ino, stat.st_mtime_ns)
+            if version == self._read_version:
                 return
             with open(path, "rb") as file:
-                data = file.read(MAX_FILE)
+                data = file.read(MAX_FILE_BYTES)
         except FileNotFoundError:
-            self._lost("it has gone")
+            self._file_lost("it is gone")
             return
         except OSError as error:
-            if not self.seen_broken:
-                log.error("%s can't be read: %s", FILE, error)
-            self.seen_broken = True
+            if not self._is_read_error_logged:
+                log.error("disabled upstreams can't be read: path=%s error=%s", FILE, error)
+            self._is_read_error_logged = True
             return
-        self.seen, self.seen_broken = now, False
+        self._read_version = version
+        self._is_read_error_logged = False
+        self._take_data(data)
+
+    def _take_data(self, data: bytes) -> None:
         try:
-            names, version = self._parse(json.loads(data))
+            found = self._parse(json.loads(data))
         except (ValueError, RecursionError, MalformedError) as error:
-            self._lost(str(error), always=True)
+            self._file_lost(str(error), always_log=True)
             return
-        self.missing = False
-        if version > self.version:
-            self._take(names, version)
+        self._is_file_missing = False
+        if found.version > self.version:
+            self._take(found)
 
-    def _lost(self, why: str, always: bool = False) -> None:
-        """The file can't be used. It is put back where a set was known; `always`: said in any
-        case.
-        """
-        if (self.version or always) and not self.missing:
-            log.warning("%s is left aside: %s", FILE, why)
-        self.missing = bool(self.version)
+    def _file_lost(self, reason: str, always_log: bool = False) -> None:
+        """Note that the file can't be used; it is written again where a set was known."""
+        if (self.version or always_log) and not self._is_file_missing:
+            log.warning("file of disabled upstreams ignored: path=%s reason=%s", FILE, reason)
+        self._is_file_missing = bool(self.version)
 
-    def _parse(self, raw: Any) -> tuple[frozenset[str], int]:
+    def _parse(self, raw: Any) -> DisabledSet:
         raw = checked(raw, FILE, dict)
         if required(raw, "format", int) != FORMAT:
             raise MalformedError(f"format {raw['format']} is not known")
@@ -262,38 +315,38 @@
         names = frozenset(
             checked(name, "disabled", str) for name in required(raw, "disabled", list)
         )
-        return names, required(raw, "version", int)
+        return DisabledSet(names, required(raw, "version", int))
 
     # ---- in force --------------------------------------------------------------------------------
 
-    def _take(self, saved: frozenset[str], version: int) -> None:
-        """The file has this, and all processes are told that it is obeyed here."""
-        self.saved, self.version = saved, version
-        self._obey()
-        self.siblings.publish(replace(self.siblings.note, obeys=version))
+    def _take(self, saved: DisabledSet) -> None:
+        """Apply the file's set, and publish to the other processes that it is applied here."""
+        self.saved = saved.names
+        self.version = saved.version
+        self._apply()
+        self.registry.publish(replace(self.registry.note, applied_version=saved.version))
 
-    def _obey(self) -> None:
-        """Do as the file says, and what is owed beyond it."""
-        names = _changed(self.saved, self.owed)
+    def _apply(self) -> None:
+        """Apply the file's set, and what is pending beyond it."""
+        names = _with_changes(self.saved, self.pending)
         for name in sorted(names - self.names):
-            log.info("upstream %s is disabled", name)
+            log.info("upstream disabled: upstream=%s", name)
             self.upstreams.ban(name, True)
         for name in sorted(self.names - names):
-            log.info("upstream %s is enabled", name)
+            log.info("upstream enabled: upstream=%s", name)
             self.upstreams.ban(name, False)
         self.names = names
 
 
-def _changed(names: frozenset[str], changes: Mapping[str, bool]) -> frozenset[str]:
-    """The set with these put out (True) or back."""
-    out = {name for name, on in changes.items() if on}
-    return names - changes.keys() | out
+def _with_changes(names: frozenset[str], changes: Mapping[str, bool]) -> frozenset[str]:
+    """The set with these disabled (True) or enabled."""
+    disabled = {name for name, is_disabled in changes.items() if is_disabled}
+    return names - changes.keys() | disabled
 
 
-def _lock(file: BinaryIO) -> bool:
-    """Take the lock, unless another process has it. Raises OSError."""
+def _try_lock(lock: BinaryIO) -> bool:
     try:
-        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
         return False
     return True
--- a/loadbalancer/proxy/listener.py
+++ b/loadbalancer/proxy/listener.py
@@ -1,8 +1,8 @@
 """The clients' listening socket, which a process that takes over shares through SO_REUSEPORT.
 
-Each process has an accept queue of its own, and closing a listener resets what waits in it. So the
-one that leaves first has the kernel send new connections to its successor, and closes once its
-queue is empty.
+Each process has an accept queue of its own, and closing a listener resets what waits in it. So a
+process that shuts down first has the kernel send new connections to its successor, and closes once
+its queue is empty.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 log = logging.getLogger(__name__)
 
 # Linux; the socket module does not name them.
-SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF = 51, 68
+SO_ATTACH_REUSEPORT_CBPF = 51
+SO_DETACH_REUSEPORT_BPF = 68
 BPF_RET = 0x06
 # The group numbers its sockets in the order in which they listened, and closes gaps: a process that
 # leaves is the oldest, number 0. Where there is no other, the choice is out of range, and the
@@ -26,7 +27,15 @@
 
 
 def listening_socket(address: tuple[str, int], shared: bool = False) -> socket.socket:
-    """Bound, and not listening yet; a shared one may be bound by the next process too."""
+    """Make a bound socket that does not listen yet.
+
+    Args:
+        address: Host and port.
+        shared: Whether the next process may bind it too.
+
+    Raises:
+        OSError: It can't be bound.
+    """
     listener = socket.socket(
         socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM
     )
@@ -42,22 +51,20 @@
 
 
 def listen(listener: socket.socket, backlog: int) -> None:
-    """Join those that take connections. What an earlier process set up when it left holds no
-    longer.
-    """
+    """Accept connections, beside other processes; an earlier one's filter is removed."""
     listener.listen(backlog)
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_DETACH_REUSEPORT_BPF, 0)
     except OSError as error:
         if sys.platform == "linux" and error.errno != errno.ENOENT:  # there was nothing to take off
-            log.warning("the listener's old filter stays: %s", error)
+            log.warning("listener's old filter not removed: error=%s", error)
 
 
 def leave_to_successor(listener: socket.socket) -> None:
-    """From now on new connections go to the next process, if there is one."""
+    """Have the kernel send new connections to the next process, if there is one."""
     code = ctypes.create_string_buffer(struct.pack("=HBBI", BPF_RET, 0, 0, SUCCESSOR))
     program = struct.pack("@HP", 1, ctypes.addressof(code))
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
-    except OSError as error:  # then both go on taking connections until this one closes
-        log.warning("new connections can't be left to the next process: %s", error)
+    except OSError as error:  # then both go on accepting connections until this one closes
+        log.warning("new connections not left to the next process: error=%s", error)
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -49,10 +49,10 @@
         """Poll the complete list once."""
 
 
-class Peers(Protocol):
+class Gossip(Protocol):
     """Datagrams to the other balancers."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send(self, peer: int, data: bytes) -> None:
         """Send a datagram to one peer; -1: to all."""
 
 
@@ -77,7 +77,7 @@
         self.settings = settings
         self.upstreams = upstreams
         self.discovery: Discovery | None = None
-        self.peers: Peers | None = None
+        self.peers: Gossip | None = None
         self.loop = asyncio.get_running_loop()
         self.balancer = Balancer(settings, seed, time.monotonic_ns())
         self.violations = PolicyViolations()
@@ -257,7 +257,7 @@
         """Carry out an action of discovery or of gossip, where there is one."""
         match action:
             case api.SendGossip() if self.peers is not None:
-                self.peers.tell(action.peer, action.data)
+                self.peers.send(action.peer, action.data)
             case api.SubscribeEndpoints() if self.discovery is not None:
                 self.discovery.subscribe(action.enabled)
             case api.FetchEndpoints() if self.discovery is not None:
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -13,23 +13,23 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from loadbalancer.proxy.admin_api import CONNECTIONS, TURN, Management
+from loadbalancer.proxy.admin_api import ACCEPTED_PER_TURN, MAX_CALLS, AdminApi
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.configuration import Config, read_config
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.discovery import Discovery
 from loadbalancer.proxy.fixed_list import FixedList
 from loadbalancer.proxy.frontend import Frontend
-from loadbalancer.proxy.gossip import Peers
+from loadbalancer.proxy.gossip import GossipProtocol
 from loadbalancer.proxy.policy_driver import Driver
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.proxy.reloader import Reloader
-from loadbalancer.proxy.resource_limits import Budget
+from loadbalancer.proxy.resource_limits import LimitEnforcer, ResourceLimits
 from loadbalancer.proxy.upstream import Upstreams
 
 log = logging.getLogger(__name__)
 
-ADMIN_DESCRIPTORS = CONNECTIONS + TURN + 1  # kept for the admin API
+ADMIN_DESCRIPTORS = MAX_CALLS + ACCEPTED_PER_TURN + 1  # kept for the admin API
 LEAVE_S = 0.1  # beyond the time of the last answer, for its way out
 # A process that takes over waits so long for the first list, and for the other to free capacity:
 # it has to accept clients within 6 s.
@@ -68,26 +68,26 @@
     def __init__(self, config: Config, listener: socket.socket, has_admin_api: bool) -> None:
         settings = config.settings
         self.config = config
-        self.siblings = Siblings(config.folder)
-        self.budget = Budget(
-            config.sockets,
-            config.memory_mb,
-            ADMIN_DESCRIPTORS if has_admin_api else 0,
-            self.siblings,
+        self.registry = ProcessRegistry(config.folder)
+        resources = ResourceLimits(
+            config.sockets, config.memory_mb, ADMIN_DESCRIPTORS if has_admin_api else 0
         )
-        self.body_memory = BodyMemory(self.budget.part.bodies)
+        self.limits = LimitEnforcer(resources, self.registry)
+        self.body_memory = BodyMemory(self.limits.shares.bodies)
         self.upstreams = Upstreams(
             settings.limits,
-            self.budget.part.upstreams,
+            self.limits.shares.upstreams,
             settings.report_columns,
             self.body_memory,
         )
         self.driver = Driver(settings, config.seed, self.upstreams)
-        self.disabled = DisabledUpstreams(config.folder, config.name, self.siblings, self.driver)
+        self.disabled = DisabledUpstreams(config.folder, config.name, self.registry, self.driver)
         self.discovery = self._make_discovery()
         self.driver.discovery = self.discovery
-        self.frontend = Frontend(self.driver, listener, self.budget.part.clients, self.body_memory)
-        self.admin_api = Management(lambda: self.frontend.ready, self.disabled)
+        self.frontend = Frontend(
+            self.driver, listener, self.limits.shares.clients, self.body_memory
+        )
+        self.admin_api = AdminApi(lambda: self.frontend.ready, self.disabled)
         self.companion: Companion | None = None
 
     def _make_discovery(self) -> Discovery | FixedList:
@@ -100,8 +100,8 @@
         await self._start_gossip()
         self.disabled.start()  # ahead of the first list
         self.discovery.start(self.config.known)
-        self.budget.start(self.frontend, self.upstreams, self.body_memory)
-        self.siblings.watch()
+        self.limits.start(self.frontend, self.upstreams, self.body_memory)
+        self.registry.watch()
         if admin_socket is not None:
             await self.admin_api.start(admin_socket)
 
@@ -109,7 +109,7 @@
         config = self.config
         if config.peer_listen is not None and config.settings.limits.peers:
             _, self.driver.peers = await asyncio.get_running_loop().create_datagram_endpoint(
-                lambda: Peers(self.driver, config.peers, config.peers_all),
+                lambda: GossipProtocol(self.driver, config.peers, config.peers_all),
                 local_addr=config.peer_listen,
             )
 
@@ -130,10 +130,10 @@
 
     async def accept_clients(self) -> None:
         """Start the clients' side, once it can take over from another process."""
-        if not self.siblings.alone:
+        if not self.registry.alone:
             # Clients are dealt to this process from its first turn on: it begins once it can serve,
             # and once the other one leaves it its share of the descriptors.
-            await self.siblings.agreed(lambda note: note.shares, TAKE_OVER_S)
+            await self.registry.agreed(lambda note: note.keeps_share, TAKE_OVER_S)
             await self.driver.can_serve(TAKE_OVER_S)
         self.frontend.start()
         gc.collect()
@@ -158,7 +158,7 @@
         self.admin_api.close()
         self.discovery.close()
         self.upstreams.close()
-        self.siblings.close()
+        self.registry.close()
 
 
 async def serve(
--- a/loadbalancer/proxy/request_head.py
+++ b/loadbalancer/proxy/request_head.py
@@ -1,4 +1,4 @@
-"""What the head of a client's request says, checked: the terms on which it is taken."""
+"""Checks the head of a client's request, and reads the terms on which it is accepted."""
 
 from __future__ import annotations
 
@@ -10,12 +10,19 @@
 from loadbalancer.proxy.messages import Request, UnacceptableMessageError
 
 MAX_ID = 128  # bytes of a request's id: it is a key of tables and stands in the log
-MS, US = 1_000_000, 1_000
+MAX_DIGITS = 15
+MILLISECOND = 1_000_000
+MICROSECOND = 1_000
+KEY_FIELD = "obj="
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Times in nanoseconds. `wait_ns`: how long its client waits, counted from its last byte."""
+    """What a head says.
+
+    Attributes:
+        wait_ns: How long its client waits, counted from the request's last byte.
+    """
 
     request: str
     class_name: str
@@ -27,7 +34,16 @@
 
 
 def read_terms(head: Request, settings: api.Settings, open_requests: Container[str]) -> Terms:
-    """Raises UnacceptableMessageError where it can't be taken so."""
+    """Read a head.
+
+    Args:
+        head: The request.
+        settings: Name the classes.
+        open_requests: Ids that are taken.
+
+    Raises:
+        UnacceptableMessageError: It can't be accepted.
+    """
     headers = dict(head.headers)
     path, _, query = head.target.decode("latin-1").partition("?")
     class_name = _class_of(path, headers, settings)
@@ -41,14 +57,16 @@
         raise UnacceptableMessageError(409, "a request with this X-Request-Id is open")
     # Nobody waits longer than the class allows, whatever the header says: SIGTERM counts on it.
     longest_ns = settings.classes[class_name].deadline_ns
-    wait_ns = min(longest_ns, _whole_number(headers, b"x-deadline-ms", longest_ns // MS) * MS)
+    wait_ns = min(
+        longest_ns, _number(headers, b"x-deadline-ms", longest_ns // MILLISECOND) * MILLISECOND
+    )
     return Terms(
         request,
         class_name,
         headers.get(b"x-tenant", b"").decode("latin-1"),
         wait_ns,
-        _whole_number(headers, b"x-cost-hint", 0) * US,
-        key_of(query) if "obj=" in query else "",
+        _number(headers, b"x-cost-hint", 0) * MICROSECOND,
+        key_of(query) if KEY_FIELD in query else "",
         headers.get(b"x-retry") == b"1",
     )
 
@@ -64,28 +82,27 @@
 
 
 def _check_method(head: Request, cls: api.RequestClass) -> None:
-    safe = cls.effect is api.Effect.IDEMPOTENT
-    if head.method not in ((b"GET", b"HEAD") if safe else (b"POST",)):
-        raise UnacceptableMessageError(
-            405, f"{'GET' if safe else 'POST'} is the method of this class"
-        )
-    if safe and (head.body or head.stream is not None):
+    is_idempotent = cls.effect is api.Effect.IDEMPOTENT
+    if head.method not in ((b"GET", b"HEAD") if is_idempotent else (b"POST",)):
+        method = "GET" if is_idempotent else "POST"
+        raise UnacceptableMessageError(405, f"{method} is the method of this class")
+    if is_idempotent and (head.body or head.stream is not None):
         raise UnacceptableMessageError(400, "a GET has no body")
 
 
 def key_of(query: str) -> str:
     """The first `obj` of a query that is not empty, decoded."""
-    for part in query.split("&"):
-        if part.startswith("obj=") and len(part) > 4:
-            value = part[4:]
+    for field in query.split("&"):
+        value = field.removeprefix(KEY_FIELD)
+        if field.startswith(KEY_FIELD) and value:
             return unquote_plus(value) if "%" in value or "+" in value else value
     return ""
 
 
-def _whole_number(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
+def _number(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
     text = headers.get(name)
     if text is None:
         return default
-    if not text.isdigit() or len(text) > 15:
+    if not text.isdigit() or len(text) > MAX_DIGITS:
         raise UnacceptableMessageError(400, f"{name.decode()} is not a whole number")
     return int(text)
--- a/loadbalancer/proxy/resource_limits.py
+++ b/loadbalancer/proxy/resource_limits.py
@@ -1,6 +1,6 @@
-"""The descriptors and the memory that the configuration allows, and who may hold how much.
+"""The descriptors and the memory that the configuration allows, divided among their users.
 
-The limits count all processes of a balancer together: while there are two, each makes do with half.
+The limits count all processes of a balancer together: while there are two, each keeps to half.
 """
 
 from __future__ import annotations
@@ -9,75 +9,111 @@
 from typing import Protocol
 
 from loadbalancer.proxy.body_stream import BodyMemory
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 
 # Descriptors kept for the listener, discovery (an old and a new one), peers, the configuration and
 # the interpreter, and for sockets that were closed on this turn of the loop and still count.
 RESERVE = 32
-SECOND_RESERVE = 14  # of these a second process needs its own, less what only a crowded turn takes
-# MB that a process takes before it holds any body, with its connections and requests; and of the
-# rest, the part that bodies in pieces may hold: as much again lies in buffers to be written, and
+# Of these a second process needs its own, less what only a turn under load takes.
+SECOND_RESERVE = 14
+PROCESS_MB = 24  # of a process without bodies, with its connections and requests
+# Of the remaining memory, for bodies in pieces: as much again lies in buffers to be written, and
 # memory is not given back at once.
-PROCESS_MB, BODIES_PART = 24, 0.25
-LEAST_BODIES = 1024 * 1024  # below that they would crawl
-CLIENTS_PART = (
-    0.55  # of the others. Of a third of all, a client has a request open, with one attempt out
-)
+BODIES_FRACTION = 0.25
+MIN_BODIES_BYTES = 1024 * 1024  # below that bodies would crawl
+# Of the remaining descriptors. Of a third of all, a client has a request open, with one attempt
+# out.
+CLIENTS_FRACTION = 0.55
+MIN_SPARE = 2
+BYTES_PER_MB = 1024 * 1024
 
 
-class Holder(Protocol):
-    """Whoever opens connections under a cap."""
+class ConnectionHolder(Protocol):
+    """A part that opens connections under a cap."""
 
-    def allow(self, connections: int) -> None: ...
+    def allow(self, connections: int) -> None:
+        """Set the cap."""
 
     @property
-    def held(self) -> int: ...
+    def held(self) -> int:
+        """Connections that are open."""
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class Shares:
+    """What one process may use.
+
+    Attributes:
+        clients: Connections of clients.
+        upstreams: Connections to upstreams.
+        bodies: Bytes of bodies in pieces.
+    """
+
     clients: int
     upstreams: int
-    bodies: int  # bytes
-
-
-def part_of(sockets: int, memory_mb: int, door: int, processes: int) -> Part:
-    """What one of so many processes may hold; `door` are those kept for the operators."""
-    spare = max(
-        2, (sockets - RESERVE - processes * door - (processes - 1) * SECOND_RESERVE) // processes
-    )
-    clients = max(1, int(spare * CLIENTS_PART))
-    bodies = int((memory_mb / processes - PROCESS_MB) * BODIES_PART * 1024 * 1024)
-    return Part(clients, spare - clients, max(LEAST_BODIES, bodies))
-
-
-class Budget:
-    def __init__(self, sockets: int, memory_mb: int, door: int, siblings: Siblings) -> None:
-        self.sockets = sockets
-        self.memory_mb = memory_mb
-        self.door = door
-        self.siblings = siblings
-        self.clients: Holder | None = None
-        self.upstreams: Holder | None = None
+    bodies: int
+
+
+@dataclass(frozen=True, slots=True)
+class ResourceLimits:
+    """What the processes of one balancer may use together.
+
+    Attributes:
+        admin_descriptors: Descriptors that each process keeps for the admin API.
+    """
+
+    sockets: int
+    memory_mb: int
+    admin_descriptors: int
+
+    def shares(self, processes: int) -> Shares:
+        """Divide the limits among so many processes."""
+        reserved = RESERVE + processes * self.admin_descriptors + (processes - 1) * SECOND_RESERVE
+        spare = max(MIN_SPARE, (self.sockets - reserved) // processes)
+        clients = max(1, int(spare * CLIENTS_FRACTION))
+        bodies_mb = (self.memory_mb / processes - PROCESS_MB) * BODIES_FRACTION
+        bodies = int(bodies_mb * BYTES_PER_MB)
+        return Shares(clients, spare - clients, max(MIN_BODIES_BYTES, bodies))
+
+
+class LimitEnforcer:
+    """Applies the shares of this process, anew whenever a process starts or ends.
+
+    Attributes:
+        shares: What this process may use now.
+    """
+
+    def __init__(self, limits: ResourceLimits, registry: ProcessRegistry) -> None:
+        self.limits = limits
+        self.registry = registry
+        self.clients: ConnectionHolder | None = None
+        self.upstreams: ConnectionHolder | None = None
         self.memory: BodyMemory | None = None
-        self.part = self._now()
-
-    def _now(self) -> Part:
-        return part_of(self.sockets, self.memory_mb, self.door, 1 if self.siblings.alone else 2)
-
-    def start(self, clients: Holder, upstreams: Holder, memory: BodyMemory) -> None:
-        self.clients, self.upstreams, self.memory = clients, upstreams, memory
-        self.siblings.changed.append(self.look)
-
-    def look(self) -> None:
-        """A process came or went: share out anew, and say so once what is held fits."""
-        assert self.clients is not None and self.upstreams is not None and self.memory is not None
-        part = self._now()
-        if part != self.part:
-            self.part = part
-            self.clients.allow(part.clients)
-            self.upstreams.allow(part.upstreams)
-            self.memory.limit = part.bodies
-        fits = self.clients.held <= part.clients and self.upstreams.held <= part.upstreams
-        siblings = self.siblings
-        siblings.publish(replace(siblings.note, shares=not siblings.alone and fits))
+        self.shares = self._current_shares()
+
+    def _current_shares(self) -> Shares:
+        return self.limits.shares(1 if self.registry.alone else 2)
+
+    def start(
+        self, clients: ConnectionHolder, upstreams: ConnectionHolder, memory: BodyMemory
+    ) -> None:
+        """Begin to enforce the shares on these."""
+        self.clients = clients
+        self.upstreams = upstreams
+        self.memory = memory
+        self.registry.on_check(self.check)
+
+    def check(self) -> None:
+        """Apply changed shares, and publish once what is in use fits."""
+        assert self.clients is not None
+        assert self.upstreams is not None
+        assert self.memory is not None
+        shares = self._current_shares()
+        if shares != self.shares:
+            self.shares = shares
+            self.clients.allow(shares.clients)
+            self.upstreams.allow(shares.upstreams)
+            self.memory.limit = shares.bodies
+        fits = self.clients.held <= shares.clients and self.upstreams.held <= shares.upstreams
+        registry = self.registry
+        registry.publish(replace(registry.note, keeps_share=not registry.alone and fits))
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -15,7 +15,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.process import Parts
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
@@ -106,7 +106,10 @@
     """What a keeper is made beside."""
     driver = cast(Any, StillDriver(balancers))
     return Parts(
-        cast(Any, None), driver, DisabledUpstreams(None, name, Siblings(None), driver), lambda: None
+        cast(Any, None),
+        driver,
+        DisabledUpstreams(None, name, ProcessRegistry(None), driver),
+        lambda: None,
     )
 
 
--- a/loadbalancer/testbed/soak/checker.py
+++ b/loadbalancer/testbed/soak/checker.py
@@ -38,11 +38,11 @@
 BAD_LOG = ("Traceback", "ERROR", "never retrieved", "violation")
 # What operators are told in so many words, and is no defect.
 FORESEEN = (
-    "accept:",
+    "accept failed:",
     "not saved",
     "endpoint list used although stale",
     "can't be read",
-    "not told of this one yet",
+    "process note not written",
 )
 
 
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -43,7 +43,7 @@
 from loadbalancer.proxy.discovery import Discovery
 from loadbalancer.proxy.endpoint_list import read_endpoint
 from loadbalancer.proxy.process import Parts
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.proxy.upstream import Endpoint, number_of
 from loadbalancer.settings import Json, MalformedError
 from loadbalancer.store import run as running
@@ -237,7 +237,7 @@
         address = discovery.address if discovery is not None else ("127.0.0.1", free_port())
         self.discovery = Discovery(cast(Any, self.driver), address, 1)
         self.driver.discovery = cast(Any, self.discovery)
-        disabled = DisabledUpstreams(None, name, Siblings(None), cast(Any, self.driver))
+        disabled = DisabledUpstreams(None, name, ProcessRegistry(None), cast(Any, self.driver))
         parts = Parts(cast(Any, None), cast(Any, self.driver), disabled, lambda: None)
         options = StateSyncOptions(
             "orders",
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -24,7 +24,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.process import Parts
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
@@ -98,7 +98,7 @@
 class SiteBalancer:
     def __init__(self, c: Cluster, name: str, zone: str) -> None:
         self.driver = SiteDriver(zone)
-        disabled = DisabledUpstreams(None, name, Siblings(None), self.driver)
+        disabled = DisabledUpstreams(None, name, ProcessRegistry(None), self.driver)
         parts = Parts(cast(Any, None), cast(Any, self.driver), disabled, lambda: None)
         self.state_sync = StateSync(
             c.client(), parts, StateSyncOptions("orders", name, lease_s=0.6, has_site_failover=True)
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -22,7 +22,7 @@
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.process import Parts
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.documents import DocumentChange
@@ -186,7 +186,7 @@
 
     def __init__(self, c: Cluster, name: str) -> None:
         self.driver = FakeDriver()
-        self.disabled = DisabledUpstreams(None, name, Siblings(None), self.driver)
+        self.disabled = DisabledUpstreams(None, name, ProcessRegistry(None), self.driver)
         parts = Parts(cast(Any, None), cast(Any, self.driver), self.disabled, lambda: None)
         self.state_sync = StateSync(c.client(), parts, StateSyncOptions("orders", name))
         self.state_sync.start()
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -14,10 +14,10 @@
 
 from loadbalancer.policy import api
 from loadbalancer.proxy import admin_api
-from loadbalancer.proxy.admin_api import CONNECTIONS, No
+from loadbalancer.proxy.admin_api import MAX_CALLS, CallDeclinedError
 from loadbalancer.proxy.disabled_upstreams import FILE, DisabledUpstreams
 from loadbalancer.proxy.listener import listening_socket
-from loadbalancer.proxy.process_handover import Note, Siblings
+from loadbalancer.proxy.process_handover import ProcessNote, ProcessRegistry
 from tests.fakes import Client, Heard, Message, World, run, world
 
 Address = tuple[str, int]
@@ -87,11 +87,11 @@
 
 
 def test_silent_callers_hold_up_nobody_and_get_an_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin_api, "WHOLE_S", 0.3)
+    monkeypatch.setattr(admin_api, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         async with door_world() as (_, door):
-            silent = [await Client.to(door) for _ in range(3 * CONNECTIONS)]
+            silent = [await Client.to(door) for _ in range(3 * MAX_CALLS)]
             assert (await call(door, "/-/ready", "GET")).status == 200
             for client in silent:
                 await client.ended()
@@ -151,8 +151,8 @@
         self.bans.append((name, on))
 
 
-def owner(folder: Path, name: str = "n3") -> tuple[DisabledUpstreams, Told, Siblings]:
-    told, siblings = Told(), Siblings(folder)
+def owner(folder: Path, name: str = "n3") -> tuple[DisabledUpstreams, Told, ProcessRegistry]:
+    told, siblings = Told(), ProcessRegistry(folder)
     disabled = DisabledUpstreams(folder, name, siblings, told)
     disabled.start()
     return disabled, told, siblings
@@ -173,10 +173,10 @@
             and ("s-1", False) in old_told.bans
             and ("s-1", False) in new_told.bans
         )
-        with pytest.raises(No):
+        with pytest.raises(CallDeclinedError):
             await new.disable("unheard-of")
         old_note.close()
-        new_note.look()
+        new_note.check()
         assert new_note.alone
         await new.enable("s-2")
         new_note.close()
@@ -186,12 +186,12 @@
 
 def test_a_process_that_does_not_confirm_is_no_yes(tmp_path: Path) -> None:
     async def test() -> None:
-        asleep = Siblings(tmp_path)  # it never looks
+        asleep = ProcessRegistry(tmp_path)  # it never looks
         disabled, told, note = owner(tmp_path)
-        with pytest.raises(No):
+        with pytest.raises(CallDeclinedError):
             await disabled.disable("s-1")
         assert told.bans == [("s-1", True)]  # it holds here all the same
-        asleep.publish(Note(obeys=disabled.version))
+        asleep.publish(ProcessNote(applied_version=disabled.version))
         await disabled.disable("s-1")
         asleep.close()
         note.close()
@@ -218,7 +218,7 @@
     async def test() -> None:
         (tmp_path / FILE).write_text(text)
         disabled, told, note = owner(tmp_path)
-        assert not told.bans and "left aside" in caplog.text
+        assert not told.bans and "file of disabled upstreams ignored" in caplog.text
         await disabled.disable("s-2")  # a call puts a good one in its place
         assert json.loads((tmp_path / FILE).read_text())["disabled"] == ["s-2"]
         # Whoever knows the set puts it back.
@@ -237,7 +237,7 @@
     async def test() -> None:
         disabled, told, note = owner(tmp_path)
         (tmp_path / FILE).mkdir()
-        with pytest.raises(No):
+        with pytest.raises(CallDeclinedError):
             await disabled.disable("s-1")
         assert told.bans == [("s-1", True)]
         note.close()
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -36,7 +36,7 @@
 from loadbalancer.proxy.endpoint_list import read_endpoint
 from loadbalancer.proxy.frontend import Frontend
 from loadbalancer.proxy.messages import message
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.proxy.upstream import Timing, Upstreams, number_of
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
@@ -561,9 +561,9 @@
     """The other one looked in between, removed the file, and each thought itself alone from then
     on.
     """
-    first = Siblings(tmp_path)
+    first = ProcessRegistry(tmp_path)
     lock = fcntl.flock
-    looks = [first.look]
+    looks = [first.check]
 
     def cross(file: Any, how: int) -> None:
         if how == fcntl.LOCK_EX and looks:
@@ -571,11 +571,11 @@
         lock(file, how)
 
     monkeypatch.setattr(fcntl, "flock", cross)
-    second = Siblings(tmp_path)
-    first.look()
+    second = ProcessRegistry(tmp_path)
+    first.check()
     assert not looks and len(first.others) == len(second.others) == 1
     second.close()
-    first.look()
+    first.check()
     assert first.alone
     first.close()
 
--- a/tests/proxy/test_state_folder.py
+++ b/tests/proxy/test_state_folder.py
@@ -18,9 +18,9 @@
 import pytest
 
 from loadbalancer.daemon import settings_sync
-from loadbalancer.proxy.admin_api import No
+from loadbalancer.proxy.admin_api import CallDeclinedError
 from loadbalancer.proxy.disabled_upstreams import FILE
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from tests.fakes import run
 from tests.proxy.test_admin_api import owner
 
@@ -57,7 +57,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(tempfile, "mkstemp", failing(ENOSPC))
             for _ in range(2):
-                with pytest.raises(No):
+                with pytest.raises(CallDeclinedError):
                     await disabled.disable("s-1")
         assert told.bans == [("s-0", True), ("s-1", True)]  # it holds here all the same
         await disabled.disable("s-1")
@@ -77,7 +77,7 @@
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
             patch.setattr(tempfile, "mkstemp", failing(ENOSPC))
-            with pytest.raises(No):
+            with pytest.raises(CallDeclinedError):
                 await disabled.disable("s-1")
             other, _, others = owner(tmp_path)
             others.close()
@@ -97,16 +97,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        first = Siblings(tmp_path)
+        first = ProcessRegistry(tmp_path)
         with monkeypatch.context() as patch:
             patch.setattr(tempfile, "mkstemp", failing(ENOSPC))
-            second = Siblings(tmp_path)
+            second = ProcessRegistry(tmp_path)
             assert len(second.others) == 1  # it sees who is there all the same
         second.watch()
 
         def look() -> None:
-            first.look()
-            second.look()
+            first.check()
+            second.check()
 
         until(lambda: len(first.others) == len(second.others) == 1, look)
         second.close()
@@ -163,9 +163,9 @@
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
             patch.setattr(*CALLS[call], failing(error))
-            with pytest.raises(No):
+            with pytest.raises(CallDeclinedError):
                 await disabled.disable("s-1")
-            with pytest.raises(No):  # an enable that can't be saved is none
+            with pytest.raises(CallDeclinedError):  # an enable that can't be saved is none
                 await disabled.enable("s-0")
         assert saved(tmp_path) == ["s-0"] and told.bans[:2] == [("s-0", True), ("s-1", True)]
         await disabled.disable("s-1")
@@ -188,8 +188,8 @@
         disabled, _, note = owner(tmp_path)
         await disabled.disable("s-0")
         assert saved(tmp_path) == ["s-0"]
-        note.look()
-        other = Siblings(tmp_path)
+        note.check()
+        other = ProcessRegistry(tmp_path)
         assert other.others == [note.note]
         other.close()
         note.close()
@@ -232,13 +232,13 @@
 def test_a_process_out_of_descriptors_does_not_take_the_other_for_gone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    first, second = Siblings(tmp_path), Siblings(tmp_path)
+    first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     with monkeypatch.context() as patch:
         patch.setattr(builtins, "open", failing(OSError(errno.EMFILE, "Too many open files")))
-        second.look()
+        second.check()
         assert not second.alone
     first.close()
-    second.look()
+    second.check()
     assert second.alone
     second.close()
 
