--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -207,9 +207,9 @@
 
     @property
     def _leases(self) -> list[LeaseClient]:
-        leases = [self.name_lease, self.list_lease, self.rolling_restart.owner]
+        leases = [self.name_lease, self.list_lease, self.rolling_restart.lease]
         if self.site_controller is not None:
-            leases.append(self.site_controller.owner)
+            leases.append(self.site_controller.lease)
         return leases
 
     def _on_list_lease_acquired(self, token: int) -> None:
@@ -225,7 +225,7 @@
         is_own = lease.claim == self.name_lease.holder.claim
         if not lease.is_held or is_own or self.has_logged_name_conflict:
             return
-        if self.parts.disabled.siblings.alone:
+        if self.parts.disabled.registry.alone:
             self.has_logged_name_conflict = True
             log.warning(
                 "balancer name belongs to another process, learned state is not saved: "
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -15,7 +15,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.process import Parts
-from loadbalancer.proxy.process_handover import Siblings
+from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.proxy.upstream import Endpoint
 from loadbalancer.store import documents
 from loadbalancer.store.client import Client
@@ -66,10 +66,10 @@
             targets={e.entry.id: SimpleNamespace(endpoint=e) for e in boxes}, probe=self.probe
         )
         self.balancer = SimpleNamespace(
-            learnt=lambda: LEARNT,
+            learned_state=lambda: LEARNT,
             requests={},
             concurrency=SimpleNamespace(service_times=dict(LEARNT.service_times)),
-            rate=SimpleNamespace(sent=86.0, served=86.0),
+            rate_controller=SimpleNamespace(finished_per_s=86.0, served_per_s=86.0),
         )
 
     def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
@@ -106,7 +106,10 @@
     """What a keeper is made beside."""
     driver = cast(Any, StillDriver(balancers))
     return Parts(
-        cast(Any, None), driver, DisabledUpstreams(None, name, Siblings(None), driver), lambda: None
+        cast(Any, None),
+        driver,
+        DisabledUpstreams(None, name, ProcessRegistry(None), driver),
+        lambda: None,
     )
 
 
