--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -282,7 +282,7 @@
     """
     age = age_s(saved_at_s)
     is_recent = age is None or age < MAX_CACHED_LIST_AGE_S
-    if not is_recent or driver.told.is_set() or driver.upstreams.targets:
+    if not is_recent or driver.list_received.is_set() or driver.upstreams.targets:
         return False
     driver.learn(api.EndpointListKind.CACHED, endpoints)
     return True
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -64,7 +64,7 @@
         self.plan = SitePlanDocument()
         self.heartbeat = 0
         self.is_following_plan = False
-        driver.tap = self._on_events
+        driver.event_listener = self._on_events
 
     # ---- observation -----------------------------------------------------------------------------
 
--- a/loadbalancer/proxy/admin_api.py
+++ b/loadbalancer/proxy/admin_api.py
@@ -25,7 +25,7 @@
 # Calls that are open at a time; descriptors are kept for them. Each takes milliseconds.
 MAX_CALLS = 12
 # Connections that asyncio accepts on one turn of the loop: it may hold so many over the cap.
-ACCEPTED_PER_TURN = 4
+ACCEPT_BATCH = 4
 BACKLOG = 128  # connections that the kernel queues meanwhile
 # A call must be complete this long after it connected. At the cap the oldest is closed sooner.
 CALL_TIMEOUT_S = 2.0
@@ -73,7 +73,7 @@
     async def start(self, listener: socket.socket) -> None:
         """Accept calls: few at a time, and many may wait."""
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: Call(self), sock=listener, backlog=ACCEPTED_PER_TURN
+            lambda: Call(self), sock=listener, backlog=ACCEPT_BATCH
         )
         listener.listen(BACKLOG)
 
--- a/loadbalancer/proxy/disabled_upstreams.py
+++ b/loadbalancer/proxy/disabled_upstreams.py
@@ -43,10 +43,10 @@
 class Upstreams(Protocol):
     """What applies the set."""
 
-    def listed(self, name: str) -> bool:
+    def was_listed(self, name: str) -> bool:
         """Whether any endpoint list has ever named this upstream."""
 
-    def ban(self, name: str, on: bool) -> None:
+    def set_disabled(self, name: str, is_disabled: bool) -> None:
         """Disable an upstream, or enable it again."""
 
 
@@ -127,7 +127,7 @@
         await self._change(name, False)
 
     async def _change(self, name: str, is_disabled: bool) -> None:
-        if name not in self.names and not self.upstreams.listed(name):
+        if name not in self.names and not self.upstreams.was_listed(name):
             raise CallDeclinedError(HTTPStatus.NOT_FOUND, f"no upstream {name} was ever listed")
         async with self._change_lock:
             if self.folder is None:
@@ -331,10 +331,10 @@
         names = _with_changes(self.saved, self.pending)
         for name in sorted(names - self.names):
             log.info("upstream disabled: upstream=%s", name)
-            self.upstreams.ban(name, True)
+            self.upstreams.set_disabled(name, True)
         for name in sorted(self.names - names):
             log.info("upstream enabled: upstream=%s", name)
-            self.upstreams.ban(name, False)
+            self.upstreams.set_disabled(name, False)
         self.names = names
 
 
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -69,8 +69,8 @@
 
     Attributes:
         table: The open requests.
-        told: Set when an endpoint list came.
-        tap: Called with the events of each turn, behind the policy.
+        list_received: Set when an endpoint list came.
+        event_listener: Called with the events of each turn, behind the policy.
     """
 
     def __init__(self, settings: api.Settings, seed: int, upstreams: Upstreams) -> None:
@@ -84,8 +84,8 @@
         self.starts = StartTimes()
         self.waiting: list[api.Event] = []
         self.table = RequestTable(settings.limits.max_open, self.post)
-        self.told = asyncio.Event()
-        self.tap: Callable[[int, Sequence[api.Event]], None] | None = None
+        self.list_received = asyncio.Event()
+        self.event_listener: Callable[[int, Sequence[api.Event]], None] | None = None
 
     @property
     def ready(self) -> bool:
@@ -161,7 +161,7 @@
             if kind is not api.EndpointListKind.CACHED:
                 self.starts.list_received(now_ns)
             self.upstreams.learn(endpoints, full=kind is not api.EndpointListKind.DELTA)
-            self.told.set()
+            self.list_received.set()
         self.post(api.EndpointsUpdated(kind, [e.entry for e in endpoints]))
 
     def trust(self, on: bool) -> None:
@@ -180,26 +180,26 @@
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 while not self.ready:
-                    self.told.clear()
-                    await self.told.wait()
+                    self.list_received.clear()
+                    await self.list_received.wait()
         return self.ready
 
-    def listed(self, name: str) -> bool:
+    def was_listed(self, name: str) -> bool:
         """Whether any list has ever named this upstream."""
-        return number_of(name) in self.upstreams.listed
+        return number_of(name) in self.upstreams.known_numbers
 
-    def ban(self, name: str, on: bool) -> None:
+    def set_disabled(self, name: str, is_disabled: bool) -> None:
         """Disable an upstream for operators, or enable it again."""
-        self.upstreams.ban(number_of(name), on)
-        self.post(api.UpstreamDisabled(number_of(name), on))
+        self.upstreams.set_disabled(number_of(name), is_disabled)
+        self.post(api.UpstreamDisabled(number_of(name), is_disabled))
 
     def _hand_over(self) -> None:
         events = self.waiting
         self.waiting = []
         now = time.monotonic_ns()
         actions = self._decide(now, events)
-        if self.tap is not None:
-            self.tap(now, events)
+        if self.event_listener is not None:
+            self.event_listener(now, events)
         for action in actions:
             try:
                 self._carry_out(action, now)
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from loadbalancer.proxy.admin_api import ACCEPTED_PER_TURN, MAX_CALLS, AdminApi
+from loadbalancer.proxy.admin_api import ACCEPT_BATCH, MAX_CALLS, AdminApi
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.configuration import Config, read_config
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
@@ -29,7 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-ADMIN_DESCRIPTORS = MAX_CALLS + ACCEPTED_PER_TURN + 1  # kept for the admin API
+ADMIN_DESCRIPTORS = MAX_CALLS + ACCEPT_BATCH + 1  # kept for the admin API
 LEAVE_S = 0.1  # beyond the time of the last answer, for its way out
 # A process that takes over waits so long for the first list, and for the other to free capacity:
 # it has to accept clients within 6 s.
@@ -133,7 +133,7 @@
         if not self.registry.alone:
             # Clients are dealt to this process from its first turn on: it begins once it can serve,
             # and once the other one leaves it its share of the descriptors.
-            await self.registry.agreed(lambda note: note.keeps_share, TAKE_OVER_S)
+            await self.registry.agreed(lambda note: note.is_within_share, TAKE_OVER_S)
             await self.driver.can_serve(TAKE_OVER_S)
         self.frontend.start()
         gc.collect()
--- a/loadbalancer/proxy/process_handover.py
+++ b/loadbalancer/proxy/process_handover.py
@@ -35,15 +35,15 @@
 
     Attributes:
         applied_version: The version of the set of disabled upstreams that it applies.
-        keeps_share: It keeps to its share of the limits.
+        is_within_share: It keeps to its share of the limits.
     """
 
     applied_version: int = 0
-    keeps_share: bool = False
+    is_within_share: bool = False
 
     def pack(self) -> bytes:
         """Encode it."""
-        return f"{self.applied_version} {int(self.keeps_share)}\n".encode().ljust(NOTE_SIZE)
+        return f"{self.applied_version} {int(self.is_within_share)}\n".encode().ljust(NOTE_SIZE)
 
     @classmethod
     def unpack(cls, data: bytes) -> ProcessNote:
--- a/loadbalancer/proxy/resource_limits.py
+++ b/loadbalancer/proxy/resource_limits.py
@@ -116,4 +116,4 @@
             self.memory.limit = shares.bodies
         fits = self.clients.held <= shares.clients and self.upstreams.held <= shares.upstreams
         registry = self.registry
-        registry.publish(replace(registry.note, keeps_share=not registry.alone and fits))
+        registry.publish(replace(registry.note, is_within_share=not registry.alone and fits))
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -31,7 +31,7 @@
     "read_report",
 ]
 
-MAX_LISTED = 10_000  # ids of upstreams that are remembered; in time they are ever new
+MAX_KNOWN_NUMBERS = 10_000  # ids of upstreams that are remembered; in time they are ever new
 LOAD_PATH = b"/status/load"
 HEALTH_PATH = b"/health"
 Done = Callable[[api.AttemptResult, Response | None, Report], None]
@@ -68,8 +68,8 @@
 
     Attributes:
         targets: The listed upstreams by number.
-        banned: Upstreams that operators disabled: nothing starts there.
-        listed: Every upstream that a list has named, the newest last.
+        disabled: Upstreams that operators disabled: nothing starts there.
+        known_numbers: Every upstream that a list has named, the newest last.
     """
 
     def __init__(
@@ -84,8 +84,8 @@
         self.columns = frozenset(columns)
         self.health_path = LOAD_PATH if columns else HEALTH_PATH
         self.targets: dict[int, Target] = {}
-        self.banned: set[int] = set()
-        self.listed: dict[int, None] = {}
+        self.disabled: set[int] = set()
+        self.known_numbers: dict[int, None] = {}
 
     # ---- the list --------------------------------------------------------------------------------
 
@@ -121,26 +121,26 @@
         """Note whether the list is recent enough for attempts to start."""
         self.pool.trusted = trusted
 
-    def ban(self, number: int, on: bool) -> None:
+    def set_disabled(self, number: int, is_disabled: bool) -> None:
         """Disable an upstream, or enable it again."""
-        if on:
-            self.banned.add(number)
+        if is_disabled:
+            self.disabled.add(number)
         else:
-            self.banned.discard(number)
+            self.disabled.discard(number)
         target = self.targets.get(number)
         if target is not None:
             self._update_keep(target)
 
     def _remember(self, number: int) -> None:
-        if number not in self.listed:
-            self.listed[number] = None
-            if len(self.listed) > MAX_LISTED:
-                del self.listed[next(iter(self.listed))]
+        if number not in self.known_numbers:
+            self.known_numbers[number] = None
+            if len(self.known_numbers) > MAX_KNOWN_NUMBERS:
+                del self.known_numbers[next(iter(self.known_numbers))]
 
     def _update_keep(self, target: Target) -> None:
         """Decide whether connections to it are kept from now on."""
         entry = target.endpoint.entry
-        target.keep = entry.state is api.UpstreamState.READY and entry.id not in self.banned
+        target.keep = entry.state is api.UpstreamState.READY and entry.id not in self.disabled
         if not target.keep:
             self.pool.drop_idle(target)
 
@@ -180,7 +180,7 @@
             The exchange; None where there is no such upstream, or operators disabled it.
         """
         target = self.targets.get(number)
-        if target is None or number in self.banned:
+        if target is None or number in self.disabled:
             return None
 
         def ended(result: api.AttemptResult, response: Response | None) -> None:
@@ -200,7 +200,7 @@
     def probe(self, number: int, done: Callable[[api.AttemptResult, Report], None]) -> bool:
         """Start a health check; False where there is no such upstream, or it is disabled."""
         target = self.targets.get(number)
-        if target is None or number in self.banned:
+        if target is None or number in self.disabled:
             return False
         host = f"{target.endpoint.host}:{target.endpoint.port}".encode()
 
--- a/loadbalancer/sim_adapter.py
+++ b/loadbalancer/sim_adapter.py
@@ -186,8 +186,8 @@
             raise MalformedError(f"not JSON: {error}") from None
         if not isinstance(batch, dict):
             raise MalformedError("a batch must be an object")
-        now = _whole_number(batch, "sim_time_ns")
-        number = _whole_number(batch, "round")
+        now = _integer(batch, "sim_time_ns")
+        number = _integer(batch, "round")
         happened = batch.get("happened")
         if not isinstance(happened, list):
             raise MalformedError("batch without the array happened")
@@ -249,7 +249,7 @@
             commands.append(_fault(number, error))
 
 
-def _whole_number(batch: Json, key: str) -> int:
+def _integer(batch: Json, key: str) -> int:
     value = batch.get(key)
     if not isinstance(value, int) or isinstance(value, bool):
         raise MalformedError(f"batch without a whole-number {key}")
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -48,7 +48,7 @@
     """What a keeper needs of a driver, of a balancer that holds a list and serves nothing."""
 
     def __init__(self, balancers: int) -> None:
-        self.told = asyncio.Event()
+        self.list_received = asyncio.Event()
         self.settings = api.Settings(
             zone="a",
             classes={"q": api.RequestClass("q")},
@@ -56,7 +56,7 @@
             instance_count=balancers,
         )
         self.discovery = None
-        self.tap: Callable[[int, Sequence[api.Event]], None] = lambda now, events: None
+        self.event_listener: Callable[[int, Sequence[api.Event]], None] = lambda now, events: None
         self.requests: dict[str, Any] = {}
         boxes = [
             Endpoint(api.Upstream(n, api.UpstreamState.READY, "a"), "127.0.0.1", 9000 + n)
@@ -78,10 +78,10 @@
     def post(self, event: api.Event) -> None:
         pass
 
-    def listed(self, name: str) -> bool:
+    def was_listed(self, name: str) -> bool:
         return True
 
-    def ban(self, name: str, on: bool) -> None:
+    def set_disabled(self, name: str, is_disabled: bool) -> None:
         pass
 
     def probe(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -217,7 +217,7 @@
                 for n, t in targets.items()
                 if t.endpoint.entry.state is not api.UpstreamState.REMOVED
             }
-            self.told.set()
+            self.list_received.set()
         self.poke()
 
 
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -56,7 +56,7 @@
         self.settings = api.Settings(
             zone=zone, classes=CLASSES, instance_count=2, tenants={"t": api.Tenant("t", 1.0, 80.0)}
         )
-        self.tap: Callable[[int, list[api.Event]], None] = lambda now, events: None
+        self.event_listener: Callable[[int, list[api.Event]], None] = lambda now, events: None
         self.requests: dict[str, Any] = {}
         self.gone: set[int] = set()
         self.upstreams = SimpleNamespace(
@@ -85,7 +85,7 @@
             result = (
                 api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK
             )
-            self.tap(
+            self.event_listener(
                 now,
                 [
                     arrival,
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -152,7 +152,7 @@
     """What a state sync needs of a driver."""
 
     def __init__(self) -> None:
-        self.told = asyncio.Event()
+        self.list_received = asyncio.Event()
         self.settings = api.Settings()
         self.discovery = None
         self.upstreams = SimpleNamespace(targets={})
@@ -174,11 +174,11 @@
     def post(self, event: api.Event) -> None:
         self.posted.append(event)
 
-    def listed(self, name: str) -> bool:
+    def was_listed(self, name: str) -> bool:
         return True
 
-    def ban(self, name: str, on: bool) -> None:
-        self.disabled_calls[name] = on
+    def set_disabled(self, name: str, is_disabled: bool) -> None:
+        self.disabled_calls[name] = is_disabled
 
 
 class SyncedBalancer:
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -144,11 +144,11 @@
     def __init__(self) -> None:
         self.bans: list[tuple[str, bool]] = []
 
-    def listed(self, name: str) -> bool:
+    def was_listed(self, name: str) -> bool:
         return name.startswith("s-")
 
-    def ban(self, name: str, on: bool) -> None:
-        self.bans.append((name, on))
+    def set_disabled(self, name: str, is_disabled: bool) -> None:
+        self.bans.append((name, is_disabled))
 
 
 def owner(folder: Path, name: str = "n3") -> tuple[DisabledUpstreams, Told, ProcessRegistry]:
