--- a/loadbalancer/testbed/rig/cost.py
+++ b/loadbalancer/testbed/rig/cost.py
@@ -130,7 +130,9 @@
                     (
                         t
                         for t, what in result.events
-                        if t > at and "work/list" in what and "this process leaves" in what
+                        if t > at
+                        and "lease lost: lease=work/list" in what
+                        and "reason=shutdown" in what
                     ),
                     at,
                 )
--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -222,8 +222,8 @@
 
 def test_a_site_with_owner_and_leader_in_it_is_lost_and_comes_back_in_stages() -> None:
     result = played("site-brief")
-    said = [what for _, what in result.events if "site a: " in what and "->" in what]
-    assert any("-> out 0%" in what for what in said) and any(
-        "-> probes" in what for what in said
+    said = [what for _, what in result.events if "site transition: site=a " in what]
+    assert any(" to=out share=0% " in what for what in said) and any(
+        " to=probes " in what for what in said
     ), said
     assert len({o[2] for o in result.owners if o[0] == "work/site/orders"}) > 1
