--- a/loadbalancer/cli/roll.py
+++ b/loadbalancer/cli/roll.py
@@ -30,7 +30,7 @@
     UpstreamRestart,
 )
 from loadbalancer.leases import table
-from loadbalancer.proxy.endpoint import number_of
+from loadbalancer.proxy.endpoint import upstream_number
 from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
 from loadbalancer.store.errors import ConflictError
@@ -70,7 +70,7 @@
 ) -> None:
     """Begin a roll; it goes on whatever becomes of this command."""
     names = [name.strip() for part in pick for name in part.split(",") if name.strip()]
-    boxes = tuple(UpstreamRestart(name, number_of(name)) for name in names)
+    boxes = tuple(UpstreamRestart(name, upstream_number(name)) for name in names)
     by = "unknown"
     with suppress(KeyError, OSError):
         by = getpass.getuser()
--- a/loadbalancer/daemon/balancer_reporter.py
+++ b/loadbalancer/daemon/balancer_reporter.py
@@ -14,7 +14,7 @@
 from loadbalancer.daemon.rolling_restart_reader import RollingRestartKeys
 from loadbalancer.daemon.rolling_restart_state import BalancerReport, RollingRestart, State
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
-from loadbalancer.proxy.endpoint import number_of
+from loadbalancer.proxy.endpoint import upstream_number
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire.protocol import Row
@@ -65,7 +65,7 @@
 
     def busy_upstreams(self) -> tuple[str, ...]:
         """Returns the disabled upstreams that still have attempts of this balancer."""
-        names = {number_of(name): name for name in self.disabled.names}
+        names = {upstream_number(name): name for name in self.disabled.names}
         busy = {
             names[attempt.upstream.id]
             for request in self.driver.balancer.requests.values()
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -27,7 +27,7 @@
 from loadbalancer.leases.fence import FencedReceiver, FencingPosition
 from loadbalancer.policy import api
 from loadbalancer.proxy.policy_driver import Driver
-from loadbalancer.proxy.upstream_response import Report
+from loadbalancer.proxy.upstream_response import LoadReport
 from loadbalancer.store.client import Client
 from loadbalancer.store.lease_client import LeaseClient, boot_clock_ns
 from loadbalancer.store.wire.protocol import Row
@@ -108,7 +108,7 @@
                 verdict.reason,
             )
         for number in step.health_checks:
-            self.driver.upstreams.probe(number, partial(self._on_probe_finished, number))
+            self.driver.upstreams.check_health(number, partial(self._on_probe_finished, number))
         if step.plan is not None:
             self.driver.post(step.plan)
         is_following_plan = self.observer.follows_shares(now)
@@ -132,7 +132,9 @@
         if sites.keys() != self.observer.evidence.upstreams.keys():
             self.observer.evidence.update_upstreams(sites, now)
 
-    def _on_probe_finished(self, number: int, result: api.AttemptResult, _report: Report) -> None:
+    def _on_probe_finished(
+        self, number: int, result: api.AttemptResult, _report: LoadReport
+    ) -> None:
         self.observer.on_health_check(number, result, boot_clock_ns())
 
     async def report(self) -> None:
--- a/loadbalancer/proxy/admin_api.py
+++ b/loadbalancer/proxy/admin_api.py
@@ -188,7 +188,7 @@
         return not self.is_answered
 
     def _too_late(self) -> None:
-        if self.reader.begun:
+        if self.reader.in_message:
             self.answer(HTTPStatus.REQUEST_TIMEOUT, "the call did not come in time")
         else:
             self.abort()
--- a/loadbalancer/proxy/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -63,24 +63,24 @@
             now_ns,
             request.arrival.deadline_ns,
             self.number,
-            request.out_beside(self.number),
-            request_finished=request.over,
-            client_gone=not request.over and request.client.gone,
+            request.other_attempts_in_flight(self.number),
+            request_finished=request.finished,
+            client_gone=not request.finished and request.client.gone,
             body_available=stream is None or stream.is_replayable,
             start_by_ns=self.limits.start_by_ns,
         )
         return rules.may_attempt(attempt, limits, rules.max_in_flight(limits, stream is not None))
 
-    def begin(self, usable: rules.Verdict) -> bytes | Denied:
+    def begin(self, upstream_verdict: rules.Verdict) -> bytes | Denied:
         """Build the head, and the body where it is at hand, with the time that is left now.
 
         Args:
-            usable: Whether the upstream may be sent something new.
+            upstream_verdict: Whether the upstream may be sent something new.
         """
         now_ns = time.monotonic_ns()
         verdict = self.verdict(now_ns)
         if not isinstance(verdict, Denied):
-            verdict = usable
+            verdict = upstream_verdict
         if isinstance(verdict, Denied):
             self.report_denial(verdict, "its connection is up")
             return verdict
--- a/loadbalancer/proxy/body_stream.py
+++ b/loadbalancer/proxy/body_stream.py
@@ -62,11 +62,11 @@
         "keep",
         "length",
         "memory",
-        "next",
+        "next_index",
         "paused",
         "pieces",
         "source",
-        "taken",
+        "taken_bytes",
     )
 
     def __init__(self, length: int | None, memory: BodyMemory, keep: bool = False) -> None:
@@ -76,8 +76,8 @@
         self.source: Source | None = None
         self.changed: Callable[[], None] | None = None
         self.pieces: list[bytes] = []
-        self.next = 0  # the first piece that was not taken
-        self.taken = 0  # bytes
+        self.next_index = 0  # the first piece that was not taken
+        self.taken_bytes = 0  # bytes
         self.buffered = 0  # bytes
         self.ended = False
         self.failed = False
@@ -91,7 +91,7 @@
         if self.failed:
             return
         self.pieces.append(data)
-        self._count(len(data))
+        self._adjust_buffered(len(data))
         max_buffered = self.memory.max_buffered
         if self.buffered >= max_buffered and not self.paused:
             self._drop_taken()
@@ -120,15 +120,16 @@
     @property
     def drained(self) -> bool:
         """Whether it is complete, and all of it was taken."""
-        return self.ended and self.next == len(self.pieces)
+        return self.ended and self.next_index == len(self.pieces)
 
     @property
     def ends_next(self) -> bool:
         """Whether what is taken next is its last piece, or the mark of its end."""
         if self.length is None:
-            return self.ended and len(self.pieces) - self.next <= 1
+            return self.ended and len(self.pieces) - self.next_index <= 1
         return (
-            self.next < len(self.pieces) and self.taken + len(self.pieces[self.next]) >= self.length
+            self.next_index < len(self.pieces)
+            and self.taken_bytes + len(self.pieces[self.next_index]) >= self.length
         )
 
     @property
@@ -138,11 +139,11 @@
 
     def take(self) -> bytes | None:
         """Take the next piece; None where there is none yet."""
-        if self.next == len(self.pieces):
+        if self.next_index == len(self.pieces):
             return None
-        piece = self.pieces[self.next]
-        self.next += 1
-        self.taken += len(piece)
+        piece = self.pieces[self.next_index]
+        self.next_index += 1
+        self.taken_bytes += len(piece)
         # What may be read again is dropped only when it stands in the way.
         if not self.keep or self.paused:
             self._drop_taken()
@@ -155,8 +156,8 @@
     def rewind(self) -> None:
         """Read it from its start again."""
         assert self.is_replayable
-        self.next = 0
-        self.taken = 0
+        self.next_index = 0
+        self.taken_bytes = 0
         self.changed = None
 
     def drop(self) -> None:
@@ -174,19 +175,19 @@
 
     def _drop_taken(self) -> None:
         """Forget the pieces that were taken."""
-        if self.next:
+        if self.next_index:
             self.dropped = True
-            self._count(-sum(map(len, self.pieces[: self.next])))
-            del self.pieces[: self.next]
-            self.next = 0
+            self._adjust_buffered(-sum(map(len, self.pieces[: self.next_index])))
+            del self.pieces[: self.next_index]
+            self.next_index = 0
 
     def _clear(self) -> None:
         self.dropped = True
         self.pieces.clear()
-        self.next = 0
-        self._count(-self.buffered)
+        self.next_index = 0
+        self._adjust_buffered(-self.buffered)
 
-    def _count(self, size: int) -> None:
+    def _adjust_buffered(self, size: int) -> None:
         self.buffered += size
         self.memory.buffered += size
 
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -17,7 +17,7 @@
 from loadbalancer.proxy.parse import MAX_BODY, RequestReader
 from loadbalancer.proxy.request_intake import RequestIntake
 from loadbalancer.proxy.requests import OpenRequest
-from loadbalancer.proxy.tcp_state import Socket, readable, received
+from loadbalancer.proxy.tcp_state import Socket, has_unread_input, receive_state
 
 # Fractions of the cap on connections above which an answer ends its connection: one that came from
 # no upstream, and any. Idle connections are left their 2 s, so that with many clients they would
@@ -42,7 +42,7 @@
         intake: Opens requests.
         received_ns: When what is being parsed came.
         phase: The frontend's table that it stands in; None: it is busy with a request.
-        end_at: Overdue since it was first found so, it ends then, whatever lies unread.
+        force_close_at: Overdue since it was first found so, it ends then, whatever lies unread.
         lingering: Its last answer is given: what it sends is dropped.
     """
 
@@ -60,7 +60,7 @@
         self.intake = RequestIntake(frontend)
         self.received_ns = 0
         self.phase: Phase | None = None
-        self.end_at = 0.0
+        self.force_close_at = 0.0
         self.lingering = False
 
     @property
@@ -71,7 +71,7 @@
         return (
             self.phase in (Phase.NEW, Phase.IDLE)
             and self._live is not None
-            and readable(self._socket)
+            and has_unread_input(self._socket)
         )
 
     @property
@@ -86,7 +86,7 @@
 
         A loop that is late, or does not read from it, has not been notified of that yet.
         """
-        return self._live is None or received(self._socket)[0]
+        return self._live is None or receive_state(self._socket)[0]
 
     @property
     def _live(self) -> asyncio.Transport | None:
@@ -102,7 +102,7 @@
     @property
     def has_data(self) -> bool:
         """Whether part of a request has come."""
-        return self.reader.begun or bool(self.reader.ready or self.ahead)
+        return self.reader.in_message or bool(self.reader.ready or self.ahead)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport; called by the event loop."""
@@ -116,11 +116,11 @@
         # Deadlines count from the client's send. What waited in the backlog, or for a loop that was
         # late, is not fresh; and work for a client that has left makes those behind it late, until
         # they leave too.
-        gone, ago_ns = received(self._socket)
+        gone, data_age_ns = receive_state(self._socket)
         if gone:
             self.abort()
             return
-        self.received_ns = time.monotonic_ns() - ago_ns
+        self.received_ns = time.monotonic_ns() - data_age_ns
         self.frontend.note_progress(self)
         self._count(len(data))
         if not self.reading and len(self.ahead) > MAX_BODY:
@@ -200,7 +200,7 @@
         if request is not None:
             self.driver.client_gone(request)
 
-    def too_late(self) -> None:
+    def on_phase_timeout(self) -> None:
         """End it, as it has been in its phase for as long as it may."""
         if self.phase in (Phase.NEW, Phase.BODY) and self.has_data:
             self._drop()  # of an open request only the end was still to come
@@ -210,12 +210,12 @@
         else:
             self.abort()
 
-    def leave(self) -> None:
+    def fail_incomplete_request(self) -> None:
         """Answer a request that is incomplete as this process ends: it may go elsewhere."""
         if self.has_data and self.open is None:
             self._reject_input(503, "not taken")
 
-    def cut(self) -> None:
+    def close_for_shutdown(self) -> None:
         """Close it as this process ends; an incomplete answer must not seem complete."""
         if self.writer.body is not None:
             self.reset()
--- a/loadbalancer/proxy/connection_host.py
+++ b/loadbalancer/proxy/connection_host.py
@@ -15,11 +15,11 @@
 
     Attributes:
         phase: What it is doing without an open request; None: it has one.
-        end_at: When it is ended, overdue as it is, whatever lies unread; 0: it is not overdue.
+        force_close_at: When it is closed even with unread input; 0: it is not overdue.
     """
 
     phase: Phase | None
-    end_at: float
+    force_close_at: float
 
     @property
     def unread(self) -> bool:
@@ -29,13 +29,13 @@
     def unsent(self) -> bool:
         """Whether part of what was written is still buffered here."""
 
-    def too_late(self) -> None:
+    def on_phase_timeout(self) -> None:
         """End it, as it has been in its phase for as long as it may."""
 
-    def leave(self) -> None:
+    def fail_incomplete_request(self) -> None:
         """Answer a request that is incomplete as this process ends."""
 
-    def cut(self) -> None:
+    def close_for_shutdown(self) -> None:
         """Close it as this process ends."""
 
     def abort(self) -> None:
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -32,11 +32,11 @@
 SETTLE_CAUTIOUS_S = 0.03  # once any upstream has sent unrequested bytes
 SETTLE_NOISY_S = 0.1  # the same, for connections to that upstream
 NS_PER_S = 1e9
-CAUTIOUS_S = 60.0  # how long that lasts
+CAUTIOUS_PERIOD_S = 60.0  # how long that lasts
 # A connection is opened where the rest takes longer, or so many waited within the window: a wait is
 # short beside most deadlines, but not beside all.
 MAX_SETTLE_WAIT_S = SETTLE_CAUTIOUS_S
-MAX_WAITS = 1
+MAX_SETTLE_WAITS = 1
 WAIT_WINDOW_S = 1.0
 LOCAL_RETRY_S = 0.02  # before a connect that failed by this machine's fault is tried again
 SHORTAGE_LOG_S = 5.0  # between two log lines about one shortage
@@ -49,7 +49,7 @@
     Attributes:
         keep: Whether connections that become free are kept.
         noisy_until_s: It has sent unrequested bytes; until then its connections rest for longer.
-        waits: Exchanges that waited for a connection to rest, since `waits_from_s`.
+        settle_waits: Exchanges that waited for a connection to rest, since `wait_window_start_s`.
     """
 
     endpoint: Endpoint
@@ -57,8 +57,8 @@
     timer: asyncio.TimerHandle | None = None
     keep: bool = True
     noisy_until_s: float = 0.0
-    waits: int = 0
-    waits_from_s: float = 0.0
+    settle_waits: int = 0
+    wait_window_start_s: float = 0.0
 
 
 class ConnectionPool:
@@ -82,7 +82,7 @@
         self._idle: dict[UpstreamConnection, None] = {}  # to any upstream, the oldest first
         self._next_shortage_log_s = 0.0
 
-    def allow(self, connections: int) -> None:
+    def set_max_connections(self, connections: int) -> None:
         """Set the cap, connections in use included, and close idle ones beyond it."""
         self.max_connections = connections
         while self.connections > connections and self._close_oldest_idle():
@@ -93,9 +93,9 @@
         loop = asyncio.get_running_loop()
         connection = self._take_idle(target, loop.time())
         if connection is not None:
-            connection.start(exchange, self._usable(target))
+            connection.start(exchange, self._upstream_verdict(target))
             return
-        if self._wait_for_rest(target, exchange):
+        if self._wait_until_settled(target, exchange):
             return
         if self.connections >= self.max_connections and not self._close_oldest_idle():
             self._log_shortage("no connection to spare")
@@ -119,59 +119,63 @@
         for task in self.connecting:
             task.cancel()
 
-    def _usable(self, target: Target) -> Verdict:
+    def _upstream_verdict(self, target: Target) -> Verdict:
         return may_use(target.keep, self.trusted)
 
     def _take_idle(self, target: Target, now_s: float) -> UpstreamConnection | None:
         """Take the newest connection that has settled: the others may rest on, and close."""
         while True:
-            answered_before_s = now_s - self._settle_s(target, now_s)
+            settled_before_s = now_s - self._settle_s(target, now_s)
             connection = next(
-                (c for c in reversed(target.idle) if c.answered_s <= answered_before_s), None
+                (c for c in reversed(target.idle) if c.response_end_s <= settled_before_s), None
             )
             if connection is None:
                 return None
-            self._take(target, connection)
-            if connection.clear:
+            self._remove_idle(target, connection)
+            if connection.reusable:
                 return connection
             connection.abort()
 
-    def _wait_for_rest(self, target: Target, exchange: Exchange) -> bool:
+    def _wait_until_settled(self, target: Target, exchange: Exchange) -> bool:
         """Start on the connection that settles first, once it has; False where there is none.
 
         It is the exchange's from now on, so that no other waits for the same one.
         """
-        connection = min(target.idle, key=lambda c: c.answered_s, default=None)
+        connection = min(target.idle, key=lambda c: c.response_end_s, default=None)
         if connection is None:
             return False
         now_s = asyncio.get_running_loop().time()
-        rest_s = connection.answered_s + self._settle_s(target, now_s) - now_s
-        if rest_s > MAX_SETTLE_WAIT_S or self._are_waits_frequent(target, now_s):
+        settle_wait_s = connection.response_end_s + self._settle_s(target, now_s) - now_s
+        if settle_wait_s > MAX_SETTLE_WAIT_S or self._are_waits_frequent(target, now_s):
             return False
-        self._take(target, connection)
-        call_after(rest_s, self._start_settled, target, connection, exchange, now_s)
+        self._remove_idle(target, connection)
+        call_after(settle_wait_s, self._start_settled, target, connection, exchange, now_s)
         return True
 
     @staticmethod
     def _are_waits_frequent(target: Target, now_s: float) -> bool:
         """Count a wait. Where they are frequent there are too few connections, and it is none."""
-        if now_s > target.waits_from_s + WAIT_WINDOW_S:
-            target.waits_from_s = now_s
-            target.waits = 0
-        target.waits += 1
-        if target.waits <= MAX_WAITS:
+        if now_s > target.wait_window_start_s + WAIT_WINDOW_S:
+            target.wait_window_start_s = now_s
+            target.settle_waits = 0
+        target.settle_waits += 1
+        if target.settle_waits <= MAX_SETTLE_WAITS:
             return False
-        target.waits = 0
+        target.settle_waits = 0
         return True
 
     def _start_settled(
-        self, target: Target, connection: UpstreamConnection, exchange: Exchange, since_s: float
+        self,
+        target: Target,
+        connection: UpstreamConnection,
+        exchange: Exchange,
+        wait_start_s: float,
     ) -> None:
         """Start on a connection that has rested, unless something came from there meanwhile."""
         now_s = asyncio.get_running_loop().time()
-        exchange.rested_ns += int((now_s - since_s) * NS_PER_S)
-        has_settled = connection.answered_s + self._settle_s(target, now_s) <= now_s
-        if not connection.clear:
+        exchange.settle_wait_ns += int((now_s - wait_start_s) * NS_PER_S)
+        has_settled = connection.response_end_s + self._settle_s(target, now_s) <= now_s
+        if not connection.reusable:
             connection.abort()
         elif exchange.done is not None and has_settled:
             self._start_on(connection, target, exchange)
@@ -181,7 +185,7 @@
         if exchange.done is not None:
             self.start(target, exchange)
 
-    def _take(self, target: Target, connection: UpstreamConnection) -> None:
+    def _remove_idle(self, target: Target, connection: UpstreamConnection) -> None:
         """Take a connection from the idle ones."""
         target.idle.remove(connection)
         self._idle.pop(connection, None)
@@ -192,12 +196,12 @@
             return SETTLE_NOISY_S
         return SETTLE_CAUTIOUS_S if now_s < self.cautious_until_s else SETTLE_S
 
-    def _log_shortage(self, what: str) -> None:
+    def _log_shortage(self, problem: str) -> None:
         """Log once in a while, not for each request: in a shortage all meet with it."""
         now_s = asyncio.get_running_loop().time()
         if now_s >= self._next_shortage_log_s:
             self._next_shortage_log_s = now_s + SHORTAGE_LOG_S
-            log.warning("%s: open=%d", what, self.connections)
+            log.warning("%s: open=%d", problem, self.connections)
 
     # ---- opening ---------------------------------------------------------------------------------
 
@@ -216,7 +220,7 @@
         # The upstream may drain, have gone or restarted, or been disabled while the connection
         # came up: an attempt that started now would be a new one for it.
         try:
-            connection.start(exchange, self._usable(target))
+            connection.start(exchange, self._upstream_verdict(target))
         except Exception:
             log.exception("attempt not started")
             connection.abort()
@@ -231,16 +235,16 @@
             The connection; None where none came up in time, and the exchange has ended.
         """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + self.connect_timeout_s
+        deadline_s = loop.time() + self.connect_timeout_s
         while True:
             connection = UpstreamConnection(
-                partial(self._release, target), partial(self._lost, target)
+                partial(self._release, target), partial(self._on_connection_lost, target)
             )
             try:
-                await self._open(target.endpoint, connection, until_s)
+                await self._open(target.endpoint, connection, deadline_s)
                 return connection
             except Exception as error:  # noqa: BLE001 (OSError, or what a bad address may raise)
-                self._connect_failed(connection, exchange, error, until_s)
+                self._connect_failed(connection, exchange, error, deadline_s)
             if exchange.done is None:
                 return None
             await asyncio.sleep(LOCAL_RETRY_S)
@@ -248,26 +252,30 @@
                 return None
 
     def _connect_failed(
-        self, connection: UpstreamConnection, exchange: Exchange, error: Exception, until_s: float
+        self,
+        connection: UpstreamConnection,
+        exchange: Exchange,
+        error: Exception,
+        deadline_s: float,
     ) -> None:
         """Clean up, and end the exchange unless the connect is to be tried again."""
-        was_up = connection.transport is not None
+        was_established = connection.transport is not None
         connection.abort()
-        why = cause(Operation.CONNECT, error)
+        failure_cause = cause(Operation.CONNECT, error)
         now_s = asyncio.get_running_loop().time()
-        if why is Cause.PEER:
+        if failure_cause is Cause.PEER:
             exchange.give_up(api.AttemptResult.CONNECT_FAILED)
-        elif now_s + LOCAL_RETRY_S >= until_s:
+        elif now_s + LOCAL_RETRY_S >= deadline_s:
             exchange.give_up(api.AttemptResult.NOT_SENT)
-        if was_up:  # it was counted when it was lost
+        if was_established:  # it was counted when it was lost
             self.connections += 1
-        if why is Cause.HERE:
+        if failure_cause is Cause.HERE:
             self._log_shortage(f"connect failed on this machine: error={error}")
             self._close_oldest_idle()
 
     @staticmethod
-    async def _open(endpoint: Endpoint, connection: UpstreamConnection, until_s: float) -> None:
-        async with asyncio.timeout_at(until_s):
+    async def _open(endpoint: Endpoint, connection: UpstreamConnection, deadline_s: float) -> None:
+        async with asyncio.timeout_at(deadline_s):
             await asyncio.get_running_loop().create_connection(
                 lambda: connection, endpoint.host, endpoint.port
             )
@@ -283,16 +291,16 @@
         target.idle.append(connection)
         self._idle[connection] = None
         if target.timer is None:
-            self._watch_idle(target)
+            self._schedule_idle_timer(target)
 
-    def _watch_idle(self, target: Target) -> None:
+    def _schedule_idle_timer(self, target: Target) -> None:
         """Set the target's one timer, for the oldest of its idle connections."""
-        due_s = target.idle[0].idle_since + self.idle_s
+        expires_s = target.idle[0].idle_since + self.idle_s
         target.timer = call_after(
-            due_s - asyncio.get_running_loop().time(), self._close_old_idle, target
+            expires_s - asyncio.get_running_loop().time(), self._close_expired_idle, target
         )
 
-    def _close_old_idle(self, target: Target) -> None:
+    def _close_expired_idle(self, target: Target) -> None:
         # A request written to a connection that the upstream is just closing ends as a reset, and
         # may have run: none is used that comes near the upstream's own limit.
         target.timer = None
@@ -300,25 +308,25 @@
         for connection in [c for c in target.idle if c.idle_since + self.idle_s <= now_s]:
             connection.abort()
         if target.idle:
-            self._watch_idle(target)
+            self._schedule_idle_timer(target)
 
-    def _lost(self, target: Target, connection: UpstreamConnection) -> None:
+    def _on_connection_lost(self, target: Target, connection: UpstreamConnection) -> None:
         if connection.noisy:
-            self._note_noise(target)
+            self._on_unrequested_bytes(target)
         if connection.transport is not None:
             self.connections -= 1
         self._idle.pop(connection, None)
         if connection in target.idle:
             target.idle.remove(connection)
 
-    def _note_noise(self, target: Target) -> None:
+    def _on_unrequested_bytes(self, target: Target) -> None:
         """Have connections rest for longer from now on; logged once for each such time."""
         now_s = asyncio.get_running_loop().time()
         if now_s >= self.cautious_until_s:
             endpoint = target.endpoint
             log.warning("unrequested bytes: upstream=%s:%d", endpoint.host, endpoint.port)
-        target.noisy_until_s = now_s + CAUTIOUS_S
-        self.cautious_until_s = now_s + CAUTIOUS_S
+        target.noisy_until_s = now_s + CAUTIOUS_PERIOD_S
+        self.cautious_until_s = now_s + CAUTIOUS_PERIOD_S
 
     def _close_oldest_idle(self) -> bool:
         oldest = next(iter(self._idle), None)
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -178,7 +178,7 @@
         if endpoints or is_full or not self.is_pushed:
             kind = api.EndpointListKind.FULL if is_full else api.EndpointListKind.DELTA
             self.listener(kind, endpoints)
-        self.driver.starts.list_received(time.monotonic_ns())
+        self.driver.start_times.list_received(time.monotonic_ns())
 
     def _target(self, poll: Poll) -> bytes:
         if poll.kind is PollKind.FULL_LIST:
@@ -221,7 +221,7 @@
     async def _connect(self, deadline_s: float) -> UpstreamConnection:
         """Return a connection that is free for a request."""
         if self.connection is not None:
-            if self.connection.clear:
+            if self.connection.reusable:
                 return self.connection
             self.connection.abort()
         connection = UpstreamConnection(_ignore, _ignore)
--- a/loadbalancer/proxy/endpoint.py
+++ b/loadbalancer/proxy/endpoint.py
@@ -11,7 +11,7 @@
 NUMBER_BYTES = 8
 
 
-def number_of(name: str) -> int:
+def upstream_number(name: str) -> int:
     """The number by which the policy knows an upstream's id; the same on every balancer."""
     digest = hashlib.blake2b(name.encode(), digest_size=NUMBER_BYTES).digest()
     return int.from_bytes(digest, "big")
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -8,7 +8,7 @@
 from typing import Any, Final, NamedTuple
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.endpoint import Endpoint, number_of
+from loadbalancer.proxy.endpoint import Endpoint, upstream_number
 from loadbalancer.settings import MalformedError, checked, choice, optional, required, split_address
 
 log = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
         raise MalformedError("weight or started_ms is out of range")
     return Endpoint(
         api.Upstream(
-            number_of(required(row, "id", str)),
+            upstream_number(required(row, "id", str)),
             state,
             optional(row, "zone", str, ""),
             optional(row, "cell", int, 0),
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -28,11 +28,11 @@
 class Outgoing(Protocol):
     """A request on its way out, which makes its bytes at the last moment."""
 
-    def begin(self, usable: Verdict) -> bytes | Denied:
+    def begin(self, upstream_verdict: Verdict) -> bytes | Denied:
         """Build all of it but a body in pieces, to be written now.
 
         Args:
-            usable: Whether the upstream may be sent something new.
+            upstream_verdict: Whether the upstream may be sent something new.
         """
 
     def may_finish(self) -> bool:
@@ -45,7 +45,7 @@
 
     data: bytes
 
-    def begin(self, usable: Verdict) -> bytes | Denied:  # noqa: ARG002 (a health check is always sent)
+    def begin(self, upstream_verdict: Verdict) -> bytes | Denied:  # noqa: ARG002 (a health check is always sent)
         """Return the bytes."""
         return self.data
 
@@ -79,7 +79,7 @@
         body: Follows on the request, in pieces.
         done: Called with the end; None: it is over.
         written: The request's last byte has left.
-        rested_ns: How long it waited here for a connection to rest.
+        settle_wait_ns: How long it waited here for a connection to rest.
         unread_ns: How long the end of a complete response lay unread in the kernel.
     """
 
@@ -89,7 +89,7 @@
         "done",
         "expected",
         "request",
-        "rested_ns",
+        "settle_wait_ns",
         "start_timer",
         "timer",
         "unread_ns",
@@ -111,7 +111,7 @@
         self.connection: ExchangeConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.start_timer: asyncio.TimerHandle | None = None
-        self.rested_ns = 0
+        self.settle_wait_ns = 0
         self.unread_ns = 0
 
     def expire_in(self, seconds: float) -> None:
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -16,7 +16,7 @@
 from loadbalancer.proxy.connection_phase import LIMIT_S, Phase
 from loadbalancer.proxy.listener import leave_to_successor, listen
 from loadbalancer.proxy.policy_driver import Driver
-from loadbalancer.proxy.tcp_state import received
+from loadbalancer.proxy.tcp_state import receive_state
 from loadbalancer.proxy.timers import call_after
 
 log = logging.getLogger(__name__)
@@ -93,7 +93,7 @@
         """Connections of clients."""
         return len(self.clients)
 
-    def allow(self, connections: int) -> None:
+    def set_max_connections(self, connections: int) -> None:
         """Set the cap; where there are more connections, each ends with its next answer."""
         self.max_clients = connections
         if connections > len(self.clients):
@@ -152,7 +152,7 @@
                 log.error("accept failed: error=%s", error)
                 self._pause(ACCEPT_PAUSE_S)
                 return False
-            if received(sock)[0]:
+            if receive_state(sock)[0]:
                 sock.close()  # it gave up while it waited here: nobody would read an answer
                 continue
             sock.setblocking(False)
@@ -206,7 +206,7 @@
         """Note that it has no request open from now on, and may be closed at the cap."""
         self.busy(client)
         client.phase = phase
-        client.end_at = 0.0
+        client.force_close_at = 0.0
         self.waiting[phase][client] = self.loop.time()
         self.note_progress(client)
         self._sweep_at(self.loop.time() + self._limit_s(phase))
@@ -249,11 +249,11 @@
                     break
                 late.append(client)
             for client in late:
-                client.end_at = client.end_at or now + UNREAD_S
-                if now < client.end_at and client.unread:
+                client.force_close_at = client.force_close_at or now + UNREAD_S
+                if now < client.force_close_at and client.unread:
                     self._sweep_at(now + RECHECK_S)
                 else:
-                    client.too_late()
+                    client.on_phase_timeout()
 
     def _limit_s(self, phase: Phase) -> float:
         """How long a phase may last; no connection is kept for a request that is not accepted."""
@@ -301,7 +301,7 @@
         """Answer all open and all incomplete requests, as this process ends."""
         self.driver.end_open()
         for client in list(self.unfinished):
-            client.leave()
+            client.fail_incomplete_request()
 
     def close(self) -> None:
         """Close the listener and all connections at once."""
@@ -311,7 +311,7 @@
         if self.timer is not None:
             self.timer.cancel()
         for client in list(self.clients):
-            client.cut()
+            client.close_for_shutdown()
 
     async def has_left(self, until_ns: int) -> bool:
         """Wait for the last connection to end, until then (ns, monotonic) at the most."""
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -27,16 +27,16 @@
 
 def end_to_end(headers: Sequence[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
     """The headers that a proxy passes on: none of the connection, none of the body's framing."""
-    passed = [row for row in headers if row[0] not in HOP_BY_HOP]
-    if len(passed) == len(headers):
-        return passed  # `connection` itself is not among them
+    forwarded = [row for row in headers if row[0] not in HOP_BY_HOP]
+    if len(forwarded) == len(headers):
+        return forwarded  # `connection` itself is not among them
     named = {
         token.strip().lower()
         for name, value in headers
         if name == b"connection"
         for token in value.split(b",")
     }
-    return [row for row in passed if row[0] not in named] if named else passed
+    return [row for row in forwarded if row[0] not in named] if named else forwarded
 
 
 def chunk(piece: bytes) -> bytes:
--- a/loadbalancer/proxy/messages.py
+++ b/loadbalancer/proxy/messages.py
@@ -13,8 +13,8 @@
 class UnacceptableMessageError(Exception):
     """A message can't be accepted; a request is answered with `status`."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
--- a/loadbalancer/proxy/parse.py
+++ b/loadbalancer/proxy/parse.py
@@ -25,7 +25,7 @@
 STATUSES_WITHOUT_BODY = (204, 304)
 
 # A request that repeats one of these is ambiguous: here one would count, further on the other.
-SINGLE = frozenset(
+SINGLE_VALUE_HEADERS = frozenset(
     {
         b"host",
         b"content-length",
@@ -51,18 +51,18 @@
     rest of it.
 
     Attributes:
-        passed: Bytes of its body.
+        payload_size: Bytes of its body.
         size: Bytes read for it; those that also held another message's end are not counted.
         complete: Its headers are complete: what comes as a header now is a trailer.
     """
 
-    __slots__ = ("body", "complete", "headers", "passed", "size", "target")
+    __slots__ = ("body", "complete", "headers", "payload_size", "size", "target")
 
     def __init__(self) -> None:
         self.target = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
-        self.passed = 0
+        self.payload_size = 0
         self.size = 0
         self.complete = False
 
@@ -91,7 +91,7 @@
         self.head: MessageHead | None = None
 
     @property
-    def begun(self) -> bool:
+    def in_message(self) -> bool:
         """Whether part of a message has come."""
         return self.head is not None
 
@@ -104,7 +104,7 @@
         """Read bytes; what they complete is appended to `ready`."""
         if self.fault is not None or self.parser is None:
             return
-        before = self.head
+        previous_head = self.head
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -116,11 +116,11 @@
         except httptools.HttpParserError as error:
             self._fail(400, str(error))
         head = self.head
-        if head is not None and (head is before or not self.ready):
+        if head is not None and (head is previous_head or not self.ready):
             head.size += len(data)
             if not head.complete and head.size > MAX_HEAD:
                 self._fail(431, "the head is too large")
-            elif head.size > MAX_OVERHEAD * max(self.max_body, head.passed):
+            elif head.size > MAX_OVERHEAD * max(self.max_body, head.payload_size):
                 self._fail(413, "the message is too large")
 
     def close(self) -> None:
@@ -132,8 +132,8 @@
         if self.stream is not None:
             self.stream.fail()
 
-    def _fail(self, status: int, why: str) -> None:
-        self.fault = self.fault or UnacceptableMessageError(status, why)
+    def _fail(self, status: int, reason: str) -> None:
+        self.fault = self.fault or UnacceptableMessageError(status, reason)
         if self.stream is not None:
             self.stream.fail()
 
@@ -189,14 +189,14 @@
         assert head is not None
         if self.fault is not None:
             return
-        head.passed += len(data)
-        if head.passed > MAX_LENGTH:
+        head.payload_size += len(data)
+        if head.payload_size > MAX_LENGTH:
             self._fail(413, "the body is too large")
         elif self.stream is not None:
             self.stream.put(data)
         else:
             head.body += data
-            if head.passed > self.max_body:
+            if head.payload_size > self.max_body:
                 self._begin_stream(head, None)
 
     def _begin_stream(self, head: MessageHead, length: int | None) -> None:
@@ -253,16 +253,16 @@
 
     def _check(self, head: MessageHead) -> None:
         assert self.parser is not None
-        found: set[bytes] = set()
+        single_headers: set[bytes] = set()
         expectations = []
         for name, value in head.headers:
-            if name in SINGLE:
-                if name in found:
+            if name in SINGLE_VALUE_HEADERS:
+                if name in single_headers:
                     self._fail(400, f"{name.decode()} stands there twice")
-                found.add(name)
+                single_headers.add(name)
             elif name == b"expect":
                 expectations.append(value.lower())
-        if b"host" not in found and self.parser.get_http_version() == "1.1":
+        if b"host" not in single_headers and self.parser.get_http_version() == "1.1":
             self._fail(400, "no Host")
         if self.parser.get_method() in (b"CONNECT", b"TRACE"):
             self._fail(405, "no such method here")
@@ -272,7 +272,9 @@
 
     def _complete(self, head: MessageHead, stream: Body | None) -> None:
         assert self.parser is not None
-        self.expects_continue = self.expects_continue and stream is not None and not head.passed
+        self.expects_continue = (
+            self.expects_continue and stream is not None and not head.payload_size
+        )
         is_http_1_1 = self.parser.get_http_version() == "1.1"
         keep_alive = self.parser.should_keep_alive() and is_http_1_1
         method = self.parser.get_method()
@@ -288,9 +290,9 @@
     `ready` holds at most the response and what should not have come behind it.
 
     Attributes:
-        interim: 1xx responses ahead of the final one.
+        interim_count: 1xx responses ahead of the final one.
         head_only: The response is to a HEAD request: it names a length, and has no body.
-        headed: Such a response is complete.
+        head_response_complete: Such a response is complete.
         until_close: The response under way ends with its connection.
     """
 
@@ -299,9 +301,9 @@
     def __init__(self) -> None:
         super().__init__(MAX_BODY)
         self.parser = httptools.HttpResponseParser(self)
-        self.interim = 0
+        self.interim_count = 0
         self.head_only = False
-        self.headed = False
+        self.head_response_complete = False
         self.until_close = False
 
     def expect(
@@ -311,15 +313,15 @@
         self.max_body = max_body
         self.memory = memory
         self.head_only = head_only
-        self.interim = 0
+        self.interim_count = 0
 
     def feed(self, data: bytes) -> None:
         """Read bytes; what they complete is appended to `ready`."""
         super().feed(data)
-        if self.headed and self.fault is None:
+        if self.head_response_complete and self.fault is None:
             # The parser does not know of HEAD and waits for a body: another one reads the next
             # response.
-            self.headed = False
+            self.head_response_complete = False
             self.head = None
             self.parser = httptools.HttpResponseParser(self)
 
@@ -329,21 +331,21 @@
             status = self.parser.get_status_code()
             if status >= FIRST_FINAL_STATUS:
                 assert self.head is not None
-                self.headed = True
+                self.head_response_complete = True
                 self._complete(self.head, None)
                 return
         super().on_headers_complete()
 
     def on_body(self, data: bytes) -> None:
         """Take part of a body, which the response to a HEAD request may not have."""
-        if self.headed:
+        if self.head_response_complete:
             self._fail(502, "a body where there is none")
             return
         super().on_body(data)
 
     def on_message_complete(self) -> None:
         """End a response."""
-        if not self.headed:
+        if not self.head_response_complete:
             super().on_message_complete()
 
     def _check(self, head: MessageHead) -> None:
@@ -394,6 +396,6 @@
             body = b"" if stream is not None else bytes(head.body)
             self.ready.append(Response(status, head.headers, body, keep_alive, stream))
             return
-        self.interim += 1
-        if self.interim > MAX_INTERIM:
+        self.interim_count += 1
+        if self.interim_count > MAX_INTERIM:
             self._fail(502, "1xx answers without end")
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -19,15 +19,15 @@
 from loadbalancer.policy import Balancer, api
 from loadbalancer.policy.rules import Denied
 from loadbalancer.proxy.attempt import AttemptLimits, OutgoingAttempt
-from loadbalancer.proxy.endpoint import Endpoint, number_of
+from loadbalancer.proxy.endpoint import Endpoint, upstream_number
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.messages import Response
 from loadbalancer.proxy.policy_violations import PolicyViolations
 from loadbalancer.proxy.request_table import RequestTable
 from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.timers import call_after
-from loadbalancer.proxy.upstream import Done, ExpectedBodies, Timing, Upstreams
-from loadbalancer.proxy.upstream_response import Report
+from loadbalancer.proxy.upstream import AttemptCallback, ExpectedBodies, Timing, Upstreams
+from loadbalancer.proxy.upstream_response import LoadReport
 from loadbalancer.wallclock import StartTimes
 
 log = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
 
     result: api.AttemptResult
     response: Response | None = None
-    report: Report = None
+    report: LoadReport = None
 
 
 class Driver:
@@ -75,8 +75,8 @@
         self.loop = asyncio.get_running_loop()
         self.balancer = Balancer(settings, seed, time.monotonic_ns())
         self.violations = PolicyViolations()
-        self.starts = StartTimes()
-        self.waiting: list[api.Event] = []
+        self.start_times = StartTimes()
+        self.pending_events: list[api.Event] = []
         self.table = RequestTable(settings.limits.max_open, self.post)
         self.list_received = asyncio.Event()
         self.event_listener: Callable[[int, Sequence[api.Event]], None] | None = None
@@ -100,9 +100,9 @@
 
     def post(self, event: api.Event) -> None:
         """Hand an event to the policy on the loop's next turn."""
-        if not self.waiting:
-            self.loop.call_soon(self._hand_over)
-        self.waiting.append(event)
+        if not self.pending_events:
+            self.loop.call_soon(self._process_events)
+        self.pending_events.append(event)
 
     def arrive(self, request: OpenRequest) -> bool:
         """Accept a client's request.
@@ -117,7 +117,7 @@
 
     def body_completed(self, request: OpenRequest, deadline_ns: int, received_ns: int) -> None:
         """Note the last byte of a body: the request's time and its attempt's run from there."""
-        if request.over or request.stream is None:
+        if request.finished or request.stream is None:
             return
         request.arrival = request.arrival._replace(
             deadline_ns=deadline_ns, received_ns=received_ns, body_complete=True
@@ -151,9 +151,9 @@
         """Pass on an endpoint list, or the failure of a call for one."""
         if kind is not api.EndpointListKind.FAILED:
             now_ns = time.monotonic_ns()
-            endpoints = [self._dated(e, now_ns) for e in endpoints]
+            endpoints = [self._with_start_time(e, now_ns) for e in endpoints]
             if kind is not api.EndpointListKind.CACHED:
-                self.starts.list_received(now_ns)
+                self.start_times.list_received(now_ns)
             self.upstreams.learn(endpoints, full=kind is not api.EndpointListKind.DELTA)
             self.list_received.set()
         self.post(api.EndpointsUpdated(kind, [e.entry for e in endpoints]))
@@ -163,13 +163,13 @@
         self.upstreams.trust(on)
         self.post(api.EndpointTrustChanged(on))
 
-    def _dated(self, endpoint: Endpoint, now_ns: int) -> Endpoint:
+    def _with_start_time(self, endpoint: Endpoint, now_ns: int) -> Endpoint:
         """The endpoint, with the time of its start by this process's clock."""
         entry = endpoint.entry
-        started_ns = self.starts.started_ns(entry.id, endpoint.started_ms, now_ns)
+        started_ns = self.start_times.started_ns(entry.id, endpoint.started_ms, now_ns)
         return replace(endpoint, entry=entry._replace(started_ns=started_ns))
 
-    async def can_serve(self, seconds: float) -> bool:
+    async def wait_until_ready(self, seconds: float) -> bool:
         """Wait until the policy can serve, so long at the most."""
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
@@ -180,25 +180,25 @@
 
     def was_listed(self, name: str) -> bool:
         """Whether any list has ever named this upstream."""
-        return number_of(name) in self.upstreams.known_numbers
+        return upstream_number(name) in self.upstreams.seen_numbers
 
     def set_disabled(self, name: str, is_disabled: bool) -> None:
         """Disable an upstream for operators, or enable it again."""
-        self.upstreams.set_disabled(number_of(name), is_disabled)
-        self.post(api.UpstreamDisabled(number_of(name), is_disabled))
+        self.upstreams.set_disabled(upstream_number(name), is_disabled)
+        self.post(api.UpstreamDisabled(upstream_number(name), is_disabled))
 
-    def _hand_over(self) -> None:
-        events = self.waiting
-        self.waiting = []
+    def _process_events(self) -> None:
+        events = self.pending_events
+        self.pending_events = []
         now = time.monotonic_ns()
         actions = self._decide(now, events)
         if self.event_listener is not None:
             self.event_listener(now, events)
         for action in actions:
             try:
-                self._carry_out(action, now)
+                self._execute(action, now)
             except Exception as error:  # noqa: BLE001 (one action's fault must not take the others along)
-                self._blame("action failed", [action], error)
+                self._report_failure("action failed", [action], error)
         # Only now: the policy may act for a request until it has been notified of its end.
         for event in events:
             if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
@@ -208,15 +208,17 @@
         try:
             return self.balancer.handle(now, events)
         except Exception as error:  # noqa: BLE001 (the process goes on without this turn's decisions)
-            self._blame("policy failed", events, error)
+            self._report_failure("policy failed", events, error)
             return []
 
-    def _blame(self, what: str, about: Sequence[api.Event | api.Action], error: Exception) -> None:
+    def _report_failure(
+        self, problem: str, items: Sequence[api.Event | api.Action], error: Exception
+    ) -> None:
         """Log a fault with the requests concerned, and end these as failed."""
         names = [
-            name for name in (getattr(item, "request", None) for item in about) if name is not None
+            name for name in (getattr(item, "request", None) for item in items) if name is not None
         ]
-        log.error("%s: requests=%s", what, " ".join(names) or "-", exc_info=error)
+        log.error("%s: requests=%s", problem, " ".join(names) or "-", exc_info=error)
         for name in names:
             request = self.table.get(name)
             if request is not None:
@@ -228,7 +230,7 @@
 
     # ---- actions ---------------------------------------------------------------------------------
 
-    def _carry_out(self, action: api.Action, now: int) -> None:
+    def _execute(self, action: api.Action, now: int) -> None:
         match action:
             case api.StartAttempt():
                 self._send(action, now)
@@ -245,9 +247,9 @@
             case api.LogMessage():
                 log.info("%s", action.text)
             case _:
-                self._call_others(action)
+                self._execute_external(action)
 
-    def _call_others(self, action: api.Action) -> None:
+    def _execute_external(self, action: api.Action) -> None:
         """Carry out an action of discovery or of gossip, where there is one."""
         match action:
             case api.SendGossip() if self.peers is not None:
@@ -287,19 +289,21 @@
         attempt = self._attempt(request, number, action, now)
         verdict = attempt.verdict(now)
         request.attempts.append(None)
-        request.sent += 1
+        request.attempts_in_flight += 1
 
         def ended(
-            result: api.AttemptResult, response: Response | None = None, report: Report = None
+            result: api.AttemptResult, response: Response | None = None, report: LoadReport = None
         ) -> None:
             exchange = request.attempts[number]
             # While it waited for a connection to rest, or its answer lay unread here, that was this
             # program's time, not its upstream's.
-            own_ns = exchange.rested_ns + exchange.unread_ns if exchange is not None else 0
+            local_wait_ns = (
+                exchange.settle_wait_ns + exchange.unread_ns if exchange is not None else 0
+            )
             started_ns = max(now, request.completed_ns)
-            duration_ns = max(0, time.monotonic_ns() - started_ns - own_ns)
+            duration_ns = max(0, time.monotonic_ns() - started_ns - local_wait_ns)
             outcome = _Outcome(result, response, report)
-            self._ended(request, number, action.upstream, outcome, duration_ns)
+            self._finish_attempt(request, number, action.upstream, outcome, duration_ns)
 
         if isinstance(verdict, Denied):
             attempt.report_denial(verdict, "decided")
@@ -313,7 +317,11 @@
                 ended(api.AttemptResult.NOT_SENT)
 
     def _start(
-        self, action: api.StartAttempt, attempt: OutgoingAttempt, done: Done, timing: Timing
+        self,
+        action: api.StartAttempt,
+        attempt: OutgoingAttempt,
+        done: AttemptCallback,
+        timing: Timing,
     ) -> Exchange | None:
         request = attempt.request
         try:
@@ -325,14 +333,14 @@
                 ExpectedBodies(request.stream, request.method == b"HEAD"),
             )
         except Exception as error:  # noqa: BLE001 (the attempt still has its one outcome)
-            self._blame("attempt not started", [action], error)
+            self._report_failure("attempt not started", [action], error)
             return None
 
     def _attempt(
         self, request: OpenRequest, number: int, action: api.StartAttempt, now: int
     ) -> OutgoingAttempt:
-        longest = self.settings.classes[request.arrival.class_name].deadline_ns
-        timeout_ns = min(action.timeout_ns or longest, longest)
+        class_deadline_ns = self.settings.classes[request.arrival.class_name].deadline_ns
+        timeout_ns = min(action.timeout_ns or class_deadline_ns, class_deadline_ns)
         request.timeout_ns = action.timeout_ns
         limits = AttemptLimits(
             self.settings.limits,
@@ -349,7 +357,7 @@
         remaining_ns = self._remaining_ns(attempt.request, attempt.limits.expires_ns - now)
         return Timing(remaining_ns / 1e9, start_by_ns / 1e9)
 
-    def _ended(
+    def _finish_attempt(
         self,
         request: OpenRequest,
         number: int,
@@ -360,25 +368,27 @@
         """Take in an attempt's one outcome, and answer the client where it was successful."""
         result, response, report = outcome
         request.attempts[number] = None
-        request.sent -= 1
+        request.attempts_in_flight -= 1
         request.timed_out = result is api.AttemptResult.TIMEOUT
         if result is api.AttemptResult.OK and response is not None:
-            taken = self.table.answer(request, lambda client: client.serve(response))
-            if response.stream is not None and not taken:
+            answered = self.table.answer(request, lambda client: client.serve(response))
+            if response.stream is not None and not answered:
                 response.stream.drop()
         name = request.arrival.request
         self.post(
-            api.AttemptFinished(name, number, upstream, result, duration_ns, request.over, report)
+            api.AttemptFinished(
+                name, number, upstream, result, duration_ns, request.finished, report
+            )
         )
 
     def _check_health(self, upstream: int, now: int) -> None:
-        def ended(result: api.AttemptResult, report: Report) -> None:
+        def ended(result: api.AttemptResult, report: LoadReport) -> None:
             self.post(api.HealthCheckFinished(upstream, result, time.monotonic_ns() - now, report))
 
         try:
-            started = self.upstreams.probe(upstream, ended)
+            started = self.upstreams.check_health(upstream, ended)
         except Exception as error:  # noqa: BLE001 (it still has its one result: the policy waits for it)
-            self._blame("health check not started", [], error)
+            self._report_failure("health check not started", [], error)
             started = False
         if not started:
             ended(api.AttemptResult.CONNECT_FAILED, None)
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -134,7 +134,7 @@
             # Clients are dealt to this process from its first turn on: it begins once it can serve,
             # and once the other one leaves it its share of the descriptors.
             await self.registry.agreed(lambda note: note.is_within_share, TAKE_OVER_S)
-            await self.driver.can_serve(TAKE_OVER_S)
+            await self.driver.wait_until_ready(TAKE_OVER_S)
         self.frontend.start()
         gc.collect()
         gc.freeze()  # what is there now stays: no collection need examine it again
@@ -157,9 +157,9 @@
         Nothing more is sent to upstreams, so the descriptors kept for that are free. The answers
         just given leave connections that linger, and hold their places for longer than is left.
         """
-        self.upstreams.allow(0)
+        self.upstreams.set_max_connections(0)
         shares = self.limits.shares
-        self.frontend.allow(shares.clients + shares.upstreams)
+        self.frontend.set_max_connections(shares.clients + shares.upstreams)
 
     async def close(self) -> None:
         """Close all parts."""
--- a/loadbalancer/proxy/request_table.py
+++ b/loadbalancer/proxy/request_table.py
@@ -51,14 +51,14 @@
 
     def watch_deadline(self, request: OpenRequest) -> None:
         """Start, or move, the timer behind which the request is overdue."""
-        if request.overdue is not None:
-            request.overdue.cancel()
+        if request.overdue_timer is not None:
+            request.overdue_timer.cancel()
         left_s = (request.arrival.deadline_ns - time.monotonic_ns()) / 1e9
-        request.overdue = self._loop.call_later(
-            max(0.0, left_s) + OVERDUE_S, self._soon_overdue, request
+        request.overdue_timer = self._loop.call_later(
+            max(0.0, left_s) + OVERDUE_S, self._defer_overdue, request
         )
 
-    def answer(self, request: OpenRequest, how: Callable[[Client], None]) -> bool:
+    def answer(self, request: OpenRequest, send_answer: Callable[[Client], None]) -> bool:
         """End a request with its final answer.
 
         An answer that can't be given must not take the events behind it along.
@@ -69,7 +69,7 @@
         if not self.end(request):
             return False
         try:
-            how(request.client)
+            send_answer(request.client)
         except Exception:
             log.exception("answer failed: request=%s", request.arrival.request)
             request.client.abort()
@@ -94,21 +94,21 @@
 
     def end(self, request: OpenRequest) -> bool:
         """Mark a request as over; False where it was already."""
-        if request.over:
+        if request.finished:
             return False
-        request.over = True
+        request.finished = True
         self.open -= 1
-        if request.overdue is not None:
-            request.overdue.cancel()
+        if request.overdue_timer is not None:
+            request.overdue_timer.cancel()
         return True
 
     def forget(self, name: str) -> None:
         """Drop a request that is over and has no attempt out."""
         request = self.requests.get(name)
-        if request is not None and request.over and not request.sent:
+        if request is not None and request.finished and not request.attempts_in_flight:
             del self.requests[name]
 
-    def _soon_overdue(self, request: OpenRequest) -> None:
+    def _defer_overdue(self, request: OpenRequest) -> None:
         # When the loop has stood still, the attempt's time-out is due on the same turn as this, and
         # waits to be handed over: without one more turn a rejection with its Retry-After would come
         # out as a failure.
--- a/loadbalancer/proxy/requests.py
+++ b/loadbalancer/proxy/requests.py
@@ -40,12 +40,12 @@
         wait_ns: How long its client waits, from the request's last byte on.
         stream: The body, where it comes in pieces.
         attempts: An exchange for each attempt; None: it is over, or was never sent.
-        sent: Attempts without an outcome.
-        over: It has been answered, or its client has disconnected.
+        attempts_in_flight: Attempts without an outcome.
+        finished: It has been answered, or its client has disconnected.
         timed_out: Its last outcome was a time-out.
         completed_ns: When the last byte of a body in pieces came.
         timeout_ns: The time-out of the attempt that waits for that byte.
-        overdue: Fires when the request was not answered by its deadline.
+        overdue_timer: Fires when the request was not answered by its deadline.
     """
 
     arrival: api.RequestArrived
@@ -57,13 +57,15 @@
     wait_ns: int
     stream: Body | None = None
     attempts: list[Exchange | None] = field(default_factory=list)
-    sent: int = 0
-    over: bool = False
+    attempts_in_flight: int = 0
+    finished: bool = False
     timed_out: bool = False
     completed_ns: int = 0
     timeout_ns: int = 0
-    overdue: asyncio.TimerHandle | None = None
+    overdue_timer: asyncio.TimerHandle | None = None
 
-    def out_beside(self, number: int) -> int:
+    def other_attempts_in_flight(self, number: int) -> int:
         """Count the attempts other than this one that have no outcome yet."""
-        return self.sent - 1 if number < len(self.attempts) else self.sent
+        return (
+            self.attempts_in_flight - 1 if number < len(self.attempts) else self.attempts_in_flight
+        )
--- a/loadbalancer/proxy/resource_limits.py
+++ b/loadbalancer/proxy/resource_limits.py
@@ -31,7 +31,7 @@
 class ConnectionHolder(Protocol):
     """A part that opens connections under a cap."""
 
-    def allow(self, connections: int) -> None:
+    def set_max_connections(self, connections: int) -> None:
         """Set the cap."""
 
     @property
@@ -111,8 +111,8 @@
         shares = self._current_shares()
         if shares != self.shares:
             self.shares = shares
-            self.clients.allow(shares.clients)
-            self.upstreams.allow(shares.upstreams)
+            self.clients.set_max_connections(shares.clients)
+            self.upstreams.set_max_connections(shares.upstreams)
             self.memory.limit = shares.bodies
         fits = self.clients.held <= shares.clients and self.upstreams.held <= shares.upstreams
         registry = self.registry
--- a/loadbalancer/proxy/tcp_state.py
+++ b/loadbalancer/proxy/tcp_state.py
@@ -11,8 +11,8 @@
 # Of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data last came.
 TCP_INFO = struct.Struct("B51xI")
 # Of the states (`tcp_states.h`): TIME_WAIT, CLOSE (after a reset), CLOSE_WAIT, LAST_ACK, CLOSING.
-PEER_ENDED = frozenset({6, 7, 8, 9, 11})
-MILLISECOND = 1_000_000
+PEER_CLOSED_STATES = frozenset({6, 7, 8, 9, 11})
+NS_PER_MS = 1_000_000
 
 
 class Socket(Protocol):
@@ -25,19 +25,19 @@
         """The file descriptor."""
 
 
-class Received(NamedTuple):
+class ReceiveState(NamedTuple):
     """What has come on a connection.
 
     Attributes:
-        peer_ended: The peer has closed its side, or reset the connection.
-        ago_ns: How long ago data last came.
+        peer_closed: The peer has closed its side, or reset the connection.
+        data_age_ns: How long ago data last came.
     """
 
-    peer_ended: bool
-    ago_ns: int
+    peer_closed: bool
+    data_age_ns: int
 
 
-def received(sock: Socket) -> Received:
+def receive_state(sock: Socket) -> ReceiveState:
     """Look up what has come, read or not.
 
     A loop that is late reads both only afterwards: it would take a request for new, and its client
@@ -45,17 +45,17 @@
     kernel counts in ticks of some 4 ms.
     """
     if sys.platform != "linux":
-        return Received(False, 0)
+        return ReceiveState(False, 0)
     try:
-        state, ago_ms = TCP_INFO.unpack(
+        state, data_age_ms = TCP_INFO.unpack(
             sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO.size)
         )
     except (OSError, struct.error):
-        return Received(False, 0)
-    return Received(state in PEER_ENDED, ago_ms * MILLISECOND)
+        return ReceiveState(False, 0)
+    return ReceiveState(state in PEER_CLOSED_STATES, data_age_ms * NS_PER_MS)
 
 
-def readable(sock: Socket) -> bool:
+def has_unread_input(sock: Socket) -> bool:
     """Whether something is unread: bytes, the peer's end, or a reset.
 
     Timers and calls run ahead of the sockets in a turn of the loop, so that something is whenever
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -14,16 +14,16 @@
 from loadbalancer.proxy.parse import MAX_BODY
 from loadbalancer.proxy.upstream_response import (
     LOAD_HEADER,
-    Report,
+    LoadReport,
     attempt_result,
     health_check_result,
-    read_report,
+    read_load_report,
 )
 
-MAX_KNOWN_NUMBERS = 10_000  # ids of upstreams that are remembered; in time they are ever new
+MAX_SEEN_NUMBERS = 10_000  # ids of upstreams that are remembered; in time they are ever new
 LOAD_PATH = b"/status/load"
 HEALTH_PATH = b"/health"
-Done = Callable[[api.AttemptResult, Response | None, Report], None]
+AttemptCallback = Callable[[api.AttemptResult, Response | None, LoadReport], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     Attributes:
         targets: The listed upstreams by number.
         disabled: Upstreams that operators disabled: nothing starts there.
-        known_numbers: Every upstream that a list has named, the newest last.
+        seen_numbers: Every upstream that a list has named, the newest last.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self.health_path = LOAD_PATH if columns else HEALTH_PATH
         self.targets: dict[int, Target] = {}
         self.disabled: set[int] = set()
-        self.known_numbers: dict[int, None] = {}
+        self.seen_numbers: dict[int, None] = {}
         self._expected = ExpectedResponse(MAX_BODY, memory)
         self._expected_head = ExpectedResponse(MAX_BODY, memory, head_only=True)
 
@@ -104,8 +104,8 @@
             target.endpoint = new
             self._update_keep(target)
         if full:
-            for gone in self.targets.keys() - named:
-                self._remove(gone)
+            for removed in self.targets.keys() - named:
+                self._remove(removed)
 
     def trust(self, trusted: bool) -> None:
         """Note whether the list is recent enough for attempts to start."""
@@ -122,10 +122,10 @@
             self._update_keep(target)
 
     def _remember(self, number: int) -> None:
-        if number not in self.known_numbers:
-            self.known_numbers[number] = None
-            if len(self.known_numbers) > MAX_KNOWN_NUMBERS:
-                del self.known_numbers[next(iter(self.known_numbers))]
+        if number not in self.seen_numbers:
+            self.seen_numbers[number] = None
+            if len(self.seen_numbers) > MAX_SEEN_NUMBERS:
+                del self.seen_numbers[next(iter(self.seen_numbers))]
 
     def _update_keep(self, target: Target) -> None:
         """Decide whether connections to it are kept from now on."""
@@ -147,9 +147,9 @@
         """Connections that are open or being opened."""
         return self.pool.connections
 
-    def allow(self, connections: int) -> None:
+    def set_max_connections(self, connections: int) -> None:
         """Set the cap on connections, those in use included."""
-        self.pool.allow(connections)
+        self.pool.set_max_connections(connections)
 
     # ---- attempts and health checks --------------------------------------------------------------
 
@@ -157,7 +157,7 @@
         self,
         number: int,
         request: bytes | Outgoing,
-        done: Done,
+        done: AttemptCallback,
         timing: Timing,
         bodies: ExpectedBodies = ExpectedBodies(),
     ) -> Exchange | None:
@@ -173,12 +173,12 @@
         if target is None or number in self.disabled:
             return None
 
-        def ended(result: api.AttemptResult, response: Response | None) -> None:
+        def report_outcome(result: api.AttemptResult, response: Response | None) -> None:
             load = response.header(LOAD_HEADER) if response is not None else None
-            done(attempt_result(result, response), response, read_report(load, self.columns))
+            done(attempt_result(result, response), response, read_load_report(load, self.columns))
 
         expected = self._expected_head if bodies.head_only else self._expected
-        exchange = Exchange(request, ended, bodies.request, expected)
+        exchange = Exchange(request, report_outcome, bodies.request, expected)
         self.pool.start(target, exchange)
         if timing.start_by_s:
             exchange.start_within(timing.start_by_s)
@@ -187,22 +187,24 @@
             exchange.expire_in(timing.timeout_s)
         return exchange
 
-    def probe(self, number: int, done: Callable[[api.AttemptResult, Report], None]) -> bool:
+    def check_health(
+        self, number: int, done: Callable[[api.AttemptResult, LoadReport], None]
+    ) -> bool:
         """Start a health check; False where there is no such upstream, or it is disabled."""
         target = self.targets.get(number)
         if target is None or number in self.disabled:
             return False
         host = f"{target.endpoint.host}:{target.endpoint.port}".encode()
 
-        def ended(result: api.AttemptResult, response: Response | None) -> None:
+        def report_outcome(result: api.AttemptResult, response: Response | None) -> None:
             if response is None:
                 done(result, None)
                 return
-            report = read_report(response.header(LOAD_HEADER) or response.body, self.columns)
+            report = read_load_report(response.header(LOAD_HEADER) or response.body, self.columns)
             done(health_check_result(result, response), report)
 
         request = message(b"GET %b HTTP/1.1" % self.health_path, [(b"Host", host)])
-        exchange = Exchange(request, ended)
+        exchange = Exchange(request, report_outcome)
         self.pool.start(target, exchange)
         exchange.expire_in(self.pool.connect_timeout_s)
         return True
--- a/loadbalancer/proxy/upstream_connection.py
+++ b/loadbalancer/proxy/upstream_connection.py
@@ -14,7 +14,7 @@
 from loadbalancer.proxy.http import LAST_CHUNK, BufferedReader, chunk
 from loadbalancer.proxy.messages import Response
 from loadbalancer.proxy.parse import ResponseReader
-from loadbalancer.proxy.tcp_state import readable, received
+from loadbalancer.proxy.tcp_state import has_unread_input, receive_state
 
 # A connection on which a body stands still for so long, though there is capacity for more of it, is
 # given up.
@@ -29,11 +29,11 @@
         lost: Called once when it has ended.
 
     Attributes:
-        answer: The response whose body comes in pieces.
-        clean: Its request was written completely, so the connection can be used again.
+        streamed_response: The response whose body comes in pieces.
+        request_written: Its request was written completely, so the connection can be used again.
         noisy: Bytes came that nobody had requested.
         idle_since: When it became free, by the loop's clock.
-        answered_s: When its last response was complete, by that clock; -inf: it has carried none.
+        response_end_s: When its last response was complete, by that clock; -inf: none yet.
     """
 
     def __init__(
@@ -46,11 +46,11 @@
         self.reader = ResponseReader()
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
-        self.answer: Response | None = None
-        self.clean = False
-        self.stall: asyncio.TimerHandle | None = None
+        self.streamed_response: Response | None = None
+        self.request_written = False
+        self.stall_timer: asyncio.TimerHandle | None = None
         self.idle_since = 0.0
-        self.answered_s = -math.inf
+        self.response_end_s = -math.inf
         self.writable = True
         self.closed = False
         self.noisy = False
@@ -66,7 +66,7 @@
         self.transport.set_write_buffer_limits(high=0)
 
     @property
-    def clear(self) -> bool:
+    def reusable(self) -> bool:
         """Whether it is idle with nothing unread.
 
         A late byte would be read as the next response; an end would break the next request.
@@ -76,20 +76,20 @@
             transport is not None
             and not self.closed
             and not transport.is_closing()
-            and not readable(transport.get_extra_info("socket"))
+            and not has_unread_input(transport.get_extra_info("socket"))
         )
 
-    def start(self, exchange: Exchange, usable: Verdict = ALLOWED) -> None:
+    def start(self, exchange: Exchange, upstream_verdict: Verdict = ALLOWED) -> None:
         """Write an exchange's request, if it may still start.
 
         Otherwise it ends as not sent on the loop's next turn, and the connection is free.
 
         Args:
             exchange: The exchange.
-            usable: Whether the upstream may be sent something new.
+            upstream_verdict: Whether the upstream may be sent something new.
         """
         assert self.transport is not None
-        data = exchange.request.begin(usable)
+        data = exchange.request.begin(upstream_verdict)
         if isinstance(data, Denied):
             self.released(self)
             result = (
@@ -108,8 +108,8 @@
         exchange.written = exchange.body is None
         self.transport.write(data)
         if exchange.body is not None:
-            exchange.body.changed = self._pump
-            self._pump()
+            exchange.body.changed = self._write_body
+            self._write_body()
 
     def pause_writing(self) -> None:
         """Note that the transport holds bytes back; called by the event loop."""
@@ -117,19 +117,19 @@
         if self.exchange is not None:
             self.exchange.written = False
             if self.exchange.body is not None:
-                self._watch()
+                self._start_stall_timer()
 
     def resume_writing(self) -> None:
         """Note that all was written; called by the event loop."""
         self.writable = True
-        self._unwatch()
+        self._cancel_stall_timer()
         if self.exchange is not None:
             if self.exchange.body is not None:
-                self._pump()
+                self._write_body()
             else:
                 self.exchange.written = True
 
-    def _pump(self) -> None:
+    def _write_body(self) -> None:
         """Pass on the request's body as far as it has come, while the upstream takes it."""
         exchange = self.exchange
         body = exchange.body if exchange is not None else None
@@ -159,14 +159,14 @@
 
     # ---- a stall ---------------------------------------------------------------------------------
 
-    def _watch(self) -> None:
-        self._unwatch()
-        self.stall = asyncio.get_running_loop().call_later(STALL_S, self.abort)
+    def _start_stall_timer(self) -> None:
+        self._cancel_stall_timer()
+        self.stall_timer = asyncio.get_running_loop().call_later(STALL_S, self.abort)
 
-    def _unwatch(self) -> None:
-        if self.stall is not None:
-            self.stall.cancel()
-            self.stall = None
+    def _cancel_stall_timer(self) -> None:
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+            self.stall_timer = None
 
     # ---- the response ----------------------------------------------------------------------------
 
@@ -174,10 +174,10 @@
         """Read a response, or more of one; called by the event loop."""
         exchange = self.exchange
         reader = self.reader
-        if self.answer is not None:
-            self._watch()
+        if self.streamed_response is not None:
+            self._start_stall_timer()
             reader.feed(data)
-            self._continue_body(self.answer)
+            self._continue_body(self.streamed_response)
             return
         if exchange is None:
             self.noisy = True
@@ -197,23 +197,23 @@
         exchange = self.exchange
         reader = self.reader
         if reader.finish():
-            if self.answer is not None:
-                self._continue_body(self.answer)
+            if self.streamed_response is not None:
+                self._continue_body(self.streamed_response)
             elif exchange is not None and reader.ready:
                 self._complete(exchange, reader.ready.popleft())
         self.abort()
 
     def _complete(self, exchange: Exchange, response: Response) -> None:
         assert self.transport is not None
-        exchange.unread_ns = received(self.transport.get_extra_info("socket"))[1]
+        exchange.unread_ns = receive_state(self.transport.get_extra_info("socket"))[1]
         self.exchange = None
-        self.clean = exchange.written
+        self.request_written = exchange.written
         if exchange.body is not None:
             exchange.body.changed = None  # answered ahead of its end: the rest is not wanted
         if response.stream is not None:
-            self.answer = response
+            self.streamed_response = response
             response.stream.source = self
-            self._watch()
+            self._start_stall_timer()
             if response.stream.paused:
                 self.pause()
             self._continue_body(response)
@@ -221,15 +221,15 @@
             self._end_response(response)
         exchange.finish(AttemptResult.OK, response)
 
-    def _continue_body(self, answer: Response) -> None:
+    def _continue_body(self, streamed_response: Response) -> None:
         """Handle more of a response's body."""
-        assert answer.stream is not None
+        assert streamed_response.stream is not None
         if self.reader.fault is not None:
             self.abort()
-        elif answer.stream.ended:
-            self._unwatch()
-            self.answer = None
-            self._end_response(answer)
+        elif streamed_response.stream.ended:
+            self._cancel_stall_timer()
+            self.streamed_response = None
+            self._end_response(streamed_response)
 
     def _end_response(self, response: Response) -> None:
         """Free the connection behind a complete response.
@@ -237,16 +237,16 @@
         What stands behind it, a second response or noise, would be read as the next request's.
         """
         reader = self.reader
-        self.answered_s = asyncio.get_running_loop().time()
-        self.noisy = bool(reader.ready or reader.begun or reader.fault)
-        if self.clean and response.keep_alive and not self.noisy:
+        self.response_end_s = asyncio.get_running_loop().time()
+        self.noisy = bool(reader.ready or reader.in_message or reader.fault)
+        if self.request_written and response.keep_alive and not self.noisy:
             self.released(self)
         else:
             self.abort()
 
     def pause(self) -> None:
         """Stop reading: the response's reader is behind, which is no stall of the upstream."""
-        self._unwatch()
+        self._cancel_stall_timer()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
@@ -254,25 +254,25 @@
         """Read on."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
-            self._watch()
+            self._start_stall_timer()
 
     def abort(self) -> None:
         """Close at once; the exchange on it, if any, ends as broken."""
         if not self.closed and self.transport is not None:
             self.transport.abort()
-        self._end()
+        self._on_closed()
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (the loop's signature)
         """Note the end; called by the event loop."""
-        self._end()
+        self._on_closed()
 
-    def _end(self) -> None:
+    def _on_closed(self) -> None:
         if self.closed:
             return
         self.closed = True
-        self._unwatch()
+        self._cancel_stall_timer()
         self.reader.close()  # a body under way fails
-        self.answer = None
+        self.streamed_response = None
         exchange = self.exchange
         self.exchange = None
         self.lost(self)
--- a/loadbalancer/proxy/upstream_response.py
+++ b/loadbalancer/proxy/upstream_response.py
@@ -13,7 +13,7 @@
 NOT_RUN_HEADER = b"x-not-run"
 # Statuses that, with the header above, promise that the request was not run.
 NOT_RUN_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
-Report = Mapping[str, float] | None
+LoadReport = Mapping[str, float] | None
 
 
 def attempt_result(result: api.AttemptResult, response: Response | None) -> api.AttemptResult:
@@ -34,7 +34,7 @@
     return attempt_result(result, response)
 
 
-def read_report(text: bytes | None, columns: Collection[str]) -> Report:
+def read_load_report(text: bytes | None, columns: Collection[str]) -> LoadReport:
     """Read a load report such as `inflight=7,queue=2`.
 
     Only columns that the settings name are taken, and only finite amounts: comparisons with
--- a/loadbalancer/testbed/size/balancer.py
+++ b/loadbalancer/testbed/size/balancer.py
@@ -21,7 +21,7 @@
 
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy.configuration import Config
-from loadbalancer.proxy.endpoint import Endpoint, number_of
+from loadbalancer.proxy.endpoint import Endpoint, upstream_number
 from loadbalancer.settings import Json
 from loadbalancer.testbed.size.fit import LEAST_SIZES, Slope, fit
 from loadbalancer.testbed.topology import Unusable
@@ -370,7 +370,7 @@
     return [
         Endpoint(
             api.Upstream(
-                number_of(f"{SERVICE}-{i}"),
+                upstream_number(f"{SERVICE}-{i}"),
                 api.UpstreamState.READY,
                 f"region-{i % 8}-zone-{i % 20}",
                 i // 3,
--- a/loadbalancer/testbed/size/writer.py
+++ b/loadbalancer/testbed/size/writer.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.changefeed import messages as feed
 from loadbalancer.policy import api
-from loadbalancer.proxy.endpoint import Endpoint, number_of
+from loadbalancer.proxy.endpoint import Endpoint, upstream_number
 from loadbalancer.store.client import Client
 from loadbalancer.store.commands import Op, Result
 from loadbalancer.store.write_session import WriteOptions
@@ -44,7 +44,7 @@
 
 def endpoint(u: Upstream) -> Endpoint:
     entry = api.Upstream(
-        number_of(u.name), api.UpstreamState.READY, f"z{u.zone:02d}", u.rack, 1.0, 0, "m1"
+        upstream_number(u.name), api.UpstreamState.READY, f"z{u.zone:02d}", u.rack, 1.0, 0, "m1"
     )
     return Endpoint(
         entry, f"10.{u.zone}.{u.number >> 8 & 255}.{u.number & 255}", 8000 + u.number % 1000
@@ -200,7 +200,7 @@
         u = self.world.upstreams[number]
         e = self.now[number]
         service = self.world.services[u.service].name
-        key = self._key(service, "upstream", f"{number_of(u.name):016x}")
+        key = self._key(service, "upstream", f"{upstream_number(u.name):016x}")
         return service, Op(key, None if e is None else self.codec.row(e))
 
     async def load(self) -> int:
--- a/loadbalancer/testbed/soak/clients.py
+++ b/loadbalancer/testbed/soak/clients.py
@@ -9,7 +9,7 @@
 import time
 from dataclasses import dataclass
 
-from loadbalancer.proxy.tcp_state import received
+from loadbalancer.proxy.tcp_state import receive_state
 from loadbalancer.testbed.soak.history import Asked, End, History, Kind
 from loadbalancer.testbed.soak.plan import Plan
 
@@ -37,7 +37,7 @@
         transport = self.writer.transport
         if transport.is_closing() or self.reader.at_eof():
             return True
-        return received(transport.get_extra_info("socket")).peer_ended
+        return receive_state(transport.get_extra_info("socket")).peer_closed
 
     def close(self, reset: bool = False) -> None:
         """End it, in order or not."""
--- a/loadbalancer/testbed/soak/upstreams.py
+++ b/loadbalancer/testbed/soak/upstreams.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import cast
 
-from loadbalancer.proxy.tcp_state import Socket, received
+from loadbalancer.proxy.tcp_state import Socket, receive_state
 from loadbalancer.testbed.soak.history import Attempt, History
 from loadbalancer.testbed.soak.ports import free_port
 
@@ -145,7 +145,7 @@
     def data_received(self, data: bytes) -> None:
         assert self.transport is not None
         sock: Socket = self.transport.get_extra_info("socket")
-        at_ns = time.monotonic_ns() - received(sock)[1]
+        at_ns = time.monotonic_ns() - receive_state(sock)[1]
         if not self.data:
             self.attempt = Attempt("", self.upstream.name, self.process, at_ns, 0)
         self.data += data
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -41,7 +41,7 @@
 from loadbalancer.proxy import discovery_watch
 from loadbalancer.proxy.disabled_upstreams import DisabledUpstreams
 from loadbalancer.proxy.discovery import Discovery
-from loadbalancer.proxy.endpoint import Endpoint, number_of
+from loadbalancer.proxy.endpoint import Endpoint, upstream_number
 from loadbalancer.proxy.endpoint_list import read_endpoint
 from loadbalancer.proxy.process import Parts
 from loadbalancer.proxy.process_handover import ProcessRegistry
@@ -94,7 +94,7 @@
     )
     key = KEYS.upstream(endpoint.entry.id)
     assert (
-        split_key(key) == (SCOPE, f"upstream/{number_of('box-7'):016x}")
+        split_key(key) == (SCOPE, f"upstream/{upstream_number('box-7'):016x}")
         and split_key(KEYS.list)[0] == SCOPE
     )
     assert len(key) + len(value) < 134 < len(key) + MAX_ROW_BYTES
@@ -118,7 +118,7 @@
 
 def test_a_row_of_a_later_version_is_accepted_where_its_known_fields_decode() -> None:
     value = encode((*msgspec.msgpack.decode(row_codec.encode_upstream(upstream())), "rack-9"))
-    key = f"upstream/{number_of('box-7'):016x}"
+    key = f"upstream/{upstream_number('box-7'):016x}"
     assert find_row_error(SCOPE, Row(key, 1, value)) == ""
     assert row_codec.to_endpoint(row_codec.decode_upstream(value)) == upstream()
     assert find_row_error(SCOPE, Row("service/orders", 1, encode(ServiceRow("orders")))) == ""
@@ -346,7 +346,7 @@
             feed_update(position(3, 10), server("s-3", "Gone"), server("never there", "Gone"))
         )
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
-        dialled = driver.upstreams.targets[number_of("s-1")].endpoint
+        dialled = driver.upstreams.targets[upstream_number("s-1")].endpoint
         assert (dialled.host, dialled.port) == ("127.0.0.2", 19001)
         # Of an owner of before, as from a node that lags, nothing is taken; nor is a list without
         # any.
@@ -449,8 +449,8 @@
             assert went[0] is api.EndpointListKind.DELTA and {
                 e.entry.id: e.entry.state for e in went[1]
             } == {
-                number_of("s-8"): api.UpstreamState.REMOVED,
-                number_of("s-new"): api.UpstreamState.READY,
+                upstream_number("s-8"): api.UpstreamState.REMOVED,
+                upstream_number("s-new"): api.UpstreamState.READY,
             }
             # Whoever only looks sees the same; there is no document.
             view = (await reader.read()).view
@@ -640,7 +640,7 @@
             two = RowBalancer(c, "two", None)
             await two.knows(*discovery.rows)
             client = c.client()
-            key = KEYS.upstream(number_of("s-1"))
+            key = KEYS.upstream(upstream_number("s-1"))
             await client.write_rows([Op(key, encode(("of", "another", "program")))], [()])
             discovery.change(server("s-2", "Terminating"))
             await two.knows(server("s-1"), server("s-2", "Terminating"))
@@ -681,7 +681,7 @@
             )
             (
                 module.concurrency.service_times["q"],
-                module.upstream_set.upstreams[number_of("s-2")].relative_service_time,
+                module.upstream_set.upstreams[upstream_number("s-2")].relative_service_time,
             ) = 5e6, 3.0
             await until(lambda: bool(two.state_sync.name_lease.token()))
             await one.close()
@@ -692,10 +692,10 @@
             await until(lambda: bool(again.driver.posted))
             (learnt,) = again.driver.posted
             assert isinstance(learnt, api.LearnedState) and learnt.relative_service_times[
-                number_of("s-2")
+                upstream_number("s-2")
             ] == (
                 3.0,
-                again.driver.upstreams.targets[number_of("s-2")].endpoint.entry.started_ns,
+                again.driver.upstreams.targets[upstream_number("s-2")].endpoint.entry.started_ns,
             )
             await again.close()
 
@@ -725,7 +725,7 @@
             await two.knows(*discovery.rows)
             # The copy's rows are older than what was received: s-2 does not come back for a moment.
             assert all(
-                number_of("s-2") != e.entry.id or e.entry.state is api.UpstreamState.REMOVED
+                upstream_number("s-2") != e.entry.id or e.entry.state is api.UpstreamState.REMOVED
                 for _, endpoints in two.driver.lists[lists:]
                 for e in endpoints
             )
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -16,7 +16,7 @@
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.messages import Response, message
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
-from loadbalancer.proxy.upstream_response import read_report
+from loadbalancer.proxy.upstream_response import read_load_report
 from tests.fakes import CLASSES, SETTINGS, Heard, answer, free_port, never, read_message, run, world
 
 R = api.AttemptResult
@@ -161,7 +161,7 @@
     ],
 )
 def test_a_load_report_is_believed_as_far_as_it_can_be(text: bytes | None, report: Any) -> None:
-    assert read_report(text, ("inflight", "queue")) == report
+    assert read_load_report(text, ("inflight", "queue")) == report
 
 
 def test_refused_connection(heard: Heard) -> None:
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -50,9 +50,11 @@
     times: list[int] = []
     start = UpstreamConnection.start
 
-    def noted(connection: UpstreamConnection, exchange: Exchange, *usable: Verdict) -> None:
+    def noted(
+        connection: UpstreamConnection, exchange: Exchange, *upstream_verdict: Verdict
+    ) -> None:
         times.append(time.monotonic_ns())
-        start(connection, exchange, *usable)
+        start(connection, exchange, *upstream_verdict)
 
     monkeypatch.setattr(UpstreamConnection, "start", noted)
     yield times
@@ -123,10 +125,12 @@
     started: list[tuple[UpstreamConnection, Body]] = []
     start = UpstreamConnection.start
 
-    def keep(connection: UpstreamConnection, exchange: Exchange, *usable: Verdict) -> None:
+    def keep(
+        connection: UpstreamConnection, exchange: Exchange, *upstream_verdict: Verdict
+    ) -> None:
         if exchange.body is not None:
             started.append((connection, exchange.body))
-        start(connection, exchange, *usable)
+        start(connection, exchange, *upstream_verdict)
 
     monkeypatch.setattr(UpstreamConnection, "start", keep)
     go_on = UpstreamConnection.resume_writing
@@ -136,7 +140,7 @@
             client = await w.client()
             client.send("r1", "pay", "POST", X_Deadline_Ms=500, Content_Length=LONG)
             client.writer.write(b"x" * (LONG - 1))
-            while not started or started[0][1].taken < LONG - 1:
+            while not started or started[0][1].taken_bytes < LONG - 1:
                 await asyncio.sleep(0)
             started[0][0].pause_writing()
             client.writer.write(b"x")
@@ -251,7 +255,7 @@
         wait_ns,
         body,
         attempts=[None] * (number + 1),
-        sent=number + 1,
+        attempts_in_flight=number + 1,
     )
     limits = api.Limits(max_attempts=2, may_hedge=not in_pieces)
     now_ns = start_ns + decided_ms * MS
--- a/tests/proxy/test_event_loop_waits.py
+++ b/tests/proxy/test_event_loop_waits.py
@@ -74,7 +74,7 @@
     """The same at the two timers that serve whole tables of connections."""
     sweeps: list[float] = []
     kind: Any = Frontend if what == "a client's" else ConnectionPool
-    method = "_sweep" if what == "a client's" else "_close_old_idle"
+    method = "_sweep" if what == "a client's" else "_close_expired_idle"
     sweep = getattr(kind, method)
 
     def counted(*args: Any) -> None:
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -18,7 +18,7 @@
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_phase import Phase
 from loadbalancer.proxy.resource_limits import RESERVE
-from loadbalancer.proxy.tcp_state import received
+from loadbalancer.proxy.tcp_state import receive_state
 from tests.fakes import (
     CLASSES,
     SECOND,
@@ -440,7 +440,7 @@
                 [kept] = table
                 assert isinstance(kept, ClientConnection) and kept.transport is not None
                 sock = kept.transport.get_extra_info("socket")
-                while received(sock)[1] < 30_000_000:  # the kernel counts in ticks
+                while receive_state(sock)[1] < 30_000_000:  # the kernel counts in ticks
                     await asyncio.sleep(0)
                 for client in table:
                     table[client] -= (
--- a/tests/proxy/test_parse.py
+++ b/tests/proxy/test_parse.py
@@ -24,7 +24,7 @@
     reader = RequestReader()
     for at in range(0, len(data), step):
         reader.feed(data[at : at + step])
-    assert reader.fault is None and not reader.begun
+    assert reader.fault is None and not reader.in_message
     assert [(r.method, r.target, r.body, r.keep_alive) for r in reader.ready] == [
         (b"POST", b"/pay", b"body", True),
         (b"POST", b"/pay", b"abcd", True),
@@ -125,7 +125,7 @@
     reader = ResponseReader()
     reader.feed(data)
     assert reader.ready.popleft().body == body
-    assert clean is not bool(reader.ready or reader.begun or reader.fault)
+    assert clean is not bool(reader.ready or reader.in_message or reader.fault)
 
 
 def test_how_long_an_answer_may_be_is_told_for_each() -> None:
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -34,14 +34,14 @@
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_phase import Phase
-from loadbalancer.proxy.endpoint import number_of
+from loadbalancer.proxy.endpoint import upstream_number
 from loadbalancer.proxy.endpoint_list import read_endpoint
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.frontend import Frontend
 from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.process_handover import ProcessRegistry
 from loadbalancer.proxy.resource_limits import RESERVE
-from loadbalancer.proxy.upstream import Done, Timing, Upstreams
+from loadbalancer.proxy.upstream import AttemptCallback, Timing, Upstreams
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from loadbalancer.settings import Json
 from tests.bench import CELL, MS, Desk, arrival, of, settings
@@ -347,7 +347,7 @@
                 ended.put_nowait((result, response.body if response is not None else b""))
 
             for body in (b"first", b"second"):  # each on a connection of its own
-                upstreams.send(number_of("s-0"), REQUEST, done, Timing(5.0))
+                upstreams.send(upstream_number("s-0"), REQUEST, done, Timing(5.0))
                 link, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
                 assert await loop.sock_recv(link, 4096) == REQUEST
                 await loop.sock_sendall(link, answer(200, body))
@@ -650,7 +650,7 @@
                 False,
             )
             lists.change(w.upstreams[1].row("Gone"))
-            gone = number_of(w.upstreams[1].name)
+            gone = upstream_number(w.upstreams[1].name)
 
             def told() -> bool:
                 [last] = heard.of(api.EndpointsUpdated)[-1:]
@@ -749,7 +749,7 @@
             await other.start()
             # The old one's answer is written, and lies unread, when the move comes.
             w.discovery.change(w.upstreams[0].row("Terminating"))
-            while not lists.connection or lists.connection.clear:
+            while not lists.connection or lists.connection.reusable:
                 await asyncio.sleep(0)
             lists.move(other.address)
             await other.until(lambda: any("from=1&" in m.start[1] for m in other.seen))
@@ -777,8 +777,8 @@
 class Attempt:
     """A request that starts only where its upstream may be used."""
 
-    def begin(self, usable: Verdict) -> bytes | Denied:
-        return usable if isinstance(usable, Denied) else REQUEST
+    def begin(self, upstream_verdict: Verdict) -> bytes | Denied:
+        return upstream_verdict if isinstance(upstream_verdict, Denied) else REQUEST
 
     def may_finish(self) -> bool:
         return True
@@ -798,8 +798,8 @@
         row = {"id": "s-0", "addr": "{}:{}".format(*self.server.getsockname()), "state": state}
         self.upstreams.learn([read_endpoint(row)], full=True)
 
-    def send(self, done: Done) -> Exchange | None:
-        return self.upstreams.send(number_of("s-0"), Attempt(), done, Timing(5.0))
+    def send(self, done: AttemptCallback) -> Exchange | None:
+        return self.upstreams.send(upstream_number("s-0"), Attempt(), done, Timing(5.0))
 
     def ask(self) -> None:
         self.send(
@@ -926,7 +926,7 @@
             one.ask()
             with await one.link() as link:
                 await loop.sock_sendall(link, answer(200, b"first"))
-                for _ in range(connection_pool.MAX_WAITS):
+                for _ in range(connection_pool.MAX_SETTLE_WAITS):
                     assert await one.ended.get() == b"first"
                     one.ask()  # at once: it waits
                     assert await loop.sock_recv(link, 4096) == REQUEST
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -13,7 +13,7 @@
 from loadbalancer.policy import Balancer, api
 from loadbalancer.proxy import discovery, discovery_watch, policy_driver, process
 from loadbalancer.proxy.body_stream import BodyMemory
-from loadbalancer.proxy.endpoint import number_of
+from loadbalancer.proxy.endpoint import upstream_number
 from loadbalancer.proxy.endpoint_list import read_endpoint
 from loadbalancer.proxy.messages import message
 from loadbalancer.proxy.policy_driver import Driver
@@ -92,7 +92,7 @@
                 api.EndpointListKind.DELTA,
             )
             assert [(u.id, u.state) for u in last.upstreams] == [
-                (number_of(gone.name), api.UpstreamState.REMOVED)
+                (upstream_number(gone.name), api.UpstreamState.REMOVED)
             ]
             assert (await w.ask("r2")).body == stays.name.encode()
 
@@ -122,7 +122,7 @@
             await heard.until(
                 lambda: any(
                     [(u.id, u.state) for u in e.upstreams]
-                    == [(number_of(gone.name), api.UpstreamState.REMOVED)]
+                    == [(upstream_number(gone.name), api.UpstreamState.REMOVED)]
                     for e in heard.of(api.EndpointsUpdated)
                 )
             )
@@ -255,7 +255,7 @@
     assert abs(now - StartTimes().started_ns(1, first.started_ms, now) - 5 * SECOND) < SECOND
     assert StartTimes().started_ns(1, read_endpoint({**row, "started_ms": 0}).started_ms, now) == 0
     # Balancers must compute the same number, now and in any later version.
-    assert number_of("s-5be2a07c") == first.entry.id == 9587356208999800076
+    assert upstream_number("s-5be2a07c") == first.entry.id == 9587356208999800076
     odd = [
         {**row, key: value}
         for key in ("started_ms", "weight")
@@ -391,7 +391,7 @@
         request = message(b"GET /quote HTTP/1.1", [(b"Host", b"h")])
         for seconds in (0.3, 5.0):
             upstreams.send(
-                number_of("s-0"),
+                upstream_number("s-0"),
                 request,
                 lambda result, *rest: ended.put_nowait(result),
                 Timing(seconds),
--- a/tests/test_wallclock.py
+++ b/tests/test_wallclock.py
@@ -12,7 +12,7 @@
 import pytest
 
 from loadbalancer.policy import api
-from loadbalancer.proxy.endpoint import number_of
+from loadbalancer.proxy.endpoint import upstream_number
 from tests.fakes import SECOND, SETTINGS, Heard, run, world
 
 ROOT = Path(__file__).parent.parent
@@ -38,7 +38,7 @@
                 u.started_ns
                 for e in heard.of(api.EndpointsUpdated)
                 for u in e.upstreams
-                if u.id == number_of(w.upstreams[1].name) and u.started_ns
+                if u.id == upstream_number(w.upstreams[1].name) and u.started_ns
             }
             assert len(starts) == 1
             assert before_ns - SECOND <= starts.pop() <= after_ns
@@ -48,7 +48,7 @@
                 u.started_ns
                 for e in heard.of(api.EndpointsUpdated)
                 for u in e.upstreams
-                if u.id == number_of(w.upstreams[1].name) and u.started_ns
+                if u.id == upstream_number(w.upstreams[1].name) and u.started_ns
             }
             assert len(again) == 1
 
