--- a/loadbalancer/proxy/attempt.py
+++ b/loadbalancer/proxy/attempt.py
@@ -1,7 +1,8 @@
-"""One attempt of a request on its way to an upstream.
+"""One attempt to send a request to an upstream.
 
-An attempt is asked for its bytes when its connection is up. Only then are the rules, the clock and
-the client looked at for the last time, so that nothing is sent that nobody waits for any more.
+The bytes of an attempt are built when its connection is established. The rules, the clock and the
+client's connection are checked at that moment once more, so that no request is sent whose client no
+longer waits for the response.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptLimits:
-    """How long an attempt may take and when it may start.
+    """Time limits of an attempt.
 
     Attributes:
         limits: The settings' limits on attempts.
-        timeout_ns: How long it may take from the request's last byte on.
-        expires_ns: When it is given up, where its request is complete.
-        start_by_ns: It may not start later; 0: at any time.
+        timeout_ns: The timeout, counted from the request's last byte.
+        expires_ns: When the attempt times out if its request is complete.
+        start_by_ns: The latest time at which the attempt may start; 0: no limit.
     """
 
     limits: api.Limits
@@ -43,8 +44,8 @@
     """Attempt `number` of a request.
 
     Attributes:
-        client_gone: Called when the request's client is found to have disconnected.
-        promised_ms: The remaining time that the head gave to the upstream.
+        client_gone: Called when the request's client turns out to have disconnected.
+        promised_ms: The remaining time that the request's head announced to the upstream.
     """
 
     request: OpenRequest
@@ -55,7 +56,7 @@
     promised_ms: int = 0
 
     def verdict(self, now_ns: int) -> rules.Verdict:
-        """Decide whether it may start now, as far as its request is concerned."""
+        """Return whether the request allows the attempt to start now."""
         request = self.request
         stream = request.stream
         limits = self.limits.limits
@@ -72,41 +73,45 @@
         return rules.may_attempt(attempt, limits, rules.max_in_flight(limits, stream is not None))
 
     def begin(self, upstream_verdict: rules.Verdict) -> bytes | Denied:
-        """Build the head, and the body where it is at hand, with the time that is left now.
+        """Build the head with the time that remains now, and the body unless it is streamed.
 
         Args:
-            upstream_verdict: Whether the upstream may be sent something new.
+            upstream_verdict: Whether new requests may be sent to the upstream.
         """
         now_ns = time.monotonic_ns()
         verdict = self.verdict(now_ns)
         if not isinstance(verdict, Denied):
             verdict = upstream_verdict
         if isinstance(verdict, Denied):
-            self.report_denial(verdict, "its connection is up")
+            self.report_denial(verdict, "connection established")
             return verdict
         request = self.request
         if request.arrival.body_complete:
             deadline_ns = request.arrival.deadline_ns
             self.promised_ms = rules.remaining_ms(now_ns, deadline_ns, self.limits.expires_ns)
         else:
-            # Its client's time runs from the last byte, which is still to come.
+            # The client's timeout counts from the body's last byte, which is not yet received.
             self.promised_ms = rules.remaining_ms(0, request.wait_ns, self.limits.timeout_ns)
         if request.stream is not None:
             request.stream.rewind()
         return attempt_request(request, self.promised_ms)
 
     def may_finish(self) -> bool:
-        """Decide whether the body's last byte may be written, given the time its head promised."""
+        """Return whether the last byte of a streamed body may be written.
+
+        It may not if the upstream, which counts the time announced in the head from that byte,
+        would work past the client's deadline.
+        """
         request = self.request
         now_ns = time.monotonic_ns()
         from_ns = request.arrival.received_ns if request.arrival.body_complete else now_ns
         verdict = rules.may_complete_body(self.promised_ms, now_ns, from_ns + request.wait_ns)
         if isinstance(verdict, Denied):
-            self.report_denial(verdict, "the last byte of its body is due")
+            self.report_denial(verdict, "before the last byte of the body")
         return not isinstance(verdict, Denied)
 
     def report_denial(self, denied: Denied, state: str) -> None:
-        """Count a denial, and end a request whose client is found to have disconnected."""
+        """Record a denial, and end the request if its client has disconnected."""
         self.violations.record(
             denied, self.request.arrival.request, f"attempt {self.number}, {state}"
         )
@@ -115,7 +120,7 @@
 
 
 def attempt_request(request: OpenRequest, wait_ms: int) -> bytes:
-    """Build the forwarded request: framed anew, with how long this balancer will wait."""
+    """Build the forwarded request, with new framing and the time this balancer will wait."""
     rows = [*request.headers, (DEADLINE_HEADER, b"%d" % wait_ms)]
     framing = _framing(request.method, request.body, request.stream)
     if framing is not None:
@@ -124,7 +129,7 @@
 
 
 def _framing(method: bytes, body: bytes, stream: Body | None) -> tuple[bytes, bytes] | None:
-    """The header that frames the body; None where there is no body to frame."""
+    """Return the header that frames the body; None if the request has no body."""
     if stream is not None:
         if stream.length is None:
             return (b"Transfer-Encoding", b"chunked")
--- a/loadbalancer/proxy/body_stream.py
+++ b/loadbalancer/proxy/body_stream.py
@@ -1,7 +1,8 @@
-"""A message body that passes through in pieces: a bounded queue between two connections.
+"""Streamed message body: a bounded queue of pieces between two connections.
 
-While a body is full its sender is not read from. The bytes that all bodies buffer are counted
-together; where memory is short each may buffer less, but never so little that it stands still.
+While the queue is full, reading from the sender is paused (backpressure). The buffered bytes of all
+bodies are counted together. If their total reaches the limit, each body may buffer less, but always
+enough to make progress.
 """
 
 from __future__ import annotations
@@ -9,14 +10,14 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_LENGTH = 32 * 1024 * 1024  # of any body
+MAX_LENGTH = 32 * 1024 * 1024  # bytes of the longest body that is accepted
 MAX_BUFFERED = 64 * 1024  # bytes that one body may buffer before its sender is paused
-MAX_BUFFERED_IN_SHORTAGE = 8 * 1024  # the same where memory is short
+MAX_BUFFERED_IN_SHORTAGE = 8 * 1024  # the same when the memory limit is reached
 READ_SIZE = 64 * 1024  # bytes that are read from a socket at a time
 
 
 class BodyMemory:
-    """Counts what the bodies of this process buffer together."""
+    """Counts the bytes that all bodies of this process buffer."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -24,33 +25,33 @@
 
     @property
     def max_buffered(self) -> int:
-        """Bytes that one body may buffer now."""
+        """Number of bytes that one body may buffer now."""
         return MAX_BUFFERED if self.buffered < self.limit else MAX_BUFFERED_IN_SHORTAGE
 
 
 class Source(Protocol):
-    """The connection that a body comes on."""
+    """The connection from which a body is received."""
 
     def pause(self) -> None:
-        """Stop reading: the body is full."""
+        """Pause reading because the body's buffer is full."""
 
     def resume(self) -> None:
-        """Read on: the body has capacity again."""
+        """Resume reading because the body's buffer has capacity again."""
 
     def abort(self) -> None:
-        """Close the connection: the rest of the body is not wanted."""
+        """Close the connection because the rest of the body is not needed."""
 
 
 class Body:
-    """A queue of pieces that ends complete or fails, and notifies its reader of each change.
+    """A queue of pieces that becomes complete or fails, and notifies its reader of each change.
 
-    A body that is kept can be read again from its start as long as it was never full; see
-    `is_replayable`.
+    With `keep`, the body can be read again from its start, until pieces that were already taken
+    have to be dropped to free buffer space; see `is_replayable`.
 
     Args:
-        length: The length that its sender announced; None: it comes in chunks.
+        length: The length in the sender's Content-Length; None: the body is chunked.
         memory: Counts the bytes that are buffered here.
-        keep: Keep pieces that were taken, as long as they don't stand in the way.
+        keep: Whether pieces that were taken are kept until the buffer is full.
     """
 
     __slots__ = (
@@ -76,18 +77,18 @@
         self.source: Source | None = None
         self.changed: Callable[[], None] | None = None
         self.pieces: list[bytes] = []
-        self.next_index = 0  # the first piece that was not taken
+        self.next_index = 0  # index of the first piece that was not taken
         self.taken_bytes = 0  # bytes
         self.buffered = 0  # bytes
         self.ended = False
         self.failed = False
         self.paused = False
-        self.dropped = False  # its first pieces are gone
+        self.dropped = False  # whether pieces were deleted from the start
 
     # ---- the sender's side -----------------------------------------------------------------------
 
     def put(self, data: bytes) -> None:
-        """Append a piece, and pause the source where the body is full."""
+        """Append a piece, and pause the source if the buffer is full."""
         if self.failed:
             return
         self.pieces.append(data)
@@ -108,7 +109,7 @@
         self._notify()
 
     def fail(self) -> None:
-        """Mark the body as one that will never be complete."""
+        """Mark the body as failed: it will never be complete."""
         if not (self.ended or self.failed):
             self.failed = True
             self.source = None
@@ -119,12 +120,12 @@
 
     @property
     def drained(self) -> bool:
-        """Whether it is complete, and all of it was taken."""
+        """Whether the body is complete and all its pieces were taken."""
         return self.ended and self.next_index == len(self.pieces)
 
     @property
     def ends_next(self) -> bool:
-        """Whether what is taken next is its last piece, or the mark of its end."""
+        """Whether the next item to write is the body's last piece or its last chunk."""
         if self.length is None:
             return self.ended and len(self.pieces) - self.next_index <= 1
         return (
@@ -134,17 +135,17 @@
 
     @property
     def is_replayable(self) -> bool:
-        """Whether it can still be read from its start."""
+        """Whether the body can still be read from its start."""
         return not (self.dropped or self.failed)
 
     def take(self) -> bytes | None:
-        """Take the next piece; None where there is none yet."""
+        """Take the next piece; None if none is available yet."""
         if self.next_index == len(self.pieces):
             return None
         piece = self.pieces[self.next_index]
         self.next_index += 1
         self.taken_bytes += len(piece)
-        # What may be read again is dropped only when it stands in the way.
+        # Pieces that are kept for a retry are dropped only if the buffer is full.
         if not self.keep or self.paused:
             self._drop_taken()
         if self.paused and self.buffered <= self.memory.max_buffered // 2:
@@ -154,14 +155,14 @@
         return piece
 
     def rewind(self) -> None:
-        """Read it from its start again."""
+        """Restart reading from the body's start."""
         assert self.is_replayable
         self.next_index = 0
         self.taken_bytes = 0
         self.changed = None
 
     def drop(self) -> None:
-        """Stop reading it for good; where more is still to come, its source is closed."""
+        """Discard the body; if it is incomplete, close its source."""
         source = self.source
         self.source = None
         self.changed = None
@@ -171,10 +172,10 @@
                 source.abort()
         self._clear()
 
-    # ---- what is buffered ------------------------------------------------------------------------
+    # ---- the buffer ------------------------------------------------------------------------------
 
     def _drop_taken(self) -> None:
-        """Forget the pieces that were taken."""
+        """Delete the pieces that were taken."""
         if self.next_index:
             self.dropped = True
             self._adjust_buffered(-sum(map(len, self.pieces[: self.next_index])))
--- a/loadbalancer/proxy/connection_host.py
+++ b/loadbalancer/proxy/connection_host.py
@@ -1,4 +1,4 @@
-"""What a client's connection and the frontend that keeps it require of each other."""
+"""Interfaces between a client's connection and the frontend that owns it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 
 class HostedConnection(Protocol):
-    """A client's connection, as the frontend sees it.
+    """Interface of a client's connection to the frontend.
 
     Attributes:
-        phase: What it is doing without an open request; None: it has one.
-        force_close_at: When it is closed even with unread input; 0: it is not overdue.
+        phase: The connection's phase without an open request; None: a request is open.
+        force_close_at: When an overdue connection is closed even if it has unread input; 0: the
+            connection is not overdue.
     """
 
     phase: Phase | None
@@ -23,27 +24,27 @@
 
     @property
     def unread(self) -> bool:
-        """Whether something came on an idle connection that was not read yet."""
+        """Whether an idle connection has received something that was not read yet."""
 
     @property
     def unsent(self) -> bool:
-        """Whether part of what was written is still buffered here."""
+        """Whether bytes that were written are still buffered in this process."""
 
     def on_phase_timeout(self) -> None:
-        """End it, as it has been in its phase for as long as it may."""
+        """End the connection because the time limit of its phase has passed."""
 
     def fail_incomplete_request(self) -> None:
-        """Answer a request that is incomplete as this process ends."""
+        """Answer an incomplete request because this process is shutting down."""
 
     def close_for_shutdown(self) -> None:
-        """Close it as this process ends."""
+        """Close the connection because this process is shutting down."""
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
 
 
 class ConnectionHost(Protocol):
-    """The frontend, as a client's connection sees it."""
+    """Interface of the frontend to a client's connection."""
 
     driver: Driver
     memory: BodyMemory
@@ -51,27 +52,27 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients are accepted and can be served."""
+        """Whether clients are accepted and requests can be served."""
 
     @property
     def draining(self) -> bool:
-        """Whether the shutdown has begun."""
+        """Whether the graceful shutdown has started."""
 
     @property
     def last_answer_ns(self) -> int:
-        """When, after SIGTERM, the last answer is given."""
+        """When the last answer is given after SIGTERM (monotonic clock)."""
 
     def is_loaded(self, fraction: float) -> bool:
-        """Whether so large a fraction of the cap on connections is used."""
+        """Return whether at least this fraction of the connection limit is in use."""
 
     def wait(self, client: HostedConnection, phase: Phase) -> None:
-        """Note that a connection has no request open from now on."""
+        """Enter a phase in which the connection has no open request, and start its time limit."""
 
     def note_progress(self, client: HostedConnection) -> None:
-        """Note that a connection goes on sending its request."""
+        """Record that a connection has received more of its request."""
 
     def busy(self, client: HostedConnection) -> None:
-        """Note that a connection is in no phase of waiting any more."""
+        """End the connection's current phase."""
 
     def lost(self, client: HostedConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that is closed."""
--- a/loadbalancer/proxy/connection_phase.py
+++ b/loadbalancer/proxy/connection_phase.py
@@ -6,7 +6,7 @@
 
 
 class Phase(Enum):
-    """What a connection without an open request is doing."""
+    """State of a client's connection that has no open request."""
 
     NEW = "its request is incomplete"
     BODY = "the body of its request is on its way"
@@ -16,15 +16,16 @@
 
 
 LIMIT_S = {
-    # From the connect, or from the first byte on a connection that was used before. A client that
-    # is silent or slow is owed an end within 3 s of connecting, and may take 2 s over a head.
+    # Counts from the connect, or from the request's first byte on a reused connection. The
+    # connection of a silent or slow client must be closed within 3 s of the connect, and a client
+    # may take 2 s to send a head.
     Phase.NEW: 2.6,
-    # For each PROGRESS_BYTES of a body.
+    # Time for each PROGRESS_BYTES of a body.
     Phase.BODY: 1.5,
-    # For a long answer that stands still.
+    # Time without progress of a long response.
     Phase.ANSWER: 10.0,
-    # Then it is closed, and its client opens another.
+    # An idle connection is closed after this time; the client can open another.
     Phase.IDLE: 10.0,
-    # For its client to read the last answer, and to close in its turn.
+    # Time for the client to read the last response and to close its side.
     Phase.LINGERING: 1.0,
 }
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -1,11 +1,13 @@
-"""Connections to upstreams: opened up to a cap, kept while idle, used again once they have settled.
-
-A second response or noise that comes late behind a response would be taken for the next one's, as
-nothing in the protocol marks it. So a connection rests behind each response before it is used
-again. An exchange that finds none settled waits for the first that will be, which costs the
-upstream less than a new one; where all are taken, or waits are frequent, one is opened. Once an
-upstream has sent unrequested bytes, connections to all rest for longer, those to that upstream the
-longest.
+"""Connection pool for upstreams, with a cap on open connections and a settle time before reuse.
+
+HTTP/1.1 does not mark which request a response belongs to. If an upstream sends a second response
+or stray bytes shortly after a complete response, and the connection has been reused by then, those
+bytes are read as the response to the next request. A connection is therefore not reused until a
+settle time has passed since its last response. If all idle connections are still settling, an
+exchange waits for the one that settles first, because a new connection costs the upstream more than
+the wait. A new connection is opened if there is no idle connection, if the wait would be too long,
+or if exchanges had to wait often. After an upstream has sent unrequested bytes, the settle time of
+all connections is longer for some time, and that of connections to this upstream the longest.
 """
 
 from __future__ import annotations
@@ -25,21 +27,22 @@
 
 log = logging.getLogger(__name__)
 
-# Of the time after which upstreams close idle connections; then they are closed here.
+# Idle connections are closed after this fraction of the time after which upstreams close them.
 IDLE_FRACTION = 0.6
-# Longer than a second response lags behind the first one, with the delays of a busy host.
+# Longer than the time between a response and a second, unrequested one, on a busy host too.
 SETTLE_S = 0.02
-SETTLE_CAUTIOUS_S = 0.03  # once any upstream has sent unrequested bytes
-SETTLE_NOISY_S = 0.1  # the same, for connections to that upstream
+SETTLE_CAUTIOUS_S = 0.03  # after any upstream has sent unrequested bytes
+SETTLE_NOISY_S = 0.1  # for connections to the upstream that has sent unrequested bytes
 NS_PER_S = 1e9
-CAUTIOUS_PERIOD_S = 60.0  # how long that lasts
-# A connection is opened where the rest takes longer, or so many waited within the window: a wait is
-# short beside most deadlines, but not beside all.
+CAUTIOUS_PERIOD_S = 60.0  # how long the longer settle times apply
+# A new connection is opened if the settle time takes longer than MAX_SETTLE_WAIT_S, or if more than
+# MAX_SETTLE_WAITS exchanges had to wait within WAIT_WINDOW_S. A wait is short compared with most
+# deadlines, but not with all of them.
 MAX_SETTLE_WAIT_S = SETTLE_CAUTIOUS_S
 MAX_SETTLE_WAITS = 1
 WAIT_WINDOW_S = 1.0
-LOCAL_RETRY_S = 0.02  # before a connect that failed by this machine's fault is tried again
-SHORTAGE_LOG_S = 5.0  # between two log lines about one shortage
+LOCAL_RETRY_S = 0.02  # pause before the retry of a connect that failed on this machine
+SHORTAGE_LOG_S = 5.0  # minimum time between two log lines about a shortage
 
 
 @dataclass(slots=True, eq=False)
@@ -47,9 +50,9 @@
     """An upstream's address and its idle connections, the newest last.
 
     Attributes:
-        keep: Whether connections that become free are kept.
-        noisy_until_s: It has sent unrequested bytes; until then its connections rest for longer.
-        settle_waits: Exchanges that waited for a connection to rest, since `wait_window_start_s`.
+        keep: Whether connections are kept for reuse after an exchange.
+        noisy_until_s: Until when its settle time is longer because it has sent unrequested bytes.
+        settle_waits: Exchanges that waited for a connection to settle since `wait_window_start_s`.
     """
 
     endpoint: Endpoint
@@ -65,10 +68,11 @@
     """The connections to all upstreams.
 
     Attributes:
-        connections: Those that are open or being opened.
+        connections: Number of connections that are open or being opened.
         trusted: Whether the endpoint list is recent enough for attempts to start.
         connecting: The tasks that open connections.
-        cautious_until_s: An upstream has sent unrequested bytes; until then all rest for longer.
+        cautious_until_s: Until when the settle time of all connections is longer because an
+            upstream has sent unrequested bytes.
     """
 
     def __init__(self, limits: api.Limits, max_connections: int) -> None:
@@ -79,17 +83,17 @@
         self.trusted = True
         self.connecting: set[asyncio.Task[None]] = set()
         self.cautious_until_s = 0.0
-        self._idle: dict[UpstreamConnection, None] = {}  # to any upstream, the oldest first
+        self._idle: dict[UpstreamConnection, None] = {}  # to all upstreams, longest idle first
         self._next_shortage_log_s = 0.0
 
     def set_max_connections(self, connections: int) -> None:
-        """Set the cap, connections in use included, and close idle ones beyond it."""
+        """Set the cap on all connections, and close idle connections that exceed it."""
         self.max_connections = connections
         while self.connections > connections and self._close_oldest_idle():
             pass
 
     def start(self, target: Target, exchange: Exchange) -> None:
-        """Run an exchange on an idle connection, or on a new one."""
+        """Run an exchange on an idle connection, or on a new connection."""
         loop = asyncio.get_running_loop()
         connection = self._take_idle(target, loop.time())
         if connection is not None:
@@ -98,7 +102,7 @@
         if self._wait_until_settled(target, exchange):
             return
         if self.connections >= self.max_connections and not self._close_oldest_idle():
-            self._log_shortage("no connection to spare")
+            self._log_shortage("connection limit reached")
             loop.call_soon(exchange.give_up, api.AttemptResult.NOT_SENT)
             return
         self.connections += 1
@@ -123,7 +127,10 @@
         return may_use(target.keep, self.trusted)
 
     def _take_idle(self, target: Target, now_s: float) -> UpstreamConnection | None:
-        """Take the newest connection that has settled: the others may rest on, and close."""
+        """Take the most recently used connection that has settled.
+
+        The others stay idle, and may reach the idle timeout and be closed.
+        """
         while True:
             settled_before_s = now_s - self._settle_s(target, now_s)
             connection = next(
@@ -137,9 +144,12 @@
             connection.abort()
 
     def _wait_until_settled(self, target: Target, exchange: Exchange) -> bool:
-        """Start on the connection that settles first, once it has; False where there is none.
+        """Start an exchange on the connection that settles first, as soon as it has settled.
 
-        It is the exchange's from now on, so that no other waits for the same one.
+        The connection is reserved for the exchange, so that no other exchange waits for it too.
+
+        Returns:
+            False if no connection is idle, the wait would be too long, or waits are frequent.
         """
         connection = min(target.idle, key=lambda c: c.response_end_s, default=None)
         if connection is None:
@@ -154,7 +164,10 @@
 
     @staticmethod
     def _are_waits_frequent(target: Target, now_s: float) -> bool:
-        """Count a wait. Where they are frequent there are too few connections, and it is none."""
+        """Count a wait, and return whether waits are frequent.
+
+        Frequent waits mean that there are too few connections: the caller opens a new one instead.
+        """
         if now_s > target.wait_window_start_s + WAIT_WINDOW_S:
             target.wait_window_start_s = now_s
             target.settle_waits = 0
@@ -171,7 +184,11 @@
         exchange: Exchange,
         wait_start_s: float,
     ) -> None:
-        """Start on a connection that has rested, unless something came from there meanwhile."""
+        """Start an exchange on a reserved connection, unless it received something meanwhile.
+
+        If the connection can't be reused, or the settle time has become longer, the pool starts the
+        exchange again.
+        """
         now_s = asyncio.get_running_loop().time()
         exchange.settle_wait_ns += int((now_s - wait_start_s) * NS_PER_S)
         has_settled = connection.response_end_s + self._settle_s(target, now_s) <= now_s
@@ -186,18 +203,18 @@
             self.start(target, exchange)
 
     def _remove_idle(self, target: Target, connection: UpstreamConnection) -> None:
-        """Take a connection from the idle ones."""
+        """Remove a connection from the idle connections."""
         target.idle.remove(connection)
         self._idle.pop(connection, None)
 
     def _settle_s(self, target: Target, now_s: float) -> float:
-        """How long a connection to it has to rest behind a response before it is used again."""
+        """Return how long a connection must stay idle after a response before it is reused."""
         if now_s < target.noisy_until_s:
             return SETTLE_NOISY_S
         return SETTLE_CAUTIOUS_S if now_s < self.cautious_until_s else SETTLE_S
 
     def _log_shortage(self, problem: str) -> None:
-        """Log once in a while, not for each request: in a shortage all meet with it."""
+        """Log a shortage, at a limited rate because it affects every request."""
         now_s = asyncio.get_running_loop().time()
         if now_s >= self._next_shortage_log_s:
             self._next_shortage_log_s = now_s + SHORTAGE_LOG_S
@@ -211,14 +228,15 @@
             self.connections -= 1
         elif connection.closed:
             exchange.give_up(api.AttemptResult.CONNECT_FAILED)
-        elif exchange.done is None:  # it is over by now: the connection serves the next one
+        elif exchange.done is None:  # it ended during the connect: keep the connection for others
             self._release(target, connection)
         else:
             self._start_on(connection, target, exchange)
 
     def _start_on(self, connection: UpstreamConnection, target: Target, exchange: Exchange) -> None:
-        # The upstream may drain, have gone or restarted, or been disabled while the connection
-        # came up: an attempt that started now would be a new one for it.
+        # While the connection was being established or was settling, the upstream may have started
+        # to drain, been removed, been restarted or been disabled. The verdict is therefore
+        # determined again: such an upstream must not receive a new attempt.
         try:
             connection.start(exchange, self._upstream_verdict(target))
         except Exception:
@@ -229,10 +247,10 @@
             )
 
     async def _dial(self, target: Target, exchange: Exchange) -> UpstreamConnection | None:
-        """Open a connection, and try again where this machine was at fault.
+        """Open a connection, and retry connects that failed because of this machine.
 
         Returns:
-            The connection; None where none came up in time, and the exchange has ended.
+            The connection; None if none was established in time, or the exchange has ended.
         """
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + self.connect_timeout_s
@@ -243,7 +261,7 @@
             try:
                 await self._open(target.endpoint, connection, deadline_s)
                 return connection
-            except Exception as error:  # noqa: BLE001 (OSError, or what a bad address may raise)
+            except Exception as error:  # noqa: BLE001 (OSError, or any error for a malformed address)
                 self._connect_failed(connection, exchange, error, deadline_s)
             if exchange.done is None:
                 return None
@@ -258,7 +276,7 @@
         error: Exception,
         deadline_s: float,
     ) -> None:
-        """Clean up, and end the exchange unless the connect is to be tried again."""
+        """Clean up after a failed connect, and end the exchange unless the connect is retried."""
         was_established = connection.transport is not None
         connection.abort()
         failure_cause = cause(Operation.CONNECT, error)
@@ -267,7 +285,7 @@
             exchange.give_up(api.AttemptResult.CONNECT_FAILED)
         elif now_s + LOCAL_RETRY_S >= deadline_s:
             exchange.give_up(api.AttemptResult.NOT_SENT)
-        if was_established:  # it was counted when it was lost
+        if was_established:  # its close has already decremented the count
             self.connections += 1
         if failure_cause is Cause.HERE:
             self._log_shortage(f"connect failed on this machine: error={error}")
@@ -283,7 +301,7 @@
     # ---- idle connections ------------------------------------------------------------------------
 
     def _release(self, target: Target, connection: UpstreamConnection) -> None:
-        """Keep a connection whose exchange is over."""
+        """Keep a connection as idle after its exchange, or close it."""
         if not target.keep:
             connection.abort()
             return
@@ -294,15 +312,16 @@
             self._schedule_idle_timer(target)
 
     def _schedule_idle_timer(self, target: Target) -> None:
-        """Set the target's one timer, for the oldest of its idle connections."""
+        """Set the target's timer for its connection that has been idle longest."""
         expires_s = target.idle[0].idle_since + self.idle_s
         target.timer = call_after(
             expires_s - asyncio.get_running_loop().time(), self._close_expired_idle, target
         )
 
     def _close_expired_idle(self, target: Target) -> None:
-        # A request written to a connection that the upstream is just closing ends as a reset, and
-        # may have run: none is used that comes near the upstream's own limit.
+        # If a request crosses the upstream's close of an idle connection, the upstream answers with
+        # a reset, and this side can't tell whether the request ran. Connections are therefore
+        # closed here before they reach the upstream's own idle timeout.
         target.timer = None
         now_s = asyncio.get_running_loop().time()
         for connection in [c for c in target.idle if c.idle_since + self.idle_s <= now_s]:
@@ -320,7 +339,7 @@
             target.idle.remove(connection)
 
     def _on_unrequested_bytes(self, target: Target) -> None:
-        """Have connections rest for longer from now on; logged once for each such time."""
+        """Increase the settle times for a period; log this at the start of the period only."""
         now_s = asyncio.get_running_loop().time()
         if now_s >= self.cautious_until_s:
             endpoint = target.endpoint
--- a/loadbalancer/proxy/endpoint.py
+++ b/loadbalancer/proxy/endpoint.py
@@ -1,4 +1,4 @@
-"""An upstream as discovery lists it: what the policy knows of it, and its address."""
+"""An upstream in the endpoint list: the policy's entry and the network address."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def upstream_number(name: str) -> int:
-    """The number by which the policy knows an upstream's id; the same on every balancer."""
+    """Return the policy's number for an upstream's id; the same on every balancer."""
     digest = hashlib.blake2b(name.encode(), digest_size=NUMBER_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 class UpstreamProcess(NamedTuple):
-    """Identifies one run of an upstream's process."""
+    """Identity of one process of an upstream, which changes with each restart."""
 
     host: str
     port: int
@@ -30,9 +30,9 @@
     """An entry of the endpoint list.
 
     Attributes:
-        entry: What the policy is given, but for the time of its start, which the driver works out
-            from `started_ms` by this process's clock.
-        started_ms: Unix time in milliseconds; 0: long ago.
+        entry: The policy's entry. The driver sets its start time, which it converts from
+            `started_ms` to this process's monotonic clock.
+        started_ms: When the process started, as Unix time in milliseconds; 0: long ago.
     """
 
     entry: api.Upstream
@@ -42,5 +42,5 @@
 
     @property
     def process(self) -> UpstreamProcess:
-        """The process that a connection leads to; its successor's differs."""
+        """Identity of the process; differs after a restart or a change of the address."""
         return UpstreamProcess(self.host, self.port, self.started_ms)
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 exchange: a request, and how it ended.
+"""One HTTP/1.1 exchange: a request and its outcome.
 
-An exchange is sent once: nothing here sends a request again. The moment at which its last byte left
-is known, because before it a broken connection proves that the request never ran.
+The request of an exchange is sent once; this module does not retry. An exchange records whether the
+last byte of its request was written: if the connection breaks earlier, the request can't have run.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
     """The connection that carries an exchange."""
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
 
 
 class Outgoing(Protocol):
-    """A request on its way out, which makes its bytes at the last moment."""
+    """A request whose bytes are built when its connection is ready to send them."""
 
     def begin(self, upstream_verdict: Verdict) -> bytes | Denied:
-        """Build all of it but a body in pieces, to be written now.
+        """Build the bytes to write now: the request without a streamed body.
 
         Args:
-            upstream_verdict: Whether the upstream may be sent something new.
+            upstream_verdict: Whether new requests may be sent to the upstream.
         """
 
     def may_finish(self) -> bool:
-        """Whether the last byte of a body in pieces may be written now."""
+        """Return whether the last byte of a streamed body may be written now."""
 
 
 @dataclass(frozen=True, slots=True)
 class FixedRequest:
-    """A request that is the same whenever it is written."""
+    """A request whose bytes don't depend on the time of sending."""
 
     data: bytes
 
@@ -50,18 +50,18 @@
         return self.data
 
     def may_finish(self) -> bool:
-        """Allow it: there is no body in pieces."""
+        """Return True, because the request has no streamed body."""
         return True
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectedResponse:
-    """What response is expected.
+    """Options for reading the response.
 
     Attributes:
-        max_body: A longer body comes in pieces.
-        memory: Counts the bytes of a body in pieces; None: a longer one can't be taken.
-        head_only: The response has no body, as to a HEAD request.
+        max_body: Bytes of the longest body that is buffered; a longer body is streamed.
+        memory: Counts the buffered bytes of streamed bodies; None: a longer body is an error.
+        head_only: The response has no body because the request is a HEAD request.
     """
 
     max_body: int = MAX_BODY
@@ -70,17 +70,18 @@
 
 
 class Exchange:
-    """A request and its end, which is reported exactly once.
+    """A request and its outcome, which is reported exactly once.
 
-    It ends as OK with a response, or with the reason why there is none. The body of a long response
-    comes in pieces, and may still fail.
+    The outcome is OK with a response, or the reason why there is no response. The body of a long
+    response is streamed, and may still fail after the outcome was reported.
 
     Attributes:
-        body: Follows on the request, in pieces.
-        done: Called with the end; None: it is over.
-        written: The request's last byte has left.
-        settle_wait_ns: How long it waited here for a connection to rest.
-        unread_ns: How long the end of a complete response lay unread in the kernel.
+        body: The streamed body of the request.
+        done: Called with the outcome; None: the exchange has ended.
+        written: Whether the request's last byte was written to the socket.
+        settle_wait_ns: How long the exchange waited for a connection to settle.
+        unread_ns: How long the last bytes of the response were in the kernel's receive buffer
+            before they were read.
     """
 
     __slots__ = (
@@ -115,13 +116,13 @@
         self.unread_ns = 0
 
     def expire_in(self, seconds: float) -> None:
-        """Set the time-out anew, from now on."""
+        """Set or replace the timeout, counted from now."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = asyncio.get_running_loop().call_later(seconds, self.expire)
 
     def start_within(self, seconds: float) -> None:
-        """End it as not sent, unless a connection is up by then."""
+        """End the exchange as not sent unless it starts on a connection within this time."""
         if self.connection is None and self.done is not None:
             self.start_timer = asyncio.get_running_loop().call_later(seconds, self._not_started)
 
@@ -130,25 +131,26 @@
             self.give_up(AttemptResult.NOT_SENT)
 
     def expire(self) -> None:
-        """End it by its time-out.
+        """End the exchange because of its timeout.
 
-        A request that was not written completely can't have run, and the close makes sure of that.
+        A request that was not written completely can't have run, and closing the connection ensures
+        that it never will: the result is a failed connect, not a timeout.
         """
         self.give_up(AttemptResult.TIMEOUT if self.written else AttemptResult.CONNECT_FAILED)
 
     def give_up(self, result: AttemptResult) -> None:
-        """Stop waiting, and close the connection, so that the upstream notices."""
+        """End the exchange, and close its connection so that the upstream can stop its work."""
         connection = self.connection
         self.finish(result)
         if connection is not None:
             connection.abort()
 
     def connection_broken(self) -> None:
-        """End it, as its connection broke."""
+        """End the exchange because its connection broke."""
         self.finish(AttemptResult.RESET if self.written else AttemptResult.CONNECT_FAILED)
 
     def finish(self, result: AttemptResult, response: Response | None = None) -> None:
-        """Report the end, unless that was done before."""
+        """Report the outcome, unless it was reported before."""
         for timer in (self.timer, self.start_timer):
             if timer is not None:
                 timer.cancel()
--- a/loadbalancer/proxy/http.py
+++ b/loadbalancer/proxy/http.py
@@ -1,4 +1,4 @@
-"""What both sides of the proxy share of HTTP/1.1: headers that are passed on, chunks, reading."""
+"""HTTP/1.1 helpers for both sides of the proxy: forwarded headers, chunks and buffered reads."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 def end_to_end(headers: Sequence[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """The headers that a proxy passes on: none of the connection, none of the body's framing."""
+    """Return the headers that a proxy forwards, without hop-by-hop and framing headers."""
     forwarded = [row for row in headers if row[0] not in HOP_BY_HOP]
     if len(forwarded) == len(headers):
-        return forwarded  # `connection` itself is not among them
+        return forwarded  # no hop-by-hop header, so no Connection header either
     named = {
         token.strip().lower()
         for name, value in headers
@@ -45,21 +45,21 @@
 
 
 class BufferedReader(asyncio.BufferedProtocol):
-    """Reads in pieces of a bounded size, into one buffer that all connections share.
+    """Protocol that reads at most READ_SIZE bytes at a time, into one buffer for all connections.
 
-    What stands in the buffer is taken out before the next connection reads.
+    Each read is copied from the buffer before another connection can read.
     """
 
     _buffer = bytearray(READ_SIZE)
 
-    def get_buffer(self, size: int) -> bytearray:  # noqa: ARG002 (the loop's hint; ours is fixed)
+    def get_buffer(self, size: int) -> bytearray:  # noqa: ARG002 (a hint; the buffer's size is fixed)
         """Return the shared buffer; called by the event loop."""
         return self._buffer
 
     def buffer_updated(self, count: int) -> None:
-        """Pass on what was read; called by the event loop."""
+        """Pass the received bytes to `data_received`; called by the event loop."""
         self.data_received(bytes(memoryview(self._buffer)[:count]))
 
     def data_received(self, data: bytes) -> None:
-        """Handle bytes that came."""
+        """Handle received bytes."""
         raise NotImplementedError
--- a/loadbalancer/proxy/messages.py
+++ b/loadbalancer/proxy/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: requests and responses as the parser gives them, and how one is written."""
+"""HTTP/1.1 requests and responses as parsed, and the serialization of messages."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UnacceptableMessageError(Exception):
-    """A message can't be accepted; a request is answered with `status`."""
+    """A message is not acceptable; `status` is the status of the answer to a request."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -20,12 +20,12 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request.
+    """A parsed request.
 
     Attributes:
-        keep_alive: Its connection stays open behind it.
-        is_http_1_1: Its client speaks HTTP/1.1, and so reads chunks.
-        stream: The body, where it comes in pieces.
+        keep_alive: Whether the connection stays open after this request.
+        is_http_1_1: Whether the client uses HTTP/1.1, and so can read chunked responses.
+        stream: The body, if it is streamed; `body` is empty then.
     """
 
     method: bytes
@@ -39,11 +39,11 @@
 
 @dataclass(slots=True)
 class Response:
-    """A final response.
+    """A parsed final response.
 
     Attributes:
-        keep_alive: Its connection stays open behind it.
-        stream: The body, where it comes in pieces.
+        keep_alive: Whether the connection stays open after this response.
+        stream: The body, if it is streamed; `body` is empty then.
     """
 
     status: int
@@ -53,11 +53,14 @@
     stream: Body | None = None
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of a header, given its lower-case name."""
+        """Return the first value of a header; `name` is in lower case."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 def message(start: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
-    """Serialize a message, whose parts a parser has read or this program has made."""
+    """Serialize a message.
+
+    The parts are not validated: they come from the parser or are built by this program.
+    """
     rows = b"".join(b"%b: %b\r\n" % row for row in headers)
     return b"%b\r\n%b\r\n%b" % (start, rows, body)
--- a/loadbalancer/proxy/parse.py
+++ b/loadbalancer/proxy/parse.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 parser: bytes in, complete messages out, without a socket.
+"""HTTP/1.1 parser that turns bytes into messages, without I/O.
 
-`httptools` (llhttp) reads them, and is strict: bare line feeds, folded headers, two lengths or a
-length and a coding, and bad chunks are errors. What it accepts beyond that is checked here.
+It uses `httptools` (llhttp) in strict mode, which rejects bare line feeds, folded headers, two
+lengths, a length together with a transfer coding, and malformed chunks. This module checks what
+llhttp accepts but this proxy does not.
 """
 
 from __future__ import annotations
@@ -14,17 +15,19 @@
 from loadbalancer.proxy.body_stream import MAX_LENGTH, Body, BodyMemory
 from loadbalancer.proxy.messages import Request, Response, UnacceptableMessageError
 
-MAX_BODY = 64 * 1024  # a longer body is passed on in pieces where that is possible
-MAX_HEAD = 16 * 1024  # bytes ahead of a body; the parser sets no bound of its own
+MAX_BODY = 64 * 1024  # bytes; a longer body is streamed if possible
+MAX_HEAD = 16 * 1024  # bytes before the body; llhttp has no limit
 MAX_LENGTH_DIGITS = 15
-# A message may have so many times the bytes of the longest body: small chunks are mostly framing.
+# The bytes read for a message may be at most this many times the body's bytes (at least those of
+# the longest buffered body): small chunks consist mostly of framing.
 MAX_OVERHEAD = 8
-MAX_INTERIM = 8  # 1xx responses ahead of the final one
+MAX_INTERIM = 8  # 1xx responses before the final response
 SUCCESS = 200
 FIRST_FINAL_STATUS = 200
 STATUSES_WITHOUT_BODY = (204, 304)
 
-# A request that repeats one of these is ambiguous: here one would count, further on the other.
+# A request that repeats one of these headers is rejected as ambiguous: this proxy and the upstream
+# could use different values.
 SINGLE_VALUE_HEADERS = frozenset(
     {
         b"host",
@@ -45,15 +48,16 @@
 
 
 class MessageHead:
-    """A message under way.
+    """State of a message that is being parsed.
 
-    One is made for every message there is: no dataclass, whose factories cost more than all the
-    rest of it.
+    This is not a dataclass because one is created for every message: the default factories of a
+    dataclass cost more than the rest of its construction.
 
     Attributes:
-        payload_size: Bytes of its body.
-        size: Bytes read for it; those that also held another message's end are not counted.
-        complete: Its headers are complete: what comes as a header now is a trailer.
+        payload_size: Bytes of the body received so far.
+        size: Bytes read for the message, without reads that also contain the end of the previous
+            message.
+        complete: Whether the headers are complete; headers that follow are trailers.
     """
 
     __slots__ = ("body", "complete", "headers", "payload_size", "size", "target")
@@ -68,15 +72,16 @@
 
 
 class MessageReader(Generic[Message]):
-    """Collects what the parser calls out, in either direction.
+    """Builds messages from the parser's callbacks; base class for both directions.
 
-    A message that can't be accepted is the last: `fault` says why, and nothing is read behind it.
+    After a message that is not acceptable, `fault` holds the reason and no more bytes are read.
 
     Attributes:
-        replayable_bodies: A body in pieces is kept, to be sent again as long as that is possible.
-        memory: Counts the bytes of bodies in pieces; None: a longer body can't be accepted.
-        stream: The body of the message under way, where it comes in pieces.
-        ready: Complete messages.
+        replayable_bodies: Whether streamed bodies are kept for a retry while the buffer allows it.
+        memory: Counts the bytes of streamed bodies; None: a body longer than `max_body` is an
+            error.
+        stream: The body of the current message, if it is streamed.
+        ready: Messages that are complete, or complete except for a streamed body.
     """
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None
@@ -92,12 +97,12 @@
 
     @property
     def in_message(self) -> bool:
-        """Whether part of a message has come."""
+        """Whether a message has begun and is incomplete."""
         return self.head is not None
 
     @property
     def in_body(self) -> bool:
-        """Whether the head of the message under way is complete."""
+        """Whether the head of the current message is complete."""
         return self.head is not None and self.head.complete
 
     def feed(self, data: bytes) -> None:
@@ -109,7 +114,7 @@
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             if self.ready:
-                # The upgrade may be ignored, but the parser reads no further.
+                # The upgrade request may be ignored, but the parser stops after this message.
                 self.ready[-1].keep_alive = False
             else:
                 self._fail(400, "no other protocol is spoken here")
@@ -124,9 +129,10 @@
                 self._fail(413, "the message is too large")
 
     def close(self) -> None:
-        """Stop reading.
+        """Stop reading, and fail a body that is being received.
 
-        Parser and reader refer to each other: without this, memory waits for the collector.
+        The parser and the reader refer to each other; clearing the reference frees their memory
+        without the garbage collector.
         """
         self.parser = None
         if self.stream is not None:
@@ -140,17 +146,17 @@
     # ---- called by the parser --------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Begin a message."""
+        """Start a new message."""
         self.head = MessageHead()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; trailers are dropped."""
+        """Add a header; trailers are dropped."""
         assert self.head is not None
         if not self.head.complete:
             self.head.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Check a complete head, and begin a body in pieces where it is a long one."""
+        """Check a complete head, and start a streamed body if its length exceeds `max_body`."""
         head = self.head
         assert head is not None
         assert self.parser is not None
@@ -181,10 +187,10 @@
             self._begin_stream(head, int(length))
 
     def _check(self, head: MessageHead) -> None:
-        """Check a head that is complete and can be read."""
+        """Check a complete, well-formed head; subclasses add the checks of their direction."""
 
     def on_body(self, data: bytes) -> None:
-        """Take part of a body."""
+        """Add received bytes to the body."""
         head = self.head
         assert head is not None
         if self.fault is not None:
@@ -200,7 +206,7 @@
                 self._begin_stream(head, None)
 
     def _begin_stream(self, head: MessageHead, length: int | None) -> None:
-        """Hand on a message whose body is too long to be buffered; the body follows in pieces."""
+        """Deliver a message whose body is too long to be buffered, with a streamed body."""
         if self.memory is None or (length or 0) > MAX_LENGTH or not self._may_stream():
             self._fail(413, "the body is too large")
             return
@@ -211,7 +217,7 @@
             head.body.clear()
 
     def on_message_complete(self) -> None:
-        """End a message."""
+        """Finish the current message."""
         head = self.head
         self.head = None
         assert head is not None
@@ -235,7 +241,7 @@
     """Reads the requests of one client's connection.
 
     Attributes:
-        expects_continue: The client waits for 100 Continue.
+        expects_continue: Whether the client waits for a 100 Continue before it sends the body.
     """
 
     parser: httptools.HttpRequestParser | None
@@ -247,7 +253,7 @@
         self.expects_continue = False
 
     def on_url(self, target: bytes) -> None:
-        """Take part of the request's target."""
+        """Add received bytes to the request target."""
         assert self.head is not None
         self.head.target += target
 
@@ -285,15 +291,16 @@
 
 
 class ResponseReader(MessageReader[Response]):
-    """Reads the responses of one upstream's connection.
+    """Reads the responses on one connection to an upstream.
 
-    `ready` holds at most the response and what should not have come behind it.
+    `ready` holds at most the expected response and unrequested responses after it.
 
     Attributes:
-        interim_count: 1xx responses ahead of the final one.
-        head_only: The response is to a HEAD request: it names a length, and has no body.
-        head_response_complete: Such a response is complete.
-        until_close: The response under way ends with its connection.
+        interim_count: Number of 1xx responses before the final response.
+        head_only: Whether the request was HEAD: the response may have a Content-Length but has no
+            body.
+        head_response_complete: Whether the response to a HEAD request is complete.
+        until_close: Whether the body of the current response ends when the connection is closed.
     """
 
     parser: httptools.HttpResponseParser | None
@@ -309,7 +316,7 @@
     def expect(
         self, max_body: int, memory: BodyMemory | None = None, head_only: bool = False
     ) -> None:
-        """Prepare for the next response, which comes in pieces where it is longer than this."""
+        """Prepare for the next response; a body longer than `max_body` is streamed."""
         self.max_body = max_body
         self.memory = memory
         self.head_only = head_only
@@ -319,14 +326,14 @@
         """Read bytes; what they complete is appended to `ready`."""
         super().feed(data)
         if self.head_response_complete and self.fault is None:
-            # The parser does not know of HEAD and waits for a body: another one reads the next
-            # response.
+            # llhttp can't be told that the request was HEAD, and waits for a body. A new parser
+            # reads the next response.
             self.head_response_complete = False
             self.head = None
             self.parser = httptools.HttpResponseParser(self)
 
     def on_headers_complete(self) -> None:
-        """Check a complete head; to a HEAD request it is the complete response."""
+        """Check a complete head; for a HEAD request, the head is the complete response."""
         if self.head_only and self.parser is not None:
             status = self.parser.get_status_code()
             if status >= FIRST_FINAL_STATUS:
@@ -337,22 +344,23 @@
         super().on_headers_complete()
 
     def on_body(self, data: bytes) -> None:
-        """Take part of a body, which the response to a HEAD request may not have."""
+        """Add received bytes to the body; fail if the request was HEAD."""
         if self.head_response_complete:
-            self._fail(502, "a body where there is none")
+            self._fail(502, "the response to a HEAD request has a body")
             return
         super().on_body(data)
 
     def on_message_complete(self) -> None:
-        """End a response."""
+        """Finish the current response."""
         if not self.head_response_complete:
             super().on_message_complete()
 
     def _check(self, head: MessageHead) -> None:
-        """Accept only a response that frames its own end, in one way.
+        """Accept a response only if exactly one framing determines its end.
 
-        By a length, by chunks, or by saying that its connection closes behind it: any other can't
-        be told from one that was cut off. One that is said to be too large is not read to find out.
+        The framing is a Content-Length, chunks, or `Connection: close`. Without a framing, a
+        complete response can't be distinguished from a truncated one. A response whose announced
+        length is too large is rejected without reading its body.
         """
         assert self.parser is not None
         status = self.parser.get_status_code()
@@ -366,13 +374,13 @@
         may_have_body = status >= FIRST_FINAL_STATUS and status not in STATUSES_WITHOUT_BODY
         self.until_close = not framings and closes and may_have_body
         if framings != 1 and may_have_body and not self.until_close:
-            self._fail(502, "no length, or two")
+            self._fail(502, "the framing of the response is missing or ambiguous")
 
     def finish(self) -> bool:
-        """Note that the connection was closed in order.
+        """Handle an orderly close (FIN) of the connection.
 
         Returns:
-            Whether that completes a response.
+            Whether the close completes a response.
         """
         if (
             not self.until_close
@@ -385,7 +393,7 @@
         return True
 
     def _may_stream(self) -> bool:
-        """Whether its body may come in pieces: only that of a success is of use to a client."""
+        """Return whether the body may be streamed: clients need only that of a 200 response."""
         return self.parser is not None and self.parser.get_status_code() == SUCCESS
 
     def _complete(self, head: MessageHead, stream: Body | None) -> None:
@@ -398,4 +406,4 @@
             return
         self.interim_count += 1
         if self.interim_count > MAX_INTERIM:
-            self._fail(502, "1xx answers without end")
+            self._fail(502, "too many 1xx responses")
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -1,7 +1,7 @@
-"""The policy's driver: the one caller of `Balancer.handle`.
+"""Driver of the policy: the only caller of `Balancer.handle`.
 
-Events are handed over in the order in which they came, those of one turn of the event loop
-together, with the time of the monotonic clock. Actions are carried out in order. The driver owns
+Events are passed to the policy in order of arrival, with the monotonic time; all events of one
+event-loop iteration form one batch. The resulting actions are executed in order. The driver owns
 the policy's timers, the attempts and the table of open requests.
 """
 
@@ -34,24 +34,24 @@
 
 
 class Discovery(Protocol):
-    """What the policy can ask of the service that lists the upstreams."""
+    """Interface to the service that provides the endpoint list."""
 
     def subscribe(self, on: bool) -> None:
-        """Open a watch, or close it."""
+        """Open or close a watch on the endpoint list."""
 
     def fetch(self) -> None:
-        """Poll the complete list once."""
+        """Fetch the complete list once."""
 
 
 class Gossip(Protocol):
-    """Datagrams to the other balancers."""
+    """Sender of datagrams to the other balancers."""
 
     def send(self, peer: int, data: bytes) -> None:
-        """Send a datagram to one peer; -1: to all."""
+        """Send a datagram to one peer, or to all peers if `peer` is -1."""
 
 
 class _Outcome(NamedTuple):
-    """How an attempt ended, as the upstreams report it."""
+    """Outcome of an attempt, as reported by `Upstreams`."""
 
     result: api.AttemptResult
     response: Response | None = None
@@ -63,8 +63,8 @@
 
     Attributes:
         table: The open requests.
-        list_received: Set when an endpoint list came.
-        event_listener: Called with the events of each turn, behind the policy.
+        list_received: Set when an endpoint list is received.
+        event_listener: Called with each batch of events after the policy has handled it.
     """
 
     def __init__(self, settings: api.Settings, seed: int, upstreams: Upstreams) -> None:
@@ -83,23 +83,23 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the policy can serve: a list has named an upstream that is ready."""
+        """Whether requests can be served: at least one listed upstream is ready and enabled."""
         return any(t.keep for t in self.upstreams.targets.values())
 
     @property
     def requests(self) -> Mapping[str, OpenRequest]:
-        """Requests by id."""
+        """All requests in the table by id."""
         return self.table.requests
 
     @property
     def open(self) -> int:
-        """Requests that are owed an answer."""
+        """Number of unanswered requests."""
         return self.table.open
 
     # ---- events ----------------------------------------------------------------------------------
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the policy on the loop's next turn."""
+        """Queue an event for the policy, which gets it in the next event-loop iteration."""
         if not self.pending_events:
             self.loop.call_soon(self._process_events)
         self.pending_events.append(event)
@@ -108,7 +108,7 @@
         """Accept a client's request.
 
         Returns:
-            False where too many are open; the caller answers then.
+            False if too many requests are open; the caller has to answer the request then.
         """
         if not self.table.add(request):
             return False
@@ -116,7 +116,7 @@
         return True
 
     def body_completed(self, request: OpenRequest, deadline_ns: int, received_ns: int) -> None:
-        """Note the last byte of a body: the request's time and its attempt's run from there."""
+        """Handle the last byte of a body, from which the deadline and the timeouts count."""
         if request.finished or request.stream is None:
             return
         request.arrival = request.arrival._replace(
@@ -135,7 +135,7 @@
 
     @staticmethod
     def _remaining_ns(request: OpenRequest, timeout_ns: int) -> int:
-        """How long an attempt may take from now on."""
+        """Return how long an attempt may take from now."""
         left = max(0, request.arrival.deadline_ns - time.monotonic_ns())
         return min(timeout_ns or left, left)
 
@@ -143,12 +143,12 @@
         """End a request whose client has disconnected."""
         if self.table.end(request):
             if request.stream is not None and not request.stream.ended:
-                # The attempt fails with it: its last byte will never be written.
+                # Without the body's last byte, which will never be received, the attempt fails too.
                 request.stream.fail()
             self.post(api.ClientDisconnected(request.arrival.request))
 
     def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
-        """Pass on an endpoint list, or the failure of a call for one."""
+        """Apply an endpoint list, and notify the policy of it or of a failed request for it."""
         if kind is not api.EndpointListKind.FAILED:
             now_ns = time.monotonic_ns()
             endpoints = [self._with_start_time(e, now_ns) for e in endpoints]
@@ -159,18 +159,22 @@
         self.post(api.EndpointsUpdated(kind, [e.entry for e in endpoints]))
 
     def trust(self, on: bool) -> None:
-        """Note whether the list may be relied on; while not, no attempt starts at any upstream."""
+        """Set whether the endpoint list is recent enough; if not, no attempt starts."""
         self.upstreams.trust(on)
         self.post(api.EndpointTrustChanged(on))
 
     def _with_start_time(self, endpoint: Endpoint, now_ns: int) -> Endpoint:
-        """The endpoint, with the time of its start by this process's clock."""
+        """Return the endpoint with its start time on this process's monotonic clock."""
         entry = endpoint.entry
         started_ns = self.start_times.started_ns(entry.id, endpoint.started_ms, now_ns)
         return replace(endpoint, entry=entry._replace(started_ns=started_ns))
 
     async def wait_until_ready(self, seconds: float) -> bool:
-        """Wait until the policy can serve, so long at the most."""
+        """Wait until requests can be served, at most for this time.
+
+        Returns:
+            Whether requests can be served.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 while not self.ready:
@@ -179,11 +183,11 @@
         return self.ready
 
     def was_listed(self, name: str) -> bool:
-        """Whether any list has ever named this upstream."""
+        """Return whether any endpoint list has contained this upstream."""
         return upstream_number(name) in self.upstreams.seen_numbers
 
     def set_disabled(self, name: str, is_disabled: bool) -> None:
-        """Disable an upstream for operators, or enable it again."""
+        """Disable or enable an upstream on behalf of an operator."""
         self.upstreams.set_disabled(upstream_number(name), is_disabled)
         self.post(api.UpstreamDisabled(upstream_number(name), is_disabled))
 
@@ -197,9 +201,10 @@
         for action in actions:
             try:
                 self._execute(action, now)
-            except Exception as error:  # noqa: BLE001 (one action's fault must not take the others along)
+            except Exception as error:  # noqa: BLE001 (the remaining actions still run)
                 self._report_failure("action failed", [action], error)
-        # Only now: the policy may act for a request until it has been notified of its end.
+        # Requests are removed only after the policy was notified of their end, because until then
+        # its actions may refer to them.
         for event in events:
             if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
                 self.table.forget(event.request)
@@ -207,14 +212,14 @@
     def _decide(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
         try:
             return self.balancer.handle(now, events)
-        except Exception as error:  # noqa: BLE001 (the process goes on without this turn's decisions)
+        except Exception as error:  # noqa: BLE001 (the process continues without the decisions of this batch)
             self._report_failure("policy failed", events, error)
             return []
 
     def _report_failure(
         self, problem: str, items: Sequence[api.Event | api.Action], error: Exception
     ) -> None:
-        """Log a fault with the requests concerned, and end these as failed."""
+        """Log an error with the ids of the affected requests, and fail these requests."""
         names = [
             name for name in (getattr(item, "request", None) for item in items) if name is not None
         ]
@@ -225,7 +230,7 @@
                 self.table.fail_unanswered(request, HTTPStatus.BAD_GATEWAY)
 
     def end_open(self) -> None:
-        """Answer all that is open, as this process ends now."""
+        """Answer all open requests with an error because this process is shutting down."""
         self.table.fail_all()
 
     # ---- actions ---------------------------------------------------------------------------------
@@ -250,7 +255,7 @@
                 self._execute_external(action)
 
     def _execute_external(self, action: api.Action) -> None:
-        """Carry out an action of discovery or of gossip, where there is one."""
+        """Execute an action for discovery or gossip, if that is configured."""
         match action:
             case api.SendGossip() if self.peers is not None:
                 self.peers.send(action.peer, action.data)
@@ -283,7 +288,7 @@
     def _send(self, action: api.StartAttempt, now: int) -> None:
         request = self.table.get(action.request)
         if request is None:
-            log.error("attempt for a request that is not open: request=%s", action.request)
+            log.error("attempt for an unknown request: request=%s", action.request)
             return
         number = len(request.attempts)
         attempt = self._attempt(request, number, action, now)
@@ -295,8 +300,8 @@
             result: api.AttemptResult, response: Response | None = None, report: LoadReport = None
         ) -> None:
             exchange = request.attempts[number]
-            # While it waited for a connection to rest, or its answer lay unread here, that was this
-            # program's time, not its upstream's.
+            # The waits for a connection to settle and for the event loop to read the response were
+            # caused by this process: they don't count as the upstream's duration.
             local_wait_ns = (
                 exchange.settle_wait_ns + exchange.unread_ns if exchange is not None else 0
             )
@@ -332,7 +337,7 @@
                 timing,
                 ExpectedBodies(request.stream, request.method == b"HEAD"),
             )
-        except Exception as error:  # noqa: BLE001 (the attempt still has its one outcome)
+        except Exception as error:  # noqa: BLE001 (the attempt ends as not sent)
             self._report_failure("attempt not started", [action], error)
             return None
 
@@ -351,7 +356,7 @@
         return OutgoingAttempt(request, number, limits, self.violations, self.client_gone)
 
     def _timing(self, attempt: OutgoingAttempt, now: int, start_by_ns: int) -> Timing:
-        """The attempt's timers; without a time-out it waits for a body that is still to come."""
+        """Return the attempt's timers; there is no timeout before the body is complete."""
         if not attempt.request.arrival.body_complete:
             return Timing(None, start_by_ns / 1e9)
         remaining_ns = self._remaining_ns(attempt.request, attempt.limits.expires_ns - now)
@@ -365,7 +370,7 @@
         outcome: _Outcome,
         duration_ns: int,
     ) -> None:
-        """Take in an attempt's one outcome, and answer the client where it was successful."""
+        """Record the outcome of an attempt, and answer the client if it was successful."""
         result, response, report = outcome
         request.attempts[number] = None
         request.attempts_in_flight -= 1
@@ -387,7 +392,7 @@
 
         try:
             started = self.upstreams.check_health(upstream, ended)
-        except Exception as error:  # noqa: BLE001 (it still has its one result: the policy waits for it)
+        except Exception as error:  # noqa: BLE001 (the policy needs a result, which is reported below)
             self._report_failure("health check not started", [], error)
             started = False
         if not started:
--- a/loadbalancer/proxy/policy_violations.py
+++ b/loadbalancer/proxy/policy_violations.py
@@ -1,4 +1,4 @@
-"""What the rules denied at the last moment before it was done: counted by reason, and logged."""
+"""Counts and logs attempts that the rules denied immediately before sending."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 log = logging.getLogger(__name__)
 
-# Reasons that arise between a decision and the moment at which its connection is up. Any other
-# means that the decision itself was wrong.
+# Reasons that can arise between the policy's decision and the moment at which the connection is
+# established. Any other reason means that the decision itself was wrong.
 RACE_REASONS: Final = frozenset(
     {
         Reason.REQUEST_FINISHED,
@@ -26,7 +26,7 @@
 
 
 class PolicyViolations:
-    """Counts denials since the start of the process."""
+    """Counts denials since the process started."""
 
     def __init__(self) -> None:
         self.counts: Counter[Reason] = Counter()
@@ -37,7 +37,7 @@
         Args:
             denied: The denial.
             request: The request's id.
-            state: What the attempt was doing, such as `attempt 1, connection up`.
+            state: State of the attempt, such as `attempt 1, connection established`.
         """
         reason = denied.reason
         self.counts[reason] += 1
--- a/loadbalancer/proxy/request_table.py
+++ b/loadbalancer/proxy/request_table.py
@@ -1,4 +1,4 @@
-"""The table of open requests: each gets one final answer, at its deadline at the latest."""
+"""Table of open requests, which ensures that each gets one final answer by its deadline."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 log = logging.getLogger(__name__)
 
-# After its deadline, a request that the policy has not ended is ended here.
+# Time after its deadline at which a request that the policy has not answered is answered here.
 OVERDUE_S = 0.008
 
 
 class RequestTable:
-    """Requests by id, from their arrival until the last of their attempts has ended.
+    """Requests by id, from their arrival until they are finished and have no attempt in flight.
 
     Args:
-        max_open: Requests that may be owed an answer at once.
-        post: Hands an event to the policy.
+        max_open: Maximum number of unanswered requests.
+        post: Sends an event to the policy.
 
     Attributes:
-        requests: All of them, also those that are answered and have attempts out.
-        open: How many are owed an answer.
+        requests: All requests, including answered ones with attempts in flight.
+        open: Number of unanswered requests.
     """
 
     def __init__(self, max_open: int, post: Callable[[api.Event], None]) -> None:
@@ -37,7 +37,7 @@
         self._loop = asyncio.get_running_loop()
 
     def add(self, request: OpenRequest) -> bool:
-        """Add a request; False where too many are open."""
+        """Add a request; return False if too many requests are open."""
         if self.open >= self.max_open:
             return False
         self.requests[request.arrival.request] = request
@@ -46,11 +46,11 @@
         return True
 
     def get(self, name: str) -> OpenRequest | None:
-        """The request of this id, if there is one."""
+        """Return the request with this id, or None."""
         return self.requests.get(name)
 
     def watch_deadline(self, request: OpenRequest) -> None:
-        """Start, or move, the timer behind which the request is overdue."""
+        """Start or restart the timer that fires when the request is overdue."""
         if request.overdue_timer is not None:
             request.overdue_timer.cancel()
         left_s = (request.arrival.deadline_ns - time.monotonic_ns()) / 1e9
@@ -59,12 +59,13 @@
         )
 
     def answer(self, request: OpenRequest, send_answer: Callable[[Client], None]) -> bool:
-        """End a request with its final answer.
+        """Finish a request with its final answer.
 
-        An answer that can't be given must not take the events behind it along.
+        If sending the answer raises, the client's connection is aborted, so that later actions and
+        events are still processed.
 
         Returns:
-            False, and no answer is given, where the request was over already.
+            False if the request was already finished; no answer is sent then.
         """
         if not self.end(request):
             return False
@@ -74,26 +75,27 @@
             log.exception("answer failed: request=%s", request.arrival.request)
             request.client.abort()
         if request.stream is not None and not request.stream.ended:
-            request.stream.fail()  # answered ahead of its end
+            request.stream.fail()  # answered before the body's end
         return True
 
     def fail_unanswered(self, request: OpenRequest, status: int) -> bool:
-        """Answer with an error without the policy, which is notified as of a client that left."""
+        """Answer with an error, and report the client as disconnected to the policy."""
         answered = self.answer(request, lambda client: client.fail(status))
         if answered:
             self._post(api.ClientDisconnected(request.arrival.request))
         return answered
 
     def fail_all(self) -> None:
-        """Answer all that is open, as this process ends.
+        """Answer all open requests with an error because this process is shutting down.
 
-        Requests that came before the shutdown may have more time than the process has.
+        The deadline of a request that arrived before the shutdown may be later than the process's
+        end.
         """
         for request in list(self.requests.values()):
             self.fail_unanswered(request, HTTPStatus.GATEWAY_TIMEOUT)
 
     def end(self, request: OpenRequest) -> bool:
-        """Mark a request as over; False where it was already."""
+        """Mark a request as finished; return False if it was finished already."""
         if request.finished:
             return False
         request.finished = True
@@ -103,18 +105,19 @@
         return True
 
     def forget(self, name: str) -> None:
-        """Drop a request that is over and has no attempt out."""
+        """Remove a request that is finished and has no attempt in flight."""
         request = self.requests.get(name)
         if request is not None and request.finished and not request.attempts_in_flight:
             del self.requests[name]
 
     def _defer_overdue(self, request: OpenRequest) -> None:
-        # When the loop has stood still, the attempt's time-out is due on the same turn as this, and
-        # waits to be handed over: without one more turn a rejection with its Retry-After would come
-        # out as a failure.
+        # After a delay of the event loop, the attempt's timeout expires in the same iteration as
+        # this timer, and the policy gets its event only in the next iteration. Deferring this call
+        # by one iteration lets the policy reject the request with a Retry-After; otherwise the
+        # client would get a failure.
         self._loop.call_soon(self._overdue, request)
 
     def _overdue(self, request: OpenRequest) -> None:
-        """Keep the rule that each request is answered where the policy has failed to."""
+        """Answer a request that the policy has not answered in time."""
         if self.fail_unanswered(request, HTTPStatus.GATEWAY_TIMEOUT):
             log.error("request not answered by its deadline: request=%s", request.arrival.request)
--- a/loadbalancer/proxy/requests.py
+++ b/loadbalancer/proxy/requests.py
@@ -1,4 +1,4 @@
-"""A client's request while it is owed an answer, and the client that waits for it."""
+"""An open request of a client, and the interface for answering the client."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class Client(Protocol):
-    """Receives the one final answer of a request."""
+    """Receives the final answer to a request; exactly one method answers it."""
 
     def serve(self, response: Response) -> None:
-        """Pass on an upstream's response."""
+        """Forward an upstream's response."""
 
     def reject(self, retry_after_ns: int) -> None:
-        """Answer 503, which promises that the request had no effect."""
+        """Answer with 503, which guarantees that the request had no effect."""
 
     def fail(self, status: int) -> None:
-        """Answer with an error, which promises nothing about the request's effect."""
+        """Answer with an error, which leaves open whether the request had an effect."""
 
     def abort(self) -> None:
         """Close the connection at once."""
 
     @property
     def gone(self) -> bool:
-        """Whether the client has closed its connection, as far as the kernel knows."""
+        """Whether the client has closed its connection, according to the kernel."""
 
 
 @dataclass(slots=True, eq=False)
@@ -37,15 +37,16 @@
     """A request and its attempts; times in nanoseconds of the monotonic clock.
 
     Attributes:
-        wait_ns: How long its client waits, from the request's last byte on.
-        stream: The body, where it comes in pieces.
-        attempts: An exchange for each attempt; None: it is over, or was never sent.
-        attempts_in_flight: Attempts without an outcome.
-        finished: It has been answered, or its client has disconnected.
-        timed_out: Its last outcome was a time-out.
-        completed_ns: When the last byte of a body in pieces came.
-        timeout_ns: The time-out of the attempt that waits for that byte.
-        overdue_timer: Fires when the request was not answered by its deadline.
+        wait_ns: How long the client waits, counted from the request's last byte.
+        stream: The body, if it is streamed.
+        attempts: The exchange of each attempt; None: the attempt has ended or was never sent.
+        attempts_in_flight: Number of attempts without an outcome.
+        finished: Whether the request was answered or the client has disconnected.
+        timed_out: Whether the last outcome of an attempt was a timeout.
+        completed_ns: When the last byte of a streamed body was received.
+        timeout_ns: The timeout of the latest attempt; applied from the body's last byte if the
+            attempt started before that.
+        overdue_timer: Fires if the request was not answered by its deadline.
     """
 
     arrival: api.RequestArrived
@@ -65,7 +66,7 @@
     overdue_timer: asyncio.TimerHandle | None = None
 
     def other_attempts_in_flight(self, number: int) -> int:
-        """Count the attempts other than this one that have no outcome yet."""
+        """Return the number of other attempts that have no outcome yet."""
         return (
             self.attempts_in_flight - 1 if number < len(self.attempts) else self.attempts_in_flight
         )
--- a/loadbalancer/proxy/tcp_state.py
+++ b/loadbalancer/proxy/tcp_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a TCP connection before the event loop has read it."""
+"""State of a TCP connection in the kernel, which the event loop has not read yet."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 import sys
 from typing import NamedTuple, Protocol
 
-# Of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data last came.
+# Fields of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data was
+# last received.
 TCP_INFO = struct.Struct("B51xI")
-# Of the states (`tcp_states.h`): TIME_WAIT, CLOSE (after a reset), CLOSE_WAIT, LAST_ACK, CLOSING.
+# States from `tcp_states.h`: TIME_WAIT, CLOSE (after a reset), CLOSE_WAIT, LAST_ACK, CLOSING.
 PEER_CLOSED_STATES = frozenset({6, 7, 8, 9, 11})
 NS_PER_MS = 1_000_000
 
 
 class Socket(Protocol):
-    """The calls of a socket that are needed here."""
+    """The socket methods that this module uses."""
 
     def getsockopt(self, level: int, option: int, length: int, /) -> bytes:
-        """Read an option."""
+        """Return the value of a socket option."""
 
     def fileno(self) -> int:
-        """The file descriptor."""
+        """Return the file descriptor."""
 
 
 class ReceiveState(NamedTuple):
-    """What has come on a connection.
+    """Receive state of a connection.
 
     Attributes:
-        peer_closed: The peer has closed its side, or reset the connection.
-        data_age_ns: How long ago data last came.
+        peer_closed: Whether the peer has closed its side (FIN) or reset the connection.
+        data_age_ns: Time since data was last received.
     """
 
     peer_closed: bool
@@ -38,11 +39,12 @@
 
 
 def receive_state(sock: Socket) -> ReceiveState:
-    """Look up what has come, read or not.
+    """Return the receive state from the kernel, whether or not the data was read.
 
-    A loop that is late reads both only afterwards: it would take a request for new, and its client
-    for connected. Where the kernel does not say, the peer is connected and has only just sent. The
-    kernel counts in ticks of some 4 ms.
+    A late event loop reads a request and the client's FIN long after the kernel received them. From
+    the sockets alone it would treat the request as new and the client as connected. If the kernel
+    does not provide the state, the result is a connected peer that has just sent data. The kernel's
+    times have a resolution of about 4 ms.
     """
     if sys.platform != "linux":
         return ReceiveState(False, 0)
@@ -56,14 +58,14 @@
 
 
 def has_unread_input(sock: Socket) -> bool:
-    """Whether something is unread: bytes, the peer's end, or a reset.
+    """Return whether the socket has unread input: bytes, a FIN or a reset.
 
-    Timers and calls run ahead of the sockets in a turn of the loop, so that something is whenever
-    the loop is late.
+    In an event-loop iteration, timers and scheduled calls run before sockets are read. When the
+    loop is late, input may therefore have arrived that was not read yet.
     """
     try:
         poll = select.poll()
         poll.register(sock.fileno(), select.POLLIN)
         return bool(poll.poll(0))
-    except (OSError, ValueError):  # closed already
+    except (OSError, ValueError):  # already closed
         return False
--- a/loadbalancer/proxy/timers.py
+++ b/loadbalancer/proxy/timers.py
@@ -1,9 +1,9 @@
-"""Timers for callers that check the clock when they fire, and set the rest anew.
+"""Timers for callbacks that check the clock and, if they fire early, rearm for the remaining time.
 
-uvloop counts in whole milliseconds and rounds a delay to the nearest: a timer may fire half a
-millisecond early, and a shorter delay is no timer but a call on the next turn. Set anew with what
-is left, it would fire turn after turn, hundreds of times with no wait in between, until the clock
-had moved on by itself.
+uvloop rounds a delay to the nearest whole millisecond. A timer may therefore fire half a
+millisecond early, and a delay below half a millisecond becomes a call in the next event-loop
+iteration. A callback that fires early and rearms for the remaining time would then run in each
+event-loop iteration, hundreds of times without a wait in between, until its time is reached.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from collections.abc import Callable
 from typing import Any
 
-TICK_S = 0.001  # the loop's clock
+TICK_S = 0.001  # resolution of uvloop's timers
 
 
 def call_after(seconds: float, callback: Callable[..., object], *args: Any) -> asyncio.TimerHandle:
-    """Call later, as the loop's `call_later`, but rounded up to its ticks, and to one at least.
+    """Schedule a call like `loop.call_later`, with the delay rounded up to at least one tick.
 
-    So the loop waits in between, however short the delay is.
+    The event loop thus waits before the call, however short the delay is.
     """
     ticks = max(1, math.ceil(seconds / TICK_S))
     return asyncio.get_running_loop().call_later(ticks * TICK_S, callback, *args)
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""The upstreams: the endpoint list as it stands, attempts and health checks."""
+"""Upstreams of the current endpoint list, and the attempts and health checks sent to them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     read_load_report,
 )
 
-MAX_SEEN_NUMBERS = 10_000  # ids of upstreams that are remembered; in time they are ever new
+MAX_SEEN_NUMBERS = 10_000  # remembered ids: bounded, as new ids keep appearing
 LOAD_PATH = b"/status/load"
 HEALTH_PATH = b"/health"
 AttemptCallback = Callable[[api.AttemptResult, Response | None, LoadReport], None]
@@ -31,8 +31,8 @@
     """The timers of an attempt.
 
     Attributes:
-        timeout_s: How long it may take from now on; None: without a limit.
-        start_by_s: Within how long it has to start; 0: at any time.
+        timeout_s: Time from now until the attempt times out; None: no timeout.
+        start_by_s: Time from now within which the attempt must start; 0: no limit.
     """
 
     timeout_s: float | None
@@ -44,8 +44,8 @@
     """The bodies of an attempt.
 
     Attributes:
-        request: The request's body, where it comes in pieces.
-        head_only: The response has no body, as to a HEAD request.
+        request: The request's body, if it is streamed.
+        head_only: The response has no body because the request is a HEAD request.
     """
 
     request: Body | None = None
@@ -53,12 +53,12 @@
 
 
 class Upstreams:
-    """Knows the listed upstreams, and starts attempts and health checks at them.
+    """Holds the listed upstreams, and sends attempts and health checks to them.
 
     Attributes:
         targets: The listed upstreams by number.
-        disabled: Upstreams that operators disabled: nothing starts there.
-        seen_numbers: Every upstream that a list has named, the newest last.
+        disabled: Upstreams that an operator has disabled: no attempt or health check starts there.
+        seen_numbers: Numbers of all upstreams that any list has contained, most recent last.
     """
 
     def __init__(
@@ -80,13 +80,14 @@
     # ---- the list --------------------------------------------------------------------------------
 
     def learn(self, endpoints: Iterable[Endpoint], full: bool) -> None:
-        """Take in a list.
+        """Apply an endpoint list.
 
-        Idle connections to upstreams that drain, restarted, moved or went are closed at once.
+        Idle connections to upstreams that are draining, were restarted, changed their address or
+        were removed are closed at once.
 
         Args:
-            endpoints: The entries; of a delta, those that changed.
-            full: Whether upstreams that it does not name are gone.
+            endpoints: All entries, or the changed entries of a delta.
+            full: Whether the list is complete, so that upstreams missing from it are removed.
         """
         named = set()
         for new in endpoints:
@@ -97,7 +98,8 @@
                 self._remove(new.entry.id)
                 continue
             if target is None or target.endpoint.process != new.process:
-                # A new target: connections in use that belong to the old one are not kept either.
+                # With a new target, connections of the old process that are still in use are closed
+                # after their exchange.
                 self._remove(new.entry.id)
                 target = Target(new)
                 self.targets[new.entry.id] = target
@@ -108,11 +110,11 @@
                 self._remove(removed)
 
     def trust(self, trusted: bool) -> None:
-        """Note whether the list is recent enough for attempts to start."""
+        """Set whether the endpoint list is recent enough for attempts to start."""
         self.pool.trusted = trusted
 
     def set_disabled(self, number: int, is_disabled: bool) -> None:
-        """Disable an upstream, or enable it again."""
+        """Disable or enable an upstream."""
         if is_disabled:
             self.disabled.add(number)
         else:
@@ -128,7 +130,7 @@
                 del self.seen_numbers[next(iter(self.seen_numbers))]
 
     def _update_keep(self, target: Target) -> None:
-        """Decide whether connections to it are kept from now on."""
+        """Update whether connections to a target are kept, and close idle ones if not."""
         entry = target.endpoint.entry
         target.keep = entry.state is api.UpstreamState.READY and entry.id not in self.disabled
         if not target.keep:
@@ -144,11 +146,11 @@
 
     @property
     def held(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return self.pool.connections
 
     def set_max_connections(self, connections: int) -> None:
-        """Set the cap on connections, those in use included."""
+        """Set the cap on all connections, and close idle connections that exceed it."""
         self.pool.set_max_connections(connections)
 
     # ---- attempts and health checks --------------------------------------------------------------
@@ -163,11 +165,11 @@
     ) -> Exchange | None:
         """Start one attempt.
 
-        Its outcome never comes within this call. With a time to start by, it ends as not sent if
-        no connection is up by then.
+        `done` is never called before this method returns. If `timing` limits the start, the attempt
+        ends as not sent unless a connection is established in time.
 
         Returns:
-            The exchange; None where there is no such upstream, or operators disabled it.
+            The exchange; None if the upstream is not listed or is disabled.
         """
         target = self.targets.get(number)
         if target is None or number in self.disabled:
@@ -183,14 +185,18 @@
         if timing.start_by_s:
             exchange.start_within(timing.start_by_s)
         if timing.timeout_s is not None:
-            # Last: what could not start must not come to a second end.
+            # Set last, so that an exception above leaves no timer that reports a second outcome.
             exchange.expire_in(timing.timeout_s)
         return exchange
 
     def check_health(
         self, number: int, done: Callable[[api.AttemptResult, LoadReport], None]
     ) -> bool:
-        """Start a health check; False where there is no such upstream, or it is disabled."""
+        """Start a health check.
+
+        Returns:
+            False if the upstream is not listed or is disabled.
+        """
         target = self.targets.get(number)
         if target is None or number in self.disabled:
             return False
@@ -210,7 +216,7 @@
         return True
 
     def close(self) -> None:
-        """Close all connections that are not in use, and open no more."""
+        """Close all idle connections, and stop opening connections."""
         self.pool.close()
         for number in list(self.targets):
             self._remove(number)
--- a/loadbalancer/proxy/upstream_connection.py
+++ b/loadbalancer/proxy/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A kept connection to an upstream, which carries one exchange at a time."""
+"""Keep-alive connection to an upstream, which carries one exchange at a time."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from loadbalancer.proxy.parse import ResponseReader
 from loadbalancer.proxy.tcp_state import has_unread_input, receive_state
 
-# A connection on which a body stands still for so long, though there is capacity for more of it, is
-# given up.
+# A connection is closed if a body makes no progress for this long although its receiver has
+# capacity.
 STALL_S = 10.0
 
 
 class UpstreamConnection(BufferedReader):
-    """A connection to an upstream's process.
+    """A connection to one process of an upstream.
 
     Args:
-        released: Called when it is free for the next exchange.
-        lost: Called once when it has ended.
+        released: Called when the connection is free for the next exchange.
+        lost: Called once when the connection is closed.
 
     Attributes:
-        streamed_response: The response whose body comes in pieces.
-        request_written: Its request was written completely, so the connection can be used again.
-        noisy: Bytes came that nobody had requested.
-        idle_since: When it became free, by the loop's clock.
-        response_end_s: When its last response was complete, by that clock; -inf: none yet.
+        streamed_response: The response whose body is being streamed.
+        request_written: Whether the last request was written completely, which reuse requires.
+        noisy: Whether bytes were received that belong to no request.
+        idle_since: When the connection became idle (event-loop time).
+        response_end_s: When its last response was complete (event-loop time); -inf: none yet.
     """
 
     def __init__(
@@ -58,18 +58,19 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.closed:  # given up while it came up
+        if self.closed:  # aborted while it was being established
             transport.abort()  # type: ignore[attr-defined]
             return
-        # The buffer counts as full from its first byte on: `resume_writing` then means that all was
-        # written.
+        # With a high-water mark of 0, the transport calls `pause_writing` as soon as it buffers a
+        # byte, and `resume_writing` only when it has written all bytes to the socket.
         self.transport.set_write_buffer_limits(high=0)
 
     @property
     def reusable(self) -> bool:
-        """Whether it is idle with nothing unread.
+        """Whether the connection is open and has no unread input.
 
-        A late byte would be read as the next response; an end would break the next request.
+        An unread byte would be taken for the next response. An unread FIN or reset would break the
+        next request.
         """
         transport = self.transport
         return (
@@ -80,13 +81,14 @@
         )
 
     def start(self, exchange: Exchange, upstream_verdict: Verdict = ALLOWED) -> None:
-        """Write an exchange's request, if it may still start.
+        """Write an exchange's request, if the exchange may still start.
 
-        Otherwise it ends as not sent on the loop's next turn, and the connection is free.
+        Otherwise the connection is released, and the exchange ends in the next event-loop
+        iteration, as not sent or, if the upstream is unavailable, as a failed connect.
 
         Args:
             exchange: The exchange.
-            upstream_verdict: Whether the upstream may be sent something new.
+            upstream_verdict: Whether new requests may be sent to the upstream.
         """
         assert self.transport is not None
         data = exchange.request.begin(upstream_verdict)
@@ -104,7 +106,8 @@
         expected = exchange.expected
         self.reader.expect(expected.max_body, expected.memory, expected.head_only)
         self.writable = True
-        # Unless the transport calls `pause_writing`: then it could not take all.
+        # If the transport can't write all bytes at once, it calls `pause_writing` during `write`,
+        # which resets this flag.
         exchange.written = exchange.body is None
         self.transport.write(data)
         if exchange.body is not None:
@@ -112,7 +115,7 @@
             self._write_body()
 
     def pause_writing(self) -> None:
-        """Note that the transport holds bytes back; called by the event loop."""
+        """Stop writing while the transport has buffered bytes; called by the event loop."""
         self.writable = False
         if self.exchange is not None:
             self.exchange.written = False
@@ -120,7 +123,7 @@
                 self._start_stall_timer()
 
     def resume_writing(self) -> None:
-        """Note that all was written; called by the event loop."""
+        """Continue when the transport has written all bytes; called by the event loop."""
         self.writable = True
         self._cancel_stall_timer()
         if self.exchange is not None:
@@ -130,17 +133,17 @@
                 self.exchange.written = True
 
     def _write_body(self) -> None:
-        """Pass on the request's body as far as it has come, while the upstream takes it."""
+        """Write the available part of the request's body while the transport accepts data."""
         exchange = self.exchange
         body = exchange.body if exchange is not None else None
         if exchange is None or body is None or self.transport is None or exchange.written:
             return
         if body.failed:
-            self.abort()  # its last byte will never be written
+            self.abort()  # without the body's last byte, the upstream can't run the request
             return
         while self.writable:
             if body.ends_next and not exchange.request.may_finish():
-                self.abort()  # its last byte will never be written
+                self.abort()  # without the body's last byte, the upstream can't run the request
                 return
             piece = body.take()
             if piece is None:
@@ -157,7 +160,7 @@
         if body.length is None:
             self.transport.write(LAST_CHUNK)
 
-    # ---- a stall ---------------------------------------------------------------------------------
+    # ---- stall detection -------------------------------------------------------------------------
 
     def _start_stall_timer(self) -> None:
         self._cancel_stall_timer()
@@ -171,7 +174,7 @@
     # ---- the response ----------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Read a response, or more of one; called by the event loop."""
+        """Parse received bytes of a response; called by the event loop."""
         exchange = self.exchange
         reader = self.reader
         if self.streamed_response is not None:
@@ -187,13 +190,18 @@
         if reader.ready:
             self._complete(exchange, reader.ready.popleft())
         elif reader.fault is not None:
-            # The upstream has answered, if with what can't be read: its work is done and it is no
-            # break of the network. Nothing on this connection can be relied on any more.
+            # The upstream has answered, although the response can't be parsed. Its work on the
+            # request is finished, and this is not a network failure: the result is an error, not a
+            # reset. The connection can't be used any more.
             exchange.finish(AttemptResult.ERROR)
             self.abort()
 
     def eof_received(self) -> None:
-        """End the connection: a response under way is incomplete, unless it is framed by that."""
+        """Handle the upstream's FIN, and close the connection; called by the event loop.
+
+        A response that is framed by the close of the connection is complete now. Any other response
+        in progress is incomplete.
+        """
         exchange = self.exchange
         reader = self.reader
         if reader.finish():
@@ -209,7 +217,7 @@
         self.exchange = None
         self.request_written = exchange.written
         if exchange.body is not None:
-            exchange.body.changed = None  # answered ahead of its end: the rest is not wanted
+            exchange.body.changed = None  # answered before the body's end: stop sending it
         if response.stream is not None:
             self.streamed_response = response
             response.stream.source = self
@@ -222,7 +230,7 @@
         exchange.finish(AttemptResult.OK, response)
 
     def _continue_body(self, streamed_response: Response) -> None:
-        """Handle more of a response's body."""
+        """Check whether the body of a streamed response is complete or malformed."""
         assert streamed_response.stream is not None
         if self.reader.fault is not None:
             self.abort()
@@ -232,9 +240,10 @@
             self._end_response(streamed_response)
 
     def _end_response(self, response: Response) -> None:
-        """Free the connection behind a complete response.
+        """Release the connection after a complete response, or close it.
 
-        What stands behind it, a second response or noise, would be read as the next request's.
+        It is closed if it received bytes after the response: they would be taken for the response
+        to the next request.
         """
         reader = self.reader
         self.response_end_s = asyncio.get_running_loop().time()
@@ -245,25 +254,28 @@
             self.abort()
 
     def pause(self) -> None:
-        """Stop reading: the response's reader is behind, which is no stall of the upstream."""
+        """Pause reading because the receiver of the response's body is slow.
+
+        The stall timer stops, because the upstream does not cause the delay.
+        """
         self._cancel_stall_timer()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
             self._start_stall_timer()
 
     def abort(self) -> None:
-        """Close at once; the exchange on it, if any, ends as broken."""
+        """Close the connection at once; an exchange in progress ends as broken."""
         if not self.closed and self.transport is not None:
             self.transport.abort()
         self._on_closed()
 
-    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (the loop's signature)
-        """Note the end; called by the event loop."""
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (signature of asyncio.Protocol)
+        """Clean up after the close; called by the event loop."""
         self._on_closed()
 
     def _on_closed(self) -> None:
@@ -271,7 +283,7 @@
             return
         self.closed = True
         self._cancel_stall_timer()
-        self.reader.close()  # a body under way fails
+        self.reader.close()  # fails a body that is being received
         self.streamed_response = None
         exchange = self.exchange
         self.exchange = None
--- a/loadbalancer/proxy/upstream_response.py
+++ b/loadbalancer/proxy/upstream_response.py
@@ -1,4 +1,4 @@
-"""What an upstream's answer means, and the load report that it carries."""
+"""Interpretation of upstream responses: result of the attempt, and load report."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 LOAD_HEADER = b"x-load"
 NOT_RUN_HEADER = b"x-not-run"
-# Statuses that, with the header above, promise that the request was not run.
+# Together with NOT_RUN_HEADER, these statuses guarantee that the request was not run.
 NOT_RUN_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 LoadReport = Mapping[str, float] | None
 
 
 def attempt_result(result: api.AttemptResult, response: Response | None) -> api.AttemptResult:
-    """The result of an attempt, given how its exchange ended and the response, if there is one."""
+    """Return the result of an attempt from the result of its exchange and the response."""
     if result is not api.AttemptResult.OK or response is None:
         return result
     if response.status == HTTPStatus.OK:
@@ -28,7 +28,7 @@
 
 
 def health_check_result(result: api.AttemptResult, response: Response) -> api.AttemptResult:
-    """The result of a health check: one that is answered 503 was rejected."""
+    """Return the result of a health check; a 503 response means that it was rejected."""
     if result is api.AttemptResult.OK and response.status == HTTPStatus.SERVICE_UNAVAILABLE:
         return api.AttemptResult.REJECTED
     return attempt_result(result, response)
@@ -37,11 +37,11 @@
 def read_load_report(text: bytes | None, columns: Collection[str]) -> LoadReport:
     """Read a load report such as `inflight=7,queue=2`.
 
-    Only columns that the settings name are taken, and only finite amounts: comparisons with
-    not-a-number hold for nobody, so one must not reach the policy.
+    Columns that the settings don't name are ignored, and so are negative and non-finite values:
+    every comparison with NaN is false, so NaN must not reach the policy.
 
     Returns:
-        The figures by column; None where there are none.
+        The values by column; None if there are none.
     """
     if text is None:
         return None
