--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -160,7 +160,7 @@
 
     def pause(self) -> None:
         """Stop reading: what was read waits for the upstream, which is not the client's time."""
-        self.frontend.busy(self)
+        self.frontend.leave_phase(self)
         if (transport := self._live) is not None:
             transport.pause_reading()
 
@@ -184,7 +184,7 @@
         """Note the connection's end; called by the event loop."""
         self._client_left()
         self.reader.close()
-        self.frontend.lost(self)
+        self.frontend.forget_connection(self)
 
     def _client_left(self) -> None:
         """Drop what its client has sent ahead, and the open request."""
@@ -224,7 +224,7 @@
 
     def abort(self) -> None:
         """Close the connection at once."""
-        self.frontend.busy(self)
+        self.frontend.leave_phase(self)
         if self.transport is not None:
             self.transport.abort()
 
@@ -286,7 +286,7 @@
             return
         self.open = request
         if stream is None:
-            self.frontend.busy(self)
+            self.frontend.leave_phase(self)
         else:
             self._continue()
             self.upload = stream
@@ -298,7 +298,7 @@
 
     def _body_completed(self) -> None:
         self.upload = None
-        self.frontend.busy(self)
+        self.frontend.leave_phase(self)
         self._read_on()  # its end may have come while it was full
         if self.open is not None:
             deadline_ns = self.intake.deadline_ns(self.received_ns)
--- a/loadbalancer/proxy/connection_host.py
+++ b/loadbalancer/proxy/connection_host.py
@@ -71,8 +71,8 @@
     def note_progress(self, client: HostedConnection) -> None:
         """Record that a connection has received more of its request."""
 
-    def busy(self, client: HostedConnection) -> None:
+    def leave_phase(self, client: HostedConnection) -> None:
         """End the connection's current phase."""
 
-    def lost(self, client: HostedConnection) -> None:
+    def forget_connection(self, client: HostedConnection) -> None:
         """Remove a connection that is closed."""
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -330,7 +330,7 @@
             self._schedule_idle_timer(target)
 
     def _on_connection_lost(self, target: Target, connection: UpstreamConnection) -> None:
-        if connection.noisy:
+        if connection.has_unrequested_bytes:
             self._on_unrequested_bytes(target)
         if connection.transport is not None:
             self.connections -= 1
--- a/loadbalancer/proxy/endpoint_staleness.py
+++ b/loadbalancer/proxy/endpoint_staleness.py
@@ -63,7 +63,7 @@
         self.state = Staleness.FRESH
         if was_stale:
             log.info("endpoint list fresh again")
-            self.driver.trust(True)
+            self.driver.set_trusted(True)
 
     def close(self) -> None:
         """Trust the list: discovery is no longer polled, another source provides it."""
@@ -72,13 +72,13 @@
     def _expire(self) -> None:
         self.state = Staleness.STALE
         log.warning("endpoint list stale: nothing new is sent until discovery answers")
-        self.driver.trust(False)
+        self.driver.set_trusted(False)
         self._set_timer(MAX_STALE_S, self._override)
 
     def _override(self) -> None:
         self.state = Staleness.OVERRIDDEN
         log.error("endpoint list used although stale: stale_s=%.0f", MAX_STALE_S)
-        self.driver.trust(True)
+        self.driver.set_trusted(True)
 
     def _set_timer(self, seconds: float, callback: Callable[[], None]) -> None:
         self._cancel_timer()
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -196,7 +196,7 @@
         except OSError as error:
             log.error("client connection failed: error=%s", error)
             sock.close()
-            self.lost(client)
+            self.forget_connection(client)
 
     def is_loaded(self, fraction: float) -> bool:
         """Whether so large a fraction of the cap is used."""
@@ -204,7 +204,7 @@
 
     def wait(self, client: HostedConnection, phase: Phase) -> None:
         """Note that it has no request open from now on, and may be closed at the cap."""
-        self.busy(client)
+        self.leave_phase(client)
         client.phase = phase
         client.force_close_at = 0.0
         self.waiting[phase][client] = self.loop.time()
@@ -219,7 +219,7 @@
             self.unfinished.pop(client, None)
             self.unfinished[client] = self.loop.time()
 
-    def busy(self, client: HostedConnection) -> None:
+    def leave_phase(self, client: HostedConnection) -> None:
         """Note that it is in no phase of waiting any more."""
         if client.phase is not None:
             del self.waiting[client.phase][client]
@@ -259,10 +259,10 @@
         """How long a phase may last; no connection is kept for a request that is not accepted."""
         return 0.0 if phase is Phase.IDLE and self.closed else LIMIT_S[phase]
 
-    def lost(self, client: HostedConnection) -> None:
+    def forget_connection(self, client: HostedConnection) -> None:
         """Forget a connection that has ended."""
         self.clients.discard(cast(ClientConnection, client))
-        self.busy(client)
+        self.leave_phase(client)
         self._listen()
         self.check_left()
 
--- a/loadbalancer/proxy/messages.py
+++ b/loadbalancer/proxy/messages.py
@@ -57,10 +57,10 @@
         return next((value for key, value in self.headers if key == name), None)
 
 
-def message(start: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
+def message(start_line: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
     """Serialize a message.
 
     The parts are not validated: they come from the parser or are built by this program.
     """
     rows = b"".join(b"%b: %b\r\n" % row for row in headers)
-    return b"%b\r\n%b\r\n%b" % (start, rows, body)
+    return b"%b\r\n%b\r\n%b" % (start_line, rows, body)
--- a/loadbalancer/proxy/parse.py
+++ b/loadbalancer/proxy/parse.py
@@ -182,11 +182,11 @@
         if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
             self._fail(400, "Content-Length is not a whole number")
             return
-        self._check(head)
+        self._check_head(head)
         if self.fault is None and int(length) > self.max_body:
             self._begin_stream(head, int(length))
 
-    def _check(self, head: MessageHead) -> None:
+    def _check_head(self, head: MessageHead) -> None:
         """Check a complete, well-formed head; subclasses add the checks of their direction."""
 
     def on_body(self, data: bytes) -> None:
@@ -257,7 +257,7 @@
         assert self.head is not None
         self.head.target += target
 
-    def _check(self, head: MessageHead) -> None:
+    def _check_head(self, head: MessageHead) -> None:
         assert self.parser is not None
         single_headers: set[bytes] = set()
         expectations = []
@@ -355,7 +355,7 @@
         if not self.head_response_complete:
             super().on_message_complete()
 
-    def _check(self, head: MessageHead) -> None:
+    def _check_head(self, head: MessageHead) -> None:
         """Accept a response only if exactly one framing determines its end.
 
         The framing is a Content-Length, chunks, or `Connection: close`. Without a framing, a
--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -158,9 +158,9 @@
             self.list_received.set()
         self.post(api.EndpointsUpdated(kind, [e.entry for e in endpoints]))
 
-    def trust(self, on: bool) -> None:
+    def set_trusted(self, on: bool) -> None:
         """Set whether the endpoint list is recent enough; if not, no attempt starts."""
-        self.upstreams.trust(on)
+        self.upstreams.set_trusted(on)
         self.post(api.EndpointTrustChanged(on))
 
     def _with_start_time(self, endpoint: Endpoint, now_ns: int) -> Endpoint:
@@ -195,7 +195,7 @@
         events = self.pending_events
         self.pending_events = []
         now = time.monotonic_ns()
-        actions = self._decide(now, events)
+        actions = self._run_policy(now, events)
         if self.event_listener is not None:
             self.event_listener(now, events)
         for action in actions:
@@ -209,7 +209,7 @@
             if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
                 self.table.forget(event.request)
 
-    def _decide(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
+    def _run_policy(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
         try:
             return self.balancer.handle(now, events)
         except Exception as error:  # noqa: BLE001 (the process continues without the decisions of this batch)
@@ -238,13 +238,13 @@
     def _execute(self, action: api.Action, now: int) -> None:
         match action:
             case api.StartAttempt():
-                self._send(action, now)
+                self._send_attempt(action, now)
             case api.RejectRequest():
-                self._reject(action)
+                self._reject_request(action)
             case api.FailRequest():
-                self._fail(action)
+                self._fail_request(action)
             case api.CancelAttempt():
-                self._cancel(action)
+                self._cancel_attempt(action)
             case api.CheckHealth():
                 self._check_health(action.upstream, now)
             case api.SetTimer():
@@ -264,14 +264,14 @@
             case api.FetchEndpoints() if self.discovery is not None:
                 self.discovery.fetch()
 
-    def _reject(self, action: api.RejectRequest) -> None:
+    def _reject_request(self, action: api.RejectRequest) -> None:
         request = self.table.get(action.request)
         if request is not None and self.table.answer(
             request, lambda client: client.reject(action.retry_after_ns)
         ):
             self.table.forget(action.request)
 
-    def _fail(self, action: api.FailRequest) -> None:
+    def _fail_request(self, action: api.FailRequest) -> None:
         request = self.table.get(action.request)
         if request is None:
             return
@@ -279,19 +279,19 @@
         if self.table.answer(request, lambda client: client.fail(status)):
             self.table.forget(action.request)
 
-    def _cancel(self, action: api.CancelAttempt) -> None:
+    def _cancel_attempt(self, action: api.CancelAttempt) -> None:
         request = self.table.get(action.request)
         exchange = request.attempts[action.attempt] if request is not None else None
         if exchange is not None:
             exchange.give_up(api.AttemptResult.CANCELLED)
 
-    def _send(self, action: api.StartAttempt, now: int) -> None:
+    def _send_attempt(self, action: api.StartAttempt, now: int) -> None:
         request = self.table.get(action.request)
         if request is None:
             log.error("attempt for an unknown request: request=%s", action.request)
             return
         number = len(request.attempts)
-        attempt = self._attempt(request, number, action, now)
+        attempt = self._build_attempt(request, number, action, now)
         verdict = attempt.verdict(now)
         request.attempts.append(None)
         request.attempts_in_flight += 1
@@ -317,11 +317,11 @@
             ended(api.AttemptResult.TIMEOUT)
         else:
             timing = self._timing(attempt, now, action.start_by_ns)
-            request.attempts[number] = self._start(action, attempt, ended, timing)
+            request.attempts[number] = self._start_exchange(action, attempt, ended, timing)
             if request.attempts[number] is None:
                 ended(api.AttemptResult.NOT_SENT)
 
-    def _start(
+    def _start_exchange(
         self,
         action: api.StartAttempt,
         attempt: OutgoingAttempt,
@@ -341,7 +341,7 @@
             self._report_failure("attempt not started", [action], error)
             return None
 
-    def _attempt(
+    def _build_attempt(
         self, request: OpenRequest, number: int, action: api.StartAttempt, now: int
     ) -> OutgoingAttempt:
         class_deadline_ns = self.settings.classes[request.arrival.class_name].deadline_ns
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -92,7 +92,7 @@
         named = set()
         for new in endpoints:
             named.add(new.entry.id)
-            self._remember(new.entry.id)
+            self._record_number(new.entry.id)
             target = self.targets.get(new.entry.id)
             if new.entry.state is api.UpstreamState.REMOVED:
                 self._remove(new.entry.id)
@@ -109,7 +109,7 @@
             for removed in self.targets.keys() - named:
                 self._remove(removed)
 
-    def trust(self, trusted: bool) -> None:
+    def set_trusted(self, trusted: bool) -> None:
         """Set whether the endpoint list is recent enough for attempts to start."""
         self.pool.trusted = trusted
 
@@ -123,7 +123,7 @@
         if target is not None:
             self._update_keep(target)
 
-    def _remember(self, number: int) -> None:
+    def _record_number(self, number: int) -> None:
         if number not in self.seen_numbers:
             self.seen_numbers[number] = None
             if len(self.seen_numbers) > MAX_SEEN_NUMBERS:
--- a/loadbalancer/proxy/upstream_connection.py
+++ b/loadbalancer/proxy/upstream_connection.py
@@ -25,24 +25,24 @@
     """A connection to one process of an upstream.
 
     Args:
-        released: Called when the connection is free for the next exchange.
-        lost: Called once when the connection is closed.
+        on_released: Called when the connection is free for the next exchange.
+        on_closed: Called once when the connection is closed.
 
     Attributes:
         streamed_response: The response whose body is being streamed.
         request_written: Whether the last request was written completely, which reuse requires.
-        noisy: Whether bytes were received that belong to no request.
+        has_unrequested_bytes: Whether bytes were received that belong to no request.
         idle_since: When the connection became idle (event-loop time).
         response_end_s: When its last response was complete (event-loop time); -inf: none yet.
     """
 
     def __init__(
         self,
-        released: Callable[[UpstreamConnection], None],
-        lost: Callable[[UpstreamConnection], None],
+        on_released: Callable[[UpstreamConnection], None],
+        on_closed: Callable[[UpstreamConnection], None],
     ) -> None:
-        self.released = released
-        self.lost = lost
+        self.on_released = on_released
+        self.on_closed = on_closed
         self.reader = ResponseReader()
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
@@ -53,7 +53,7 @@
         self.response_end_s = -math.inf
         self.writable = True
         self.closed = False
-        self.noisy = False
+        self.has_unrequested_bytes = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport; called by the event loop."""
@@ -93,7 +93,7 @@
         assert self.transport is not None
         data = exchange.request.begin(upstream_verdict)
         if isinstance(data, Denied):
-            self.released(self)
+            self.on_released(self)
             result = (
                 AttemptResult.CONNECT_FAILED
                 if data.reason is Reason.UPSTREAM_UNAVAILABLE
@@ -183,7 +183,7 @@
             self._continue_body(self.streamed_response)
             return
         if exchange is None:
-            self.noisy = True
+            self.has_unrequested_bytes = True
             self.abort()
             return
         reader.feed(data)
@@ -247,9 +247,9 @@
         """
         reader = self.reader
         self.response_end_s = asyncio.get_running_loop().time()
-        self.noisy = bool(reader.ready or reader.in_message or reader.fault)
-        if self.request_written and response.keep_alive and not self.noisy:
-            self.released(self)
+        self.has_unrequested_bytes = bool(reader.ready or reader.in_message or reader.fault)
+        if self.request_written and response.keep_alive and not self.has_unrequested_bytes:
+            self.on_released(self)
         else:
             self.abort()
 
@@ -272,13 +272,13 @@
         """Close the connection at once; an exchange in progress ends as broken."""
         if not self.closed and self.transport is not None:
             self.transport.abort()
-        self._on_closed()
+        self._clean_up()
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (signature of asyncio.Protocol)
         """Clean up after the close; called by the event loop."""
-        self._on_closed()
+        self._clean_up()
 
-    def _on_closed(self) -> None:
+    def _clean_up(self) -> None:
         if self.closed:
             return
         self.closed = True
@@ -287,6 +287,6 @@
         self.streamed_response = None
         exchange = self.exchange
         self.exchange = None
-        self.lost(self)
+        self.on_closed(self)
         if exchange is not None:
             exchange.connection_broken()
--- a/loadbalancer/testbed/size/keepers.py
+++ b/loadbalancer/testbed/size/keepers.py
@@ -63,7 +63,8 @@
             for n in range(16)
         ]
         self.upstreams = SimpleNamespace(
-            targets={e.entry.id: SimpleNamespace(endpoint=e) for e in boxes}, probe=self.probe
+            targets={e.entry.id: SimpleNamespace(endpoint=e) for e in boxes},
+            check_health=self.check_health,
         )
         self.balancer = SimpleNamespace(
             learned_state=lambda: LEARNT,
@@ -84,7 +85,7 @@
     def set_disabled(self, name: str, is_disabled: bool) -> None:
         pass
 
-    def probe(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
+    def check_health(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
         done(api.AttemptResult.OK, None)
         return True
 
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -60,7 +60,8 @@
         self.requests: dict[str, Any] = {}
         self.gone: set[int] = set()
         self.upstreams = SimpleNamespace(
-            targets={e.entry.id: SimpleNamespace(endpoint=e) for e in UPSTREAMS}, probe=self.probe
+            targets={e.entry.id: SimpleNamespace(endpoint=e) for e in UPSTREAMS},
+            check_health=self.check_health,
         )
         self.plans: list[api.TrafficPlan] = []
 
@@ -68,7 +69,7 @@
         if isinstance(event, api.TrafficPlan):
             self.plans.append(event)
 
-    def probe(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
+    def check_health(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
         done(
             api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK, None
         )
