--- a/loadbalancer/proxy/policy_driver.py
+++ b/loadbalancer/proxy/policy_driver.py
@@ -1,7 +1,7 @@
-"""The policy's driver: the one caller of `Balancer.handle`.
+"""Driver of the policy: the only caller of `Balancer.handle`.
 
-Events are handed over in the order in which they came, those of one turn of the event loop
-together, with the time of the monotonic clock. Actions are carried out in order. The driver owns
+Events are passed to the policy in order of arrival, with the monotonic time; all events of one
+event-loop iteration form one batch. The resulting actions are executed in order. The driver owns
 the policy's timers, the attempts and the table of open requests.
 """
 
@@ -19,43 +19,43 @@
 from loadbalancer.policy import Balancer, api
 from loadbalancer.policy.rules import Denied
 from loadbalancer.proxy.attempt import AttemptLimits, OutgoingAttempt
-from loadbalancer.proxy.endpoint import Endpoint, number_of
+from loadbalancer.proxy.endpoint import Endpoint, upstream_number
 from loadbalancer.proxy.exchange import Exchange
 from loadbalancer.proxy.messages import Response
 from loadbalancer.proxy.policy_violations import PolicyViolations
 from loadbalancer.proxy.request_table import RequestTable
 from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.timers import call_after
-from loadbalancer.proxy.upstream import Done, ExpectedBodies, Timing, Upstreams
-from loadbalancer.proxy.upstream_response import Report
+from loadbalancer.proxy.upstream import AttemptCallback, ExpectedBodies, Timing, Upstreams
+from loadbalancer.proxy.upstream_response import LoadReport
 from loadbalancer.wallclock import StartTimes
 
 log = logging.getLogger(__name__)
 
 
 class Discovery(Protocol):
-    """What the policy can ask of the service that lists the upstreams."""
+    """Interface to the service that provides the endpoint list."""
 
     def subscribe(self, on: bool) -> None:
-        """Open a watch, or close it."""
+        """Open or close a watch on the endpoint list."""
 
     def fetch(self) -> None:
-        """Poll the complete list once."""
+        """Fetch the complete list once."""
 
 
 class Gossip(Protocol):
-    """Datagrams to the other balancers."""
+    """Sender of datagrams to the other balancers."""
 
     def send(self, peer: int, data: bytes) -> None:
-        """Send a datagram to one peer; -1: to all."""
+        """Send a datagram to one peer, or to all peers if `peer` is -1."""
 
 
 class _Outcome(NamedTuple):
-    """How an attempt ended, as the upstreams report it."""
+    """Outcome of an attempt, as reported by `Upstreams`."""
 
     result: api.AttemptResult
     response: Response | None = None
-    report: Report = None
+    report: LoadReport = None
 
 
 class Driver:
@@ -63,8 +63,8 @@
 
     Attributes:
         table: The open requests.
-        list_received: Set when an endpoint list came.
-        event_listener: Called with the events of each turn, behind the policy.
+        list_received: Set when an endpoint list is received.
+        event_listener: Called with each batch of events after the policy has handled it.
     """
 
     def __init__(self, settings: api.Settings, seed: int, upstreams: Upstreams) -> None:
@@ -75,40 +75,40 @@
         self.loop = asyncio.get_running_loop()
         self.balancer = Balancer(settings, seed, time.monotonic_ns())
         self.violations = PolicyViolations()
-        self.starts = StartTimes()
-        self.waiting: list[api.Event] = []
+        self.start_times = StartTimes()
+        self.pending_events: list[api.Event] = []
         self.table = RequestTable(settings.limits.max_open, self.post)
         self.list_received = asyncio.Event()
         self.event_listener: Callable[[int, Sequence[api.Event]], None] | None = None
 
     @property
     def ready(self) -> bool:
-        """Whether the policy can serve: a list has named an upstream that is ready."""
+        """Whether requests can be served: at least one listed upstream is ready and enabled."""
         return any(t.keep for t in self.upstreams.targets.values())
 
     @property
     def requests(self) -> Mapping[str, OpenRequest]:
-        """Requests by id."""
+        """All requests in the table by id."""
         return self.table.requests
 
     @property
     def open(self) -> int:
-        """Requests that are owed an answer."""
+        """Number of unanswered requests."""
         return self.table.open
 
     # ---- events ----------------------------------------------------------------------------------
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the policy on the loop's next turn."""
-        if not self.waiting:
-            self.loop.call_soon(self._hand_over)
-        self.waiting.append(event)
+        """Queue an event for the policy, which gets it in the next event-loop iteration."""
+        if not self.pending_events:
+            self.loop.call_soon(self._process_events)
+        self.pending_events.append(event)
 
     def arrive(self, request: OpenRequest) -> bool:
         """Accept a client's request.
 
         Returns:
-            False where too many are open; the caller answers then.
+            False if too many requests are open; the caller has to answer the request then.
         """
         if not self.table.add(request):
             return False
@@ -116,8 +116,8 @@
         return True
 
     def body_completed(self, request: OpenRequest, deadline_ns: int, received_ns: int) -> None:
-        """Note the last byte of a body: the request's time and its attempt's run from there."""
-        if request.over or request.stream is None:
+        """Handle the last byte of a body, from which the deadline and the timeouts count."""
+        if request.finished or request.stream is None:
             return
         request.arrival = request.arrival._replace(
             deadline_ns=deadline_ns, received_ns=received_ns, body_complete=True
@@ -135,7 +135,7 @@
 
     @staticmethod
     def _remaining_ns(request: OpenRequest, timeout_ns: int) -> int:
-        """How long an attempt may take from now on."""
+        """Return how long an attempt may take from now."""
         left = max(0, request.arrival.deadline_ns - time.monotonic_ns())
         return min(timeout_ns or left, left)
 
@@ -143,34 +143,38 @@
         """End a request whose client has disconnected."""
         if self.table.end(request):
             if request.stream is not None and not request.stream.ended:
-                # The attempt fails with it: its last byte will never be written.
+                # Without the body's last byte, which will never be received, the attempt fails too.
                 request.stream.fail()
             self.post(api.ClientDisconnected(request.arrival.request))
 
     def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
-        """Pass on an endpoint list, or the failure of a call for one."""
+        """Apply an endpoint list, and notify the policy of it or of a failed request for it."""
         if kind is not api.EndpointListKind.FAILED:
             now_ns = time.monotonic_ns()
-            endpoints = [self._dated(e, now_ns) for e in endpoints]
+            endpoints = [self._with_start_time(e, now_ns) for e in endpoints]
             if kind is not api.EndpointListKind.CACHED:
-                self.starts.list_received(now_ns)
+                self.start_times.list_received(now_ns)
             self.upstreams.learn(endpoints, full=kind is not api.EndpointListKind.DELTA)
             self.list_received.set()
         self.post(api.EndpointsUpdated(kind, [e.entry for e in endpoints]))
 
-    def trust(self, on: bool) -> None:
-        """Note whether the list may be relied on; while not, no attempt starts at any upstream."""
-        self.upstreams.trust(on)
+    def set_trusted(self, on: bool) -> None:
+        """Set whether the endpoint list is recent enough; if not, no attempt starts."""
+        self.upstreams.set_trusted(on)
         self.post(api.EndpointTrustChanged(on))
 
-    def _dated(self, endpoint: Endpoint, now_ns: int) -> Endpoint:
-        """The endpoint, with the time of its start by this process's clock."""
+    def _with_start_time(self, endpoint: Endpoint, now_ns: int) -> Endpoint:
+        """Return the endpoint with its start time on this process's monotonic clock."""
         entry = endpoint.entry
-        started_ns = self.starts.started_ns(entry.id, endpoint.started_ms, now_ns)
+        started_ns = self.start_times.started_ns(entry.id, endpoint.started_ms, now_ns)
         return replace(endpoint, entry=entry._replace(started_ns=started_ns))
 
-    async def can_serve(self, seconds: float) -> bool:
-        """Wait until the policy can serve, so long at the most."""
+    async def wait_until_ready(self, seconds: float) -> bool:
+        """Wait until requests can be served, at most for this time.
+
+        Returns:
+            Whether requests can be served.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 while not self.ready:
@@ -179,65 +183,68 @@
         return self.ready
 
     def was_listed(self, name: str) -> bool:
-        """Whether any list has ever named this upstream."""
-        return number_of(name) in self.upstreams.known_numbers
+        """Return whether any endpoint list has contained this upstream."""
+        return upstream_number(name) in self.upstreams.seen_numbers
 
     def set_disabled(self, name: str, is_disabled: bool) -> None:
-        """Disable an upstream for operators, or enable it again."""
-        self.upstreams.set_disabled(number_of(name), is_disabled)
-        self.post(api.UpstreamDisabled(number_of(name), is_disabled))
+        """Disable or enable an upstream on behalf of an operator."""
+        self.upstreams.set_disabled(upstream_number(name), is_disabled)
+        self.post(api.UpstreamDisabled(upstream_number(name), is_disabled))
 
-    def _hand_over(self) -> None:
-        events = self.waiting
-        self.waiting = []
+    def _process_events(self) -> None:
+        events = self.pending_events
+        self.pending_events = []
         now = time.monotonic_ns()
-        actions = self._decide(now, events)
+        actions = self._run_policy(now, events)
         if self.event_listener is not None:
             self.event_listener(now, events)
         for action in actions:
             try:
-                self._carry_out(action, now)
-            except Exception as error:  # noqa: BLE001 (one action's fault must not take the others along)
-                self._blame("action failed", [action], error)
-        # Only now: the policy may act for a request until it has been notified of its end.
+                self._execute(action, now)
+            except Exception as error:  # noqa: BLE001 (the remaining actions still run)
+                self._report_failure("action failed", [action], error)
+        # Requests are removed only after the policy was notified of their end, because until then
+        # its actions may refer to them.
         for event in events:
             if isinstance(event, api.AttemptFinished | api.ClientDisconnected):
                 self.table.forget(event.request)
 
-    def _decide(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
+    def _run_policy(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
         try:
             return self.balancer.handle(now, events)
-        except Exception as error:  # noqa: BLE001 (the process goes on without this turn's decisions)
-            self._blame("policy failed", events, error)
+        except Exception as error:  # noqa: BLE001 (the process continues without the decisions of this batch)
+            self._report_failure("policy failed", events, error)
             return []
 
-    def _blame(self, what: str, about: Sequence[api.Event | api.Action], error: Exception) -> None:
-        """Log a fault with the requests concerned, and end these as failed."""
+    def _report_failure(
+        self, problem: str, items: Sequence[api.Event | api.Action], error: Exception
+    ) -> None:
+        """Log an error with the ids of the affected requests, and fail these requests."""
         names = [
-            name for name in (getattr(item, "request", None) for item in about) if name is not None
+            name for name in (getattr(item, "request", None) for item in items) if name is not None
         ]
-        log.error("%s: requests=%s", what, " ".join(names) or "-", exc_info=error)
+        log.error("%s: requests=%s", problem, " ".join(names) or "-", exc_info=error)
         for name in names:
             request = self.table.get(name)
             if request is not None:
                 self.table.fail_unanswered(request, HTTPStatus.BAD_GATEWAY)
 
     def end_open(self) -> None:
-        """Answer all that is open, as this process ends now."""
+        """Answer all open requests with an error because this process is shutting down."""
         self.table.fail_all()
 
     # ---- actions ---------------------------------------------------------------------------------
 
-    def _carry_out(self, action: api.Action, now: int) -> None:
+    def _execute(self, action: api.Action, now: int) -> None:
         match action:
             case api.StartAttempt():
-                self._send(action, now)
+                self._send_attempt(action, now)
             case api.RejectRequest():
-                self._reject(action)
+                self._reject_request(action)
             case api.FailRequest():
-                self._fail(action)
+                self._fail_request(action)
             case api.CancelAttempt():
-                self._cancel(action)
+                self._cancel_attempt(action)
             case api.CheckHealth():
                 self._check_health(action.upstream, now)
             case api.SetTimer():
@@ -245,10 +252,10 @@
             case api.LogMessage():
                 log.info("%s", action.text)
             case _:
-                self._call_others(action)
+                self._execute_external(action)
 
-    def _call_others(self, action: api.Action) -> None:
-        """Carry out an action of discovery or of gossip, where there is one."""
+    def _execute_external(self, action: api.Action) -> None:
+        """Execute an action for discovery or gossip, if that is configured."""
         match action:
             case api.SendGossip() if self.peers is not None:
                 self.peers.send(action.peer, action.data)
@@ -257,14 +264,14 @@
             case api.FetchEndpoints() if self.discovery is not None:
                 self.discovery.fetch()
 
-    def _reject(self, action: api.RejectRequest) -> None:
+    def _reject_request(self, action: api.RejectRequest) -> None:
         request = self.table.get(action.request)
         if request is not None and self.table.answer(
             request, lambda client: client.reject(action.retry_after_ns)
         ):
             self.table.forget(action.request)
 
-    def _fail(self, action: api.FailRequest) -> None:
+    def _fail_request(self, action: api.FailRequest) -> None:
         request = self.table.get(action.request)
         if request is None:
             return
@@ -272,34 +279,36 @@
         if self.table.answer(request, lambda client: client.fail(status)):
             self.table.forget(action.request)
 
-    def _cancel(self, action: api.CancelAttempt) -> None:
+    def _cancel_attempt(self, action: api.CancelAttempt) -> None:
         request = self.table.get(action.request)
         exchange = request.attempts[action.attempt] if request is not None else None
         if exchange is not None:
             exchange.give_up(api.AttemptResult.CANCELLED)
 
-    def _send(self, action: api.StartAttempt, now: int) -> None:
+    def _send_attempt(self, action: api.StartAttempt, now: int) -> None:
         request = self.table.get(action.request)
         if request is None:
-            log.error("attempt for a request that is not open: request=%s", action.request)
+            log.error("attempt for an unknown request: request=%s", action.request)
             return
         number = len(request.attempts)
-        attempt = self._attempt(request, number, action, now)
+        attempt = self._build_attempt(request, number, action, now)
         verdict = attempt.verdict(now)
         request.attempts.append(None)
-        request.sent += 1
+        request.attempts_in_flight += 1
 
         def ended(
-            result: api.AttemptResult, response: Response | None = None, report: Report = None
+            result: api.AttemptResult, response: Response | None = None, report: LoadReport = None
         ) -> None:
             exchange = request.attempts[number]
-            # While it waited for a connection to rest, or its answer lay unread here, that was this
-            # program's time, not its upstream's.
-            own_ns = exchange.rested_ns + exchange.unread_ns if exchange is not None else 0
+            # The waits for a connection to settle and for the event loop to read the response were
+            # caused by this process: they don't count as the upstream's duration.
+            local_wait_ns = (
+                exchange.settle_wait_ns + exchange.unread_ns if exchange is not None else 0
+            )
             started_ns = max(now, request.completed_ns)
-            duration_ns = max(0, time.monotonic_ns() - started_ns - own_ns)
+            duration_ns = max(0, time.monotonic_ns() - started_ns - local_wait_ns)
             outcome = _Outcome(result, response, report)
-            self._ended(request, number, action.upstream, outcome, duration_ns)
+            self._finish_attempt(request, number, action.upstream, outcome, duration_ns)
 
         if isinstance(verdict, Denied):
             attempt.report_denial(verdict, "decided")
@@ -308,12 +317,16 @@
             ended(api.AttemptResult.TIMEOUT)
         else:
             timing = self._timing(attempt, now, action.start_by_ns)
-            request.attempts[number] = self._start(action, attempt, ended, timing)
+            request.attempts[number] = self._start_exchange(action, attempt, ended, timing)
             if request.attempts[number] is None:
                 ended(api.AttemptResult.NOT_SENT)
 
-    def _start(
-        self, action: api.StartAttempt, attempt: OutgoingAttempt, done: Done, timing: Timing
+    def _start_exchange(
+        self,
+        action: api.StartAttempt,
+        attempt: OutgoingAttempt,
+        done: AttemptCallback,
+        timing: Timing,
     ) -> Exchange | None:
         request = attempt.request
         try:
@@ -324,15 +337,15 @@
                 timing,
                 ExpectedBodies(request.stream, request.method == b"HEAD"),
             )
-        except Exception as error:  # noqa: BLE001 (the attempt still has its one outcome)
-            self._blame("attempt not started", [action], error)
+        except Exception as error:  # noqa: BLE001 (the attempt ends as not sent)
+            self._report_failure("attempt not started", [action], error)
             return None
 
-    def _attempt(
+    def _build_attempt(
         self, request: OpenRequest, number: int, action: api.StartAttempt, now: int
     ) -> OutgoingAttempt:
-        longest = self.settings.classes[request.arrival.class_name].deadline_ns
-        timeout_ns = min(action.timeout_ns or longest, longest)
+        class_deadline_ns = self.settings.classes[request.arrival.class_name].deadline_ns
+        timeout_ns = min(action.timeout_ns or class_deadline_ns, class_deadline_ns)
         request.timeout_ns = action.timeout_ns
         limits = AttemptLimits(
             self.settings.limits,
@@ -343,13 +356,13 @@
         return OutgoingAttempt(request, number, limits, self.violations, self.client_gone)
 
     def _timing(self, attempt: OutgoingAttempt, now: int, start_by_ns: int) -> Timing:
-        """The attempt's timers; without a time-out it waits for a body that is still to come."""
+        """Return the attempt's timers; there is no timeout before the body is complete."""
         if not attempt.request.arrival.body_complete:
             return Timing(None, start_by_ns / 1e9)
         remaining_ns = self._remaining_ns(attempt.request, attempt.limits.expires_ns - now)
         return Timing(remaining_ns / 1e9, start_by_ns / 1e9)
 
-    def _ended(
+    def _finish_attempt(
         self,
         request: OpenRequest,
         number: int,
@@ -357,28 +370,30 @@
         outcome: _Outcome,
         duration_ns: int,
     ) -> None:
-        """Take in an attempt's one outcome, and answer the client where it was successful."""
+        """Record the outcome of an attempt, and answer the client if it was successful."""
         result, response, report = outcome
         request.attempts[number] = None
-        request.sent -= 1
+        request.attempts_in_flight -= 1
         request.timed_out = result is api.AttemptResult.TIMEOUT
         if result is api.AttemptResult.OK and response is not None:
-            taken = self.table.answer(request, lambda client: client.serve(response))
-            if response.stream is not None and not taken:
+            answered = self.table.answer(request, lambda client: client.serve(response))
+            if response.stream is not None and not answered:
                 response.stream.drop()
         name = request.arrival.request
         self.post(
-            api.AttemptFinished(name, number, upstream, result, duration_ns, request.over, report)
+            api.AttemptFinished(
+                name, number, upstream, result, duration_ns, request.finished, report
+            )
         )
 
     def _check_health(self, upstream: int, now: int) -> None:
-        def ended(result: api.AttemptResult, report: Report) -> None:
+        def ended(result: api.AttemptResult, report: LoadReport) -> None:
             self.post(api.HealthCheckFinished(upstream, result, time.monotonic_ns() - now, report))
 
         try:
-            started = self.upstreams.probe(upstream, ended)
-        except Exception as error:  # noqa: BLE001 (it still has its one result: the policy waits for it)
-            self._blame("health check not started", [], error)
+            started = self.upstreams.check_health(upstream, ended)
+        except Exception as error:  # noqa: BLE001 (the policy needs a result, which is reported below)
+            self._report_failure("health check not started", [], error)
             started = False
         if not started:
             ended(api.AttemptResult.CONNECT_FAILED, None)
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""The upstreams: the endpoint list as it stands, attempts and health checks."""
+"""Upstreams of the current endpoint list, and the attempts and health checks sent to them."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from loadbalancer.proxy.parse import MAX_BODY
 from loadbalancer.proxy.upstream_response import (
     LOAD_HEADER,
-    Report,
+    LoadReport,
     attempt_result,
     health_check_result,
-    read_report,
+    read_load_report,
 )
 
-MAX_KNOWN_NUMBERS = 10_000  # ids of upstreams that are remembered; in time they are ever new
+MAX_SEEN_NUMBERS = 10_000  # remembered ids: bounded, as new ids keep appearing
 LOAD_PATH = b"/status/load"
 HEALTH_PATH = b"/health"
-Done = Callable[[api.AttemptResult, Response | None, Report], None]
+AttemptCallback = Callable[[api.AttemptResult, Response | None, LoadReport], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,8 +31,8 @@
     """The timers of an attempt.
 
     Attributes:
-        timeout_s: How long it may take from now on; None: without a limit.
-        start_by_s: Within how long it has to start; 0: at any time.
+        timeout_s: Time from now until the attempt times out; None: no timeout.
+        start_by_s: Time from now within which the attempt must start; 0: no limit.
     """
 
     timeout_s: float | None
@@ -44,8 +44,8 @@
     """The bodies of an attempt.
 
     Attributes:
-        request: The request's body, where it comes in pieces.
-        head_only: The response has no body, as to a HEAD request.
+        request: The request's body, if it is streamed.
+        head_only: The response has no body because the request is a HEAD request.
     """
 
     request: Body | None = None
@@ -53,12 +53,12 @@
 
 
 class Upstreams:
-    """Knows the listed upstreams, and starts attempts and health checks at them.
+    """Holds the listed upstreams, and sends attempts and health checks to them.
 
     Attributes:
         targets: The listed upstreams by number.
-        disabled: Upstreams that operators disabled: nothing starts there.
-        known_numbers: Every upstream that a list has named, the newest last.
+        disabled: Upstreams that an operator has disabled: no attempt or health check starts there.
+        seen_numbers: Numbers of all upstreams that any list has contained, most recent last.
     """
 
     def __init__(
@@ -73,46 +73,48 @@
         self.health_path = LOAD_PATH if columns else HEALTH_PATH
         self.targets: dict[int, Target] = {}
         self.disabled: set[int] = set()
-        self.known_numbers: dict[int, None] = {}
+        self.seen_numbers: dict[int, None] = {}
         self._expected = ExpectedResponse(MAX_BODY, memory)
         self._expected_head = ExpectedResponse(MAX_BODY, memory, head_only=True)
 
     # ---- the list --------------------------------------------------------------------------------
 
     def learn(self, endpoints: Iterable[Endpoint], full: bool) -> None:
-        """Take in a list.
+        """Apply an endpoint list.
 
-        Idle connections to upstreams that drain, restarted, moved or went are closed at once.
+        Idle connections to upstreams that are draining, were restarted, changed their address or
+        were removed are closed at once.
 
         Args:
-            endpoints: The entries; of a delta, those that changed.
-            full: Whether upstreams that it does not name are gone.
+            endpoints: All entries, or the changed entries of a delta.
+            full: Whether the list is complete, so that upstreams missing from it are removed.
         """
         named = set()
         for new in endpoints:
             named.add(new.entry.id)
-            self._remember(new.entry.id)
+            self._record_number(new.entry.id)
             target = self.targets.get(new.entry.id)
             if new.entry.state is api.UpstreamState.REMOVED:
                 self._remove(new.entry.id)
                 continue
             if target is None or target.endpoint.process != new.process:
-                # A new target: connections in use that belong to the old one are not kept either.
+                # With a new target, connections of the old process that are still in use are closed
+                # after their exchange.
                 self._remove(new.entry.id)
                 target = Target(new)
                 self.targets[new.entry.id] = target
             target.endpoint = new
             self._update_keep(target)
         if full:
-            for gone in self.targets.keys() - named:
-                self._remove(gone)
+            for removed in self.targets.keys() - named:
+                self._remove(removed)
 
-    def trust(self, trusted: bool) -> None:
-        """Note whether the list is recent enough for attempts to start."""
+    def set_trusted(self, trusted: bool) -> None:
+        """Set whether the endpoint list is recent enough for attempts to start."""
         self.pool.trusted = trusted
 
     def set_disabled(self, number: int, is_disabled: bool) -> None:
-        """Disable an upstream, or enable it again."""
+        """Disable or enable an upstream."""
         if is_disabled:
             self.disabled.add(number)
         else:
@@ -121,14 +123,14 @@
         if target is not None:
             self._update_keep(target)
 
-    def _remember(self, number: int) -> None:
-        if number not in self.known_numbers:
-            self.known_numbers[number] = None
-            if len(self.known_numbers) > MAX_KNOWN_NUMBERS:
-                del self.known_numbers[next(iter(self.known_numbers))]
+    def _record_number(self, number: int) -> None:
+        if number not in self.seen_numbers:
+            self.seen_numbers[number] = None
+            if len(self.seen_numbers) > MAX_SEEN_NUMBERS:
+                del self.seen_numbers[next(iter(self.seen_numbers))]
 
     def _update_keep(self, target: Target) -> None:
-        """Decide whether connections to it are kept from now on."""
+        """Update whether connections to a target are kept, and close idle ones if not."""
         entry = target.endpoint.entry
         target.keep = entry.state is api.UpstreamState.READY and entry.id not in self.disabled
         if not target.keep:
@@ -144,12 +146,12 @@
 
     @property
     def held(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return self.pool.connections
 
-    def allow(self, connections: int) -> None:
-        """Set the cap on connections, those in use included."""
-        self.pool.allow(connections)
+    def set_max_connections(self, connections: int) -> None:
+        """Set the cap on all connections, and close idle connections that exceed it."""
+        self.pool.set_max_connections(connections)
 
     # ---- attempts and health checks --------------------------------------------------------------
 
@@ -157,58 +159,64 @@
         self,
         number: int,
         request: bytes | Outgoing,
-        done: Done,
+        done: AttemptCallback,
         timing: Timing,
         bodies: ExpectedBodies = ExpectedBodies(),
     ) -> Exchange | None:
         """Start one attempt.
 
-        Its outcome never comes within this call. With a time to start by, it ends as not sent if
-        no connection is up by then.
+        `done` is never called before this method returns. If `timing` limits the start, the attempt
+        ends as not sent unless a connection is established in time.
 
         Returns:
-            The exchange; None where there is no such upstream, or operators disabled it.
+            The exchange; None if the upstream is not listed or is disabled.
         """
         target = self.targets.get(number)
         if target is None or number in self.disabled:
             return None
 
-        def ended(result: api.AttemptResult, response: Response | None) -> None:
+        def report_outcome(result: api.AttemptResult, response: Response | None) -> None:
             load = response.header(LOAD_HEADER) if response is not None else None
-            done(attempt_result(result, response), response, read_report(load, self.columns))
+            done(attempt_result(result, response), response, read_load_report(load, self.columns))
 
         expected = self._expected_head if bodies.head_only else self._expected
-        exchange = Exchange(request, ended, bodies.request, expected)
+        exchange = Exchange(request, report_outcome, bodies.request, expected)
         self.pool.start(target, exchange)
         if timing.start_by_s:
             exchange.start_within(timing.start_by_s)
         if timing.timeout_s is not None:
-            # Last: what could not start must not come to a second end.
+            # Set last, so that an exception above leaves no timer that reports a second outcome.
             exchange.expire_in(timing.timeout_s)
         return exchange
 
-    def probe(self, number: int, done: Callable[[api.AttemptResult, Report], None]) -> bool:
-        """Start a health check; False where there is no such upstream, or it is disabled."""
+    def check_health(
+        self, number: int, done: Callable[[api.AttemptResult, LoadReport], None]
+    ) -> bool:
+        """Start a health check.
+
+        Returns:
+            False if the upstream is not listed or is disabled.
+        """
         target = self.targets.get(number)
         if target is None or number in self.disabled:
             return False
         host = f"{target.endpoint.host}:{target.endpoint.port}".encode()
 
-        def ended(result: api.AttemptResult, response: Response | None) -> None:
+        def report_outcome(result: api.AttemptResult, response: Response | None) -> None:
             if response is None:
                 done(result, None)
                 return
-            report = read_report(response.header(LOAD_HEADER) or response.body, self.columns)
+            report = read_load_report(response.header(LOAD_HEADER) or response.body, self.columns)
             done(health_check_result(result, response), report)
 
         request = message(b"GET %b HTTP/1.1" % self.health_path, [(b"Host", host)])
-        exchange = Exchange(request, ended)
+        exchange = Exchange(request, report_outcome)
         self.pool.start(target, exchange)
         exchange.expire_in(self.pool.connect_timeout_s)
         return True
 
     def close(self) -> None:
-        """Close all connections that are not in use, and open no more."""
+        """Close all idle connections, and stop opening connections."""
         self.pool.close()
         for number in list(self.targets):
             self._remove(number)
