--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -14,7 +14,7 @@
 from loadbalancer.failover.controller import FleetSnapshot, StartingUpstream
 from loadbalancer.failover.fleet_model import Fleet, SiteCapacity
 from loadbalancer.failover.site_reports import ReceivedReport, SiteReport
-from loadbalancer.failover.traffic_shares import fleet_of
+from loadbalancer.failover.traffic_shares import build_fleet
 from loadbalancer.policy import api
 from loadbalancer.store.client import Client
 from loadbalancer.store.documents import key as document_key
@@ -41,7 +41,7 @@
         """The fleet as it is now, not smoothed."""
         snapshot = self.snapshot
         fresh = {name: report for name, report in snapshot.reports.items() if report.is_fresh}
-        return fleet_of(snapshot.sites.values(), snapshot.class_values, snapshot.quotas, fresh)
+        return build_fleet(snapshot.sites.values(), snapshot.class_values, snapshot.quotas, fresh)
 
 
 class SiteReader:
--- a/loadbalancer/failover/controller.py
+++ b/loadbalancer/failover/controller.py
@@ -20,8 +20,8 @@
 from loadbalancer.failover.traffic_shares import (
     BalancerInputs,
     TrafficShares,
+    build_fleet,
     compute_shares,
-    fleet_of,
     scaled_capacities,
 )
 
@@ -117,8 +117,10 @@
         self.capacity_factor = 1.0
         self._attempts: dict[str, Tally] = {}  # by site, since its state changed
         self._latency_ratios: dict[str, float] = {}
-        self._counted: dict[str, int] = {}  # the last report of each balancer that was counted
-        self._capacity_counted: dict[str, int] = {}  # the same, for the capacity
+        self._counted_sequences: dict[
+            str, int
+        ] = {}  # the last report of each balancer that was counted
+        self._capacity_sequences: dict[str, int] = {}  # the same, for the capacity
         self._rates: dict[tuple[str, str, str], float] = {}
         self._versions: dict[str, _VersionSince] = {}
 
@@ -144,19 +146,23 @@
             blocked_reason=snapshot.blocked_reason,
             is_capacity_short=self.shedding.current.level > 0 or is_strained,
         )
-        after = advance(states, view)
-        for was, state in zip(states, after, strict=True):
-            if was != state:
+        next_states = advance(states, view)
+        for previous, state in zip(states, next_states, strict=True):
+            if previous != state:
                 self._attempts.pop(state.site, None)
                 self._versions[state.site] = _VersionSince(state.version, now)
-        reports = {name: one for name, one in snapshot.reports.items() if one.is_fresh}
+        reports = {
+            name: received_report
+            for name, received_report in snapshot.reports.items()
+            if received_report.is_fresh
+        }
         fleet = self._smoothed(
-            fleet_of(snapshot.sites.values(), snapshot.class_values, snapshot.quotas, reports)
+            build_fleet(snapshot.sites.values(), snapshot.class_values, snapshot.quotas, reports)
         )
-        inputs = BalancerInputs(reports, self._slow_start_rates(snapshot, after))
+        inputs = BalancerInputs(reports, self._slow_start_rates(snapshot, next_states))
         estimated = scaled_capacities(fleet, dict.fromkeys(fleet.sites, self.capacity_factor))
-        shares = compute_shares(estimated, after, self.shedding, inputs, now)
-        return Decision(after, shares, fleet, verdicts)
+        shares = compute_shares(estimated, next_states, self.shedding, inputs, now)
+        return Decision(next_states, shares, fleet, verdicts)
 
     def _estimate_capacity(self, snapshot: FleetSnapshot, verdicts: Mapping[str, Verdict]) -> None:
         """Correct the configured capacities by what is observed.
@@ -183,9 +189,9 @@
         total = Tally()
         for name, received in snapshot.reports.items():
             report = received.report
-            if not received.is_fresh or self._capacity_counted.get(name) == report.sequence:
+            if not received.is_fresh or self._capacity_sequences.get(name) == report.sequence:
                 continue
-            self._capacity_counted[name] = report.sequence
+            self._capacity_sequences[name] = report.sequence
             for site in report.sites:
                 verdict = verdicts.get(site.site)
                 if verdict is not None and verdict.health is SiteHealth.HEALTHY:
@@ -194,18 +200,18 @@
         return total
 
     def _age_s(self, state: SiteState, now: int) -> float:
-        known = self._versions.get(state.site)
-        if known is None or known.version != state.version:
-            known = self._versions[state.site] = _VersionSince(state.version, now)
-        return (now - known.since_ns) / SECOND_NS
+        version_since = self._versions.get(state.site)
+        if version_since is None or version_since.version != state.version:
+            version_since = self._versions[state.site] = _VersionSince(state.version, now)
+        return (now - version_since.since_ns) / SECOND_NS
 
     def _count_attempts(self, snapshot: FleetSnapshot) -> None:
         """Count the attempts of the reports, each report once."""
         for name, received in snapshot.reports.items():
             report = received.report
-            if not received.is_fresh or self._counted.get(name) == report.sequence:
+            if not received.is_fresh or self._counted_sequences.get(name) == report.sequence:
                 continue
-            self._counted[name] = report.sequence
+            self._counted_sequences[name] = report.sequence
             for site in report.sites:
                 attempts = self._attempts.setdefault(site.site, Tally())
                 attempts.total += site.attempts
--- a/loadbalancer/failover/evidence.py
+++ b/loadbalancer/failover/evidence.py
@@ -39,15 +39,19 @@
 MAX_LATENCY_RATIO: Final = 10.0
 MIN_LATENCY_RATIO: Final = 0.1
 IMPAIRED_FRACTION: Final = 0.3  # of a site's upstreams that are silent
-MIN_RETURNED: Final = 3  # answers, from distinct upstreams where there are some, that end a loss
-WITNESSES: Final = 2  # peers whose report makes a loss a partition, or makes it known sooner
+MIN_RECOVERY_ANSWERS: Final = (
+    3  # answers, from distinct upstreams where there are some, that end a loss
+)
+MIN_AGREEING_PEERS: Final = (
+    2  # peers whose report makes a loss a partition, or makes it known sooner
+)
 PEER_REPORT_VALID_NS: Final = 6 * SECOND_NS
 MIN_STABLE_NS: Final = 2 * SECOND_NS  # how long a site must stay after a loss, at first
 MAX_STABLE_NS: Final = 120 * SECOND_NS
-FORGIVEN_NS: Final = 300 * SECOND_NS  # without a further loss, after which one is forgiven
+LOSS_DECAY_NS: Final = 300 * SECOND_NS  # without a further loss, after which one is forgiven
 MAX_LOSSES: Final = 16
 MAX_COUNTED_FAILURES: Final = 2  # of one upstream: one dead by itself tells no more
-PRESENT: Final = (SiteHealth.HEALTHY, SiteHealth.IMPAIRED)
+IN_SERVICE: Final = (SiteHealth.HEALTHY, SiteHealth.IMPAIRED)
 UNREACHABLE: Final = (SiteHealth.LOST, SiteHealth.PARTITIONED)
 
 
@@ -69,8 +73,8 @@
         is_isolated: This balancer itself is partitioned.
     """
 
-    def __init__(self, here: str, now: int) -> None:
-        self.here = here
+    def __init__(self, local_site: str, now: int) -> None:
+        self.local_site = local_site
         self.now = now
         self.sites: dict[str, Site] = {}
         self.upstreams: dict[int, Upstream] = {}
@@ -90,10 +94,10 @@
             site.silent.pop(number, None)
             site.answered.pop(number, None)
         for number, name in upstreams.items():
-            known = self.upstreams.get(number)
-            if known is None or known.site != name:
+            existing = self.upstreams.get(number)
+            if existing is None or existing.site != name:
                 self.upstreams[number] = Upstream(name)
-        for name in {*upstreams.values(), *([self.here] if self.here else [])}:
+        for name in {*upstreams.values(), *([self.local_site] if self.local_site else [])}:
             if name not in self.sites:
                 self.sites[name] = Site(name, since_ns=now, healthy_since_ns=now)
 
@@ -120,7 +124,7 @@
             self._record_answer(site, number, latency_ratio)
         else:
             self._record_failure(site, number)
-        if site.health in PRESENT and site.score < LOSS_THRESHOLD / 2:
+        if site.health in IN_SERVICE and site.score < LOSS_THRESHOLD / 2:
             self.baseline_failure_rate += BASELINE_GAIN * (
                 (not is_alive) - self.baseline_failure_rate
             )
@@ -142,11 +146,11 @@
         site.silent.clear()
 
     def _record_failure(self, site: Site, number: int) -> None:
-        counted = site.silent.get(number, 0)
+        earlier_failures = site.silent.get(number, 0)
         if not site.silent:
             site.run_started_ns = self.now
-        site.silent[number] = counted + 1
-        if counted < MAX_COUNTED_FAILURES:
+        site.silent[number] = earlier_failures + 1
+        if earlier_failures < MAX_COUNTED_FAILURES:
             site.score += math.log(LOST_FAILURE_RATE / self.baseline_failure_rate)
 
     def add_peer_report(self, balancer: str, report: PeerReport, age_ns: int, now: int) -> None:
@@ -162,18 +166,20 @@
 
     # Judgement
 
-    def _seems_lost(self, site: Site) -> bool:
+    def _appears_lost(self, site: Site) -> bool:
         """Return whether own attempts alone show a loss: too many failures in a row for chance."""
-        witnesses = self._peer_opinions(site.name).silent
-        needed = DISTINCT_UPSTREAMS // 2 if witnesses >= WITNESSES else DISTINCT_UPSTREAMS
+        silent_peers = self._peer_opinions(site.name).silent
+        needed = (
+            DISTINCT_UPSTREAMS // 2 if silent_peers >= MIN_AGREEING_PEERS else DISTINCT_UPSTREAMS
+        )
         count = self._upstream_count(site.name)
         if not count:
             return False
         # To wait for each last upstream would take long.
-        enough = min(needed, math.ceil(MAX_SITE_FRACTION * count))
+        required_upstreams = min(needed, math.ceil(MAX_SITE_FRACTION * count))
         failures = sum(site.silent.values())
         return (
-            len(site.silent) >= enough
+            len(site.silent) >= required_upstreams
             and failures >= MIN_FAILURES
             and site.score >= LOSS_THRESHOLD
             and (site.last_answer_ns is None or site.last_answer_ns < site.run_started_ns)
@@ -198,7 +204,7 @@
         recent = [
             upstream.is_alive
             for upstream in self.upstreams.values()
-            if upstream.site == name and upstream.was_tried_lately(self.now)
+            if upstream.site == name and upstream.was_tried_recently(self.now)
         ]
         return sum(recent) / len(recent) if recent else 1.0
 
@@ -206,31 +212,35 @@
         """Judge all sites; return the verdicts that changed since the last tick."""
         self.now = now = max(self.now, now)
         self.changes = []
-        seeming_lost = {site.name for site in self.sites.values() if self._seems_lost(site)}
-        tried = self._sites_tried_lately()
+        apparently_lost = {site.name for site in self.sites.values() if self._appears_lost(site)}
+        recently_tried = self._recently_tried_sites()
         others = [
-            site for site in self.sites.values() if site.name != self.here and site.name in tried
+            site
+            for site in self.sites.values()
+            if site.name != self.local_site and site.name in recently_tried
+        ]
+        unreachable = [
+            site for site in others if site.name in apparently_lost or site.health in UNREACHABLE
         ]
-        gone = [site for site in others if site.name in seeming_lost or site.health in UNREACHABLE]
         was_isolated = self.is_isolated
         # If several other sites are tried and none answers, this balancer or its site is the one
         # that is partitioned. With a single other one, whoever still has the store is not.
         if len(others) > 1:
-            self.is_isolated = len(gone) == len(others)
+            self.is_isolated = len(unreachable) == len(others)
         else:
-            self.is_isolated = bool(gone) and not self.is_store_reachable
+            self.is_isolated = bool(unreachable) and not self.is_store_reachable
         for site in self.sites.values():
-            self._judge(site, site.name in seeming_lost, was_isolated)
+            self._judge(site, site.name in apparently_lost, was_isolated)
         return self.changes
 
-    def _sites_tried_lately(self) -> set[str]:
+    def _recently_tried_sites(self) -> set[str]:
         return {
             upstream.site
             for upstream in self.upstreams.values()
-            if upstream.was_tried_lately(self.now)
+            if upstream.was_tried_recently(self.now)
         }
 
-    def _judge(self, site: Site, seems_lost: bool, was_isolated: bool) -> None:
+    def _judge(self, site: Site, appears_lost: bool, was_isolated: bool) -> None:
         if site.held_by:
             self._set_health(site, SiteHealth.HELD, f"held by {site.held_by}")
             return
@@ -238,7 +248,7 @@
             self._start_recovery(site, "no longer held")
             return
         was_unreachable = site.health in UNREACHABLE
-        if seems_lost or (was_unreachable and not self._has_returned(site)):
+        if appears_lost or (was_unreachable and not self._is_answering_again(site)):
             if not was_unreachable:
                 site.answered.clear()
                 site.losses = min(MAX_LOSSES, site.losses + 1)
@@ -256,7 +266,7 @@
             if self.now - site.since_ns < self.required_stability_ns(site.name):
                 return
             site.healthy_since_ns = self.now
-        self._judge_present(site)
+        self._judge_in_service(site)
 
     def _set_unreachable(self, site: Site) -> None:
         opinions = self._peer_opinions(site.name)
@@ -268,7 +278,7 @@
         elif opinions.reported_inside:
             health = SiteHealth.PARTITIONED
             context = "its own balancers still report"
-        elif opinions.answering >= WITNESSES:
+        elif opinions.answering >= MIN_AGREEING_PEERS:
             health = SiteHealth.PARTITIONED
             context = f"{opinions.answering} peers are answered"
         elif not self.is_store_reachable:
@@ -288,8 +298,8 @@
             f" without an answer{last_answer}; {context}",
         )
 
-    def _judge_present(self, site: Site) -> None:
-        if site.losses and self.now - site.healthy_since_ns > FORGIVEN_NS:
+    def _judge_in_service(self, site: Site) -> None:
+        if site.losses and self.now - site.healthy_since_ns > LOSS_DECAY_NS:
             site.losses -= 1
             site.healthy_since_ns = self.now
         alive = self.alive_fraction(site.name)
@@ -307,13 +317,13 @@
     def is_suspected(self, name: str) -> bool:
         """Return whether there is a run of failures that is too short yet to judge."""
         site = self.sites[name]
-        return site.health in PRESENT and site.score >= LOSS_THRESHOLD / 4
+        return site.health in IN_SERVICE and site.score >= LOSS_THRESHOLD / 4
 
-    def _has_returned(self, site: Site) -> bool:
+    def _is_answering_again(self, site: Site) -> bool:
         """Return whether enough upstreams answered since the loss, or few of them often enough."""
-        needed = min(MIN_RETURNED, self._upstream_count(site.name))
+        needed = min(MIN_RECOVERY_ANSWERS, self._upstream_count(site.name))
         return bool(site.answered) and (
-            len(site.answered) >= needed or sum(site.answered.values()) >= 3 * MIN_RETURNED
+            len(site.answered) >= needed or sum(site.answered.values()) >= 3 * MIN_RECOVERY_ANSWERS
         )
 
     def _slowdown(self, site: Site) -> float | None:
@@ -358,16 +368,18 @@
         It reports nothing of a site that it has not tried lately, and no site as silent while it is
         itself isolated.
         """
-        tried = self._sites_tried_lately()
-        silent = {name for name in tried if self.sites[name].health in UNREACHABLE}
-        answering = {name for name in tried - silent if self._answers(self.sites[name])}
+        recently_tried = self._recently_tried_sites()
+        silent = {name for name in recently_tried if self.sites[name].health in UNREACHABLE}
+        answering = {
+            name for name in recently_tried - silent if self._is_answering(self.sites[name])
+        }
         return PeerReport(
-            self.here,
+            self.local_site,
             frozenset(answering),
             frozenset() if self.is_isolated else frozenset(silent),
         )
 
-    def _answers(self, site: Site) -> bool:
+    def _is_answering(self, site: Site) -> bool:
         return (
             site.last_answer_ns is not None
             and self.now - site.last_answer_ns < ATTEMPT_VALID_NS
--- a/loadbalancer/failover/evidence_state.py
+++ b/loadbalancer/failover/evidence_state.py
@@ -19,7 +19,7 @@
     last_attempt_ns: int | None = None
     is_alive: bool = True
 
-    def was_tried_lately(self, now: int) -> bool:
+    def was_tried_recently(self, now: int) -> bool:
         """Return whether its last outcome still tells anything."""
         return self.last_attempt_ns is not None and now - self.last_attempt_ns < ATTEMPT_VALID_NS
 
--- a/loadbalancer/failover/fleet_model.py
+++ b/loadbalancer/failover/fleet_model.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 # Levels of load shedding; each class of requests, or several alike, has one from FIRST_CLASS on.
-NOTHING: Final = 0
+NO_SHEDDING: Final = 0
 EXCESS: Final = 1
 RETRIES: Final = 2
 HEDGES: Final = 3
@@ -96,12 +96,14 @@
         """
         levels: list[list[str]] = []
         first_density = 0.0
-        for one in sorted(self.classes.values(), key=lambda one: (one.density, one.name)):
-            if levels and one.density < SIMILAR_DENSITY * first_density:
-                levels[-1].append(one.name)
+        for work_class in sorted(
+            self.classes.values(), key=lambda work_class: (work_class.density, work_class.name)
+        ):
+            if levels and work_class.density < SIMILAR_DENSITY * first_density:
+                levels[-1].append(work_class.name)
             else:
-                levels.append([one.name])
-                first_density = one.density
+                levels.append([work_class.name])
+                first_density = work_class.density
         return levels
 
     @cached_property
--- a/loadbalancer/failover/observer.py
+++ b/loadbalancer/failover/observer.py
@@ -69,7 +69,7 @@
     """Observes the sites from one balancer.
 
     Args:
-        here: The site where the balancer stands.
+        local_site: The site where the balancer stands.
         name: Of the balancer.
         balancers: How many there are of the service.
         rng: Draws health checks and intervals.
@@ -82,12 +82,14 @@
         is_report_urgent: The health of a site changed since the last report.
     """
 
-    def __init__(self, here: str, name: str, balancers: int, rng: random.Random, now: int) -> None:
-        self.here = here
+    def __init__(
+        self, local_site: str, name: str, balancers: int, rng: random.Random, now: int
+    ) -> None:
+        self.local_site = local_site
         self.name = name
         self.balancers = max(1, balancers)
         self.rng = rng
-        self.evidence = Evidence(here, now)
+        self.evidence = Evidence(local_site, now)
         self.shares = TrafficShares()
         self.confirmed_ns: int | None = None  # by the lease holder
         self.loss_shares: Mapping[frozenset[str], TrafficShares] = {}
@@ -95,7 +97,7 @@
         self.plan = NORMAL_PLAN
         self.is_report_urgent = False
         self._shares_sites: frozenset[str] = frozenset()
-        self._counter = ReportCounter(here, now)
+        self._counter = ReportCounter(local_site, now)
         self._report_due_ns = now + int(rng.random() * self.report_interval_ns)
         # Recoveries by own observations, where there is no lease holder.
         self._recoveries: dict[str, Recovery] = {}
@@ -215,12 +217,12 @@
                 if upstream.site == name
             ]
             if is_suspected:
-                fresh = [
+                countable = [
                     number
                     for number in upstreams
                     if site.silent.get(number, 0) < MAX_COUNTED_FAILURES
                 ]
-                chosen += self.rng.sample(fresh, min(SUSPECTED_CHECKS, len(fresh)))
+                chosen += self.rng.sample(countable, min(SUSPECTED_CHECKS, len(countable)))
             elif upstreams and self._is_check_due(site, now):
                 interval_ns = CHECK_INTERVAL_NS * max(1.0, self.balancers / CHECKS_PER_INTERVAL)
                 self._next_check_ns[name] = now + int(interval_ns * self.rng.uniform(0.7, 1.0))
@@ -246,7 +248,7 @@
         for name, site in self.evidence.sites.items():
             if site.health in UNREACHABLE:
                 self._set_recovery(Recovery(name), now)
-                if not (self.evidence.is_isolated and name == self.here):
+                if not (self.evidence.is_isolated and name == self.local_site):
                     zones[name] = 0.0
             elif follows_shares:
                 self._recoveries.pop(name, None)
@@ -262,7 +264,7 @@
     def _plan_of(self, shares: TrafficShares) -> api.TrafficPlan:
         slow_start = shares.slow_start.get(self.name, {})
         return api.TrafficPlan(
-            zone_fractions=dict(shares.zones.get(self.here, {})),
+            zone_fractions=dict(shares.zones.get(self.local_site, {})),
             excess_reject_fraction=shares.excess,
             tenant_rates=dict(shares.quotas.get(self.name, {})),
             retry_reject_fraction=shares.retries,
@@ -284,11 +286,11 @@
             return NORMAL_PLAN
         return self._plan_of(self.loss_shares[lost])
 
-    def _set_recovery(self, after: Recovery, now: int) -> None:
-        if self._recoveries.get(after.site) != after:
-            self._recoveries[after.site] = after
-            self._stage_started_ns[after.site] = now
-            self._stage_attempts[after.site] = Tally()
+    def _set_recovery(self, next_recovery: Recovery, now: int) -> None:
+        if self._recoveries.get(next_recovery.site) != next_recovery:
+            self._recoveries[next_recovery.site] = next_recovery
+            self._stage_started_ns[next_recovery.site] = now
+            self._stage_attempts[next_recovery.site] = Tally()
 
     def _step_recovery(self, name: str, now: int) -> float:
         """Take a step of a recovery by own observations; return the site's fraction."""
@@ -297,9 +299,9 @@
             False, int(attempts.total), attempts.fraction, self._counter.latency_ratio(name)
         )
         age_s = (now - self._stage_started_ns[name]) / SECOND_NS
-        after = recovery.step(self._recoveries[name], observed, age_s)
-        self._set_recovery(after, now)
-        return after.fraction
+        next_recovery = recovery.step(self._recoveries[name], observed, age_s)
+        self._set_recovery(next_recovery, now)
+        return next_recovery.fraction
 
     # Reports
 
@@ -327,8 +329,8 @@
             usual_ns: By class, what a request takes.
             now: The clock.
         """
-        own = self.evidence.own_report()
-        report = self._counter.take(own, self.evidence.is_isolated, usual_ns, now)
+        peer_report = self.evidence.own_report()
+        report = self._counter.take(peer_report, self.evidence.is_isolated, usual_ns, now)
         self.is_report_urgent = False
         factor = 1.0 if self.plan == NORMAL_PLAN else ACTIVE_REPORT_FACTOR
         interval_ns = self.report_interval_ns * factor * self.rng.uniform(0.8, 1.0)
--- a/loadbalancer/failover/plan.py
+++ b/loadbalancer/failover/plan.py
@@ -61,14 +61,14 @@
 
 def spare_capacities(fleet: Fleet, lost: frozenset[str]) -> dict[str, float]:
     """Return the work a second that each remaining site may be given, beside its own burst."""
-    own_work: dict[str, float] = {}
+    local_work: dict[str, float] = {}
     for load in fleet.loads:
-        own_work[load.site] = own_work.get(load.site, 0.0) + work(fleet, load, Shedding())
+        local_work[load.site] = local_work.get(load.site, 0.0) + work(fleet, load, Shedding())
     capacities = {}
     for name, site in fleet.sites.items():
         if name in lost:
             continue
-        capacity = site.capacity * MAX_UTILISATION - own_work.get(name, 0.0) * site.burst
+        capacity = site.capacity * MAX_UTILISATION - local_work.get(name, 0.0) * site.burst
         if site.connections is not None:
             capacity = min(capacity, site.connections)
         capacities[name] = max(0.0, capacity)
@@ -80,12 +80,12 @@
 
     What came in at a lost site comes in at the others, evenly.
     """
-    gone = frozenset(lost)
-    left = [name for name in sorted(fleet.sites) if name not in gone]
-    capacities = spare_capacities(fleet, gone)
-    loads = _redistributed(fleet, gone, left)
-    work_factor = _work_factor(fleet, gone)
-    if left:
+    lost_sites = frozenset(lost)
+    remaining_sites = [name for name in sorted(fleet.sites) if name not in lost_sites]
+    capacities = spare_capacities(fleet, lost_sites)
+    loads = _redistributed(fleet, lost_sites, remaining_sites)
+    work_factor = _work_factor(fleet, lost_sites)
+    if remaining_sites:
         total = sum(capacities.values()) / work_factor
         shedding = required_shedding(fleet, loads, total)
     else:
@@ -95,8 +95,8 @@
         demand[load.site] = demand.get(load.site, 0.0) + work_factor * work(fleet, load, shedding)
     costs = {
         (origin, target): fleet.sites[target].costs.get(origin, 0.0)
-        for origin in left
-        for target in left
+        for origin in remaining_sites
+        for target in remaining_sites
     }
     flow = assign(demand, capacities, costs)
     shares = {
@@ -106,27 +106,38 @@
         }
         for origin, targets in sorted(flow.items())
     }
-    used = {target: sum(targets.get(target, 0.0) for targets in flow.values()) for target in left}
+    used = {
+        target: sum(targets.get(target, 0.0) for targets in flow.values())
+        for target in remaining_sites
+    }
     utilisation = {
-        target: used[target] / max(EPSILON, fleet.sites[target].capacity) for target in left
+        target: used[target] / max(EPSILON, fleet.sites[target].capacity)
+        for target in remaining_sites
     }
-    return FailoverPlan(gone, shares, shedding, utilisation, _served_value(fleet, loads, shedding))
+    return FailoverPlan(
+        lost_sites, shares, shedding, utilisation, _served_value(fleet, loads, shedding)
+    )
 
 
-def _redistributed(fleet: Fleet, gone: frozenset[str], left: list[str]) -> list[Load]:
+def _redistributed(
+    fleet: Fleet, lost_sites: frozenset[str], remaining_sites: list[str]
+) -> list[Load]:
     """Return the loads with those of lost sites spread over the others."""
     loads: list[Load] = []
     for load in fleet.loads:
-        if load.site in gone:
-            loads += [replace(load, site=name, rate=load.rate / len(left)) for name in left]
+        if load.site in lost_sites:
+            loads += [
+                replace(load, site=name, rate=load.rate / len(remaining_sites))
+                for name in remaining_sites
+            ]
         else:
             loads.append(load)
     return loads
 
 
-def _work_factor(fleet: Fleet, gone: frozenset[str]) -> float:
+def _work_factor(fleet: Fleet, lost_sites: frozenset[str]) -> float:
     """Return by how much the work grows, as part of it is foreign to the upstreams."""
-    foreign = sum(work(fleet, load, Shedding()) for load in fleet.loads if load.site in gone)
+    foreign = sum(work(fleet, load, Shedding()) for load in fleet.loads if load.site in lost_sites)
     total = sum(work(fleet, load, Shedding()) for load in fleet.loads)
     return 1.0 + (FOREIGN_WORK_FACTOR - 1.0) * foreign / total if total else 1.0
 
@@ -138,18 +149,18 @@
     classes: dict[str, Tally] = {}
     for load in loads:
         value = fleet.classes[load.class_name].value
-        within = load.rate * (1.0 - load.excess)
+        rate_within_quota = load.rate * (1.0 - load.excess)
         level = fleet.level_of[load.class_name]
         fraction = (1.0 - load.retries * shedding.shed_fraction(RETRIES)) * (
             1.0 - shedding.shed_fraction(level)
         )
         excess = load.rate * load.excess * (1.0 - shedding.shed_fraction(EXCESS)) * EXCESS_VALUE
-        overall.good += value * fraction * (within + excess)
-        overall.total += value * (within + load.rate * load.excess * EXCESS_VALUE)
+        overall.good += value * fraction * (rate_within_quota + excess)
+        overall.total += value * (rate_within_quota + load.rate * load.excess * EXCESS_VALUE)
         for tallies, name in ((tenants, load.tenant), (classes, load.class_name)):
             tally = tallies.setdefault(name, Tally())
-            tally.good += value * fraction * within
-            tally.total += value * within
+            tally.good += value * fraction * rate_within_quota
+            tally.total += value * rate_within_quota
     return ServedValue(
         overall.good,
         overall.total,
--- a/loadbalancer/failover/recovery.py
+++ b/loadbalancer/failover/recovery.py
@@ -141,10 +141,10 @@
         if age_s >= recovery.wait_s:
             return replace(recovery, stage=Stage.HEALTH_CHECKS)
         return recovery
-    return _step_present(recovery, observed, age_s, max_rise, is_urgent)
+    return _step_answering(recovery, observed, age_s, max_rise, is_urgent)
 
 
-def _step_present(
+def _step_answering(
     recovery: Recovery, observed: Observation, age_s: float, max_rise: float, is_urgent: bool
 ) -> Recovery:
     is_bad = observed.good_fraction < BAD_FRACTION or observed.latency_ratio > TOO_SLOW_RATIO
@@ -188,11 +188,18 @@
     All together rise by no more than the fleet can take a change of, evenly: to favour those nearer
     to their end would starve the others.
     """
-    rising = [one for one in recoveries if one.stage in (Stage.TRICKLE, Stage.SHARES)]
+    rising = [
+        rising_recovery
+        for rising_recovery in recoveries
+        if rising_recovery.stage in (Stage.TRICKLE, Stage.SHARES)
+    ]
     total = sum(capacities.values())
     return {
-        one.site: MAX_FLEET_RISE * total / len(rising) / max(EPSILON, capacities.get(one.site, 0.0))
-        for one in rising
+        rising_recovery.site: MAX_FLEET_RISE
+        * total
+        / len(rising)
+        / max(EPSILON, capacities.get(rising_recovery.site, 0.0))
+        for rising_recovery in rising
     }
 
 
--- a/loadbalancer/failover/report_counter.py
+++ b/loadbalancer/failover/report_counter.py
@@ -29,8 +29,8 @@
         started_ns: When the current report began.
     """
 
-    def __init__(self, here: str, now: int) -> None:
-        self.here = here
+    def __init__(self, local_site: str, now: int) -> None:
+        self.local_site = local_site
         self.started_ns = now
         self._requests: Counter[tuple[str, str]] = Counter()  # by class and tenant
         self._retries: Counter[tuple[str, str]] = Counter()
@@ -66,12 +66,12 @@
         return self._latency_ratios.get(site, 1.0)
 
     def take(
-        self, own: PeerReport, is_isolated: bool, usual_ns: Mapping[str, float], now: int
+        self, peer_report: PeerReport, is_isolated: bool, usual_ns: Mapping[str, float], now: int
     ) -> SiteReport:
         """Return the report, and begin the next one.
 
         Args:
-            own: What this balancer reports of the sites.
+            peer_report: What this balancer reports of the sites.
             is_isolated: It is itself partitioned.
             usual_ns: By class, what a request takes.
             now: The clock.
@@ -82,9 +82,9 @@
         if self._request_count >= MIN_REQUESTS:
             served = round(self._served_count / self._request_count, 4)
         report = SiteReport(
-            site=self.here,
-            answering=tuple(sorted(own.answering)),
-            silent=tuple(sorted(own.silent)),
+            site=self.local_site,
+            answering=tuple(sorted(peer_report.answering)),
+            silent=tuple(sorted(peer_report.silent)),
             is_isolated=is_isolated,
             loads=self._class_loads(seconds),
             sites=self._site_attempts(),
--- a/loadbalancer/failover/shedding.py
+++ b/loadbalancer/failover/shedding.py
@@ -20,7 +20,7 @@
     EPSILON,
     EXCESS,
     HEDGES,
-    NOTHING,
+    NO_SHEDDING,
     RETRIES,
     Fleet,
     Load,
@@ -33,7 +33,7 @@
 class Shedding:
     """All levels below `level` are shed completely, and this fraction of it."""
 
-    level: int = NOTHING
+    level: int = NO_SHEDDING
     fraction: float = 0.0
 
     @property
@@ -87,7 +87,7 @@
 
     if demand(Shedding()) <= capacity:
         return Shedding()
-    level = NOTHING
+    level = NO_SHEDDING
     while level < fleet.top_level:
         level += 1
         if demand(Shedding(level, 1.0)) <= capacity:
--- a/loadbalancer/failover/site_reports.py
+++ b/loadbalancer/failover/site_reports.py
@@ -114,8 +114,10 @@
             votes.setdefault((name, report.site), [0, 0])[1] += 1
     answering: dict[str, list[str]] = {}
     silent: dict[str, list[str]] = {}
-    for (name, voter), (yes, no) in sorted(votes.items()):
-        (answering if yes >= no else silent).setdefault(name, []).append(voter)
+    for (name, voter), (answering_votes, silent_votes) in sorted(votes.items()):
+        (answering if answering_votes >= silent_votes else silent).setdefault(name, []).append(
+            voter
+        )
     return FleetOpinions(answering, silent, reporting)
 
 
--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -30,7 +30,7 @@
 DEFAULT_DRILL_S: Final = 60.0  # that a drill leaves a site empty
 MAX_DURATION_S: Final = 86_400.0
 NOT_KNOWN: Final = -1.0  # in the store: a fraction that is not known yet
-PAUSED: Final = "rests"  # how the reason of a paused drain begins
+PAUSED_PREFIX: Final = "rests"  # how the reason of a paused drain begins
 NO_OBSERVATION: Final = Observation(is_lost=False, answers=0, good_fraction=1.0)
 
 
@@ -155,14 +155,14 @@
         return current
     recoveries = [_recovery_of(state) for state in current if state.desired is DesiredState.ACTIVE]
     rises = recovery.allowed_rises(recoveries, view.capacities)
-    return tuple(_next(state, view, rises.get(state.site, 1.0)) for state in current)
+    return tuple(_next_state(state, view, rises.get(state.site, 1.0)) for state in current)
 
 
 def _recovery_of(state: SiteState) -> Recovery:
     return Recovery(state.site, state.stage, state.fraction, state.failures, state.has_failed)
 
 
-def _next(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
+def _next_state(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
     verdict = view.verdicts.get(state.site)
     if verdict is None:
         return state
@@ -177,13 +177,13 @@
     ):
         if is_partitioned:
             return _changed(state, is_partitioned=True, reason=verdict.reason)
-        return _rejoin(state)
+        return _end_partition(state)
     if is_lost:
-        return _lose(state, verdict)
-    return state if is_partitioned else _next_present(state, view, max_rise)
+        return _mark_lost(state, verdict)
+    return state if is_partitioned else _next_reachable(state, view, max_rise)
 
 
-def _next_present(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
+def _next_reachable(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
     if state.desired is not DesiredState.ACTIVE:
         return _drain(state, view)
     if state.stage is Stage.NORMAL:
@@ -191,7 +191,7 @@
     return _recover(state, view, max_rise)
 
 
-def _rejoin(state: SiteState) -> SiteState:
+def _end_partition(state: SiteState) -> SiteState:
     """End a partition."""
     reason = "it is reached again"
     if state.desired is not DesiredState.ACTIVE or state.fraction <= 0:
@@ -207,7 +207,7 @@
     )
 
 
-def _lose(state: SiteState, verdict: Verdict) -> SiteState:
+def _mark_lost(state: SiteState, verdict: Verdict) -> SiteState:
     if state.fraction <= 0 and state.stage is Stage.OUT and not state.is_partitioned:
         return state
     # What failed during its recovery counts; a normal site is lost for the first time.
@@ -269,11 +269,14 @@
 
 
 def _pause_drain(state: SiteState, served: float) -> SiteState:
-    if state.reason.startswith(PAUSED):
+    if state.reason.startswith(PAUSED_PREFIX):
         return state
     return _changed(
         state,
-        reason=f"{PAUSED}: {served:.1%} are served, {state.served_before:.1%} were when it began",
+        reason=(
+            f"{PAUSED_PREFIX}: {served:.1%} are served,"
+            f" {state.served_before:.1%} were when it began"
+        ),
     )
 
 
--- a/loadbalancer/failover/traffic_shares.py
+++ b/loadbalancer/failover/traffic_shares.py
@@ -95,7 +95,7 @@
     retry_rate: float = 0.0
 
 
-def fleet_of(
+def build_fleet(
     sites: Iterable[SiteCapacity],
     class_values: Mapping[str, float],
     quotas: Mapping[str, float],
@@ -186,20 +186,26 @@
         controller.current = Shedding()
         return TrafficShares()
     partitioned = {state.site for state in states if state.is_partitioned}
-    connected = _without(fleet, partitioned, fractions)
-    gone = [name for name in connected.sites if fractions.get(name, 1.0) <= 0.0]
-    plan = plan_for_loss(connected, gone) if len(gone) < len(connected.sites) else None
-    capacity = sum(site.capacity for name, site in connected.sites.items() if name not in gone)
+    connected = _connected_fleet(fleet, partitioned, fractions)
+    closed_sites = [name for name in connected.sites if fractions.get(name, 1.0) <= 0.0]
+    plan = (
+        plan_for_loss(connected, closed_sites) if len(closed_sites) < len(connected.sites) else None
+    )
+    capacity = sum(
+        site.capacity for name, site in connected.sites.items() if name not in closed_sites
+    )
     # The controller has a memory: it rises at once and falls slowly.
     shedding = controller.update(connected, connected.loads, MAX_UTILISATION * capacity, now)
     refused = {name: shedding.shed_fraction(fleet.level_of[name]) for name in fleet.classes}
     zones = {}
-    for here in fleet.sites:
-        if here in partitioned:
-            zones[here] = {name: 0.0 for name in fleet.sites if name != here}
+    for origin in fleet.sites:
+        if origin in partitioned:
+            zones[origin] = {name: 0.0 for name in fleet.sites if name != origin}
         else:
-            closed = dict.fromkeys(partitioned, 0.0) | {name: fractions[name] for name in gone}
-            zones[here] = closed | _draw_fractions(connected, here, plan, fractions)
+            closed = dict.fromkeys(partitioned, 0.0) | {
+                name: fractions[name] for name in closed_sites
+            }
+            zones[origin] = closed | _draw_fractions(connected, origin, plan, fractions)
     return TrafficShares(
         zones=zones,
         excess=shedding.shed_fraction(EXCESS),
@@ -213,7 +219,7 @@
     )
 
 
-def _without(fleet: Fleet, partitioned: set[str], fractions: Mapping[str, float]) -> Fleet:
+def _connected_fleet(fleet: Fleet, partitioned: set[str], fractions: Mapping[str, float]) -> Fleet:
     """Return the fleet without partitioned sites, and with the capacities that are left."""
     sites = {name: site for name, site in fleet.sites.items() if name not in partitioned}
     connected = scaled_capacities(replace(fleet, sites=sites), fractions)
@@ -221,7 +227,7 @@
 
 
 def _draw_fractions(
-    fleet: Fleet, here: str, plan: FailoverPlan | None, fractions: Mapping[str, float]
+    fleet: Fleet, origin: str, plan: FailoverPlan | None, fractions: Mapping[str, float]
 ) -> dict[str, float]:
     """Return the fraction of the draws of each remaining site's upstreams that a site uses.
 
@@ -231,19 +237,19 @@
     """
     if plan is None:
         return {}
-    shares = plan.shares.get(here, {})
+    shares = plan.shares.get(origin, {})
     per_capacity = {
         name: shares.get(name, 0.0) / max(EPSILON, site.capacity)
         for name, site in fleet.sites.items()
         if fractions.get(name, 1.0) > 0.0 and site.capacity > EPSILON
     }
-    most = max(per_capacity.values(), default=0.0)
+    max_per_capacity = max(per_capacity.values(), default=0.0)
     draws = {}
     for name, share in per_capacity.items():
         draw = 1.0
-        if most > 0:
-            cost = min(1.0, fleet.sites[name].costs.get(here, 0.0))
-            draw = 1.0 - cost * (1.0 - max(MIN_DRAW_FRACTION, share / most))
+        if max_per_capacity > 0:
+            cost = min(1.0, fleet.sites[name].costs.get(origin, 0.0))
+            draw = 1.0 - cost * (1.0 - max(MIN_DRAW_FRACTION, share / max_per_capacity))
         # A recovering site gets no more than its fraction, whatever the plan has capacity for.
         draw = min(draw, fractions.get(name, draw))
         if draw < FULL_DRAW_FRACTION:
@@ -295,10 +301,10 @@
     return {
         name: {
             tenant: round(max(MIN_QUOTA, fleet.quotas[tenant] * rate / totals[tenant]), 3)
-            for tenant, rate in sorted(own_rates.items())
+            for tenant, rate in sorted(balancer_rates.items())
             if fleet.quotas.get(tenant, 0.0) > 0 and totals[tenant] > 0
         }
-        for name, own_rates in rates.items()
+        for name, balancer_rates in rates.items()
     }
 
 
@@ -309,17 +315,17 @@
     rates = inputs.slow_start_rates
     if not rates:
         return {}
-    able = {
+    eligible = {
         name: received.report
         for name, received in inputs.reports.items()
         if received.is_fresh
         and not received.report.is_isolated
         and received.report.site not in partitioned
     }
-    traffic = {name: sum(load.rate for load in report.loads) for name, report in able.items()}
+    traffic = {name: sum(load.rate for load in report.loads) for name, report in eligible.items()}
     weights = traffic if any(traffic.values()) else None
-    assigned = recovery.assign_slow_start(sorted(rates), sorted(able), rates, weights)
+    assigned = recovery.assign_slow_start(sorted(rates), sorted(eligible), rates, weights)
     return {
-        name: {upstream: round(rate, 4) for upstream, rate in sorted(own.items())}
-        for name, own in assigned.items()
+        name: {upstream: round(rate, 4) for upstream, rate in sorted(assigned_rates.items())}
+        for name, assigned_rates in assigned.items()
     }
--- a/loadbalancer/failover/transport.py
+++ b/loadbalancer/failover/transport.py
@@ -75,15 +75,15 @@
 def _move_to_free_target(flow: Flow, free: dict[str, float], costs: Costs) -> bool:
     """Move one origin's work to a cheaper target with free capacity, if there is any."""
     for origin, target in _used(flow):
-        for other, amount in sorted(free.items()):
+        for candidate, amount in sorted(free.items()):
             is_cheaper = (
-                costs.get((origin, other), 0.0) < costs.get((origin, target), 0.0) - EPSILON
+                costs.get((origin, candidate), 0.0) < costs.get((origin, target), 0.0) - EPSILON
             )
             if amount > EPSILON and is_cheaper:
                 moved = min(amount, flow[origin, target])
                 _add(flow, origin, target, -moved)
-                _add(flow, origin, other, moved)
-                free[other] -= moved
+                _add(flow, origin, candidate, moved)
+                free[candidate] -= moved
                 free[target] = free.get(target, 0.0) + moved
                 return True
     return False
--- a/loadbalancer/leases/expiry.py
+++ b/loadbalancer/leases/expiry.py
@@ -53,9 +53,9 @@
             self.claims.pop(key, None)
             return
         deadline = self._running_ns + claim.ttl_ms * NS_PER_MS
-        is_known = key in self.claims
+        is_tracked = key in self.claims
         self.claims[key] = deadline, claim
-        if not is_known:
+        if not is_tracked:
             heapq.heappush(self.deadlines, (deadline, *key))
 
     def take_expired(self, now: int) -> list[ActiveClaim]:
@@ -67,10 +67,10 @@
         expired = []
         while self.deadlines and self.deadlines[0][0] <= self._running_ns:
             _, lease, number = heapq.heappop(self.deadlines)
-            found = self.claims.get((lease, number))
-            if found is None:
+            expiry_entry = self.claims.get((lease, number))
+            if expiry_entry is None:
                 continue
-            deadline, claim = found
+            deadline, claim = expiry_entry
             if deadline <= self._running_ns:
                 expired.append(claim)
                 deadline = self._running_ns + claim.ttl_ms * NS_PER_MS
--- a/loadbalancer/leases/holder.py
+++ b/loadbalancer/leases/holder.py
@@ -76,7 +76,7 @@
         self.expires_ns = 0
         self._token = 0
         self.queue_position = 0
-        self.due_ns: int | None = None  # the next claim; None: after a watch event only
+        self.next_claim_ns: int | None = None  # the next claim; None: after a watch event only
         self.in_flight: LeaseRequest | None = None
         self.sent_ns = 0
         self.request_count = 0
@@ -98,7 +98,7 @@
             self._expire(now)
         return self._token if self.phase is Phase.HELD and not self.is_leaving else 0
 
-    def _enter(self, phase: Phase) -> None:
+    def _enter_without_lease(self, phase: Phase) -> None:
         """Enter a phase without the lease."""
         self.phase = phase
         self._token = 0
@@ -106,9 +106,9 @@
 
     def _expire(self, now: int) -> None:
         """The TTL ran out without a renewal: claim anew, whoever holds the lease by now."""
-        self._enter(Phase.CLAIMING)
+        self._enter_without_lease(Phase.CLAIMING)
         if self.in_flight is None:
-            self.due_ns = now
+            self.next_claim_ns = now
 
     # ---- events ----------------------------------------------------------------------------------
 
@@ -122,29 +122,29 @@
             return
         if lease is not None and lease.holder and lease.claim == self.claim:
             if self.phase is not Phase.HELD and self.in_flight is None:  # offered: take it
-                self.due_ns = now
+                self.next_claim_ns = now
             return
         if self.phase is Phase.HELD:
             self._observed_while_held(lease, now)
-        elif self.phase is Phase.IDLE and self.in_flight is None and self.due_ns is None:
+        elif self.phase is Phase.IDLE and self.in_flight is None and self.next_claim_ns is None:
             self._observed_while_idle(lease, now)
 
     def _observed_while_held(self, lease: Lease | None, now: int) -> None:
         if lease is None or lease.token <= self._token:
             return  # from a node that lags
         self._expire(now)
-        if self.due_ns is not None:
-            self.due_ns = now + self._spread(RENEWAL_FRACTION)
+        if self.next_claim_ns is not None:
+            self.next_claim_ns = now + self._jittered_ns(RENEWAL_FRACTION)
 
     def _observed_while_idle(self, lease: Lease | None, now: int) -> None:
         if lease is None or not lease.holder:
             spread_ns = min(FIRST_CLAIM_SPREAD_NS, self.ttl_ns * RENEWAL_FRACTION)
-            self.due_ns = now + int(self.rng.random() * spread_ns)
+            self.next_claim_ns = now + int(self.rng.random() * spread_ns)
         elif len(lease.candidates) < MAX_CANDIDATES:
             # Room among the candidates: no hurry, and not all observers at once.
-            self.due_ns = now + self._spread(IDLE_FRACTION)
+            self.next_claim_ns = now + self._jittered_ns(IDLE_FRACTION)
 
-    def is_hopeless(self, lease: Lease | None) -> bool:
+    def is_queue_full(self, lease: Lease | None) -> bool:
         """Return whether a claim would be rejected, as there is no room among the candidates."""
         return (
             lease is not None
@@ -167,12 +167,12 @@
             return None
         if self.is_leaving:
             return self._request(RequestKind.RELEASE, self._token)
-        if self.due_ns is None or now < self.due_ns:
+        if self.next_claim_ns is None or now < self.next_claim_ns:
             return None
-        if self.phase is Phase.IDLE and self.is_hopeless(lease):
-            self.due_ns = None
+        if self.phase is Phase.IDLE and self.is_queue_full(lease):
+            self.next_claim_ns = None
             return None
-        self.due_ns = None
+        self.next_claim_ns = None
         self.sent_ns = now
         if self.phase is Phase.IDLE:
             self.phase = Phase.CLAIMING
@@ -210,28 +210,28 @@
         self.failures = 0
         self.reason = reason
         if request.kind is RequestKind.RELEASE:
-            self._enter(Phase.RELEASED)
+            self._enter_without_lease(Phase.RELEASED)
         elif token:
-            self._granted(token, now)
+            self._apply_grant(token, now)
         elif queue_position:
             self.phase = Phase.QUEUED
             self._token = 0
             self.queue_position = queue_position
-            self.due_ns = now + self._spread(CANDIDACY_FRACTION)
+            self.next_claim_ns = now + self._jittered_ns(CANDIDACY_FRACTION)
         else:
             # No room, or the claim was released: a watch event may bring the next claim on.
             self.phase = Phase.IDLE
             self._token = 0
             self.queue_position = 0
-            self.due_ns = now + self._spread(IDLE_FRACTION)
+            self.next_claim_ns = now + self._jittered_ns(IDLE_FRACTION)
 
-    def _granted(self, token: int, now: int) -> None:
+    def _apply_grant(self, token: int, now: int) -> None:
         self.phase = Phase.HELD
         self._token = token
         self.queue_position = 0
         expires_ns = self.sent_ns + int(self.ttl_ns * (1 - MAX_CLOCK_DRIFT))
         self.expires_ns = max(self.expires_ns, expires_ns)
-        self.due_ns = max(now, self.sent_ns + self._spread(RENEWAL_FRACTION))
+        self.next_claim_ns = max(now, self.sent_ns + self._jittered_ns(RENEWAL_FRACTION))
         self.token(now)  # a response may come when the TTL has run out
 
     def request_failed(self, number: int, reason: str, now: int) -> None:
@@ -246,11 +246,11 @@
         self.reason = reason
         self.failures += 1
         if request.kind is RequestKind.RELEASE:
-            self._enter(Phase.RELEASED)  # the store ends the lease after its TTL
+            self._enter_without_lease(Phase.RELEASED)  # the store ends the lease after its TTL
             return
         doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
         backoff = min(RETRY_FRACTION * 2.0**doublings, RENEWAL_FRACTION)
-        self.due_ns = now + self._spread(backoff)
+        self.next_claim_ns = now + self._jittered_ns(backoff)
 
     def leave(self, now: int) -> None:
         """Release the lease, or the candidacy, with one request; no effect may follow."""
@@ -259,13 +259,13 @@
             return
         if self.phase is Phase.IDLE and self.in_flight is None:
             self.phase = Phase.RELEASED
-            self.due_ns = None
+            self.next_claim_ns = None
             return
         self.is_leaving = True
         if self.in_flight is not None and self.in_flight.kind is RequestKind.CLAIM:
             self.in_flight = None  # its response, if one comes, is that of a released claim
 
-    def _spread(self, fraction: float) -> int:
+    def _jittered_ns(self, fraction: float) -> int:
         """A fraction of the TTL, with jitter: many processes must not send in step."""
         return int(self.ttl_ns * fraction * self.rng.uniform(0.7, 1.0))
 
@@ -277,8 +277,8 @@
         if self.is_leaving and self.in_flight is None:
             return self.now_ns
         times = []
-        if self.due_ns is not None and self.in_flight is None:
-            times.append(self.due_ns)
+        if self.next_claim_ns is not None and self.in_flight is None:
+            times.append(self.next_claim_ns)
         if self.phase is Phase.HELD:
             times.append(self.expires_ns)
         return min(times, default=None)
--- a/loadbalancer/leases/table.py
+++ b/loadbalancer/leases/table.py
@@ -143,8 +143,8 @@
             lease = _with(lease, is_offered=False, since_ms=time_ms)
         return Outcome(lease, lease.token)
     if not lease.holder:
-        others = tuple(c for c in lease.candidates if c.holder != claimant.holder)
-        granted = _granted(_with(lease, candidates=others), claimant, token, time_ms)
+        other_candidates = tuple(c for c in lease.candidates if c.holder != claimant.holder)
+        granted = _grant(_with(lease, candidates=other_candidates), claimant, token, time_ms)
         return Outcome(granted, token, is_granted=True)
     return _enqueue(lease, claimant)
 
@@ -186,33 +186,33 @@
     remaining = _with(
         lease, released_claims=released, candidates=_without(lease.candidates, claim_number)
     )
-    return _pass_on(remaining, next_token, time_ms) if is_holder else Outcome(remaining)
+    return _offer_or_free(remaining, next_token, time_ms) if is_holder else Outcome(remaining)
 
 
-def lapse(lease: Lease, claim_number: int, next_token: int, time_ms: int = 0) -> Outcome:
+def expire_claim(lease: Lease, claim_number: int, next_token: int, time_ms: int = 0) -> Outcome:
     """End a holder's, an offer's or a candidate's claim, whose TTL ran out."""
     if any(c.claim == claim_number for c in lease.candidates):
         return Outcome(_with(lease, candidates=_without(lease.candidates, claim_number)))
     if not lease.holder or lease.claim != claim_number:
         return Outcome(lease, reason="it is not held under this claim")
-    return _pass_on(lease, next_token, time_ms)
+    return _offer_or_free(lease, next_token, time_ms)
 
 
 def _without(candidates: tuple[Candidate, ...], claim_number: int) -> tuple[Candidate, ...]:
     return tuple(c for c in candidates if c.claim != claim_number)
 
 
-def _pass_on(lease: Lease, token: int, time_ms: int) -> Outcome:
+def _offer_or_free(lease: Lease, token: int, time_ms: int) -> Outcome:
     """Offer the lease to its first candidate, or free it."""
     if lease.candidates:
         first = lease.candidates[0]
         queue = _with(lease, candidates=lease.candidates[1:])
-        offered = _with(_granted(queue, first, token, time_ms), is_offered=True)
+        offered = _with(_grant(queue, first, token, time_ms), is_offered=True)
         return Outcome(offered, is_granted=True)
     return Outcome(_with(lease, holder="", claim=0, is_offered=False, note="", since_ms=time_ms))
 
 
-def _granted(lease: Lease, claimant: Candidate, token: int, time_ms: int) -> Lease:
+def _grant(lease: Lease, claimant: Candidate, token: int, time_ms: int) -> Lease:
     return _with(
         lease,
         token=token,
--- a/loadbalancer/store/durable/lease_records.py
+++ b/loadbalancer/store/durable/lease_records.py
@@ -123,7 +123,7 @@
                     lease, command.claim, command.token, next_token, command.time_ms
                 )
             case ExpireClaim():
-                return table.lapse(lease, command.claim, next_token, command.time_ms)
+                return table.expire_claim(lease, command.claim, next_token, command.time_ms)
 
     def _has_room_for_lease(self) -> bool:
         row = self.db.execute(
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -32,7 +32,7 @@
 from loadbalancer.store.housekeeping import UPGRADE_RETRY_NS, Housekeeper
 from loadbalancer.store.raft.messages import Entry, EntryKind
 from loadbalancer.testbed.cluster import rowed
-from tests.leases.test_leases import KEPT, MEMBERS, Log
+from tests.leases.test_leases import FORMAT_1_ARCHIVE, MEMBERS, CommandLog
 from tests.store.test_state import fresh
 
 ACME, ROUTE = "feed/global/tenant/acme", "feed/service:orders/route/r1"
@@ -40,30 +40,30 @@
 ALL = ACME, ROUTE, OTHER, TIMES
 
 
-def upgraded(state: State, upto: int = STATE_FORMAT) -> Log:
-    log = Log(state)
+def upgraded(state: State, upto: int = STATE_FORMAT) -> CommandLog:
+    log = CommandLog(state)
     for number in range(2, upto + 1):
-        log.do(Upgrade(number))
-    log.do(OpenSession(7))
+        log.apply_command(Upgrade(number))
+    log.apply_command(OpenSession(7))
     return log
 
 
 @pytest.fixture
-def log() -> Log:
+def log() -> CommandLog:
     return upgraded(fresh())
 
 
-def plain(log: Log, *ops: Op) -> Result:
-    return log.do(Write(7, log.state.applied, 0, ops))
+def plain(log: CommandLog, *ops: Op) -> Result:
+    return log.apply_command(Write(7, log.state.applied, 0, ops))
 
 
 def rows(
-    log: Log,
+    log: CommandLog,
     *said: tuple[str, bytes | None, tuple[str, ...]],
     checks: tuple[tuple[str, int], ...] = (),
 ) -> Result:
     """Each is a key, a value (None: delete), and the rows that it names."""
-    return log.do(
+    return log.apply_command(
         RowsWrite(
             7,
             log.state.applied,
@@ -75,7 +75,7 @@
     )
 
 
-def test_a_row_names_only_what_is_there_after_its_write(log: Log) -> None:
+def test_a_row_names_only_what_is_there_after_its_write(log: CommandLog) -> None:
     made = rows(log, (ROUTE, b"r", (ACME,)))
     assert (made.code, made.text) == (
         ResultCode.REFUSED,
@@ -102,7 +102,7 @@
     assert rows(log, (ACME, None, ())).code == ResultCode.DONE, "what is gone names nothing"
 
 
-def test_a_write_of_rows_is_atomic(log: Log) -> None:
+def test_a_write_of_rows_is_atomic(log: CommandLog) -> None:
     rows(log, (ACME, b"t", ()))
     before = log.state.take_row_events()
     assert before == [WatchEvent(log.state.applied, ACME, 1, b"t")]
@@ -143,17 +143,17 @@
     ],
 )
 def test_what_is_no_row_is_refused_in_one_line(
-    log: Log, said: tuple[tuple[str, bytes | None, tuple[str, ...]], ...], why: str
+    log: CommandLog, said: tuple[tuple[str, bytes | None, tuple[str, ...]], ...], why: str
 ) -> None:
     made = rows(log, *said)
     assert made.code == ResultCode.REFUSED and why in made.text and "\n" not in made.text
-    assert log.do(RowsWrite(7, 999, 0, (Op(ACME, b"x"),), refs=((), ()))).text.startswith(
-        "refs are told"
-    )
+    assert log.apply_command(
+        RowsWrite(7, 999, 0, (Op(ACME, b"x"),), refs=((), ()))
+    ).text.startswith("refs are told")
 
 
-def test_rows_are_changed_by_writes_of_rows_alone(log: Log) -> None:
-    fenced = log.do(FencedWrite(7, log.state.applied, 0, (Op(ACME, None),)))
+def test_rows_are_changed_by_writes_of_rows_alone(log: CommandLog) -> None:
+    fenced = log.apply_command(FencedWrite(7, log.state.applied, 0, (Op(ACME, None),)))
     for made in (plain(log, Op(ACME, b"x")), fenced):
         assert (made.code, made.text) == (
             ResultCode.REFUSED,
@@ -168,7 +168,7 @@
     assert plain(log, Op(ACME, b"x"), Op("feed/b", b"y"), Op("feeds", b"z")).code == ResultCode.DONE
     assert log.state.take_row_events() == [] and log.state.rows().rows == []
     was = log.state.digest()
-    log.do(Upgrade(3))
+    log.apply_command(Upgrade(3))
     assert [i.key for i in log.state.scan("feed")] == ["feeds"] and log.state.digest() != was
     loaded = log.state.rows()
     assert (loaded.base, loaded.rows, loaded.events) == (log.state.applied, [], []), (
@@ -181,10 +181,10 @@
 
 
 def test_a_folder_of_format_1_comes_to_format_3_step_by_step(tmp_path: Path) -> None:
-    with tarfile.open(KEPT) as kept:
+    with tarfile.open(FORMAT_1_ARCHIVE) as kept:
         kept.extractall(tmp_path, filter="data")
-    log = Log(state_files.open_state(tmp_path / "state.db"))
-    log.do(Upgrade(3))
+    log = CommandLog(state_files.open_state(tmp_path / "state.db"))
+    log.apply_command(Upgrade(3))
     assert log.state.format == 1, "no step is left out"
     housekeeper, formats = Housekeeper(), {1: 3, 2: 3}
     housekeeper.leadership_gained(4, log.state, 0)
@@ -194,9 +194,9 @@
         assert housekeeper.proposals(log.state.format, formats, UPGRADE_RETRY_NS) == [due], (
             "it may have been lost"
         )
-        assert log.do(due).versions == (number,)
+        assert log.apply_command(due).versions == (number,)
     assert housekeeper.proposals(log.state.format, formats, 9 * UPGRADE_RETRY_NS) == []
-    log.do(OpenSession(7))
+    log.apply_command(OpenSession(7))
     assert log.claim("a", 11) == (1, 0) and rows(log, (ACME, b"x", ())).code == ResultCode.DONE
 
 
@@ -214,7 +214,7 @@
 def test_an_upgrade_takes_away_several_keys_at_once(upto: int, prefix: str) -> None:
     log = upgraded(fresh(), upto - 1)
     plain(log, *(Op(f"{prefix}/{name}", b"x") for name in "abc"))
-    log.do(Upgrade(upto))
+    log.apply_command(Upgrade(upto))
     assert log.state.format == upto and log.state.scan(f"{prefix}/") == []
 
 
@@ -234,7 +234,7 @@
 
 
 def test_what_a_node_loads_before_it_serves_the_feed(
-    log: Log, monkeypatch: pytest.MonkeyPatch
+    log: CommandLog, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for number in range(8):
         rows(
