--- a/loadbalancer/failover/__init__.py
+++ b/loadbalancer/failover/__init__.py
@@ -1,4 +1,4 @@
-"""The loss of a whole site: its health, where its load goes and what is refused, its recovery.
+"""Site failover: site health, redirection of load, load shedding and recovery.
 
-Pure: every call is handed the clock; no socket, no store, no randomness but what is handed in.
+The package performs no I/O: callers pass in the clock and the random number generator.
 """
--- a/loadbalancer/failover/controller.py
+++ b/loadbalancer/failover/controller.py
@@ -1,7 +1,8 @@
-"""The lease holder's part: from all reports and the stored states come the next states and shares.
+"""Failover decisions of the lease holder: the next site states and traffic shares.
 
-Pure: a shell reads, writes and holds the lease. What the controller remembers between two decisions
-is its process's own, and begins anew with each lease holder.
+They follow from the balancers' reports and the stored states. The module performs no I/O: its
+caller reads and writes the store and holds the lease. Estimates that the controller keeps between
+two decisions are local to its process, so each new lease holder starts with fresh ones.
 """
 
 from __future__ import annotations
@@ -26,28 +27,30 @@
 )
 
 SECOND_NS: Final = 1_000_000_000
-LOAD_GAIN: Final = 0.15  # of each decision: shedding that follows each report would rise by chance
-MIN_RATE: Final = 0.01  # requests a second, below which a load is forgotten
-MIN_ATTEMPTS: Final = 10  # below which reports tell nothing of the fraction that is good
+# Smoothing gain of loads per decision: without smoothing, shedding would rise with each random
+# fluctuation of the reports.
+LOAD_GAIN: Final = 0.15
+MIN_RATE: Final = 0.01  # requests/s; loads below are dropped
+MIN_ATTEMPTS: Final = 10  # fewer are not enough to estimate the good fraction
 GOOD_GAIN: Final = 0.3
 USUAL_GAIN: Final = 0.02
 INITIAL_GOOD_FRACTION: Final = 0.97
-# Differences of the good fraction from the usual one.
-SPARE_DIFFERENCE: Final = 0.03  # less: there is more capacity than assumed
-OVERLOAD_DIFFERENCE: Final = 0.12  # more: there is less
-STRAIN_DIFFERENCE: Final = 0.02  # from which each second that a site stays away costs
+# By how much the good fraction is below the usual one:
+SPARE_DIFFERENCE: Final = 0.03  # below this, capacity is larger than assumed
+OVERLOAD_DIFFERENCE: Final = 0.12  # above this, capacity is smaller than assumed
+STRAIN_DIFFERENCE: Final = 0.02  # above this, requests suffer and the recovery of sites is urgent
 MIN_CAPACITY_FACTOR: Final = 0.6
 MAX_CAPACITY_FACTOR: Final = 2.0
 CAPACITY_GROWTH: Final = 1.08
 CAPACITY_SHRINKAGE: Final = 0.97
 LATENCY_GAIN: Final = 0.2
 MIN_LATENCY_RATIO: Final = 0.1
-MIN_GOOD_FRACTION: Final = 0.5  # of the fleet, against which a site is measured
+MIN_GOOD_FRACTION: Final = 0.5  # lower bound of the fleet's fraction that a site is compared with
 
 
 @dataclass(frozen=True, slots=True)
 class StartingUpstream:
-    """An upstream that was started lately."""
+    """An upstream that started recently."""
 
     number: int
     site: str
@@ -56,15 +59,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
-    """Everything that was read at one time.
+    """The inputs of one decision, read at one time.
 
     Attributes:
         class_values: By class, the value of a request answered in time.
-        quotas: By tenant, the requests a second of all balancers together.
-        ready: Upstreams of each site that discovery lists as ready now.
-        usual: Upstreams of each site that it usually lists.
-        served: Fraction of the fleet's requests served in time; None: too few to tell.
-        blocked_reason: Why no decision can be made on it; empty: it can.
+        quotas: By tenant, the requests/s over all balancers.
+        ready: By site, the number of upstreams that discovery lists as ready now.
+        usual: By site, the number of upstreams that discovery usually lists.
+        served: Fraction of the fleet's requests served in time; None if there were too few.
+        blocked_reason: Why no decision can be made on these inputs; empty if one can.
     """
 
     sites: Mapping[str, SiteCapacity]
@@ -80,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What follows from a snapshot.
+    """The result of one decision.
 
     Attributes:
-        fleet: With smoothed loads, as the shares were made from.
+        fleet: The fleet with the smoothed loads that the shares were computed from.
     """
 
     states: tuple[SiteState, ...]
@@ -94,19 +97,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _VersionSince:
-    """A version of a state, and since when it is known."""
+    """A version of a site state and when this process first observed it."""
 
     version: int
     since_ns: int
 
 
 class FailoverController:
-    """Decides the next states of the sites, and what all balancers do.
+    """Decides the next site states and the traffic shares of all balancers.
 
     Attributes:
-        good_fraction: Of attempts at healthy sites, answered in time.
-        usual_good_fraction: The same while nothing is shed.
-        capacity_factor: Capacity as observed, against what operators configured.
+        good_fraction: Fraction of attempts at healthy sites that were answered in time.
+        usual_good_fraction: The slowly averaged good fraction while nothing is shed.
+        capacity_factor: Observed capacity relative to the configured capacity.
     """
 
     def __init__(self, rules: SlowStartRules, now: int) -> None:
@@ -115,12 +118,11 @@
         self.good_fraction = INITIAL_GOOD_FRACTION
         self.usual_good_fraction = INITIAL_GOOD_FRACTION
         self.capacity_factor = 1.0
-        self._attempts: dict[str, Tally] = {}  # by site, since its state changed
+        self._attempts: dict[str, Tally] = {}  # by site, since the last change of its state
         self._latency_ratios: dict[str, float] = {}
-        self._counted_sequences: dict[
-            str, int
-        ] = {}  # the last report of each balancer that was counted
-        self._capacity_sequences: dict[str, int] = {}  # the same, for the capacity
+        # By balancer, the sequence number of its last report that was counted.
+        self._counted_sequences: dict[str, int] = {}
+        self._capacity_sequences: dict[str, int] = {}  # the same, for the capacity factor
         self._rates: dict[tuple[str, str, str], float] = {}
         self._versions: dict[str, _VersionSince] = {}
 
@@ -165,10 +167,10 @@
         return Decision(next_states, shares, fleet, verdicts)
 
     def _estimate_capacity(self, snapshot: FleetSnapshot, verdicts: Mapping[str, Verdict]) -> None:
-        """Correct the configured capacities by what is observed.
+        """Adjust the capacity factor by the observed good fraction.
 
-        While load is shed and what is admitted is answered in time, the sites can do more; where it
-        is not, less. Only new reports count.
+        While load is shed, the factor grows if admitted requests are answered in time and shrinks
+        if they are not. Each report counts once.
         """
         attempts = self._new_attempts(snapshot, verdicts)
         if attempts.total < MIN_ATTEMPTS:
@@ -185,7 +187,7 @@
             )
 
     def _new_attempts(self, snapshot: FleetSnapshot, verdicts: Mapping[str, Verdict]) -> Tally:
-        """Return the attempts at healthy sites of reports that are new."""
+        """Return the attempts at healthy sites from reports not counted yet."""
         total = Tally()
         for name, received in snapshot.reports.items():
             report = received.report
@@ -206,7 +208,7 @@
         return (now - version_since.since_ns) / SECOND_NS
 
     def _count_attempts(self, snapshot: FleetSnapshot) -> None:
-        """Count the attempts of the reports, each report once."""
+        """Add the attempts and latency ratios of the reports, each report once."""
         for name, received in snapshot.reports.items():
             report = received.report
             if not received.is_fresh or self._counted_sequences.get(name) == report.sequence:
@@ -229,8 +231,8 @@
             attempts = self._attempts.get(name, Tally())
             good_fraction = 1.0
             if attempts.total:
-                # Against what the others do now: where all are overloaded, a recovering site is no
-                # worse for it.
+                # Relative to the fleet's current good fraction: a recovering site is not held back
+                # when all sites are overloaded.
                 fleet_fraction = max(MIN_GOOD_FRACTION, self.good_fraction)
                 good_fraction = min(1.0, attempts.good / attempts.total / fleet_fraction)
             observations[name] = Observation(
@@ -242,10 +244,10 @@
         return observations
 
     def _smoothed(self, fleet: Fleet) -> Fleet:
-        """Return the fleet with its loads averaged over the last decisions.
+        """Return the fleet with loads smoothed exponentially over the last decisions.
 
-        What came in at balancers that are silent now fades as fast as it is observed to come in
-        elsewhere.
+        When a balancer stops reporting, its load decays with the same gain at which the load grows
+        at the balancers that clients move to.
         """
         current = {(load.site, load.class_name, load.tenant): load for load in fleet.loads}
         for key in current.keys() | self._rates.keys():
@@ -268,7 +270,7 @@
     def _slow_start_rates(
         self, snapshot: FleetSnapshot, states: tuple[SiteState, ...]
     ) -> dict[int, float]:
-        """Return what each cold upstream of recovering sites can serve, from all balancers."""
+        """Return the requests/s that each cold upstream of recovering sites can serve in total."""
         recovering = {state.site for state in states if not state.is_normal and state.fraction > 0}
         rates = {}
         for upstream in snapshot.starting_upstreams:
@@ -282,7 +284,7 @@
 
 
 def _with_excess(load: Load, fleet: Fleet, tenant_rates: Mapping[str, float]) -> Load:
-    """Return a load with its excess by the tenant's smoothed rate."""
+    """Return a load with its excess fraction computed from the tenant's smoothed rate."""
     quota = fleet.quotas.get(load.tenant)
     if not quota:
         return load
--- a/loadbalancer/failover/evidence.py
+++ b/loadbalancer/failover/evidence.py
@@ -1,17 +1,17 @@
-"""Site health as one balancer sees it: from its attempts, the endpoint list and its peers' reports.
+"""Site failure detection of one balancer, from its attempts, the endpoint list and peer reports.
 
-An attempt is a sign of life if there was any answer, even a bad one; a connection that does not
-come up or breaks, or an attempt that nothing answers, is none. One dead upstream is not a dead
-site, so distinct upstreams are counted: a site is lost when so many of them in a row gave no sign
-of life, and none did meanwhile. Such a run is a sequential test (Wald 1945; Page 1954): its length
-follows from how often attempts fail anyhow, which is learned, so that a lossy network makes the
-detection slower and not wrong.
+An upstream counts as alive if an attempt gets any response, even an error. A failed or broken
+connection and a timeout count as failures. One dead upstream does not make a lost site, so distinct
+upstreams are counted: a site is judged lost after failures at enough distinct upstreams in a row
+without a response in between. The run of failures is a sequential test (Wald 1945; Page 1954). Its
+required length depends on the learned baseline failure rate, so a lossy network slows detection
+down but does not cause false detections.
 
-What must not be mistaken for a lost site: a few dead upstreams, slow ones, a link that loses
-packets, a wrong list, and above all a partition of this balancer itself, to which all other sites
-seem lost.
+The following must not be judged a lost site: a few dead upstreams, slow upstreams, packet loss, a
+wrong endpoint list, and above all a partition of this balancer, to which all other sites appear
+lost.
 
-All times are those of a monotonic clock, in nanoseconds.
+All times are in nanoseconds on a monotonic clock.
 """
 
 from __future__ import annotations
@@ -25,38 +25,45 @@
 
 SECOND_NS: Final = 1_000_000_000
 LOST_FAILURE_RATE: Final = 0.98  # of attempts at a lost site
-MIN_BASELINE_FAILURE_RATE: Final = 0.01  # of attempts that fail anyhow: at least assumed
-MAX_BASELINE_FAILURE_RATE: Final = 0.3  # at most believed
+MIN_BASELINE_FAILURE_RATE: Final = 0.01  # bounds of the estimated rate of failures without a loss
+MAX_BASELINE_FAILURE_RATE: Final = 0.3
 BASELINE_GAIN: Final = 0.005  # weight of each outcome
-# Log likelihood ratio of a loss against the baseline, from which it is believed: one in a million.
+# Log likelihood ratio of a loss against the baseline at which a loss is accepted: odds of a
+# million to one.
 LOSS_THRESHOLD: Final = 13.8
-# Upstreams in a row, where there are so many: half a site that died shows so in 1 of 256 cases.
+# Failed upstreams in a row that a loss requires at a site with enough of them. If half a site has
+# died, 8 draws in a row hit only dead upstreams in 1 of 256 cases.
 DISTINCT_UPSTREAMS: Final = 8
-MAX_SITE_FRACTION: Final = 0.75  # of a site's upstreams, where there are fewer than that
+MAX_SITE_FRACTION: Final = 0.75  # of a site's upstreams that a loss requires at a smaller site
 MIN_FAILURES: Final = 3
 SLOW_RATIO: Final = 3.0  # times the other sites' latency
-LATENCY_GAIN: Final = 0.1  # weight of each answer
+LATENCY_GAIN: Final = 0.1  # weight of each response
 MAX_LATENCY_RATIO: Final = 10.0
 MIN_LATENCY_RATIO: Final = 0.1
-IMPAIRED_FRACTION: Final = 0.3  # of a site's upstreams that are silent
-MIN_RECOVERY_ANSWERS: Final = (
-    3  # answers, from distinct upstreams where there are some, that end a loss
-)
-MIN_AGREEING_PEERS: Final = (
-    2  # peers whose report makes a loss a partition, or makes it known sooner
-)
+IMPAIRED_FRACTION: Final = 0.3  # fraction of silent upstreams from which a site is impaired
+# Distinct upstreams that must respond to end a loss, or all upstreams of a smaller site.
+MIN_RECOVERY_ANSWERS: Final = 3
+# Peers needed to speed up the detection of a loss, or to judge it a partition.
+MIN_AGREEING_PEERS: Final = 2
 PEER_REPORT_VALID_NS: Final = 6 * SECOND_NS
-MIN_STABLE_NS: Final = 2 * SECOND_NS  # how long a site must stay after a loss, at first
+MIN_STABLE_NS: Final = 2 * SECOND_NS  # required stability after one loss; doubles with each loss
 MAX_STABLE_NS: Final = 120 * SECOND_NS
-LOSS_DECAY_NS: Final = 300 * SECOND_NS  # without a further loss, after which one is forgiven
+LOSS_DECAY_NS: Final = 300 * SECOND_NS  # time without a loss after which one loss is discounted
 MAX_LOSSES: Final = 16
-MAX_COUNTED_FAILURES: Final = 2  # of one upstream: one dead by itself tells no more
+# Failures scored per upstream: more of them show only that this upstream is dead.
+MAX_COUNTED_FAILURES: Final = 2
 IN_SERVICE: Final = (SiteHealth.HEALTHY, SiteHealth.IMPAIRED)
 UNREACHABLE: Final = (SiteHealth.LOST, SiteHealth.PARTITIONED)
 
 
 class PeerOpinions(NamedTuple):
-    """Peers that a site answers, those that it does not, and whether one within it reports."""
+    """Peer reports on a site.
+
+    Attributes:
+        answering: Number of peers that get responses from the site.
+        silent: Number of peers that get none.
+        reported_inside: A balancer within the site reports to the store.
+    """
 
     answering: int
     silent: int
@@ -64,13 +71,13 @@
 
 
 class Evidence:
-    """What one balancer knows of the sites.
+    """Evidence of one balancer on the health of all sites.
 
     Attributes:
-        baseline_failure_rate: Of attempts that fail although nothing is lost.
-        peer_reports: By balancer, with the time at which each was made.
-        is_store_reachable: As far as is known.
-        is_isolated: This balancer itself is partitioned.
+        baseline_failure_rate: Estimated rate of failed attempts at sites that are not lost.
+        peer_reports: By balancer, its last report and the time at which it was made.
+        is_store_reachable: Whether the store responded lately, as set by the caller.
+        is_isolated: This balancer itself appears to be partitioned.
     """
 
     def __init__(self, local_site: str, now: int) -> None:
@@ -87,7 +94,7 @@
     # Events
 
     def update_upstreams(self, upstreams: Mapping[int, str], now: int) -> None:
-        """Take discovery's list: upstreams in use, and the site of each."""
+        """Set the endpoint list: the upstreams in use and the site of each."""
         self.now = max(self.now, now)
         for number in self.upstreams.keys() - upstreams.keys():
             site = self.sites[self.upstreams.pop(number).site]
@@ -104,13 +111,13 @@
     def record_attempt(
         self, number: int, is_alive: bool, now: int, latency_ratio: float | None = None
     ) -> None:
-        """Count an attempt that ended.
+        """Record a finished attempt.
 
         Args:
-            number: Of the upstream.
-            is_alive: It gave a sign of life.
-            now: The clock.
-            latency_ratio: The answer's time against what was expected, where it is known.
+            number: Number of the upstream.
+            is_alive: The upstream gave any response.
+            now: The current time.
+            latency_ratio: Response time relative to the expected time, if known.
         """
         upstream = self.upstreams.get(number)
         if upstream is None:
@@ -140,7 +147,7 @@
             site.latency_ratio += LATENCY_GAIN * (
                 min(MAX_LATENCY_RATIO, latency_ratio) - site.latency_ratio
             )
-        # One sign of life ends the run, however likely a loss seemed by it.
+        # One response ends the run of failures. The score falls only by the weight of one response.
         likelihood = (1 - self.baseline_failure_rate) / (1 - LOST_FAILURE_RATE)
         site.score = max(0.0, site.score - math.log(likelihood))
         site.silent.clear()
@@ -154,20 +161,20 @@
             site.score += math.log(LOST_FAILURE_RATE / self.baseline_failure_rate)
 
     def add_peer_report(self, balancer: str, report: PeerReport, age_ns: int, now: int) -> None:
-        """Take a peer's report that was made `age_ns` ago."""
+        """Add a peer's report that was made `age_ns` ago."""
         self.now = max(self.now, now)
         self.peer_reports[balancer] = report, now - age_ns
 
     def set_hold(self, name: str, operator: str, now: int) -> None:
-        """Keep a site out for an operator, or release it (empty)."""
+        """Hold a site out of service for an operator; an empty operator ends the hold."""
         self.now = max(self.now, now)
         if name in self.sites:
             self.sites[name].held_by = operator
 
-    # Judgement
+    # Verdicts
 
     def _appears_lost(self, site: Site) -> bool:
-        """Return whether own attempts alone show a loss: too many failures in a row for chance."""
+        """Return whether this balancer's run of failures is too long to be chance."""
         silent_peers = self._peer_opinions(site.name).silent
         needed = (
             DISTINCT_UPSTREAMS // 2 if silent_peers >= MIN_AGREEING_PEERS else DISTINCT_UPSTREAMS
@@ -175,7 +182,7 @@
         count = self._upstream_count(site.name)
         if not count:
             return False
-        # To wait for each last upstream would take long.
+        # At a small site, waiting until every upstream has failed would take too long.
         required_upstreams = min(needed, math.ceil(MAX_SITE_FRACTION * count))
         failures = sum(site.silent.values())
         return (
@@ -200,7 +207,7 @@
         return PeerOpinions(answering, silent, reported_inside)
 
     def alive_fraction(self, name: str) -> float:
-        """Return the fraction of a site's upstreams tried lately that answered last."""
+        """Return the fraction of a site's recently tried upstreams whose last attempt succeeded."""
         recent = [
             upstream.is_alive
             for upstream in self.upstreams.values()
@@ -209,7 +216,7 @@
         return sum(recent) / len(recent) if recent else 1.0
 
     def tick(self, now: int) -> list[tuple[str, Verdict]]:
-        """Judge all sites; return the verdicts that changed since the last tick."""
+        """Update the health of all sites and return the verdicts that changed."""
         self.now = now = max(self.now, now)
         self.changes = []
         apparently_lost = {site.name for site in self.sites.values() if self._appears_lost(site)}
@@ -223,8 +230,9 @@
             site for site in others if site.name in apparently_lost or site.health in UNREACHABLE
         ]
         was_isolated = self.is_isolated
-        # If several other sites are tried and none answers, this balancer or its site is the one
-        # that is partitioned. With a single other one, whoever still has the store is not.
+        # If several other sites were tried and none responds, this balancer or its site is the one
+        # that is partitioned. With only one other site, the side that can still reach the store is
+        # not partitioned.
         if len(others) > 1:
             self.is_isolated = len(unreachable) == len(others)
         else:
@@ -256,10 +264,10 @@
             return
         if was_unreachable:
             if was_isolated:
-                site.losses = max(0, site.losses - 1)  # it never went away
+                site.losses = max(0, site.losses - 1)  # only this balancer was partitioned
             self._start_recovery(
                 site,
-                f"{sum(site.answered.values())} answers from {len(site.answered)} upstreams",
+                f"{sum(site.answered.values())} responses from {len(site.answered)} upstreams",
             )
             return
         if site.health is SiteHealth.RECOVERING:
@@ -270,32 +278,32 @@
 
     def _set_unreachable(self, site: Site) -> None:
         opinions = self._peer_opinions(site.name)
-        # Without the store no peer can be consulted: it may as well be this balancer that is
-        # partitioned.
+        # Without the store there are no current peer reports, so this balancer itself may be the
+        # partitioned one.
         if self.is_isolated:
             health = SiteHealth.PARTITIONED
-            context = "no other site answers: this balancer is cut off"
+            context = "no other site responds: this balancer is partitioned"
         elif opinions.reported_inside:
             health = SiteHealth.PARTITIONED
             context = "its own balancers still report"
         elif opinions.answering >= MIN_AGREEING_PEERS:
             health = SiteHealth.PARTITIONED
-            context = f"{opinions.answering} peers are answered"
+            context = f"{opinions.answering} peers get responses from it"
         elif not self.is_store_reachable:
             health = SiteHealth.PARTITIONED
-            context = "the store does not answer either"
+            context = "the store is unreachable as well"
         else:
             health = SiteHealth.LOST
             context = f"{opinions.silent} peers report the same"
         last_answer = ""
         if site.last_answer_ns is not None:
             age_s = (self.now - site.last_answer_ns) / SECOND_NS
-            last_answer = f", the last answer {age_s:.1f} s ago"
+            last_answer = f", the last response {age_s:.1f} s ago"
         self._set_health(
             site,
             health,
-            f"{sum(site.silent.values())} attempts in a row at {len(site.silent)} upstreams"
-            f" without an answer{last_answer}; {context}",
+            f"{sum(site.silent.values())} consecutive attempts at {len(site.silent)} upstreams"
+            f" without a response{last_answer}; {context}",
         )
 
     def _judge_in_service(self, site: Site) -> None:
@@ -305,29 +313,29 @@
         alive = self.alive_fraction(site.name)
         slowdown = self._slowdown(site)
         if 1 - alive >= IMPAIRED_FRACTION:
-            reason = f"{1 - alive:.0%} of its upstreams tried lately are silent"
+            reason = f"{1 - alive:.0%} of its recently tried upstreams do not respond"
             self._set_health(site, SiteHealth.IMPAIRED, reason)
         elif slowdown is not None:
-            reason = f"its answers take {slowdown:.1f} times what the others' do"
+            reason = f"its latency is {slowdown:.1f} times that of the other sites"
             self._set_health(site, SiteHealth.IMPAIRED, reason)
         elif site.health is not SiteHealth.HEALTHY:
-            reason = f"{alive:.0%} of its upstreams tried lately answer"
+            reason = f"{alive:.0%} of its recently tried upstreams respond"
             self._set_health(site, SiteHealth.HEALTHY, reason)
 
     def is_suspected(self, name: str) -> bool:
-        """Return whether there is a run of failures that is too short yet to judge."""
+        """Return whether there is a run of failures still too short to judge the site lost."""
         site = self.sites[name]
         return site.health in IN_SERVICE and site.score >= LOSS_THRESHOLD / 4
 
     def _is_answering_again(self, site: Site) -> bool:
-        """Return whether enough upstreams answered since the loss, or few of them often enough."""
+        """Return whether enough upstreams responded since the loss, or a few responded often."""
         needed = min(MIN_RECOVERY_ANSWERS, self._upstream_count(site.name))
         return bool(site.answered) and (
             len(site.answered) >= needed or sum(site.answered.values()) >= 3 * MIN_RECOVERY_ANSWERS
         )
 
     def _slowdown(self, site: Site) -> float | None:
-        """Return how many times slower than the others a site is; None: not by much."""
+        """Return a site's latency relative to the other sites' median, or None if not slow."""
         others = sorted(
             other.latency_ratio
             for other in self.sites.values()
@@ -339,7 +347,7 @@
         return ratio if ratio > SLOW_RATIO else None
 
     def required_stability_ns(self, name: str) -> int:
-        """Return how long a recovering site must stay: the longer, the more often it was lost."""
+        """Return how long a recovering site must stay reachable; it doubles with each loss."""
         site = self.sites[name]
         return min(MAX_STABLE_NS, MIN_STABLE_NS << max(0, site.losses - 1))
 
@@ -363,10 +371,10 @@
         return Verdict(site.health, site.since_ns, self.alive_fraction(name), site.reason)
 
     def own_report(self) -> PeerReport:
-        """Return what this balancer reports to its peers.
+        """Return this balancer's report for its peers.
 
-        It reports nothing of a site that it has not tried lately, and no site as silent while it is
-        itself isolated.
+        It omits sites that were not tried recently, and lists no site as silent while this balancer
+        is isolated.
         """
         recently_tried = self._recently_tried_sites()
         silent = {name for name in recently_tried if self.sites[name].health in UNREACHABLE}
--- a/loadbalancer/failover/evidence_state.py
+++ b/loadbalancer/failover/evidence_state.py
@@ -1,4 +1,4 @@
-"""Upstreams and sites as one balancer's evidence counts them."""
+"""Per-upstream and per-site records of one balancer's evidence."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 from loadbalancer.failover.health import SiteHealth
 
-ATTEMPT_VALID_NS: Final = 10_000_000_000  # an upstream's last outcome tells nothing beyond
+ATTEMPT_VALID_NS: Final = 10_000_000_000  # how long the result of an attempt counts as recent
 
 
 @dataclass(slots=True)
 class Upstream:
-    """One upstream of a site."""
+    """Outcomes of recent attempts at one upstream."""
 
     site: str
-    failures: int = 0  # in a row
+    failures: int = 0  # consecutive
     last_attempt_ns: int | None = None
     is_alive: bool = True
 
     def was_tried_recently(self, now: int) -> bool:
-        """Return whether its last outcome still tells anything."""
+        """Return whether the last attempt is recent enough to count."""
         return self.last_attempt_ns is not None and now - self.last_attempt_ns < ATTEMPT_VALID_NS
 
 
 @dataclass(slots=True, eq=False)
 class Site:
-    """One site.
+    """Health of one site and the evidence for it.
 
     Attributes:
-        score: Log likelihood ratio of a loss, over the current run of failures.
-        silent: Upstreams of the run, and the failures of each.
-        answered: Upstreams that answered since the loss, and the answers of each.
-        latency_ratio: Of its answers, against what was expected.
-        losses: Those that are not forgiven yet.
-        held_by: The operator who keeps it out; empty: nobody.
+        score: Log likelihood ratio of a loss against the baseline failure rate.
+        silent: Failures by upstream in the current run of failures.
+        answered: Responses by upstream since the last loss.
+        latency_ratio: Average response time relative to the expected time.
+        losses: Recent losses, which decay with time.
+        held_by: The operator who holds the site out of service; empty if none.
     """
 
     name: str
--- a/loadbalancer/failover/fleet_model.py
+++ b/loadbalancer/failover/fleet_model.py
@@ -1,4 +1,4 @@
-"""Model of the fleet for failover planning: sites, classes of requests, loads. Pure."""
+"""Model of the fleet for failover planning: sites, request classes and loads."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 from functools import cached_property
 from typing import Final
 
-# Levels of load shedding; each class of requests, or several alike, has one from FIRST_CLASS on.
+# Levels of load shedding. Request classes have the levels from FIRST_CLASS on; classes of similar
+# density share one.
 NO_SHEDDING: Final = 0
 EXCESS: Final = 1
 RETRIES: Final = 2
 HEDGES: Final = 3
 FIRST_CLASS: Final = 4
-SIMILAR_DENSITY: Final = 1.3  # times the value for the work, below which classes share a level
+SIMILAR_DENSITY: Final = 1.3  # ratio of densities below which classes share a level
 EPSILON: Final = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class WorkClass:
-    """A class of requests.
+    """A request class.
 
     Attributes:
-        value: Of a request answered in time.
-        work: Of a request, in seconds of a warmed-up core.
+        value: Value of a request answered in time.
+        work: Work per request, in seconds of a warmed-up core.
     """
 
     name: str
@@ -32,19 +33,19 @@
 
     @property
     def density(self) -> float:
-        """Value for the work."""
+        """Value per unit of work."""
         return self.value / max(EPSILON, self.work)
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What comes in at a site of one class and tenant.
+    """Incoming load of one class and tenant at a site.
 
     Attributes:
-        rate: Requests a second.
-        excess: The fraction beyond the tenant's quota.
-        retries: The fraction that are clients' retries.
-        hedges: Hedged requests on top, as a fraction.
+        rate: Requests/s.
+        excess: Fraction of requests beyond the tenant's quota.
+        retries: Fraction of requests that are client retries.
+        hedges: Additional hedged requests as a fraction of the requests.
     """
 
     site: str
@@ -61,10 +62,10 @@
     """Capacity of a site.
 
     Attributes:
-        capacity: Work a second that its upstreams can do when warmed up.
-        burst: How much more than usual may come at a time, as a fraction.
-        costs: By origin site, the cost of a request sent here from there.
-        connections: Work that its free connections allow, where it is known.
+        capacity: Work per second that the site's warmed-up upstreams can do.
+        burst: Fraction by which the site's own load may briefly exceed its average.
+        costs: By origin site, the cost of a request sent from there to this site.
+        connections: Work that the site's free connections allow, if known.
     """
 
     name: str
@@ -79,7 +80,7 @@
     """All sites, classes and loads.
 
     Attributes:
-        quotas: By tenant, the requests a second within its quota.
+        quotas: By tenant, its quota in requests/s.
     """
 
     sites: Mapping[str, SiteCapacity]
@@ -89,10 +90,10 @@
 
     @cached_property
     def class_levels(self) -> list[list[str]]:
-        """The classes in the order in which they are shed, by level.
+        """The classes by shedding level, in the order in which they are shed.
 
-        Classes of about the same value for their work share a level: else a small change of their
-        measured work would reverse the order.
+        Classes of similar density share a level. Otherwise a small change of their measured work
+        would reverse their order.
         """
         levels: list[list[str]] = []
         first_density = 0.0
@@ -117,5 +118,5 @@
 
     @property
     def top_level(self) -> int:
-        """The last level."""
+        """The highest shedding level."""
         return FIRST_CLASS + len(self.class_levels) - 1
--- a/loadbalancer/failover/health.py
+++ b/loadbalancer/failover/health.py
@@ -1,4 +1,4 @@
-"""Health of a site, and what balancers report of it to each other."""
+"""Site health, and the reports on it that balancers exchange."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class SiteHealth(Enum):
-    """What a site is taken to be. The values are shown to operators and in metrics."""
+    """Health of a site. The values are shown to operators and in metrics."""
 
     HEALTHY = "well"
     IMPAIRED = "impaired"
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The health of a site.
+    """The health of a site and the reason for it.
 
     Attributes:
-        alive_fraction: Of the upstreams tried lately, those that answer.
-        reason: The evidence for and against, in a line.
+        alive_fraction: Fraction of the recently tried upstreams that respond.
+        reason: The evidence for and against, in one line.
     """
 
     health: SiteHealth
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerReport:
-    """What another balancer reports of the sites, by its own attempts.
+    """Another balancer's report on the sites, based on its own attempts.
 
     Attributes:
-        site: Where that balancer stands.
-        answering: Sites that answer it.
-        silent: Sites that don't.
+        site: The site of that balancer.
+        answering: Sites that respond to it.
+        silent: Sites that do not respond to it.
     """
 
     site: str
--- a/loadbalancer/failover/observer.py
+++ b/loadbalancer/failover/observer.py
@@ -1,11 +1,12 @@
-"""One balancer's part: what it observes and reports, what it health-checks, and its traffic plan.
+"""Site observation of one balancer: evidence, reports, health checks and its traffic plan.
 
-Pure: a shell hands in the attempts that ended and what the store has, and carries out the result.
+The module performs no I/O: its caller passes in finished attempts and data from the store, and
+applies the result.
 
-The lease holder's shares are followed while they are fresh and for the sites that are listed here.
-Without them a balancer goes by the plan for just the loss that it observes, if there is one, and
-lets a site recover by the same stages, judged by its own attempts alone. In any case nothing is
-sent to a site that does not answer here.
+A balancer follows the lease holder's shares while they are fresh and cover all sites that it has
+upstreams in. Otherwise it uses the precomputed shares for exactly the loss that it observes, if
+there are any, and lets sites recover through the same stages based on its own attempts alone. In
+either case it sends no requests to a site that does not respond to it.
 """
 
 from __future__ import annotations
@@ -28,18 +29,19 @@
 
 SECOND_NS: Final = 1_000_000_000
 SHARES_VALID_NS: Final = 12 * SECOND_NS  # since the lease holder last confirmed them
-SUSPECTED_CHECKS: Final = 2  # health checks at each update of a suspected site
+SUSPECTED_CHECKS: Final = 2  # health checks of a suspected site per update
 CHECK_INTERVAL_NS: Final = SECOND_NS // 2  # in which an unused site gets CHECKS_PER_INTERVAL
 CHECKS_PER_INTERVAL: Final = 8  # from all balancers together
-UNUSED_FRACTION: Final = 0.05  # of its draws, below which a site is hardly tried
-# Interval of reports; while anything is under way a part of it: each step of a recovery waits for
-# observations. A change of a site's health is reported sooner.
+UNUSED_FRACTION: Final = 0.05  # fraction of draws below which a site gets too few attempts
+# Report interval. It is shorter while the traffic plan is not the normal one, because each step of
+# a recovery waits for new observations. A change of a site's health is reported sooner still.
 MIN_REPORT_NS: Final = 2 * SECOND_NS
 REPORT_NS_PER_BALANCER: Final = 15_000_000
 MAX_REPORT_NS: Final = 3 * SECOND_NS
 ACTIVE_REPORT_FACTOR: Final = 0.5
 URGENT_REPORT_NS: Final = SECOND_NS // 4
-# Of its latency objective that a cancelled attempt had: nothing had answered.
+# A cancelled attempt counts as a failure if it had waited this fraction of the latency objective
+# without a response.
 CANCELLED_DEAD_FRACTION: Final = 0.8
 ALIVE: Final = frozenset(
     {api.AttemptResult.OK, api.AttemptResult.ERROR, api.AttemptResult.REJECTED}
@@ -52,12 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """What an update came to.
+    """Result of an update.
 
     Attributes:
-        changes: Of the sites' health.
-        health_checks: Upstreams to check.
-        plan: For the policy; None: as it was.
+        changes: Sites whose health changed, with their verdicts.
+        health_checks: Numbers of the upstreams to check.
+        plan: The new traffic plan for the policy; None if it is unchanged.
     """
 
     changes: list[tuple[str, Verdict]]
@@ -69,16 +71,16 @@
     """Observes the sites from one balancer.
 
     Args:
-        local_site: The site where the balancer stands.
-        name: Of the balancer.
-        balancers: How many there are of the service.
-        rng: Draws health checks and intervals.
-        now: The clock.
+        local_site: The site of the balancer.
+        name: Name of the balancer.
+        balancers: Number of balancers of the service.
+        rng: Draws upstreams to check and the jitter of intervals.
+        now: The current time.
 
     Attributes:
-        shares: Those of the lease holder, as last received.
-        loss_shares: Worked out beforehand, by the sites that are lost.
-        loss_shares_sites: All sites that `loss_shares` are for.
+        shares: The lease holder's shares, as last received.
+        loss_shares: Precomputed shares by the set of lost sites.
+        loss_shares_sites: All sites of the fleet that `loss_shares` were computed for.
         is_report_urgent: The health of a site changed since the last report.
     """
 
@@ -91,7 +93,7 @@
         self.rng = rng
         self.evidence = Evidence(local_site, now)
         self.shares = TrafficShares()
-        self.confirmed_ns: int | None = None  # by the lease holder
+        self.confirmed_ns: int | None = None  # when the lease holder last confirmed its shares
         self.loss_shares: Mapping[frozenset[str], TrafficShares] = {}
         self.loss_shares_sites: frozenset[str] = frozenset()
         self.plan = NORMAL_PLAN
@@ -99,7 +101,7 @@
         self._shares_sites: frozenset[str] = frozenset()
         self._counter = ReportCounter(local_site, now)
         self._report_due_ns = now + int(rng.random() * self.report_interval_ns)
-        # Recoveries by own observations, where there is no lease holder.
+        # Recoveries by this balancer's own observations, for use without a lease holder.
         self._recoveries: dict[str, Recovery] = {}
         self._stage_started_ns: dict[str, int] = {}
         self._stage_attempts: dict[str, Tally] = {}
@@ -108,19 +110,19 @@
     # Observations
 
     def on_request(self, event: api.RequestArrived) -> None:
-        """Count a request that came in."""
+        """Count an incoming request."""
         self._counter.add_request(event)
 
     def on_attempt(
         self, event: api.AttemptFinished, latency_objective_ns: int, usual_ns: float, now: int
     ) -> None:
-        """Count an attempt that ended.
+        """Count a finished attempt.
 
         Args:
             event: The attempt.
-            latency_objective_ns: Of its class.
-            usual_ns: What such a request takes; 0: not known.
-            now: The clock.
+            latency_objective_ns: Latency objective of its request class.
+            usual_ns: Usual duration of such a request; 0 if unknown.
+            now: The current time.
         """
         is_ok = event.result is api.AttemptResult.OK
         is_dead = event.result in DEAD or (
@@ -136,7 +138,7 @@
         self._record(event.upstream, not is_dead, is_good, ratio or None, now)
 
     def on_health_check(self, number: int, result: api.AttemptResult, now: int) -> None:
-        """Count a health check that ended."""
+        """Count a finished health check."""
         if result in ALIVE or result in DEAD:
             self._record(number, result in ALIVE, result in ALIVE, None, now)
 
@@ -158,13 +160,13 @@
     def set_shares(
         self, shares: TrafficShares, sites: frozenset[str], held: Mapping[str, str], now: int
     ) -> None:
-        """Take the lease holder's shares.
+        """Set the lease holder's shares.
 
         Args:
             shares: The shares.
-            sites: Those that they are for.
-            held: Sites that operators keep out, and who.
-            now: The clock.
+            sites: The sites that the shares cover; empty for any.
+            held: By site held out of service, the operator who holds it.
+            now: The current time.
         """
         self.shares = shares
         self._shares_sites = sites
@@ -173,11 +175,11 @@
             self.evidence.set_hold(name, held.get(name, ""), now)
 
     def confirm_shares(self, now: int) -> None:
-        """Note that the lease holder confirmed its shares."""
+        """Record that the lease holder confirmed its shares."""
         self.confirmed_ns = now
 
     def follows_shares(self, now: int) -> bool:
-        """Return whether the lease holder's shares are in force here."""
+        """Return whether this balancer follows the lease holder's shares now."""
         if self.confirmed_ns is None or now - self.confirmed_ns >= SHARES_VALID_NS:
             return False
         return not self._shares_sites or self._named_sites() <= self._shares_sites
@@ -188,7 +190,7 @@
     # Updates
 
     def update(self, now: int, is_store_reachable: bool) -> Update:
-        """Judge what was observed."""
+        """Judge the sites and return the health checks to send and the traffic plan."""
         self.evidence.is_store_reachable = is_store_reachable
         changes = self.evidence.tick(now)
         self.is_report_urgent = self.is_report_urgent or bool(changes)
@@ -200,11 +202,11 @@
         return Update(changes, health_checks, plan)
 
     def _choose_health_checks(self, now: int) -> list[int]:
-        """Choose upstreams to check: of sites that are unused, and of sites that are suspected.
+        """Choose upstreams of unused and suspected sites to check.
 
-        Nothing else would show that an unused site is back; it is checked again at once where it
-        gave a sign of life. A suspected one would be tried too little: the policy avoids what
-        fails.
+        Only health checks can show that an unused site is back. After a first response the site is
+        checked at each update. A suspected site would get too few attempts, because the policy
+        avoids failing upstreams.
         """
         chosen: list[int] = []
         for name, site in self.evidence.sites.items():
@@ -258,7 +260,7 @@
                     del self._recoveries[name]
         names = self._named_sites()
         if names and all(zones.get(name, 1.0) <= 0.0 for name in names):
-            zones = {}  # nothing is left: rather an attempt than none
+            zones = {}  # no site is usable: attempt all sites rather than reject every request
         return base._replace(zone_fractions=zones)
 
     def _plan_of(self, shares: TrafficShares) -> api.TrafficPlan:
@@ -277,7 +279,7 @@
         )
 
     def _plan_by_loss(self) -> api.TrafficPlan:
-        """Return the plan for the loss that is observed here, if there is one."""
+        """Return the precomputed plan for the observed loss, or the normal plan if none fits."""
         lost = frozenset(
             name for name, site in self.evidence.sites.items() if site.health is SiteHealth.LOST
         )
@@ -293,7 +295,7 @@
             self._stage_attempts[next_recovery.site] = Tally()
 
     def _step_recovery(self, name: str, now: int) -> float:
-        """Take a step of a recovery by own observations; return the site's fraction."""
+        """Advance a recovery by this balancer's observations and return the site's fraction."""
         attempts = self._stage_attempts.get(name, Tally())
         observed = Observation(
             False, int(attempts.total), attempts.fraction, self._counter.latency_ratio(name)
@@ -307,27 +309,27 @@
 
     @property
     def report_started_ns(self) -> int:
-        """When the current report began."""
+        """When counting for the current report started."""
         return self._counter.started_ns
 
     @property
     def report_interval_ns(self) -> int:
-        """Interval of reports while nothing is under way."""
+        """Report interval while the normal traffic plan is in use."""
         return min(MAX_REPORT_NS, max(MIN_REPORT_NS, REPORT_NS_PER_BALANCER * self.balancers))
 
     def is_report_due(self, now: int) -> bool:
-        """Return whether a report is to be put into the store."""
+        """Return whether a report is due to be written to the store."""
         due_ns = self._report_due_ns
         if self.is_report_urgent:
             due_ns = min(due_ns, self._counter.started_ns + URGENT_REPORT_NS)
         return now >= due_ns
 
     def take_report(self, usual_ns: Mapping[str, float], now: int) -> SiteReport:
-        """Return the report, and begin to count anew.
+        """Return the report and start counting for the next one.
 
         Args:
-            usual_ns: By class, what a request takes.
-            now: The clock.
+            usual_ns: By class, the usual duration of a request.
+            now: The current time.
         """
         peer_report = self.evidence.own_report()
         report = self._counter.take(peer_report, self.evidence.is_isolated, usual_ns, now)
--- a/loadbalancer/failover/plan.py
+++ b/loadbalancer/failover/plan.py
@@ -1,7 +1,7 @@
-"""Failover plans: where a lost site's load goes and what is shed, worked out beforehand. Pure.
+"""Precomputed failover plans: where a lost site's load goes and which load is shed.
 
-For each site, and each two, that may be lost there is a plan: which fraction of what comes in at a
-site goes to the upstreams of which other, and how much the fleet then sheds.
+There is a plan for the loss of each site and of each pair of sites. It says which fraction of each
+site's admitted load goes to the upstreams of which site, and how much load the fleet sheds.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from loadbalancer.failover.tally import Tally
 from loadbalancer.failover.transport import assign
 
-MAX_UTILISATION: Final = 0.9  # of a site's capacity; above it a queue forms by chance alone
-FOREIGN_WORK_FACTOR: Final = 1.15  # for a request whose key the upstreams there never served
-EXCESS_VALUE: Final = 0.2  # of its class's value that a request beyond its tenant's quota earns
-MAX_LOST_SITES: Final = 2  # at a time, for which there are plans
+MAX_UTILISATION: Final = 0.9  # above this, random fluctuations alone build up a queue
+FOREIGN_WORK_FACTOR: Final = 1.15  # work of a request whose key its upstream never served before
+EXCESS_VALUE: Final = 0.2  # relative value of a request beyond its tenant's quota
+MAX_LOST_SITES: Final = 2  # largest number of sites lost at a time that is planned for
 
 
 @dataclass(frozen=True, slots=True)
 class ServedValue:
-    """Value a second that is served.
+    """Value served per second under a plan.
 
     Attributes:
-        normal_value: With all sites.
-        by_tenant: Fraction of each tenant's value within its quota.
-        by_class: Fraction of each class's value within quotas.
+        normal_value: Value per second if nothing is shed.
+        by_tenant: By tenant, the served fraction of the value within its quota.
+        by_class: By class, the served fraction of the value within quotas.
     """
 
     value: float
@@ -39,17 +39,17 @@
 
     @property
     def fraction(self) -> float:
-        """Of the normal value."""
+        """Served value as a fraction of the normal value."""
         return self.value / max(EPSILON, self.normal_value)
 
 
 @dataclass(frozen=True, slots=True)
 class FailoverPlan:
-    """What holds while some sites are lost.
+    """Plan for the loss of a set of sites.
 
     Attributes:
-        shares: By origin, of what is admitted there, the fraction that goes to each site.
-        utilisation: Of each site's capacity, without its own burst.
+        shares: By origin, the fraction of its admitted load that goes to each site.
+        utilisation: By site, the used fraction of its capacity, without its own burst.
     """
 
     lost: frozenset[str]
@@ -60,7 +60,7 @@
 
 
 def spare_capacities(fleet: Fleet, lost: frozenset[str]) -> dict[str, float]:
-    """Return the work a second that each remaining site may be given, beside its own burst."""
+    """Return the work per second that each remaining site can take, less its own burst."""
     local_work: dict[str, float] = {}
     for load in fleet.loads:
         local_work[load.site] = local_work.get(load.site, 0.0) + work(fleet, load, Shedding())
@@ -78,7 +78,7 @@
 def plan_for_loss(fleet: Fleet, lost: Iterable[str]) -> FailoverPlan:
     """Return where all load goes and what is shed while some sites are lost.
 
-    What came in at a lost site comes in at the others, evenly.
+    Load that used to arrive at lost sites is assumed to arrive evenly at the others.
     """
     lost_sites = frozenset(lost)
     remaining_sites = [name for name in sorted(fleet.sites) if name not in lost_sites]
@@ -122,7 +122,7 @@
 def _redistributed(
     fleet: Fleet, lost_sites: frozenset[str], remaining_sites: list[str]
 ) -> list[Load]:
-    """Return the loads with those of lost sites spread over the others."""
+    """Return the loads with those of lost sites spread evenly over the others."""
     loads: list[Load] = []
     for load in fleet.loads:
         if load.site in lost_sites:
@@ -136,14 +136,14 @@
 
 
 def _work_factor(fleet: Fleet, lost_sites: frozenset[str]) -> float:
-    """Return by how much the work grows, as part of it is foreign to the upstreams."""
+    """Return the factor by which work grows because upstreams serve keys that are new to them."""
     foreign = sum(work(fleet, load, Shedding()) for load in fleet.loads if load.site in lost_sites)
     total = sum(work(fleet, load, Shedding()) for load in fleet.loads)
     return 1.0 + (FOREIGN_WORK_FACTOR - 1.0) * foreign / total if total else 1.0
 
 
 def _served_value(fleet: Fleet, loads: Iterable[Load], shedding: Shedding) -> ServedValue:
-    """Return the value of what is admitted; by tenant and class only within quotas."""
+    """Return the value of the admitted load; by tenant and class only within quotas."""
     overall = Tally()
     tenants: dict[str, Tally] = {}
     classes: dict[str, Tally] = {}
@@ -170,7 +170,7 @@
 
 
 def plans_for_losses(fleet: Fleet) -> dict[frozenset[str], FailoverPlan]:
-    """Return the plans for no loss, for each site, and for each two."""
+    """Return the plans for no loss, for each lost site, and for each pair of lost sites."""
     names = sorted(fleet.sites)
     losses = [
         frozenset(combination)
@@ -182,7 +182,7 @@
 
 
 def losses_over_capacity(plans: Mapping[frozenset[str], FailoverPlan]) -> list[frozenset[str]]:
-    """Return the losses of one site for which the others' capacity is short (N-1 fails)."""
+    """Return the single-site losses that the other sites lack capacity for (N-1 fails)."""
     return sorted(
         (lost for lost, plan in plans.items() if len(lost) == 1 and plan.shedding.level > EXCESS),
         key=sorted,
--- a/loadbalancer/failover/recovery.py
+++ b/loadbalancer/failover/recovery.py
@@ -1,13 +1,13 @@
-"""Recovery ramp: what a site that comes back may get, and who may send to its cold upstreams. Pure.
+"""Recovery ramp of a site that comes back, and slow start of its cold upstreams.
 
-Stages: out, answers to health checks, a trickle, shares that rise by what the site was seen to
-bear, normal. A stage that fails goes back to the one before, and waits longer each time; a site
-that is lost again begins anew. A stage counts only the time that its lease holder has itself seen
-go by, so a new holder may be slower and never faster.
+Stages: out, health checks, a trickle of load, rising shares of its load, normal. A failed stage
+goes back to the previous one and waits longer each time; a site that is lost again starts over.
+Time in a stage is measured by the current lease holder's clock alone, so a change of the lease
+holder can delay a recovery but never speed it up.
 
-Slow start is assigned by one lease holder: a few balancers get each cold upstream, at a rate that
-all of them together do not exceed. Without a holder each balancer falls back to its own estimate,
-which assumes that all others send too.
+One lease holder assigns slow start: each cold upstream gets a few balancers and a rate limit that
+they share. Without a lease holder each balancer uses its own estimate, which assumes that all other
+balancers send as well.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 from enum import Enum
 from typing import Final
 
-HEALTH_CHECKS_S: Final = 1.0  # least time in the stage
-TRICKLE_S: Final = 1.0  # least time in the stage
-STEP_S: Final = 1.0  # least time between two rises
+HEALTH_CHECKS_S: Final = 1.0  # minimum time in the stage
+TRICKLE_S: Final = 1.0  # minimum time in the stage
+STEP_S: Final = 1.0  # minimum time between two rises
 TRICKLE_FRACTION: Final = 0.04  # of the site's usual load
 RISE_FACTOR: Final = 2.0
 MIN_RISE: Final = 0.1
-URGENT_TIME_FACTOR: Final = 0.5  # of these times, where the capacity is needed
+URGENT_TIME_FACTOR: Final = 0.5  # of the minimum times, while the fleet is short of capacity
 URGENT_MIN_RISE: Final = 0.5
-GOOD_FRACTION: Final = 0.9  # of answers in time, from which it rises
-BAD_FRACTION: Final = 0.7  # below which it goes back
-SLOW_RATIO: Final = 2.0  # times the other sites' latency, above which it rises no more
-TOO_SLOW_RATIO: Final = 4.0  # above which it goes back
-MIN_ANSWERS: Final = 5  # in a stage before it is judged
-MIN_WAIT_S: Final = 2.0  # before the next attempt after the first failure
+GOOD_FRACTION: Final = 0.9  # fraction of responses in time that a rise requires
+BAD_FRACTION: Final = 0.7  # fraction of responses in time below which the stage fails
+SLOW_RATIO: Final = 2.0  # latency relative to the other sites above which the site does not rise
+TOO_SLOW_RATIO: Final = 4.0  # latency relative to the other sites above which the stage fails
+MIN_ANSWERS: Final = 5  # responses in a stage before it is judged
+MIN_WAIT_S: Final = 2.0  # wait before the next try after the first failure
 MAX_WAIT_S: Final = 120.0
 MAX_FAILURES: Final = 16
-# Of the whole fleet's capacity, that all recovering sites together may rise by in one step.
+# Fraction of the whole fleet's capacity by which all recovering sites may rise in one step.
 MAX_FLEET_RISE: Final = 0.12
-MIN_SENDERS: Final = 4  # that share a cold upstream: one that goes must not leave it idle
-SLOW_START_MARGIN: Final = 0.7  # of what a cold upstream can serve
+MIN_SENDERS: Final = 4  # balancers per cold upstream, so that it is not idle if one of them stops
+SLOW_START_MARGIN: Final = 0.7  # used fraction of the rate that a cold upstream can serve
 GOLDEN_RATIO: Final = 0.6180339887498949
 EPSILON: Final = 1e-9
 ROUNDING: Final = 1e-12
 
 
 class Stage(Enum):
-    """Stage of a recovery, as it stands in the store."""
+    """Stage of a recovery. The values are stored."""
 
     OUT = "out"
     HEALTH_CHECKS = "probes"
@@ -59,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """One site's recovery.
+    """Progress of one site's recovery.
 
     Attributes:
-        fraction: Of its usual load.
-        failures: Stages that failed since it was last normal.
-        has_failed: A failure is the last thing that happened to it.
+        fraction: Fraction of its usual load that the site gets.
+        failures: Number of failed stages since the site was last normal.
+        has_failed: The last change was a failed stage.
     """
 
     site: str
@@ -75,7 +75,7 @@
 
     @property
     def wait_s(self) -> float:
-        """Time before the next attempt, after so many failures."""
+        """Wait before the next try; it doubles with each failure."""
         if not self.failures:
             return 0.0
         return min(MAX_WAIT_S, MIN_WAIT_S * 2.0 ** (self.failures - 1))
@@ -83,13 +83,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What is observed of a site.
+    """Observations of a site during its current stage.
 
     Attributes:
-        is_lost: It gives no sign of life.
-        answers: Since its stage began.
-        good_fraction: Of these answers, against the other sites'.
-        latency_ratio: Of these answers, against the other sites'.
+        is_lost: The site does not respond.
+        answers: Number of attempts since the stage began.
+        good_fraction: Fraction of them answered in time, relative to the other sites.
+        latency_ratio: Latency relative to the other sites.
     """
 
     is_lost: bool
@@ -99,7 +99,7 @@
 
 
 def _previous_stage(recovery: Recovery) -> Recovery:
-    """Go back one stage, with a longer wait ahead of the next attempt."""
+    """Return the recovery one stage earlier, with a longer wait before the next try."""
     stage = STAGES[max(1, STAGES.index(recovery.stage) - 1)]
     fraction = {Stage.HEALTH_CHECKS: 0.0, Stage.TRICKLE: TRICKLE_FRACTION}.get(
         stage, recovery.fraction / RISE_FACTOR
@@ -120,15 +120,14 @@
     max_rise: float = 1.0,
     is_urgent: bool = False,
 ) -> Recovery:
-    """Return what a recovery is next; the same one where there is nothing to do.
+    """Return the next state of a recovery, or the same object if nothing changes.
 
     Args:
-        recovery: As it is.
-        observed: Of its site.
-        age_s: How long it has been as it is.
-        max_rise: It may rise by so much now.
-        is_urgent: Load is shed for want of capacity, so each second that it stays away costs: it
-            rises by larger steps.
+        recovery: The current state.
+        observed: Observations of the site.
+        age_s: Time since the last change of the recovery.
+        max_rise: Limit of the rise of its fraction in this step.
+        is_urgent: The fleet is short of capacity, so the site rises sooner and by larger steps.
     """
     if observed.is_lost:
         if recovery.stage is Stage.OUT:
@@ -185,8 +184,8 @@
 ) -> dict[str, float]:
     """Return by how much each recovering site may rise in its next step.
 
-    All together rise by no more than the fleet can take a change of, evenly: to favour those nearer
-    to their end would starve the others.
+    The total rise is limited to a fraction of the fleet's capacity and split evenly. Favouring the
+    sites that are nearly recovered would starve the others.
     """
     rising = [
         rising_recovery
@@ -209,16 +208,17 @@
     rates: Mapping[int, float],
     weights: Mapping[str, float] | None = None,
 ) -> dict[str, dict[int, float]]:
-    """Return the requests a second that each balancer may send to each cold upstream.
+    """Return the requests/s that each balancer may send to each cold upstream.
 
-    Each upstream goes to so few balancers that one gets a request in a second or so. They take
-    turns over the upstreams, so that none has many more than others.
+    Each upstream is assigned to so few balancers that each of them may send about one request per
+    second. The assignment rotates over the balancers, so that no balancer gets many more upstreams
+    than the others.
 
     Args:
-        upstreams: The cold ones.
-        balancers: All that can send.
-        rates: What each upstream can serve now, from all together.
-        weights: By balancer, its fraction of the traffic.
+        upstreams: Numbers of the cold upstreams.
+        balancers: Names of all balancers that can send.
+        rates: By upstream, the requests/s that it can serve now from all balancers.
+        weights: By balancer, its share of the traffic.
     """
     assigned: dict[str, dict[int, float]] = {}
     if not balancers:
@@ -238,7 +238,7 @@
             chosen[balancer] = chosen.get(balancer, 0) + 1
         for balancer, count in chosen.items():
             assigned.setdefault(balancer, {})[upstream] = rate * count / senders
-        offset = (offset + GOLDEN_RATIO) % 1.0  # spread evenly, whatever their number
+        offset = (offset + GOLDEN_RATIO) % 1.0  # spreads any number of upstreams evenly
     return assigned
 
 
@@ -256,18 +256,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartRules:
-    """Slow start of cold upstreams, as the settings have it."""
+    """Settings of the slow start of cold upstreams."""
 
     duration_s: float
     initial_capacity: float
     overload_multiple: float
 
     def rate(self, full_rate: float, age_s: float) -> float:
-        """Return the requests a second that a cold upstream can serve, from all together.
+        """Return the requests/s that a cold upstream can serve from all balancers.
 
         Args:
-            full_rate: What it can serve once it is warmed up.
-            age_s: How long ago it was started.
+            full_rate: Requests/s that it can serve once it is warmed up.
+            age_s: Time since it was started.
         """
         if self.duration_s <= 0:
             return full_rate
--- a/loadbalancer/failover/report_counter.py
+++ b/loadbalancer/failover/report_counter.py
@@ -1,4 +1,4 @@
-"""Counts what a balancer reports: requests, attempts and their latency."""
+"""Counters for a balancer's reports: requests, attempts and their latency."""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
 
 SECOND_NS: Final = 1_000_000_000
 MIN_INTERVAL_S: Final = 0.05
-MIN_REQUESTS: Final = 5  # below which a fraction tells nothing
+MIN_REQUESTS: Final = 5  # fewer are not enough for a fraction
 LATENCY_GAIN: Final = 0.1
 MAX_LATENCY_RATIO: Final = 10.0
 
 
 class ReportCounter:
-    """Counts since the last report; latency ratios are averaged over all reports.
+    """Counts requests and attempts since the last report.
+
+    Latency ratios are averaged exponentially across reports.
 
     Attributes:
-        started_ns: When the current report began.
+        started_ns: When counting for the current report started.
     """
 
     def __init__(self, local_site: str, now: int) -> None:
@@ -42,7 +44,7 @@
         self._sequence = 0
 
     def add_request(self, event: api.RequestArrived) -> None:
-        """Count a request that came in."""
+        """Count an incoming request."""
         self._request_count += 1
         self._requests[event.class_name, event.tenant] += 1
         self._retries[event.class_name, event.tenant] += event.is_retry
@@ -62,19 +64,19 @@
             )
 
     def latency_ratio(self, site: str) -> float:
-        """Return the average latency of a site, against what was expected."""
+        """Return the average latency of a site relative to the expected latency."""
         return self._latency_ratios.get(site, 1.0)
 
     def take(
         self, peer_report: PeerReport, is_isolated: bool, usual_ns: Mapping[str, float], now: int
     ) -> SiteReport:
-        """Return the report, and begin the next one.
+        """Return the report and start the next one.
 
         Args:
-            peer_report: What this balancer reports of the sites.
-            is_isolated: It is itself partitioned.
-            usual_ns: By class, what a request takes.
-            now: The clock.
+            peer_report: This balancer's opinion on the sites.
+            is_isolated: This balancer appears to be partitioned.
+            usual_ns: By class, the usual duration of a request.
+            now: The current time.
         """
         seconds = max(MIN_INTERVAL_S, (now - self.started_ns) / SECOND_NS)
         self._sequence += 1
--- a/loadbalancer/failover/shedding.py
+++ b/loadbalancer/failover/shedding.py
@@ -1,13 +1,11 @@
-"""Load shedding in levels: what is refused first where capacity is short. Pure.
+"""Load shedding by levels: which load is refused first when capacity is short.
 
-Each level is shed completely before the next is touched, and within a level evenly over the
-tenants:
-    1. what is beyond a tenant's quota, which earns a fifth of its value
-    2. clients' retries
+A level is shed completely before the next one, and evenly over the tenants within a level:
+    1. requests beyond a tenant's quota, which are worth a fifth of the normal value
+    2. client retries
     3. hedged requests
-    4. and so on: the classes, the least value for its work first
-A request that has begun and may not be retried is never cut: that is the policy's rule, and no
-level touches it.
+    4. and up: the request classes, the lowest value per unit of work first
+No level aborts a request that is in progress and may not be retried; the policy enforces this.
 """
 
 from __future__ import annotations
@@ -31,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Shedding:
-    """All levels below `level` are shed completely, and this fraction of it."""
+    """How much is shed: all levels below `level`, and this fraction of `level`."""
 
     level: int = NO_SHEDDING
     fraction: float = 0.0
 
     @property
     def position(self) -> float:
-        """How much is shed, as one number; 0: nothing."""
+        """The amount shed as one number, `level + fraction`; 0 if nothing is shed."""
         return self.level + self.fraction if self.level else 0.0
 
     def shed_fraction(self, level: int) -> float:
@@ -49,9 +47,10 @@
 
     @staticmethod
     def at(position: float) -> Shedding:
-        """Return the inverse of `position`.
+        """Return the shedding with this `position`.
 
-        2.25 is a quarter of level 2; an integer is all of the level below.
+        2.25 is a quarter of level 2. An integer is all of the level below, so 3.0 is all of level
+        2.
         """
         if position <= 1.0:
             return Shedding()
@@ -61,7 +60,7 @@
 
 
 def admitted(fleet: Fleet, load: Load, shedding: Shedding) -> float:
-    """Return the requests a second of a load that are admitted."""
+    """Return the admitted requests/s of a load."""
     level = fleet.level_of[load.class_name]
     within = 1.0 - load.excess * shedding.shed_fraction(EXCESS)
     return (
@@ -73,13 +72,13 @@
 
 
 def work(fleet: Fleet, load: Load, shedding: Shedding) -> float:
-    """Return the work a second of what is admitted, hedged requests included."""
+    """Return the admitted work per second of a load, including hedged requests."""
     hedges = 1.0 + load.hedges * (1.0 - shedding.shed_fraction(HEDGES))
     return admitted(fleet, load, shedding) * hedges * fleet.classes[load.class_name].work
 
 
 def required_shedding(fleet: Fleet, loads: Iterable[Load], capacity: float) -> Shedding:
-    """Return the least shedding with which the admitted work is within the capacity."""
+    """Return the least shedding that keeps the admitted work within the capacity."""
     loads = list(loads)
 
     def demand(shedding: Shedding) -> float:
@@ -103,21 +102,23 @@
 class SheddingController:
     """Adjusts shedding over time.
 
-    It rises at once as load or capacity require; it falls one step at a time, and only after it was
-    too high for a while, or all that was refused would come back together.
+    Shedding rises to a higher level at once when load or capacity requires it. It falls one step at
+    a time, and only after it was too high for `HOLD_NS`. Otherwise all refused clients would come
+    back together.
     """
 
-    FALL_MARGIN: Final = 0.92  # of the capacity, with which it is too high
+    # Shedding is too high if less of it would suffice with this fraction of the capacity.
+    FALL_MARGIN: Final = 0.92
     HOLD_NS: Final = 3 * SECOND_NS
-    FALL_STEP: Final = 0.5  # of a level
-    RISE_GAIN: Final = 0.3  # within a level
+    FALL_STEP: Final = 0.5  # levels per step
+    RISE_GAIN: Final = 0.3  # gain of a rise within a level
 
     def __init__(self, now: int) -> None:
         self.current = Shedding()
-        self._needed_at_ns = now  # when it was last needed as high as it is
+        self._needed_at_ns = now  # when the current shedding was last needed or changed
 
     def update(self, fleet: Fleet, loads: Iterable[Load], capacity: float, now: int) -> Shedding:
-        """Return the shedding from now on."""
+        """Update the shedding for the current loads and capacity, and return it."""
         loads = list(loads)
         position = self.current.position
         needed = required_shedding(fleet, loads, capacity)
@@ -125,8 +126,8 @@
             if needed.level > self.current.level:
                 self.current = needed
             else:
-                # Within a level only by a fraction of the way, or the highest of many noisy
-                # estimates would stand.
+                # Rise only part of the way within a level. Otherwise shedding would stay at the
+                # highest of many noisy estimates.
                 rise = self.RISE_GAIN * (needed.position - position)
                 self.current = Shedding.at(position + rise)
             self._needed_at_ns = now
@@ -141,7 +142,7 @@
 
 
 class RetryWindow(NamedTuple):
-    """When refused clients shall retry, in nanoseconds from now."""
+    """The interval in which refused clients should retry, in nanoseconds from now."""
 
     from_ns: int
     until_ns: int
@@ -149,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryWindowLimits:
-    """Bounds of a retry window's start."""
+    """Bounds for the start of a retry window."""
 
     min_ns: int
     max_ns: int
@@ -158,15 +159,15 @@
 def retry_window(
     refused_rate: float, spare_rate: float, capacity_in_ns: int, limits: RetryWindowLimits
 ) -> RetryWindow:
-    """Return when refused clients shall retry.
+    """Return when refused clients should retry.
 
-    Retries are spread over as long as it takes to serve them beside the rest, so that they do not
-    come together.
+    The retries are spread over the time that it takes to serve them with the spare capacity, so
+    that they do not arrive together.
 
     Args:
-        refused_rate: Requests a second that are refused.
-        spare_rate: Requests a second that can be served beside the rest.
-        capacity_in_ns: When there will be capacity, by the plan.
+        refused_rate: Refused requests/s.
+        spare_rate: Requests/s that can be served in addition to the admitted load.
+        capacity_in_ns: Time until more capacity is expected.
         limits: Bounds of the window.
     """
     start_ns = min(limits.max_ns, max(limits.min_ns, capacity_in_ns))
--- a/loadbalancer/failover/site_reports.py
+++ b/loadbalancer/failover/site_reports.py
@@ -1,7 +1,8 @@
-"""What balancers report of the sites, put together: the fleet's verdict on each site. Pure.
+"""Balancers' reports, and the verdict on each site that follows from all of them.
 
-A balancer's report is about its own attempts. None is believed alone: a site is lost when most of
-the sites that can tell report so, and nobody within it contradicts.
+A balancer reports on its own attempts. No single report decides: a site is judged lost when a
+majority of the sites with an opinion get no response from it and its own balancers do not
+contradict them.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from loadbalancer.failover.health import SiteHealth, Verdict
 
 REPORT_VALID_S: Final = 8.0
-MAJORITY: Final = 2 / 3  # of the sites that can tell
-MIN_VOTERS: Final = 2  # one may be wrong for its own network
-NOT_KNOWN: Final = -1.0  # in the store: a fraction of too few requests
+MAJORITY: Final = 2 / 3  # of the other sites with an opinion
+MIN_VOTERS: Final = 2  # a single site may have a network fault of its own
+NOT_KNOWN: Final = -1.0  # stored value: too few requests to compute the fraction
 
 
 class ClassLoad(NamedTuple):
-    """What came in of one class and tenant, a second, and the fraction of clients' retries."""
+    """Incoming requests/s of one class and tenant, and the fraction that are client retries."""
 
     class_name: str
     tenant: str
@@ -31,7 +32,7 @@
 
 
 class SiteAttempts(NamedTuple):
-    """Attempts at a site that ended, the fraction that was good, and their latency ratio."""
+    """Finished attempts at a site, the fraction answered in time, and their latency ratio."""
 
     site: str
     attempts: int
@@ -40,17 +41,17 @@
 
 
 class SiteReport(msgspec.Struct, frozen=True):
-    """One balancer's report, as it stands in the store. It is put a few times a minute.
+    """One balancer's report as stored. Balancers write one every few seconds.
 
     Attributes:
-        answering: Sites that answer it.
-        silent: Sites that don't.
-        is_isolated: It is itself partitioned, and can't tell.
-        loads: What came in since the report before.
-        sites: Attempts since the report before.
-        served_fraction: Of what came in, answered in time; NOT_KNOWN: too few.
-        work: By class, the seconds that a request takes.
-        sequence: Grows with each report.
+        answering: Sites that respond to the balancer.
+        silent: Sites that do not respond to it.
+        is_isolated: The balancer appears to be partitioned, so it has no opinion.
+        loads: Incoming load since the previous report.
+        sites: Attempts since the previous report.
+        served_fraction: Fraction of requests answered in time; NOT_KNOWN if there were too few.
+        work: By class, the duration of a request in seconds.
+        sequence: Sequence number, which grows with each report.
     """
 
     site: str
@@ -66,10 +67,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A report, and for how long it has stood by the reader's clock.
+    """A report and its age by the reader's clock.
 
     Attributes:
-        is_live: Its balancer holds its name's lease.
+        is_live: The balancer holds the lease of its name.
     """
 
     report: SiteReport
@@ -78,17 +79,17 @@
 
     @property
     def is_fresh(self) -> bool:
-        """The report still tells something."""
+        """Whether the report is recent enough and its balancer is live."""
         return self.is_live and self.age_s <= REPORT_VALID_S
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOpinions:
-    """Opinions of all reports: one voice for each site that can tell.
+    """Opinions on all sites, with one vote per reporting site.
 
     Attributes:
-        answering: By site, the sites whose balancers it answers.
-        silent: By site, the sites whose balancers it does not answer.
+        answering: By site, the voting sites that get responses from it.
+        silent: By site, the voting sites that get none.
         reporting: By site, how many of its own balancers report.
     """
 
@@ -98,7 +99,7 @@
 
 
 def collect_opinions(reports: Mapping[str, ReceivedReport]) -> FleetOpinions:
-    """Return the opinion of each site that can tell, by most of its balancers."""
+    """Return each site's opinion on each site, by the majority of its balancers."""
     votes: dict[tuple[str, str], list[int]] = {}
     reporting: dict[str, int] = {}
     for received in reports.values():
@@ -122,20 +123,20 @@
 
 
 def judge_site(name: str, opinions: FleetOpinions, ready: int, usual: int) -> Verdict:
-    """Return the fleet's verdict on a site.
+    """Return the verdict on a site by the opinions of all sites.
 
     Args:
-        name: Of the site.
-        opinions: Of all sites.
-        ready: Of its upstreams, those that discovery lists as ready.
-        usual: Those that it usually lists.
+        name: Name of the site.
+        opinions: Opinions of all sites.
+        ready: Number of the site's upstreams that discovery lists as ready.
+        usual: Number of the site's upstreams that discovery usually lists.
     """
     silent_to = opinions.silent.get(name, [])
     answers_to = opinions.answering.get(name, [])
     others_silent = [site for site in silent_to if site != name]
     others_answered = [site for site in answers_to if site != name]
     reason = (
-        f"{len(others_silent)} other sites get no answer there"
+        f"{len(others_silent)} other sites get no response from it"
         f" ({', '.join(others_silent) or 'none'}),"
         f" {len(others_answered)} do; {opinions.reporting.get(name, 0)} of its own balancers"
         f" report; {ready} of {usual} upstreams are ready"
@@ -144,19 +145,19 @@
     if usual and not ready:
         reason = "discovery lists none of its upstreams; " + reason
         return Verdict(SiteHealth.LOST, 0, 0.0, reason)
-    # One voter is not enough where others could vote: it may be that site's own network.
+    # A single vote is not enough if more sites report: that site may have a network fault.
     voters = min(MIN_VOTERS, sum(1 for site in opinions.reporting if site != name))
     majority = MAJORITY * (len(others_silent) + len(others_answered))
     if others_silent and len(others_silent) >= max(voters, majority):
         if name in answers_to:
-            reason = "its own balancers are answered; " + reason
+            reason = "its own balancers get responses; " + reason
             return Verdict(SiteHealth.PARTITIONED, 0, alive, reason)
         return Verdict(SiteHealth.LOST, 0, 0.0, reason)
     if others_silent and len(others_silent) >= voters:
-        reason = "some sites get no answer there; " + reason
+        reason = "some sites get no response from it; " + reason
         return Verdict(SiteHealth.PARTITIONED, 0, alive, reason)
     if name in silent_to and not others_answered:
-        reason = "its own balancers get no answer there; " + reason
+        reason = "its own balancers get no response from it; " + reason
         return Verdict(SiteHealth.LOST, 0, 0.0, reason)
     is_impaired = usual and alive < 1 - IMPAIRED_FRACTION
     health = SiteHealth.IMPAIRED if is_impaired else SiteHealth.HEALTHY
--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -1,12 +1,12 @@
-"""State of each site as the fleet treats it, and its next step. Pure.
+"""Stored state of each site and its transitions.
 
-A site's state says what fraction of its usual load it gets, and why. Three things change it: the
-fleet's verdict on the site (lost, partitioned, back), an operator (drain, hold, return, drill), and
-the recovery ramp, stage by stage (`recovery`). From the states as they stand and what is observed
-come the next ones, which are one write to the store or nothing.
+A site's state says which fraction of its usual load the site gets, and why. Three things change it:
+the verdict on the site (lost, partitioned, reachable again), an operator (drain, hold, return,
+drill), and the stages of the recovery ramp (`recovery`). The next states are computed from the
+current ones and from observations, and are written to the store in one write if any changed.
 
-The lease holder that does this may die at any point: the next one continues from what is stored and
-counts a stage's time anew, so no stage is shorter for it and none is done twice.
+The lease holder may fail at any point. Its successor continues from the stored states and restarts
+the time of the current stage, so a change of the holder neither shortens nor repeats a stage.
 """
 
 from __future__ import annotations
@@ -24,37 +24,38 @@
 from loadbalancer.failover.recovery import MAX_FAILURES, Observation, Recovery, Stage
 
 DRAIN_STEPS: Final = 20
-MAX_DRAIN_STEP: Final = 0.5  # of the usual load, however late the step is
-# Of what was served when it began, below which a drain pauses and a drill ends.
+MAX_DRAIN_STEP: Final = 0.5  # of the usual load, even if the step is late
+# Served fraction relative to the start of the drain, below which a drain pauses and a drill ends.
 MIN_SERVED_RATIO: Final = 0.95
-DEFAULT_DRILL_S: Final = 60.0  # that a drill leaves a site empty
+DEFAULT_DRILL_S: Final = 60.0  # how long a drill leaves a site without load
 MAX_DURATION_S: Final = 86_400.0
-NOT_KNOWN: Final = -1.0  # in the store: a fraction that is not known yet
-PAUSED_PREFIX: Final = "rests"  # how the reason of a paused drain begins
+NOT_KNOWN: Final = -1.0  # stored value: the fraction is not known yet
+PAUSED_PREFIX: Final = "rests"  # start of the stored reason of a paused drain
 NO_OBSERVATION: Final = Observation(is_lost=False, answers=0, good_fraction=1.0)
 
 
 class DesiredState(Enum):
-    """What operators want of a site, as it stands in the store."""
+    """State of a site that operators ask for. The values are stored."""
 
-    ACTIVE = "in"  # it gets what it can serve
+    ACTIVE = "in"  # the site gets the load that it can serve
     DRAINED = "out"
-    DRILL = "drill"  # drained, and brought back by itself
+    DRILL = "drill"  # drained, then returned to service automatically
 
 
 class SiteState(msgspec.Struct, frozen=True):
-    """State of one site, as it stands in the store.
+    """State of one site as stored.
 
     Attributes:
-        fraction: Of its usual load that it gets.
-        is_partitioned: The others don't reach it: it serves what comes in there and nothing else.
-        failures: Stages of its recovery that failed.
-        has_failed: A failure is the last thing that happened to its recovery.
-        drain_s: In which it is drained.
-        hold_s: How long a drill leaves it empty.
-        served_before: Fraction of requests served when a drain began; NOT_KNOWN: not measured.
-        operator: Who wants it so.
-        version: Grows with each change.
+        fraction: Fraction of its usual load that the site gets.
+        is_partitioned: The other sites do not reach the site, so it serves only the requests that
+            arrive there.
+        failures: Number of failed stages of its recovery.
+        has_failed: The last change of its recovery was a failed stage.
+        drain_s: Duration of the drain.
+        hold_s: How long a drill leaves the site without load.
+        served_before: Fraction of requests served when a drain started; NOT_KNOWN if not measured.
+        operator: The operator who asked for the desired state.
+        version: Version number, which grows with each change.
     """
 
     site: str
@@ -73,7 +74,7 @@
 
     @property
     def is_normal(self) -> bool:
-        """Nothing is special about the site."""
+        """Whether the site is in normal service."""
         return (
             self.desired is DesiredState.ACTIVE
             and self.stage is Stage.NORMAL
@@ -83,13 +84,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """Everything that is observed at one time.
+    """Observations of the fleet at one time.
 
     Attributes:
-        ages_s: How long each state has stood, by this lease holder's own clock.
-        served: Fraction of the fleet's requests served in time; None: too few to tell.
-        blocked_reason: Why no step may be taken on these observations; empty: it may.
-        is_capacity_short: Recovery is urgent.
+        ages_s: By site, the time since its state last changed, by this lease holder's clock.
+        served: Fraction of the fleet's requests served in time; None if there were too few.
+        blocked_reason: Why no step may be taken on these observations; empty if one may.
+        is_capacity_short: The fleet is short of capacity, so recoveries are urgent.
     """
 
     verdicts: Mapping[str, Verdict]
@@ -114,13 +115,13 @@
         ValueError: The request is not possible now.
     """
     if not (0.0 <= drain_s <= MAX_DURATION_S and 0.0 <= hold_s <= MAX_DURATION_S):
-        raise ValueError("times are 0 s to a day")
+        raise ValueError("durations must be between 0 s and one day")
     if desired is DesiredState.DRILL and not state.is_normal:
-        raise ValueError(f"{state.site} is not as usual: no drill begins now")
+        raise ValueError(f"{state.site} is not in normal service: no drill can start")
     if desired is DesiredState.ACTIVE:
         if state.desired is DesiredState.ACTIVE:
-            raise ValueError(f"{state.site} is not held, drained or drilled")
-        return _begin_recovery(state, f"{operator} lets it return")
+            raise ValueError(f"{state.site} is not held, drained or in a drill")
+        return _begin_recovery(state, f"{operator} returns it to service")
     return _changed(
         state,
         desired=desired,
@@ -137,7 +138,7 @@
 
 
 def _begin_recovery(state: SiteState, reason: str) -> SiteState:
-    """Let a site rise again from wherever it stands."""
+    """Start a recovery from the site's current fraction."""
     return _changed(
         state,
         desired=DesiredState.ACTIVE,
@@ -149,7 +150,7 @@
 
 
 def advance(states: Iterable[SiteState], view: FleetView) -> tuple[SiteState, ...]:
-    """Return the states as they are next; the same ones where there is nothing to do."""
+    """Return the next states; a state that does not change is returned as the same object."""
     current = tuple(states)
     if view.blocked_reason:
         return current
@@ -168,8 +169,8 @@
         return state
     is_lost = verdict.health is SiteHealth.LOST
     is_partitioned = verdict.health is SiteHealth.PARTITIONED
-    # A site that is out and answers its own balancers only is on its way back: it is not yet
-    # treated as partitioned.
+    # A site that gets no load and responds only to its own balancers is about to come back, so it
+    # is not yet treated as partitioned.
     if (
         is_partitioned is not state.is_partitioned
         and not is_lost
@@ -192,12 +193,12 @@
 
 
 def _end_partition(state: SiteState) -> SiteState:
-    """End a partition."""
-    reason = "it is reached again"
+    """Return the state of a site after the end of its partition."""
+    reason = "the other sites reach it again"
     if state.desired is not DesiredState.ACTIVE or state.fraction <= 0:
         return _changed(state, is_partitioned=False, reason=reason)
-    # Its upstreams went on serving what came in there: they are warmed up, and take the rest in
-    # shares.
+    # Its upstreams kept serving the local load and are warmed up, so the recovery skips the early
+    # stages.
     return _changed(
         state,
         is_partitioned=False,
@@ -210,7 +211,7 @@
 def _mark_lost(state: SiteState, verdict: Verdict) -> SiteState:
     if state.fraction <= 0 and state.stage is Stage.OUT and not state.is_partitioned:
         return state
-    # What failed during its recovery counts; a normal site is lost for the first time.
+    # Only a loss during a recovery counts as a failure of the recovery.
     was_recovering = state.stage not in (Stage.NORMAL, Stage.OUT)
     return _changed(
         state,
@@ -223,7 +224,7 @@
 
 
 def _recover(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
-    """Take one step of the recovery, if it is time for one."""
+    """Take one step of the recovery if one is due."""
     observed = view.observations.get(state.site, NO_OBSERVATION)
     before = _recovery_of(state)
     age_s = view.ages_s.get(state.site, 0.0)
@@ -244,7 +245,7 @@
 
 
 def _drain(state: SiteState, view: FleetView) -> SiteState:
-    """Take one step of a drain or a drill, if it is time for one."""
+    """Take one step of a drain or a drill if one is due."""
     age_s = view.ages_s.get(state.site, 0.0)
     if state.served_before < 0 and view.served is not None:
         return _changed(state, served_before=view.served)
@@ -256,8 +257,8 @@
         if state.desired is DesiredState.DRILL:
             return _begin_recovery(
                 state,
-                f"the drill ended itself: {view.served:.1%} are served,"
-                f" {state.served_before:.1%} were",
+                f"the drill ended early: {view.served:.1%} are served,"
+                f" {state.served_before:.1%} were before",
             )
         if state.fraction > 0:
             return _pause_drain(state, view.served)
@@ -285,7 +286,7 @@
         return state
     step = 1.0
     if state.drain_s:
-        # A step may come late: by then it is a larger one, but never above a half.
+        # A late step is larger, up to half the usual load.
         step = min(MAX_DRAIN_STEP, max(1.0 / DRAIN_STEPS, age_s / state.drain_s))
     fraction = max(0.0, round(state.fraction - step, 6))
     return _changed(
@@ -297,7 +298,7 @@
 
 
 def load_fractions(states: Iterable[SiteState]) -> dict[str, float]:
-    """Return the fraction of its usual load that each site gets which is not normal."""
+    """Return the fraction of its usual load for each site that is not in normal service."""
     return {
         state.site: 0.0 if state.is_partitioned else state.fraction
         for state in states
--- a/loadbalancer/failover/tally.py
+++ b/loadbalancer/failover/tally.py
@@ -1,4 +1,4 @@
-"""A total and the good part of it."""
+"""A pair of counters: a total and its good part."""
 
 from __future__ import annotations
 
@@ -14,5 +14,5 @@
 
     @property
     def fraction(self) -> float:
-        """The good part; 1 where there is nothing."""
+        """The good fraction of the total; 1 if the total is 0."""
         return self.good / self.total if self.total else 1.0
--- a/loadbalancer/failover/traffic_shares.py
+++ b/loadbalancer/failover/traffic_shares.py
@@ -1,7 +1,7 @@
-"""Traffic shares: what the states of the sites mean for each balancer. Pure.
+"""Traffic shares: the instructions for all balancers that follow from the site states.
 
-They say which sites' upstreams a balancer may use and how much, what it refuses, and which cold
-upstreams it warms up.
+They say which sites' upstreams a balancer uses and to what extent, which load it refuses, and which
+cold upstreams it warms up.
 """
 
 from __future__ import annotations
@@ -36,11 +36,12 @@
 from loadbalancer.failover.site_reports import ReceivedReport
 from loadbalancer.failover.site_state import SiteState, load_fractions
 
-# Of its draws that a site keeps which has capacity: balancers correct by what they observe.
+# Fraction of draws that a site with capacity keeps, so that balancers still observe it and can
+# correct the plan.
 MIN_DRAW_FRACTION: Final = 0.15
-FULL_DRAW_FRACTION: Final = 0.999  # from which a site need not be named
-MIN_QUOTA: Final = 1.0  # requests a second, of a tenant at a balancer
-SPARE_FRACTION: Final = 0.05  # of the capacity, assumed to be left for retries
+FULL_DRAW_FRACTION: Final = 0.999  # from here on a site is omitted from the shares
+MIN_QUOTA: Final = 1.0  # requests/s of a tenant at one balancer
+SPARE_FRACTION: Final = 0.05  # fraction of capacity assumed to be available for retries
 RETRY_LIMITS: Final = RetryWindowLimits(min_ns=250_000_000, max_ns=60_000_000_000)
 MAX_STEPS: Final = 40
 SECOND_NS: Final = 1e9
@@ -48,18 +49,19 @@
 
 
 class TrafficShares(msgspec.Struct, frozen=True):
-    """What all balancers do, as it stands in the store.
+    """Instructions for all balancers, as stored.
 
     Attributes:
-        zones: By the site where a balancer stands, the fraction of each site's draws that it uses.
-        excess: Fraction refused of what is beyond a tenant's quota.
-        retries: Fraction refused of clients' retries.
+        zones: By the balancer's site, the fraction of the draws of each site's upstreams to use.
+        excess: Refused fraction of the requests beyond a tenant's quota.
+        retries: Refused fraction of client retries.
         allows_hedging: Hedged requests may be sent.
-        classes: By class, the fraction that is refused.
-        retry_window_ns: From when to when the refused shall retry.
-        quotas: By balancer, each tenant's quota there in requests a second.
-        slow_start: By balancer, the requests a second that it may send to each cold upstream.
-        slow_start_upstreams: All that are assigned; who is given nothing of one sends it nothing.
+        classes: By class, the refused fraction.
+        retry_window_ns: Start and end of the interval in which refused clients should retry.
+        quotas: By balancer, each tenant's quota there in requests/s.
+        slow_start: By balancer, the requests/s that it may send to each cold upstream.
+        slow_start_upstreams: All assigned cold upstreams. A balancer without a rate for one of them
+            sends it no requests.
     """
 
     zones: Mapping[str, Mapping[str, float]] = msgspec.field(default_factory=dict)
@@ -75,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerInputs:
-    """What shares of single balancers are made of.
+    """Inputs for the shares of single balancers.
 
     Attributes:
-        reports: By balancer.
-        slow_start_rates: Cold upstreams of recovering sites, and the requests a second that each
-            can serve from all balancers together.
+        reports: Reports by balancer.
+        slow_start_rates: By cold upstream of a recovering site, the requests/s that it can serve
+            from all balancers.
     """
 
     reports: Mapping[str, ReceivedReport]
@@ -89,7 +91,7 @@
 
 @dataclass(slots=True)
 class _RateSum:
-    """Rates of a site, class and tenant."""
+    """Summed rates of one site, class and tenant."""
 
     rate: float = 0.0
     retry_rate: float = 0.0
@@ -101,15 +103,16 @@
     quotas: Mapping[str, float],
     reports: Mapping[str, ReceivedReport],
 ) -> Fleet:
-    """Return the fleet that the fresh reports add up to.
+    """Return the fleet model from the sum of all fresh reports.
 
-    Work is relative to the mean of the usual mix: a site's capacity is in requests a second.
+    Work is relative to the mean work of the current mix of requests, so a site's capacity is in
+    requests/s.
 
     Args:
-        sites: All of them.
+        sites: All sites.
         class_values: By class, the value of a request answered in time.
-        quotas: By tenant, the requests a second of all balancers together; 0: not known.
-        reports: By balancer.
+        quotas: By tenant, its quota in requests/s over all balancers; 0 if unknown.
+        reports: Reports by balancer.
     """
     sums: dict[tuple[str, str, str], _RateSum] = {}
     class_rates: dict[str, float] = {}
@@ -142,7 +145,7 @@
     class_rates: Mapping[str, float],
     reports: Mapping[str, ReceivedReport],
 ) -> dict[str, WorkClass]:
-    """Return the classes with their work: the reports' median, against the mean of the mix."""
+    """Return the classes; their work is the reports' median relative to the mean of the mix."""
     samples: dict[str, list[float]] = {}
     for received in reports.values():
         if not received.is_fresh:
@@ -163,7 +166,7 @@
 
 
 def scaled_capacities(fleet: Fleet, factors: Mapping[str, float]) -> Fleet:
-    """Return the fleet with each site's capacity times a factor; 1 where none is named."""
+    """Return the fleet with each site's capacity multiplied by its factor, 1 by default."""
     return replace(
         fleet,
         sites={
@@ -180,7 +183,7 @@
     inputs: BalancerInputs,
     now: int,
 ) -> TrafficShares:
-    """Return what all balancers do, by the sites' states."""
+    """Return the instructions for all balancers that follow from the site states."""
     fractions = load_fractions(states)
     if not fractions:
         controller.current = Shedding()
@@ -194,7 +197,7 @@
     capacity = sum(
         site.capacity for name, site in connected.sites.items() if name not in closed_sites
     )
-    # The controller has a memory: it rises at once and falls slowly.
+    # The controller is stateful: shedding rises at once and falls slowly.
     shedding = controller.update(connected, connected.loads, MAX_UTILISATION * capacity, now)
     refused = {name: shedding.shed_fraction(fleet.level_of[name]) for name in fleet.classes}
     zones = {}
@@ -220,7 +223,7 @@
 
 
 def _connected_fleet(fleet: Fleet, partitioned: set[str], fractions: Mapping[str, float]) -> Fleet:
-    """Return the fleet without partitioned sites, and with the capacities that are left."""
+    """Return the fleet without partitioned sites, with capacities reduced to the fractions."""
     sites = {name: site for name, site in fleet.sites.items() if name not in partitioned}
     connected = scaled_capacities(replace(fleet, sites=sites), fractions)
     return replace(connected, loads=tuple(load for load in fleet.loads if load.site in sites))
@@ -229,11 +232,12 @@
 def _draw_fractions(
     fleet: Fleet, origin: str, plan: FailoverPlan | None, fractions: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return the fraction of the draws of each remaining site's upstreams that a site uses.
+    """Return the fraction of the draws of each remaining site's upstreams that one origin uses.
 
-    Where distance is costly they follow the plan: upstreams are drawn alike, so a site that is to
-    get less for its capacity gets a fraction of its draws. Where it is cheap they stay as they are:
-    a balancer that may choose among all upstreams finds the idle ones.
+    Balancers draw all upstreams with equal probability. For a site that is costly to reach, the
+    fractions follow the plan: a site with a smaller share per capacity keeps fewer of its draws.
+    For a site that is cheap to reach they stay near 1, because a balancer that can choose among
+    all upstreams finds the idle ones.
     """
     if plan is None:
         return {}
@@ -250,7 +254,7 @@
         if max_per_capacity > 0:
             cost = min(1.0, fleet.sites[name].costs.get(origin, 0.0))
             draw = 1.0 - cost * (1.0 - max(MIN_DRAW_FRACTION, share / max_per_capacity))
-        # A recovering site gets no more than its fraction, whatever the plan has capacity for.
+        # A recovering site gets no more than its fraction, even if the plan assigns it more.
         draw = min(draw, fractions.get(name, draw))
         if draw < FULL_DRAW_FRACTION:
             draws[name] = round(draw, 4)
@@ -260,12 +264,13 @@
 def _retry_window(
     fleet: Fleet, shedding: Shedding, capacity: float, states: Sequence[SiteState]
 ) -> RetryWindow:
-    """Return when the refused shall retry."""
+    """Return when refused clients should retry."""
     if not shedding.level:
         return NO_RETRY_WINDOW
     demanded = sum(load.rate for load in fleet.loads)
     refused = demanded - sum(admitted(fleet, load, shedding) for load in fleet.loads)
-    # There is capacity again once a recovering site has risen; else what is spare each second.
+    # More capacity is expected when the first recovering site is back in normal service. Without a
+    # recovering site the window starts as early as allowed.
     steps = [
         _steps_to_normal(state.fraction)
         for state in states
@@ -286,10 +291,11 @@
 def quotas_by_balancer(
     reports: Mapping[str, ReceivedReport], fleet: Fleet
 ) -> dict[str, dict[str, float]]:
-    """Return each balancer's part of each tenant's quota, in requests a second.
+    """Return each balancer's share of each tenant's quota, in requests/s.
 
-    It is by the balancer's part of that tenant's traffic. A tenant below its quota gets more here
-    than it uses: chance alone must not make it seem beyond.
+    Quotas are split in proportion to the tenant's traffic at each balancer. A tenant below its
+    quota thus gets more at a balancer than it uses there, so random fluctuations do not put it
+    over.
     """
     totals: dict[str, float] = {}
     rates: dict[str, dict[str, float]] = {name: {} for name in reports}
@@ -311,7 +317,7 @@
 def _assign_slow_start(
     inputs: BalancerInputs, partitioned: set[str]
 ) -> dict[str, dict[int, float]]:
-    """Return which balancer warms up which cold upstream."""
+    """Return by balancer the requests/s that it may send to each cold upstream."""
     rates = inputs.slow_start_rates
     if not rates:
         return {}
--- a/loadbalancer/failover/transport.py
+++ b/loadbalancer/failover/transport.py
@@ -1,7 +1,7 @@
-"""The transport problem (Hitchcock 1941): work from origins to targets at a low cost. Pure.
+"""The transportation problem (Hitchcock 1941): assign work from origins to targets at low cost.
 
-It is solved by Vogel's approximation, which needs no library in a balancer; its distance from the
-optimum is in docs/measurements.md.
+Vogel's approximation solves it without adding a solver library to the balancer. Its distance from
+the optimum is in docs/measurements.md.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class _Choice(NamedTuple):
-    """The cheapest target of an origin; the smallest choice is taken first."""
+    """The cheapest target of an origin. Choices are ordered, and the smallest is taken first."""
 
     negative_regret: float
     cost: float
@@ -27,10 +27,11 @@
 def assign(
     demand: Mapping[str, float], capacities: Mapping[str, float], costs: Costs
 ) -> dict[str, dict[str, float]]:
-    """Return the work from each origin to each target, no target over its capacity.
+    """Return the work from each origin to each target, with no target over its capacity.
 
-    The next origin is the one that would lose most by not getting its best target (Vogel); then two
-    that gain by it swap targets, as long as any do. What finds no capacity is left out.
+    The next origin to assign is the one that would lose most by not getting its cheapest target
+    (Vogel). Afterwards work moves to cheaper targets, and pairs of origins swap targets, until
+    neither reduces the cost. Work that exceeds the capacity is omitted.
     """
     open_demand = {origin: amount for origin, amount in demand.items() if amount > EPSILON}
     free = {target: amount for target, amount in capacities.items() if amount > EPSILON}
@@ -73,7 +74,7 @@
 
 
 def _move_to_free_target(flow: Flow, free: dict[str, float], costs: Costs) -> bool:
-    """Move one origin's work to a cheaper target with free capacity, if there is any."""
+    """Move work of one origin to a cheaper target with free capacity; return whether it did."""
     for origin, target in _used(flow):
         for candidate, amount in sorted(free.items()):
             is_cheaper = (
@@ -90,7 +91,7 @@
 
 
 def _swap_targets(flow: Flow, costs: Costs) -> bool:
-    """Swap the targets of two origins where it is cheaper, if there are any such."""
+    """Swap the targets of two origins if that reduces the cost; return whether it did."""
     used = _used(flow)
     for index, (origin, target) in enumerate(used):
         for other_origin, other_target in used[index + 1 :]:
--- a/loadbalancer/leases/__init__.py
+++ b/loadbalancer/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leader leases and fencing tokens: who leads a task of the fleet, until when, under which token.
+"""Leader leases and fencing tokens for tasks that one process of the fleet performs at a time.
 
-Nothing here does I/O: the clock, the store's responses and the watch events are handed in.
+The package performs no I/O: callers pass in the clock, the store's responses and watch events.
 """
--- a/loadbalancer/leases/expiry.py
+++ b/loadbalancer/leases/expiry.py
@@ -1,8 +1,9 @@
-"""Expiry of leases, counted by the store's leader and by no other node.
+"""Lease expiry as counted by the store's leader, the only node that counts it.
 
-The leader counts from when it applied a claim, and a new leader lets each claim run its full TTL
-again. A lease holder counts from before it sent the claim, so it always stops first, whatever
-becomes of responses and leaders, as long as no clock runs faster than the holder allows for.
+The leader counts a TTL from when it applied the claim, and a new leader restarts each TTL in full.
+A lease holder counts from before it sent the claim, so the holder always stops before the leader
+expires the lease, even when responses are lost or the leader changes. This requires that the
+clocks differ by no more than the drift that the holder allows for.
 """
 
 from __future__ import annotations
@@ -12,25 +13,26 @@
 from typing import Final, NamedTuple
 
 NS_PER_MS: Final = 1_000_000
-# A clock that moves on by more between two calls was stopped, and renewals lie unread.
+# A larger step between two calls means that the process was paused, so renewals may be waiting
+# unread.
 MAX_CLOCK_STEP_NS: Final = 500 * NS_PER_MS
 
 
 class ActiveClaim(NamedTuple):
-    """A claim and its TTL. A TTL of 0 ms says that the claim has ended."""
+    """A claim and its TTL. A TTL of 0 ms means that the claim has ended."""
 
     lease: str
     claim: int
-    round: int  # how often it was renewed
+    round: int  # how often the claim was renewed
     ttl_ms: int
 
 
 class LeaseExpiry:
-    """Deadlines of all active claims, on the clock of the store's leader."""
+    """Deadlines of all active claims, by the clock of the store's leader."""
 
     def __init__(self, claims: Iterable[ActiveClaim], now: int) -> None:
         self.now_ns = now
-        self.paused_ns = 0  # time in which this process was stopped; it does not count
+        self.paused_ns = 0  # total time this process was paused; not counted towards any TTL
         self.claims: dict[tuple[str, int], tuple[int, ActiveClaim]] = {}
         self.deadlines: list[tuple[int, str, int]] = []
         for claim in claims:
@@ -42,11 +44,11 @@
 
     @property
     def _running_ns(self) -> int:
-        """The clock without the time in which this process was stopped."""
+        """The clock without the time during which this process was paused."""
         return self.now_ns - self.paused_ns
 
     def record(self, claim: ActiveClaim, now: int) -> None:
-        """Note that a claim was made, renewed or ended."""
+        """Record that a claim was made, renewed or ended."""
         self._advance(now)
         key = claim.lease, claim.claim
         if claim.ttl_ms <= 0:
@@ -59,9 +61,10 @@
             heapq.heappush(self.deadlines, (deadline, *key))
 
     def take_expired(self, now: int) -> list[ActiveClaim]:
-        """Return the claims whose TTL has run out, each once per TTL.
+        """Return the claims whose TTL has expired, each once per TTL.
 
-        A claim stays active until the log ends it: what the leader proposes may be lost.
+        A claim stays active until an entry of the log ends it, because a proposal of the leader may
+        be lost.
         """
         self._advance(now)
         expired = []
@@ -80,7 +83,7 @@
 
     @property
     def wake_ns(self) -> int | None:
-        """When to call `take_expired` next, on the caller's clock. None: no claim is active."""
+        """When to call `take_expired` next, by the caller's clock; None if no claim is active."""
         if not self.deadlines:
             return None
         return min(self.deadlines[0][0] + self.paused_ns, self.now_ns + MAX_CLOCK_STEP_NS)
--- a/loadbalancer/leases/holder.py
+++ b/loadbalancer/leases/holder.py
@@ -1,9 +1,10 @@
-"""One process's side of a lease: it claims, queues, holds, renews and releases.
+"""The client side of a lease: claim, queue as a candidate, hold, renew and release.
 
-The TTL counts from before a claim was **sent**, less what this clock may run slower than that of
-the store's leader: then the lease is over, whether anybody says so or not. A shell hands in the
-clock, the store's responses and watch events, carries out the requests that `next_request` gives,
-and calls `token` before each effect and after each pause.
+The TTL counts from before the claim was **sent** and is shortened by the allowed clock drift,
+because this clock may run slower than that of the store's leader. When this time is up the lease
+has expired, with or without a message from the store. The caller passes in the clock, the store's
+responses and watch events, sends the requests that `next_request` returns, and calls `token` before
+each side effect and after each pause.
 """
 
 from __future__ import annotations
@@ -16,30 +17,31 @@
 from loadbalancer.leases.table import MAX_CANDIDATES, Lease
 
 NS_PER_MS: Final = 1_000_000
-# A clock that runs slow by less than this leaves no gap; beyond it only the token protects.
+# Up to this relative drift, a slow clock still expires the lease before the store does. Beyond it
+# only the fencing token protects.
 MAX_CLOCK_DRIFT: Final = 0.1
-# Fractions of the TTL:
+# Delays as fractions of the TTL:
 RENEWAL_FRACTION: Final = 1 / 3  # between two renewals
 CANDIDACY_FRACTION: Final = 1.0  # between two claims of a candidate, which expires after two TTLs
-RETRY_FRACTION: Final = 1 / 12  # before a first retry; it doubles up to the renewal interval
-IDLE_FRACTION: Final = 1.0  # before a process claims that found no room among the candidates
+RETRY_FRACTION: Final = 1 / 12  # before the first retry; doubles up to the renewal interval
+IDLE_FRACTION: Final = 1.0  # before a process claims again after the candidate queue was full
 MAX_BACKOFF_DOUBLINGS: Final = 8
-# First claims of a free lease are spread over this, at most a renewal interval.
+# First claims of a free lease are spread over this time, or a renewal interval if shorter.
 FIRST_CLAIM_SPREAD_NS: Final = 200 * NS_PER_MS
 
 
 class Phase(Enum):
-    """What a process is to the lease."""
+    """Phase of one claim on a lease."""
 
-    IDLE = "idle"  # it does not want the lease, or observes as there is no room for candidates
-    CLAIMING = "claiming"  # its claim is in flight, or will be
-    QUEUED = "queued"  # a candidate
+    IDLE = "idle"  # not claiming yet, or only observing because the candidate queue is full
+    CLAIMING = "claiming"  # a claim is in flight or scheduled
+    QUEUED = "queued"  # waiting as a candidate
     HELD = "held"
-    RELEASED = "released"  # for good: this claim never returns
+    RELEASED = "released"  # final: this claim is never granted again
 
 
 class RequestKind(Enum):
-    """What is asked of the store."""
+    """Kind of a request to the store."""
 
     CLAIM = "claim"
     RELEASE = "release"
@@ -47,25 +49,25 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """A request to carry out; its end is reported by `response_received` or `request_failed`."""
+    """A request to send; its result is passed to `response_received` or `request_failed`."""
 
     kind: RequestKind
     number: int
-    token: int = 0  # of a release
+    token: int = 0  # token of the lease to release; 0 for a claim
 
 
 class LeaseHolder:
-    """The state machine of one claim on one lease, by a process that wants to lead a task."""
+    """State machine of one process's claim on one lease."""
 
     def __init__(self, name: str, claim: int, ttl_ns: int, rng: random.Random, now: int) -> None:
-        """Begin without the lease.
+        """Start without the lease.
 
         Args:
             name: This process's name among the candidates.
-            claim: A number drawn for this incarnation of the process, and for no other.
+            claim: A number that is unique to this incarnation of the process.
             ttl_ns: How long the lease lasts without a renewal.
-            rng: Spreads the requests of many processes.
-            now: The clock.
+            rng: Source of the jitter that spreads the requests of many processes.
+            now: The current time.
         """
         self.name = name
         self.claim = claim
@@ -76,36 +78,36 @@
         self.expires_ns = 0
         self._token = 0
         self.queue_position = 0
-        self.next_claim_ns: int | None = None  # the next claim; None: after a watch event only
+        self.next_claim_ns: int | None = None  # None: no claim before the next watch event
         self.in_flight: LeaseRequest | None = None
         self.sent_ns = 0
         self.request_count = 0
         self.failures = 0
-        self.reason = ""  # why the store last rejected a claim
+        self.reason = ""  # why the last claim was rejected or the last request failed
         self.is_leaving = False
 
     def _advance(self, now: int) -> int:
-        """Move the clock on; one that jumps back stands still."""
+        """Advance the clock; backward jumps are ignored."""
         self.now_ns = max(self.now_ns, now)
         return self.now_ns
 
-    # ---- what may be done ------------------------------------------------------------------------
+    # ---- permission to act -----------------------------------------------------------------------
 
     def token(self, now: int) -> int:
-        """Return the fencing token to act under right now; 0: no effect is permitted."""
+        """Return the fencing token that is valid now; 0 if no side effect is permitted."""
         now = self._advance(now)
         if self.phase is Phase.HELD and now >= self.expires_ns:
             self._expire(now)
         return self._token if self.phase is Phase.HELD and not self.is_leaving else 0
 
     def _enter_without_lease(self, phase: Phase) -> None:
-        """Enter a phase without the lease."""
+        """Enter a phase in which the lease is not held."""
         self.phase = phase
         self._token = 0
         self.expires_ns = 0
 
     def _expire(self, now: int) -> None:
-        """The TTL ran out without a renewal: claim anew, whoever holds the lease by now."""
+        """Handle the loss of the lease by expiry or a newer token: claim it again."""
         self._enter_without_lease(Phase.CLAIMING)
         if self.in_flight is None:
             self.next_claim_ns = now
@@ -113,15 +115,15 @@
     # ---- events ----------------------------------------------------------------------------------
 
     def lease_observed(self, lease: Lease | None, now: int) -> None:
-        """Take in the lease as some node has it, late or not.
+        """Process a watch event with the lease as one node of the store has it, possibly stale.
 
-        It says when to claim, never what this process holds.
+        It affects when to claim next and can end a held lease. It never grants the lease.
         """
         now = self._advance(now)
         if self.phase is Phase.RELEASED or self.is_leaving:
             return
         if lease is not None and lease.holder and lease.claim == self.claim:
-            if self.phase is not Phase.HELD and self.in_flight is None:  # offered: take it
+            if self.phase is not Phase.HELD and self.in_flight is None:  # offered: accept it
                 self.next_claim_ns = now
             return
         if self.phase is Phase.HELD:
@@ -131,7 +133,7 @@
 
     def _observed_while_held(self, lease: Lease | None, now: int) -> None:
         if lease is None or lease.token <= self._token:
-            return  # from a node that lags
+            return  # a stale event from a lagging node
         self._expire(now)
         if self.next_claim_ns is not None:
             self.next_claim_ns = now + self._jittered_ns(RENEWAL_FRACTION)
@@ -141,11 +143,11 @@
             spread_ns = min(FIRST_CLAIM_SPREAD_NS, self.ttl_ns * RENEWAL_FRACTION)
             self.next_claim_ns = now + int(self.rng.random() * spread_ns)
         elif len(lease.candidates) < MAX_CANDIDATES:
-            # Room among the candidates: no hurry, and not all observers at once.
+            # The candidate queue has room. Jitter keeps the observers from all claiming at once.
             self.next_claim_ns = now + self._jittered_ns(IDLE_FRACTION)
 
     def is_queue_full(self, lease: Lease | None) -> bool:
-        """Return whether a claim would be rejected, as there is no room among the candidates."""
+        """Return whether a claim would be rejected because the candidate queue is full."""
         return (
             lease is not None
             and bool(lease.holder)
@@ -155,10 +157,10 @@
         )
 
     def next_request(self, now: int, lease: Lease | None = None) -> LeaseRequest | None:
-        """Return the request to send now, if any; one is in flight at a time.
+        """Return the request to send now, if any. At most one request is in flight.
 
         Args:
-            now: The clock.
+            now: The current time.
             lease: The lease as last observed.
         """
         now = self._advance(now)
@@ -184,7 +186,7 @@
         return self.in_flight
 
     def _finish_request(self, number: int) -> LeaseRequest | None:
-        """The request in flight, if it bears this number; it is in flight no more."""
+        """Clear and return the request in flight if it has this number, else return None."""
         request = self.in_flight
         if request is None or request.number != number:
             return None
@@ -194,14 +196,14 @@
     def response_received(
         self, number: int, token: int, queue_position: int, reason: str, now: int
     ) -> None:
-        """Take in the store's response: a token, a position among the candidates, or neither.
+        """Process the store's response: a token, a position among the candidates, or a rejection.
 
         Args:
-            number: The request's.
-            token: The fencing token granted; 0: none.
-            queue_position: Among the candidates, from 1; 0: not queued.
+            number: Number of the request.
+            token: The fencing token granted; 0 if none.
+            queue_position: Position among the candidates, counted from 1; 0 if not queued.
             reason: Why a claim was rejected.
-            now: The clock.
+            now: The current time.
         """
         now = self._advance(now)
         request = self._finish_request(number)
@@ -219,7 +221,7 @@
             self.queue_position = queue_position
             self.next_claim_ns = now + self._jittered_ns(CANDIDACY_FRACTION)
         else:
-            # No room, or the claim was released: a watch event may bring the next claim on.
+            # The queue is full or the claim was released. Claim again after the idle interval.
             self.phase = Phase.IDLE
             self._token = 0
             self.queue_position = 0
@@ -232,12 +234,12 @@
         expires_ns = self.sent_ns + int(self.ttl_ns * (1 - MAX_CLOCK_DRIFT))
         self.expires_ns = max(self.expires_ns, expires_ns)
         self.next_claim_ns = max(now, self.sent_ns + self._jittered_ns(RENEWAL_FRACTION))
-        self.token(now)  # a response may come when the TTL has run out
+        self.token(now)  # expire at once if the response arrived after the TTL
 
     def request_failed(self, number: int, reason: str, now: int) -> None:
-        """Take in that a request had no response: whether the store took it is unknown.
+        """Process a request that got no response: the store may or may not have executed it.
 
-        A holder goes on until its TTL runs out.
+        A holder keeps the lease until its TTL expires.
         """
         now = self._advance(now)
         request = self._finish_request(number)
@@ -246,14 +248,14 @@
         self.reason = reason
         self.failures += 1
         if request.kind is RequestKind.RELEASE:
-            self._enter_without_lease(Phase.RELEASED)  # the store ends the lease after its TTL
+            self._enter_without_lease(Phase.RELEASED)  # the store expires the lease after its TTL
             return
         doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
         backoff = min(RETRY_FRACTION * 2.0**doublings, RENEWAL_FRACTION)
         self.next_claim_ns = now + self._jittered_ns(backoff)
 
     def leave(self, now: int) -> None:
-        """Release the lease, or the candidacy, with one request; no effect may follow."""
+        """Release the lease or candidacy with one request; `token` returns 0 from now on."""
         self._advance(now)
         if self.phase is Phase.RELEASED or self.is_leaving:
             return
@@ -263,15 +265,15 @@
             return
         self.is_leaving = True
         if self.in_flight is not None and self.in_flight.kind is RequestKind.CLAIM:
-            self.in_flight = None  # its response, if one comes, is that of a released claim
+            self.in_flight = None  # ignore its response: the claim is about to be released
 
     def _jittered_ns(self, fraction: float) -> int:
-        """A fraction of the TTL, with jitter: many processes must not send in step."""
+        """Return a fraction of the TTL with jitter, so that processes do not send in lockstep."""
         return int(self.ttl_ns * fraction * self.rng.uniform(0.7, 1.0))
 
     @property
     def wake_ns(self) -> int | None:
-        """When to call `next_request` next. None: only after an event."""
+        """When to call `next_request` next; None if only after an event."""
         if self.phase is Phase.RELEASED:
             return None
         if self.is_leaving and self.in_flight is None:
--- a/loadbalancer/leases/table.py
+++ b/loadbalancer/leases/table.py
@@ -1,11 +1,11 @@
-"""A lease as the store's log makes it: who holds it, under which token, and who is queued.
+"""Replicated lease state: the holder, its fencing token and the queue of candidates.
 
-There is no clock here: that a TTL has run out is itself an entry of the log, proposed by the
-leader of the store.
+The state transitions use no clock to expire a lease: an expired TTL is itself an entry of the log,
+proposed by the store's leader.
 
-Terms: lease (Gray and Cheriton, 1989); sequencer (Burrows, "The Chubby lock service", 2.4), here
-fencing token. A token is drawn at each grant from one counter of the store that only grows, so none
-ever returns, and of two tokens of one lease the higher is the later.
+Terms: lease (Gray and Cheriton, 1989); sequencer (Burrows, "The Chubby lock service", 2.4), called
+fencing token here. Each grant draws a token from one increasing counter of the store, so no token
+is ever reused and the higher of two tokens of a lease is the newer.
 """
 
 from __future__ import annotations
@@ -16,54 +16,54 @@
 import msgspec
 
 NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
-MAX_NAME_CHARS: Final = 200  # of a lease, of a holder and of a note
+MAX_NAME_CHARS: Final = 200  # limit for names of leases and holders, and for notes
 MAX_NAME_CHARS_SHOWN: Final = 60
-MAX_CANDIDATES: Final = 5  # of one lease; other processes observe and claim when there is room
-MAX_RELEASED_CLAIMS: Final = 8  # remembered, so that a late message does not renew one of them
+MAX_CANDIDATES: Final = 5  # per lease; further processes observe and claim when the queue has room
+MAX_RELEASED_CLAIMS: Final = 8  # remembered per lease, so that late messages renew none of them
 MIN_TTL_MS: Final = 100
 MAX_TTL_MS: Final = 3_600_000
-OFFER_FRACTION: Final = 0.5  # of the TTL, within which a candidate takes what was offered to it
-EPOCH_BITS: Final = 32  # a token is EPOCH * 2**32 + N; a restored store begins a new epoch
+OFFER_FRACTION: Final = 0.5  # of the TTL, within which a candidate must accept an offered lease
+EPOCH_BITS: Final = 32  # a token is EPOCH * 2**32 + N; a restored store starts a new epoch
 CLAIM_LIMIT: Final = 1 << 63
 
 
 class ArrayStruct(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Encoded by position: fields are only ever added at the end, with a default."""
+    """Base of structs encoded by position: new fields go at the end and need a default."""
 
 
 class Candidate(ArrayStruct, frozen=True):
-    """A process that claims a lease; the lower its `rank`, the sooner it is granted."""
+    """A process that claims a lease. Candidates with a lower `rank` come first."""
 
     holder: str
-    claim: int  # drawn anew by each incarnation of a process
+    claim: int  # unique to each incarnation of a process
     rank: int = 0
     ttl_ms: int = 0
     note: str = ""
 
 
 class Lease(ArrayStruct, frozen=True):
-    """A lease, held, offered or free."""
+    """A lease that is held, offered or free."""
 
     name: str
-    token: int = 0  # the last that was granted, whoever holds the lease now
-    holder: str = ""  # empty: nobody
+    token: int = 0  # the last token granted, even if the lease is free now
+    holder: str = ""  # empty if the lease is free
     claim: int = 0
-    is_offered: bool = False  # granted to the first candidate, which has not taken it yet
+    is_offered: bool = False  # granted to the first candidate, which has not accepted it yet
     ttl_ms: int = 0
     note: str = ""
     rank: int = 0
-    since_ms: int = 0  # the claimant's clock: shown, and never decided by
+    since_ms: int = 0  # by the claimant's clock; for display only, never used for decisions
     candidates: tuple[Candidate, ...] = ()
     released_claims: tuple[int, ...] = ()
-    rejected_writes: int = 0  # writes under this lease that bore another token
+    rejected_writes: int = 0  # writes under this lease that carried an invalid token
 
     @property
     def is_held(self) -> bool:
-        """Whether somebody may act under it."""
+        """Whether a holder has accepted the lease and may act under it."""
         return bool(self.holder) and not self.is_offered
 
     def permits(self, token: int) -> bool:
-        """Return whether a write that bears this token may be made."""
+        """Return whether a write with this token is allowed."""
         return self.is_held and token == self.token
 
 
@@ -72,7 +72,7 @@
 
 
 def pack(lease: Lease) -> bytes:
-    """Encode a lease as it is stored."""
+    """Encode a lease for storage."""
     return _encoder.encode(lease)
 
 
@@ -80,32 +80,32 @@
     """Decode a stored lease.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The data is not a valid lease.
     """
     return _lease_decoder.decode(data)
 
 
 def format_token(token: int) -> str:
-    """Return a token as people read it: with its epoch, where the store was ever restored."""
+    """Return a token for display, with its epoch if the store was ever restored."""
     epoch = token >> EPOCH_BITS
     number = token & ((1 << EPOCH_BITS) - 1)
     return f"{epoch}.{number}" if epoch else str(number)
 
 
 def next_epoch(token: int, unix_s: int) -> int:
-    """Return the token counter that a restored store begins with.
+    """Return the initial token counter of a store restored from a snapshot.
 
-    What the lost store granted after the copy was made is unknown, and another copy of it may be
-    restored as well: the operator's clock, at this one moment, tells them apart. The counter never
-    goes back behind what the copy held.
+    It is unknown which tokens the lost store granted after the snapshot, and another store may be
+    restored from the same snapshot. The operator's clock at the time of the restore gives each
+    restored store an epoch of its own. The counter never falls below that of the snapshot.
     """
     return max((token >> EPOCH_BITS) + 1, unix_s) << EPOCH_BITS
 
 
 def claim_fault(name: str, holder: str, claim: int, ttl_ms: int, note: str) -> str:
-    """Return the first thing about a claim that makes it invalid; empty: it is valid.
+    """Return why a claim is invalid; empty if it is valid.
 
-    The texts are part of the replicated state: changing one is a change of format.
+    The texts are part of the replicated state, so changing one changes the stored format.
     """
     for text in (name, holder):
         if len(text) > MAX_NAME_CHARS or not NAME.match(text):
@@ -118,23 +118,23 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a command made of a lease."""
+    """Result of applying a command to a lease."""
 
     lease: Lease
-    token: int = 0  # the claimant's own; 0: it is queued
-    queue_position: int = 0  # among the candidates, from 1
-    reason: str = ""  # why the command was rejected; empty: it was taken
-    is_granted: bool = False  # a token was drawn
+    token: int = 0  # the claimant's token; 0 if it does not hold the lease
+    queue_position: int = 0  # among the candidates, from 1; 0 if not queued
+    reason: str = ""  # why the command was rejected; empty if it was accepted
+    is_granted: bool = False  # the command consumed a new token
 
 
 def claim(lease: Lease, claimant: Candidate, token: int, time_ms: int) -> Outcome:
-    """Claim a lease, or renew it as its holder or a candidate; repeating it changes nothing more.
+    """Claim a lease, or renew it as its holder or as a candidate. The operation is idempotent.
 
     Args:
-        lease: As it stands.
-        claimant: Who claims.
-        token: The next that may be granted.
-        time_ms: The claimant's clock.
+        lease: The current lease.
+        claimant: The process that claims it.
+        token: The next token to grant.
+        time_ms: Time by the claimant's clock.
     """
     if claimant.claim in lease.released_claims:
         return Outcome(lease, reason="this claim was given back")
@@ -150,9 +150,9 @@
 
 
 def _enqueue(lease: Lease, claimant: Candidate) -> Outcome:
-    """Queue a claimant; a process that restarted replaces its earlier incarnation.
+    """Queue a claimant, replacing an earlier incarnation of the same process.
 
-    It moves in the queue only where its rank changed.
+    A process that is already queued keeps its position unless its rank changed.
     """
     queue = [c for c in lease.candidates if c.holder != claimant.holder]
     earlier = next((c for c in lease.candidates if c.holder == claimant.holder), None)
@@ -168,14 +168,15 @@
 
 
 def release(lease: Lease, claim_number: int, token: int, next_token: int, time_ms: int) -> Outcome:
-    """Release a lease or a candidacy for good: a later claim of the same number is rejected.
+    """Release a lease or a candidacy for good; later claims with the same number are rejected.
 
     Args:
-        lease: As it stands.
-        claim_number: Whose claim; that of an earlier holder changes nothing for the present one.
-        token: Release only if it is held under this one; 0: under any.
-        next_token: The next that may be granted.
-        time_ms: The clock of who releases.
+        lease: The current lease.
+        claim_number: The claim to release. That of an earlier holder leaves the current holder
+            in place.
+        token: Release only if the lease is held under this token; 0 for any token.
+        next_token: The next token to grant.
+        time_ms: Time by the releasing process's clock.
     """
     is_holder = bool(lease.holder) and lease.claim == claim_number
     if is_holder and token and token != lease.token:
@@ -190,7 +191,7 @@
 
 
 def expire_claim(lease: Lease, claim_number: int, next_token: int, time_ms: int = 0) -> Outcome:
-    """End a holder's, an offer's or a candidate's claim, whose TTL ran out."""
+    """End the expired claim of a holder or a candidate, or one to which the lease was offered."""
     if any(c.claim == claim_number for c in lease.candidates):
         return Outcome(_with(lease, candidates=_without(lease.candidates, claim_number)))
     if not lease.holder or lease.claim != claim_number:
@@ -203,7 +204,7 @@
 
 
 def _offer_or_free(lease: Lease, token: int, time_ms: int) -> Outcome:
-    """Offer the lease to its first candidate, or free it."""
+    """Offer the lease to its first candidate, or free it if there is none."""
     if lease.candidates:
         first = lease.candidates[0]
         queue = _with(lease, candidates=lease.candidates[1:])
@@ -227,7 +228,7 @@
 
 
 def write_rejected(lease: Lease) -> Lease:
-    """Count a write under this lease that bore a token which does not hold it."""
+    """Count a write under this lease that was rejected for its token."""
     return _with(lease, rejected_writes=lease.rejected_writes + 1)
 
 
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -177,7 +177,7 @@
             )  # and what is beyond shares is refused
             assert "out by" in (await command(c, "status"))[1]
             assert 'lanelift_site_part{site="b"} 0.0' in (await command(c, "metrics"))[1]
-            assert "not as usual" in (await command(c, "drill", "b", "--force"))[1]
+            assert "not in normal service" in (await command(c, "drill", "b", "--force"))[1]
             assert (await command(c, "return", "b"))[0] == 0
             await until(lambda: one.driver.plans[-1] == api.TrafficPlan(), 30.0)
             for beside in (one, two):
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -163,7 +163,7 @@
     slow.evidence.tick(slow.now)
     assert (
         slow.health_of("c") is SiteHealth.IMPAIRED
-        and "times what the others' do" in slow.evidence.sites["c"].reason
+        and "times that of the other sites" in slow.evidence.sites["c"].reason
     )
 
 
@@ -683,7 +683,7 @@
 
 def test_drill_ends_after_its_hold_time_or_when_the_served_fraction_falls() -> None:
     drill = request_state(SiteState("a"), DesiredState.DRILL, "kofi", 0.0, 30.0)
-    with pytest.raises(ValueError, match="no drill begins"):
+    with pytest.raises(ValueError, match="no drill can start"):
         request_state(drill, DesiredState.DRILL, "kofi")
     states: tuple[SiteState, ...] = (drill, SiteState("b"))
     for _ in range(2):
@@ -695,7 +695,7 @@
     assert (
         ended.desired is DesiredState.ACTIVE
         and ended.stage is Stage.HEALTH_CHECKS
-        and "ended itself" in ended.reason
+        and "ended early" in ended.reason
     )
 
 
