--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -1,6 +1,4 @@
-"""A lost site, by the pure cores: what one balancer believes, where the load goes, how a site comes
-back.
-"""
+"""Site failover without I/O: failure detection, failover plans, shedding, recovery and shares."""
 
 from __future__ import annotations
 
@@ -66,11 +64,14 @@
 MS = 1_000_000
 
 
-# ---- evidence: one balancer in a fleet of 4 sites of 8 boxes -------------------------------------
+# ---- failure detection by one balancer, with 4 sites of 8 upstreams by default -------------------
 
 
 class SimulatedBalancer:
-    """Tries at a steady pace at boxes drawn alike; `answers` says whether a box gives a sign."""
+    """Sends attempts at a steady rate to random upstreams and feeds the outcomes to `Evidence`.
+
+    `responds` decides by upstream whether an attempt gets a response.
+    """
 
     def __init__(
         self,
@@ -108,6 +109,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_lost_site_is_detected_within_8_s_and_recovers_after_a_few_answers(seed: int) -> None:
+    """All upstreams of site b stop responding at 2% packet loss, then respond again."""
     balancer = SimulatedBalancer(seed, loss_rate=0.02)
     balancer.run(20)
     assert not [
@@ -128,24 +130,25 @@
     balancer.run(4, lambda: balancer.health_of("b") is SiteHealth.RECOVERING)
     assert balancer.health_of("b") is SiteHealth.RECOVERING
     balancer.run(4)
+    # Upstreams that were not tried since the loss still count as silent.
     assert balancer.health_of("b") in (
         SiteHealth.HEALTHY,
         SiteHealth.IMPAIRED,
-    )  # a box that was not met since counts as silent
+    )
     balancer.run(15)
     assert balancer.health_of("b") is SiteHealth.HEALTHY
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_partial_loss_packet_loss_and_slow_upstreams_are_not_judged_as_site_loss(seed: int) -> None:
+    """Half of a site fails; 10% of all attempts fail; one site is six times slower."""
     half_lost = SimulatedBalancer(seed)
     half_lost.responds = lambda upstream_id: responds_unless_in_failed_half(half_lost, upstream_id)
     half_lost.run(30)
     losses = [change for change in half_lost.health_changes if change[1] is SiteHealth.LOST]
     assert half_lost.health_of("b") is SiteHealth.IMPAIRED or losses, half_lost.health_changes
-    assert (
-        sum(change[1] is SiteHealth.LOST for change in half_lost.health_changes) <= 2
-    )  # by chance, and undone
+    # By chance, draws can hit only failed upstreams; each such detection is reverted.
+    assert sum(change[1] is SiteHealth.LOST for change in half_lost.health_changes) <= 2
     lossy = SimulatedBalancer(seed, loss_rate=0.1)
     lossy.run(60)
     assert not [
@@ -168,10 +171,12 @@
 
 
 def responds_unless_in_failed_half(balancer: SimulatedBalancer, upstream_id: int) -> bool:
+    """Return whether an upstream responds when half the upstreams of site b have failed."""
     return balancer.site_by_upstream[upstream_id] != "b" or upstream_id % 8 < 4
 
 
 def isolated_balancer(seed: int) -> SimulatedBalancer:
+    """Return a balancer that for 20 s has got responses only from its own site."""
     balancer = SimulatedBalancer(seed)
     balancer.run(10)
     balancer.responds = lambda upstream_id: balancer.site_by_upstream[upstream_id] == "a"
@@ -181,21 +186,20 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_isolated_balancer_does_not_report_other_sites_as_silent(seed: int) -> None:
+    """A balancer that gets responses only from its own site judges itself partitioned."""
     balancer = isolated_balancer(seed)
     assert (
         balancer.evidence.is_isolated
         and [balancer.health_of(site) for site in "bcd"] == [SiteHealth.PARTITIONED] * 3
     )
-    assert (
-        balancer.evidence.own_report().silent == frozenset()
-    )  # it tells nobody that they are lost
+    assert balancer.evidence.own_report().silent == frozenset()
     assert balancer.health_of("a") is SiteHealth.HEALTHY
 
 
 def test_isolated_balancer_reports_other_sites_as_silent_without_isolation_detection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The seeded bug: nobody is ever alone."""
+    """Seeded bug: a balancer never detects that it is isolated."""
     monkeypatch.setattr(
         Evidence,
         "is_isolated",
@@ -206,6 +210,8 @@
 
 
 def test_peer_reports_speed_up_loss_detection_or_turn_a_loss_into_a_partition() -> None:
+    """Agreeing peers confirm a loss; contradicting peers or the site's own show a partition."""
+
     def health_after_loss(*peer_reports: PeerReport) -> tuple[SiteHealth, int]:
         balancer = SimulatedBalancer(5, attempts_per_s=60.0)
         balancer.run(10)
@@ -238,7 +244,7 @@
 
 
 def count_recoveries_of_flapping_site() -> int:
-    """How often a site that goes and comes every 4 s is taken to be well again, in two minutes."""
+    """Return how often a site that fails and returns every 4 s is judged healthy in two minutes."""
     balancer = SimulatedBalancer(3, attempts_per_s=60.0)
     balancer.run(10)
     is_down = False
@@ -256,18 +262,20 @@
 def test_flapping_site_must_be_stable_for_longer_after_each_loss(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A site that fails and returns every 4 s must not get its load back each time."""
     assert count_recoveries_of_flapping_site() <= 3
     monkeypatch.setattr(evidence_module, "MIN_STABLE_NS", 0)
-    monkeypatch.setattr(evidence_module, "MAX_STABLE_NS", 0)  # the seeded bug: no hysteresis
+    monkeypatch.setattr(evidence_module, "MAX_STABLE_NS", 0)  # seeded bug: no hysteresis
     assert count_recoveries_of_flapping_site() > 10
 
 
-# ---- all reports together ------------------------------------------------------------------------
+# ---- verdicts from the reports of all balancers --------------------------------------------------
 
 
 def make_report(
     site: str, answering: str, silent: str = "", is_isolated: bool = False, age_s: float = 1.0
 ) -> ReceivedReport:
+    """Return a received report; each letter of `answering` and `silent` names a site."""
     return ReceivedReport(SiteReport(site, tuple(answering), tuple(silent), is_isolated), age_s)
 
 
@@ -325,15 +333,17 @@
             ],
             SiteHealth.HEALTHY,
         ),
+        # The site's balancers are alive, but its upstreams are not.
         (
             [make_report("b", "acd", "b"), make_report("a", "acd")],
             SiteHealth.LOST,
-        ),  # its balancers live, its boxes do not
+        ),
     ],
 )
 def test_site_verdict_follows_the_majority_unless_its_own_balancers_are_answered(
     reports: list[ReceivedReport], expected_health: SiteHealth
 ) -> None:
+    """The verdict on site b must not depend on one balancer, a stale report or an isolated one."""
     opinions = collect_opinions(
         {f"balancer-{index}": report for index, report in enumerate(reports)}
     )
@@ -344,10 +354,11 @@
     )
 
 
-# ---- the plan ------------------------------------------------------------------------------------
+# ---- failover plans and load shedding ------------------------------------------------------------
 
 
 def random_fleet(rng: random.Random) -> Fleet:
+    """Return a fleet of 2 to 6 sites whose load is 40% to 110% of the total capacity."""
     site_names = "abcdef"[: rng.randint(2, 6)]
     classes = {
         name: WorkClass(name, rng.choice([1.0, 2.0, 3.0]), rng.uniform(0.5, 3.0))
@@ -387,6 +398,7 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_plans_respect_site_capacities_and_shed_levels_in_order(seed: int) -> None:
+    """Checks the plans of random fleets for no loss, each lost site and each lost pair."""
     fleet = random_fleet(random.Random(seed))
     for lost_sites, plan in plans_for_losses(fleet).items():
         spare = spare_capacities(fleet, lost_sites)
@@ -403,9 +415,8 @@
             class_level = fleet.level_of[load.class_name]
             if shedding.level < EXCESS:
                 assert admitted(fleet, load, shedding) == load.rate
-            if (
-                class_level > shedding.level
-            ):  # nothing within its share is refused while something before it is let in
+            # A class above the shedding level loses no request within its quota except retries.
+            if class_level > shedding.level:
                 non_retry_fraction = 1.0 if load.retries == 0 else 1.0 - load.retries
                 assert (
                     admitted(fleet, load, shedding)
@@ -425,7 +436,7 @@
 
 
 def admitted_in_reverse_order(fleet: Fleet, load: Load, shedding: Shedding) -> float:
-    """The seeded bug: the classes first, the excess last."""
+    """Seeded bug: a replacement of `admitted` that sheds classes first and excess last."""
     level_count = fleet.top_level + 1
     class_level = fleet.level_of[load.class_name]
     return (
@@ -436,6 +447,7 @@
 
 
 def serves_excess_while_refusing_quota(fleet: Fleet) -> bool:
+    """Return whether a plan refuses requests within quotas but admits excess."""
     for plan in plans_for_losses(fleet).values():
         if not plan.lost:
             continue
@@ -457,6 +469,7 @@
 def test_requests_within_quota_are_not_refused_while_excess_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Excess must be shed before any class; the check detects the reversed order."""
     fleets = [random_fleet(random.Random(seed)) for seed in range(40)]
     assert not any(serves_excess_while_refusing_quota(fleet) for fleet in fleets)
     monkeypatch.setattr(shedding_module, "admitted", admitted_in_reverse_order)
@@ -464,6 +477,7 @@
 
 
 def test_work_is_assigned_to_the_cheapest_targets_with_capacity() -> None:
+    """Sites a and b have more work than capacity, so a part moves at the lowest total cost."""
     costs = {
         ("a", "a"): 0.0,
         ("a", "b"): 1.0,
@@ -479,11 +493,12 @@
         for origin, targets in flow.items()
         for target, amount in targets.items()
     )
-    assert total_cost == pytest.approx(8.0)  # a's rest to b, and as much of b's to c
+    assert total_cost == pytest.approx(8.0)  # 4 units of a go to b, and 4 of b to c
     assert assign({"a": 5.0}, {}, {}) == {} and assign({}, {"a": 5.0}, {}) == {}
 
 
 def test_shedding_rises_at_once_and_falls_slowly() -> None:
+    """Falling at once would bring all refused clients back together."""
     fleet = random_fleet(random.Random(4))
     total_work = sum(work(fleet, load, Shedding()) for load in fleet.loads)
     controller = SheddingController(0)
@@ -501,6 +516,8 @@
 
 
 def test_retry_window_starts_when_capacity_is_expected_and_spreads_retries() -> None:
+    """The window is as long as serving the retries with the spare capacity takes."""
+
     def window(refused_rate: float, spare_rate: float, capacity_in_ns: int) -> tuple[int, int]:
         return shedding_module.retry_window(
             refused_rate, spare_rate, capacity_in_ns, RetryWindowLimits(250 * MS, 20 * SECOND)
@@ -511,13 +528,18 @@
     assert window(1e9, 1e-9, 0) == (250 * MS, 40 * SECOND)
 
 
-# ---- the return ----------------------------------------------------------------------------------
+# ---- recovery and slow start ---------------------------------------------------------------------
 
 
 def simulate_recovery(
     serves_well: Callable[[float, float], bool], seconds: float = 120.0
 ) -> list[tuple[float, Recovery]]:
-    """A site from lost on. `bears`: does it answer well at this share, at this time?"""
+    """Return the times and states of a lost site's recovery.
+
+    Args:
+        serves_well: Whether the site responds in time at this fraction of load and this time.
+        seconds: Duration of the simulation.
+    """
     current, changed_at_s, now_s, transitions = Recovery("b"), 0.0, 0.0, []
     while now_s < seconds:
         is_good = serves_well(current.fraction, now_s)
@@ -532,6 +554,7 @@
 
 
 def test_recovery_rises_while_the_site_copes_and_waits_longer_after_each_failed_stage() -> None:
+    """One site serves any load well; the other fails above 30% of its usual load."""
     healthy = simulate_recovery(lambda fraction, now_s: True)
     assert [state.stage for _, state in healthy][:3] == [
         Stage.HEALTH_CHECKS,
@@ -554,6 +577,7 @@
 
 
 def test_recovery_restarts_after_another_loss_and_two_recoveries_share_the_allowed_rise() -> None:
+    """A loss during recovery counts as a failure and delays the next try."""
     lost_again = recovery.step(Recovery("b", Stage.SHARES, 0.4, 1), Observation(True, 50, 0.0), 9.0)
     assert (lost_again.stage, lost_again.fraction, lost_again.failures) == (Stage.OUT, 0.0, 2)
     assert (
@@ -573,6 +597,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_slow_start_rates_sum_to_the_upstream_rate_over_few_balancers(seed: int) -> None:
+    """Balancers together must not exceed what a cold upstream can serve."""
     rng = random.Random(seed)
     balancers = [f"balancer-{index}" for index in range(rng.randint(1, 60))]
     rates = {index: rng.uniform(0.5, 20) for index in range(rng.randint(1, 60))}
@@ -591,7 +616,7 @@
     doubled = {
         balancer: {upstream: 2 * doubled_rate for upstream, doubled_rate in upstream_rates.items()}
         for balancer, upstream_rates in assigned.items()
-    }  # the seeded bug: dealt twice
+    }  # seeded bug: each rate is assigned twice
     assert any(
         sum(upstream_rates.get(upstream_id, 0.0) for upstream_rates in doubled.values())
         > rate * 1.01
@@ -599,7 +624,7 @@
     )
 
 
-# ---- states: one owner, any of whom may die ------------------------------------------------------
+# ---- site states ---------------------------------------------------------------------------------
 
 
 def make_view(
@@ -610,6 +635,7 @@
     served_fraction: float = 1.0,
     good_fraction: float = 1.0,
 ) -> FleetView:
+    """Return observations in which the sites named by letters are lost or partitioned."""
     verdicts = {
         state.site: Verdict(
             SiteHealth.LOST
@@ -619,7 +645,7 @@
             else SiteHealth.HEALTHY,
             0,
             1.0,
-            "as the test says",
+            "set by the test",
         )
         for state in states
     }
@@ -633,6 +659,7 @@
 
 
 def test_loss_recovery_in_stages_and_partition_follow_the_verdicts() -> None:
+    """Site b is lost and recovers; site c is partitioned and rejoins at half its load."""
     states = tuple(SiteState(name) for name in "abcd")
     assert advance(states, make_view(states)) == states
     assert (
@@ -661,6 +688,7 @@
 
 
 def test_drain_proceeds_in_steps_and_pauses_when_the_served_fraction_falls() -> None:
+    """An operator drains a site over 40 s; the drain pauses when fewer requests are served."""
     states = tuple(SiteState(name) for name in "ab")
     states = (request_state(states[0], DesiredState.DRAINED, "kofi", 40.0), states[1])
     fractions = []
@@ -682,6 +710,7 @@
 
 
 def test_drill_ends_after_its_hold_time_or_when_the_served_fraction_falls() -> None:
+    """A drill empties a site for 30 s and returns it to service without an operator."""
     drill = request_state(SiteState("a"), DesiredState.DRILL, "kofi", 0.0, 30.0)
     with pytest.raises(ValueError, match="no drill can start"):
         request_state(drill, DesiredState.DRILL, "kofi")
@@ -701,8 +730,9 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_each_step_is_taken_once_when_lease_holders_fail_or_overlap(seed: int) -> None:
-    """Owners that die between look and write, and two that believe that they own it; the store
-    takes a write only at the version that was read.
+    """Lease holders fail between read and write, and a superseded holder writes late.
+
+    The store accepts a write only at the version that was read, so late writes are dropped.
     """
     rng = random.Random(seed)
     states = tuple(SiteState(name) for name in "abc")
@@ -741,7 +771,7 @@
         for state_before, state_after in zip(before, after, strict=True):
             if state_before != state_after:
                 assert state_after.version == state_before.version + 1
-            if state_before.fraction < 1:  # it rises by a step at most
+            if state_before.fraction < 1:  # rises by one step at most
                 assert (
                     state_after.fraction
                     <= max(
@@ -756,6 +786,7 @@
 
 
 def make_load_report(site: str, rate: float) -> ReceivedReport:
+    """Return a received report with loads of two classes and tenants."""
     return ReceivedReport(
         SiteReport(
             site,
@@ -773,6 +804,7 @@
 
 
 def test_shares_exclude_lost_sites_and_assign_quotas_and_slow_start() -> None:
+    """Shares for no loss, for a lost, a recovering and a partitioned site b."""
     reports = {
         f"{site}{index}": make_load_report(site, 40.0) for site in "abcd" for index in range(2)
     }
@@ -817,17 +849,18 @@
     assert not any(name.startswith("b") for name in partitioned_shares.slow_start)
 
 
-# ---- a balancer's part ---------------------------------------------------------------------------
+# ---- site observer of one balancer ---------------------------------------------------------------
 
 
 def make_observer(now: int = SECOND) -> SiteObserver:
+    """Return the observer of a balancer at site a, with 4 sites of 8 upstreams."""
     observer = SiteObserver("a", "one", 8, random.Random(1), now)
     observer.evidence.update_upstreams({i: "abcd"[i % 4] for i in range(32)}, now)
     return observer
 
 
 def fail_site_until_excluded(observer: SiteObserver, site: str, now: int) -> int:
-    """All its tries at a site fail until it is believed; when that is."""
+    """Fail all health checks of a site until the plan excludes it; return the time of that."""
     for _ in range(40):
         for upstream_id in [
             number
@@ -845,10 +878,11 @@
         observer.update(now, True)
         if observer.plan.zone_fractions.get(site) == 0.0:
             return now
-    raise AssertionError("it is not believed")
+    raise AssertionError("the site was not excluded from the plan")
 
 
 def test_shares_are_followed_while_fresh_and_covering_all_known_sites() -> None:
+    """Shares apply for 12 s after a confirmation and only if they cover every site."""
     shares = TrafficShares({"a": {"d": 0.0}}, excess=1.0)
     observer = make_observer()
     observer.set_shares(shares, frozenset("abcd"), {}, 2 * SECOND)
@@ -860,15 +894,15 @@
         observer.update(21 * SECOND, True).plan is None
         and observer.plan.excess_reject_fraction == 1.0
     )
-    assert (
-        observer.update(23 * SECOND, True).plan == api.TrafficPlan()
-    )  # the owner is silent: by what is seen here
+    # The lease holder's confirmation has expired, so local observations apply.
+    assert observer.update(23 * SECOND, True).plan == api.TrafficPlan()
     other = make_observer()
-    other.set_shares(shares, frozenset("abc"), {}, 2 * SECOND)  # of a fleet that had no site d
+    other.set_shares(shares, frozenset("abc"), {}, 2 * SECOND)  # without site d
     assert other.update(3 * SECOND, True).plan is None and not other.follows_shares(3 * SECOND)
 
 
 def test_precomputed_loss_shares_and_staged_recovery_apply_without_a_lease_holder() -> None:
+    """Site b fails and returns while the balancer has no shares of a lease holder."""
     observer = make_observer()
     observer.loss_shares = {
         frozenset("b"): TrafficShares({"a": {"b": 0.0}}, excess=0.5),
@@ -891,15 +925,17 @@
         and observer.plan == api.TrafficPlan()
     )
     mismatched = make_observer()
+    # The loss shares were computed for a fleet without site d, so they are not used.
     mismatched.loss_shares, mismatched.loss_shares_sites = (
         observer.loss_shares,
         frozenset("abc"),
-    )  # made for another fleet
+    )
     fail_site_until_excluded(mismatched, "b", 2 * SECOND)
     assert mismatched.plan.excess_reject_fraction == 0.0
 
 
 def test_report_counts_requests_and_attempts_and_becomes_due() -> None:
+    """A change of a site's health makes the next report due early."""
     observer = make_observer()
     for index in range(20):
         observer.on_request(
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: grants and the queue of candidates, expiry, fencing, and states of an older format."""
+"""Leases: grants, the candidate queue, expiry, fencing tokens and upgrades of older state."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 MS = 1_000_000
 TTL = 900 * MS
 FORMAT_1_ARCHIVE = Path(__file__).parents[1] / "kept/store-format-1.tar.xz"
-# The first seed by which each seeded bug was found.
+# For each seeded bug, the first simulation seed that detects it.
 DETECTING_SEEDS = {
     "no-token-check": 3,
     "time-from-answer": 5,
@@ -49,7 +49,7 @@
 
 
 class CommandLog:
-    """Commands applied to a state, one after the other."""
+    """Applies commands to a state, each as the next entry of the log."""
 
     def __init__(self, state: State) -> None:
         self.state = state
@@ -82,15 +82,16 @@
 def test_one_claim_holds_the_lease_and_candidates_queue_by_rank_then_arrival(
     log: CommandLog,
 ) -> None:
+    """A released lease goes to the first candidate, whose token is valid once it accepts."""
     assert log.claim("a", 11) == (1, 0)
     assert log.claim("b", 12, 5) == (0, 1)
     assert log.claim("c", 13, 5) == (0, 2)
     assert log.claim("d", 14, 0) == (0, 1)
-    assert log.claim("a", 11) == (1, 0)  # a renewal keeps its token
+    assert log.claim("a", 11) == (1, 0)  # a renewal keeps the token
     log.apply_command(Release("work", 11, 1))
     lease = log.lease()
     assert (lease.holder, lease.token, lease.is_offered) == ("d", 2, True)
-    assert log.write("k", 2).code == ResultCode.FENCED  # offered is not yet held
+    assert log.write("k", 2).code == ResultCode.FENCED  # an offered lease is not held yet
     assert log.claim("d", 14) == (2, 0)
     assert log.write("k", 2).code == ResultCode.DONE
     assert log.write("k", 1).code == ResultCode.FENCED
@@ -98,6 +99,7 @@
 
 
 def test_late_renewal_of_a_released_claim_is_rejected(log: CommandLog) -> None:
+    """A claim message that arrives after the release of its claim must not take the lease again."""
     log.claim("a", 11)
     log.apply_command(Release("work", 11))
     assert log.apply_command(Claim("work", "a", 11, 1000)).text == "this claim was given back"
@@ -107,6 +109,7 @@
 def test_restarted_holder_gets_a_new_token_after_its_earlier_claim_expires(
     log: CommandLog,
 ) -> None:
+    """A process that restarts while it holds the lease queues behind its own earlier claim."""
     log.claim("a", 11)
     assert log.claim("a", 21) == (0, 1)
     assert log.apply_command(ExpireClaim("work", 11, 1)).text == ""
@@ -114,6 +117,7 @@
 
 
 def test_expiry_of_an_earlier_renewal_round_is_rejected(log: CommandLog) -> None:
+    """An expiry entry that was proposed before a renewal must not end the renewed claim."""
     log.claim("a", 11)
     log.claim("a", 11)
     assert log.apply_command(ExpireClaim("work", 11, 1)).text == "it was renewed since"
@@ -125,6 +129,7 @@
 def test_existing_leases_keep_working_when_the_lease_limit_is_reached(
     log: CommandLog, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The limit on the number of leases must reject new leases only."""
     monkeypatch.setattr(lease_records, "MAX_LEASES", 2)
     assert log.claim("a", 11) == (1, 0)
     assert log.apply_command(Claim("last", "a", 12, 1000)).versions == (2, 0)
@@ -134,8 +139,9 @@
         and "there are 2 leases already" in rejected_claim.text
     )
     assert log.claim("a", 11) == (1, 0)  # renewed
-    assert log.claim("b", 21) == (0, 1)  # a candidate waits
-    assert log.apply_command(Release("work", 11, 1)).code == ResultCode.DONE  # handed over
+    assert log.claim("b", 21) == (0, 1)  # queued as a candidate
+    # The released lease is offered to the candidate.
+    assert log.apply_command(Release("work", 11, 1)).code == ResultCode.DONE
     assert log.claim("b", 21) == (3, 0)
     assert (
         log.write("list/orders", 3).code == ResultCode.DONE
@@ -149,6 +155,7 @@
 def test_candidate_queue_is_bounded_and_plain_writes_to_lease_keys_are_rejected(
     log: CommandLog,
 ) -> None:
+    """Neither many claimants nor a plain write may corrupt the state of a lease."""
     for number in range(table.MAX_CANDIDATES + 1):
         log.claim(f"p{number}", 11 + number)
     assert (
@@ -162,6 +169,7 @@
 def test_fencing_tokens_increase_across_release_snapshot_and_restore(
     log: CommandLog, tmp_path: Path
 ) -> None:
+    """A restored store must not repeat tokens that the lost store granted after the snapshot."""
     log.claim("a", 11)
     log.apply_command(Release("work", 11))
     token_before = log.claim("b", 12)[0]
@@ -169,7 +177,7 @@
     snapshot = tmp_path / "copy.db"
     state_files.export_snapshot(tmp_path / "state.db", snapshot)
     restored = CommandLog(state_files.adopt_copy(snapshot, "other", MEMBERS, 5_000))
-    assert restored.lease().token == token_before  # who held it then may go on, or be waited out
+    assert restored.lease().token == token_before  # the holder may continue or expire
     restored.apply_command(ExpireClaim("work", 12, restored.state.active_claims()[0].round))
     token_after = restored.claim("c", 13)[0]
     assert token_after > token_before and table.format_token(token_after) == "5000.1"
@@ -180,6 +188,7 @@
 
 
 def test_format_1_state_is_opened_and_upgraded_in_place(tmp_path: Path) -> None:
+    """A state directory written by format 1 keeps its data and accepts claims after the upgrade."""
     with tarfile.open(FORMAT_1_ARCHIVE) as archive:
         archive.extractall(tmp_path, filter="data")
     log = CommandLog(state_files.open_state(tmp_path / "state.db"))
@@ -191,7 +200,7 @@
     assert log.apply_command(Claim("work", "a", 11, 1000)).code == ResultCode.REFUSED
     digest_before = log.state.digest()
     log.apply_command(Upgrade(2))
-    assert log.state.get("lease/mine") is None, "a plain key of before is no lease"
+    assert log.state.get("lease/mine") is None, "a plain key written under format 1 is not a lease"
     assert (log.state.get("list/orders") or pytest.fail()).value == b"[1,2]"
     assert log.claim("a", 11) == (1, 0)
     assert log.state.digest() != digest_before
@@ -200,6 +209,7 @@
 
 
 def test_failed_batch_of_entries_rolls_back_tokens_and_format(tmp_path: Path) -> None:
+    """The third entry cannot be decoded, so the first two must leave no trace in memory."""
     state = state_files.create_state(tmp_path / "state.db", "c", MEMBERS)
     entries = [
         Entry(1, 1, EntryKind.COMMAND, commands.pack(Upgrade(2))),
@@ -215,10 +225,11 @@
     ]
 
 
-# ---- the holder's time ---------------------------------------------------------------------------
+# ---- lease holder, expiry and fenced receiver ----------------------------------------------------
 
 
 def holder_with_granted_lease(now: int = 1000 * MS) -> LeaseHolder:
+    """Return a holder that sent its claim at `now` and got token 5 after 300 ms."""
     holder = LeaseHolder("a", 11, TTL, random.Random(1), 0)
     holder.lease_observed(None, now - 500 * MS)
     request = holder.next_request(now)
@@ -228,6 +239,7 @@
 
 
 def test_ttl_counts_from_when_the_claim_was_sent_less_the_clock_drift() -> None:
+    """A slow response must not extend the lease beyond its expiry in the store."""
     holder = holder_with_granted_lease()
     expires_ns = 1000 * MS + int(TTL * (1 - MAX_CLOCK_DRIFT))
     assert holder.token(expires_ns - 1) == 5
@@ -236,6 +248,7 @@
 
 
 def test_grant_received_after_the_ttl_gives_no_token() -> None:
+    """The response to a claim is delayed until the granted lease has expired."""
     holder = LeaseHolder("a", 11, TTL, random.Random(1), 0)
     holder.lease_observed(None, 0)
     request = holder.next_request(TTL)
@@ -245,6 +258,7 @@
 
 
 def test_holder_keeps_its_token_until_the_ttl_expires_when_renewals_fail() -> None:
+    """An unreachable store must neither end the lease early nor extend it."""
     holder, now, failed_renewals = holder_with_granted_lease(), 1300 * MS, 0
     while holder.token(now):
         request = holder.next_request(now)
@@ -253,10 +267,11 @@
             failed_renewals += 1
         now += MS
     assert now == 1000 * MS + int(TTL * (1 - MAX_CLOCK_DRIFT))
-    assert 2 <= failed_renewals <= 12, "it asks again, and not in a storm"
+    assert 2 <= failed_renewals <= 12, "failed renewals must be retried with backoff"
 
 
 def test_leave_sends_one_release_request_and_withdraws_the_token() -> None:
+    """A leaving process must not act while its release is in flight."""
     holder = holder_with_granted_lease()
     holder.leave(1400 * MS)
     assert holder.token(1400 * MS) == 0
@@ -267,23 +282,25 @@
 
 
 def test_holder_stops_when_it_observes_a_newer_token_and_ignores_an_older_one() -> None:
+    """A newer token means that the lease was lost; an older one comes from a lagging follower."""
     holder = holder_with_granted_lease()
     holder.lease_observed(Lease("work", token=6, holder="b", claim=12), 1350 * MS)
     assert holder.token(1350 * MS) == 0
     holder = holder_with_granted_lease()
     holder.lease_observed(
         Lease("work", token=4, holder="b", claim=12), 1350 * MS
-    )  # a follower that lags
+    )  # a stale event from a lagging follower
     assert holder.token(1350 * MS) == 5
 
 
 def test_observers_send_no_claims_while_the_candidate_queue_is_full() -> None:
+    """Claims of 200 observers that would all be rejected must not load the store."""
     candidates = tuple(Candidate(f"p{index}", 50 + index) for index in range(table.MAX_CANDIDATES))
     full_lease = Lease("work", token=3, holder="b", claim=12, candidates=candidates)
     claims = 0
     for number in range(200):
         holder = LeaseHolder(f"x{number}", 1000 + number, TTL, random.Random(number), 0)
-        holder.lease_observed(None, 0)  # it was free a moment ago
+        holder.lease_observed(None, 0)  # the lease was free just before
         holder.lease_observed(full_lease, MS)
         claims += any(
             holder.next_request(time_ms * MS, full_lease) is not None
@@ -293,17 +310,23 @@
 
 
 def test_leader_expires_a_claim_after_its_full_ttl_excluding_process_pauses() -> None:
+    """After a pause of its process, the leader must not expire claims with unread renewals."""
     expiry = LeaseExpiry([ActiveClaim("work", 11, 3, 1000)], 0)
     for time_ms in range(0, 1000, 100):
         assert expiry.take_expired(time_ms * MS) == []
     assert expiry.take_expired(1000 * MS) == [ActiveClaim("work", 11, 3, 1000)]
-    assert expiry.take_expired(1001 * MS) == [], "once per TTL, not at each call"
+    assert expiry.take_expired(1001 * MS) == [], (
+        "a claim is returned once per TTL, not at each call"
+    )
     paused_expiry = LeaseExpiry([ActiveClaim("work", 11, 3, 1000)], 0)
-    assert paused_expiry.take_expired(60_000 * MS) == [], "renewals of a minute lie unread"
+    assert paused_expiry.take_expired(60_000 * MS) == [], (
+        "renewals may be unread after a pause of a minute"
+    )
     assert paused_expiry.take_expired(60_000 * MS + MAX_CLOCK_STEP_NS) != []
 
 
 def test_receiver_rejects_older_positions_and_any_order_before_initialization() -> None:
+    """After a restart, a receiver must not accept replayed orders of superseded leaders."""
     receiver = FencedReceiver(FencingPosition())
     assert not receiver.accept(FencingPosition(9, 1))
     receiver.learn(FencingPosition(7, 4))
@@ -320,27 +343,30 @@
 # ---- many holders over a simulated cluster -------------------------------------------------------
 
 
-# The last two were found among 10,000: a vote that came when its term was long over, and a
-# simulator that lost a tick.
+# The last two seeds failed in a run of 10,000: one had a vote that arrived long after its term, the
+# other a simulator bug that lost a tick.
 @pytest.mark.parametrize("seed", [*range(1, 41), 15185, 15676])
 def test_under_faults_no_superseded_holder_acts_and_the_lease_is_regranted_in_time(
     seed: int,
 ) -> None:
+    """Simulates lease holders on a cluster with random faults."""
     assert not owners.play(seed).broken, f"seed {seed}"
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_lease_invariants_hold_with_the_newest_state_format(seed: int) -> None:
+    """Simulates lease holders on a cluster that upgrades to the newest state format."""
     assert not owners.play(seed, newest=commands.STATE_FORMAT).broken, f"seed {seed}"
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
 def test_simulation_detects_each_seeded_lease_bug(name: str) -> None:
+    """Each seeded bug must violate an invariant that the simulation checks."""
     assert played(name, DETECTING_SEEDS[name]).broken
 
 
 def test_plain_write_keeps_the_encoding_of_format_1() -> None:
-    """Bytes as they were before there were leases: among its nodes may be old ones."""
+    """A cluster may still have nodes of format 1, which must be able to read plain writes."""
     write = Write(5, 1, 0, (Op("k", b"v"),), (), "me", "why", 7)
     assert commands.pack(write).hex() == "99010501009193a16bc40176ff90a26d65a377687907"
     assert commands.required_format(write) == 1
