--- a/loadbalancer/failover/controller.py
+++ b/loadbalancer/failover/controller.py
@@ -225,7 +225,7 @@
 
     def _observations(self, verdicts: Mapping[str, Verdict]) -> dict[str, Observation]:
         ratios = sorted(self._latency_ratios.values())
-        usual = ratios[len(ratios) // 2] if ratios else 1.0
+        median_ratio = ratios[len(ratios) // 2] if ratios else 1.0
         observations = {}
         for name, verdict in verdicts.items():
             attempts = self._attempts.get(name, Tally())
@@ -239,7 +239,7 @@
                 verdict.health is SiteHealth.LOST,
                 int(attempts.total),
                 good_fraction,
-                self._latency_ratios.get(name, 1.0) / max(MIN_LATENCY_RATIO, usual),
+                self._latency_ratios.get(name, 1.0) / max(MIN_LATENCY_RATIO, median_ratio),
             )
         return observations
 
--- a/loadbalancer/failover/evidence.py
+++ b/loadbalancer/failover/evidence.py
@@ -176,14 +176,14 @@
     def _appears_lost(self, site: Site) -> bool:
         """Return whether this balancer's run of failures is too long to be chance."""
         silent_peers = self._peer_opinions(site.name).silent
-        needed = (
+        min_upstreams = (
             DISTINCT_UPSTREAMS // 2 if silent_peers >= MIN_AGREEING_PEERS else DISTINCT_UPSTREAMS
         )
         count = self._upstream_count(site.name)
         if not count:
             return False
         # At a small site, waiting until every upstream has failed would take too long.
-        required_upstreams = min(needed, math.ceil(MAX_SITE_FRACTION * count))
+        required_upstreams = min(min_upstreams, math.ceil(MAX_SITE_FRACTION * count))
         failures = sum(site.silent.values())
         return (
             len(site.silent) >= required_upstreams
@@ -221,20 +221,22 @@
         self.changes = []
         apparently_lost = {site.name for site in self.sites.values() if self._appears_lost(site)}
         recently_tried = self._recently_tried_sites()
-        others = [
+        other_sites = [
             site
             for site in self.sites.values()
             if site.name != self.local_site and site.name in recently_tried
         ]
         unreachable = [
-            site for site in others if site.name in apparently_lost or site.health in UNREACHABLE
+            site
+            for site in other_sites
+            if site.name in apparently_lost or site.health in UNREACHABLE
         ]
         was_isolated = self.is_isolated
         # If several other sites were tried and none responds, this balancer or its site is the one
         # that is partitioned. With only one other site, the side that can still reach the store is
         # not partitioned.
-        if len(others) > 1:
-            self.is_isolated = len(unreachable) == len(others)
+        if len(other_sites) > 1:
+            self.is_isolated = len(unreachable) == len(other_sites)
         else:
             self.is_isolated = bool(unreachable) and not self.is_store_reachable
         for site in self.sites.values():
@@ -329,21 +331,24 @@
 
     def _is_answering_again(self, site: Site) -> bool:
         """Return whether enough upstreams responded since the loss, or a few responded often."""
-        needed = min(MIN_RECOVERY_ANSWERS, self._upstream_count(site.name))
+        min_upstreams = min(MIN_RECOVERY_ANSWERS, self._upstream_count(site.name))
         return bool(site.answered) and (
-            len(site.answered) >= needed or sum(site.answered.values()) >= 3 * MIN_RECOVERY_ANSWERS
+            len(site.answered) >= min_upstreams
+            or sum(site.answered.values()) >= 3 * MIN_RECOVERY_ANSWERS
         )
 
     def _slowdown(self, site: Site) -> float | None:
         """Return a site's latency relative to the other sites' median, or None if not slow."""
-        others = sorted(
+        other_latency_ratios = sorted(
             other.latency_ratio
             for other in self.sites.values()
             if other is not site and other.health is SiteHealth.HEALTHY
         )
-        if not others:
+        if not other_latency_ratios:
             return None
-        ratio = site.latency_ratio / max(MIN_LATENCY_RATIO, others[len(others) // 2])
+        ratio = site.latency_ratio / max(
+            MIN_LATENCY_RATIO, other_latency_ratios[len(other_latency_ratios) // 2]
+        )
         return ratio if ratio > SLOW_RATIO else None
 
     def required_stability_ns(self, name: str) -> int:
--- a/loadbalancer/failover/recovery.py
+++ b/loadbalancer/failover/recovery.py
@@ -30,7 +30,7 @@
 BAD_FRACTION: Final = 0.7  # fraction of responses in time below which the stage fails
 SLOW_RATIO: Final = 2.0  # latency relative to the other sites above which the site does not rise
 TOO_SLOW_RATIO: Final = 4.0  # latency relative to the other sites above which the stage fails
-MIN_ANSWERS: Final = 5  # responses in a stage before it is judged
+MIN_ATTEMPTS: Final = 5  # attempts in a stage before it is judged
 MIN_WAIT_S: Final = 2.0  # wait before the next try after the first failure
 MAX_WAIT_S: Final = 120.0
 MAX_FAILURES: Final = 16
@@ -87,13 +87,13 @@
 
     Attributes:
         is_lost: The site does not respond.
-        answers: Number of attempts since the stage began.
+        attempts: Number of attempts since the stage began.
         good_fraction: Fraction of them answered in time, relative to the other sites.
         latency_ratio: Latency relative to the other sites.
     """
 
     is_lost: bool
-    answers: int
+    attempts: int
     good_fraction: float
     latency_ratio: float = 1.0
 
@@ -147,7 +147,7 @@
     recovery: Recovery, observed: Observation, age_s: float, max_rise: float, is_urgent: bool
 ) -> Recovery:
     is_bad = observed.good_fraction < BAD_FRACTION or observed.latency_ratio > TOO_SLOW_RATIO
-    if observed.answers >= MIN_ANSWERS and is_bad:
+    if observed.attempts >= MIN_ATTEMPTS and is_bad:
         return _previous_stage(recovery)
     if age_s < _min_age_s(recovery, is_urgent) or not _may_rise(observed):
         return recovery
@@ -162,7 +162,7 @@
 
 def _may_rise(observed: Observation) -> bool:
     return (
-        observed.answers >= MIN_ANSWERS
+        observed.attempts >= MIN_ATTEMPTS
         and observed.good_fraction >= GOOD_FRACTION
         and observed.latency_ratio <= SLOW_RATIO
     )
--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -31,7 +31,7 @@
 MAX_DURATION_S: Final = 86_400.0
 NOT_KNOWN: Final = -1.0  # stored value: the fraction is not known yet
 PAUSED_PREFIX: Final = "rests"  # start of the stored reason of a paused drain
-NO_OBSERVATION: Final = Observation(is_lost=False, answers=0, good_fraction=1.0)
+NO_OBSERVATION: Final = Observation(is_lost=False, attempts=0, good_fraction=1.0)
 
 
 class DesiredState(Enum):
@@ -238,7 +238,7 @@
         failures=after.failures,
         has_failed=after.has_failed,
         reason=(
-            f"{after.stage.value} at {after.fraction:.0%}: {observed.answers} answers,"
+            f"{after.stage.value} at {after.fraction:.0%}: {observed.attempts} answers,"
             f" {observed.good_fraction:.0%} in time"
         ),
     )
