--- a/loadbalancer/failover/evidence.py
+++ b/loadbalancer/failover/evidence.py
@@ -76,7 +76,7 @@
     Attributes:
         baseline_failure_rate: Estimated rate of failed attempts at sites that are not lost.
         peer_reports: By balancer, its last report and the time at which it was made.
-        is_store_reachable: Whether the store responded lately, as set by the caller.
+        is_store_reachable: Whether the store responded recently, as set by the caller.
         is_isolated: This balancer itself appears to be partitioned.
     """
 
--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -238,7 +238,7 @@
         failures=after.failures,
         has_failed=after.has_failed,
         reason=(
-            f"{after.stage.value} at {after.fraction:.0%}: {observed.attempts} answers,"
+            f"{after.stage.value} at {after.fraction:.0%}: {observed.attempts} attempts,"
             f" {observed.good_fraction:.0%} in time"
         ),
     )
--- a/loadbalancer/leases/holder.py
+++ b/loadbalancer/leases/holder.py
@@ -221,7 +221,8 @@
             self.queue_position = queue_position
             self.next_claim_ns = now + self._jittered_ns(CANDIDACY_FRACTION)
         else:
-            # The queue is full or the claim was released. Claim again after the idle interval.
+            # The queue is full or the claim was released. Claim again after the idle interval. If
+            # the queue is still full then, wait for a watch event.
             self.phase = Phase.IDLE
             self._token = 0
             self.queue_position = 0
