--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -20,7 +20,7 @@
 HANDLED_SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
 
 
-async def _serve_to_the_end(work: Awaitable[None]) -> None:
+async def _serve_until_shutdown(work: Awaitable[None]) -> None:
     """Serve; then signals wait until the process has ended.
 
     The loop takes its handlers along when it closes, and a signal that came behind it would end the
@@ -55,7 +55,7 @@
         return EXIT_BAD_CONFIGURATION
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         work = serve(config, listener, admin_socket, read, companion)
-        runner.run(_serve_to_the_end(work))
+        runner.run(_serve_until_shutdown(work))
     return 0
 
 
--- a/loadbalancer/daemon/settings.py
+++ b/loadbalancer/daemon/settings.py
@@ -16,7 +16,7 @@
 from loadbalancer.proxy.endpoint_list import read_list
 from loadbalancer.proxy.resource_limits import RESERVE
 from loadbalancer.settings import Json, MalformedError, read_settings, split_address, write_class
-from loadbalancer.units import Duration, PerSecond, Size, convert, read_toml, repeated
+from loadbalancer.units import Duration, PerSecond, Size, convert, first_duplicate, read_toml
 
 MS = 1_000_000
 MIN_MEMORY_BYTES = 32 << 20
@@ -126,7 +126,7 @@
 
 
 def _duplicate_name(key: str, names: Iterable[str]) -> Iterator[str]:
-    duplicate = repeated(names)
+    duplicate = first_duplicate(names)
     if duplicate:
         yield f"{key}: {duplicate} stands there twice"
 
--- a/loadbalancer/daemon/site_config.py
+++ b/loadbalancer/daemon/site_config.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from loadbalancer.failover.fleet_model import SiteCapacity
-from loadbalancer.units import PerSecond, convert, repeated
+from loadbalancer.units import PerSecond, convert, first_duplicate
 
 DOCUMENT = "sites"  # followed by / and the service's name
 MAX_SITES = 32
@@ -65,7 +65,7 @@
     names = [site.name for site in document.sites]
     if not 1 <= len(names) <= MAX_SITES:
         raise ValueError(f"site: 1 to {MAX_SITES} are told")
-    duplicate = repeated(names)
+    duplicate = first_duplicate(names)
     if duplicate:
         raise ValueError(f"site: {duplicate} stands there twice")
     for site in document.sites:
--- a/loadbalancer/errnos.py
+++ b/loadbalancer/errnos.py
@@ -26,11 +26,11 @@
     """Whose fault it is."""
 
     PEER = "the other side's, or the way's to it: it counts against that"
-    HERE = "this machine's: it counts against nobody, and is tried again after a pause"
+    LOCAL = "this machine's: it counts against nobody, and is tried again after a pause"
     TRANSIENT = "nobody's: it is tried again at once"
 
 
-_EXHAUSTED = dict.fromkeys((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), Cause.HERE)
+_EXHAUSTED = dict.fromkeys((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), Cause.LOCAL)
 TABLE: Mapping[Operation, Mapping[int, Cause]] = {
     # Linux passes errors of the new connection on as errors of accept: its client has gone.
     Operation.ACCEPT: _EXHAUSTED
@@ -65,7 +65,7 @@
             errno.EACCES,
             errno.EPERM,
         ),
-        Cause.HERE,
+        Cause.LOCAL,
     )
     | {errno.EINTR: Cause.TRANSIENT},
     Operation.TRANSFER: _EXHAUSTED | {errno.EINTR: Cause.TRANSIENT, errno.EAGAIN: Cause.TRANSIENT},
@@ -73,11 +73,11 @@
     Operation.SYNC: {errno.EINTR: Cause.TRANSIENT},
 }
 DEFAULT_CAUSES = {
-    Operation.ACCEPT: Cause.HERE,
+    Operation.ACCEPT: Cause.LOCAL,
     Operation.CONNECT: Cause.PEER,
     Operation.TRANSFER: Cause.PEER,
-    Operation.WAIT: Cause.HERE,
-    Operation.SYNC: Cause.HERE,
+    Operation.WAIT: Cause.LOCAL,
+    Operation.SYNC: Cause.LOCAL,
 }
 
 
--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -9,7 +9,7 @@
 from loadbalancer.policy.completion import Completion
 from loadbalancer.policy.context import PolicyContext
 from loadbalancer.policy.dispatch import Dispatcher
-from loadbalancer.policy.requests import KeyQueue, Request, WaitsFor
+from loadbalancer.policy.requests import KeyQueue, Request, WaitState
 from loadbalancer.policy.timers import KeyQueueTimer, QueueDeadlineTimer, TokenTimer
 from loadbalancer.policy.token_bucket import Offer, TokenBucket
 
@@ -32,9 +32,9 @@
         self.rate_controller = context.rate_controller
         self.default_bucket = next(iter(context.buckets.values()))
 
-    def arrive(self, event: api.RequestArrived, now: int) -> None:
+    def request_arrived(self, event: api.RequestArrived, now: int) -> None:
         """Take a new request."""
-        request = self._request(event, now)
+        request = self._create_request(event, now)
         request_class = request.request_class
         self.context.requests[request.id] = request
         expected_ns = self.context.concurrency.expected_ns(request_class, request.cost_hint_ns)
@@ -57,11 +57,11 @@
             self._offer(request, now)
         else:
             # It holds no token meanwhile, and only requests with its key wait behind it.
-            request.waits_for = WaitsFor.KEY_ORDER
+            request.wait_state = WaitState.KEY_ORDER
             assert request.key_queue is not None
             self.timers.schedule(request.key_ready_ns, KeyQueueTimer(request.key_queue))
 
-    def _request(self, event: api.RequestArrived, now: int) -> Request:
+    def _create_request(self, event: api.RequestArrived, now: int) -> Request:
         request_class = self.context.settings.classes.get(event.class_name)
         if request_class is None:
             request_class = api.RequestClass(event.class_name, api.Effect.NON_IDEMPOTENT)
@@ -109,15 +109,15 @@
         """Offer the next request of a key, or forget the key."""
         if key_queue.waiting:
             request = key_queue.waiting[0]
-            if request.waits_for is WaitsFor.KEY_ORDER and request.is_first_of_key(now):
+            if request.wait_state is WaitState.KEY_ORDER and request.is_first_of_key(now):
                 self._offer(request, now)
         elif now >= key_queue.ready_ns:
             self.context.key_queues.pop(key_queue.key, None)
 
     def queue_deadline_due(self, request: Request, now: int) -> None:
         """Reject a request that has waited too long."""
-        if request.waits_for is not WaitsFor.NOTHING and now >= request.queue_deadline_ns:
-            self.rate_controller.unplaced_count += request.waits_for is WaitsFor.UPSTREAM
+        if request.wait_state is not WaitState.NOT_WAITING and now >= request.queue_deadline_ns:
+            self.rate_controller.unplaced_count += request.wait_state is WaitState.UPSTREAM
             self.completion.give_up(request)
 
     def token_due(self, bucket: TokenBucket[Request], now: int) -> None:
@@ -136,7 +136,7 @@
 
     def _offer(self, request: Request, now: int) -> None:
         """Ask the tenant's bucket for a token."""
-        request.waits_for = WaitsFor.NOTHING
+        request.wait_state = WaitState.NOT_WAITING
         bucket = request.bucket
         if not request.queue.pool.candidates:
             offer = Offer.OVERFLOW  # there is no upstream that it may go to
@@ -148,21 +148,21 @@
         if offer is Offer.OVERFLOW:
             self.completion.give_up(request)
         elif offer is Offer.BUFFERED:
-            request.waits_for = WaitsFor.TOKEN
+            request.wait_state = WaitState.TOKEN
             self.release(bucket, now)
         else:
             self._admit(request, now)
 
     def _admit(self, request: Request, now: int) -> None:
         """Put a request that has a token into its queue, unless that is too long."""
-        request.waits_for = WaitsFor.NOTHING
+        request.wait_state = WaitState.NOT_WAITING
         fraction = OVER_SHARE_QUEUE_FRACTION if request.bucket.is_over_share else QUEUE_FRACTION
         # A class with much time must not make the queue too long for those with little.
         spare_ns = min(request.queue_deadline_ns - now, self.context.shortest_objective_ns)
         queue = request.queue
         served_per_s = self.rate_controller.served_per_s
         if (
-            queue.lacks_capacity
+            queue.capacity_exhausted
             and len(queue.waiting) * SECOND > served_per_s * spare_ns * fraction
         ):
             self.rate_controller.unplaced_count += 1
--- a/loadbalancer/policy/attempt_tracker.py
+++ b/loadbalancer/policy/attempt_tracker.py
@@ -71,7 +71,7 @@
             if attempt.awaits_body and attempt.result is None:
                 attempt.awaits_body = False
                 attempt.sent_ns = now
-                self.dispatcher.begin_work(request, number, now)
+                self.dispatcher.begin_execution(request, number, now)
 
     def finished(self, event: api.AttemptFinished, now: int) -> None:
         """Learn from an attempt's outcome, and go on with its request."""
@@ -97,7 +97,7 @@
             self.completion.finish(request)
         elif not request.is_finished and not request.in_flight and not request.response_started:
             self._retry(request, now)
-        self.completion.forget_if_done(request)
+        self.completion.forget_if_complete(request)
 
     def _record(
         self,
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -35,7 +35,7 @@
 MAX_OUT_OF_SUBSET_SLOWNESS: Final = 1.5  # slower upstreams beyond the subset are no help
 # In one interval: how far what was learned of those goes back to 1, and the gain of attempts a
 # second at each upstream.
-SLOWNESS_FADE: Final = 0.03
+SLOWNESS_DECAY: Final = 0.03
 ATTEMPTS_GAIN: Final = 0.2
 
 
@@ -93,7 +93,7 @@
     def _handle_event(self, event: api.Event, now: int) -> None:
         """Handle the events of requests; the most frequent are tested first."""
         if type(event) is api.RequestArrived:
-            self.admission.arrive(event, now)
+            self.admission.request_arrived(event, now)
         elif type(event) is api.AttemptFinished:
             self.attempt_tracker.finished(event, now)
         elif type(event) is api.TimerFired:
@@ -154,9 +154,9 @@
         self._feedback_ns = now
         upstream_set = self.upstream_set
         slowness = upstream_set.out_of_subset_slowness
-        upstream_set.out_of_subset_slowness += SLOWNESS_FADE * (1.0 - slowness)
+        upstream_set.out_of_subset_slowness += SLOWNESS_DECAY * (1.0 - slowness)
         self._update_widths()
-        upstream_set.fade_error_rates()
+        upstream_set.decay_error_rates()
         self.rate_controller.adjust(
             now, self.concurrency.latency_ratio - self.concurrency.overload_ratio
         )
--- a/loadbalancer/policy/completion.py
+++ b/loadbalancer/policy/completion.py
@@ -5,7 +5,7 @@
 from loadbalancer.policy import api
 from loadbalancer.policy.clock import SECOND
 from loadbalancer.policy.context import PolicyContext
-from loadbalancer.policy.requests import KeyQueue, Request, WaitsFor
+from loadbalancer.policy.requests import KeyQueue, Request, WaitState
 from loadbalancer.policy.timers import KeyQueueTimer
 
 
@@ -39,19 +39,19 @@
 
     def finish(self, request: Request) -> None:
         """End a request that has its final answer or whose client has gone."""
-        if request.waits_for is WaitsFor.TOKEN:
+        if request.wait_state is WaitState.TOKEN:
             request.bucket.remove(request)
-        elif request.waits_for is WaitsFor.UPSTREAM:
+        elif request.wait_state is WaitState.UPSTREAM:
             request.queue.waiting.remove(request)
-        request.waits_for = WaitsFor.NOTHING
+        request.wait_state = WaitState.NOT_WAITING
         request.is_finished = True
         if self.limits.may_cancel:
             for number, attempt in enumerate(request.attempts):
                 if attempt.result is None:
                     self.context.actions.append(api.CancelAttempt(request.id, number))
-        self.forget_if_done(request)
+        self.forget_if_complete(request)
 
-    def forget_if_done(self, request: Request) -> None:
+    def forget_if_complete(self, request: Request) -> None:
         """Forget a finished request once none of its attempts is in flight."""
         if request.is_finished and not request.in_flight and request.id in self.context.requests:
             del self.context.requests[request.id]
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -83,8 +83,8 @@
         # Attempts that stand still must not fill the window while other answers are quick. Where
         # those are slow too, upstreams are overloaded, and late work still runs there.
         window = max(1.0, self.window * available)
-        freed = max(1.0, OVERDUE_FRACTION * window) * (1 if self.is_overloaded() else 2)
-        return self.in_flight - min(self.overdue, freed) < window
+        overdue_allowance = max(1.0, OVERDUE_FRACTION * window) * (1 if self.is_overloaded() else 2)
+        return self.in_flight - min(self.overdue, overdue_allowance) < window
 
     def expected_ns(self, request_class: api.RequestClass, cost_hint_ns: int) -> float:
         """Expected service time of a request."""
@@ -102,13 +102,13 @@
         """Learn from the duration of a successful attempt."""
         name = _COST_HINT_KEY if cost_hint_ns else request_class.name
         base = float(cost_hint_ns) if cost_hint_ns else 1.0
-        known = self.service_times.get(name)
+        previous = self.service_times.get(name)
         measured = duration_ns / base
-        if known is None:
+        if previous is None:
             self.service_times[name] = measured
         else:
-            bounded = min(measured, MAX_TIME_RATIO * known)
-            self.service_times[name] = known + SAMPLE_GAIN * (bounded - known)
+            bounded = min(measured, MAX_TIME_RATIO * previous)
+            self.service_times[name] = previous + SAMPLE_GAIN * (bounded - previous)
         self.record_duration(attempt, duration_ns)
         upstream = attempt.upstream
         ratio = duration_ns / max(1.0, self.expected_ns(request_class, cost_hint_ns))
@@ -142,13 +142,15 @@
         """Whether upstreams answer so slowly that they must be overloaded."""
         return self.latency_ratio > self.overload_ratio
 
-    def update_window(self, ratio: float, is_waiting: bool, width: int, now: int) -> None:
+    def update_window(
+        self, ratio: float, has_waiting_requests: bool, candidate_count: int, now: int
+    ) -> None:
         """Adjust the window after an attempt.
 
         Args:
             ratio: Duration of the attempt, as a fraction of its latency objective.
-            is_waiting: Whether requests wait in the queue; the window grows only then.
-            width: The count of candidate upstreams.
+            has_waiting_requests: Whether requests wait in the queue; the window grows only then.
+            candidate_count: The count of candidate upstreams.
             now: The time in nanoseconds.
         """
         ratio = min(ratio, MAX_LATENCY_RATIO)
@@ -166,6 +168,6 @@
             MAX_OVERLOAD_RATIO,
             max(MIN_OVERLOAD_RATIO, OVERLOAD_FACTOR * self.baseline_latency_ratio),
         )
-        step = WINDOW_STEP * (self.overload_ratio - ratio) / max(1, width)
-        if is_waiting or step < 0 or self.window < self.start_window:
-            self.window = max(1 / max(1, width), min(self.window + step, self.max_window))
+        step = WINDOW_STEP * (self.overload_ratio - ratio) / max(1, candidate_count)
+        if has_waiting_requests or step < 0 or self.window < self.start_window:
+            self.window = max(1 / max(1, candidate_count), min(self.window + step, self.max_window))
--- a/loadbalancer/policy/dispatch.py
+++ b/loadbalancer/policy/dispatch.py
@@ -9,7 +9,7 @@
 from loadbalancer.policy.availability import LOAD_QUERIES
 from loadbalancer.policy.completion import Completion
 from loadbalancer.policy.context import PolicyContext
-from loadbalancer.policy.requests import Request, RequestQueue, WaitsFor
+from loadbalancer.policy.requests import Request, RequestQueue, WaitState
 from loadbalancer.policy.timers import (
     AttemptLateTimer,
     AttemptOverdueTimer,
@@ -41,17 +41,18 @@
     def queue(self, request_class: api.RequestClass) -> RequestQueue:
         """Return the queue of all classes that may go to the same upstreams."""
         key = (request_class.zones, request_class.kinds)
-        found = self.queues.get(key)
-        if found is None:
-            found = RequestQueue(self.upstream_set.pool(request_class))
-            self.queues[key] = found
-        return found
+        matching_queue = self.queues.get(key)
+        if matching_queue is None:
+            matching_queue = RequestQueue(self.upstream_set.pool(request_class))
+            self.queues[key] = matching_queue
+        return matching_queue
 
     def set_queue_deadline(self, request: Request, expected_ns: float, now: int) -> None:
         """Set how long the request may wait and still be answered in time, or a while at least."""
-        need_ns = expected_ns * (1 + self.concurrency.deviation)
+        service_time_ns = expected_ns * (1 + self.concurrency.deviation)
         request.queue_deadline_ns = max(
-            request.latency_objective_ns - int(need_ns), now + (request.deadline_ns - now) // 4
+            request.latency_objective_ns - int(service_time_ns),
+            now + (request.deadline_ns - now) // 4,
         )
 
     def enqueue(self, request: Request, now: int) -> None:
@@ -65,7 +66,7 @@
         self._begin_wait(request, now)
 
     def _begin_wait(self, request: Request, now: int) -> None:
-        request.waits_for = WaitsFor.UPSTREAM
+        request.wait_state = WaitState.UPSTREAM
         if self.availability.queries_load:
             self._query_load(request, now)
 
@@ -77,10 +78,10 @@
         answers, each would need a connection. An upstream that owes an answer for long is skipped.
         """
         query_ns = self.context.load_query_ns
-        drawn = dict.fromkeys(request.queue.pool.draw(LOAD_QUERIES, now))
+        sampled = dict.fromkeys(request.queue.pool.draw(LOAD_QUERIES, now))
         request.queried = [
             upstream
-            for upstream in drawn
+            for upstream in sampled
             if not upstream.load_query_ns or now < upstream.load_query_ns + query_ns
         ]
         request.queried_ns = now
@@ -109,26 +110,26 @@
                 queue.blocked_since_ns = 0
 
     def _serve(self, queue: RequestQueue, now: int) -> None:
-        queue.lacks_capacity = False
+        queue.capacity_exhausted = False
         available = queue.pool.available_count(now) if queue.waiting else 0
         while queue.waiting:
             if not self.availability.endpoints_trusted:
                 # Nothing may be sent anywhere until the list is known again.
-                queue.lacks_capacity = True
+                queue.capacity_exhausted = True
                 return
             request = queue.waiting[0]
             if self._awaits_load_reports(request, now):
                 return  # that is no want of capacity
             queue.blocked_since_ns = queue.blocked_since_ns or now
             if not self.concurrency.has_capacity(available):
-                queue.lacks_capacity = True
+                queue.capacity_exhausted = True
                 return
             candidates = request.repeat_candidates() if request.attempts else None
-            reported = self._take_reported(request, now)
+            reported = self._pop_reporting_upstreams(request, now)
             is_unsafe = request.request_class.effect is not api.Effect.IDEMPOTENT
             upstream = queue.pool.pick(now, reported or candidates, is_unsafe, request.key)
             if upstream is None and candidates is None:
-                queue.lacks_capacity = True
+                queue.capacity_exhausted = True
                 return
             if upstream is None or (reported and self._is_too_loaded(request, upstream, now)):
                 # All that it may go to are busy, or would answer late: it must not block the queue.
@@ -144,7 +145,7 @@
             and any(upstream.load_reported_ns < request.queried_ns for upstream in request.queried)
         )
 
-    def _take_reported(self, request: Request, now: int) -> list[UpstreamStats]:
+    def _pop_reporting_upstreams(self, request: Request, now: int) -> list[UpstreamStats]:
         """Return the queried upstreams that answered and accept an attempt.
 
         Where there is another, not those that an attempt of the request failed at.
@@ -162,8 +163,8 @@
     def _is_too_loaded(self, request: Request, upstream: UpstreamStats, now: int) -> bool:
         """Whether the upstream reported so much load that its answer would be late."""
         load = upstream.reported_load
-        left = (request.latency_objective_ns - now) / self.concurrency.per_request_ns
-        return load >= 1 and (load + 1.5) * upstream.relative_service_time > left
+        remaining_slots = (request.latency_objective_ns - now) / self.concurrency.per_request_ns
+        return load >= 1 and (load + 1.5) * upstream.relative_service_time > remaining_slots
 
     def _dispatch_first(self, queue: RequestQueue, upstream: UpstreamStats, now: int) -> int:
         """Send the first request of a queue, if the rules allow it.
@@ -172,7 +173,7 @@
             The count of upstreams that are no longer available.
         """
         request = queue.waiting.popleft()
-        request.waits_for = WaitsFor.NOTHING
+        request.wait_state = WaitState.NOT_WAITING
         if not request.may_send(upstream, now, self.limits):
             self.completion.give_up(request)
             return 0
@@ -196,17 +197,17 @@
             Attempt(upstream, now, expected_ns, 1.0, awaits_body=not request.body_complete)
         )
         if request.body_complete:
-            self.begin_work(request, number, now)
+            self.begin_execution(request, number, now)
         if self.availability.is_in_slow_start(upstream, now):
             gap_ns = self.availability.slow_start_gap_ns(upstream, now)
             self.availability.avoid(upstream, now + gap_ns)
             self.timers.schedule(upstream.avoid_until_ns, ServeQueuesTimer())
-        timeout_ns = self._limit_to_objective(request, number, now)
+        timeout_ns = self._attempt_timeout_ns(request, number, now)
         self.context.actions.append(
             api.StartAttempt(request.id, upstream.id, timeout_ns, start_by_ns)
         )
 
-    def _limit_to_objective(self, request: Request, number: int, now: int) -> int:
+    def _attempt_timeout_ns(self, request: Request, number: int, now: int) -> int:
         """Where a late answer is worth nothing, end the attempt at the latency objective.
 
         Returns:
@@ -224,7 +225,7 @@
             return 0
         return max(1, request.latency_objective_ns - now)
 
-    def begin_work(self, request: Request, number: int, now: int) -> None:
+    def begin_execution(self, request: Request, number: int, now: int) -> None:
         """Count an attempt from when its upstream has the complete request."""
         attempt = request.attempts[number]
         upstream = attempt.upstream
--- a/loadbalancer/policy/pool.py
+++ b/loadbalancer/policy/pool.py
@@ -88,24 +88,24 @@
         index = self.availability.settings.instance_index
         first = index * count // options.proxies
         # Few proxies have a part of the ring that they do not need: the width grows with the load.
-        stretch_limit = (index + 1) * count // options.proxies - first
-        stretch = min(MAX_SCAN, stretch_limit)
-        self.has_more_than_subset = stretch < stretch_limit
-        least = max(
+        section_limit = (index + 1) * count // options.proxies - first
+        section = min(MAX_SCAN, section_limit)
+        self.has_more_than_subset = section < section_limit
+        min_size = max(
             MIN_SUBSET,
             min(PREFERRED_SUBSET, MAX_SUBSET_SHARING * count // options.proxies),
             options.prefers_key_upstreams * min(MAX_SCAN, count // KEY_SUBSET_DIVISOR),
         )
-        size = count if self.availability.queries_load else min(count, max(least, stretch))
+        size = count if self.availability.queries_load else min(count, max(min_size, section))
         # First the ring as it stands, for half of the subset, or some upstream is in no subset;
         # then the proxy's own zone. That alone would not do: where a zone has many proxies and few
         # upstreams, all of them would overload these while other zones are idle. No proxy knows how
         # many others are in its zone: it needs some of each to see which are quicker.
-        any_zone = max(stretch, -(-size // 2))
-        subset = ring.subset(first, any_zone, size)
+        any_zone_count = max(section, -(-size // 2))
+        subset = ring.subset(first, any_zone_count, size)
         # What operators enabled is drawn from by every proxy for a while: they wait to see it used.
         if options.enabled:
-            subset += ring.outside_subset(first, any_zone, subset, options.enabled)
+            subset += ring.outside_subset(first, any_zone_count, subset, options.enabled)
         self._set_subset(subset)
 
     def _set_subset(self, subset: list[UpstreamStats]) -> None:
@@ -141,8 +141,8 @@
 
     def widen(self) -> None:
         """Draw from more: one, or a quarter as many again where there are far more."""
-        more = max(1, self.width // 4) if self.has_more_than_subset else 1
-        self.width = min(self.count, self.width + more)
+        increment = max(1, self.width // 4) if self.has_more_than_subset else 1
+        self.width = min(self.count, self.width + increment)
         if self.width > len(self.candidates):
             self._set_candidates(self.subset)
 
@@ -154,8 +154,8 @@
     def key_upstreams(self, key: str) -> list[UpstreamStats]:
         """Those of the subset that all proxies send this key to, by rendezvous hashing."""
         checksum = zlib.crc32(key.encode(errors="surrogatepass"))
-        found = self.by_key.get(checksum)
-        if found is None:
+        upstreams_for_key = self.by_key.get(checksum)
+        if upstreams_for_key is None:
             if len(self.by_key) >= MAX_CACHED_KEYS:
                 self.by_key.clear()
             salt = hash_id(checksum, 0)
@@ -166,9 +166,9 @@
                     for i, upstream in enumerate(subset)
                 ]
             )
-            found = [subset[i] for _, i in ranked[:KEY_UPSTREAMS]]
-            self.by_key[checksum] = found
-        return found
+            upstreams_for_key = [subset[i] for _, i in ranked[:KEY_UPSTREAMS]]
+            self.by_key[checksum] = upstreams_for_key
+        return upstreams_for_key
 
     def draw(self, count: int, now: int) -> list[UpstreamStats]:
         """Return so many random draws that accept an attempt, and the previous choice.
@@ -203,9 +203,11 @@
         """Look through a stretch of the candidates, where random draws found none."""
         width = self.width
         first = int(self.rng.random() * width) if width > MAX_SCAN else 0
-        wrapped = min(first, max(0, first + MAX_SCAN - width))
-        stretch = self.candidates[first : min(width, first + MAX_SCAN)] + self.candidates[:wrapped]
-        accepting = [u for u in stretch if self.availability.accepts(u, now)]
+        wrapped_end = min(first, max(0, first + MAX_SCAN - width))
+        section = (
+            self.candidates[first : min(width, first + MAX_SCAN)] + self.candidates[:wrapped_end]
+        )
+        accepting = [u for u in section if self.availability.accepts(u, now)]
         if not accepting:
             return []
         return [accepting[int(self.rng.random() * len(accepting))] for _ in range(count)]
@@ -218,10 +220,14 @@
         """
         if self.same_zone:
             subset = self.subset
-            near = sum(u.relative_service_time for u in self.same_zone) / len(self.same_zone)
+            same_zone_mean = sum(u.relative_service_time for u in self.same_zone) / len(
+                self.same_zone
+            )
             total = sum(u.relative_service_time for u in subset)
-            far = (total - near * len(self.same_zone)) / (len(subset) - len(self.same_zone))
-            self.prefers_same_zone = near <= CROSS_ZONE_PENALTY * far
+            other_zone_mean = (total - same_zone_mean * len(self.same_zone)) / (
+                len(subset) - len(self.same_zone)
+            )
+            self.prefers_same_zone = same_zone_mean <= CROSS_ZONE_PENALTY * other_zone_mean
 
     def available_count(self, now: int) -> int:
         """Count the candidates that are not avoided.
--- a/loadbalancer/policy/rate_controller.py
+++ b/loadbalancer/policy/rate_controller.py
@@ -24,8 +24,8 @@
 FAST_INCREASE_FACTOR: Final = 2.0
 # Nothing is overloaded: latency is so far below the overload ratio, and not one attempt in so many
 # failed or was late.
-NO_OVERLOAD: Final = -0.1
-FAILURES_ONE_IN: Final = 8
+NO_OVERLOAD_EXCESS: Final = -0.1
+MIN_SUCCESSES_PER_FAILURE: Final = 8
 MAX_DECREASE: Final = 0.3  # of the rate in one interval
 # Of what was finished or served in the last interval: what the rate comes down to, and no further.
 FINISHED_FACTOR: Final = 1.2
@@ -33,7 +33,7 @@
 MIN_INCREASE: Final = 0.5  # requests a second in one interval
 DEMAND_GAIN: Final = 0.5  # of a tenant's demand, in one interval
 MIN_RATE_FRACTION: Final = 0.2  # of what was served in good times, which is forgotten in a minute
-BEST_FADE: Final = 0.98
+BEST_SERVED_DECAY: Final = 0.98
 MIN_TENANT_RATE: Final = 0.05
 MAX_SINGLE_INSERTS: Final = 64  # tenants in one interval that are put into their order one by one
 OVER_SHARE_FACTOR: Final = 1.1
@@ -80,13 +80,13 @@
             return
         self.served_per_s = self.in_time_count * SECOND / elapsed
         self.finished_per_s = (self.in_time_count + self.failure_count) * SECOND / elapsed
-        self.best_served_per_s = max(self.served_per_s, self.best_served_per_s * BEST_FADE)
-        is_quick = excess < NO_OVERLOAD
+        self.best_served_per_s = max(self.served_per_s, self.best_served_per_s * BEST_SERVED_DECAY)
+        is_low_latency = excess < NO_OVERLOAD_EXCESS
         # Latency goes by recent answers, not by this interval: of eight outcomes one is late on any
         # good day.
         excess += self.unplaced_count / max(1, total) - OVERLOAD_SLACK
         if total:
-            self._adjust_rate(excess, is_quick)
+            self._adjust_rate(excess, is_low_latency)
         self._update_demands(elapsed)
         self._divide(now)
         self.adjusted_ns = now
@@ -94,19 +94,23 @@
         self.failure_count = 0
         self.unplaced_count = 0
 
-    def _adjust_rate(self, excess: float, is_quick: bool) -> None:
+    def _adjust_rate(self, excess: float, is_low_latency: bool) -> None:
         """Move the rate by what attempts showed. Without any, latency is only what it once was."""
         if excess > 0:
-            self._decrease(excess, is_quick)
-        elif any(bucket.ran_short for bucket in self.buckets):
+            self._decrease(excess, is_low_latency)
+        elif any(bucket.had_token_shortage for bucket in self.buckets):
             self._increase(excess)
 
-    def _decrease(self, excess: float, is_quick: bool) -> None:
+    def _decrease(self, excess: float, is_low_latency: bool) -> None:
         # After upstreams are lost, the rate stands far above what is served: come down to that
         # first. But where answers are quick, little was sent as little was admitted, as in the rush
         # of a start.
-        top = self.rate if is_quick else min(self.rate, FINISHED_FACTOR * self.finished_per_s + 1)
-        decreased = top * (1 - min(MAX_DECREASE, excess))
+        base_rate = (
+            self.rate
+            if is_low_latency
+            else min(self.rate, FINISHED_FACTOR * self.finished_per_s + 1)
+        )
+        decreased = base_rate * (1 - min(MAX_DECREASE, excess))
         self.rate = max(
             MIN_RATE_FRACTION * self.best_served_per_s,
             SERVED_FACTOR * self.served_per_s,
@@ -116,11 +120,11 @@
     def _increase(self, excess: float) -> None:
         # Where nothing is overloaded, the rate itself is what is short: it must not starve the
         # upstreams for seconds.
-        is_fast = (
-            excess < NO_OVERLOAD - OVERLOAD_SLACK
-            and FAILURES_ONE_IN * self.failure_count <= self.in_time_count
+        increases_fast = (
+            excess < NO_OVERLOAD_EXCESS - OVERLOAD_SLACK
+            and MIN_SUCCESSES_PER_FAILURE * self.failure_count <= self.in_time_count
         )
-        factor = FAST_INCREASE_FACTOR if is_fast else INCREASE_FACTOR
+        factor = FAST_INCREASE_FACTOR if increases_fast else INCREASE_FACTOR
         self.rate = min(START_RATE, self.rate * factor + MIN_INCREASE)
 
     def restore(
@@ -168,7 +172,7 @@
             bucket.demand += DEMAND_GAIN * (demand - bucket.demand)
             bucket.demand_ratio = bucket.demand / bucket.weight
             bucket.request_count = 0
-            bucket.ran_short = False
+            bucket.had_token_shortage = False
             if needs_sort:
                 order.append(bucket)
             else:
--- a/loadbalancer/policy/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -14,10 +14,10 @@
 from loadbalancer.policy.upstream_stats import UpstreamStats
 
 
-class WaitsFor(Enum):
+class WaitState(Enum):
     """What a request waits for."""
 
-    NOTHING = 0
+    NOT_WAITING = 0
     KEY_ORDER = 1  # an earlier request with its key
     TOKEN = 2  # in its tenant's job buffer
     UPSTREAM = 3  # in the queue of its pool
@@ -31,7 +31,7 @@
         self.waiting: deque[Request] = deque()
         self.blocked_since_ns = 0  # no upstream was found since then; 0: not blocked
         # No capacity is left: the first request waits for that, not for a load report.
-        self.lacks_capacity = False
+        self.capacity_exhausted = False
 
 
 @dataclass(slots=True, eq=False)
@@ -52,7 +52,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     is_finished: bool = False
     response_started: bool = False
-    waits_for: WaitsFor = WaitsFor.NOTHING
+    wait_state: WaitState = WaitState.NOT_WAITING
     key_ready_ns: int = 0  # requests with its key may not start before
     queue_deadline_ns: int = 0  # waiting longer is of no use
     key: str = ""
@@ -91,20 +91,26 @@
         return self._repeat_verdict(upstream, now)
 
     def _repeat_verdict(self, upstream: UpstreamStats, now: int) -> rules.Verdict:
-        risky = [attempt for attempt in self.attempts if attempt.may_have_run]
-        if not risky:
+        possibly_executed = [attempt for attempt in self.attempts if attempt.may_have_run]
+        if not possibly_executed:
             return rules.ALLOWED
-        same_scope = all(self.shares_scope(attempt.upstream, upstream) for attempt in risky)
-        return rules.may_repeat(self.request_class, now - risky[0].sent_ns, same_scope)
+        same_scope = all(
+            self.shares_scope(attempt.upstream, upstream) for attempt in possibly_executed
+        )
+        return rules.may_repeat(self.request_class, now - possibly_executed[0].sent_ns, same_scope)
 
     def start_by_ns(self, now: int) -> int:
         """How long from now a repeated execution may still start; 0: without end."""
-        risky = (
+        possibly_executed = (
             [attempt for attempt in self.attempts if attempt.may_have_run]
             if self.request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY
             else []
         )
-        return max(1, risky[0].sent_ns + self.request_class.window_ns - now) if risky else 0
+        return (
+            max(1, possibly_executed[0].sent_ns + self.request_class.window_ns - now)
+            if possibly_executed
+            else 0
+        )
 
     def is_first_of_key(self, now: int) -> bool:
         """Whether it is the next one of its key, and the gap since the one before is over."""
--- a/loadbalancer/policy/rules.py
+++ b/loadbalancer/policy/rules.py
@@ -99,14 +99,14 @@
     return ALLOWED
 
 
-def max_in_flight(limits: api.Limits, in_pieces: bool = False) -> int:
+def max_in_flight(limits: api.Limits, body_streamed: bool = False) -> int:
     """Return how many attempts of a request may be in flight at once.
 
     Args:
         limits: The limits of the settings.
-        in_pieces: Its body comes in pieces, which can only go one way.
+        body_streamed: Its body comes in pieces, which can only go one way.
     """
-    return 2 if limits.may_hedge and not in_pieces else 1
+    return 2 if limits.may_hedge and not body_streamed else 1
 
 
 def may_use(is_usable: bool, endpoints_trusted: bool) -> Verdict:
@@ -147,29 +147,29 @@
 
 def may_reject(request_class: api.RequestClass, may_have_run: bool) -> Verdict:
     """Say whether a request may be rejected, which promises that a retry is harmless."""
-    is_dropped_everywhere = (
+    is_deduplicated_everywhere = (
         request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY
         and request_class.scope is api.DeduplicationScope.ALL
     )
     is_idempotent = request_class.effect is api.Effect.IDEMPOTENT
-    if is_idempotent or is_dropped_everywhere or not may_have_run:
+    if is_idempotent or is_deduplicated_everywhere or not may_have_run:
         return ALLOWED
     return DENIED[Reason.NOT_IDEMPOTENT]
 
 
-def remaining_ms(now_ns: int, *until_ns: int) -> int:
+def remaining_ms(now_ns: int, *deadlines_ns: int) -> int:
     """Return the time from now to the first of these, in whole ms, at least 1."""
-    return max(1, (min(until_ns) - now_ns) // MILLISECOND)
+    return max(1, (min(deadlines_ns) - now_ns) // MILLISECOND)
 
 
-def may_complete_body(timeout_ms: int, now_ns: int, client_until_ns: int) -> Verdict:
+def may_complete_body(timeout_ms: int, now_ns: int, client_deadline_ns: int) -> Verdict:
     """Say whether the last byte of a body may be written.
 
     Args:
         timeout_ms: What the head promised; the upstream counts it from that byte on.
         now_ns: The time.
-        client_until_ns: The client's deadline.
+        client_deadline_ns: The client's deadline.
     """
-    if timeout_ms * MILLISECOND > client_until_ns - now_ns + TIMEOUT_SLACK_NS:
+    if timeout_ms * MILLISECOND > client_deadline_ns - now_ns + TIMEOUT_SLACK_NS:
         return DENIED[Reason.TIMEOUT_TOO_LONG]
     return ALLOWED
--- a/loadbalancer/policy/subscription.py
+++ b/loadbalancer/policy/subscription.py
@@ -42,8 +42,8 @@
         self.failure_count += 1
         growth = 2.0 ** (self.failure_count - FULL_BACKOFF_FAILURES)
         backoff_ns = MAX_BACKOFF_NS * min(1.0, growth) * self.context.rng.uniform(0.4, 1.0)
-        most_ns = self.context.settings.rules.list_expiry_ns * EXPIRY_FRACTION
-        self.context.timers.schedule(now + int(min(backoff_ns, most_ns)), SubscribeTimer())
+        max_backoff_ns = self.context.settings.rules.list_expiry_ns * EXPIRY_FRACTION
+        self.context.timers.schedule(now + int(min(backoff_ns, max_backoff_ns)), SubscribeTimer())
 
     def succeeded(self, kind: api.EndpointListKind) -> None:
         """Note a list that came; a cached one does not come from discovery."""
--- a/loadbalancer/policy/subset_ring.py
+++ b/loadbalancer/policy/subset_ring.py
@@ -79,70 +79,76 @@
         ]
         return ring
 
-    def subset(self, first: int, any_zone: int, count: int) -> list[UpstreamStats]:
+    def subset(self, first: int, any_zone_count: int, count: int) -> list[UpstreamStats]:
         """Return a subset of `count` upstreams that starts at index `first`.
 
-        The first `any_zone` are taken as the ring stands, then those of the same zone behind them,
+        The first `any_zone_count` are taken in ring order, then those of the same zone after them,
         then the others.
         """
         ready = self.ready
         total = len(ready)
-        found = [ready[(first + i) % total] for i in range(min(any_zone, count))]
-        if len(found) < count:
-            chosen_ids = {upstream.id for upstream in found}
-            found += self._same_zone_from(first + any_zone, chosen_ids, count - len(found))
-        index = first + any_zone
-        while len(found) < count:  # few are in the same zone: at most these are passed over
+        selected = [ready[(first + i) % total] for i in range(min(any_zone_count, count))]
+        if len(selected) < count:
+            chosen_ids = {upstream.id for upstream in selected}
+            selected += self._same_zone_from(
+                first + any_zone_count, chosen_ids, count - len(selected)
+            )
+        index = first + any_zone_count
+        while len(selected) < count:  # few are in the same zone: at most these are passed over
             upstream = ready[index % total]
             if upstream.zone_penalty != 1.0:
-                found.append(upstream)
+                selected.append(upstream)
             index += 1
-        return found
+        return selected
 
     def _same_zone_from(
         self, index: int, excluded_ids: set[int], count: int
     ) -> list[UpstreamStats]:
         """Return the first upstreams of the same zone from this index of the ring on."""
         same_zone = self.same_zone
-        found: list[UpstreamStats] = []
+        selected: list[UpstreamStats] = []
         if same_zone:
             position = self.ready[index % len(self.ready)].ring_position
             start = bisect.bisect_left(same_zone, position, key=BY_RING_POSITION)
             for i in range(len(same_zone)):
                 upstream = same_zone[(start + i) % len(same_zone)]
                 if upstream.id not in excluded_ids:
-                    found.append(upstream)
-                    if len(found) == count:
+                    selected.append(upstream)
+                    if len(selected) == count:
                         break
-        return found
+        return selected
 
     def outside_subset(
-        self, first: int, any_zone: int, subset: list[UpstreamStats], some: list[UpstreamStats]
+        self,
+        first: int,
+        any_zone_count: int,
+        subset: list[UpstreamStats],
+        upstreams: list[UpstreamStats],
     ) -> list[UpstreamStats]:
-        """Return those of `some` that are in the ring but not in the subset.
+        """Return those of `upstreams` that are in the ring but not in the subset.
 
         They come in the order in which `subset` would go on.
         """
         total = len(self.ready)
         subset_ids = {upstream.id for upstream in subset}
-        found = []
-        for upstream in some:
+        selected = []
+        for upstream in upstreams:
             index = bisect.bisect_left(self.ready, upstream.ring_position, key=BY_RING_POSITION)
             is_in_ring = index < total and self.ready[index] is upstream
             if is_in_ring and upstream.id not in subset_ids:
                 distance = (index - first) % total
-                is_later = distance >= any_zone and upstream.zone_penalty != 1.0
-                found.append((is_later, distance, upstream.id, upstream))
-        return [upstream for *_, upstream in sorted(found, key=lambda row: row[:3])]
+                is_later = distance >= any_zone_count and upstream.zone_penalty != 1.0
+                selected.append((is_later, distance, upstream.id, upstream))
+        return [upstream for *_, upstream in sorted(selected, key=lambda row: row[:3])]
 
     def beyond(self, subset: list[UpstreamStats], count: int) -> list[UpstreamStats]:
         """Return up to `count` upstreams outside the subset, in this proxy's own order."""
-        found: list[UpstreamStats] = []
+        selected: list[UpstreamStats] = []
         if count > 0:
             subset_ids = {upstream.id for upstream in subset}
             for upstream in self.local_order:
                 if upstream.id not in subset_ids:
-                    found.append(upstream)
-                    if len(found) == count:
+                    selected.append(upstream)
+                    if len(selected) == count:
                         break
-        return found
+        return selected
--- a/loadbalancer/policy/token_bucket.py
+++ b/loadbalancer/policy/token_bucket.py
@@ -49,7 +49,7 @@
         self.demand = 0.0  # requests a second, learned
         self.has_timer = False  # a timer for the next token is set
         self.is_over_share = False
-        self.ran_short = False  # a request found no token since the rate was last set
+        self.had_token_shortage = False  # a request found no token since the rate was last set
         self.planned_rate = 0.0  # requests a second within its share, by the traffic plan; 0: none
         self.planned_tokens = 0.0  # of `planned_rate`, at most a second's worth
         self.planned_ns = now
@@ -59,20 +59,22 @@
         self.granted_rate = 0.0  # of the demand, out of the admission rate
         self.fair_rate = 0.0  # of the demand, out of the requests that are served
 
-    def set_rate(self, rate: float, now: int, like: TokenBucket[RequestT] | None = None) -> None:
+    def set_rate(
+        self, rate: float, now: int, same_rate_bucket: TokenBucket[RequestT] | None = None
+    ) -> None:
         """Change the rate and the capacities; tokens and buffered requests stay.
 
         Args:
             rate: Tokens a second.
             now: The time in nanoseconds.
-            like: A bucket that has this rate already.
+            same_rate_bucket: A bucket that has this rate already.
         """
         self.accrue(now)
         balance = self.counter - self.buffer_capacity  # T - J
         self.rate = rate
-        if like is not None:
-            self.token_capacity = like.token_capacity
-            self.min_buffer_capacity = like.min_buffer_capacity
+        if same_rate_bucket is not None:
+            self.token_capacity = same_rate_bucket.token_capacity
+            self.min_buffer_capacity = same_rate_bucket.min_buffer_capacity
         else:
             self.token_capacity = max(4, round(rate * TOKEN_CAPACITY_S))
             self.min_buffer_capacity = max(1, round(self.token_capacity * BUFFER_FRACTION))
@@ -84,8 +86,8 @@
 
     def exceeds_plan(self, now: int) -> bool:
         """Count a request against the planned rate, if there is one: is it beyond that?"""
-        earned = self.planned_rate * (now - self.planned_ns) / SECOND
-        self.planned_tokens = min(self.planned_rate, self.planned_tokens + earned)
+        new_tokens = self.planned_rate * (now - self.planned_ns) / SECOND
+        self.planned_tokens = min(self.planned_rate, self.planned_tokens + new_tokens)
         self.planned_ns = now
         if self.planned_tokens < 1.0:
             return self.planned_rate > 0
@@ -105,7 +107,7 @@
         self.accrue(now)
         self.request_count += 1
         if self.counter <= self.buffer_capacity:
-            self.ran_short = True
+            self.had_token_shortage = True
         if self.counter < 1:
             return Offer.OVERFLOW
         self.counter -= 1
--- a/loadbalancer/policy/upstream_set.py
+++ b/loadbalancer/policy/upstream_set.py
@@ -22,8 +22,8 @@
 from loadbalancer.policy.upstream_stats import (
     CROSS_ZONE_PENALTY,
     EJECT_ERROR_RATE,
-    ERROR_FADE,
     ERROR_GAIN,
+    ERROR_RATE_DECAY,
     MAX_EJECT_FRACTION,
     SUCCESS_GAIN,
     UpstreamStats,
@@ -32,11 +32,11 @@
 
 # While one upstream in so many is new, that is, started within so many times the slow start, no
 # upstream has met most keys, and large subsets only delay that: then subsets are small.
-NEW_ONE_IN: Final = 5
-NEW_SLOW_STARTS: Final = 3
+MIN_READY_PER_NEW: Final = 5
+NEW_AGE_SLOW_STARTS: Final = 3
 MAX_AVOID_NS = 3 * SECOND
 MAX_AVOID_DOUBLINGS: Final = 5
-MIN_REST_FRACTION: Final = 0.7  # of the candidates that stay, whatever fails
+MAX_AVOIDED_FRACTION: Final = 0.7  # of the candidates that stay, whatever fails
 # Resets say nothing about one upstream if this fraction of all attempts ends so, unless one has had
 # so many in a row.
 MAX_RESET_RATE: Final = 0.05
@@ -76,24 +76,24 @@
         """The traffic plan in force."""
         return self.availability.plan
 
-    def lately_enabled(self) -> list[UpstreamStats]:
+    def recently_enabled(self) -> list[UpstreamStats]:
         """Upstreams that operators enabled again lately."""
         return [self.upstreams[number] for number in self.enabled_ns if number in self.upstreams]
 
     def pool(self, request_class: api.RequestClass) -> Pool:
         """Return the pool of all classes that may go to the same upstreams."""
         key = (request_class.zones, request_class.kinds)
-        found = self.pools.get(key)
-        return found or self.pools.setdefault(key, Pool(self.availability, request_class))
+        existing = self.pools.get(key)
+        return existing or self.pools.setdefault(key, Pool(self.availability, request_class))
 
     def update(self, event: api.EndpointsUpdated, now: int) -> None:
         """Apply a complete list or a delta."""
         if event.kind is not api.EndpointListKind.DELTA:
             self._remove_unlisted({entry.id for entry in event.upstreams})
-        here = self.settings.zone if self.settings.prices.cross_zone else ""
+        own_zone = self.settings.zone if self.settings.prices.cross_zone else ""
         for entry in event.upstreams:
             upstream = self.upstreams.get(entry.id) or self._add(entry)
-            is_other_zone = bool(here) and entry.zone != here
+            is_other_zone = bool(own_zone) and entry.zone != own_zone
             upstream.zone_penalty = CROSS_ZONE_PENALTY if is_other_zone else 1.0
             upstream.traffic_fraction = self.plan.zone_fractions.get(entry.zone, 1.0)
             upstream.is_disabled = entry.id in self.disabled_ids
@@ -189,13 +189,13 @@
         """Choose the candidates of each pool, and the bounds of the concurrency limit."""
         proxies = max(1, self.settings.instance_count)
         ready_count = len(self.ready)
-        new_since_ns = now - NEW_SLOW_STARTS * self.settings.rules.slow_start_ns
+        new_since_ns = now - NEW_AGE_SLOW_STARTS * self.settings.rules.slow_start_ns
         new_count = self.ring.started_since(new_since_ns)
-        self.prefers_key_upstreams = NEW_ONE_IN * new_count <= ready_count
+        self.prefers_key_upstreams = MIN_READY_PER_NEW * new_count <= ready_count
         for pool in self.pools.values():
             for upstream in pool.subset:
                 upstream.in_subset = False
-        options = SubsetOptions(proxies, self.prefers_key_upstreams, self.lately_enabled())
+        options = SubsetOptions(proxies, self.prefers_key_upstreams, self.recently_enabled())
         for pool in self.pools.values():
             pool.update(self.ring, options)
         subset_size = self.main_pool.subset_size
@@ -203,11 +203,13 @@
             1.0, proxies * subset_size / max(1, ready_count)
         )
         # Upstreams that are in no proxy's subset, where those are bounded, serve nothing yet.
-        served = min(ready_count, subset_size * proxies)
-        start = START_WINDOW * served / proxies
-        start = max(1.0, start + math.sqrt(start))
-        most = max(MAX_WINDOW, MAX_GROWTH * START_WINDOW * served / proxies)
-        self.concurrency.set_bounds(start / max(1, subset_size), most / max(1, subset_size))
+        subset_upstreams = min(ready_count, subset_size * proxies)
+        start_window = START_WINDOW * subset_upstreams / proxies
+        start_window = max(1.0, start_window + math.sqrt(start_window))
+        max_window = max(MAX_WINDOW, MAX_GROWTH * START_WINDOW * subset_upstreams / proxies)
+        self.concurrency.set_bounds(
+            start_window / max(1, subset_size), max_window / max(1, subset_size)
+        )
 
     def forget_removed(self, upstream: UpstreamStats) -> None:
         """Forget an upstream that is removed and has no attempt of this proxy: ids are ever new."""
@@ -218,10 +220,10 @@
     def _scanned(self) -> list[UpstreamStats]:
         return self.main_pool.candidates[: min(self.main_pool.width, MAX_SCAN)]
 
-    def fade_error_rates(self) -> None:
+    def decay_error_rates(self) -> None:
         """Let error rates fade, also of upstreams that get no attempts."""
         for upstream in self._scanned():
-            upstream.error_rate *= ERROR_FADE
+            upstream.error_rate *= ERROR_RATE_DECAY
 
     def record_answer(self, upstream: UpstreamStats, is_error: bool) -> bool:
         """Record an answer.
@@ -281,7 +283,7 @@
         upstream.last_failure_ns = now
         width = self.main_pool.width
         avoided = width - self.main_pool.available_count(now)
-        if avoided < MIN_REST_FRACTION * width:
+        if avoided < MAX_AVOIDED_FRACTION * width:
             doublings = min(upstream.failure_count - 1, MAX_AVOID_DOUBLINGS)
-            length_ns = min(base_ns * 2**doublings, MAX_AVOID_NS)
-            self.availability.avoid(upstream, now + int(length_ns * self.rng.uniform(0.75, 1.25)))
+            avoid_ns = min(base_ns * 2**doublings, MAX_AVOID_NS)
+            self.availability.avoid(upstream, now + int(avoid_ns * self.rng.uniform(0.75, 1.25)))
--- a/loadbalancer/policy/upstream_stats.py
+++ b/loadbalancer/policy/upstream_stats.py
@@ -22,7 +22,7 @@
 # before it is believed. Without traffic, an error rate halves in 7 s.
 ERROR_GAIN: Final = 0.3
 SUCCESS_GAIN: Final = 0.1
-ERROR_FADE: Final = 0.95
+ERROR_RATE_DECAY: Final = 0.95
 ERROR_WEIGHT: Final = 0.9  # of the error rate in the load score
 CROSS_ZONE_PENALTY: Final = 1.4  # load factor of another zone, where crossing has a price
 
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -261,7 +261,7 @@
             exchange.give_up(api.AttemptResult.NOT_SENT)
         if was_up:  # it was counted when it was lost
             self.connections += 1
-        if why is Cause.HERE:
+        if why is Cause.LOCAL:
             self._log_shortage(f"connect failed on this machine: error={error}")
             self._close_oldest_idle()
 
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -33,13 +33,13 @@
 MAX_PORT: Final = 65535
 
 
-def _same(*names: str) -> dict[str, str]:
+def _same_names(*names: str) -> dict[str, str]:
     return {name: name for name in names}
 
 
 # Keys of the settings object, and the fields that they set.
 CLASS_FIELDS = {
-    **_same("window_ns"),
+    **_same_names("window_ns"),
     "worth": "priority_weight",
     "stream": "is_streaming",
     "aim_ns": "latency_objective_ns",
@@ -47,11 +47,11 @@
     "hard_limit_ns": "deadline_ns",
     "fifo_by_key": "ordered_by_key",
 }
-TENANT_FIELDS = _same("share", "quota_per_s")
+TENANT_FIELDS = _same_names("share", "quota_per_s")
 LIMIT_FIELDS = {
     "send_cap": "max_attempts",
     "second_copies": "may_hedge",
-    **_same(
+    **_same_names(
         "may_cancel",
         "probes",
         "peers",
@@ -71,7 +71,7 @@
     "overload_for_ns": "overload_window_ns",
     "turn_gap_ns": "key_order_gap_ns",
 }
-PRICE_FIELDS = _same("cross_zone", "waste", "probe", "peer", "connection", "handshake")
+PRICE_FIELDS = _same_names("cross_zone", "waste", "probe", "peer", "connection", "handshake")
 
 
 class MalformedError(Exception):
@@ -116,8 +116,8 @@
     Raises:
         MalformedError: It is of another type.
     """
-    fits = isinstance(value, (int, float) if kind is float else kind)
-    if not fits or (isinstance(value, bool) and kind is not bool):
+    has_type = isinstance(value, (int, float) if kind is float else kind)
+    if not has_type or (isinstance(value, bool) and kind is not bool):
         raise MalformedError(
             f"{key} must be {TYPE_DESCRIPTIONS[kind]}, not {json.dumps(value)[:80]}"
         )
@@ -146,7 +146,7 @@
     }
 
 
-def _names(row: Json, key: str) -> frozenset[str]:
+def _read_names(row: Json, key: str) -> frozenset[str]:
     return frozenset(checked(name, key, str) for name in optional(row, key, list, ()))
 
 
@@ -156,14 +156,14 @@
     Raises:
         MalformedError: A field is missing or of another type.
     """
-    given = _fields(row, api.RequestClass, CLASS_FIELDS)
+    field_values = _fields(row, api.RequestClass, CLASS_FIELDS)
     return api.RequestClass(
         required(row, "name", str),
         choice(row, "repeat", EFFECTS, "non_idempotent"),
         choice(row, "dedup_scope", SCOPES, "all"),
-        zones=_names(row, "runs_in"),
-        kinds=_names(row, "allowed_on"),
-        **given,
+        zones=_read_names(row, "runs_in"),
+        kinds=_read_names(row, "allowed_on"),
+        **field_values,
     )
 
 
--- a/loadbalancer/sim_adapter.py
+++ b/loadbalancer/sim_adapter.py
@@ -192,18 +192,18 @@
         if not isinstance(happened, list):
             raise MalformedError("batch without the array happened")
         # A balancer's events are handed over together, so that it knows all that a batch brings.
-        waiting: dict[int, list[api.Event]] = {}
+        pending: dict[int, list[api.Event]] = {}
         commands: list[Json] = []
         for event in happened:
-            self._take(checked(event, "event", dict), now, waiting, commands)
-        for balancer, events in waiting.items():
+            self._dispatch_event(checked(event, "event", dict), now, pending, commands)
+        for balancer, events in pending.items():
             self._run(balancer, now, events, commands)
         return json.dumps({"round": number, "cmds": commands}, separators=(",", ":"))
 
-    def _take(
-        self, event: Json, now: int, waiting: dict[int, list[api.Event]], commands: list[Json]
+    def _dispatch_event(
+        self, event: Json, now: int, pending: dict[int, list[api.Event]], commands: list[Json]
     ) -> None:
-        """Take one event: for the host itself, or in `waiting` for its balancer."""
+        """Take one event: for the host itself, or in `pending` for its balancer."""
         kind = required(event, "t", str)
         if kind == "directory":
             rows = required(event, "rows_in", list)
@@ -211,15 +211,15 @@
             return
         number = required(event, "balancer", int)
         if kind == "new_instance":
-            waiting.pop(number, None)
+            pending.pop(number, None)
             self._start(number, event, now, commands)
         elif kind == "power_off":
             self.balancers.pop(number, None)
-            waiting.pop(number, None)
+            pending.pop(number, None)
         elif number not in self.balancers:
             raise MalformedError(f"event {kind} for balancer {number}, which was not started")
         else:
-            waiting.setdefault(number, []).append(self._read_event(kind, event))
+            pending.setdefault(number, []).append(self._read_event(kind, event))
 
     def _start(self, number: int, event: Json, now: int, commands: list[Json]) -> None:
         settings = read_settings(required(event, "settings", dict))
@@ -261,8 +261,12 @@
     frame: TracebackType | None = error.__traceback__
     while frame is not None and frame.tb_next is not None:
         frame = frame.tb_next
-    where = f" at {frame.tb_frame.f_code.co_name}:{frame.tb_lineno}" if frame is not None else ""
-    return {"t": "fault", "balancer": number, "message": f"{type(error).__name__}: {error}{where}"}
+    location = f" at {frame.tb_frame.f_code.co_name}:{frame.tb_lineno}" if frame is not None else ""
+    return {
+        "t": "fault",
+        "balancer": number,
+        "message": f"{type(error).__name__}: {error}{location}",
+    }
 
 
 def main() -> int:
--- a/loadbalancer/store/server.py
+++ b/loadbalancer/store/server.py
@@ -107,7 +107,7 @@
                 accepted, _ = await loop.sock_accept(listener)
                 is_exhausted = False
             except OSError as error:
-                if not is_exhausted and cause(Operation.ACCEPT, error) is Cause.HERE:
+                if not is_exhausted and cause(Operation.ACCEPT, error) is Cause.LOCAL:
                     log.error("store connections can't be accepted: error=%s", error.strerror)
                     is_exhausted = True
                 await asyncio.sleep(ACCEPT_RETRY_S if is_exhausted else ACCEPT_INTERVAL_S)
--- a/loadbalancer/testbed/topology.py
+++ b/loadbalancer/testbed/topology.py
@@ -22,8 +22,8 @@
     Times,
     convert,
     duration,
-    repeated,
-    written,
+    first_duplicate,
+    format_duration,
 )
 
 MS = 1_000_000
@@ -246,7 +246,7 @@
         ("tenant", t.tenants),
         ("fleet.machines", t.fleet.machines),
     ):
-        twice = repeated(entry.name for entry in listed)
+        twice = first_duplicate(entry.name for entry in listed)
         if twice:
             return f"{what}: {twice} stands there twice"
         if listed and sum(entry.share for entry in listed) <= 0:
@@ -349,11 +349,11 @@
             # What stands at nothing is left out: a list of faults stays readable.
             return {key: value for key, value in found.items() if value != [] and value != ""}
         case Duration():
-            return written(part)
+            return format_duration(part)
         case PerSecond():
             return f"{float(part)!r}/s"
         case Times():
-            return [written(part.low), written(part.high)]
+            return [format_duration(part.low), format_duration(part.high)]
         case Numbers():
             return [float(part.low), float(part.high)]
         case list():
--- a/loadbalancer/units.py
+++ b/loadbalancer/units.py
@@ -82,7 +82,7 @@
     __slots__ = ()
 
 
-def _with_unit(text: Any, units: Mapping[str, float], description: str) -> float:
+def _parse_with_unit(text: Any, units: Mapping[str, float], description: str) -> float:
     match = NUMBER.match(text.strip()) if isinstance(text, str) else None
     if match is None or match[2] not in units:
         hint = ", ".join(units)
@@ -96,7 +96,7 @@
     Raises:
         ValueError: The unit is missing or unknown.
     """
-    return Duration(round(_with_unit(text, NS, "a time")))
+    return Duration(round(_parse_with_unit(text, NS, "a time")))
 
 
 def size(text: Any) -> Size:
@@ -105,7 +105,7 @@
     Raises:
         ValueError: The unit is missing or unknown.
     """
-    return Size(round(_with_unit(text, BYTES, "a size")))
+    return Size(round(_parse_with_unit(text, BYTES, "a size")))
 
 
 def per_second(text: Any) -> PerSecond:
@@ -114,42 +114,42 @@
     Raises:
         ValueError: The unit is missing or unknown.
     """
-    return PerSecond(_with_unit(text, PER_S, "a rate"))
+    return PerSecond(_parse_with_unit(text, PER_S, "a rate"))
 
 
-def _ends(given: Any) -> tuple[Any, Any]:
-    if not isinstance(given, list):
-        return given, given
+def _range_bounds(value: Any) -> tuple[Any, Any]:
+    if not isinstance(value, list):
+        return value, value
     try:
-        low, high = given
+        low, high = value
     except ValueError:
-        raise ValueError(f"a range has two ends, not {len(given)}") from None
+        raise ValueError(f"a range has two ends, not {len(value)}") from None
     return low, high
 
 
-def times(given: Any) -> Times:
+def times(value: Any) -> Times:
     """Read a time, or a list of two, as a range.
 
     Raises:
         ValueError: A unit is missing or unknown, or the range is reversed.
     """
-    low, high = (duration(end) for end in _ends(given))
+    low, high = (duration(bound) for bound in _range_bounds(value))
     if low > high:
         raise ValueError("a range goes from the smaller to the larger time")
     return Times(low, high)
 
 
-def numbers(given: Any) -> Numbers:
+def numbers(value: Any) -> Numbers:
     """Read a number, or a list of two, as a range.
 
     Raises:
         ValueError: An end is no number, or the range is reversed.
     """
-    ends = _ends(given)
-    for end in ends:
-        if isinstance(end, bool) or not isinstance(end, (int, float)):
-            raise ValueError(f"a range of numbers holds numbers, not {end!r}")
-    low, high = map(float, ends)
+    bounds = _range_bounds(value)
+    for bound in bounds:
+        if isinstance(bound, bool) or not isinstance(bound, (int, float)):
+            raise ValueError(f"a range of numbers holds numbers, not {bound!r}")
+    low, high = map(float, bounds)
     if low > high:
         raise ValueError("a range goes from the smaller to the larger number")
     return Numbers(low, high)
@@ -158,12 +158,12 @@
 READERS = {Duration: duration, Size: size, PerSecond: per_second, Times: times, Numbers: numbers}
 
 
-def decode(kind: type, given: Any) -> Any:
+def decode(kind: type, value: Any) -> Any:
     """Decode a type of this module; the hook that msgspec calls."""
     reader = READERS.get(kind)
     if reader is None:
         raise NotImplementedError(f"no reader for {kind}")
-    return reader(given)
+    return reader(value)
 
 
 def convert(raw: Any, kind: type[FileT]) -> FileT:
@@ -191,17 +191,17 @@
         raise ValueError(error.strerror) from None
 
 
-def repeated(names: Iterable[str]) -> str:
+def first_duplicate(names: Iterable[str]) -> str:
     """Return the first name that occurs twice; empty if none does."""
-    known: set[str] = set()
+    seen_names: set[str] = set()
     for name in names:
-        if name in known:
+        if name in seen_names:
             return name
-        known.add(name)
+        seen_names.add(name)
     return ""
 
 
-def written(ns: int) -> str:
+def format_duration(ns: int) -> str:
     """Format nanoseconds as the shortest exact text that `duration` reads back."""
     for unit in ("h", "m", "s", "ms", "us"):
         if ns and ns % NS[unit] == 0:
--- a/loadbalancer/wallclock.py
+++ b/loadbalancer/wallclock.py
@@ -34,13 +34,13 @@
     return time.time()
 
 
-def age_s(written_s: float) -> float | None:
+def age_s(written_at_s: float) -> float | None:
     """Return how long ago something was written at that Unix time.
 
     Returns:
         None where that lies in the future, as one of the two clocks was stepped.
     """
-    age = time.time() - written_s
+    age = time.time() - written_at_s
     return None if age < -MAX_SKEW_S else max(0.0, age)
 
 
@@ -93,14 +93,14 @@
         """Return the monotonic time of this start; 0: long ago."""
         if not unix_ms:
             return 0
-        known = self.starts.get(upstream)
-        if known is None or abs(known.unix_ms - unix_ms) >= SAME_START_MS:
-            known = Start(unix_ms, self._convert(unix_ms, now_ns))
+        start = self.starts.get(upstream)
+        if start is None or abs(start.unix_ms - unix_ms) >= SAME_START_MS:
+            start = Start(unix_ms, self._convert(unix_ms, now_ns))
         self.starts.pop(upstream, None)
-        self.starts[upstream] = known  # the one that was listed longest ago is forgotten first
+        self.starts[upstream] = start  # the one that was listed longest ago is forgotten first
         if len(self.starts) > MAX_STARTS:
             del self.starts[next(iter(self.starts))]
-        return known.started_ns
+        return start.started_ns
 
     def list_received(self, now_ns: int) -> None:
         """Note that discovery has listed all that it knows by now."""
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -14,7 +14,7 @@
 import pytest
 
 NAME = "KNOWN-RED.txt"
-FORM = "test, or command with --seed | what was seen | issue"
+LINE_FORMAT = "test, or command with --seed | what was seen | issue"
 entries_key = pytest.StashKey["list[Entry]"]()
 
 
@@ -59,7 +59,7 @@
             continue
         entry = parse(line)
         if entry is None:
-            raise pytest.UsageError(f"{NAME}:{number}: not `{FORM}`: {line.strip()}")
+            raise pytest.UsageError(f"{NAME}:{number}: not `{LINE_FORMAT}`: {line.strip()}")
         if entry.subject in {other.subject for other in entries}:
             raise pytest.UsageError(f"{NAME}:{number}: listed twice: {entry.subject}")
         entries.append(entry)
@@ -73,20 +73,22 @@
 
 @pytest.hookimpl(tryfirst=True)  # ahead of what `-k` leaves out
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    whole = not any(
+    runs_whole_files = not any(
         "::" in argument for argument in config.args
     )  # the files named were collected as a whole
     files = {item.nodeid.partition("::")[0] for item in items}
     for entry in config.stash[entries_key]:
         if not entry.is_test:
             continue
-        listed = [
+        matching_items = [
             item for item in items if entry.subject in (item.nodeid, item.nodeid.partition("[")[0])
         ]
-        for item in listed:
+        for item in matching_items:
             item.add_marker(pytest.mark.xfail(strict=True, reason=f"{entry.seen} ({entry.issue})"))
         file = entry.subject.partition("::")[0]
-        if not listed and (not (config.rootpath / file).is_file() or whole and file in files):
+        if not matching_items and (
+            not (config.rootpath / file).is_file() or runs_whole_files and file in files
+        ):
             raise pytest.UsageError(f"{NAME}: there is no test {entry.subject}")
 
 
--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -47,7 +47,7 @@
     def _update_demands(self, elapsed: int) -> None:
         for t in self.buckets:
             t.demand += 0.5 * (t.request_count * SECOND / elapsed - t.demand)
-            t.request_count, t.ran_short = 0, False
+            t.request_count, t.had_token_shortage = 0, False
 
     def restore(
         self,
@@ -105,7 +105,7 @@
                 t.buffer_capacity,
                 t.accrued_ns,
                 t.is_over_share,
-                t.ran_short,
+                t.had_token_shortage,
                 t.request_count,
                 len(t.buffered),
             )
--- a/tests/proxy/test_system_call_errors.py
+++ b/tests/proxy/test_system_call_errors.py
@@ -16,7 +16,7 @@
 from loadbalancer.policy import api
 from tests.fakes import SECOND, SETTINGS, Heard, World, run, world
 
-HERE = ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "EMFILE", "ENFILE", "ENETUNREACH", "EAGAIN"]
+LOCAL = ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "EMFILE", "ENFILE", "ENETUNREACH", "EAGAIN"]
 PEER = ["ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH"]
 ONCE = replace(SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=SECOND))
 
@@ -45,7 +45,7 @@
         yield w, dials
 
 
-@pytest.mark.parametrize("name", HERE)
+@pytest.mark.parametrize("name", LOCAL)
 def test_trouble_of_this_machine_is_waited_out_and_laid_to_nobody_s_charge(
     name: str, heard: Heard
 ) -> None:
@@ -57,7 +57,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("name", HERE)
+@pytest.mark.parametrize("name", LOCAL)
 def test_trouble_of_this_machine_that_lasts_is_no_word_on_the_upstream(
     name: str, heard: Heard, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/recordings/policy_runs.py
+++ b/tests/recordings/policy_runs.py
@@ -46,13 +46,13 @@
 )
 
 
-def plain(value: Any) -> Any:
+def strip_names(value: Any) -> Any:
     """Values without the names of types and fields."""
     if isinstance(value, Mapping):
-        return [[key, plain(value[key])] for key in sorted(value)]
+        return [[key, strip_names(value[key])] for key in sorted(value)]
     if dataclasses.is_dataclass(value):
-        return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
-    return [plain(item) for item in value] if isinstance(value, tuple | list) else value
+        return [strip_names(getattr(value, field.name)) for field in dataclasses.fields(value)]
+    return [strip_names(item) for item in value] if isinstance(value, tuple | list) else value
 
 
 def make_settings(rng: random.Random, balancers: int) -> api.Settings:
@@ -156,17 +156,17 @@
         self.order += 1
         self.due.append((self.now + delay_ns, self.order, event))
 
-    def write(self, value: Any) -> None:
+    def record(self, value: Any) -> None:
         self.digest.update(json.dumps(value, sort_keys=True).encode())
 
     def handle(self, events: list[Any]) -> None:
         for action in self.policy.handle(self.now, events):
-            self.write([self.now, ACTION_WRITERS[type(action)](action)])
+            self.record([self.now, ACTION_WRITERS[type(action)](action)])
             self.carry_out(action)
 
     def carry_out(self, action: api.Action) -> None:
         if isinstance(action, api.StartAttempt):
-            self.write(action.start_by_ns)
+            self.record(action.start_by_ns)
             attempt = self.active.get(action.request, 0)
             self.active[action.request] = attempt + 1
             self.in_flight[action.request, attempt] = action.upstream
@@ -202,26 +202,36 @@
                 api.EndpointsUpdated(api.EndpointListKind.FULL, list(self.entries.values())),
             )
 
-    def plan_outcome(self, send: api.StartAttempt, attempt: int) -> None:
+    def plan_outcome(self, start_action: api.StartAttempt, attempt: int) -> None:
         kinds, weights = zip(*RESULTS, strict=True)
         result = self.rng.choices(kinds, weights)[0]
-        took = int(self.rng.lognormvariate(3.4, 0.7) * MILLISECOND)
-        if send.timeout_ns:
-            took = min(took, send.timeout_ns)
+        duration_ns = int(self.rng.lognormvariate(3.4, 0.7) * MILLISECOND)
+        if start_action.timeout_ns:
+            duration_ns = min(duration_ns, start_action.timeout_ns)
         if result is api.AttemptResult.OK and self.rng.random() < 0.05:
             self.schedule(
-                took // 2, api.ResponseStarted(send.request, attempt, send.upstream, took // 2)
+                duration_ns // 2,
+                api.ResponseStarted(
+                    start_action.request, attempt, start_action.upstream, duration_ns // 2
+                ),
             )
         report = {"util": self.rng.random()} if self.rng.random() < 0.5 else None
         self.schedule(
-            took,
-            api.AttemptFinished(send.request, attempt, send.upstream, result, took, report=report),
+            duration_ns,
+            api.AttemptFinished(
+                start_action.request,
+                attempt,
+                start_action.upstream,
+                result,
+                duration_ns,
+                report=report,
+            ),
         )
 
     def arrivals(self) -> list[Any]:
         events: list[Any] = []
-        busy = 3.0 if (self.now // SECOND) % 3 == 1 else 1.0
-        for _ in range(int(busy * self.rng.random() * 4)):
+        load_factor = 3.0 if (self.now // SECOND) % 3 == 1 else 1.0
+        for _ in range(int(load_factor * self.rng.random() * 4)):
             self.requests += 1
             name = f"r{self.requests}"
             cls = self.rng.choice(list(self.settings.classes.values()))
@@ -302,22 +312,22 @@
             {min(self.entries): 5.0},
         )
 
-    def finished(self, event: Any) -> Any:
+    def resolve_due_event(self, event: Any) -> Any:
         """An event that is due, or None where its attempt has gone."""
         if isinstance(event, api.AttemptFinished):
-            known = self.in_flight.pop((event.request, event.attempt), None) is not None
-            if not known and event.result is not api.AttemptResult.CANCELLED:
+            was_in_flight = self.in_flight.pop((event.request, event.attempt), None) is not None
+            if not was_in_flight and event.result is not api.AttemptResult.CANCELLED:
                 return None
-            over = event.request not in self.active or event.result is api.AttemptResult.OK
-            if over:
+            is_complete = event.request not in self.active or event.result is api.AttemptResult.OK
+            if is_complete:
                 self.active.pop(event.request, None)
-            return event._replace(complete=over)
+            return event._replace(complete=is_complete)
         return event
 
     def restart(self) -> None:
         """The process is replaced; its successor gets what it learned."""
         learned = self.policy.learned_state()
-        self.write(plain(learned))
+        self.record(strip_names(learned))
         self.active.clear()
         self.in_flight.clear()
         self.due.clear()
@@ -329,13 +339,15 @@
             ]
         )
 
-    def play(self) -> str:
+    def execute(self) -> str:
         for step in range(STEPS):
             self.now += STEP_NS
             ready = sorted(item for item in self.due if item[0] <= self.now)
             self.due = [item for item in self.due if item[0] > self.now]
             events = [
-                event for event in (self.finished(item[2]) for item in ready) if event is not None
+                event
+                for event in (self.resolve_due_event(item[2]) for item in ready)
+                if event is not None
             ]
             events += self.arrivals()
             if self.rng.random() < 0.06:
@@ -345,7 +357,7 @@
             self.handle(events)
             if step == 2 * STEPS // 3:
                 self.restart()
-        self.write(plain(self.policy.learned_state()))
+        self.record(strip_names(self.policy.learned_state()))
         return self.digest.hexdigest()
 
 
@@ -353,7 +365,7 @@
     return {
         f"seed {seed}, {upstreams} upstreams, {balancers} balancers": Run(
             seed, upstreams, balancers
-        ).play()
+        ).execute()
         for seed, upstreams, balancers in RUNS
     }
 
--- a/tests/recordings/simulations.py
+++ b/tests/recordings/simulations.py
@@ -22,58 +22,58 @@
 from loadbalancer.testbed.virtual import World
 
 
-def figures(value: Any) -> Any:
+def extract_figures(value: Any) -> Any:
     """The numbers in a value, without names."""
     if isinstance(value, bool | int | float) and not isinstance(value, Enum):
         return value
     if isinstance(value, Mapping):
-        return sorted((figures(item) for item in value.values()), key=json.dumps)
+        return sorted((extract_figures(item) for item in value.values()), key=json.dumps)
     if dataclasses.is_dataclass(value):
-        return [figures(getattr(value, field.name)) for field in dataclasses.fields(value)]
+        return [extract_figures(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, list | tuple):
-        return [figures(item) for item in value]
+        return [extract_figures(item) for item in value]
     return None
 
 
 def store(seed: int) -> Any:
-    return figures(plans.play(seed))
+    return extract_figures(plans.play(seed))
 
 
 def store_rows(seed: int) -> Any:
-    return figures(rowed.play(seed))
+    return extract_figures(rowed.play(seed))
 
 
 def leases(seed: int) -> Any:
-    return figures(owners.play(seed))
+    return extract_figures(owners.play(seed))
 
 
 def changefeed(seed: int) -> Any:
-    return figures(feed.play(seed, feed.Options(spoil=seed % 2 == 0)))
+    return extract_figures(feed.play(seed, feed.Options(spoil=seed % 2 == 0)))
 
 
 def failover(seed: int) -> Any:
     incident = ("lost", "half", "two")[seed % 3]
     found = sites.play(topology.load("mass"), sites.Shape(3, 2, 4, 0.8), incident, "plan", seed)
-    return [figures(found), [at for at, _ in found.log]]
+    return [extract_figures(found), [at for at, _ in found.log]]
 
 
 def fleet(seed: int) -> Any:
-    small = topology.load("rough", ["length='8s'", "clients.load=0.0", "clients.rate='250/s'"])
-    outcome = World(small, seed, Host()).run()
-    judged = outcome.judgement
+    scenario = topology.load("rough", ["length='8s'", "clients.load=0.0", "clients.rate='250/s'"])
+    outcome = World(scenario, seed, Host()).run()
+    verdict = outcome.judgement
     return [
-        figures(
+        extract_figures(
             [
-                judged.score,
-                judged.service,
-                judged.penalty,
-                judged.worst_window,
-                judged.counts,
-                judged.by_class,
-                judged.by_tenant,
+                verdict.score,
+                verdict.service,
+                verdict.penalty,
+                verdict.worst_window,
+                verdict.counts,
+                verdict.by_class,
+                verdict.by_tenant,
             ]
         ),
-        figures(outcome.series),
+        extract_figures(outcome.series),
     ]
 
 
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -16,38 +16,38 @@
 
 def members() -> dict[str, set[str]]:
     """The functions and attributes of each class of the package, by the class's name."""
-    found: dict[str, set[str]] = {}
+    members_by_class: dict[str, set[str]] = {}
     for path in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ClassDef):
-                names = found.setdefault(node.name, set())
-                for inner in ast.walk(node):
-                    if isinstance(inner, ast.FunctionDef | ast.AsyncFunctionDef):
-                        names.add(inner.name)
-                    elif isinstance(inner, ast.Attribute):
-                        names.add(inner.attr)
-    return found
+                names = members_by_class.setdefault(node.name, set())
+                for descendant in ast.walk(node):
+                    if isinstance(descendant, ast.FunctionDef | ast.AsyncFunctionDef):
+                        names.add(descendant.name)
+                    elif isinstance(descendant, ast.Attribute):
+                        names.add(descendant.attr)
+    return members_by_class
 
 
-def test_each_module_that_the_page_names_is_there() -> None:
+def test_named_modules_exist() -> None:
     named = set(MODULE.findall(PAGE))
     assert len(named) > 30
     assert [path for path in sorted(named) if not (PACKAGE / path).is_file()] == []
 
 
-def test_each_class_and_method_that_the_page_names_is_there() -> None:
-    known = members()
+def test_named_classes_and_members_exist() -> None:
+    existing_members = members()
     named = {(cls, member) for cls, member in MEMBER.findall(PAGE) if cls not in NOT_CLASSES}
     assert len(named) > 30
     missing = [
         f"{cls}.{member}" if member else cls
         for cls, member in sorted(named)
-        if cls not in known or (member and member not in known[cls])
+        if cls not in existing_members or (member and member not in existing_members[cls])
     ]
     assert missing == []
 
 
-def test_a_function_named_behind_its_module_is_there() -> None:
+def test_functions_named_after_a_module_exist() -> None:
     missing = []
     for path, name in re.findall(r"`((?:\w+/)*\w+\.py)` `([a-z]\w+)`", PAGE):
         tree = ast.parse((PACKAGE / path).read_text())
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -32,7 +32,7 @@
 
 
 @pytest.fixture
-def stored(tmp_path: Path) -> Path:
+def stored_data(tmp_path: Path) -> Path:
     """A copy of the data that the program of December 2026 left: a node's folder, a balancer's, a
     result.
     """
@@ -41,18 +41,18 @@
     return tmp_path / "stored"
 
 
-def test_the_policy_takes_the_recorded_actions() -> None:
+def test_policy_actions_match_the_recording() -> None:
     assert policy_runs.checksums() == RECORDED["policy"]
 
 
 @pytest.mark.skipif(
     shutil.which("cc") is None, reason="the build compiles only where there is a C compiler"
 )
-def test_the_compiled_policy_takes_the_recorded_actions() -> None:
+def test_compiled_policy_actions_match_the_recording() -> None:
     subprocess.run([sys.executable, "deploy/build.py"], cwd=ROOT, check=True, timeout=BUILD_S)
     compiled = ROOT / ".compiled"
     assert list(compiled.rglob("balancer*.so"))
-    done = subprocess.run(
+    process = subprocess.run(
         [ROOT / ".venv/bin/python", "-P", "tests/recordings/policy_runs.py"],
         cwd=ROOT,
         check=True,
@@ -61,13 +61,13 @@
         text=True,
         timeout=BUILD_S,
     )
-    assert json.loads(done.stdout) == RECORDED["policy"]
+    assert json.loads(process.stdout) == RECORDED["policy"]
 
 
 @pytest.mark.parametrize("name", sorted(simulations.SIMULATIONS))
-def test_a_simulation_gives_the_recorded_figures(name: str) -> None:
+def test_simulation_figures_match_the_recording(name: str) -> None:
     # A simulation of sites sums over sets of names, so its last digits hang on the hash seed.
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "tests.recordings.simulations", name],
         cwd=ROOT,
         check=True,
@@ -75,17 +75,19 @@
         capture_output=True,
         text=True,
     )
-    assert json.loads(done.stdout)[name] == RECORDED[name]
+    assert json.loads(process.stdout)[name] == RECORDED[name]
 
 
-def test_a_store_node_starts_on_the_recorded_folder(stored: Path, tmp_path: Path) -> None:
+def test_store_node_starts_on_the_recorded_data_directory(
+    stored_data: Path, tmp_path: Path
+) -> None:
     """The documents lie in its state, in a snapshot and in the tail of its log."""
     expected = json.loads((RECORDINGS / "stored" / "node.json").read_text())
 
     async def read() -> Any:
         cluster = RealCluster(tmp_path, 1)
         member = cluster.members[0]
-        shutil.copytree(stored / "node", member.settings.folder)
+        shutil.copytree(stored_data / "node", member.settings.folder)
         await cluster.begin(member)
         client = cluster.client()
         try:
@@ -120,9 +122,9 @@
     assert learned.relative_service_times == {7: (1.25, 1790000000.25)}
 
 
-def test_a_balancer_reads_the_recorded_state_folder(stored: Path) -> None:
+def test_balancer_reads_the_recorded_state_directory(stored_data: Path) -> None:
     async def read() -> None:
-        disabled, _, siblings = owner(stored / "balancer", "accra-1")
+        disabled, _, siblings = owner(stored_data / "balancer", "accra-1")
         assert disabled.names == {"s-1", "s-3"}
         assert disabled.version == 4
         assert siblings.note.pack() == b"4 0\n".ljust(64)
@@ -130,19 +132,17 @@
     run(read())
 
 
-def test_a_balancer_starts_from_the_recorded_copy_of_its_settings(
-    stored: Path, tmp_path: Path
-) -> None:
+def test_balancer_starts_from_the_recorded_settings_copy(stored_data: Path, tmp_path: Path) -> None:
     settings = tmp_path / "balancer.toml"
     settings.write_text(
         '[store]\naddresses = ["127.0.0.1:1"]\nservice = "orders"\nbalancer = "accra-1"\n'
-        f'document = "balancer/orders"\nfolder = "{stored / "balancer"}"\n'
+        f'document = "balancer/orders"\nfolder = "{stored_data / "balancer"}"\n'
     )
-    made = bootstrap.read_bootstrap(settings)
-    assert made is not None
-    assert set(made.read().settings.classes) == {"lookup", "book-delivery"}
+    bootstrap_settings = bootstrap.read_bootstrap(settings)
+    assert bootstrap_settings is not None
+    assert set(bootstrap_settings.read().settings.classes) == {"lookup", "book-delivery"}
 
 
-def test_a_recorded_result_of_the_testbed_is_read(stored: Path) -> None:
-    found = results.read(stored / "result.json")
+def test_recorded_testbed_result_is_read(stored_data: Path) -> None:
+    found = results.read(stored_data / "result.json")
     assert found["seed"] == 5 and found["counts"]["first tries"] > 100
--- a/tests/test_sim_adapter.py
+++ b/tests/test_sim_adapter.py
@@ -51,7 +51,7 @@
     return json.dumps({"sim_time_ns": now, "round": number, "happened": list(happened)})
 
 
-def start(balancer: int = 0) -> list[Json]:
+def start_events(balancer: int = 0) -> list[Json]:
     return [
         {"t": "new_instance", "balancer": balancer, "seed": 5, "settings": SETTINGS},
         {"t": "directory", "buffer": 0, "rows_in": ROWS},
@@ -70,8 +70,8 @@
     }
 
 
-def day() -> list[str]:
-    lines = [batch(1, 10**9), batch(2, 2 * 10**9, *start(0), *start(1))]
+def traffic_batches() -> list[str]:
+    lines = [batch(1, 10**9), batch(2, 2 * 10**9, *start_events(0), *start_events(1))]
     for i in range(40):
         now = 2 * 10**9 + i * 10**7
         lines.append(
@@ -82,9 +82,9 @@
 
 def test_round_trip() -> None:
     now = 2 * 10**9
-    done = run(
+    process = run(
         [
-            batch(1, now, *start(), submit("t1", now)),
+            batch(1, now, *start_events(), submit("t1", now)),
             batch(
                 2,
                 now + 10**7,
@@ -102,31 +102,31 @@
             ),
         ]
     )
-    assert done.returncode == 0 and not done.stderr
-    first, second = (json.loads(line) for line in done.stdout.splitlines())
+    assert process.returncode == 0 and not process.stderr
+    first, second = (json.loads(line) for line in process.stdout.splitlines())
     sends = [c for c in first["cmds"] if c["t"] == "submit_to"]
     assert len(sends) == 1 and sends[0]["upstream"] in (11, 12, 13) and sends[0]["balancer"] == 0
     assert second["round"] == 2
 
 
-def test_same_actions_whatever_the_hash_seed() -> None:
-    assert run(day(), "1").stdout == run(day(), "2").stdout != ""
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
+    assert run(traffic_batches(), "1").stdout == run(traffic_batches(), "2").stdout != ""
 
 
-def test_power_off_forgets_the_balancer() -> None:
+def test_power_off_removes_the_balancer() -> None:
     now = 2 * 10**9
-    done = run(
+    process = run(
         [
-            batch(1, now, *start(), submit("t1", now)),
+            batch(1, now, *start_events(), submit("t1", now)),
             batch(2, now + 1, {"t": "power_off", "balancer": 0}),
             batch(3, now + 2, {"t": "timer", "balancer": 0, "name": "1"}),
         ]
     )
-    assert done.returncode == 2 and "not started" in done.stderr
+    assert process.returncode == 2 and "not started" in process.stderr
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "expected"),
     [
         ("{", "not JSON"),
         ("[]", "must be an object"),
@@ -136,32 +136,36 @@
         (batch(1, 1, {"t": "strange", "balancer": 0}), "not started"),
         (batch(1, 1, {"balancer": 0}), "lacks t"),
         (batch(1, 1, 7), "event must be an object"),
-        (batch(1, 1, *start(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
+        (batch(1, 1, *start_events(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
         (
-            batch(1, 1, *start(), {"t": "submit", "balancer": 0, "ticket": "t1"}),
+            batch(1, 1, *start_events(), {"t": "submit", "balancer": 0, "ticket": "t1"}),
             "submit lacks kind",
         ),
         (
-            batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": "soon"}),
+            batch(1, 1, *start_events(), {**submit("t1", 1), "deadline_ns": "soon"}),
             "deadline_ns must be a whole number",
         ),
         (
-            batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": True}),
+            batch(1, 1, *start_events(), {**submit("t1", 1), "deadline_ns": True}),
             "deadline_ns must be a whole number",
         ),
         (
-            batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 7, "buffer": 0}),
+            batch(
+                1, 1, *start_events(), {"t": "membership", "balancer": 0, "form": 7, "buffer": 0}
+            ),
             "unknown form 7",
         ),
         (
-            batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 1, "buffer": 9}),
+            batch(
+                1, 1, *start_events(), {"t": "membership", "balancer": 0, "form": 1, "buffer": 9}
+            ),
             "unknown buffer 9",
         ),
         (
             batch(
                 1,
                 1,
-                *start(),
+                *start_events(),
                 {
                     "t": "returned",
                     "balancer": 0,
@@ -174,7 +178,12 @@
             "unknown result",
         ),
         (
-            batch(1, 1, *start(), {"t": "message", "balancer": 0, "origin_peer": 1, "blob": "?"}),
+            batch(
+                1,
+                1,
+                *start_events(),
+                {"t": "message", "balancer": 0, "origin_peer": 1, "blob": "?"},
+            ),
             "not base64",
         ),
         (
@@ -192,13 +201,15 @@
         ),
     ],
 )
-def test_malformed_input_stops_with_a_plain_message(line: str, says: str) -> None:
-    done = run([line])
-    assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr
+def test_malformed_input_exits_with_an_error_message(line: str, expected: str) -> None:
+    process = run([line])
+    assert (
+        process.returncode == 2 and expected in process.stderr and "Traceback" not in process.stderr
+    )
 
 
 def test_bad_utf_8_is_malformed() -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "loadbalancer.sim_adapter"],
         input=b'{"round": "\xff"}\n',
         capture_output=True,
@@ -206,26 +217,26 @@
         check=False,
     )
     assert (
-        done.returncode == 2
-        and b"line 1: not JSON" in done.stderr
-        and b"Traceback" not in done.stderr
+        process.returncode == 2
+        and b"line 1: not JSON" in process.stderr
+        and b"Traceback" not in process.stderr
     )
 
 
-def test_an_exception_in_the_module_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: Balancer, now: int, events: object) -> list[api.Action]:
+def test_policy_exception_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_index_error(self: Balancer, now: int, events: object) -> list[api.Action]:
         raise IndexError("no such place")
 
     host = Host()
-    host.batch(batch(1, 1, *start(3)))
-    monkeypatch.setattr(Balancer, "handle", broken)
+    host.batch(batch(1, 1, *start_events(3)))
+    monkeypatch.setattr(Balancer, "handle", raise_index_error)
     reply = json.loads(host.batch(batch(2, 2, {"t": "timer", "balancer": 3, "name": "1"})))
     fault = reply["cmds"][0]
     assert fault["t"] == "fault" and fault["balancer"] == 3
-    assert "IndexError: no such place at broken:" in fault["message"]
+    assert "IndexError: no such place at raise_index_error:" in fault["message"]
 
 
-def test_settings_reach_the_module() -> None:
+def test_settings_and_upstreams_are_read() -> None:
     row = {
         "name": "order",
         "repeat": "idempotency_key",
@@ -235,22 +246,22 @@
         "allowed_on": ["big"],
         "window_ns": 5,
     }
-    read = read_settings({"profiles": [row], "rules": {"turn_gap_ns": 7}})
-    cls = read.classes["order"]
+    loaded_settings = read_settings({"profiles": [row], "rules": {"turn_gap_ns": 7}})
+    cls = loaded_settings.classes["order"]
     assert (
         cls.ordered_by_key
         and cls.zones == {"north"}
         and cls.kinds == {"big"}
         and cls.scope is api.DeduplicationScope.CELL
     )
-    assert read.rules.key_order_gap_ns == 7
+    assert loaded_settings.rules.key_order_gap_ns == 7
     assert read_upstream({"upstream": 1, "class_of_host": "big"}).kind == "big"
 
 
-def test_events_of_what_is_over_are_ignored() -> None:
+def test_events_for_finished_requests_are_ignored() -> None:
     now = 2 * 10**9
-    gone = {"t": "dropped", "balancer": 0, "ticket": "t1"}
-    late = {
+    disconnect = {"t": "dropped", "balancer": 0, "ticket": "t1"}
+    late_result = {
         "t": "returned",
         "balancer": 0,
         "ticket": "t1",
@@ -258,8 +269,11 @@
         "upstream": 99,
         "result": "delivered",
     }
-    stale = {"t": "timer", "balancer": 0, "name": "77"}
-    done = run(
-        [batch(1, now, *start(), submit("t1", now)), batch(2, now + 1, gone, gone, late, stale)]
+    stale_timer = {"t": "timer", "balancer": 0, "name": "77"}
+    process = run(
+        [
+            batch(1, now, *start_events(), submit("t1", now)),
+            batch(2, now + 1, disconnect, disconnect, late_result, stale_timer),
+        ]
     )
-    assert done.returncode == 0 and not done.stderr
+    assert process.returncode == 0 and not process.stderr
--- a/tests/test_wallclock.py
+++ b/tests/test_wallclock.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_an_upstream_that_starts_behind_a_step_is_neither_older_nor_younger_than_it_is(
+def test_start_time_is_correct_after_a_clock_step(
     step_s: int, heard: Heard, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -44,23 +44,23 @@
             assert before_ns - SECOND <= starts.pop() <= after_ns
             monkeypatch.setattr(time, "time_ns", lambda: read_ns() - step_s * SECOND)
             await w.tell(row)  # the same start again, behind another step
-            again = {
+            starts_after_second_step = {
                 u.started_ns
                 for e in heard.of(api.EndpointsUpdated)
                 for u in e.upstreams
                 if u.id == number_of(w.upstreams[1].name) and u.started_ns
             }
-            assert len(again) == 1
+            assert len(starts_after_second_step) == 1
 
     run(test())
 
 
-def test_spans_are_not_measured_by_the_wall_clock() -> None:
+def test_only_the_wallclock_module_reads_the_wall_clock() -> None:
     """One module reads it, for people and for what other machines wrote."""
-    readers = {
+    modules = {
         str(path.relative_to(ROOT))
         for path in (ROOT / "loadbalancer").rglob("*.py")
         if re.search(r"\btime\.time(_ns)?\(|\bdatetime\.now\(|CLOCK_REALTIME", path.read_text())
         and "testbed" not in path.relative_to(ROOT).parts
     }
-    assert readers == {"loadbalancer/wallclock.py"}
+    assert modules == {"loadbalancer/wallclock.py"}
--- a/tests/testbed/test_topology.py
+++ b/tests/testbed/test_topology.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.testbed import topology
 from loadbalancer.testbed.topology import Unusable
-from loadbalancer.units import Duration, duration, per_second, size, written
+from loadbalancer.units import Duration, duration, format_duration, per_second, size
 
 GOOD = """
 name = "small"
@@ -107,7 +107,7 @@
     ]
     assert (size("64KiB"), size("1MB"), per_second("90/m")) == (65536, 10**6, 1.5)
     for ns in (0, 1, 1500, 2 * 10**6, 90 * 10**9, 3600 * 10**9):
-        assert duration(written(ns)) == Duration(ns)
+        assert duration(format_duration(ns)) == Duration(ns)
     for bad in ("5", "", "ms", "-5ms", "5 m s", "1e3ms", 5, None):
         with pytest.raises(ValueError, match="with a unit"):
             duration(bad)
