--- a/loadbalancer/policy/attempt_tracker.py
+++ b/loadbalancer/policy/attempt_tracker.py
@@ -117,7 +117,7 @@
             self._record_failure(request, attempt, result, duration_ns, now)
         elif result is api.AttemptResult.ERROR:
             self.rate_controller.in_time_count += 1
-            if self.upstream_set.record_answer(attempt.upstream, True):
+            if self.upstream_set.record_response(attempt.upstream, True):
                 self._avoid(attempt, AVOID_NS, now)
 
     def _record_success(
@@ -145,7 +145,7 @@
         is_late = attempt.sent_ns + duration_ns > request.latency_objective_ns
         self.rate_controller.in_time_count += not is_late
         self.rate_controller.failure_count += is_late
-        upstream_set.record_answer(upstream, False)
+        upstream_set.record_response(upstream, False)
         upstream_set.record_no_reset(upstream)
         if upstream.failure_count and upstream.error_rate < EJECT_ERROR_RATE:
             upstream.failure_count = 0
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -178,7 +178,7 @@
         slowness = self.upstream_set.out_of_subset_slowness
         for queue in self.dispatcher.queues.values():
             pool = queue.pool
-            pool.compare_zones()
+            pool.update_zone_preference()
             is_blocked = bool(queue.blocked_since_ns)
             if is_blocked and slowness < MAX_OUT_OF_SUBSET_SLOWNESS and pool.width < pool.count:
                 pool.widen()
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -68,8 +68,8 @@
         self.latency_ratio = 0.0  # recent response times relative to their latency objectives
         self.baseline_latency_ratio = MIN_OVERLOAD_RATIO / OVERLOAD_FACTOR  # ratio without overload
         self.overload_ratio = MIN_OVERLOAD_RATIO  # a higher latency ratio means overload
-        self.answer_interval_ns = float(SECOND)
-        self.last_answer_ns = 0
+        self.response_interval_ns = float(SECOND)
+        self.last_response_ns = 0
         self.sample_count = 0
         self.per_request_ns = SECOND / 50  # service time divided by the upstream's load
         self.service_times: dict[str, float] = {}  # class -> ns
@@ -159,12 +159,12 @@
             now: The time in nanoseconds.
         """
         ratio = min(ratio, MAX_LATENCY_RATIO)
-        interval = min(SECOND, now - self.last_answer_ns)
-        self.answer_interval_ns += SAMPLE_GAIN * (interval - self.answer_interval_ns)
-        self.last_answer_ns = now
-        gain = min(LATENCY_MAX_GAIN, self.answer_interval_ns / LATENCY_TIME_NS)
+        interval = min(SECOND, now - self.last_response_ns)
+        self.response_interval_ns += SAMPLE_GAIN * (interval - self.response_interval_ns)
+        self.last_response_ns = now
+        gain = min(LATENCY_MAX_GAIN, self.response_interval_ns / LATENCY_TIME_NS)
         self.latency_ratio += gain * (ratio - self.latency_ratio)
-        rise_gain = min(BASELINE_MAX_GAIN, self.answer_interval_ns / BASELINE_TIME_NS)
+        rise_gain = min(BASELINE_MAX_GAIN, self.response_interval_ns / BASELINE_TIME_NS)
         is_falling = self.latency_ratio < self.baseline_latency_ratio
         self.baseline_latency_ratio += (BASELINE_FALL_GAIN if is_falling else rise_gain) * (
             self.latency_ratio - self.baseline_latency_ratio
--- a/loadbalancer/policy/dispatch.py
+++ b/loadbalancer/policy/dispatch.py
@@ -111,11 +111,11 @@
     def serve_queues(self, now: int) -> None:
         """Dispatch queued requests in order while upstreams have capacity."""
         for queue in self.queues.values():
-            self._serve(queue, now)
+            self._serve_queue(queue, now)
             if not queue.waiting:
                 queue.blocked_since_ns = 0
 
-    def _serve(self, queue: RequestQueue, now: int) -> None:
+    def _serve_queue(self, queue: RequestQueue, now: int) -> None:
         queue.capacity_exhausted = False
         available = queue.pool.available_count(now) if queue.waiting else 0
         while queue.waiting:
--- a/loadbalancer/policy/pool.py
+++ b/loadbalancer/policy/pool.py
@@ -132,7 +132,7 @@
             upstream.in_subset = True
 
     def _set_candidates(self, subset: list[UpstreamStats]) -> None:
-        self.candidates = subset + self.ring.beyond(subset, self.width - len(subset))
+        self.candidates = subset + self.ring.outside(subset, self.width - len(subset))
         self.positions = {upstream.id: i for i, upstream in enumerate(self.candidates)}
 
     @property
@@ -155,7 +155,7 @@
     def all_upstreams(self) -> list[UpstreamStats]:
         """Return all eligible upstreams, the subset first."""
         subset = self.subset
-        return subset + self.ring.beyond(subset, self.count)
+        return subset + self.ring.outside(subset, self.count)
 
     def key_upstreams(self, key: str) -> list[UpstreamStats]:
         """Return the preferred upstreams of a key in the subset, by rendezvous hashing."""
@@ -219,7 +219,7 @@
             return []
         return [accepting[int(self.rng.random() * len(accepting))] for _ in range(count)]
 
-    def compare_zones(self) -> None:
+    def update_zone_preference(self) -> None:
         """Prefer the proxy's own zone unless it is slower than the cross-zone penalty justifies.
 
         All proxies of an overloaded zone observe the same slowness, and the overload persists as
--- a/loadbalancer/policy/rate_controller.py
+++ b/loadbalancer/policy/rate_controller.py
@@ -90,7 +90,7 @@
         if total:
             self._adjust_rate(excess, is_low_latency)
         self._update_demands(elapsed)
-        self._divide(now)
+        self._divide_rate(now)
         self.adjusted_ns = now
         self.in_time_count = 0
         self.failure_count = 0
@@ -146,7 +146,7 @@
             bucket.fair_rate = 0.0
         with_demand = [bucket for bucket in self.buckets if bucket.demand]
         self.by_demand = sorted(with_demand, key=BY_DEMAND_RATIO)
-        self._divide(now)
+        self._divide_rate(now)
 
     def _update_demands(self, elapsed: int) -> None:
         """Update each tenant's demand, and the order of the buckets by demand ratio.
@@ -187,7 +187,7 @@
             order.sort(key=BY_DEMAND_RATIO_AND_INDEX)
         self.by_demand = order
 
-    def _divide(self, now: int) -> None:
+    def _divide_rate(self, now: int) -> None:
         """Divide the rate by weight; the unused share of a tenant goes to the others."""
         rate_left = self.rate
         served_left = self.served_per_s
--- a/loadbalancer/policy/subset_ring.py
+++ b/loadbalancer/policy/subset_ring.py
@@ -142,7 +142,7 @@
                 selected.append((is_later, distance, upstream.id, upstream))
         return [upstream for *_, upstream in sorted(selected, key=lambda row: row[:3])]
 
-    def beyond(self, subset: list[UpstreamStats], count: int) -> list[UpstreamStats]:
+    def outside(self, subset: list[UpstreamStats], count: int) -> list[UpstreamStats]:
         """Return up to `count` upstreams outside the subset, in this proxy's local order."""
         selected: list[UpstreamStats] = []
         if count > 0:
--- a/loadbalancer/policy/upstream_set.py
+++ b/loadbalancer/policy/upstream_set.py
@@ -224,15 +224,15 @@
             self.upstreams.pop(upstream.id, None)
             self.availability.avoided.pop(upstream.id, None)
 
-    def _scanned(self) -> list[UpstreamStats]:
+    def _scan_candidates(self) -> list[UpstreamStats]:
         return self.main_pool.candidates[: min(self.main_pool.width, MAX_SCAN)]
 
     def decay_error_rates(self) -> None:
         """Decay the error rates of candidates, including those that receive no attempts."""
-        for upstream in self._scanned():
+        for upstream in self._scan_candidates():
             upstream.error_rate *= ERROR_RATE_DECAY
 
-    def record_answer(self, upstream: UpstreamStats, is_error: bool) -> bool:
+    def record_response(self, upstream: UpstreamStats, is_error: bool) -> bool:
         """Record a response in the error rate of its upstream.
 
         An upstream that returns errors immediately has the lowest load and would attract requests,
@@ -246,7 +246,7 @@
         upstream.error_rate += gain * (is_error - upstream.error_rate)
         if not is_error or upstream.error_rate <= EJECT_ERROR_RATE:
             return False
-        scanned = self._scanned()
+        scanned = self._scan_candidates()
         failing = [other for other in scanned if other.error_rate > EJECT_ERROR_RATE]
         if len(failing) <= MAX_EJECT_FRACTION * len(scanned):
             return True
--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -58,9 +58,9 @@
         self.rate = self.served_per_s = min(self.rate, rate)
         for t, demand in demands:
             t.demand = demand
-        self._divide(now)
+        self._divide_rate(now)
 
-    def _divide(self, now: int) -> None:
+    def _divide_rate(self, now: int) -> None:
         whole = sum(t.weight for t in self.buckets)
         lent, fair = self._fill(self.rate), self._fill(self.served_per_s)
         for i, t in enumerate(self.buckets):
