--- a/loadbalancer/policy/api.py
+++ b/loadbalancer/policy/api.py
@@ -292,7 +292,7 @@
     tenant_rates: Mapping[str, float] = {}  # tenant -> its share in requests a second at this proxy
     retry_reject_fraction: float = 0.0  # of clients' retries
     hedging_allowed: bool = True  # False: no hedged requests, and late attempts are cancelled
-    class_reject_fractions: Mapping[str, float] = {}  # class -> fraction, for all tenants
+    class_reject_fractions: Mapping[str, float] = {}  # class -> fraction, same for all tenants
     # Earliest and latest retry delay of rejected requests; (0, 0): the default.
     retry_window_ns: tuple[int, int] = (0, 0)
     # Upstream in slow start -> attempts a second that this proxy may send to it.
