--- a/loadbalancer/policy/completion.py
+++ b/loadbalancer/policy/completion.py
@@ -1,23 +1,23 @@
-"""The end of a request: its final answer, and what waits behind it."""
+"""Completion of requests: the final action, cleanup, and the next request of the same key."""
 
 from __future__ import annotations
 
 from loadbalancer.policy import api
 from loadbalancer.policy.clock import SECOND
 from loadbalancer.policy.context import PolicyContext
-from loadbalancer.policy.requests import KeyQueue, Request, WaitsFor
+from loadbalancer.policy.requests import KeyQueue, Request, WaitState
 from loadbalancer.policy.timers import KeyQueueTimer
 
 
 class Completion:
-    """Ends requests."""
+    """Completes requests."""
 
     def __init__(self, context: PolicyContext) -> None:
         self.context = context
         self.limits = context.settings.limits
 
     def give_up(self, request: Request) -> None:
-        """Answer a request that is not served: rejected if a retry is harmless, else failed."""
+        """Reject a request that is not served if a retry is safe; otherwise fail it."""
         context = self.context
         if request.may_reject():
             delay_ns = self._retry_after_ns()
@@ -38,20 +38,20 @@
         return delay_ns
 
     def finish(self, request: Request) -> None:
-        """End a request that has its final answer or whose client has gone."""
-        if request.waits_for is WaitsFor.TOKEN:
+        """Finish a request that has its final response or whose client has disconnected."""
+        if request.wait_state is WaitState.TOKEN:
             request.bucket.remove(request)
-        elif request.waits_for is WaitsFor.UPSTREAM:
+        elif request.wait_state is WaitState.UPSTREAM:
             request.queue.waiting.remove(request)
-        request.waits_for = WaitsFor.NOTHING
+        request.wait_state = WaitState.NOT_WAITING
         request.is_finished = True
         if self.limits.may_cancel:
             for number, attempt in enumerate(request.attempts):
                 if attempt.result is None:
                     self.context.actions.append(api.CancelAttempt(request.id, number))
-        self.forget_if_done(request)
+        self.forget_if_complete(request)
 
-    def forget_if_done(self, request: Request) -> None:
+    def forget_if_complete(self, request: Request) -> None:
         """Forget a finished request once none of its attempts is in flight."""
         if request.is_finished and not request.in_flight and request.id in self.context.requests:
             del self.context.requests[request.id]
@@ -59,7 +59,7 @@
                 self._advance(request.key_queue)
 
     def _advance(self, key_queue: KeyQueue) -> None:
-        """Let the next request of a key follow those that are done."""
+        """Remove finished requests of a key, and schedule the next one."""
         timers = self.context.timers
         waiting = key_queue.waiting
         while waiting and waiting[0].is_finished and not waiting[0].in_flight:
@@ -68,5 +68,5 @@
                 waiting[0].key_ready_ns = key_queue.ready_ns
                 timers.schedule(key_queue.ready_ns, KeyQueueTimer(key_queue))
         if not waiting:
-            # It is forgotten once its gap is over.
+            # The empty queue is removed once the gap after its last request is over.
             timers.schedule(key_queue.ready_ns, KeyQueueTimer(key_queue))
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -287,7 +287,7 @@
             exchange.give_up(api.AttemptResult.NOT_SENT)
         if was_established:  # its close has already decremented the count
             self.connections += 1
-        if failure_cause is Cause.HERE:
+        if failure_cause is Cause.LOCAL:
             self._log_shortage(f"connect failed on this machine: error={error}")
             self._close_oldest_idle()
 
--- a/loadbalancer/units.py
+++ b/loadbalancer/units.py
@@ -1,6 +1,6 @@
-"""Times, sizes and rates as operators write them, and the reading of files that hold them.
+"""Durations, sizes and rates in configuration files, and the reading of such files.
 
-They are written with their units (`250ms`, `64KiB`, `340/s`), and as ranges of these.
+Values are written with their units (`250ms`, `64KiB`, `340/s`) or as ranges of such values.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 
 
 class Duration(int):
-    """Whole nanoseconds, written with a unit: `ns`, `us`, `ms`, `s`, `m` or `h`."""
+    """A duration in whole nanoseconds, written with a unit: `ns`, `us`, `ms`, `s`, `m` or `h`."""
 
 
 class Size(int):
-    """Whole bytes, written with a unit: `B`, `kB`, `MB`, `GB`, `KiB`, `MiB` or `GiB`."""
+    """A size in whole bytes, written with a unit: `B`, `kB`, `MB`, `GB`, `KiB`, `MiB` or `GiB`."""
 
 
 class PerSecond(float):
-    """A rate a second, written with a unit: `/s`, `/m` or `/h`."""
+    """A rate per second, written with a unit: `/s`, `/m` or `/h`."""
 
 
 class Range(Generic[NumberT]):
-    """A range that a run draws a figure from.
+    """A range from which a test run draws a random value.
 
-    A class of its own, no tuple: a plain pair must not pass for one.
+    Not a tuple, so that a plain pair is not accepted as a range.
     """
 
     __slots__ = ("high", "low")
@@ -71,18 +71,18 @@
 
 
 class Times(Range[int]):
-    """A range of durations, nanoseconds; one value is a range of no width."""
+    """A range of durations in nanoseconds; a single value is a range of zero width."""
 
     __slots__ = ()
 
 
 class Numbers(Range[float]):
-    """A range of plain numbers; one value is a range of no width."""
+    """A range of plain numbers; a single value is a range of zero width."""
 
     __slots__ = ()
 
 
-def _with_unit(text: Any, units: Mapping[str, float], description: str) -> float:
+def _parse_with_unit(text: Any, units: Mapping[str, float], description: str) -> float:
     match = NUMBER.match(text.strip()) if isinstance(text, str) else None
     if match is None or match[2] not in units:
         hint = ", ".join(units)
@@ -91,65 +91,65 @@
 
 
 def duration(text: Any) -> Duration:
-    """Read `"250ms"` as nanoseconds.
+    """Parse a duration such as `"250ms"` into nanoseconds.
 
     Raises:
         ValueError: The unit is missing or unknown.
     """
-    return Duration(round(_with_unit(text, NS, "a time")))
+    return Duration(round(_parse_with_unit(text, NS, "a time")))
 
 
 def size(text: Any) -> Size:
-    """Read `"64KiB"` as bytes.
+    """Parse a size such as `"64KiB"` into bytes.
 
     Raises:
         ValueError: The unit is missing or unknown.
     """
-    return Size(round(_with_unit(text, BYTES, "a size")))
+    return Size(round(_parse_with_unit(text, BYTES, "a size")))
 
 
 def per_second(text: Any) -> PerSecond:
-    """Read `"340/s"` as a float a second.
+    """Parse a rate such as `"340/s"` into a number per second.
 
     Raises:
         ValueError: The unit is missing or unknown.
     """
-    return PerSecond(_with_unit(text, PER_S, "a rate"))
+    return PerSecond(_parse_with_unit(text, PER_S, "a rate"))
 
 
-def _ends(given: Any) -> tuple[Any, Any]:
-    if not isinstance(given, list):
-        return given, given
+def _range_bounds(value: Any) -> tuple[Any, Any]:
+    if not isinstance(value, list):
+        return value, value
     try:
-        low, high = given
+        low, high = value
     except ValueError:
-        raise ValueError(f"a range has two ends, not {len(given)}") from None
+        raise ValueError(f"a range has two ends, not {len(value)}") from None
     return low, high
 
 
-def times(given: Any) -> Times:
-    """Read a time, or a list of two, as a range.
+def times(value: Any) -> Times:
+    """Parse a duration, or a list of two, into a range.
 
     Raises:
         ValueError: A unit is missing or unknown, or the range is reversed.
     """
-    low, high = (duration(end) for end in _ends(given))
+    low, high = (duration(bound) for bound in _range_bounds(value))
     if low > high:
         raise ValueError("a range goes from the smaller to the larger time")
     return Times(low, high)
 
 
-def numbers(given: Any) -> Numbers:
-    """Read a number, or a list of two, as a range.
+def numbers(value: Any) -> Numbers:
+    """Convert a number, or a list of two, to a range.
 
     Raises:
-        ValueError: An end is no number, or the range is reversed.
+        ValueError: A bound is not a number, or the range is reversed.
     """
-    ends = _ends(given)
-    for end in ends:
-        if isinstance(end, bool) or not isinstance(end, (int, float)):
-            raise ValueError(f"a range of numbers holds numbers, not {end!r}")
-    low, high = map(float, ends)
+    bounds = _range_bounds(value)
+    for bound in bounds:
+        if isinstance(bound, bool) or not isinstance(bound, (int, float)):
+            raise ValueError(f"a range of numbers holds numbers, not {bound!r}")
+    low, high = map(float, bounds)
     if low > high:
         raise ValueError("a range goes from the smaller to the larger number")
     return Numbers(low, high)
@@ -158,19 +158,19 @@
 READERS = {Duration: duration, Size: size, PerSecond: per_second, Times: times, Numbers: numbers}
 
 
-def decode(kind: type, given: Any) -> Any:
-    """Decode a type of this module; the hook that msgspec calls."""
+def decode(kind: type, value: Any) -> Any:
+    """Decode a value to a type of this module, as a decoding hook for msgspec."""
     reader = READERS.get(kind)
     if reader is None:
         raise NotImplementedError(f"no reader for {kind}")
-    return reader(given)
+    return reader(value)
 
 
 def convert(raw: Any, kind: type[FileT]) -> FileT:
     """Convert parsed TOML or JSON to this type.
 
     Raises:
-        ValueError: It does not fit; the message is one line.
+        ValueError: The value does not match the type. The message is a single line.
     """
     try:
         converted: FileT = msgspec.convert(raw, kind, dec_hook=decode)
@@ -183,7 +183,7 @@
     """Read a TOML file.
 
     Raises:
-        ValueError: It can't be read; the message is one line.
+        ValueError: The file can't be read or parsed. The message is a single line.
     """
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
@@ -191,17 +191,17 @@
         raise ValueError(error.strerror) from None
 
 
-def repeated(names: Iterable[str]) -> str:
-    """Return the first name that occurs twice; empty if none does."""
-    known: set[str] = set()
+def first_duplicate(names: Iterable[str]) -> str:
+    """Return the first name that is a duplicate, or an empty string."""
+    seen_names: set[str] = set()
     for name in names:
-        if name in known:
+        if name in seen_names:
             return name
-        known.add(name)
+        seen_names.add(name)
     return ""
 
 
-def written(ns: int) -> str:
+def format_duration(ns: int) -> str:
     """Format nanoseconds as the shortest exact text that `duration` reads back."""
     for unit in ("h", "m", "s", "ms", "us"):
         if ns and ns % NS[unit] == 0:
