--- a/tests/bench.py
+++ b/tests/bench.py
@@ -287,5 +287,5 @@
         sent.append((upstream, self.now))
 
 
-def of(kind: type, actions: Iterable[api.Action]) -> list[api.Action]:
+def of_type(kind: type, actions: Iterable[api.Action]) -> list[api.Action]:
     return [a for a in actions if isinstance(a, kind)]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,28 +9,28 @@
 from loadbalancer.policy import Balancer
 from loadbalancer.proxy import policy_driver, process
 from loadbalancer.proxy.frontend import Frontend
-from tests.fakes import Heard
+from tests.fakes import EventRecorder
 
 pytest_plugins = ["tests.known_red"]
 
 
 @pytest.fixture
-def heard(monkeypatch: pytest.MonkeyPatch) -> Heard:
+def recorder(monkeypatch: pytest.MonkeyPatch) -> EventRecorder:
     """The events that the module of each balancer started from here on is handed."""
-    heard = Heard()
-    monkeypatch.setattr(policy_driver, "Balancer", heard.listen(Balancer))
-    return heard
+    recorder = EventRecorder()
+    monkeypatch.setattr(policy_driver, "Balancer", recorder.wrap(Balancer))
+    return recorder
 
 
 @pytest.fixture
-def made(monkeypatch: pytest.MonkeyPatch) -> list[Frontend]:
+def frontends(monkeypatch: pytest.MonkeyPatch) -> list[Frontend]:
     """The frontends of the balancers that a test starts."""
-    found: list[Frontend] = []
+    started: list[Frontend] = []
 
-    class Kept(Frontend):
+    class RecordingFrontend(Frontend):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            found.append(self)
+            started.append(self)
 
-    monkeypatch.setattr(process, "Frontend", Kept)
-    return found
+    monkeypatch.setattr(process, "Frontend", RecordingFrontend)
+    return started
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -54,7 +54,7 @@
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.daemon.test_state_sync import FakeDriver, answered, until
-from tests.fakes import FakeDiscovery, FakeUpstream, Watched, free_port, run
+from tests.fakes import FakeDiscovery, FakeUpstream, Observable, free_port, run
 from tests.store.test_node import Cluster, cluster
 
 KEYS = RowKeys("orders")
@@ -203,9 +203,9 @@
 class RowDriver(FakeDriver):
     """Knows what a driver knows after each list."""
 
-    def __init__(self, poke: Callable[[], None]) -> None:
+    def __init__(self, notify: Callable[[], None]) -> None:
         super().__init__()
-        self.poke = poke
+        self.notify = notify
 
     def learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         self.lists.append((kind, endpoints))
@@ -218,10 +218,10 @@
                 if t.endpoint.entry.state is not api.UpstreamState.REMOVED
             }
             self.list_received.set()
-        self.poke()
+        self.notify()
 
 
-class RowBalancer(Watched):
+class RowBalancer(Observable):
     """A balancer's state_sync and list. Without a discovery it knows only what the store says."""
 
     def __init__(
@@ -233,7 +233,7 @@
         documents: bool = False,
     ) -> None:
         super().__init__()
-        self.driver = RowDriver(self.poke)
+        self.driver = RowDriver(self.notify)
         address = discovery.address if discovery is not None else ("127.0.0.1", free_port())
         self.discovery = Discovery(cast(Any, self.driver), address, 1)
         self.driver.discovery = cast(Any, self.discovery)
@@ -257,11 +257,11 @@
 
     def began(self, token: int) -> None:
         self.publisher.on_lease_acquired(token)
-        self.poke()
+        self.notify()
 
     def ended(self) -> None:
         self.publisher.on_lease_lost()
-        self.poke()
+        self.notify()
 
     @property
     def known(self) -> dict[int, api.UpstreamState]:
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -94,7 +94,7 @@
         try:
             while True:
                 try:
-                    client = await Client.to(("127.0.0.1", port))
+                    client = await Client.connect(("127.0.0.1", port))
                     break
                 except OSError:
                     assert process.returncode is None
@@ -155,7 +155,7 @@
         "discovery": f"127.0.0.1:{free_port()}",
         "seed": "1",
         "settings": {},
-        "known": discovery.whole(),
+        "known": discovery.full_list(),
     }
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told))
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -51,7 +51,7 @@
     async with asyncio.timeout(20):
         while True:
             try:
-                return await Client.to(("127.0.0.1", port))
+                return await Client.connect(("127.0.0.1", port))
             except OSError:
                 await asyncio.sleep(0.005)
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -24,7 +24,7 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-TEST_S = 60.0
+TEST_TIMEOUT_S = 60.0
 CLASSES = {
     "quote": api.RequestClass(
         "quote", api.Effect.IDEMPOTENT, latency_objective_ns=2 * SECOND, deadline_ns=3 * SECOND
@@ -43,34 +43,34 @@
 def run(test: Coroutine[Any, Any, None]) -> None:
     """On the loop that the program itself runs on."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(test, TEST_S))
+        runner.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
-class Watched:
+class Observable:
     """Something whose changes can be waited for."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
-    def poke(self) -> None:
+    def notify(self) -> None:
         self._changed.set()
 
-    async def until(self, holds: Callable[[], object]) -> None:
-        while not holds():
+    async def until(self, condition: Callable[[], object]) -> None:
+        while not condition():
             self._changed.clear()
             await self._changed.wait()
 
 
 @dataclass
 class Message:
-    start: list[str]  # the words of the first line
+    start_line: list[str]  # the words of the first line
     headers: dict[str, str]
     body: bytes
-    link: int = 0  # which connection it came on
+    connection_number: int = 0  # which connection it came on
 
     @property
     def status(self) -> int:
-        return int(self.start[1])
+        return int(self.start_line[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
@@ -84,20 +84,20 @@
     )
 
 
-def answer(status: int, body: bytes = b"", *headers: str) -> bytes:
+def http_response(status: int, body: bytes = b"", *headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-class Server(Watched):
+class Server(Observable):
     """A small HTTP server. `reply` gives what to write; None resets the connection."""
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
         super().__init__()
         self.reply = reply
-        self.seen: list[Message] = []
-        self.links: list[asyncio.StreamWriter] = []
-        self.ended = 0  # connections that the other side closed
+        self.received_requests: list[Message] = []
+        self.connections: list[asyncio.StreamWriter] = []
+        self.peer_closed_count = 0  # connections that the other side closed
         self.port = 0
         self.server: asyncio.Server | None = None
 
@@ -112,27 +112,27 @@
     def stop(self) -> None:
         if self.server is not None:
             self.server.close()
-        self.close_links()
+        self.abort_connections()
 
-    def close_links(self) -> None:
-        for link in self.links:
-            link.transport.abort()
+    def abort_connections(self) -> None:
+        for connection in self.connections:
+            connection.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.links.append(writer)
-        number = len(self.links)
+        self.connections.append(writer)
+        number = len(self.connections)
         waiting: set[asyncio.Task[None]] = set()
         try:
             while True:
                 message = await read_message(reader)
-                message.link = number
-                self.seen.append(message)
-                self.poke()
+                message.connection_number = number
+                self.received_requests.append(message)
+                self.notify()
                 task = asyncio.create_task(self._answer(message, writer))
                 waiting.add(task)
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.ended += 1
-            self.poke()
+            self.peer_closed_count += 1
+            self.notify()
         finally:
             for task in waiting:
                 task.cancel()
@@ -144,29 +144,29 @@
             writer.transport.abort()
         else:
             writer.write(reply)
-        self.poke()
+        self.notify()
 
 
-async def never() -> bytes | None:
+async def never_respond() -> bytes | None:
     await asyncio.Event().wait()
     return None
 
 
 class FakeUpstream(Server):
     """Answers 200 with its name, or what stands in `script`, one entry a request: bytes to write,
-    `never` to be silent, None to reset.
+    `never_respond` to be silent, None to reset.
     """
 
     def __init__(self, name: str) -> None:
-        super().__init__(self._next)
+        super().__init__(self._next_response)
         self.name = name
         self.script: list[Any] = []
         self.load = "inflight=3,queue=1"
 
-    async def _next(self, message: Message) -> bytes | None:
-        if message.start[1] in ("/health", "/status/load"):
-            return answer(200, self.load.encode())
-        entry = self.script.pop(0) if self.script else answer(200, self.name.encode())
+    async def _next_response(self, message: Message) -> bytes | None:
+        if message.start_line[1] in ("/health", "/status/load"):
+            return http_response(200, self.load.encode())
+        entry = self.script.pop(0) if self.script else http_response(200, self.name.encode())
         reply: bytes | None = await entry() if callable(entry) else entry
         return reply
 
@@ -190,14 +190,14 @@
     """
 
     def __init__(self, rows: Iterable[Json]) -> None:
-        super().__init__(self._tell)
+        super().__init__(self._list_or_changes)
         self.rows = list(rows)
         self.version = 1
         self.changes: list[tuple[int, Json]] = []
         self.down = False
         self.silent = False
         self.busy = False  # it turns calls away
-        self.mute_ms = 1 << 60  # calls that wait for longer are never answered
+        self.max_answered_wait_ms = 1 << 60  # calls that wait for longer are never answered
 
     def change(self, *rows: Json) -> None:
         self.version += 1
@@ -206,30 +206,30 @@
         self.rows = [r for r in self.rows if r["id"] not in names] + [
             r for r in rows if r["state"] != "Gone"
         ]
-        self.poke()
+        self.notify()
 
-    def whole(self) -> Json:
+    def full_list(self) -> Json:
         return {"version": self.version, "full": True, "servers": self.rows}
 
-    async def _tell(self, message: Message) -> bytes | None:
+    async def _list_or_changes(self, message: Message) -> bytes | None:
         if self.down:
             return None
         if self.silent:
-            return await never()
+            return await never_respond()
         if self.busy:
-            return answer(503)
-        if "from=" not in message.start[1]:
-            return answer(200, json.dumps(self.whole()).encode())
-        query = message.start[1].partition("?")[2].split("&")
-        known, hold_ms = (int(part.partition("=")[2]) for part in query)
-        if hold_ms > self.mute_ms:
-            return await never()
+            return http_response(503)
+        if "from=" not in message.start_line[1]:
+            return http_response(200, json.dumps(self.full_list()).encode())
+        query = message.start_line[1].partition("?")[2].split("&")
+        known_version, hold_ms = (int(part.partition("=")[2]) for part in query)
+        if hold_ms > self.max_answered_wait_ms:
+            return await never_respond()
         with suppress(TimeoutError):
             async with asyncio.timeout(hold_ms / 1000):
-                await self.until(lambda: self.version > known)
-        news = [row for version, row in self.changes if version > known]
-        change = {"version": self.version, "full": False, "servers": news}
-        return answer(200, json.dumps(change).encode())
+                await self.until(lambda: self.version > known_version)
+        changed_rows = [row for version, row in self.changes if version > known_version]
+        change = {"version": self.version, "full": False, "servers": changed_rows}
+        return http_response(200, json.dumps(change).encode())
 
 
 class Client:
@@ -238,7 +238,7 @@
         self.writer = writer
 
     @classmethod
-    async def to(cls, address: tuple[str, int]) -> Client:
+    async def connect(cls, address: tuple[str, int]) -> Client:
         return cls(*await asyncio.open_connection(*address))
 
     def send(
@@ -267,11 +267,11 @@
         self.send(name, *args, **more)
         return await read_message(self.reader)
 
-    async def raw(self, data: bytes) -> Message:
+    async def send_raw(self, data: bytes) -> Message:
         self.writer.write(data)
         return await read_message(self.reader)
 
-    async def ended(self) -> None:
+    async def expect_eof(self) -> None:
         with suppress(ConnectionError):
             assert await self.reader.read() == b""
 
@@ -279,34 +279,34 @@
         self.writer.close()
 
 
-class Heard(Watched):
+class EventRecorder(Observable):
     """The events that the module is handed."""
 
     def __init__(self) -> None:
         super().__init__()
         self.events: list[api.Event] = []
 
-    def of(self, kind: type) -> list[Any]:
+    def of_type(self, kind: type) -> list[Any]:
         return [event for event in self.events if isinstance(event, kind)]
 
     def results(self) -> list[api.AttemptResult]:
-        return [event.result for event in self.of(api.AttemptFinished)]
+        return [event.result for event in self.of_type(api.AttemptFinished)]
 
-    def listen(self, module: type[Balancer]) -> type[Balancer]:
-        heard = self
+    def wrap(self, module: type[Balancer]) -> type[Balancer]:
+        recorder = self
 
-        class Listening(module):  # type: ignore[misc, valid-type]
+        class RecordingBalancer(module):  # type: ignore[misc, valid-type]
             def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
-                taken = list(events)
-                actions: list[api.Action] = super().handle(now, taken)
-                heard.events += taken
-                heard.poke()
+                received = list(events)
+                actions: list[api.Action] = super().handle(now, received)
+                recorder.events += received
+                recorder.notify()
                 return actions
 
-        return Listening
+        return RecordingBalancer
 
 
-class World:
+class BalancerHarness:
     """A balancer in this process, its upstreams and discovery."""
 
     def __init__(self, upstreams: Sequence[FakeUpstream], discovery: FakeDiscovery) -> None:
@@ -315,28 +315,30 @@
         self.address = ("127.0.0.1", 0)
 
     async def client(self) -> Client:
-        return await Client.to(self.address)
+        return await Client.connect(self.address)
 
-    async def held(self, name: str, **more: Any) -> Client:
+    async def client_awaiting_response(self, name: str, **more: Any) -> Client:
         """A client whose request is at the first upstream, which says nothing to it."""
         upstream = self.upstreams[0]
-        upstream.script = [never]
+        upstream.script = [never_respond]
         client = await self.client()
         client.send(name, **more)
-        await upstream.until(lambda: upstream.seen)
+        await upstream.until(lambda: upstream.received_requests)
         return client
 
-    async def tell(self, *rows: Json) -> None:
+    async def update_endpoints(self, *rows: Json) -> None:
         """Have discovery tell a change, and wait until the balancer has it: it then watches from
         there on.
         """
-        await self.watching()
+        await self.wait_for_endpoint_list()
         self.discovery.change(*rows)
-        await self.watching()
+        await self.wait_for_endpoint_list()
 
-    async def watching(self) -> None:
+    async def wait_for_endpoint_list(self) -> None:
         target = f"from={self.discovery.version}&"
-        await self.discovery.until(lambda: any(target in m.start[1] for m in self.discovery.seen))
+        await self.discovery.until(
+            lambda: any(target in m.start_line[1] for m in self.discovery.received_requests)
+        )
 
     async def ask(self, name: str, *args: Any, **more: Any) -> Message:
         client = await self.client()
@@ -347,24 +349,24 @@
 
 
 @asynccontextmanager
-async def world(
+async def running_balancer(
     count: int = 1,
     settings: api.Settings = SETTINGS,
     sockets: int = 1024,
     door: socket.socket | None = None,
     **config: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[BalancerHarness]:
     upstreams = [FakeUpstream(f"s-{i}") for i in range(count)]
     for upstream in upstreams:
         await upstream.start()
     discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
     await discovery.start()
-    w = World(upstreams, discovery)
+    w = BalancerHarness(upstreams, discovery)
     listener = listening_socket(("127.0.0.1", 0), shared=True)
     listener.listen()  # connections wait for the balancer
     w.address = listener.getsockname()
     plain = Config(
-        w.address, discovery.address, 7, sockets, settings, discovery.whole(), None, [], None
+        w.address, discovery.address, 7, sockets, settings, discovery.full_list(), None, [], None
     )
     task = asyncio.create_task(serve(replace(plain, **config), listener, door))
     try:
@@ -379,7 +381,7 @@
 
 def free_port() -> int:
     """A loopback port where nobody listens."""
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        port: int = taken.getsockname()[1]
+    with socket.socket() as received:
+        received.bind(("127.0.0.1", 0))
+        port: int = received.getsockname()[1]
         return port
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -26,7 +26,7 @@
     Desk,
     arrival,
     check_cold_budget,
-    of,
+    of_type,
     places,
     settings,
     upstreams,
@@ -35,8 +35,8 @@
 
 def test_served_request_needs_nothing_more() -> None:
     desk = Desk()
-    assert len(of(api.StartAttempt, desk.give(arrival(1, desk.now)))) == 1
-    assert not of(api.FailRequest, desk.finish("r1")) and desk.answer["r1"] == "served"
+    assert len(of_type(api.StartAttempt, desk.give(arrival(1, desk.now)))) == 1
+    assert not of_type(api.FailRequest, desk.finish("r1")) and desk.answer["r1"] == "served"
 
 
 @pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
@@ -297,7 +297,7 @@
     for config in (dear, settings(limits=limits, report_columns=("util",))):
         desk = Desk(config)
         desk.give(arrival(1, desk.now))
-        assert "r1" in desk.sends and not of(api.CheckHealth, desk.log)
+        assert "r1" in desk.sends and not of_type(api.CheckHealth, desk.log)
 
 
 def test_what_stands_still_together_is_one_strike() -> None:
@@ -316,11 +316,11 @@
     desk = Desk(servers=1)
     desk.give(arrival(1, desk.now, READ))
     desk.advance(READ.latency_objective_ns + 100 * MS)
-    assert not of(api.CancelAttempt, desk.log) and "r1" not in desk.answer
+    assert not of_type(api.CancelAttempt, desk.log) and "r1" not in desk.answer
     for i in range(2, 12):
         desk.give(arrival(i, desk.now, READ, wait_ns=2 * SECOND))
     desk.advance(50 * MS)
-    assert of(api.CancelAttempt, desk.log)[0] == api.CancelAttempt("r1", 0)
+    assert of_type(api.CancelAttempt, desk.log)[0] == api.CancelAttempt("r1", 0)
     desk.finish("r1", api.AttemptResult.CANCELLED)
     assert desk.answer["r1"] == "refused"
 
@@ -548,7 +548,7 @@
     assert desk.answer.get("r1") == answer and len(desk.sends) == (answer is None)
     assert all(
         a.retry_after_ns > 0
-        for a in of(api.RejectRequest, gone_by)
+        for a in of_type(api.RejectRequest, gone_by)
         if isinstance(a, api.RejectRequest)
     )
 
@@ -588,14 +588,14 @@
 
 def test_ask_mode_subscribes_and_backs_off() -> None:
     desk = Desk(settings(discovery_push=False))
-    assert not of(api.SubscribeEndpoints, desk.log)
+    assert not of_type(api.SubscribeEndpoints, desk.log)
     desk.advance(5 * SECOND)
-    assert len(of(api.SubscribeEndpoints, desk.log)) == 1
+    assert len(of_type(api.SubscribeEndpoints, desk.log)) == 1
     gaps, last = [], desk.now
     for _ in range(4):
         desk.give(api.EndpointsUpdated(api.EndpointListKind.FAILED))
-        before = len(of(api.SubscribeEndpoints, desk.log))
-        while len(of(api.SubscribeEndpoints, desk.log)) == before:
+        before = len(of_type(api.SubscribeEndpoints, desk.log))
+        while len(of_type(api.SubscribeEndpoints, desk.log)) == before:
             desk.advance(50 * MS)
             assert desk.now - last < 20 * SECOND
         gaps.append(desk.now - last)
@@ -612,7 +612,7 @@
             next(
                 n
                 for n in range(60)
-                if of(api.SubscribeEndpoints, b.handle(START + n * 50 * MS, []))
+                if of_type(api.SubscribeEndpoints, b.handle(START + n * 50 * MS, []))
             )
         )
     assert len(asked) > 5
@@ -621,7 +621,7 @@
 def test_push_mode_never_calls_discovery() -> None:
     desk = Desk()
     desk.advance(5 * SECOND)
-    assert not of(api.SubscribeEndpoints, desk.log)
+    assert not of_type(api.SubscribeEndpoints, desk.log)
 
 
 def test_no_tenants_and_unknown_class_work() -> None:
@@ -931,12 +931,12 @@
     assert len(desk.sends) > 1 and not desk.answer
     # Who does not answer is not asked again meanwhile, nor waited for; once it has, it is.
     desk = looking(1)
-    assert len(of(api.CheckHealth, desk.give(arrival(1, desk.now)))) == 1
+    assert len(of_type(api.CheckHealth, desk.give(arrival(1, desk.now)))) == 1
     desk.advance(20 * MS)
     assert "r1" in desk.sends
-    assert not of(api.CheckHealth, desk.give(arrival(2, desk.now))) and "r2" in desk.sends
+    assert not of_type(api.CheckHealth, desk.give(arrival(2, desk.now))) and "r2" in desk.sends
     desk.give(api.HealthCheckFinished(1, api.AttemptResult.TIMEOUT, 20 * MS))
-    assert len(of(api.CheckHealth, desk.give(arrival(3, desk.now)))) == 1
+    assert len(of_type(api.CheckHealth, desk.give(arrival(3, desk.now)))) == 1
 
 
 def test_what_is_sent_while_an_answer_about_load_is_out_counts_on_top_of_it() -> None:
@@ -1129,13 +1129,13 @@
         b.handle(now, [api.EndpointsUpdated(api.EndpointListKind.CACHED)] if seed % 2 else [])
         for _ in range(20):
             now += 5 * MS
-            asked += of(api.SubscribeEndpoints, b.handle(now, []))
+            asked += of_type(api.SubscribeEndpoints, b.handle(now, []))
         assert len(asked) == 1, f"seed {seed}"
     known = Balancer(config, 1, START)  # whoever knows upstreams leaves the others time to ask
     first = known.handle(START, [api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(6))])
     soon = known.handle(START + 100 * MS, [])
     later = known.handle(START + 3 * SECOND, [])
-    assert [len(of(api.SubscribeEndpoints, actions)) for actions in (first, soon, later)] == [
+    assert [len(of_type(api.SubscribeEndpoints, actions)) for actions in (first, soon, later)] == [
         0,
         0,
         1,
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -18,27 +18,27 @@
 from loadbalancer.proxy.disabled_upstreams import FILE, DisabledUpstreams
 from loadbalancer.proxy.listener import listening_socket
 from loadbalancer.proxy.process_handover import ProcessNote, ProcessRegistry
-from tests.fakes import Client, Heard, Message, World, run, world
+from tests.fakes import BalancerHarness, Client, EventRecorder, Message, run, running_balancer
 
 Address = tuple[str, int]
 
 
 @asynccontextmanager
-async def door_world(count: int = 2, **more: Any) -> AsyncIterator[tuple[World, Address]]:
+async def door_world(count: int = 2, **more: Any) -> AsyncIterator[tuple[BalancerHarness, Address]]:
     door = listening_socket(("127.0.0.1", 0))
     door.listen()  # callers wait for the balancer
     address = door.getsockname()
-    async with world(count, door=door, **more) as w:
+    async with running_balancer(count, door=door, **more) as w:
         yield w, address
 
 
 async def call(address: Address, path: str, method: str = "POST") -> Message:
-    client = await Client.to(address)
-    got = await client.raw(
+    client = await Client.connect(address)
+    got = await client.send_raw(
         f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\nContent-Length: 0\r\n\r\n".encode()
     )
     assert got.headers["connection"] == "close"
-    await client.ended()
+    await client.expect_eof()
     client.close()
     return got
 
@@ -66,10 +66,10 @@
                 b"POST /-/ready HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n",
             ):
-                client = await Client.to(door)
-                assert (await client.raw(junk)).status == 400
-                await client.ended()
-            half = await Client.to(door)
+                client = await Client.connect(door)
+                assert (await client.send_raw(junk)).status == 400
+                await client.expect_eof()
+            half = await Client.connect(door)
             half.writer.write(b"GET /-/re")
             half.writer.write_eof()
             assert b"400" in await half.reader.readline()
@@ -80,7 +80,7 @@
 def test_not_ready_without_an_upstream() -> None:
     async def test() -> None:
         async with door_world(1) as (w, door):
-            await w.tell(w.upstreams[0].row("Terminating"))
+            await w.update_endpoints(w.upstreams[0].row("Terminating"))
             assert (await call(door, "/-/ready", "GET")).status == 503
 
     run(test())
@@ -91,34 +91,34 @@
 
     async def test() -> None:
         async with door_world() as (_, door):
-            silent = [await Client.to(door) for _ in range(3 * MAX_CALLS)]
+            silent = [await Client.connect(door) for _ in range(3 * MAX_CALLS)]
             assert (await call(door, "/-/ready", "GET")).status == 200
             for client in silent:
-                await client.ended()
-            half = await Client.to(door)
-            assert (await half.raw(b"GET /-/ready HTTP/1.1\r\n")).status == 408
+                await client.expect_eof()
+            half = await Client.connect(door)
+            assert (await half.send_raw(b"GET /-/ready HTTP/1.1\r\n")).status == 408
 
     run(test())
 
 
-def test_a_banned_upstream_gets_nothing_new_whatever_the_list_says(heard: Heard) -> None:
+def test_a_banned_upstream_gets_nothing_new_whatever_the_list_says(recorder: EventRecorder) -> None:
     async def test() -> None:
         async with door_world() as (w, door):
             first, second = w.upstreams
             for _ in range(2):  # a call may be repeated
                 assert (await call(door, "/-/upstreams/s-0/disable")).status == 200
-            assert heard.of(api.UpstreamDisabled) == [
-                api.UpstreamDisabled(heard.of(api.UpstreamDisabled)[0].upstream, True)
+            assert recorder.of_type(api.UpstreamDisabled) == [
+                api.UpstreamDisabled(recorder.of_type(api.UpstreamDisabled)[0].upstream, True)
             ]
-            await w.tell(first.row(started_ms=1))
-            await w.tell(first.row("Gone"))
-            await w.tell(first.row(started_ms=2))
+            await w.update_endpoints(first.row(started_ms=1))
+            await w.update_endpoints(first.row("Gone"))
+            await w.update_endpoints(first.row(started_ms=2))
             for number in range(30):
                 assert (await w.ask(f"r{number}")).body == b"s-1"
-            assert not first.seen
+            assert not first.received_requests
             assert (await call(door, "/-/upstreams/s-0/enable")).status == 200
             assert (await call(door, "/-/upstreams/s-0/enable")).status == 200
-            await w.tell(second.row("Terminating"))
+            await w.update_endpoints(second.row("Terminating"))
             assert (await w.ask("r30")).body == b"s-0"
 
     run(test())
@@ -132,7 +132,7 @@
         async with door_world(folder=tmp_path) as (w, _):
             for number in range(20):
                 assert (await w.ask(f"r{number}")).body == b"s-0"
-            assert not w.upstreams[1].seen
+            assert not w.upstreams[1].received_requests
         assert not list(tmp_path.glob("lanelift-process-*"))
 
     run(test())
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -17,19 +17,31 @@
 from loadbalancer.proxy.messages import Response, message
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from loadbalancer.proxy.upstream_response import read_report
-from tests.fakes import CLASSES, SETTINGS, Heard, answer, free_port, never, read_message, run, world
+from tests.fakes import (
+    CLASSES,
+    SETTINGS,
+    EventRecorder,
+    free_port,
+    http_response,
+    never_respond,
+    read_message,
+    run,
+    running_balancer,
+)
 
 R = api.AttemptResult
 OK = b"HTTP/1.1 200 OK\r\n"
 AIM_NS = CLASSES["quote"].latency_objective_ns
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(heard: Heard) -> None:
+def test_a_request_goes_on_unchanged_and_its_answer_comes_back(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with world(settings=replace(SETTINGS, report_columns=("inflight", "util"))) as w:
+        async with running_balancer(
+            settings=replace(SETTINGS, report_columns=("inflight", "util"))
+        ) as w:
             body = bytes(range(256)) * 256  # 64 KiB
             load = "X-Load: inflight=7,util=0.5"
-            w.upstreams[0].script = [answer(200, body[::-1], "Content-Type: text/x", load)]
+            w.upstreams[0].script = [http_response(200, body[::-1], "Content-Type: text/x", load)]
             got = await w.ask(
                 "r1",
                 "pay",
@@ -45,14 +57,14 @@
                 body[::-1],
                 "text/x",
             )
-            seen = w.upstreams[0].seen[-1]
-            assert seen.start[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="] and seen.body == body
+            seen = w.upstreams[0].received_requests[-1]
+            assert seen.start_line[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="] and seen.body == body
             assert seen.headers["x-request-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
             assert 0 < int(seen.headers["x-deadline-ms"]) <= 3000
-            (arrived,) = heard.of(api.RequestArrived)
+            (arrived,) = recorder.of_type(api.RequestArrived)
             assert (arrived.cost_hint_ns, arrived.key, arrived.is_retry) == (12_000_000, "7f", True)
-            await heard.until(lambda: heard.of(api.AttemptFinished))
-            (outcome,) = heard.of(api.AttemptFinished)
+            await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
+            (outcome,) = recorder.of_type(api.AttemptFinished)
             assert (outcome.result, outcome.complete) == (R.OK, True)
             assert outcome.report == {"inflight": 7.0, "util": 0.5}
 
@@ -62,12 +74,12 @@
 @pytest.mark.parametrize(
     ("reply", "result"),
     [
-        (answer(500), R.ERROR),
-        (answer(503, b"", "X-Not-Run: 1"), R.REJECTED),
-        (answer(504, b"", "X-Not-Run: 1"), R.REJECTED),
-        (answer(503), R.ERROR),
+        (http_response(500), R.ERROR),
+        (http_response(503, b"", "X-Not-Run: 1"), R.REJECTED),
+        (http_response(504, b"", "X-Not-Run: 1"), R.REJECTED),
+        (http_response(503), R.ERROR),
         (None, R.RESET),
-        (answer(200, b"whole")[:-2], R.TIMEOUT),  # begun, and silent from then on
+        (http_response(200, b"whole")[:-2], R.TIMEOUT),  # begun, and silent from then on
         (b"not HTTP at all\r\n\r\n", R.ERROR),  # it has run, and no connection broke
         (OK + b"\r\nbody", R.ERROR),  # no length: whether it is whole can't be known
         (OK + b"Connection: close\r\n\r\nbody", R.TIMEOUT),  # and its end never comes
@@ -81,13 +93,15 @@
         (OK + b"X-Pad: p\r\n" * 10_000, R.ERROR),  # a head without end
         (OK + b"no colon here\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
         (b"HTTP/1.1 102 Processing\r\n\r\n" * 100, R.ERROR),
-        (never, R.TIMEOUT),
+        (never_respond, R.TIMEOUT),
     ],
 )
 @pytest.mark.parametrize("kind", ["quote", "pay"])
-def test_outcomes(heard: Heard, reply: Any, result: api.AttemptResult, kind: str) -> None:
+def test_outcomes(
+    recorder: EventRecorder, reply: Any, result: api.AttemptResult, kind: str
+) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             w.upstreams[0].script = [reply]
             got = await w.ask(
                 "r1",
@@ -95,8 +109,8 @@
                 "GET" if kind == "quote" else "POST",
                 X_Deadline_Ms=400 if result is R.TIMEOUT else 3000,
             )
-            await heard.until(lambda: heard.of(api.AttemptFinished))
-            (outcome,) = heard.of(api.AttemptFinished)
+            await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
+            (outcome,) = recorder.of_type(api.AttemptFinished)
             assert (outcome.request, outcome.attempt, outcome.result) == ("r1", 0, result)
             assert not outcome.complete
             if kind == "quote" or result is R.REJECTED:
@@ -108,30 +122,32 @@
     run(test())
 
 
-@pytest.mark.parametrize("extra", [answer(200, b"again"), b"\x00noise\r\n", b"H"])
-def test_what_stands_behind_an_answer_answers_no_other_request(heard: Heard, extra: bytes) -> None:
+@pytest.mark.parametrize("extra", [http_response(200, b"again"), b"\x00noise\r\n", b"H"])
+def test_what_stands_behind_an_answer_answers_no_other_request(
+    recorder: EventRecorder, extra: bytes
+) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             upstream = w.upstreams[0]
-            upstream.script = [answer(200, b"first") + extra, answer(200, b"second")]
+            upstream.script = [http_response(200, b"first") + extra, http_response(200, b"second")]
             assert (await w.ask("r1")).body == b"first"
             assert (await w.ask("r2")).body == b"second"
-            assert [m.link for m in upstream.seen] == [
+            assert [m.connection_number for m in upstream.received_requests] == [
                 1,
                 2,
             ]  # nothing more comes on the first connection
-            assert heard.results() == [R.OK, R.OK]
+            assert recorder.results() == [R.OK, R.OK]
 
     run(test())
 
 
 def test_what_comes_late_behind_an_answer_ends_the_connection() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             upstream = w.upstreams[0]
             assert (await w.ask("r1")).status == 200
-            upstream.links[0].write(answer(200, b"again"))
-            await upstream.until(lambda: upstream.ended == 1)
+            upstream.connections[0].write(http_response(200, b"again"))
+            await upstream.until(lambda: upstream.peer_closed_count == 1)
             assert (await w.ask("r2")).body == b"s-0"
 
     run(test())
@@ -139,9 +155,9 @@
 
 def test_interim_answers_are_let_pass() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
-            w.upstreams[0].script = [hints + answer(200, b"at last")]
+            w.upstreams[0].script = [hints + http_response(200, b"at last")]
             assert (await w.ask("r1")).body == b"at last"
 
     run(test())
@@ -164,18 +180,18 @@
     assert read_report(text, ("inflight", "queue")) == report
 
 
-def test_refused_connection(heard: Heard) -> None:
+def test_refused_connection(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             w.upstreams[0].port = free_port()
-            await w.tell(w.upstreams[0].row())
+            await w.update_endpoints(w.upstreams[0].row())
             assert (await w.ask("r1", "pay", "POST")).status == 503  # never ran: it may be refused
-            assert heard.results() == [R.CONNECT_FAILED]
+            assert recorder.results() == [R.CONNECT_FAILED]
 
     run(test())
 
 
-def test_a_connection_that_never_comes_up(heard: Heard) -> None:
+def test_a_connection_that_never_comes_up(recorder: EventRecorder) -> None:
     async def test() -> None:
         # A listener whose backlog is full answers nothing to the next connection.
         full = socket.socket()
@@ -186,11 +202,11 @@
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
         limits = replace(SETTINGS.limits, connect_timeout_ns=100_000_000)
-        async with world(settings=replace(SETTINGS, limits=limits)) as w:
+        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
             w.upstreams[0].port = full.getsockname()[1]
-            await w.tell(w.upstreams[0].row())
+            await w.update_endpoints(w.upstreams[0].row())
             assert (await w.ask("r1", "pay", "POST")).status == 503
-            assert heard.results() == [R.CONNECT_FAILED]
+            assert recorder.results() == [R.CONNECT_FAILED]
         for sock in (full, *waiting):
             sock.close()
 
@@ -220,45 +236,52 @@
     run(test())
 
 
-def test_the_deadline_cuts_the_attempt_and_the_answer_comes_in_time(heard: Heard) -> None:
+def test_the_deadline_cuts_the_attempt_and_the_answer_comes_in_time(
+    recorder: EventRecorder,
+) -> None:
     async def test() -> None:
-        async with world() as w:
-            w.upstreams[0].script = [never]
+        async with running_balancer() as w:
+            w.upstreams[0].script = [never_respond]
             got = await w.ask("r1", X_Deadline_Ms=300)
             assert got.status == 503
-            assert int(w.upstreams[0].seen[-1].headers["x-deadline-ms"]) < 300
-            (outcome,) = heard.of(api.AttemptFinished)
+            assert int(w.upstreams[0].received_requests[-1].headers["x-deadline-ms"]) < 300
+            (outcome,) = recorder.of_type(api.AttemptFinished)
             assert outcome.result is R.TIMEOUT and outcome.duration_ns < AIM_NS
             # Giving up an attempt closes its connection: the upstream knows, and a late answer hits
             # nobody.
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+            await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count == 1)
 
     run(test())
 
 
-def test_after_a_stall_the_module_still_has_the_last_word(heard: Heard) -> None:
+def test_after_a_stall_the_module_still_has_the_last_word(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with world() as w:
-            client = await w.held("r1", X_Deadline_Ms=300)
+        async with running_balancer() as w:
+            client = await w.client_awaiting_response("r1", X_Deadline_Ms=300)
             time.sleep(0.4)  # the whole loop stands still, past every timer of the request
             got = await read_message(client.reader)
             assert got.status == 503 and "retry-after" in got.headers
-            assert heard.results() == [R.TIMEOUT] and not heard.of(api.ClientDisconnected)
+            assert recorder.results() == [R.TIMEOUT] and not recorder.of_type(
+                api.ClientDisconnected
+            )
 
     run(test())
 
 
-def test_a_client_that_leaves(heard: Heard) -> None:
+def test_a_client_that_leaves(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with world() as w:
-            client = await w.held("r1")
+        async with running_balancer() as w:
+            client = await w.client_awaiting_response("r1")
             client.close()
-            await heard.until(
-                lambda: heard.of(api.ClientDisconnected) and heard.of(api.AttemptFinished)
+            await recorder.until(
+                lambda: (
+                    recorder.of_type(api.ClientDisconnected)
+                    and recorder.of_type(api.AttemptFinished)
+                )
             )
-            (outcome,) = heard.of(api.AttemptFinished)
+            (outcome,) = recorder.of_type(api.AttemptFinished)
             assert (outcome.result, outcome.complete) == (R.CANCELLED, True)
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+            await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count == 1)
 
     run(test())
 
@@ -274,7 +297,7 @@
 
 def puppet(
     monkeypatch: pytest.MonkeyPatch,
-    heard: Heard,
+    recorder: EventRecorder,
     acts: Callable[[api.Event, int], list[api.Action]],
 ) -> None:
     """Have `acts` decide: it gets the event and the number of the first upstream listed."""
@@ -286,11 +309,11 @@
         return acts(event, known[0]) if known else []
 
     monkeypatch.setattr(Puppet, "acts", staticmethod(decide), raising=False)
-    monkeypatch.setattr(policy_driver, "Balancer", heard.listen(Puppet))
+    monkeypatch.setattr(policy_driver, "Balancer", recorder.wrap(Puppet))
 
 
 def test_a_send_that_cannot_start_is_moot(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard = Heard()
+    recorder = EventRecorder()
 
     def acts(event: api.Event, upstream: int) -> list[api.Action]:
         if isinstance(
@@ -303,19 +326,19 @@
             ]
         return []
 
-    puppet(monkeypatch, heard, acts)
+    puppet(monkeypatch, recorder, acts)
 
     async def test() -> None:
         limits = replace(SETTINGS.limits, max_attempts=5)
-        async with world(settings=replace(SETTINGS, limits=limits)) as w:
+        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
             assert (await w.ask("r1")).status == 200
-            await heard.until(lambda: len(heard.of(api.AttemptFinished)) == 3)
-            assert {o.attempt: o.result for o in heard.of(api.AttemptFinished)} == {
+            await recorder.until(lambda: len(recorder.of_type(api.AttemptFinished)) == 3)
+            assert {o.attempt: o.result for o in recorder.of_type(api.AttemptFinished)} == {
                 0: R.OK,
                 1: R.NOT_SENT,
                 2: R.NOT_SENT,
             }
-            assert len(w.upstreams[0].seen) == 1
+            assert len(w.upstreams[0].received_requests) == 1
 
     run(test())
 
@@ -332,10 +355,10 @@
             else []
         )
 
-    puppet(monkeypatch, Heard(), acts)
+    puppet(monkeypatch, EventRecorder(), acts)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             assert (await w.ask("bad")).status == 502
             assert (await w.ask("good")).status == 200
         (record,) = [r for r in caplog.records if r.exc_info]
@@ -347,30 +370,32 @@
 def test_a_module_that_forgets_a_request(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    heard = Heard()
-    puppet(monkeypatch, heard, lambda event, upstream: [])
+    recorder = EventRecorder()
+    puppet(monkeypatch, recorder, lambda event, upstream: [])
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             assert (await w.ask("r1", X_Deadline_Ms=100)).status == 504
-            await heard.until(lambda: heard.of(api.ClientDisconnected))
+            await recorder.until(lambda: recorder.of_type(api.ClientDisconnected))
         assert "r1" in caplog.text
 
     run(test())
 
 
-def test_each_probe_has_one_result(heard: Heard) -> None:
+def test_each_probe_has_one_result(recorder: EventRecorder) -> None:
     async def test() -> None:
         settings = replace(
             SETTINGS,
             limits=replace(SETTINGS.limits, probes=True),
             report_columns=("inflight", "queue"),
         )
-        async with world(settings=settings) as w:
+        async with running_balancer(settings=settings) as w:
             assert (await w.ask("r1")).status == 200
-            probes = [m for m in w.upstreams[0].seen if m.start[1] == "/status/load"]
+            probes = [
+                m for m in w.upstreams[0].received_requests if m.start_line[1] == "/status/load"
+            ]
             assert probes and "x-request-id" not in probes[0].headers
-            results = heard.of(api.HealthCheckFinished)
+            results = recorder.of_type(api.HealthCheckFinished)
             assert len(results) == len(probes)
             assert results[0].result is R.OK and results[0].report == {
                 "inflight": 3.0,
@@ -381,7 +406,7 @@
 
 
 def test_an_answer_that_cannot_be_given_harms_no_other(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
     from loadbalancer.proxy.client_connection import ClientConnection
 
@@ -395,13 +420,13 @@
     monkeypatch.setattr(ClientConnection, "serve", fails)
 
     async def test() -> None:
-        async with world() as w:
-            w.upstreams[0].script = [answer(200, b"bad")]
+        async with running_balancer() as w:
+            w.upstreams[0].script = [http_response(200, b"bad")]
             client = await w.client()
             client.send("r1")
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_message(client.reader)
             assert (await w.ask("r2")).status == 200
-            assert heard.results() == [R.OK, R.OK]
+            assert recorder.results() == [R.OK, R.OK]
 
     run(test())
--- a/tests/proxy/test_body_stream.py
+++ b/tests/proxy/test_body_stream.py
@@ -21,7 +21,15 @@
 from loadbalancer.proxy.body_stream import MAX_BUFFERED, Body, BodyMemory
 from loadbalancer.proxy.connection_phase import Phase
 from loadbalancer.proxy.parse import MAX_BODY, RequestReader, ResponseReader
-from tests.fakes import SETTINGS, Client, Heard, free_port, read_message, run, world
+from tests.fakes import (
+    SETTINGS,
+    Client,
+    EventRecorder,
+    free_port,
+    read_message,
+    run,
+    running_balancer,
+)
 
 LONG = bytes(range(256)) * 1200  # 300 KiB
 MUCH = 30 * 1024 * 1024  # more than the buffers of all sockets on the way hold between them
@@ -34,7 +42,9 @@
     server = await asyncio.start_server(handle, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     row = {"id": "raw", "addr": f"127.0.0.1:{port}", "state": "Ready"}
-    async with world(0, known={"version": 9, "full": True, "servers": [row]}, **more) as w:
+    async with running_balancer(
+        0, known={"version": 9, "full": True, "servers": [row]}, **more
+    ) as w:
         try:
             yield w
         finally:
@@ -69,7 +79,9 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_long_answer_passes_whole_and_the_connection_goes_on(heard: Heard, chunked: bool) -> None:
+def test_a_long_answer_passes_whole_and_the_connection_goes_on(
+    recorder: EventRecorder, chunked: bool
+) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError):
             while True:
@@ -97,13 +109,13 @@
                 else:
                     assert f"content-length: {len(LONG)}" in head
                     assert await client.reader.readexactly(len(LONG)) == LONG
-            assert [o.complete for o in heard.of(api.AttemptFinished)] == [True, True]
+            assert [o.complete for o in recorder.of_type(api.AttemptFinished)] == [True, True]
 
     run(test())
 
 
 def test_a_long_answer_begins_before_it_is_whole_and_is_held_back_by_its_reader(
-    heard: Heard,
+    recorder: EventRecorder,
 ) -> None:
     sent = 0
     full = asyncio.Event()
@@ -131,8 +143,8 @@
             client.send("r1")
             await full.wait()  # its upstream can write no more, as nobody reads
             assert sent < MUCH
-            await heard.until(lambda: heard.of(api.AttemptFinished))
-            assert heard.results() == [api.AttemptResult.OK]
+            await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
+            assert recorder.results() == [api.AttemptResult.OK]
             await read_head(client.reader)
             assert len(await client.reader.readexactly(MUCH)) == MUCH
             client.close()
@@ -225,7 +237,7 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_long_request_begins_before_it_is_whole(heard: Heard, chunked: bool) -> None:
+def test_a_long_request_begins_before_it_is_whole(recorder: EventRecorder, chunked: bool) -> None:
     begun = asyncio.Event()
     bodies: list[bytes] = []
 
@@ -251,8 +263,8 @@
             else:
                 client.writer.write(post("r1", f"Content-Length: {len(LONG)}") + LONG[:half])
             await begun.wait()  # it is under way, and half of it has not been sent yet
-            (arrival,) = heard.of(api.RequestArrived)
-            assert not arrival.body_complete and not heard.of(api.BodyCompleted)
+            (arrival,) = recorder.of_type(api.RequestArrived)
+            assert not arrival.body_complete and not recorder.of_type(api.BodyCompleted)
             if chunked:
                 client.writer.write(b"%x\r\n%b\r\n0\r\nX-Sum: 9\r\n\r\n" % (half, LONG[half:]))
             else:
@@ -260,11 +272,11 @@
             got = await read_message(client.reader)
             assert (got.status, got.body) == (200, b"done")
             assert bodies == [LONG]
-            (whole,) = heard.of(api.BodyCompleted)
+            (whole,) = recorder.of_type(api.BodyCompleted)
             assert not whole.is_replayable and whole.deadline_ns < arrival.deadline_ns
             # The connection goes on.
             client.writer.write(post("r2", "Content-Length: 2") + b"ab")
-            await heard.until(lambda: len(heard.of(api.RequestArrived)) == 2)
+            await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 2)
 
     run(test())
 
@@ -315,7 +327,7 @@
         rows = [] if late else away
         limits = replace(SETTINGS.limits, max_attempts=9)
         known = {"version": 9, "full": True, "servers": [*rows, there]}
-        async with world(0, replace(SETTINGS, limits=limits), known=known) as w:
+        async with running_balancer(0, replace(SETTINGS, limits=limits), known=known) as w:
             client = await w.client()
             client.writer.write(post("r1", f"Content-Length: {len(LONG)}") + LONG[:250_000])
             if late:
@@ -353,7 +365,7 @@
                 slow.writer.write(LONG[at : at + 20_000])
             assert (await read_message(slow.reader)).status == 200
             assert (await read_message(stops.reader)).status == 408
-            await stops.ended()
+            await stops.expect_eof()
 
     run(test())
 
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -29,13 +29,13 @@
     MS,
     SECOND,
     SETTINGS,
-    Heard,
+    BalancerHarness,
+    EventRecorder,
     Message,
-    World,
-    answer,
+    http_response,
     read_message,
     run,
-    world,
+    running_balancer,
 )
 from tests.proxy.test_races import blocked, held_connection, plain
 
@@ -63,13 +63,13 @@
 
 
 def test_a_connection_that_comes_up_late_tells_what_is_left_then(
-    begun: list[int], made: list[Frontend]
+    begun: list[int], frontends: list[Frontend]
 ) -> None:
     """Its upstream's accept queue is full: the SYN is sent again after a second."""
 
     async def test() -> None:
         with blocked() as (row, admit):
-            async with world(
+            async with running_balancer(
                 0, settings=PATIENT, known={"version": 1, "full": True, "servers": [row]}
             ) as w:
                 with closing(await plain(w)) as client:
@@ -78,8 +78,8 @@
                         b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nX-Class: quote\r\n"
                         b"X-Deadline-Ms: 2800\r\n\r\n"
                     )
-                    await held_connection(made[0])
-                    while not made[0].driver.upstreams.pool.connecting:
+                    await held_connection(frontends[0])
+                    while not frontends[0].driver.upstreams.pool.connecting:
                         await asyncio.sleep(0)
                     await asyncio.sleep(0.2)  # its SYN finds the queue full meanwhile
                     link = await asyncio.to_thread(admit)
@@ -89,7 +89,7 @@
                         message = await read_message(reader)
                         left_ms = 2800 - (begun[-1] - received_ns) / 1e6
                         assert told_ms(message) <= left_ms + SLACK_MS
-                        writer.write(answer(200, b"done"))
+                        writer.write(http_response(200, b"done"))
                         assert (await asyncio.get_running_loop().sock_recv(client, 99)).startswith(
                             b"HTTP/1.1 200 "
                         )
@@ -101,21 +101,21 @@
     deadline_ms = 400
 
     async def test() -> None:
-        async with world(settings=PATIENT) as w:
+        async with running_balancer(settings=PATIENT) as w:
             client = await w.client()
             client.send("r1", "pay", "POST", X_Deadline_Ms=deadline_ms, Content_Length=LONG)
             client.writer.write(b"x" * (LONG - 1))
             await until_connected(w)
             client.writer.write(b"x")
             assert (await read_message(client.reader)).status == 200
-            assert told_ms(w.upstreams[0].seen[0]) <= deadline_ms
+            assert told_ms(w.upstreams[0].received_requests[0]) <= deadline_ms
             client.close()
 
     run(test())
 
 
 def test_the_last_byte_of_a_body_is_not_written_when_its_head_tells_too_much_by_then(
-    heard: Heard, monkeypatch: pytest.MonkeyPatch
+    recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its upstream reads slowly: the client's time runs on from its last byte, while that waits
     here.
@@ -132,7 +132,7 @@
     go_on = UpstreamConnection.resume_writing
 
     async def test() -> None:
-        async with world(settings=PATIENT) as w:
+        async with running_balancer(settings=PATIENT) as w:
             client = await w.client()
             client.send("r1", "pay", "POST", X_Deadline_Ms=500, Content_Length=LONG)
             client.writer.write(b"x" * (LONG - 1))
@@ -141,31 +141,31 @@
             started[0][0].pause_writing()
             client.writer.write(b"x")
             monkeypatch.setattr(UpstreamConnection, "resume_writing", lambda connection: None)
-            await heard.until(lambda: heard.of(api.BodyCompleted))
+            await recorder.until(lambda: recorder.of_type(api.BodyCompleted))
             await asyncio.sleep(0.3)  # time that goes by is what is tested
             go_on(started[0][0])
             assert (await read_message(client.reader)).status in (502, 503, 504)
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended)
-            assert not w.upstreams[0].seen  # none whole
+            await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count)
+            assert not w.upstreams[0].received_requests  # none whole
             client.close()
 
     run(test())
 
 
-async def until_connected(w: World) -> None:
-    while not w.upstreams[0].links:
+async def until_connected(w: BalancerHarness) -> None:
+    while not w.upstreams[0].connections:
         await asyncio.sleep(0)
 
 
 def test_a_retry_tells_what_is_left_then(begun: list[int]) -> None:
     async def test() -> None:
         limits = replace(PATIENT.limits, max_attempts=2)
-        async with world(2, settings=replace(PATIENT, limits=limits)) as w:
+        async with running_balancer(2, settings=replace(PATIENT, limits=limits)) as w:
             turned_away = asyncio.Event()
 
             async def late() -> bytes:
                 await turned_away.wait()
-                return answer(503, b"", "X-Not-Run: 1")
+                return http_response(503, b"", "X-Not-Run: 1")
 
             for upstream in w.upstreams:
                 upstream.script = [late]
@@ -181,7 +181,7 @@
             for upstream in w.upstreams:
                 upstream.script = []
             await read_message(client.reader)
-            seen = [m for u in w.upstreams for m in u.seen]
+            seen = [m for u in w.upstreams for m in u.received_requests]
             assert min(map(told_ms, seen)) <= 2000 - (begun[1] - received_ns) / 1e6 + SLACK_MS
             client.close()
 
--- a/tests/proxy/test_event_loop_waits.py
+++ b/tests/proxy/test_event_loop_waits.py
@@ -17,7 +17,7 @@
 from loadbalancer.proxy.connection_pool import IDLE_FRACTION, ConnectionPool
 from loadbalancer.proxy.frontend import Frontend
 from loadbalancer.proxy.resource_limits import RESERVE
-from tests.fakes import SECOND, SETTINGS, never, run, world
+from tests.fakes import SECOND, SETTINGS, never_respond, run, running_balancer
 
 # Parts of the loop's ticks, of which it makes nothing or one too few.
 PARTS_S = (0.0004, 0.0014, 0.0123)
@@ -59,7 +59,7 @@
     monkeypatch.setattr(policy_driver, "Balancer", Timed)
 
     async def test() -> None:
-        async with world():
+        async with running_balancer():
             await done.wait()
 
     run(test())
@@ -89,15 +89,17 @@
         limits = replace(limits, conn_idle_ns=int(part_s / IDLE_FRACTION * SECOND))
 
     async def test() -> None:
-        async with world(settings=replace(SETTINGS, limits=limits)) as w:
+        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
             upstream = w.upstreams[0]
             for number in range(10):
                 client = await w.client()
                 assert (await client.ask(f"r{number}")).status == 200
                 if what == "a client's":
-                    await client.ended()
+                    await client.expect_eof()
                 else:
-                    await upstream.until(lambda: upstream.ended == len(upstream.links))
+                    await upstream.until(
+                        lambda: upstream.peer_closed_count == len(upstream.connections)
+                    )
                 client.close()
 
     run(test())
@@ -106,7 +108,7 @@
 
 @pytest.mark.parametrize("places", ["have open requests", "are too fresh to make room"])
 def test_newcomers_that_find_no_place_do_not_turn_the_loop_without_a_wait(
-    places: str, monkeypatch: pytest.MonkeyPatch, made: list[Frontend]
+    places: str, monkeypatch: pytest.MonkeyPatch, frontends: list[Frontend]
 ) -> None:
     """They lie in the queue, and the listener would be readable on every turn."""
     looks: list[int] = []
@@ -121,9 +123,9 @@
     monkeypatch.setattr(frontend, "EVICT_SILENT_S", 60.0)
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:  # two clients
+        async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # two clients
             upstream = w.upstreams[0]
-            upstream.script = [never, never]
+            upstream.script = [never_respond, never_respond]
             taken = [await w.client() for _ in range(2)]
             for number, client in enumerate(taken):
                 if places == "have open requests":
@@ -131,8 +133,8 @@
                 else:
                     client.writer.write(b"GET /quote HTT")
             if places == "have open requests":
-                await upstream.until(lambda: len(upstream.seen) == 2)
-            [front] = made
+                await upstream.until(lambda: len(upstream.received_requests) == 2)
+            [front] = frontends
             while len(front.clients) < 2:
                 await asyncio.sleep(0)
             looks.clear()
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -24,21 +24,21 @@
     SECOND,
     SETTINGS,
     Client,
+    EventRecorder,
     FakeUpstream,
-    Heard,
-    answer,
+    http_response,
     read_message,
     run,
-    world,
+    running_balancer,
 )
 
 
 def test_ready_once_the_module_can_serve() -> None:
     async def test() -> None:
-        async with world(known=None) as w:
-            await w.watching()
+        async with running_balancer(known=None) as w:
+            await w.wait_for_endpoint_list()
             assert (await w.ask("r", path="/ready")).status == 200
-            await w.tell(w.upstreams[0].row("Terminating"))
+            await w.update_endpoints(w.upstreams[0].row("Terminating"))
             assert (await w.ask("r", path="/ready")).status == 503
 
     run(test())
@@ -46,7 +46,7 @@
 
 def test_bad_input_gets_an_answer_and_harms_nobody() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             other = await w.client()
             other.send("r0")
             for junk, status in [
@@ -57,8 +57,8 @@
                 (raw_request("Content-Length: -4"), 400),
             ]:
                 bad = await w.client()
-                assert (await bad.raw(junk)).status == status, junk[:40]
-                await bad.ended()
+                assert (await bad.send_raw(junk)).status == status, junk[:40]
+                await bad.expect_eof()
             client = await w.client()
             assert (await client.ask("r1", path="/nowhere")).status == 404
             assert (await client.ask("r2", "unheard-of")).status == 404
@@ -78,7 +78,7 @@
     monkeypatch.setattr(parse, "MAX_LENGTH", 69_000)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             client = await w.client()
             if chunked:
                 client.send("r1", "pay", "POST", Transfer_Encoding="chunked")
@@ -86,15 +86,15 @@
             else:
                 client.send("r1", "pay", "POST", b"x" * 70_000)
             assert (await read_message(client.reader)).status == 413
-            assert not w.upstreams[0].seen
+            assert not w.upstreams[0].received_requests
 
     run(test())
 
 
 def test_an_id_that_is_open_already() -> None:
     async def test() -> None:
-        async with world() as w:
-            first = await w.held("r1")
+        async with running_balancer() as w:
+            first = await w.client_awaiting_response("r1")
             assert (await w.ask("r1")).status == 409
             first.close()
 
@@ -103,23 +103,26 @@
 
 def test_requests_follow_each_other_on_a_connection_also_when_sent_ahead() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             client = await w.client()
             client.send("r1")
             client.send("r2")
             for _ in range(2):
                 assert (await read_message(client.reader)).body == b"s-0"
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r1", "r2"]
+            assert [m.headers["x-request-id"] for m in w.upstreams[0].received_requests] == [
+                "r1",
+                "r2",
+            ]
 
     run(test())
 
 
 def test_a_flood_behind_an_open_request_is_cut_off() -> None:
     async def test() -> None:
-        async with world() as w:
-            client = await w.held("r1")
+        async with running_balancer() as w:
+            client = await w.client_awaiting_response("r1")
             client.writer.write(b"x" * 1_000_000)
-            await client.ended()
+            await client.expect_eof()
             assert (await w.ask("r2")).status == 200
 
     run(test())
@@ -128,8 +131,8 @@
 def test_more_open_requests_than_allowed_are_refused() -> None:
     async def test() -> None:
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, max_open=1))
-        async with world(settings=settings) as w:
-            client = await w.held("r1")
+        async with running_balancer(settings=settings) as w:
+            client = await w.client_awaiting_response("r1")
             assert (await w.ask("r2")).status == 503
             client.close()
 
@@ -137,12 +140,14 @@
 
 
 def test_at_the_cap_idle_clients_make_room_and_busy_ones_are_kept(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 0.0)
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:  # two clients, two connections to upstreams
+        async with running_balancer(
+            sockets=RESERVE + 2 * 2
+        ) as w:  # two clients, two connections to upstreams
             go_on = asyncio.Event()
             upstream: FakeUpstream = w.upstreams[0]
 
@@ -156,8 +161,8 @@
             busy = [await w.client(), await w.client()]
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
-            await heard.until(lambda: len(heard.of(api.RequestArrived)) == 3)
-            await idle.ended()
+            await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 3)
+            await idle.expect_eof()
             late = await w.client()  # it waits in the backlog, and is answered once there is room
             late.send("r1")
             go_on.set()
@@ -170,7 +175,7 @@
 
 def test_at_the_cap_silent_clients_make_room_for_one_that_asks() -> None:
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:
+        async with running_balancer(sockets=RESERVE + 2 * 2) as w:
             silent = [await w.client() for _ in range(20)]
             asking = await w.client()
             assert (await asking.ask("r1")).status == 200
@@ -186,7 +191,7 @@
     monkeypatch.setattr(frontend, "EVICT_SILENT_S", 0.2)
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 4 * 2) as w:
+        async with running_balancer(sockets=RESERVE + 4 * 2) as w:
             slow = await w.client()
             slow.writer.write(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n")
             silent = []
@@ -211,12 +216,12 @@
     )  # the last newcomer is driven out by nobody
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:
+        async with running_balancer(sockets=RESERVE + 2 * 2) as w:
             idle = await w.client()
             assert (await idle.ask("r0")).status == 200
             newcomers = [await w.client() for _ in range(9)]
             for client in newcomers:
-                await client.ended()
+                await client.expect_eof()
             assert (await idle.ask("r1")).status == 200
 
     run(test())
@@ -231,7 +236,7 @@
         monkeypatch.setattr(frontend, limit, 1000.0)
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:
+        async with running_balancer(sockets=RESERVE + 2 * 2) as w:
             clients = [await w.client() for _ in range(20)]
             for number, client in enumerate(clients):
                 client.send(f"r{number}")
@@ -242,9 +247,9 @@
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-def test_a_client_that_left_before_it_was_read_is_not_served(heard: Heard) -> None:
+def test_a_client_that_left_before_it_was_read_is_not_served(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
 
             def asks(name: str) -> bytes:
                 return f"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: {name}\r\n\r\n".encode()
@@ -263,16 +268,21 @@
             with socket.create_connection(w.address) as early:
                 early.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: early\r\n\r\n")
             assert (await w.ask("r1")).status == 200
-            assert [e.request for e in heard.of(api.RequestArrived)] == ["r0", "r1"]
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r0", "r1"]
+            assert [e.request for e in recorder.of_type(api.RequestArrived)] == ["r0", "r1"]
+            assert [m.headers["x-request-id"] for m in w.upstreams[0].received_requests] == [
+                "r0",
+                "r1",
+            ]
 
     run(test())
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-def test_a_request_counts_from_when_it_came_not_from_when_it_was_read(heard: Heard) -> None:
+def test_a_request_counts_from_when_it_came_not_from_when_it_was_read(
+    recorder: EventRecorder,
+) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             late = 0.2
             used = await w.client()
             assert (await used.ask("r0")).status == 200
@@ -281,8 +291,8 @@
                 new.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n")
                 sent_ns = time.monotonic_ns()
                 time.sleep(late)  # the loop stands still
-                await heard.until(lambda: len(heard.of(api.RequestArrived)) == 3)
-            for arrival in heard.of(api.RequestArrived)[1:]:
+                await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 3)
+            for arrival in recorder.of_type(api.RequestArrived)[1:]:
                 assert arrival.received_ns < sent_ns + late / 2 * SECOND
                 assert (
                     arrival.deadline_ns < sent_ns + CLASSES["quote"].deadline_ns + late / 2 * SECOND
@@ -308,14 +318,14 @@
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, 0.3)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             client = await w.client()
             if used:
                 assert (await client.ask("r1")).status == 200
             client.writer.write(part)
             if status is not None:
                 assert (await read_message(client.reader)).status == status
-            await client.ended()
+            await client.expect_eof()
 
     run(test())
 
@@ -350,19 +360,19 @@
 )
 def test_a_request_that_could_be_read_in_two_ways_is_turned_away(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             client = await w.client()
-            assert (await client.raw(data)).status == status
-            await client.ended()
+            assert (await client.send_raw(data)).status == status
+            await client.expect_eof()
             assert (await w.ask("r3")).status == 200
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r3"]
+            assert [m.headers["x-request-id"] for m in w.upstreams[0].received_requests] == ["r3"]
 
     run(test())
 
 
 def test_a_method_that_is_not_the_class_s_and_an_endless_id() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             client = await w.client()
             assert (await client.ask("r1", "pay", "GET")).status == 405
             assert (await client.ask("r1", "quote", "DELETE")).status == 405
@@ -374,14 +384,14 @@
 
 
 def test_a_client_that_does_not_read_gets_no_more_answers_piled_up(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             body = b"x" * 60_000
-            w.upstreams[0].script = [answer(200, body) for _ in range(1000)]
+            w.upstreams[0].script = [http_response(200, body) for _ in range(1000)]
             reader, writer = await asyncio.open_connection(*w.address, limit=1)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             client = Client(reader, writer)
@@ -395,7 +405,7 @@
                     await asyncio.sleep(0.01)
                     if writer.transport.is_closing():
                         break
-            assert len(heard.of(api.RequestArrived)) < 900
+            assert len(recorder.of_type(api.RequestArrived)) < 900
             assert (await w.ask("last")).status == 200
 
     run(test())
@@ -419,14 +429,14 @@
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
 @pytest.mark.parametrize("end", ["drained", "swept", "made room"])
 def test_a_connection_at_rest_is_not_closed_over_a_request_that_lies_unread(
-    end: str, made: list[frontend.Frontend]
+    end: str, frontends: list[frontend.Frontend]
 ) -> None:
     """A timer runs ahead of the sockets: with both due in one turn the request was lost,
     unanswered.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             loop = asyncio.get_running_loop()
             used, silent = socket.socket(), socket.socket()
             for sock in (used, silent):
@@ -435,7 +445,7 @@
             with used, silent:
                 used.send(raw_request(start="GET /quote HTTP/1.1").replace(b"pay", b"quote"))
                 assert (await loop.sock_recv(used, 4096)).startswith(b"HTTP/1.1 200 ")
-                [front] = made
+                [front] = frontends
                 table = front.waiting[Phase.IDLE]
                 [kept] = table
                 assert isinstance(kept, ClientConnection) and kept.transport is not None
@@ -463,7 +473,7 @@
 
 
 def test_who_leaves_answers_a_request_that_has_more_time_than_it_has(
-    made: list[frontend.Frontend], monkeypatch: pytest.MonkeyPatch
+    frontends: list[frontend.Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Taken before SIGTERM, with a deadline behind the process's own end: it ended over the open
     request.
@@ -472,10 +482,10 @@
     monkeypatch.setattr(frontend, "LEAVE_NS", 100_000_000)
 
     async def test() -> None:
-        async with world() as w:
-            client = await w.held("r1", X_Deadline_Ms=3000)
-            made[0].drain()
+        async with running_balancer() as w:
+            client = await w.client_awaiting_response("r1", X_Deadline_Ms=3000)
+            frontends[0].drain()
             assert (await asyncio.wait_for(read_message(client.reader), 2.0)).status == 504
-            await client.ended()
+            await client.expect_eof()
 
     run(test())
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -142,15 +142,17 @@
             return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
         upstream.script = [slow]
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.whole())
+        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
         async with program(tmp_path / "config.json", told) as process:
             address = listen_address(told)
             # It has seen discovery: so it listens, or is about to.
-            await discovery.until(lambda: any("from=" in m.start[1] for m in discovery.seen))
+            await discovery.until(
+                lambda: any("from=" in m.start_line[1] for m in discovery.received_requests)
+            )
             open_one, kept = await connect(address), await connect(address)
             assert (await kept.ask("r", path="/ready")).status == 200
             open_one.send("r1")
-            await upstream.until(lambda: len(upstream.seen) == 1)
+            await upstream.until(lambda: len(upstream.received_requests) == 1)
             process.send_signal(signal.SIGTERM)
             late = await (await connect(address)).ask("r2")  # new connections go on coming
             check_closing(late, b"s-0")
@@ -175,9 +177,11 @@
     async def test() -> None:
         discovery = FakeDiscovery([])
         await discovery.start()
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.whole())
+        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
         async with program(tmp_path / "config.json", told) as process:
-            await discovery.until(lambda: any("from=" in m.start[1] for m in discovery.seen))
+            await discovery.until(
+                lambda: any("from=" in m.start_line[1] for m in discovery.received_requests)
+            )
             process.send_signal(signal.SIGTERM)
             while process.returncode is None:
                 with suppress(ProcessLookupError):
@@ -201,7 +205,7 @@
         if old != "refuses":
             await before.start()
         await after.start()
-        told = config(known=before.whole())
+        told = config(known=before.full_list())
         if old != "refuses":
             told["discovery"] = f"127.0.0.1:{before.port}"
         path = tmp_path / "config.json"
@@ -212,7 +216,9 @@
                 assert b"no connection" in await process.stderr.readline()
             else:
                 target = "from=41&" if old == "holds a watch" else "/v1/endpoints"
-                await before.until(lambda: any(target in m.start[1] for m in before.seen))
+                await before.until(
+                    lambda: any(target in m.start_line[1] for m in before.received_requests)
+                )
             assert (await (await connect(address)).ask("r1")).body == b"s-0"
             # A file that can't be used changes nothing, and costs a line.
             path.write_text("{not json")
@@ -223,7 +229,10 @@
             path.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{after.port}"}))
             process.send_signal(signal.SIGHUP)
             await asyncio.wait_for(
-                after.until(lambda: any("from=1&" in m.start[1] for m in after.seen)), 4
+                after.until(
+                    lambda: any("from=1&" in m.start_line[1] for m in after.received_requests)
+                ),
+                4,
             )
             assert (await (await connect(address)).ask("r3")).body == b"s-1"
             process.send_signal(signal.SIGTERM)
@@ -239,7 +248,7 @@
 
 async def manage(address: str, path: str, method: str = "POST") -> int:
     client = await connect(("127.0.0.1", int(address.rpartition(":")[2])))
-    got = await client.raw(f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n".encode())
+    got = await client.send_raw(f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n".encode())
     client.close()
     return got.status
 
@@ -255,7 +264,9 @@
             await upstream.start()
         discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
         await discovery.start()
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.whole(), name="n3")
+        told = config(
+            discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list(), name="n3"
+        )
         address = listen_address(told)
         first, second = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
         asked = 0
@@ -265,7 +276,7 @@
             nonlocal asked
             while not stop.is_set():
                 asked += 1
-                client = await Client.to(address)
+                client = await Client.connect(address)
                 got = await client.ask(f"r{number}-{asked}")
                 assert (got.status, got.body) == (200, b"s-0")
                 client.close()
@@ -290,7 +301,7 @@
                     await asyncio.sleep(0.01)
                 stop.set()
                 await asyncio.gather(*clients)
-                assert not upstreams[1].seen
+                assert not upstreams[1].received_requests
                 assert await manage(second, "/-/upstreams/s-1/enable") == 200
                 new.send_signal(signal.SIGTERM)
                 assert await new.wait() == 0
@@ -310,7 +321,7 @@
         discovery = FakeDiscovery([upstream.row()])
         await discovery.start()
         setattr(discovery, how, True)
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.whole())
+        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
         async with program(tmp_path / "config.json", told):
             client = await connect(listen_address(told))
             assert (await client.ask("r", path="/ready")).status == 200
@@ -357,7 +368,7 @@
                 assert (await asking.ask("r1")).body == b"s-0"
                 await discovery.start()
                 await discovery.until(
-                    lambda: len(discovery.seen) > 1
+                    lambda: len(discovery.received_requests) > 1
                 )  # the first has told what changed
                 asking = await connect(address)
                 assert (await asking.ask("r2")).body == b"s-1"
@@ -379,6 +390,6 @@
 async def connect(address: tuple[str, int]) -> Client:
     while True:
         try:
-            return await Client.to(address)
+            return await Client.connect(address)
         except ConnectionRefusedError:
             await asyncio.sleep(0.01)
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -44,18 +44,18 @@
 from loadbalancer.proxy.upstream import Done, Timing, Upstreams
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from loadbalancer.settings import Json
-from tests.bench import CELL, MS, Desk, arrival, of, settings
+from tests.bench import CELL, MS, Desk, arrival, of_type, settings
 from tests.fakes import (
     SECOND,
     SETTINGS,
+    BalancerHarness,
+    EventRecorder,
     FakeDiscovery,
-    Heard,
-    World,
-    answer,
-    never,
+    http_response,
+    never_respond,
     read_message,
     run,
-    world,
+    running_balancer,
 )
 
 POST = b"POST /pay HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nContent-Length: %d\r\n\r\n"
@@ -63,7 +63,7 @@
 REQUEST = message(b"GET /quote HTTP/1.1", [(b"Host", b"h"), (b"X-Request-Id", b"r1")])
 
 
-async def plain(w: World) -> socket.socket:
+async def plain(w: BalancerHarness) -> socket.socket:
     """A client's bare socket: what it does is done at once, not on a turn of the loop."""
     sock = socket.socket()
     sock.setblocking(False)
@@ -90,14 +90,14 @@
 
 @pytest.mark.parametrize("when", ["behind the last answer", "at rest", "silent"])
 def test_what_crosses_the_close_of_a_connection_does_not_reset_it(
-    when: str, made: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    when: str, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Bytes that come between the last look and the close turned it into a reset, which can take
     along an answer that its client has not read yet. Nor is what comes then sent on.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             with await plain(w) as sock:
                 crossing = REQUEST.replace(b"r1", b"crossing")
                 if when == "behind the last answer":
@@ -114,20 +114,20 @@
                     if when == "at rest":
                         sock.send(REQUEST)
                         await asyncio.get_running_loop().sock_recv(sock, 4096)
-                    while not made[0].clients:
+                    while not frontends[0].clients:
                         await asyncio.sleep(0)
-                    [client] = made[0].clients
+                    [client] = frontends[0].clients
                     phase = Phase.IDLE if when == "at rest" else Phase.NEW
                     while client.phase is not phase:
                         await asyncio.sleep(0)
-                    made[0].waiting[phase][client] -= 60.0
-                    made[0]._sweep()
+                    frontends[0].waiting[phase][client] -= 60.0
+                    frontends[0]._sweep()
                     sock.send(crossing)
                 got = await asyncio.wait_for(read_all(sock), 5.0)
                 assert got.startswith(b"HTTP/1.1 200 ") is (when == "behind the last answer")
             assert (await w.ask("last")).status == 200
             assert b"crossing" not in b" ".join(
-                m.headers["x-request-id"].encode() for m in w.upstreams[0].seen
+                m.headers["x-request-id"].encode() for m in w.upstreams[0].received_requests
             )
 
     run(test())
@@ -139,7 +139,7 @@
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.LINGERING, 0.1)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             client = await w.client()
             assert (await client.ask("r1", Connection="close")).status == 200
             with suppress(ConnectionError):
@@ -152,30 +152,30 @@
 
 
 def test_what_a_client_sent_ahead_is_not_begun_once_it_has_gone(
-    heard: Heard, made: list[Frontend]
+    recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
     async def test() -> None:
-        async with world() as w:
-            client = await w.held("r1")
+        async with running_balancer() as w:
+            client = await w.client_awaiting_response("r1")
             client.send("ahead")
-            connection = await held_connection(made[0])
+            connection = await held_connection(frontends[0])
             while not connection.has_data:
                 await asyncio.sleep(0)
             connection.eof_received()
             connection._parse()  # as behind an answer, or once its buffer has room
             assert (await w.ask("last")).status == 200
-            assert [e.request for e in heard.of(api.RequestArrived)] == ["r1", "last"]
+            assert [e.request for e in recorder.of_type(api.RequestArrived)] == ["r1", "last"]
 
     run(test())
 
 
-def test_small_writes_are_not_held_back(made: list[Frontend]) -> None:
+def test_small_writes_are_not_held_back(frontends: list[Frontend]) -> None:
     """What the system holds back to fill a segment goes with a reset: so it holds back nothing."""
 
     async def test() -> None:
-        async with world() as w:
-            client = await w.held("r1")
-            connection = await held_connection(made[0])
+        async with running_balancer() as w:
+            client = await w.client_awaiting_response("r1")
+            connection = await held_connection(frontends[0])
             assert connection.transport is not None
             request = connection.open
             assert request is not None and request.attempts[0] is not None
@@ -201,39 +201,41 @@
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
 def test_no_further_attempt_for_a_client_whose_close_lies_unread(
-    how: str, made: list[Frontend]
+    how: str, frontends: list[Frontend]
 ) -> None:
     """It is not read from, as while a body waits for room or the loop is late: the end lies in the
     kernel.
     """
 
     async def test() -> None:
-        async with world(2, settings=RETRIES) as w:
+        async with running_balancer(2, settings=RETRIES) as w:
             turned_away = asyncio.Event()
 
             async def busy() -> bytes:
                 await turned_away.wait()
-                return answer(503, b"", "X-Not-Run: 1")
+                return http_response(503, b"", "X-Not-Run: 1")
 
             for upstream in w.upstreams:
                 upstream.script = [busy]
             with await plain(w) as sock:
                 sock.send(REQUEST)
-                connection = await held_connection(made[0])
+                connection = await held_connection(frontends[0])
                 assert connection.transport is not None
-                while not any(u.seen for u in w.upstreams):
+                while not any(u.received_requests for u in w.upstreams):
                     await asyncio.sleep(0)
                 connection.transport.pause_reading()
                 if how == "resets":
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             turned_away.set()
-            while made[0].driver.open:
+            while frontends[0].driver.open:
                 await asyncio.sleep(0)
             connection.transport.resume_reading()
             for upstream in w.upstreams:
                 upstream.script = []
             assert (await w.ask("last")).status == 200
-            assert [m.headers["x-request-id"] for u in w.upstreams for m in u.seen].count("r1") == 1
+            assert [
+                m.headers["x-request-id"] for u in w.upstreams for m in u.received_requests
+            ].count("r1") == 1
 
     run(test())
 
@@ -273,7 +275,7 @@
     ],
 )
 def test_a_connection_that_comes_up_too_late_carries_no_attempt(
-    what: str, made: list[Frontend], heard: Heard, monkeypatch: pytest.MonkeyPatch
+    what: str, frontends: list[Frontend], recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     start_attempt = Dispatcher.start_attempt
 
@@ -289,14 +291,14 @@
     async def test() -> None:
         with blocked() as (row, admit):
             once = replace(RETRIES, limits=replace(RETRIES.limits, max_attempts=1))
-            async with world(
+            async with running_balancer(
                 0, settings=once, known={"version": 1, "full": True, "servers": [row]}
             ) as w:
                 client = await plain(w)
                 with closing(client):
                     client.send(REQUEST)
-                    connection = await held_connection(made[0])
-                    upstreams = made[0].driver.upstreams
+                    connection = await held_connection(frontends[0])
+                    upstreams = frontends[0].driver.upstreams
                     while not upstreams.pool.connecting:
                         await asyncio.sleep(0)
                     if what == "its client goes unread":
@@ -305,8 +307,8 @@
                     if what.startswith("its client"):
                         client.close()
                     elif what == "it may not be repeated any more":
-                        await heard.until(
-                            lambda: heard.results()[:1] == [api.AttemptResult.NOT_SENT]
+                        await recorder.until(
+                            lambda: recorder.results()[:1] == [api.AttemptResult.NOT_SENT]
                         )
                     elif what == "it drains":
                         upstreams.learn(
@@ -350,10 +352,10 @@
                 upstreams.send(number_of("s-0"), REQUEST, done, Timing(5.0))
                 link, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
                 assert await loop.sock_recv(link, 4096) == REQUEST
-                await loop.sock_sendall(link, answer(200, body))
+                await loop.sock_sendall(link, http_response(200, body))
                 assert await ended.get() == (api.AttemptResult.OK, body)
                 if what == "a second answer":
-                    link.send(answer(200, b"stray"))
+                    link.send(http_response(200, b"stray"))
                 elif what == "the end":
                     link.shutdown(socket.SHUT_WR)
                 else:
@@ -370,14 +372,14 @@
     desk = Desk(settings(), servers=3)
     desk.give(arrival(1, desk.now, CELL, wait_ns=900 * MS))
     desk.now += 150 * MS
-    sends = of(api.StartAttempt, desk.finish("r1", api.AttemptResult.RESET)) or of(
+    sends = of_type(api.StartAttempt, desk.finish("r1", api.AttemptResult.RESET)) or of_type(
         api.StartAttempt, desk.advance(100 * MS)
     )
     [again] = sends
     assert isinstance(again, api.StartAttempt)
     first, second = (sent for _, sent in desk.sends["r1"])
     assert again.start_by_ns == first + CELL.window_ns - second
-    [other] = of(api.StartAttempt, desk.give(arrival(2, desk.now)))
+    [other] = of_type(api.StartAttempt, desk.give(arrival(2, desk.now)))
     assert isinstance(other, api.StartAttempt) and other.start_by_ns == 0
 
 
@@ -390,7 +392,7 @@
 
 
 def test_the_last_answers_go_out_also_where_the_loop_is_late_at_the_end(
-    made: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end of the open requests and that of the process come due on one turn: the second must
     not drop the answers of the first.
@@ -398,15 +400,15 @@
     short_leave(monkeypatch)
 
     async def test() -> None:
-        async with world() as w:
-            client = await w.held("r1", X_Deadline_Ms=3000)
-            made[0].drain()
+        async with running_balancer() as w:
+            client = await w.client_awaiting_response("r1", X_Deadline_Ms=3000)
+            frontends[0].drain()
             await asyncio.sleep(0)
             time.sleep(
                 0.2 + balancer_process.LEAVE_S + 0.2
             )  # the loop stands still over both times
             assert (await asyncio.wait_for(read_message(client.reader), 2.0)).status == 504
-            await client.ended()
+            await client.expect_eof()
 
     run(test())
 
@@ -416,25 +418,25 @@
     [(REQUEST[:-2], 503), (POST % 9 + b"half", 503), (POST % 900_000 + b"x" * 99_000, 504)],
 )
 def test_who_has_sent_part_of_a_request_at_the_end_is_told_so(
-    part: bytes, status: int, made: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    part: bytes, status: int, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     short_leave(monkeypatch)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             client = await w.client()
             client.writer.write(part)
-            while not any(c.has_data for c in made[0].clients):
+            while not any(c.has_data for c in frontends[0].clients):
                 await asyncio.sleep(0)
-            made[0].drain()
+            frontends[0].drain()
             assert (await asyncio.wait_for(read_message(client.reader), 2.0)).status == status
-            await client.ended()
+            await client.expect_eof()
 
     run(test())
 
 
 def test_a_request_that_comes_behind_the_time_of_the_last_answer_is_refused_at_once(
-    made: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     short_leave(monkeypatch)
     monkeypatch.setattr(balancer_process, "LEAVE_S", 5.0)
@@ -448,32 +450,33 @@
     monkeypatch.setattr(Frontend, "end_open", ends)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             client = await w.client()
-            while not made[0].clients:
+            while not frontends[0].clients:
                 await asyncio.sleep(0)
-            made[0].drain()
+            frontends[0].drain()
             await ended.wait()
             assert (await asyncio.wait_for(client.ask("r1"), 2.0)).status == 503
-            assert not w.upstreams[0].seen
+            assert not w.upstreams[0].received_requests
 
     run(test())
 
 
 def test_an_answer_and_the_close_of_its_client_in_one_turn(
-    made: list[Frontend], heard: Heard
+    frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
     async def test() -> None:
-        async with world() as w:
-            w.upstreams[0].script = [never]
+        async with running_balancer() as w:
+            w.upstreams[0].script = [never_respond]
             with await plain(w) as sock:
                 sock.send(REQUEST)
-                await w.upstreams[0].until(lambda: w.upstreams[0].seen)
+                await w.upstreams[0].until(lambda: w.upstreams[0].received_requests)
                 os.write(
-                    w.upstreams[0].links[0].get_extra_info("socket").fileno(), answer(200, b"late")
+                    w.upstreams[0].connections[0].get_extra_info("socket").fileno(),
+                    http_response(200, b"late"),
                 )
-            await heard.until(lambda: heard.of(api.AttemptFinished))
-            driver = made[0].driver
+            await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
+            driver = frontends[0].driver
             assert (await w.ask("last")).status == 200
             assert not driver.requests and not driver.open and not driver.balancer.requests
 
@@ -481,12 +484,12 @@
 
 
 def test_an_answer_without_a_length_that_the_end_cuts_off_does_not_seem_whole(
-    made: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     short_leave(monkeypatch)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             w.upstreams[0].script = [
                 b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 100_000
             ]
@@ -495,9 +498,9 @@
             monkeypatch.setattr(ClientConnection, "_begin", without_length(ClientConnection._begin))
             with await plain(w) as sock:
                 sock.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0"))
-                while not any(c.writer.body for c in made[0].clients):
+                while not any(c.writer.body for c in frontends[0].clients):
                     await asyncio.sleep(0)
-                made[0].drain()
+                frontends[0].drain()
                 with pytest.raises(ConnectionResetError):
                     await asyncio.wait_for(read_all(sock), 5.0)
 
@@ -512,7 +515,7 @@
 
 
 def test_told_to_leave_before_it_takes_clients_it_takes_none(
-    made: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     listened: list[object] = []
     monkeypatch.setattr(frontend, "listen", lambda *args: listened.append(args))
@@ -526,40 +529,40 @@
     monkeypatch.setattr(Frontend, "start", drained_first)
 
     async def test() -> None:
-        async with world():
-            while not made:
+        async with running_balancer():
+            while not frontends:
                 await asyncio.sleep(0)
-            await asyncio.wait_for(made[0].left.wait(), 5.0)
+            await asyncio.wait_for(frontends[0].left.wait(), 5.0)
             assert not listened
 
     run(test())
 
 
 def test_while_it_leaves_idle_clients_make_room_for_those_in_the_queue(
-    made: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
     monkeypatch.setattr(client_connection, "CLOSE_REJECTED_FRACTION", 9.0)
     monkeypatch.setattr(client_connection, "CLOSE_FRACTION", 9.0)
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:  # places for two clients
+        async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # places for two clients
             idle = [await w.client(), await w.client()]
             for number, client in enumerate(idle):
                 assert (await client.ask(f"r{number}")).status == 200
             waiting = [await w.client(), await w.client()]
             for number, client in enumerate(waiting):
                 client.send(f"w{number}")
-            made[0].drain()
+            frontends[0].drain()
             for client in waiting:
                 assert (await asyncio.wait_for(read_message(client.reader), 5.0)).status == 200
-            await asyncio.wait_for(made[0].left.wait(), 5.0)
+            await asyncio.wait_for(frontends[0].left.wait(), 5.0)
 
     run(test())
 
 
 def test_who_waits_in_the_queue_at_the_end_is_refused_and_not_reset(
-    made: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All places were taken by open requests until the end, and closing the listener reset those
     that waited behind them.
@@ -568,16 +571,16 @@
     monkeypatch.setattr(frontend, "DRAIN_S", 0.05)
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:  # places for two clients
-            w.upstreams[0].script = [never] * 20
+        async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # places for two clients
+            w.upstreams[0].script = [never_respond] * 20
             held = [await w.client(), await w.client()]
             for number, client in enumerate(held):
                 client.send(f"r{number}", X_Deadline_Ms=3000)
-            await w.upstreams[0].until(lambda: len(w.upstreams[0].seen) >= len(held))
+            await w.upstreams[0].until(lambda: len(w.upstreams[0].received_requests) >= len(held))
             waiting = [await w.client(), await w.client()]
             for number, client in enumerate(waiting):
                 client.send(f"w{number}", X_Deadline_Ms=3000)
-            made[0].drain()
+            frontends[0].drain()
             for client, status in [(c, 504) for c in held] + [(c, 503) for c in waiting]:
                 assert (await asyncio.wait_for(read_message(client.reader), 5.0)).status == status
 
@@ -617,7 +620,7 @@
 @pytest.mark.parametrize("push", [True, False])
 @pytest.mark.parametrize("before", ["turned away", "broken", "given up"])
 def test_a_change_behind_a_failed_call_is_told_whatever_the_next_hold_is(
-    before: str, push: bool, heard: Heard, monkeypatch: pytest.MonkeyPatch
+    before: str, push: bool, recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The call behind it waited for 20 s: fallen silent, it hid all changes meanwhile."""
     pause_s = max(discovery_watch.MAX_BACKOFF_S, subscription.MAX_BACKOFF_NS / SECOND)
@@ -632,18 +635,18 @@
     monkeypatch.setattr(discovery, "POLL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with world(2, settings=replace(FLEET, discovery_push=push)) as w:
+        async with running_balancer(2, settings=replace(FLEET, discovery_push=push)) as w:
             lists = w.discovery
-            await w.watching()
+            await w.wait_for_endpoint_list()
             lists.busy, lists.down = before == "turned away", before == "broken"
             lists.silent = before == "given up"
-            asked = len(lists.seen)
+            asked = len(lists.received_requests)
             if before == "turned away":
                 lists.change(w.upstreams[0].row())  # ends the call that waits
             else:
-                lists.close_links()
-            await lists.until(lambda: len(lists.seen) > asked + 1)
-            lists.mute_ms, lists.busy, lists.down, lists.silent = (
+                lists.abort_connections()
+            await lists.until(lambda: len(lists.received_requests) > asked + 1)
+            lists.max_answered_wait_ms, lists.busy, lists.down, lists.silent = (
                 discovery_watch.CATCH_UP_HOLD_MS,
                 False,
                 False,
@@ -653,7 +656,7 @@
             gone = number_of(w.upstreams[1].name)
 
             def told() -> bool:
-                [last] = heard.of(api.EndpointsUpdated)[-1:]
+                [last] = recorder.of_type(api.EndpointsUpdated)[-1:]
                 return (
                     last.kind is api.EndpointListKind.FULL
                     and gone not in [u.id for u in last.upstreams]
@@ -661,38 +664,41 @@
                     and gone in [u.id for u in last.upstreams]
                 )
 
-            await asyncio.wait_for(heard.until(told), 6.0)
+            await asyncio.wait_for(recorder.until(told), 6.0)
 
     run(test())
 
 
 def test_a_move_does_not_wait_for_the_pause_behind_a_failed_call(
-    made: list[Frontend], heard: Heard, monkeypatch: pytest.MonkeyPatch
+    frontends: list[Frontend], recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Told to go elsewhere (SIGHUP), discovery's word there counts 4 s later."""
     monkeypatch.setattr(subscription, "MAX_BACKOFF_NS", 1000 * SECOND)
 
     async def test() -> None:
         rules = replace(FLEET.rules, list_expiry_ns=1000 * SECOND)
-        async with world(2, settings=replace(FLEET, discovery_push=False, rules=rules)) as w:
+        async with running_balancer(
+            2, settings=replace(FLEET, discovery_push=False, rules=rules)
+        ) as w:
             w.discovery.down = True
             monkeypatch.setattr(subscription, "SPREAD_NS", 0)
             monkeypatch.setattr(subscription, "SPREAD_WITHOUT_UPSTREAMS_NS", 0)
-            await heard.until(
+            await recorder.until(
                 lambda: (
-                    api.EndpointListKind.FAILED in [e.kind for e in heard.of(api.EndpointsUpdated)]
+                    api.EndpointListKind.FAILED
+                    in [e.kind for e in recorder.of_type(api.EndpointsUpdated)]
                 )
             )
-            lists = made[0].driver.discovery
+            lists = frontends[0].driver.discovery
             assert isinstance(lists, discovery.Discovery)
             other = FakeDiscovery([w.upstreams[1].row()])
             await other.start()
             lists.move(other.address)
             await asyncio.wait_for(
-                heard.until(
+                recorder.until(
                     lambda: [
                         e
-                        for e in heard.of(api.EndpointsUpdated)
+                        for e in recorder.of_type(api.EndpointsUpdated)
                         if e.kind is api.EndpointListKind.FULL
                     ]
                 ),
@@ -708,42 +714,46 @@
     for _ in range(12):
         desk.give(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
         before = desk.now
-        while not of(api.SubscribeEndpoints, desk.advance(10 * MS)):
+        while not of_type(api.SubscribeEndpoints, desk.advance(10 * MS)):
             assert desk.now - before <= subscription.MAX_BACKOFF_NS + 20 * MS
 
 
 def test_a_list_asked_for_on_the_side_does_not_wait_for_the_watch(
-    heard: Heard, made: list[Frontend]
+    recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
     """It waited for the one connection, and with it for the hold of the call that was out there."""
 
     async def test() -> None:
-        async with world(2, settings=FLEET) as w:
-            await w.watching()
-            lists = made[0].driver.discovery
+        async with running_balancer(2, settings=FLEET) as w:
+            await w.wait_for_endpoint_list()
+            lists = frontends[0].driver.discovery
             assert lists is not None
             w.discovery.rows.pop()  # nobody is told
             lists.fetch()
             await asyncio.wait_for(
-                heard.until(
+                recorder.until(
                     lambda: [
-                        e.kind for e in heard.of(api.EndpointsUpdated) if len(e.upstreams) == 1
+                        e.kind
+                        for e in recorder.of_type(api.EndpointsUpdated)
+                        if len(e.upstreams) == 1
                     ]
                 ),
                 6.0,
             )
-            await w.tell(w.upstreams[0].row("Terminating"))  # and it goes on being watched
+            await w.update_endpoints(
+                w.upstreams[0].row("Terminating")
+            )  # and it goes on being watched
 
     run(test())
 
 
 def test_an_answer_of_the_old_address_behind_a_move_is_not_believed(
-    made: list[Frontend], heard: Heard
+    frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
     async def test() -> None:
-        async with world(2) as w:
-            await w.watching()
-            lists = made[0].driver.discovery
+        async with running_balancer(2) as w:
+            await w.wait_for_endpoint_list()
+            lists = frontends[0].driver.discovery
             assert isinstance(lists, discovery.Discovery)
             other = FakeDiscovery([w.upstreams[1].row()])
             await other.start()
@@ -752,8 +762,10 @@
             while not lists.connection or lists.connection.clear:
                 await asyncio.sleep(0)
             lists.move(other.address)
-            await other.until(lambda: any("from=1&" in m.start[1] for m in other.seen))
-            assert [e.kind for e in heard.of(api.EndpointsUpdated)] == [
+            await other.until(
+                lambda: any("from=1&" in m.start_line[1] for m in other.received_requests)
+            )
+            assert [e.kind for e in recorder.of_type(api.EndpointsUpdated)] == [
                 api.EndpointListKind.CACHED,
                 api.EndpointListKind.FULL,
             ]
@@ -825,12 +837,12 @@
         one.upstreams.pool.cautious_until_s = loop.time() + 60.0 * seen_before
         one.ask()
         with await one.link() as link:
-            await loop.sock_sendall(link, answer(200, b"first"))
+            await loop.sock_sendall(link, http_response(200, b"first"))
             assert await one.ended.get() == b"first"
             one.ask()  # at once
-            link.send(answer(200, b"first, once more"))
+            link.send(http_response(200, b"first, once more"))
             with await one.link() as other:
-                await loop.sock_sendall(other, answer(200, b"second"))
+                await loop.sock_sendall(other, http_response(200, b"second"))
                 assert await one.ended.get() == b"second"
         one.upstreams.close()
 
@@ -854,20 +866,20 @@
             one.ask()
             with await one.link() as link:
                 await loop.sock_sendall(
-                    link, answer(200, b"first") + answer(200, b"first, once more")
+                    link, http_response(200, b"first") + http_response(200, b"first, once more")
                 )
                 assert await one.ended.get() == b"first"
                 assert await loop.sock_recv(link, 10) == b""  # that connection is not used any more
             one.ask()
             with await one.link() as link:
-                await loop.sock_sendall(link, answer(200, b"second"))
+                await loop.sock_sendall(link, http_response(200, b"second"))
                 assert await one.ended.get() == b"second"
                 await asyncio.sleep(
                     2 * connection_pool.SETTLE_S
                 )  # a connection that rests for so long is used else
                 one.ask()
                 with await one.link() as other:
-                    await loop.sock_sendall(other, answer(200, b"third"))
+                    await loop.sock_sendall(other, http_response(200, b"third"))
                     assert await one.ended.get() == b"third"
             one.upstreams.close()
 
@@ -900,13 +912,13 @@
             one = OneUpstream(server)
             one.ask()
             with await one.link() as link:
-                await loop.sock_sendall(link, answer(200, b"first"))
+                await loop.sock_sendall(link, http_response(200, b"first"))
                 assert await one.ended.get() == b"first"
                 one.ask()  # at once: it waits
                 one.learn(state)
                 if state == "Ready":
                     assert await loop.sock_recv(link, 4096) == REQUEST
-                    await loop.sock_sendall(link, answer(200, b"second"))
+                    await loop.sock_sendall(link, http_response(200, b"second"))
                     assert await one.ended.get() == b"second"
                 else:
                     assert await one.ended.get() == b""
@@ -925,16 +937,16 @@
             one = OneUpstream(server)
             one.ask()
             with await one.link() as link:
-                await loop.sock_sendall(link, answer(200, b"first"))
+                await loop.sock_sendall(link, http_response(200, b"first"))
                 for _ in range(connection_pool.MAX_WAITS):
                     assert await one.ended.get() == b"first"
                     one.ask()  # at once: it waits
                     assert await loop.sock_recv(link, 4096) == REQUEST
-                    await loop.sock_sendall(link, answer(200, b"first"))
+                    await loop.sock_sendall(link, http_response(200, b"first"))
                 assert await one.ended.get() == b"first"
                 one.ask()
                 with await one.link() as other:
-                    await loop.sock_sendall(other, answer(200, b"other"))
+                    await loop.sock_sendall(other, http_response(200, b"other"))
                     assert await one.ended.get() == b"other"
             one.upstreams.close()
 
--- a/tests/proxy/test_system_call_errors.py
+++ b/tests/proxy/test_system_call_errors.py
@@ -14,7 +14,7 @@
 import pytest
 
 from loadbalancer.policy import api
-from tests.fakes import SECOND, SETTINGS, Heard, World, run, world
+from tests.fakes import SECOND, SETTINGS, BalancerHarness, EventRecorder, run, running_balancer
 
 HERE = ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "EMFILE", "ENFILE", "ENETUNREACH", "EAGAIN"]
 PEER = ["ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH"]
@@ -38,8 +38,8 @@
 
 
 @asynccontextmanager
-async def failing_world(name: str, times: int) -> AsyncIterator[tuple[World, Dials]]:
-    async with world(settings=ONCE) as w:
+async def failing_world(name: str, times: int) -> AsyncIterator[tuple[BalancerHarness, Dials]]:
+    async with running_balancer(settings=ONCE) as w:
         dials = Dials(w.upstreams[0].port, name, times)
         dials.loop.create_connection = dials.dial  # type: ignore[method-assign, assignment]
         yield w, dials
@@ -47,24 +47,24 @@
 
 @pytest.mark.parametrize("name", HERE)
 def test_trouble_of_this_machine_is_waited_out_and_laid_to_nobody_s_charge(
-    name: str, heard: Heard
+    name: str, recorder: EventRecorder
 ) -> None:
     async def test() -> None:
         async with failing_world(name, 2) as (w, dials):
             assert (await w.ask("r1")).status == 200
-            assert dials.failed == 2 and heard.results() == [api.AttemptResult.OK]
+            assert dials.failed == 2 and recorder.results() == [api.AttemptResult.OK]
 
     run(test())
 
 
 @pytest.mark.parametrize("name", HERE)
 def test_trouble_of_this_machine_that_lasts_is_no_word_on_the_upstream(
-    name: str, heard: Heard, caplog: pytest.LogCaptureFixture
+    name: str, recorder: EventRecorder, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with failing_world(name, 1 << 30) as (w, _):
             assert (await w.ask("r1")).status == 503
-            assert heard.results() == [api.AttemptResult.NOT_SENT]
+            assert recorder.results() == [api.AttemptResult.NOT_SENT]
             assert (
                 len([r for r in caplog.records if os.strerror(getattr(errno, name)) in r.message])
                 == 1
@@ -74,11 +74,11 @@
 
 
 @pytest.mark.parametrize("name", PEER)
-def test_trouble_of_the_upstream_is_known_at_once(name: str, heard: Heard) -> None:
+def test_trouble_of_the_upstream_is_known_at_once(name: str, recorder: EventRecorder) -> None:
     async def test() -> None:
         async with failing_world(name, 1) as (w, dials):
             assert (await w.ask("r1")).status == 503
-            assert dials.failed == 1 and heard.results() == [api.AttemptResult.CONNECT_FAILED]
+            assert dials.failed == 1 and recorder.results() == [api.AttemptResult.CONNECT_FAILED]
 
     run(test())
 
@@ -91,7 +91,7 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             assert (await w.ask("r1")).status == 200
             plain, left = socket.socket.accept, [2]
 
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -20,21 +20,29 @@
 from loadbalancer.proxy.upstream import Timing, Upstreams
 from loadbalancer.settings import MalformedError, split_address
 from loadbalancer.wallclock import StartTimes
-from tests.fakes import SECOND, SETTINGS, FakeUpstream, Heard, never, run, world
-
-
-def test_connections_are_kept_and_a_stale_one_is_not_used(heard: Heard) -> None:
+from tests.fakes import (
+    SECOND,
+    SETTINGS,
+    EventRecorder,
+    FakeUpstream,
+    never_respond,
+    run,
+    running_balancer,
+)
+
+
+def test_connections_are_kept_and_a_stale_one_is_not_used(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             upstream = w.upstreams[0]
             for name in ("r1", "r2"):
                 assert (await w.ask(name)).status == 200
-            assert [m.link for m in upstream.seen] == [1, 1]
-            upstream.close_links()
-            await upstream.until(lambda: upstream.ended == 1)
+            assert [m.connection_number for m in upstream.received_requests] == [1, 1]
+            upstream.abort_connections()
+            await upstream.until(lambda: upstream.peer_closed_count == 1)
             assert (await w.ask("r3")).status == 200
-            assert upstream.seen[-1].link == 2
-            assert heard.results() == [api.AttemptResult.OK] * 3
+            assert upstream.received_requests[-1].connection_number == 2
+            assert recorder.results() == [api.AttemptResult.OK] * 3
 
     run(test())
 
@@ -42,9 +50,9 @@
 def test_idle_connections_go_before_the_upstream_closes_them() -> None:
     async def test() -> None:
         limits = replace(SETTINGS.limits, conn_idle_ns=SECOND // 5)
-        async with world(settings=replace(SETTINGS, limits=limits)) as w:
+        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
             assert (await w.ask("r1")).status == 200
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+            await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count == 1)
 
     run(test())
 
@@ -52,41 +60,43 @@
 @pytest.mark.parametrize("change", ["drain", "restart", "gone"])
 def test_what_drains_restarts_or_goes_loses_its_idle_connections(change: str) -> None:
     async def test() -> None:
-        async with world(2) as w:
+        async with running_balancer(2) as w:
             upstream, other = w.upstreams
-            while not upstream.seen:  # the module picks at random
-                assert (await w.ask(f"r{len(other.seen)}")).status == 200
+            while not upstream.received_requests:  # the module picks at random
+                assert (await w.ask(f"r{len(other.received_requests)}")).status == 200
             row = {
                 "drain": upstream.row("Terminating"),
                 "gone": upstream.row("Gone"),
                 "restart": upstream.row("Ready", int(time.time() * 1000)),
             }[change]
-            await w.tell(row)
-            await upstream.until(lambda: upstream.ended == len(upstream.links))
-            count = len(upstream.seen)
+            await w.update_endpoints(row)
+            await upstream.until(lambda: upstream.peer_closed_count == len(upstream.connections))
+            count = len(upstream.received_requests)
             for number in range(8):
                 assert (await w.ask(f"n{number}")).status == 200
-            assert change == "restart" or len(upstream.seen) == count
+            assert change == "restart" or len(upstream.received_requests) == count
 
     run(test())
 
 
-def test_an_outage_keeps_the_old_list_and_what_changed_comes_after_it(heard: Heard) -> None:
+def test_an_outage_keeps_the_old_list_and_what_changed_comes_after_it(
+    recorder: EventRecorder,
+) -> None:
     async def test() -> None:
-        async with world(2) as w:
-            await w.watching()
+        async with running_balancer(2) as w:
+            await w.wait_for_endpoint_list()
             w.discovery.down = True
-            w.discovery.close_links()
+            w.discovery.abort_connections()
             gone, stays = w.upstreams
             assert (await w.ask("r1")).status == 200
             w.discovery.change(gone.row("Gone"))
-            asked = len(w.discovery.seen)
+            asked = len(w.discovery.received_requests)
             await w.discovery.until(
-                lambda: len(w.discovery.seen) > asked + 1
+                lambda: len(w.discovery.received_requests) > asked + 1
             )  # it tries again, and again
             w.discovery.down = False
-            await w.watching()
-            first, last = heard.of(api.EndpointsUpdated)
+            await w.wait_for_endpoint_list()
+            first, last = recorder.of_type(api.EndpointsUpdated)
             assert (first.kind, last.kind) == (
                 api.EndpointListKind.CACHED,
                 api.EndpointListKind.DELTA,
@@ -101,7 +111,7 @@
 
 @pytest.mark.parametrize("push", [True, False])
 def test_a_watch_that_fell_silent_is_given_up_before_its_changes_count_as_told(
-    push: bool, monkeypatch: pytest.MonkeyPatch, heard: Heard
+    push: bool, monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
     most_ms = discovery_watch.PollSchedule.for_fleet(1).max_hold_ms
     assert most_ms / 1000 + discovery_watch.ANSWER_GRACE_S < 6
@@ -112,24 +122,27 @@
     monkeypatch.setattr(discovery_watch, "ANSWER_GRACE_S", 0.1)
 
     async def test() -> None:
-        async with world(2, settings=replace(SETTINGS, discovery_push=push)) as w:
-            w.discovery.mute_ms = 60  # a held watch hears nothing, nor of what changes
+        async with running_balancer(2, settings=replace(SETTINGS, discovery_push=push)) as w:
+            w.discovery.max_answered_wait_ms = 60  # a held watch hears nothing, nor of what changes
             await w.discovery.until(
-                lambda: any(int(m.start[1].rpartition("=")[2]) > 60 for m in w.discovery.seen)
+                lambda: any(
+                    int(m.start_line[1].rpartition("=")[2]) > 60
+                    for m in w.discovery.received_requests
+                )
             )
             gone, stays = w.upstreams
             w.discovery.change(gone.row("Gone"))
-            await heard.until(
+            await recorder.until(
                 lambda: any(
                     [(u.id, u.state) for u in e.upstreams]
                     == [(number_of(gone.name), api.UpstreamState.REMOVED)]
-                    for e in heard.of(api.EndpointsUpdated)
+                    for e in recorder.of_type(api.EndpointsUpdated)
                 )
             )
             assert api.EndpointListKind.FAILED not in [
-                e.kind for e in heard.of(api.EndpointsUpdated)
+                e.kind for e in recorder.of_type(api.EndpointsUpdated)
             ]  # no pause before it
-            assert all("from=" in m.start[1] for m in w.discovery.seen)
+            assert all("from=" in m.start_line[1] for m in w.discovery.received_requests)
             assert (await w.ask("r1")).body == stays.name.encode()
 
     run(test())
@@ -155,8 +168,10 @@
 
     async def test() -> None:
         rules = replace(SETTINGS.rules, drain_grace_ns=SECOND // 2)
-        async with world(settings=replace(SETTINGS, discovery_push=push, rules=rules)) as w:
-            await w.watching()
+        async with running_balancer(
+            settings=replace(SETTINGS, discovery_push=push, rules=rules)
+        ) as w:
+            await w.wait_for_endpoint_list()
             w.discovery.silent = True
             answers = []
             for number in range(60):
@@ -165,38 +180,38 @@
                     break
                 await asyncio.sleep(0.05)
             assert answers[0] == 200 and answers[-1] == 503
-            sent = len(w.upstreams[0].seen)
+            sent = len(w.upstreams[0].received_requests)
             assert (await w.ask("again", X_Deadline_Ms=100)).status == 503
-            assert len(w.upstreams[0].seen) == sent
+            assert len(w.upstreams[0].received_requests) == sent
             w.discovery.silent = False
             w.discovery.change(w.upstreams[0].row())
-            await w.watching()
+            await w.wait_for_endpoint_list()
             assert (await w.ask("last")).status == 200
 
     run(test())
 
 
 def test_a_known_endpoint_list_is_updated_by_its_changes_also_after_rejected_calls(
-    heard: Heard,
+    recorder: EventRecorder,
 ) -> None:
     """Forty balancers that each ask for sixty lines at a start, and again after each 503, leave
     discovery no time: seen in a release, where none of them heard of a change for ten seconds.
     """
 
     async def test() -> None:
-        async with world(2) as w:
-            await w.watching()
+        async with running_balancer(2) as w:
+            await w.wait_for_endpoint_list()
             w.discovery.busy = True
             gone, stays = w.upstreams
             w.discovery.change(stays.row())  # ends the call that waits
-            asked = len(w.discovery.seen)
-            await w.discovery.until(lambda: len(w.discovery.seen) > asked + 1)
+            asked = len(w.discovery.received_requests)
+            await w.discovery.until(lambda: len(w.discovery.received_requests) > asked + 1)
             w.discovery.busy = False
-            await w.tell(gone.row("Gone"))
-            assert all("from=" in m.start[1] for m in w.discovery.seen)
+            await w.update_endpoints(gone.row("Gone"))
+            assert all("from=" in m.start_line[1] for m in w.discovery.received_requests)
             assert [
                 e.kind
-                for e in heard.of(api.EndpointsUpdated)
+                for e in recorder.of_type(api.EndpointsUpdated)
                 if e.kind is api.EndpointListKind.FULL
             ] == []
             assert (await w.ask("r1")).body == stays.name.encode()
@@ -204,7 +219,7 @@
     run(test())
 
 
-def test_the_calls_of_a_large_fleet_are_fewer(heard: Heard) -> None:
+def test_the_calls_of_a_large_fleet_are_fewer(recorder: EventRecorder) -> None:
     async def test() -> None:
         for balancers, calls_s in ((1, 0.3), (4, 1.1), (40, 4.1), (400, 21.0)):
             driver = Driver(
@@ -220,21 +235,22 @@
 
 
 def test_where_discovery_is_asked_a_failed_call_is_told_and_the_module_asks_again(
-    heard: Heard,
+    recorder: EventRecorder,
 ) -> None:
     async def test() -> None:
         settings = replace(
             SETTINGS, discovery_push=False, rules=api.TrafficRules(list_expiry_ns=SECOND // 2)
         )
-        async with world(settings=settings) as w:
+        async with running_balancer(settings=settings) as w:
             w.discovery.down = True
-            await heard.until(
+            await recorder.until(
                 lambda: (
-                    api.EndpointListKind.FAILED in [e.kind for e in heard.of(api.EndpointsUpdated)]
+                    api.EndpointListKind.FAILED
+                    in [e.kind for e in recorder.of_type(api.EndpointsUpdated)]
                 )
             )
             w.discovery.down = False
-            await w.watching()
+            await w.wait_for_endpoint_list()
             assert (await w.ask("r1")).status == 200
 
     run(test())
@@ -275,7 +291,7 @@
     assert split_address("[::1]:80") == ("::1", 80)
 
 
-def test_peers(heard: Heard) -> None:
+def test_peers(recorder: EventRecorder) -> None:
     async def test() -> None:
         with (
             socket.socket(type=socket.SOCK_DGRAM) as peer,
@@ -287,17 +303,17 @@
                 sock.setblocking(False)
             address = own.getsockname()
             own.close()
-            async with world(
+            async with running_balancer(
                 peer_listen=address,
                 peers=[address, peer.getsockname()],
                 peers_all=peer.getsockname(),
             ):
-                await heard.until(lambda: heard.of(api.EndpointsUpdated))
+                await recorder.until(lambda: recorder.of_type(api.EndpointsUpdated))
                 odd.sendto(b"from nobody", address)
                 peer.sendto(b"x" * 300, address)
                 peer.sendto(b"hello", address)
-                await heard.until(lambda: heard.of(api.GossipReceived))
-                assert heard.of(api.GossipReceived) == [api.GossipReceived(1, b"hello")]
+                await recorder.until(lambda: recorder.of_type(api.GossipReceived))
+                assert recorder.of_type(api.GossipReceived) == [api.GossipReceived(1, b"hello")]
 
     run(test())
 
@@ -318,7 +334,7 @@
             for sock in (peer, everyone):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
-            async with world(
+            async with running_balancer(
                 peer_listen=("127.0.0.1", 0),
                 peers=[peer.getsockname()],
                 peers_all=everyone.getsockname(),
@@ -333,8 +349,8 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with world(2) as w:
-            await w.watching()
+        async with running_balancer(2) as w:
+            await w.wait_for_endpoint_list()
 
             def fails(*args: object) -> None:
                 monkeypatch.undo()
@@ -343,7 +359,7 @@
             monkeypatch.setattr(policy_driver.Driver, "learn", fails)
             gone, stays = w.upstreams
             w.discovery.change(gone.row("Gone"))
-            await w.watching()  # it has come back, and begun with the whole list
+            await w.wait_for_endpoint_list()  # it has come back, and begun with the whole list
             assert (await w.ask("r1")).body == stays.name.encode()
         assert "ZeroDivisionError" in caplog.text
 
@@ -360,14 +376,14 @@
     monkeypatch.setattr(process, "Driver", build)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_balancer() as w:
             upstream = w.upstreams[0]
             for number in range(30):  # ever new ids at one address, each with its own connections
                 assert (await w.ask(f"r{number}", obj=number)).status == 200
                 before, upstream.name = upstream.row("Gone"), f"new-{number}"
-                await w.tell(before, upstream.row())
+                await w.update_endpoints(before, upstream.row())
             (balancer,) = built
-            await upstream.until(lambda: upstream.ended >= 30)
+            await upstream.until(lambda: upstream.peer_closed_count >= 30)
             assert (await w.ask("last")).status == 200
             assert (
                 len(balancer.upstreams.targets)
@@ -383,7 +399,7 @@
 def test_with_no_connection_to_spare_no_upstream_is_blamed() -> None:
     async def test() -> None:
         upstream = FakeUpstream("s-0")
-        upstream.script = [never]
+        upstream.script = [never_respond]
         await upstream.start()
         upstreams = Upstreams(SETTINGS.limits, 1, (), BodyMemory(1024))
         upstreams.learn([read_endpoint(upstream.row())], full=True)
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -31,7 +31,7 @@
 from loadbalancer.store.write_session import WriteOptions
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.certificates import Authority
-from tests.fakes import Watched
+from tests.fakes import Observable
 from tests.store.test_node import Cluster, cluster, greeted, run
 
 ORDERS, CARTS = "service:orders", "service:carts"
@@ -40,7 +40,7 @@
 )
 
 
-class Balancer(Watched):
+class Balancer(Observable):
     """Hears the feed, and writes down what came into force."""
 
     def __init__(
@@ -81,7 +81,7 @@
             else:
                 rows[row.key] = row.value
         self.applied.append(what)
-        self.poke()
+        self.notify()
 
     def value(self, scope: str, key: str) -> bytes | None:
         return self.rows.get(scope, {}).get(key)
--- a/tests/test_wallclock.py
+++ b/tests/test_wallclock.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.policy import api
 from loadbalancer.proxy.endpoint import number_of
-from tests.fakes import SECOND, SETTINGS, Heard, run, world
+from tests.fakes import SECOND, SETTINGS, EventRecorder, run, running_balancer
 
 ROOT = Path(__file__).parent.parent
 STEPS_S = -3600, -5, 5, 3600
@@ -21,32 +21,32 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_an_upstream_that_starts_behind_a_step_is_neither_older_nor_younger_than_it_is(
-    step_s: int, heard: Heard, monkeypatch: pytest.MonkeyPatch
+    step_s: int, recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         rules = replace(SETTINGS.rules, slow_start_ns=60 * SECOND)
-        async with world(2, settings=replace(SETTINGS, rules=rules)) as w:
-            await w.tell(w.upstreams[0].row())
+        async with running_balancer(2, settings=replace(SETTINGS, rules=rules)) as w:
+            await w.update_endpoints(w.upstreams[0].row())
             read_ns, read_s = time.time_ns, time.time
             monkeypatch.setattr(time, "time_ns", lambda: read_ns() + step_s * SECOND)
             monkeypatch.setattr(time, "time", lambda: read_s() + step_s)
             before_ns = time.monotonic_ns()
             row = w.upstreams[1].row("Ready", int(time.time() * 1000))
-            await w.tell(row)
+            await w.update_endpoints(row)
             after_ns = time.monotonic_ns()
             starts = {
                 u.started_ns
-                for e in heard.of(api.EndpointsUpdated)
+                for e in recorder.of_type(api.EndpointsUpdated)
                 for u in e.upstreams
                 if u.id == number_of(w.upstreams[1].name) and u.started_ns
             }
             assert len(starts) == 1
             assert before_ns - SECOND <= starts.pop() <= after_ns
             monkeypatch.setattr(time, "time_ns", lambda: read_ns() - step_s * SECOND)
-            await w.tell(row)  # the same start again, behind another step
+            await w.update_endpoints(row)  # the same start again, behind another step
             again = {
                 u.started_ns
-                for e in heard.of(api.EndpointsUpdated)
+                for e in recorder.of_type(api.EndpointsUpdated)
                 for u in e.upstreams
                 if u.id == number_of(w.upstreams[1].name) and u.started_ns
             }
