--- a/tests/bench.py
+++ b/tests/bench.py
@@ -16,21 +16,21 @@
 
 READ = api.RequestClass("read", api.Effect.IDEMPOTENT, latency_objective_ns=300 * MS)
 PAY = api.RequestClass("pay", api.Effect.NON_IDEMPOTENT, latency_objective_ns=300 * MS)
-CELL = api.RequestClass(
+CELL_SCOPED = api.RequestClass(
     "cell",
     api.Effect.IDEMPOTENT_WITH_KEY,
     api.DeduplicationScope.CELL,
     window_ns=400 * MS,
     latency_objective_ns=300 * MS,
 )
-ANY = api.RequestClass(
+GLOBAL_SCOPED = api.RequestClass(
     "any",
     api.Effect.IDEMPOTENT_WITH_KEY,
     api.DeduplicationScope.ALL,
     window_ns=400 * MS,
     latency_objective_ns=300 * MS,
 )
-ROW = api.RequestClass(
+KEY_ORDERED = api.RequestClass(
     "row",
     api.Effect.IDEMPOTENT_WITH_KEY,
     api.DeduplicationScope.CELL,
@@ -38,24 +38,27 @@
     latency_objective_ns=300 * MS,
     ordered_by_key=True,
 )
-WEST = api.RequestClass(
+WEST_ONLY = api.RequestClass(
     "west", api.Effect.IDEMPOTENT, latency_objective_ns=300 * MS, zones=frozenset({"west"})
 )
-BIG = api.RequestClass(
+BIG_ONLY = api.RequestClass(
     "big", api.Effect.NON_IDEMPOTENT, latency_objective_ns=300 * MS, kinds=frozenset({"big"})
 )
 MAY_STILL_RUN = (api.AttemptResult.TIMEOUT, api.AttemptResult.RESET, api.AttemptResult.CANCELLED)
 
 
 def settings(**changes: object) -> api.Settings:
-    base: dict[str, object] = {
-        "classes": {c.name: c for c in (READ, PAY, CELL, ANY, ROW, WEST, BIG)},
+    defaults: dict[str, object] = {
+        "classes": {
+            c.name: c
+            for c in (READ, PAY, CELL_SCOPED, GLOBAL_SCOPED, KEY_ORDERED, WEST_ONLY, BIG_ONLY)
+        },
         "tenants": {"ash": api.Tenant("ash", 0.5), "birch": api.Tenant("birch", 0.5)},
         "limits": api.Limits(max_attempts=3, may_hedge=True, may_cancel=True, retry_after=True),
         "rules": api.TrafficRules(slow_start_ns=4 * SECOND, key_order_gap_ns=100 * MS),
         "zone": "east",
     }
-    return api.Settings(**{**base, **changes})  # type: ignore[arg-type]
+    return api.Settings(**{**defaults, **changes})  # type: ignore[arg-type]
 
 
 def upstreams(count: int, first: int = 1, started_ns: int = 0) -> list[api.Upstream]:
@@ -65,7 +68,7 @@
     ]
 
 
-def places(count: int) -> list[api.Upstream]:
+def mixed_upstreams(count: int) -> list[api.Upstream]:
     """Upstreams in two zones and of two kinds, by turns."""
     return [
         u._replace(zone=("east", "west")[u.id % 2], kind=("big", "small")[u.id // 2 % 2])
@@ -87,8 +90,8 @@
     )
 
 
-def check_cold_budget(
-    sends: list[int], started_ns: int, rules: api.TrafficRules, warm_per_s: float
+def check_slow_start_budget(
+    sends: list[int], started_ns: int, rules: api.TrafficRules, warm_rate_per_s: float
 ) -> None:
     """Rule 4 over all proxies: in no window is a cold upstream sent more than it can stand. Slack
     of two.
@@ -97,15 +100,22 @@
         age = last - started_ns
         if age >= rules.slow_start_ns:
             continue
-        part = (
+        capacity_fraction = (
             rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age / rules.slow_start_ns
         )
         count = sum(last - rules.overload_window_ns < t <= last for t in sends[: i + 1])
-        most = rules.overload_multiple * part * warm_per_s * rules.overload_window_ns / SECOND + 2
-        assert count <= most, f"{count} sends to a cold upstream, {most:.1f} at most"
+        max_sends = (
+            rules.overload_multiple
+            * capacity_fraction
+            * warm_rate_per_s
+            * rules.overload_window_ns
+            / SECOND
+            + 2
+        )
+        assert count <= max_sends, f"{count} sends to a cold upstream, {max_sends:.1f} at most"
 
 
-class Desk:
+class PolicyHarness:
     """Drives one balancer, keeps its timers, and checks the rules and the grammar of its
     actions.
     """
@@ -114,53 +124,53 @@
         self.config = config or settings()
         self.now = START
         self.balancer = Balancer(self.config, seed, self.now)
-        self.cls: dict[str, api.RequestClass] = {}
-        self.deadline: dict[str, int] = {}
-        self.answer: dict[str, str] = {}
-        self.told_over: set[str] = set()
-        self.rows: dict[str, list[str]] = {}  # key -> requests in order, as taken
-        self.rest: dict[
+        self.request_classes: dict[str, api.RequestClass] = {}
+        self.deadlines: dict[str, int] = {}
+        self.outcome: dict[str, str] = {}
+        self.completed: set[str] = set()
+        self.requests_by_key: dict[str, list[str]] = {}  # key -> requests in order, as taken
+        self.key_blocked_until: dict[
             str, int
         ] = {}  # request -> time until which later ones of its key must wait
         self.sends: dict[str, list[tuple[api.Upstream, int]]] = {}
         self.results: dict[tuple[str, int], api.AttemptResult] = {}
-        self.list: dict[int, api.Upstream] = {}
+        self.endpoints: dict[int, api.Upstream] = {}
         self.timers: list[tuple[int, str]] = []
-        self.log: list[api.Action] = []
+        self.emitted_actions: list[api.Action] = []
         if servers:
-            self.give(api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(servers)))
+            self.deliver(api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(servers)))
 
     # -- time --
 
-    def give(self, *events: api.Event) -> list[api.Action]:
-        for e in events:
-            self._event(e)
+    def deliver(self, *events: api.Event) -> list[api.Action]:
+        for event in events:
+            self._record_event(event)
         actions = self.balancer.handle(self.now, events)
-        for a in actions:
-            self._action(a)
-        self.log += actions
+        for action in actions:
+            self._check_action(action)
+        self.emitted_actions += actions
         return actions
 
     def advance(self, by_ns: int, step_ns: int = 5 * MS) -> list[api.Action]:
         """Let time pass in ticks, delivering timers that are due and time-outs at the deadline."""
-        seen: list[api.Action] = []
+        collected: list[api.Action] = []
         end = self.now + by_ns
         while self.now < end:
             self.now = min(end, self.now + step_ns)
             due = sorted(t for t in self.timers if t[0] <= self.now)
             self.timers = [t for t in self.timers if t[0] > self.now]
             events: list[api.Event] = [api.TimerFired(name) for _, name in due]
-            for request, number in self.out():
-                if self.deadline[request] <= self.now:
+            for request, number in self.open_attempts():
+                if self.deadlines[request] <= self.now:
                     events.append(self.result(request, number, api.AttemptResult.TIMEOUT))
             if events:
-                seen += self.give(*events)
-            for request, deadline in self.deadline.items():
+                collected += self.deliver(*events)
+            for request, deadline in self.deadlines.items():
                 if deadline + 20 * MS < self.now:
-                    assert request in self.answer, f"{request} had no final answer in its time"
-        return seen
+                    assert request in self.outcome, f"{request} had no final answer in its time"
+        return collected
 
-    def out(self) -> list[tuple[str, int]]:
+    def open_attempts(self) -> list[tuple[str, int]]:
         return [
             (r, i)
             for r, sent in self.sends.items()
@@ -170,100 +180,120 @@
 
     def result(self, request: str, number: int, result: api.AttemptResult) -> api.AttemptFinished:
         upstream, sent = self.sends[request][number]
-        over = request in self.answer or request in self.told_over or result is api.AttemptResult.OK
-        return api.AttemptFinished(request, number, upstream.id, result, self.now - sent, over)
+        is_complete = (
+            request in self.outcome or request in self.completed or result is api.AttemptResult.OK
+        )
+        return api.AttemptFinished(
+            request, number, upstream.id, result, self.now - sent, is_complete
+        )
 
     def finish(
         self, request: str, result: api.AttemptResult = api.AttemptResult.OK, number: int = -1
     ) -> list[api.Action]:
         number = number if number >= 0 else len(self.sends[request]) - 1
-        return self.give(self.result(request, number, result))
+        return self.deliver(self.result(request, number, result))
 
     # -- books --
 
-    def _event(self, e: api.Event) -> None:
-        if isinstance(e, api.RequestArrived):
-            self.cls[e.request] = self.config.classes[e.class_name]
-            self.deadline[e.request] = e.deadline_ns
-            if self.cls[e.request].ordered_by_key and e.key:
-                self.rows.setdefault(e.key, []).append(e.request)
-        elif isinstance(e, api.AttemptFinished) and e.request in self.cls:
-            self.results[e.request, e.attempt] = e.result
-            if e.result in MAY_STILL_RUN:
-                self.rest[e.request] = self.now + self.config.rules.key_order_gap_ns
-            if e.result is api.AttemptResult.OK and e.request not in self.answer:
-                self.answer[e.request] = "served"
-            if e.complete:
-                self.told_over.add(e.request)
-        elif isinstance(e, api.ClientDisconnected):
-            self.answer.setdefault(e.request, "gone")
-            self.told_over.add(e.request)
-        elif isinstance(e, api.BodyCompleted):
-            self.deadline[e.request] = e.deadline_ns
-        elif isinstance(e, api.EndpointsUpdated):
-            if e.kind in (api.EndpointListKind.FULL, api.EndpointListKind.CACHED):
-                self.list = {
-                    i: u._replace(state=api.UpstreamState.REMOVED) for i, u in self.list.items()
+    def _record_event(self, event: api.Event) -> None:
+        if isinstance(event, api.RequestArrived):
+            self.request_classes[event.request] = self.config.classes[event.class_name]
+            self.deadlines[event.request] = event.deadline_ns
+            if self.request_classes[event.request].ordered_by_key and event.key:
+                self.requests_by_key.setdefault(event.key, []).append(event.request)
+        elif isinstance(event, api.AttemptFinished) and event.request in self.request_classes:
+            self.results[event.request, event.attempt] = event.result
+            if event.result in MAY_STILL_RUN:
+                self.key_blocked_until[event.request] = (
+                    self.now + self.config.rules.key_order_gap_ns
+                )
+            if event.result is api.AttemptResult.OK and event.request not in self.outcome:
+                self.outcome[event.request] = "served"
+            if event.complete:
+                self.completed.add(event.request)
+        elif isinstance(event, api.ClientDisconnected):
+            self.outcome.setdefault(event.request, "gone")
+            self.completed.add(event.request)
+        elif isinstance(event, api.BodyCompleted):
+            self.deadlines[event.request] = event.deadline_ns
+        elif isinstance(event, api.EndpointsUpdated):
+            if event.kind in (api.EndpointListKind.FULL, api.EndpointListKind.CACHED):
+                self.endpoints = {
+                    i: u._replace(state=api.UpstreamState.REMOVED)
+                    for i, u in self.endpoints.items()
                 }
-            self.list |= {u.id: u for u in e.upstreams}
+            self.endpoints |= {u.id: u for u in event.upstreams}
 
-    def _risky(self, request: str) -> list[tuple[api.Upstream, int]]:
+    def _attempts_that_may_have_run(self, request: str) -> list[tuple[api.Upstream, int]]:
         return [
             s
             for i, s in enumerate(self.sends.get(request, []))
             if self.results.get((request, i)) not in api.NEVER_RAN
         ]
 
-    def _action(self, a: api.Action) -> None:
-        if isinstance(a, api.StartAttempt):
-            self._send(a)
-        elif isinstance(a, api.RejectRequest):
-            cls, risky = self.cls[a.request], self._risky(a.request)
-            harmless = (
+    def _check_action(self, action: api.Action) -> None:
+        if isinstance(action, api.StartAttempt):
+            self._check_attempt(action)
+        elif isinstance(action, api.RejectRequest):
+            cls, may_have_run = (
+                self.request_classes[action.request],
+                self._attempts_that_may_have_run(action.request),
+            )
+            safe_to_reject = (
                 cls.effect is api.Effect.IDEMPOTENT
-                or not risky
+                or not may_have_run
                 or (
                     cls.effect is api.Effect.IDEMPOTENT_WITH_KEY
                     and cls.scope is api.DeduplicationScope.ALL
                 )
             )
-            assert harmless, f"{a.request} refused though it may have run"
-            self._final(a.request, "refused")
-            assert 0 <= a.retry_after_ns <= self.config.limits.max_retry_after_ns
-        elif isinstance(a, api.FailRequest):
-            self._final(a.request, "failed")
-        elif isinstance(a, api.CancelAttempt):
-            assert self.config.limits.may_cancel and a.attempt < len(self.sends[a.request])
-        elif isinstance(a, api.CheckHealth):
-            assert self.config.limits.probes and a.upstream in self.list
-        elif isinstance(a, api.SendGossip):
-            assert self.config.limits.peers and len(a.data) <= 256
-        elif isinstance(a, api.SetTimer):
-            assert a.delay_ns > 0
-            self.timers.append((self.now + a.delay_ns, a.name))
-
-    def _turn(self, request: str) -> None:
-        for row in self.rows.values():
-            for earlier in row[: row.index(request)] if request in row else ():
-                over = earlier in self.answer or earlier in self.told_over
-                assert over, f"{request} sent before {earlier}, taken earlier, is over"
-                assert earlier not in {r for r, _ in self.out()}, (
+            assert safe_to_reject, f"{action.request} refused though it may have run"
+            self._record_outcome(action.request, "refused")
+            assert 0 <= action.retry_after_ns <= self.config.limits.max_retry_after_ns
+        elif isinstance(action, api.FailRequest):
+            self._record_outcome(action.request, "failed")
+        elif isinstance(action, api.CancelAttempt):
+            assert self.config.limits.may_cancel and action.attempt < len(
+                self.sends[action.request]
+            )
+        elif isinstance(action, api.CheckHealth):
+            assert self.config.limits.probes and action.upstream in self.endpoints
+        elif isinstance(action, api.SendGossip):
+            assert self.config.limits.peers and len(action.data) <= 256
+        elif isinstance(action, api.SetTimer):
+            assert action.delay_ns > 0
+            self.timers.append((self.now + action.delay_ns, action.name))
+
+    def _check_key_order(self, request: str) -> None:
+        for key_requests in self.requests_by_key.values():
+            for earlier in (
+                key_requests[: key_requests.index(request)] if request in key_requests else ()
+            ):
+                is_complete = earlier in self.outcome or earlier in self.completed
+                assert is_complete, f"{request} sent before {earlier}, taken earlier, is over"
+                assert earlier not in {r for r, _ in self.open_attempts()}, (
                     f"{request} sent while {earlier} is out"
                 )
-                assert self.now >= self.rest.get(earlier, 0), f"{request} sent while its key rests"
+                assert self.now >= self.key_blocked_until.get(earlier, 0), (
+                    f"{request} sent while its key rests"
+                )
 
-    def _final(self, request: str, answer: str) -> None:
-        assert request in self.cls, f"{request} was never taken"
-        assert request not in self.answer, (
-            f"{request} answered twice: {self.answer.get(request)}, {answer}"
+    def _record_outcome(self, request: str, outcome: str) -> None:
+        assert request in self.request_classes, f"{request} was never taken"
+        assert request not in self.outcome, (
+            f"{request} answered twice: {self.outcome.get(request)}, {outcome}"
         )
-        assert self.now <= self.deadline[request] + 20 * MS, f"{request} answered late"
-        self.answer[request] = answer
-
-    def _send(self, a: api.StartAttempt) -> None:
-        request, upstream = a.request, self.list[a.upstream]
-        cls, limits, risky = self.cls[request], self.config.limits, self._risky(a.request)
-        assert request not in self.answer and request not in self.told_over, (
+        assert self.now <= self.deadlines[request] + 20 * MS, f"{request} answered late"
+        self.outcome[request] = outcome
+
+    def _check_attempt(self, action: api.StartAttempt) -> None:
+        request, upstream = action.request, self.endpoints[action.upstream]
+        cls, limits, may_have_run = (
+            self.request_classes[request],
+            self.config.limits,
+            self._attempts_that_may_have_run(action.request),
+        )
+        assert request not in self.outcome and request not in self.completed, (
             f"{request} sent after its end"
         )
         assert upstream.state is api.UpstreamState.READY, (
@@ -273,19 +303,25 @@
         assert not cls.kinds or upstream.kind in cls.kinds, (
             f"{request} sent to a kind it may not use"
         )
-        self._turn(request)
+        self._check_key_order(request)
         sent = self.sends.setdefault(request, [])
         assert len(sent) < limits.max_attempts
-        out = sum((request, i) not in self.results for i in range(len(sent)))
-        assert out < (2 if limits.may_hedge else 1), f"{request}: {out} attempts out already"
-        if risky and cls.effect is api.Effect.NON_IDEMPOTENT:
+        open_attempts = sum((request, i) not in self.results for i in range(len(sent)))
+        assert open_attempts < (2 if limits.may_hedge else 1), (
+            f"{request}: {open_attempts} attempts out already"
+        )
+        if may_have_run and cls.effect is api.Effect.NON_IDEMPOTENT:
             raise AssertionError(f"{request} is unsafe, may have run and is sent again")
-        if risky and cls.effect is api.Effect.IDEMPOTENT_WITH_KEY:
-            assert self.now - risky[0][1] <= cls.window_ns, f"{request} repeated after its window"
+        if may_have_run and cls.effect is api.Effect.IDEMPOTENT_WITH_KEY:
+            assert self.now - may_have_run[0][1] <= cls.window_ns, (
+                f"{request} repeated after its window"
+            )
             if cls.scope is api.DeduplicationScope.CELL:
-                assert all((u.zone, u.cell) == (upstream.zone, upstream.cell) for u, _ in risky)
+                assert all(
+                    (u.zone, u.cell) == (upstream.zone, upstream.cell) for u, _ in may_have_run
+                )
         sent.append((upstream, self.now))
 
 
 def of_type(kind: type, actions: Iterable[api.Action]) -> list[api.Action]:
-    return [a for a in actions if isinstance(a, kind)]
+    return [action for action in actions if isinstance(action, kind)]
--- a/tests/policy/test_decision_modules.py
+++ b/tests/policy/test_decision_modules.py
@@ -10,20 +10,20 @@
 
 ROOT = Path(__file__).parents[2]
 MODULES = sorted((ROOT / "loadbalancer" / "policy").glob("*.py"))
-MOST_LINES = 500
+MAX_LINES = 500
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
 class TestDecisionModules:
-    def test_has_one_job_s_length(self, path: Path) -> None:
+    def test_length_is_within_the_limits(self, path: Path) -> None:
         lines = path.read_text().splitlines()
-        assert sum(bool(line.strip()) for line in lines) <= MOST_LINES
+        assert sum(bool(line.strip()) for line in lines) <= MAX_LINES
         assert max(map(len, lines)) <= 100
 
-    def test_says_what_it_is_for(self, path: Path) -> None:
+    def test_has_a_module_docstring(self, path: Path) -> None:
         assert path.read_text().startswith('"""')
 
-    def test_reads_no_clock_and_no_unseeded_chance(self, path: Path) -> None:
+    def test_uses_no_clock_and_no_unseeded_randomness(self, path: Path) -> None:
         text = path.read_text()
         assert "import time" not in text and "from time" not in text
         assert not [
@@ -32,18 +32,18 @@
             if "random." in line and "random.Random" not in line and "rng.random" not in line
         ]
 
-    def test_is_named_in_the_deploy_file(self, path: Path) -> None:
+    def test_is_listed_in_the_deploy_file(self, path: Path) -> None:
         policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
         assert str(path.relative_to(ROOT)) in policy
 
 
-def test_the_package_names_its_interface_at_the_top() -> None:
+def test_package_docstring_names_the_interface() -> None:
     text = (ROOT / "loadbalancer" / "policy" / "__init__.py").read_text()
     assert "loadbalancer/policy/api.py" in " ".join(text.splitlines()[:3])
 
 
-def test_the_example_of_the_readme_runs(capsys: pytest.CaptureFixture[str]) -> None:
-    found = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
-    assert found
-    exec(found.group(1), {})
+def test_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+    example = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
+    assert example
+    exec(example.group(1), {})
     assert "send r1 to" in capsys.readouterr().out
--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -25,7 +25,7 @@
 ]
 
 
-class PlainBucket(policy.TokenBucket[policy.Request]):
+class ReferenceBucket(policy.TokenBucket[policy.Request]):
     def set_rate(
         self, rate: float, now: int, like: policy.TokenBucket[policy.Request] | None = None
     ) -> None:
@@ -41,7 +41,7 @@
         )
 
 
-class PlainRate(RateController):
+class ReferenceRateController(RateController):
     """Every tenant in every loop."""
 
     def _update_demands(self, elapsed: int) -> None:
@@ -61,36 +61,36 @@
         self._divide(now)
 
     def _divide(self, now: int) -> None:
-        whole = sum(t.weight for t in self.buckets)
-        lent, fair = self._fill(self.rate), self._fill(self.served_per_s)
+        total_weight = sum(t.weight for t in self.buckets)
+        shares_of_rate, shares_of_served = self._fill(self.rate), self._fill(self.served_per_s)
         for i, t in enumerate(self.buckets):
-            t.set_rate(max(0.05, self.rate * t.weight / whole, lent[i]), now)
-            t.is_over_share = t.demand > 1.1 * fair[i]
+            t.set_rate(max(0.05, self.rate * t.weight / total_weight, shares_of_rate[i]), now)
+            t.is_over_share = t.demand > 1.1 * shares_of_served[i]
 
-    def _fill(self, left: float) -> list[float]:
+    def _fill(self, remaining: float) -> list[float]:
         shares, weights = [0.0] * len(self.buckets), sum(t.weight for t in self.buckets)
         for i, t in sorted(
             enumerate(self.buckets), key=lambda it: (it[1].demand / it[1].weight, it[0])
         ):
-            shares[i] = min(t.demand, left * t.weight / weights)
-            left, weights = max(0.0, left - shares[i]), max(1e-9, weights - t.weight)
-        return [share + left for share in shares]
+            shares[i] = min(t.demand, remaining * t.weight / weights)
+            remaining, weights = max(0.0, remaining - shares[i]), max(1e-9, weights - t.weight)
+        return [share + remaining for share in shares]
 
 
-class PlainBalancer(policy.Balancer):
+class ReferenceBalancer(policy.Balancer):
     def _release_tokens(self, now: int) -> None:
         for t in self.buckets.values():
             self.admission.release(t, now)
 
 
-def plain(settings: api.Settings, seed: int, now: int) -> policy.Balancer:
+def reference_balancer(settings: api.Settings, seed: int, now: int) -> policy.Balancer:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(balancing, "TokenBucket", PlainBucket)
-        patch.setattr(balancing, "RateController", PlainRate)
-        return PlainBalancer(settings, seed, now)
+        patch.setattr(balancing, "TokenBucket", ReferenceBucket)
+        patch.setattr(balancing, "RateController", ReferenceRateController)
+        return ReferenceBalancer(settings, seed, now)
 
 
-def state(balancer: policy.Balancer) -> list[object]:
+def numeric_state(balancer: policy.Balancer) -> list[object]:
     """All numbers of all tenants, each to its last bit."""
     r = balancer.rate_controller
     return [
@@ -114,7 +114,7 @@
     ]
 
 
-class Pair:
+class ComparedBalancers:
     """The module and the plain one, told the same: whatever either does is compared at once."""
 
     def __init__(self, weights: Sequence[float], seed: int) -> None:
@@ -128,31 +128,36 @@
             },
             limits=api.Limits(max_attempts=2, may_hedge=True, may_cancel=True, retry_after=True),
         )
-        self.both = policy.Balancer(settings, seed, START), plain(settings, seed, START)
+        self.tested_and_reference = (
+            policy.Balancer(settings, seed, START),
+            reference_balancer(settings, seed, START),
+        )
         self.now = START
         self.number = 0
-        self.out: list[tuple[str, int, int, int]] = []
+        self.open_attempts: list[tuple[str, int, int, int]] = []
         self.timers: list[tuple[int, str]] = []
         self.actions = 0
-        self.seen: set[str] = set()
-        self.sent: dict[str, int] = {}  # attempts of each request
-        self.give(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(8)))
-
-    def give(self, *events: api.Event) -> None:
-        ours, theirs = (b.handle(self.now, events) for b in self.both)
-        assert ours == theirs
-        assert state(self.both[0]) == state(self.both[1])
-        for action in ours:
-            self.seen.add(type(action).__name__)
+        self.action_types: set[str] = set()
+        self.attempt_counts: dict[str, int] = {}  # attempts of each request
+        self.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(8)))
+
+    def deliver(self, *events: api.Event) -> None:
+        actual, expected = (b.handle(self.now, events) for b in self.tested_and_reference)
+        assert actual == expected
+        assert numeric_state(self.tested_and_reference[0]) == numeric_state(
+            self.tested_and_reference[1]
+        )
+        for action in actual:
+            self.action_types.add(type(action).__name__)
             if isinstance(action, api.StartAttempt):
-                number = self.sent.get(action.request, 0)
-                self.sent[action.request] = number + 1
-                self.out.append((action.request, number, action.upstream, self.now))
+                number = self.attempt_counts.get(action.request, 0)
+                self.attempt_counts[action.request] = number + 1
+                self.open_attempts.append((action.request, number, action.upstream, self.now))
             elif isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.delay_ns, action.name))
-        self.actions += len(ours)
+        self.actions += len(actual)
 
-    def asked(self, name: str, count: int, chance: float = 0.0) -> list[api.RequestArrived]:
+    def arrivals_of(self, name: str, count: int, chance: float = 0.0) -> list[api.RequestArrived]:
         self.number += count
         return [
             api.RequestArrived(
@@ -165,108 +170,119 @@
             for i in range(count)
         ]
 
-    def ask(self, count: int, most: int) -> list[api.RequestArrived]:
+    def random_arrivals(self, count: int, tenant_count: int) -> list[api.RequestArrived]:
         return [
             e
             for _ in range(count)
-            for e in self.asked(self.names[self.rng.randrange(most)], 1, 0.1)
+            for e in self.arrivals_of(self.names[self.rng.randrange(tenant_count)], 1, 0.1)
         ]
 
-    def answers(self, chance: float) -> list[api.Event]:
-        done = [o for o in self.out if self.rng.random() < chance]
-        self.out = [o for o in self.out if o not in done]
+    def attempt_results(self, chance: float) -> list[api.Event]:
+        finished = [o for o in self.open_attempts if self.rng.random() < chance]
+        self.open_attempts = [o for o in self.open_attempts if o not in finished]
         return [
             api.AttemptFinished(
                 r, number, upstream, result, self.now - at, result is api.AttemptResult.OK
             )
-            for r, number, upstream, at in done
+            for r, number, upstream, at in finished
             for result in [self.rng.choice(RESULTS)]
         ]
 
-    def step(self, most: int, load: int) -> None:
+    def step(self, tenant_count: int, load: int) -> None:
         self.now += self.rng.choice(GAPS)
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        events: list[api.Event] = [api.TimerFired(name) for _, name in due] + self.answers(0.7)
-        events += self.ask(self.rng.randrange(load), most)
-        if self.rng.random() < 0.02 and self.both[0].requests:
-            events.append(api.ClientDisconnected(self.rng.choice(list(self.both[0].requests))))
-        self.give(*events)
+        events: list[api.Event] = [api.TimerFired(name) for _, name in due] + self.attempt_results(
+            0.7
+        )
+        events += self.random_arrivals(self.rng.randrange(load), tenant_count)
+        if self.rng.random() < 0.02 and self.tested_and_reference[0].requests:
+            events.append(
+                api.ClientDisconnected(self.rng.choice(list(self.tested_and_reference[0].requests)))
+            )
+        self.deliver(*events)
 
 
-def drawn(rng: random.Random) -> list[float]:
+def random_weights(rng: random.Random) -> list[float]:
     """Weights: alike, of few kinds, or any."""
     count = rng.choice((1, 2, 7, 40, 150))
-    kinds = rng.choice(([1.0], [0.1, 0.3, 0.7], [rng.random() for _ in range(count)]))
-    return [rng.choice(kinds) for _ in range(count)]
+    choices = rng.choice(([1.0], [0.1, 0.3, 0.7], [rng.random() for _ in range(count)]))
+    return [rng.choice(choices) for _ in range(count)]
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_every_decision_is_that_of_the_plain_formulas(seed: int) -> None:
+def test_decisions_equal_the_reference_formulas(seed: int) -> None:
     rng = random.Random(seed)
-    weights = drawn(rng)
-    pair = Pair(weights, seed)
+    weights = random_weights(rng)
+    compared = ComparedBalancers(weights, seed)
     if seed % 3 == 0:
-        demands = {name: rng.choice((0.0, 3.5, 3.5, 80.0)) for name in pair.names[::2]}
-        pair.give(api.LearnedState(SECOND, rng.choice((5.0, 300.0)), {**demands, "gone": 9.0}))
+        demands = {name: rng.choice((0.0, 3.5, 3.5, 80.0)) for name in compared.names[::2]}
+        compared.deliver(
+            api.LearnedState(SECOND, rng.choice((5.0, 300.0)), {**demands, "gone": 9.0})
+        )
     if seed % 4 == 1:
-        pair.give(
+        compared.deliver(
             api.TrafficPlan(
                 excess_reject_fraction=0.5,
-                tenant_rates=dict.fromkeys(pair.names, 2.0),
+                tenant_rates=dict.fromkeys(compared.names, 2.0),
                 retry_reject_fraction=0.5,
             )
         )
     for i in range(300):
-        most = (
+        tenant_count = (
             len(weights) if i > 200 else max(1, len(weights) // 3)
         )  # some ask for the first time late
-        pair.step(most, rng.choice((2, 10, 40, 300)))
-    assert pair.actions > 300 and {"StartAttempt", "RejectRequest"} <= pair.seen
+        compared.step(tenant_count, rng.choice((2, 10, 40, 300)))
+    assert compared.actions > 300 and {"StartAttempt", "RejectRequest"} <= compared.action_types
 
 
-def test_so_it_is_near_the_least_number_there_is() -> None:
+def test_demands_near_the_smallest_float_equal_the_reference() -> None:
     """What is wanted by those that asked long ago halves until there equals and order change."""
-    least = 5e-324
+    smallest_float = 5e-324
     for seed in range(300):
         rng = random.Random(seed)
         weights = [rng.choice((0.3, 0.35, 0.7, 40.3, 41.7)) for _ in range(12)] + [1.7] * 3
-        wants = [least * rng.randrange(70) for _ in weights]
-        both: list[RateController] = []
-        for bucket, controller in ((policy.TokenBucket, RateController), (PlainBucket, PlainRate)):
-            of_it: list[policy.TokenBucket[policy.Request]] = [
+        initial_demands = [smallest_float * rng.randrange(70) for _ in weights]
+        tested_and_reference: list[RateController] = []
+        for bucket, controller in (
+            (policy.TokenBucket, RateController),
+            (ReferenceBucket, ReferenceRateController),
+        ):
+            tenant_buckets: list[policy.TokenBucket[policy.Request]] = [
                 bucket(w, random.Random(7), START) for w in weights
             ]
-            both.append(controller(of_it, START))
-            both[-1].restore(3.0, zip(of_it, wants, strict=True), START)
+            tested_and_reference.append(controller(tenant_buckets, START))
+            tested_and_reference[-1].restore(
+                3.0, zip(tenant_buckets, initial_demands, strict=True), START
+            )
         for step in range(1, 10):
-            for r in both:
+            for r in tested_and_reference:
                 for t in r.buckets[-3:]:
                     t.request_count = 100
                 r.in_time_count = 2
                 r.adjust(START + step * SECOND, -1.0)
-            ours, theirs = (
+            actual, expected = (
                 [(t.rate.hex(), t.demand.hex(), t.counter, t.is_over_share) for t in r.buckets]
-                for r in both
+                for r in tested_and_reference
             )
-            assert ours == theirs, (seed, step)
+            assert actual == expected, (seed, step)
 
 
-def test_capacities_are_not_those_of_one_that_holds_more() -> None:
+def test_buffer_capacity_is_not_shared_with_a_fuller_bucket_of_the_same_rate() -> None:
     """Two at one rate, one of which holds more requests than the rate gives it places."""
-    pair = Pair([1.0, 1.0, 1.0], 1)
-    pair.give(api.LearnedState(SECOND, 100.0))
-    pair.now += 495 * MS
-    first, second = (pair.asked(name, 100) for name in pair.names[:2])
-    pair.give(*first, *second)
-    one, other, _ = pair.both[0].buckets.values()
+    compared = ComparedBalancers([1.0, 1.0, 1.0], 1)
+    compared.deliver(api.LearnedState(SECOND, 100.0))
+    compared.now += 495 * MS
+    first, second = (compared.arrivals_of(name, 100) for name in compared.names[:2])
+    compared.deliver(*first, *second)
+    one, other, _ = compared.tested_and_reference[0].buckets.values()
     assert one.buffered and other.buffered
-    pair.give(*(api.ClientDisconnected(e.request) for e in second))
-    pair.now += 5 * MS
-    pair.give(
+    compared.deliver(*(api.ClientDisconnected(e.request) for e in second))
+    compared.now += 5 * MS
+    compared.deliver(
         *(
             api.AttemptFinished(r, n, u, api.AttemptResult.REJECTED, 3 * MS)
-            for r, n, u, _ in pair.out
+            for r, n, u, _ in compared.open_attempts
         )
     )
     assert (
--- a/tests/policy/test_many_upstreams.py
+++ b/tests/policy/test_many_upstreams.py
@@ -21,7 +21,7 @@
 FLEETS = [(0, 1), (2, 5), (7, 40), (90, 200)]  # this balancer's number, and how many there are
 
 
-def counted(work: Callable[[], object]) -> int:
+def count_instructions(work: Callable[[], object]) -> int:
     """Instructions that it takes."""
     count = 0
 
@@ -39,9 +39,9 @@
     return count
 
 
-def balancer(upstreams: int, me: int, balancers: int) -> Balancer:
+def balancer(upstreams: int, instance: int, balancers: int) -> Balancer:
     settings = api.Settings(
-        instance_index=me,
+        instance_index=instance,
         instance_count=balancers,
         zone="east",
         classes={"read": READ},
@@ -49,33 +49,37 @@
         rules=api.TrafficRules(slow_start_ns=4 * SECOND),
         limits=api.Limits(max_attempts=3, may_cancel=True, retry_after=True),
     )
-    made = Balancer(settings, 7, START)
-    made.handle(
+    created = Balancer(settings, 7, START)
+    created.handle(
         START,
-        [api.EndpointsUpdated(api.EndpointListKind.CACHED, [entry(n) for n in range(upstreams)])],
+        [
+            api.EndpointsUpdated(
+                api.EndpointListKind.CACHED, [endpoint(n) for n in range(upstreams)]
+            )
+        ],
     )
-    return made
+    return created
 
 
-def entry(number: int, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
+def endpoint(number: int, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
     return api.Upstream(
         number * 7_919 + 1, state, ("east", "west", "north")[number % 3], number // 3
     )
 
 
-def change(module: Balancer, number: int) -> None:
+def drain_and_restore(module: Balancer, number: int) -> None:
     module.handle(
         START,
         [
             api.EndpointsUpdated(
-                api.EndpointListKind.DELTA, [entry(number, api.UpstreamState.DRAINING)]
+                api.EndpointListKind.DELTA, [endpoint(number, api.UpstreamState.DRAINING)]
             )
         ],
     )
-    module.handle(START, [api.EndpointsUpdated(api.EndpointListKind.DELTA, [entry(number)])])
+    module.handle(START, [api.EndpointsUpdated(api.EndpointListKind.DELTA, [endpoint(number)])])
 
 
-def requests(module: Balancer, count: int, seen: set[int]) -> None:
+def send_requests(module: Balancer, count: int, contacted: set[int]) -> None:
     """One each 10 ms, each of another key, answered well after 5 ms."""
     now = START
     for i in range(count):
@@ -86,30 +90,38 @@
         now += 5 * MS
         for action in sent:
             if isinstance(action, api.StartAttempt):
-                seen.add(action.upstream)
-                ended = api.AttemptFinished(
+                contacted.add(action.upstream)
+                finished = api.AttemptFinished(
                     action.request, 0, action.upstream, api.AttemptResult.OK, 5 * MS, True
                 )
-                module.handle(now, [ended])
-
-
-@pytest.mark.parametrize(("me", "balancers"), FLEETS)
-def test_a_change_of_one_upstream_costs_the_same_among_many(me: int, balancers: int) -> None:
-    modules = {n: balancer(n, me, balancers) for n in (FEW, MANY)}
-    cost = {n: counted(partial(change, module, n // 2)) for n, module in modules.items()}
+                module.handle(now, [finished])
+
+
+@pytest.mark.parametrize(("instance", "balancers"), FLEETS)
+def test_cost_of_an_endpoint_change_is_independent_of_upstream_count(
+    instance: int, balancers: int
+) -> None:
+    modules = {n: balancer(n, instance, balancers) for n in (FEW, MANY)}
+    cost = {
+        n: count_instructions(partial(drain_and_restore, module, n // 2))
+        for n, module in modules.items()
+    }
     assert cost[MANY] <= 1.4 * cost[FEW] + 2_000
 
 
-@pytest.mark.parametrize(("me", "balancers"), FLEETS)
-def test_a_request_costs_the_same_among_many(me: int, balancers: int) -> None:
-    modules = {n: balancer(n, me, balancers) for n in (FEW, MANY)}
-    cost = {n: counted(partial(requests, module, 200, set())) for n, module in modules.items()}
+@pytest.mark.parametrize(("instance", "balancers"), FLEETS)
+def test_cost_of_a_request_is_independent_of_upstream_count(instance: int, balancers: int) -> None:
+    modules = {n: balancer(n, instance, balancers) for n in (FEW, MANY)}
+    cost = {
+        n: count_instructions(partial(send_requests, module, 200, set()))
+        for n, module in modules.items()
+    }
     assert cost[MANY] <= 1.4 * cost[FEW] + 2_000
 
 
-@pytest.mark.parametrize(("me", "balancers"), FLEETS)
-def test_no_more_upstreams_are_sent_to_than_the_load_needs(me: int, balancers: int) -> None:
-    met: dict[int, set[int]] = {FEW: set(), MANY: set()}
-    for n, seen in met.items():
-        requests(balancer(n, me, balancers), 3000, seen)
-    assert len(met[MANY]) <= 2 * len(met[FEW]) + 40
+@pytest.mark.parametrize(("instance", "balancers"), FLEETS)
+def test_number_of_contacted_upstreams_follows_the_load(instance: int, balancers: int) -> None:
+    contacted_by_size: dict[int, set[int]] = {FEW: set(), MANY: set()}
+    for n, contacted in contacted_by_size.items():
+        send_requests(balancer(n, instance, balancers), 3000, contacted)
+    assert len(contacted_by_size[MANY]) <= 2 * len(contacted_by_size[FEW]) + 40
--- a/tests/policy/test_rate_controller.py
+++ b/tests/policy/test_rate_controller.py
@@ -16,7 +16,7 @@
     return RateController(buckets, 0)
 
 
-def test_an_idle_proxy_keeps_its_rate() -> None:
+def test_idle_proxy_keeps_its_rate() -> None:
     """It sank by a third every 2 s, to nothing, and the first requests after a rest were lost."""
     rate = controller()
     rate.in_time_count = 100
@@ -28,7 +28,7 @@
     assert rate.rate == learned
 
 
-def test_overload_brings_the_rate_down_and_failures_count_as_outcomes() -> None:
+def test_failures_count_as_outcomes_and_overload_reduces_the_rate() -> None:
     rate = controller()
     rate.in_time_count = 100
     rate.adjust(SECOND, OVERLOADED)
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -44,7 +44,7 @@
 from loadbalancer.proxy.upstream import Done, Timing, Upstreams
 from loadbalancer.proxy.upstream_connection import UpstreamConnection
 from loadbalancer.settings import Json
-from tests.bench import CELL, MS, Desk, arrival, of_type, settings
+from tests.bench import CELL_SCOPED, MS, PolicyHarness, arrival, of_type, settings
 from tests.fakes import (
     SECOND,
     SETTINGS,
@@ -369,17 +369,17 @@
 
 def test_a_repeat_is_told_how_long_it_may_begin() -> None:
     """Chosen inside the window of its key, it began behind it where its connection came up late."""
-    desk = Desk(settings(), servers=3)
-    desk.give(arrival(1, desk.now, CELL, wait_ns=900 * MS))
-    desk.now += 150 * MS
-    sends = of_type(api.StartAttempt, desk.finish("r1", api.AttemptResult.RESET)) or of_type(
-        api.StartAttempt, desk.advance(100 * MS)
+    harness = PolicyHarness(settings(), servers=3)
+    harness.deliver(arrival(1, harness.now, CELL_SCOPED, wait_ns=900 * MS))
+    harness.now += 150 * MS
+    sends = of_type(api.StartAttempt, harness.finish("r1", api.AttemptResult.RESET)) or of_type(
+        api.StartAttempt, harness.advance(100 * MS)
     )
     [again] = sends
     assert isinstance(again, api.StartAttempt)
-    first, second = (sent for _, sent in desk.sends["r1"])
-    assert again.start_by_ns == first + CELL.window_ns - second
-    [other] = of_type(api.StartAttempt, desk.give(arrival(2, desk.now)))
+    first, second = (sent for _, sent in harness.sends["r1"])
+    assert again.start_by_ns == first + CELL_SCOPED.window_ns - second
+    [other] = of_type(api.StartAttempt, harness.deliver(arrival(2, harness.now)))
     assert isinstance(other, api.StartAttempt) and other.start_by_ns == 0
 
 
@@ -710,12 +710,12 @@
 
 
 def test_where_discovery_is_asked_the_module_asks_again_in_time() -> None:
-    desk = Desk(settings(discovery_push=False))
+    harness = PolicyHarness(settings(discovery_push=False))
     for _ in range(12):
-        desk.give(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
-        before = desk.now
-        while not of_type(api.SubscribeEndpoints, desk.advance(10 * MS)):
-            assert desk.now - before <= subscription.MAX_BACKOFF_NS + 20 * MS
+        harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
+        before = harness.now
+        while not of_type(api.SubscribeEndpoints, harness.advance(10 * MS)):
+            assert harness.now - before <= subscription.MAX_BACKOFF_NS + 20 * MS
 
 
 def test_a_list_asked_for_on_the_side_does_not_wait_for_the_watch(
