--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,7 +1,7 @@
-"""Helpers of the tests: small settings with invented names, and a checker of the rules.
+"""Helpers of the policy tests: small settings, event builders, and a harness that checks the rules.
 
-The checker keeps books of its own from the events and actions alone; it shares nothing with the
-module.
+The harness derives its own state from the events and actions alone; it shares no state or code with
+the policy module.
 """
 
 from __future__ import annotations
@@ -48,6 +48,7 @@
 
 
 def settings(**changes: object) -> api.Settings:
+    """Return the default test settings with some fields replaced."""
     defaults: dict[str, object] = {
         "classes": {
             c.name: c
@@ -62,6 +63,7 @@
 
 
 def upstreams(count: int, first: int = 1, started_ns: int = 0) -> list[api.Upstream]:
+    """Return ready upstreams of one zone with consecutive ids, three to a cell."""
     return [
         api.Upstream(first + i, api.UpstreamState.READY, "east", i // 3, 1.0, started_ns)
         for i in range(count)
@@ -69,7 +71,7 @@
 
 
 def mixed_upstreams(count: int) -> list[api.Upstream]:
-    """Upstreams in two zones and of two kinds, by turns."""
+    """Return upstreams of alternating zones (east, west) and kinds (big, small)."""
     return [
         u._replace(zone=("east", "west")[u.id % 2], kind=("big", "small")[u.id // 2 % 2])
         for u in upstreams(count)
@@ -85,6 +87,7 @@
     retry: bool = False,
     key: str = "",
 ) -> api.RequestArrived:
+    """Return an arrival of request `r<number>` whose deadline is `wait_ns` after `now`."""
     return api.RequestArrived(
         f"r{number}", cls.name, tenant, now + wait_ns, key=key, is_retry=retry
     )
@@ -93,8 +96,10 @@
 def check_slow_start_budget(
     sends: list[int], started_ns: int, rules: api.TrafficRules, warm_rate_per_s: float
 ) -> None:
-    """Rule 4 over all proxies: in no window is a cold upstream sent more than it can stand. Slack
-    of two.
+    """Check rule 4 over the sends of all proxies to one upstream.
+
+    In no overload window may a cold upstream get more requests than its slow-start capacity allows,
+    with a tolerance of two.
     """
     for i, last in enumerate(sends):
         age = last - started_ns
@@ -116,9 +121,7 @@
 
 
 class PolicyHarness:
-    """Drives one balancer, keeps its timers, and checks the rules and the grammar of its
-    actions.
-    """
+    """Drives one balancer on a virtual clock and checks every action against the rules."""
 
     def __init__(self, config: api.Settings | None = None, seed: int = 7, servers: int = 6) -> None:
         self.config = config or settings()
@@ -128,10 +131,10 @@
         self.deadlines: dict[str, int] = {}
         self.outcome: dict[str, str] = {}
         self.completed: set[str] = set()
-        self.requests_by_key: dict[str, list[str]] = {}  # key -> requests in order, as taken
+        self.requests_by_key: dict[str, list[str]] = {}  # key -> its requests in arrival order
         self.key_blocked_until: dict[
             str, int
-        ] = {}  # request -> time until which later ones of its key must wait
+        ] = {}  # request -> time before which later requests of its key may not be sent
         self.sends: dict[str, list[tuple[api.Upstream, int]]] = {}
         self.results: dict[tuple[str, int], api.AttemptResult] = {}
         self.endpoints: dict[int, api.Upstream] = {}
@@ -143,6 +146,7 @@
     # -- time --
 
     def deliver(self, *events: api.Event) -> list[api.Action]:
+        """Pass events to the balancer, check its actions and return them."""
         for event in events:
             self._record_event(event)
         actions = self.balancer.handle(self.now, events)
@@ -152,7 +156,10 @@
         return actions
 
     def advance(self, by_ns: int, step_ns: int = 5 * MS) -> list[api.Action]:
-        """Let time pass in ticks, delivering timers that are due and time-outs at the deadline."""
+        """Advance the clock in steps and return all actions.
+
+        Each step delivers expired timers, and a TIMEOUT for open attempts at their deadline.
+        """
         collected: list[api.Action] = []
         end = self.now + by_ns
         while self.now < end:
@@ -167,10 +174,13 @@
                 collected += self.deliver(*events)
             for request, deadline in self.deadlines.items():
                 if deadline + 20 * MS < self.now:
-                    assert request in self.outcome, f"{request} had no final answer in its time"
+                    assert request in self.outcome, (
+                        f"{request} had no outcome 20 ms after its deadline"
+                    )
         return collected
 
     def open_attempts(self) -> list[tuple[str, int]]:
+        """Return (request, attempt number) of all attempts without a result."""
         return [
             (r, i)
             for r, sent in self.sends.items()
@@ -179,6 +189,7 @@
         ]
 
     def result(self, request: str, number: int, result: api.AttemptResult) -> api.AttemptFinished:
+        """Return the event that reports the result of an attempt."""
         upstream, sent = self.sends[request][number]
         is_complete = (
             request in self.outcome or request in self.completed or result is api.AttemptResult.OK
@@ -190,10 +201,11 @@
     def finish(
         self, request: str, result: api.AttemptResult = api.AttemptResult.OK, number: int = -1
     ) -> list[api.Action]:
+        """Deliver the result of an attempt, by default the request's last one."""
         number = number if number >= 0 else len(self.sends[request]) - 1
         return self.deliver(self.result(request, number, result))
 
-    # -- books --
+    # -- recorded events and checks --
 
     def _record_event(self, event: api.Event) -> None:
         if isinstance(event, api.RequestArrived):
@@ -247,7 +259,7 @@
                     and cls.scope is api.DeduplicationScope.ALL
                 )
             )
-            assert safe_to_reject, f"{action.request} refused though it may have run"
+            assert safe_to_reject, f"{action.request} rejected though it may have run"
             self._record_outcome(action.request, "refused")
             assert 0 <= action.retry_after_ns <= self.config.limits.max_retry_after_ns
         elif isinstance(action, api.FailRequest):
@@ -270,20 +282,22 @@
                 key_requests[: key_requests.index(request)] if request in key_requests else ()
             ):
                 is_complete = earlier in self.outcome or earlier in self.completed
-                assert is_complete, f"{request} sent before {earlier}, taken earlier, is over"
+                assert is_complete, f"{request} sent before the earlier request {earlier} completed"
                 assert earlier not in {r for r, _ in self.open_attempts()}, (
-                    f"{request} sent while {earlier} is out"
+                    f"{request} sent while an attempt of {earlier} is open"
                 )
                 assert self.now >= self.key_blocked_until.get(earlier, 0), (
-                    f"{request} sent while its key rests"
+                    f"{request} sent while its key is blocked"
                 )
 
     def _record_outcome(self, request: str, outcome: str) -> None:
-        assert request in self.request_classes, f"{request} was never taken"
+        assert request in self.request_classes, f"{request} never arrived"
         assert request not in self.outcome, (
             f"{request} answered twice: {self.outcome.get(request)}, {outcome}"
         )
-        assert self.now <= self.deadlines[request] + 20 * MS, f"{request} answered late"
+        assert self.now <= self.deadlines[request] + 20 * MS, (
+            f"{request} answered after its deadline"
+        )
         self.outcome[request] = outcome
 
     def _check_attempt(self, action: api.StartAttempt) -> None:
@@ -294,27 +308,29 @@
             self._attempts_that_may_have_run(action.request),
         )
         assert request not in self.outcome and request not in self.completed, (
-            f"{request} sent after its end"
+            f"{request} sent after its completion"
         )
         assert upstream.state is api.UpstreamState.READY, (
-            f"{request} sent to a draining or gone upstream"
+            f"{request} sent to a draining or removed upstream"
+        )
+        assert not cls.zones or upstream.zone in cls.zones, (
+            f"{request} sent to an upstream outside its zones"
         )
-        assert not cls.zones or upstream.zone in cls.zones, f"{request} sent outside its zones"
         assert not cls.kinds or upstream.kind in cls.kinds, (
-            f"{request} sent to a kind it may not use"
+            f"{request} sent to an upstream of a kind that its class excludes"
         )
         self._check_key_order(request)
         sent = self.sends.setdefault(request, [])
         assert len(sent) < limits.max_attempts
         open_attempts = sum((request, i) not in self.results for i in range(len(sent)))
         assert open_attempts < (2 if limits.may_hedge else 1), (
-            f"{request}: {open_attempts} attempts out already"
+            f"{request}: {open_attempts} attempts are already open"
         )
         if may_have_run and cls.effect is api.Effect.NON_IDEMPOTENT:
-            raise AssertionError(f"{request} is unsafe, may have run and is sent again")
+            raise AssertionError(f"{request} is not idempotent, may have run, and was retried")
         if may_have_run and cls.effect is api.Effect.IDEMPOTENT_WITH_KEY:
             assert self.now - may_have_run[0][1] <= cls.window_ns, (
-                f"{request} repeated after its window"
+                f"{request} retried after its deduplication window"
             )
             if cls.scope is api.DeduplicationScope.CELL:
                 assert all(
@@ -324,4 +340,5 @@
 
 
 def of_type(kind: type, actions: Iterable[api.Action]) -> list[api.Action]:
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -1,4 +1,4 @@
-"""An authority of our own, and certificates that name a role."""
+"""A test certificate authority that issues certificates with a role in the URI SAN."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 
 
 class Authority:
+    """A self-signed certificate authority whose files are in `folder`."""
+
     def __init__(self, folder: Path, name: str = "authority") -> None:
         self.folder = folder
         self.key = ec.generate_private_key(ec.SECP256R1())
@@ -37,7 +39,7 @@
         )
 
     def issue(self, role: str, cluster: str = "*", name: str = "") -> TlsFiles:
-        """Files of a certificate with this role; replaced where they are there."""
+        """Issue a certificate for this role and return its files; existing files are replaced."""
         stem = name or role
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, stem)])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What several test files start from."""
+"""Fixtures shared by several test files."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def recorder(monkeypatch: pytest.MonkeyPatch) -> EventRecorder:
-    """The events that the module of each balancer started from here on is handed."""
+    """Record the policy events of every balancer that is started after this fixture."""
     recorder = EventRecorder()
     monkeypatch.setattr(policy_driver, "Balancer", recorder.wrap(Balancer))
     return recorder
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def frontends(monkeypatch: pytest.MonkeyPatch) -> list[Frontend]:
-    """The frontends of the balancers that a test starts."""
+    """Collect the frontends of the balancers that a test starts."""
     started: list[Frontend] = []
 
     class RecordingFrontend(Frontend):
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,7 +1,7 @@
-"""The other ends of the balancer's sockets, on loopback: upstreams, discovery and clients, and a
-balancer.
+"""Fakes on loopback sockets: upstreams, the discovery service, clients, and a running balancer.
 
-Everything waits on events: `until` returns once its condition holds, and `run` bounds a whole test.
+Tests wait for conditions instead of sleeping: `until` returns once its condition is true, and `run`
+limits the duration of a whole test.
 """
 
 from __future__ import annotations
@@ -41,21 +41,23 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """On the loop that the program itself runs on."""
+    """Run a test on uvloop, the event loop that the program uses, with a time limit."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
 class Observable:
-    """Something whose changes can be waited for."""
+    """Base class of objects whose state changes can be awaited."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
     def notify(self) -> None:
+        """Wake the waiters of `until`, which check their condition again."""
         self._changed.set()
 
     async def until(self, condition: Callable[[], object]) -> None:
+        """Wait until the condition is true; it is checked after every `notify`."""
         while not condition():
             self._changed.clear()
             await self._changed.wait()
@@ -63,10 +65,12 @@
 
 @dataclass
 class Message:
-    start_line: list[str]  # the words of the first line
+    """A parsed HTTP request or response."""
+
+    start_line: list[str]  # the request line or status line, split at spaces
     headers: dict[str, str]
     body: bytes
-    connection_number: int = 0  # which connection it came on
+    connection_number: int = 0  # ordinal of the connection on which it was received, from 1
 
     @property
     def status(self) -> int:
@@ -74,6 +78,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
+    """Read one HTTP message whose body is framed by Content-Length."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head.strip().split("\r\n")
     headers = {
@@ -85,19 +90,23 @@
 
 
 def http_response(status: int, body: bytes = b"", *headers: str) -> bytes:
+    """Return the bytes of an HTTP response."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
 class Server(Observable):
-    """A small HTTP server. `reply` gives what to write; None resets the connection."""
+    """A small HTTP server that records the requests it receives.
+
+    `reply` returns the bytes to write for a request; None resets the connection.
+    """
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
         super().__init__()
         self.reply = reply
         self.received_requests: list[Message] = []
         self.connections: list[asyncio.StreamWriter] = []
-        self.peer_closed_count = 0  # connections that the other side closed
+        self.peer_closed_count = 0  # connections closed or reset by the client
         self.port = 0
         self.server: asyncio.Server | None = None
 
@@ -148,13 +157,16 @@
 
 
 async def never_respond() -> bytes | None:
+    """Wait forever: a scripted response that is never sent."""
     await asyncio.Event().wait()
     return None
 
 
 class FakeUpstream(Server):
-    """Answers 200 with its name, or what stands in `script`, one entry a request: bytes to write,
-    `never_respond` to be silent, None to reset.
+    """An upstream that answers 200 with its name as the body, unless `script` has entries.
+
+    Each request consumes one entry of `script`: bytes to write, a coroutine function that returns
+    them (`never_respond` sends no response), or None to reset the connection.
     """
 
     def __init__(self, name: str) -> None:
@@ -171,6 +183,7 @@
         return reply
 
     def row(self, state: str = "Ready", started_ms: int = 0) -> Json:
+        """Return this upstream's entry in the endpoint list."""
         return {
             "id": self.name,
             "addr": f"127.0.0.1:{self.port}",
@@ -185,8 +198,9 @@
 
 
 class FakeDiscovery(Server):
-    """Tells a list and its changes; `down` makes it break every call, `silent` leave it open,
-    `busy` turn it away.
+    """A discovery service that serves the endpoint list and its changes by long polling.
+
+    Faults: `down` resets the connection of every call, `silent` never answers, `busy` answers 503.
     """
 
     def __init__(self, rows: Iterable[Json]) -> None:
@@ -196,10 +210,11 @@
         self.changes: list[tuple[int, Json]] = []
         self.down = False
         self.silent = False
-        self.busy = False  # it turns calls away
-        self.max_answered_wait_ms = 1 << 60  # calls that wait for longer are never answered
+        self.busy = False  # answers 503
+        self.max_answered_wait_ms = 1 << 60  # polls with a longer wait are never answered
 
     def change(self, *rows: Json) -> None:
+        """Change these rows of the endpoint list in one new version."""
         self.version += 1
         self.changes += [(self.version, row) for row in rows]
         names = {row["id"] for row in rows}
@@ -209,6 +224,7 @@
         self.notify()
 
     def full_list(self) -> Json:
+        """Return the response to a poll without a known version."""
         return {"version": self.version, "full": True, "servers": self.rows}
 
     async def _list_or_changes(self, message: Message) -> bytes | None:
@@ -233,6 +249,8 @@
 
 
 class Client:
+    """An HTTP client on one connection."""
+
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
@@ -250,6 +268,7 @@
         path: str = "",
         **headers: object,
     ) -> None:
+        """Write a request without waiting for the response; a header of None is left out."""
         rows = {
             "Host": "origin.svc",
             "X-Request-Id": name,
@@ -264,14 +283,17 @@
         self.writer.write(f"{method} {path or '/' + kind} HTTP/1.1\r\n{lines}\r\n".encode() + body)
 
     async def ask(self, name: str, *args: Any, **more: Any) -> Message:
+        """Send a request and return the response."""
         self.send(name, *args, **more)
         return await read_message(self.reader)
 
     async def send_raw(self, data: bytes) -> Message:
+        """Write these bytes and return the response."""
         self.writer.write(data)
         return await read_message(self.reader)
 
     async def expect_eof(self) -> None:
+        """Wait until the balancer closes or resets the connection, without further data."""
         with suppress(ConnectionError):
             assert await self.reader.read() == b""
 
@@ -280,19 +302,22 @@
 
 
 class EventRecorder(Observable):
-    """The events that the module is handed."""
+    """Records the events that the policy module receives."""
 
     def __init__(self) -> None:
         super().__init__()
         self.events: list[api.Event] = []
 
     def of_type(self, kind: type) -> list[Any]:
+        """Return the recorded events of one type."""
         return [event for event in self.events if isinstance(event, kind)]
 
     def results(self) -> list[api.AttemptResult]:
+        """Return the results of all finished attempts."""
         return [event.result for event in self.of_type(api.AttemptFinished)]
 
     def wrap(self, module: type[Balancer]) -> type[Balancer]:
+        """Return a subclass of `module` that records the events passed to `handle`."""
         recorder = self
 
         class RecordingBalancer(module):  # type: ignore[misc, valid-type]
@@ -307,7 +332,7 @@
 
 
 class BalancerHarness:
-    """A balancer in this process, its upstreams and discovery."""
+    """A balancer in this process, with its upstreams and discovery service."""
 
     def __init__(self, upstreams: Sequence[FakeUpstream], discovery: FakeDiscovery) -> None:
         self.upstreams = upstreams
@@ -318,7 +343,7 @@
         return await Client.connect(self.address)
 
     async def client_awaiting_response(self, name: str, **more: Any) -> Client:
-        """A client whose request is at the first upstream, which says nothing to it."""
+        """Return a client whose request is at the first upstream, which never answers it."""
         upstream = self.upstreams[0]
         upstream.script = [never_respond]
         client = await self.client()
@@ -327,20 +352,23 @@
         return client
 
     async def update_endpoints(self, *rows: Json) -> None:
-        """Have discovery tell a change, and wait until the balancer has it: it then watches from
-        there on.
+        """Change rows at the discovery service and wait until the balancer has applied them.
+
+        The balancer has applied a version when its next poll names that version.
         """
         await self.wait_for_endpoint_list()
         self.discovery.change(*rows)
         await self.wait_for_endpoint_list()
 
     async def wait_for_endpoint_list(self) -> None:
+        """Wait until the balancer polls for changes since the current version."""
         target = f"from={self.discovery.version}&"
         await self.discovery.until(
             lambda: any(target in m.start_line[1] for m in self.discovery.received_requests)
         )
 
     async def ask(self, name: str, *args: Any, **more: Any) -> Message:
+        """Send a request on a connection of its own and return the response."""
         client = await self.client()
         try:
             return await client.ask(name, *args, **more)
@@ -356,6 +384,7 @@
     door: socket.socket | None = None,
     **config: Any,
 ) -> AsyncIterator[BalancerHarness]:
+    """Run a balancer with `count` upstreams; `config` overrides fields of its Config."""
     upstreams = [FakeUpstream(f"s-{i}") for i in range(count)]
     for upstream in upstreams:
         await upstream.start()
@@ -363,7 +392,7 @@
     await discovery.start()
     w = BalancerHarness(upstreams, discovery)
     listener = listening_socket(("127.0.0.1", 0), shared=True)
-    listener.listen()  # connections wait for the balancer
+    listener.listen()  # connections wait in the accept queue until the balancer runs
     w.address = listener.getsockname()
     plain = Config(
         w.address, discovery.address, 7, sockets, settings, discovery.full_list(), None, [], None
@@ -380,7 +409,7 @@
 
 
 def free_port() -> int:
-    """A loopback port where nobody listens."""
+    """Return a loopback port on which nothing listens."""
     with socket.socket() as received:
         received.bind(("127.0.0.1", 0))
         port: int = received.getsockname()[1]
--- a/tests/policy/test_decision_modules.py
+++ b/tests/policy/test_decision_modules.py
@@ -1,4 +1,4 @@
-"""The limits the users set for the module's text."""
+"""Limits that the users set for the source text of the policy modules."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_fleet_slow_start.py
+++ b/tests/policy/test_fleet_slow_start.py
@@ -1,8 +1,7 @@
-"""Rule 4 over a whole fleet: what real module instances send to upstreams that have just started,
-summed.
+"""Rule 4 over a whole fleet: the requests of all balancers together to upstreams in slow start.
 
-Nobody alone can see the sum. Here the sends of all to each cold upstream are counted in virtual
-time, apart from the module's books and the lab's.
+No single balancer can observe this sum. These tests run real policy instances in virtual time and
+count the requests to each cold upstream, independently of the counters of policy and simulation.
 """
 
 from __future__ import annotations
@@ -21,14 +20,15 @@
 
 
 class SlowStartRecorder(World):
-    """Notes what comes to each cold upstream from those who were told of its start, and the worst
-    window.
+    """Records requests to each cold upstream from balancers that know its start time.
+
+    It keeps the overload window that exceeds the budget of rule 4 the most.
     """
 
     def __init__(self, t: topology.Topology, seed: int, host: Host) -> None:
         super().__init__(t, seed, host)
         self.sends: dict[tuple[int, int], list[int]] = {}
-        self.worst_excess = -math.inf  # roots of N that lie between the sends in a window and N + 2
+        self.worst_excess = -math.inf  # (sends - (N + 2)) / sqrt(N), N being the budget of a window
         self.worst_window = ""
 
     def _at_box(self, delivery: tuple[Life, int, Sent, bool]) -> None:
@@ -68,6 +68,7 @@
 def run_rolling_restart(
     balancers: int, boxes: int, load: float, seed: int, faults: str = RELEASE, name: str = ""
 ) -> SlowStartRecorder:
+    """Simulate a rolling restart of half the upstreams; `name` selects another policy."""
     changes = [
         f"balancers.count={balancers}",
         f"fleet.boxes={boxes}",
--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -1,5 +1,7 @@
-"""Tenants' rates and capacities are worked out in few passes; every decision is the same, to the
-last bit of every number, as by the plain formulas, which stand here.
+"""The optimized computation of tenant rates and capacities against a reference implementation.
+
+The policy computes them in few passes. Every decision and every bit of every number must equal the
+result of the direct formulas, which these tests implement.
 """
 
 from __future__ import annotations
@@ -26,6 +28,8 @@
 
 
 class ReferenceBucket(policy.TokenBucket[policy.Request]):
+    """Computes its own capacities instead of copying them from a bucket of the same rate."""
+
     def set_rate(
         self, rate: float, now: int, like: policy.TokenBucket[policy.Request] | None = None
     ) -> None:
@@ -42,7 +46,7 @@
 
 
 class ReferenceRateController(RateController):
-    """Every tenant in every loop."""
+    """Visits every tenant in every loop."""
 
     def _update_demands(self, elapsed: int) -> None:
         for t in self.buckets:
@@ -78,12 +82,15 @@
 
 
 class ReferenceBalancer(policy.Balancer):
+    """Releases the tokens of every tenant on each event."""
+
     def _release_tokens(self, now: int) -> None:
         for t in self.buckets.values():
             self.admission.release(t, now)
 
 
 def reference_balancer(settings: api.Settings, seed: int, now: int) -> policy.Balancer:
+    """Return a balancer built from the reference classes."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(balancing, "TokenBucket", ReferenceBucket)
         patch.setattr(balancing, "RateController", ReferenceRateController)
@@ -91,7 +98,7 @@
 
 
 def numeric_state(balancer: policy.Balancer) -> list[object]:
-    """All numbers of all tenants, each to its last bit."""
+    """Return the rate controller's and all tenants' numbers, with floats in exact hex form."""
     r = balancer.rate_controller
     return [
         *(float(n).hex() for n in (r.rate, r.served_per_s, r.finished_per_s, r.best_served_per_s)),
@@ -115,7 +122,7 @@
 
 
 class ComparedBalancers:
-    """The module and the plain one, told the same: whatever either does is compared at once."""
+    """Passes the same events to the policy and the reference and compares actions and state."""
 
     def __init__(self, weights: Sequence[float], seed: int) -> None:
         self.rng = random.Random(seed)
@@ -138,7 +145,7 @@
         self.timers: list[tuple[int, str]] = []
         self.actions = 0
         self.action_types: set[str] = set()
-        self.attempt_counts: dict[str, int] = {}  # attempts of each request
+        self.attempt_counts: dict[str, int] = {}  # request -> number of its attempts
         self.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(8)))
 
     def deliver(self, *events: api.Event) -> None:
@@ -204,7 +211,7 @@
 
 
 def random_weights(rng: random.Random) -> list[float]:
-    """Weights: alike, of few kinds, or any."""
+    """Return tenant weights: all equal, of a few values, or arbitrary."""
     count = rng.choice((1, 2, 7, 40, 150))
     choices = rng.choice(([1.0], [0.1, 0.3, 0.7], [rng.random() for _ in range(count)]))
     return [rng.choice(choices) for _ in range(count)]
@@ -231,13 +238,13 @@
     for i in range(300):
         tenant_count = (
             len(weights) if i > 200 else max(1, len(weights) // 3)
-        )  # some ask for the first time late
+        )  # some tenants send their first request late
         compared.step(tenant_count, rng.choice((2, 10, 40, 300)))
     assert compared.actions > 300 and {"StartAttempt", "RejectRequest"} <= compared.action_types
 
 
 def test_demands_near_the_smallest_float_equal_the_reference() -> None:
-    """What is wanted by those that asked long ago halves until there equals and order change."""
+    """Demands of idle tenants halve until rounding makes them equal and changes their order."""
     smallest_float = 5e-324
     for seed in range(300):
         rng = random.Random(seed)
@@ -269,7 +276,10 @@
 
 
 def test_buffer_capacity_is_not_shared_with_a_fuller_bucket_of_the_same_rate() -> None:
-    """Two at one rate, one of which holds more requests than the rate gives it places."""
+    """Two buckets have the same rate, and one buffers more requests than the rate's capacity.
+
+    The buffer capacity of the fuller bucket must not be copied to the other one.
+    """
     compared = ComparedBalancers([1.0, 1.0, 1.0], 1)
     compared.deliver(api.LearnedState(SECOND, 100.0))
     compared.now += 495 * MS
--- a/tests/policy/test_many_upstreams.py
+++ b/tests/policy/test_many_upstreams.py
@@ -1,7 +1,7 @@
-"""What a balancer costs does not grow with upstreams that it does not need, however few balancers
-there are.
+"""The CPU cost of a balancer is independent of the number of upstreams outside its subset.
 
-Work is counted in the interpreter's instructions, so the verdict is the same on any machine.
+This holds for any number of balancers. The cost is counted in interpreter instructions, so the
+result is the same on any machine.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from tests.bench import MS, READ, SECOND, START
 
 FEW, MANY = 200, 3200
-FLEETS = [(0, 1), (2, 5), (7, 40), (90, 200)]  # this balancer's number, and how many there are
+FLEETS = [(0, 1), (2, 5), (7, 40), (90, 200)]  # (index of this balancer, number of balancers)
 
 
 def count_instructions(work: Callable[[], object]) -> int:
-    """Instructions that it takes."""
+    """Return the number of interpreter instructions that a call executes."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: Any) -> Any:
@@ -68,6 +68,7 @@
 
 
 def drain_and_restore(module: Balancer, number: int) -> None:
+    """Deliver two deltas: one upstream is draining, then ready again."""
     module.handle(
         START,
         [
@@ -80,7 +81,10 @@
 
 
 def send_requests(module: Balancer, count: int, contacted: set[int]) -> None:
-    """One each 10 ms, each of another key, answered well after 5 ms."""
+    """Send a request with a new key every 10 ms; each succeeds after 5 ms.
+
+    The ids of the upstreams used are added to `contacted`.
+    """
     now = START
     for i in range(count):
         now += 5 * MS
--- a/tests/policy/test_rate_controller.py
+++ b/tests/policy/test_rate_controller.py
@@ -8,7 +8,7 @@
 from loadbalancer.policy.rate_controller import MAX_FEEDBACK_NS, RateController
 from tests.bench import SECOND
 
-OVERLOADED = 0.5  # latency above the overload ratio, as recent answers left it
+OVERLOADED = 0.5  # excess of the latency ratio of recent responses over the overload ratio
 
 
 def controller() -> RateController:
@@ -17,7 +17,10 @@
 
 
 def test_idle_proxy_keeps_its_rate() -> None:
-    """It sank by a third every 2 s, to nothing, and the first requests after a rest were lost."""
+    """Guards against a rate that decays while no requests arrive.
+
+    It fell by a third every 2 s, almost to zero, and the first requests after the pause were lost.
+    """
     rate = controller()
     rate.in_time_count = 100
     rate.adjust(SECOND, OVERLOADED)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule's cases through the module's interface, and random legal days against the checker."""
+"""Tests of each rule through the policy interface, with scripted and random event sequences."""
 
 from __future__ import annotations
 
@@ -48,8 +48,9 @@
 
 
 def test_disabled_upstream_gets_no_requests_even_if_listed_as_ready() -> None:
-    """Nor for what waits, what is tried again, and what is listed anew; back again, it counts as
-    cold.
+    """Neither queued requests, retries nor a new endpoint list use a disabled upstream.
+
+    Once it is enabled again, it is in slow start.
     """
     harness = PolicyHarness(servers=2)
     banned, other = (u.id for u in upstreams(2))
@@ -81,6 +82,7 @@
 
 
 def test_reenabled_upstream_is_in_the_candidates_of_a_proxy() -> None:
+    """A proxy also uses a re-enabled upstream that is outside its subset."""
     harness = PolicyHarness(settings(instance_count=20), servers=30)
     pool = harness.balancer.upstream_set.main_pool
     outside_subset = pool.all_upstreams()[-1].id
@@ -92,6 +94,7 @@
 
 
 def test_incomplete_body_is_not_in_flight_and_its_deadline_starts_at_body_end() -> None:
+    """A slow client's upload neither occupies the concurrency limit nor fails its upstream."""
     harness = PolicyHarness(servers=1)
     b = harness.balancer
     open_ended = arrival(1, harness.now, PAY)._replace(
@@ -104,12 +107,12 @@
     harness.advance(20 * SECOND)
     assert (
         "r1" not in harness.outcome and not server.failure_count
-    )  # a slow client is no upstream's fault
+    )  # a slow client does not count as an upstream failure
     harness.deliver(api.BodyCompleted("r1", harness.now + PAY.deadline_ns, harness.now, False))
     assert (b.concurrency.in_flight, server.in_flight) == (1, 1)
     harness.finish(
         "r1", api.AttemptResult.REJECTED
-    )  # it never ran, but can't be sent from its start any more
+    )  # it never ran, but its streamed body cannot be sent again
     assert (b.concurrency.in_flight, server.in_flight) == (0, 0)
     assert harness.outcome["r1"] == "refused" and len(harness.sends["r1"]) == 1
 
@@ -174,8 +177,8 @@
 
 
 def test_short_deadlines_are_answered_while_the_queue_is_blocked() -> None:
-    # Guards against a wake that comes a little early being taken for an old one: no timer was ever
-    # set again.
+    # Guards against a timer that fires slightly early and is ignored as outdated: no further timer
+    # was set, and the queue was never processed again.
     harness = PolicyHarness(servers=1)
     harness.deliver(arrival(1, harness.now))
     for i in range(2, 40):
@@ -228,8 +231,8 @@
 
 
 def test_slow_start_budget_is_divided_among_proxies() -> None:
-    # Guards against forty proxies that each send a cold upstream a little, and together push it
-    # over.
+    # Guards against forty proxies that each send a few requests to a cold upstream and together
+    # overload it.
     sent = []
     for proxies in (1, 40):
         harness = PolicyHarness(settings(instance_count=proxies), servers=0)
@@ -246,6 +249,7 @@
 
 
 def probing_harness(servers: int = 6) -> PolicyHarness:
+    """Return a harness whose balancer may probe upstreams for inflight and queue."""
     limits = api.Limits(max_attempts=3, probes=True, may_cancel=True)
     return PolicyHarness(
         settings(limits=limits, report_columns=("inflight", "queue")), servers=servers
@@ -253,7 +257,8 @@
 
 
 def test_sampled_upstreams_are_probed_and_the_least_loaded_is_chosen() -> None:
-    # With many proxies own counts say little: the upstreams' own word decides.
+    # With many proxies, a proxy's own in-flight counts are a poor measure of an upstream's load, so
+    # the load that the upstreams report decides.
     harness = probing_harness()
     asked = [
         a.upstream
@@ -293,7 +298,8 @@
 
 
 def test_idle_upstream_is_tried_despite_a_high_service_time() -> None:
-    # Guards against refusing on a quiet day because one heavy request made an upstream look slow.
+    # Guards against rejections under low load: one heavy request raised the upstream's estimated
+    # service time.
     harness = probing_harness(servers=1)
     harness.balancer.upstream_set.upstreams[1].relative_service_time = 9.0
     harness.deliver(arrival(1, harness.now, wait_ns=100 * MS))
@@ -311,7 +317,8 @@
 
 
 def test_simultaneous_timeouts_count_as_one_failure() -> None:
-    # Guards against a pause of one upstream, seen by all its requests, barring it for seconds.
+    # Guards against a short stall of one upstream that times out all its requests: counted one by
+    # one, these failures caused the upstream to be avoided for seconds.
     harness = PolicyHarness(servers=1)
     for i in range(6):
         harness.deliver(arrival(i, harness.now, wait_ns=100 * MS))
@@ -321,8 +328,8 @@
 
 
 def test_late_attempt_is_cancelled_only_when_requests_are_queued() -> None:
-    # Late is worth nothing; but where nobody waits, the work is nearly done and the client may have
-    # it.
+    # A late response has no value, so the attempt is cancelled when queued requests need its slot.
+    # Without queued requests it may finish for the client, since most of the work is already done.
     harness = PolicyHarness(servers=1)
     harness.deliver(arrival(1, harness.now, READ))
     harness.advance(READ.latency_objective_ns + 100 * MS)
@@ -370,7 +377,7 @@
     assert len(harness.sends["rlong"]) == 1
     server = harness.sends["rlong"][0][0].id
     harness.finish("rlong", api.AttemptResult.TIMEOUT)
-    # What is sent there next stands still as well, while the others answer.
+    # The next attempts at this upstream get no response either, while the other upstreams respond.
     for i in range(200):
         harness.deliver(
             *(arrival(f"s{i}-{j}", harness.now, READ, wait_ns=2 * SECOND) for j in range(5))
@@ -397,7 +404,9 @@
         harness.finish(f"r{i}")
     assert near >= 75
     zones: set[str] = set()
-    for turn in range(10):  # six at once are more than four bear
+    for turn in range(
+        10
+    ):  # six concurrent requests exceed the capacity of the four local upstreams
         names = [f"m{turn}-{i}" for i in range(6)]
         harness.deliver(*(arrival(name, harness.now) for name in names))
         zones |= {
@@ -410,7 +419,7 @@
 
 
 def test_subsets_cover_all_upstreams_evenly() -> None:
-    # Each proxy takes its own stretch of one ring that all compute alike, and what follows it.
+    # All proxies compute the same ring; each takes its own section and the upstreams after it.
     subset_members: list[int] = []
     for instance in range(10):
         b = Balancer(settings(instance_index=instance, instance_count=10), 1, START)
@@ -426,8 +435,9 @@
 
 
 def test_subset_size_shrinks_as_proxies_increase() -> None:
-    # Incident ib66e0d: in everybody's home an upstream holds what nobody's own count shows. A
-    # quarter of the fleet is enough for a key's requests to meet again.
+    # Incident ib66e0d: an upstream in the subset of every proxy has many requests in flight that no
+    # single proxy's count shows. A subset of a quarter of the fleet is large enough for requests of
+    # one key to reach the same upstream again.
     sizes = {}
     for proxies in (3, 20, 400):
         b = Balancer(settings(instance_index=1, instance_count=proxies), 1, START)
@@ -437,8 +447,8 @@
 
 
 def test_concurrency_limit_does_not_grow_before_the_first_responses() -> None:
-    # Incident i4eb9e9: the line waited at the start, each limit looked good before its requests
-    # were done.
+    # Incident i4eb9e9: requests were queued at the start, and each limit was raised before the
+    # requests sent under it had finished.
     harness = PolicyHarness(settings(instance_count=20))
     for i in range(300):
         harness.deliver(arrival(i, harness.now))
@@ -447,7 +457,7 @@
 
 
 def test_initial_windows_of_all_proxies_sum_to_a_few_requests_per_upstream() -> None:
-    # Incident i9559ec: two requests a proxy, of 279 proxies, choked 42 upstreams in their first
+    # Incident i9559ec: 279 proxies with two requests each overloaded 42 upstreams in their first
     # seconds.
     for proxies in (1, 10, 100, 400):
         harness = PolicyHarness(settings(instance_count=proxies), servers=40)
@@ -459,7 +469,8 @@
 def test_fast_responses_do_not_grow_the_window_to_overload(
     proxies: int, max_per_upstream: float
 ) -> None:
-    # Twelve boxes of two cores turned slow for long once each had eight in flight.
+    # Twelve upstreams with two cores each stayed slow for a long time once each had eight requests
+    # in flight.
     harness = PolicyHarness(settings(instance_count=proxies), servers=12)
     concurrency, width = (
         harness.balancer.concurrency,
@@ -471,7 +482,7 @@
 
 
 def run_sequential_requests(harness: PolicyHarness, duration_ns: int, count: int = 40) -> None:
-    """So many requests, one after another, that each take this long."""
+    """Run `count` requests one after another, each finishing after `duration_ns`."""
     for i in range(count):
         ident = f"{harness.now}-{i}"
         harness.deliver(arrival(ident, harness.now))
@@ -490,7 +501,8 @@
 
 
 def test_lost_responses_do_not_reduce_the_admission_rate() -> None:
-    # Bergen's lost-answer days: R went down for ever though the answers that came were quick.
+    # Guards against a fault of the Bergen days with lost responses: the admission rate R fell
+    # permanently although the responses that did arrive were fast.
     harness = PolicyHarness(settings(instance_count=10, limits=api.Limits(max_attempts=1)))
     for i in range(400):
         harness.deliver(arrival(i, harness.now, PAY))
@@ -502,10 +514,12 @@
 
 
 def test_overdue_attempts_free_only_part_of_the_window() -> None:
-    # One silent upstream must not stop all others; a fleet of slow ones must not let the window
-    # leak.
+    # One upstream that never responds must not block the requests to all others, and a slow fleet
+    # must not raise the number of open attempts far above the window.
     for stress, more in ((1.0, 1), (0.1, 2)):
-        harness = PolicyHarness(settings(instance_count=8), servers=4)  # a window of two
+        harness = PolicyHarness(
+            settings(instance_count=8), servers=4
+        )  # a concurrency window of two
         harness.deliver(*(arrival(i, harness.now) for i in range(10)))
         assert len(harness.open_attempts()) == 2
         harness.balancer.concurrency.overdue, harness.balancer.concurrency.latency_ratio = 2, stress
@@ -514,8 +528,8 @@
 
 
 def test_queue_stays_short_for_a_class_with_a_long_latency_objective() -> None:
-    # Incident i31aba8: requests with two seconds to spare filled the line, and quick ones never got
-    # in.
+    # Incident i31aba8: requests with two seconds left filled the queue, and requests with a short
+    # deadline were never admitted.
     slow = api.RequestClass("slow", api.Effect.IDEMPOTENT, latency_objective_ns=20 * SECOND)
     harness = PolicyHarness(
         settings(classes={"slow": slow, "read": READ}, instance_count=20), servers=1
@@ -533,8 +547,8 @@
 
 
 def test_first_responses_have_more_weight_in_the_service_time() -> None:
-    # Incident i530c5f: with two requests a second, what a request takes was known only after many
-    # seconds.
+    # Incident i530c5f: at two requests per second, the estimate of the service time needed many
+    # seconds to become accurate.
     harness = PolicyHarness()
     for i in range(3):
         harness.deliver(arrival(i, harness.now))
@@ -581,7 +595,7 @@
     for step_ns, avoided_count in (
         (5 * MS, 1),
         (120 * MS, 0),
-    ):  # in time, and on one turn that comes late
+    ):  # on time, and in one late event-loop iteration
         harness = PolicyHarness()
         harness.deliver(arrival(1, harness.now))
         harness.advance(120 * MS, step_ns)
@@ -776,7 +790,8 @@
 
 
 def test_restricted_class_is_rejected_without_blocking_other_classes() -> None:
-    # The only allowed upstreams fail: nothing of that class may go elsewhere, nor hold up what can.
+    # The only allowed upstreams fail: requests of this class may not go to others and may not block
+    # requests of other classes.
     harness = PolicyHarness(servers=0)
     harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, mixed_upstreams(6)))
     for i in range(40):
@@ -795,7 +810,7 @@
 
 
 def test_restricted_class_is_rejected_immediately_without_allowed_upstreams() -> None:
-    harness = PolicyHarness()  # all in the zone east
+    harness = PolicyHarness()  # all upstreams are in the zone east
     tokens = harness.balancer.buckets["ash"].counter
     harness.deliver(arrival(1, harness.now, WEST_ONLY))
     assert harness.outcome["r1"] == "refused" and harness.balancer.buckets["ash"].counter == tokens
@@ -883,12 +898,12 @@
     assert not harness.balancer.context.key_queues and not harness.balancer.requests
 
 
-# ---- cold upstreams (rule 4), over several proxies -----------------------------------------------
+# ---- slow start (rule 4), over several proxies ---------------------------------------------------
 
 
 def test_proxies_spread_their_first_requests_to_a_new_upstream() -> None:
-    # Incident i604f4b: each kept its gap, but all sent their first request the moment they heard of
-    # it.
+    # Incident i604f4b: each proxy kept its interval between requests, but all proxies sent their
+    # first request as soon as they received the new upstream.
     harnesses = [
         PolicyHarness(
             settings(instance_index=instance, instance_count=40), seed=instance, servers=4
@@ -896,7 +911,7 @@
         for instance in range(40)
     ]
     for harness in harnesses:
-        for i in range(40):  # what a warm upstream bears is seen first: 50 ms a request
+        for i in range(40):  # first measure a warm upstream: 50 ms per request
             harness.deliver(arrival(f"w{i}", harness.now))
             harness.advance(50 * MS)
             for request, number in harness.open_attempts():
@@ -923,10 +938,11 @@
     check_slow_start_budget(sends, started, harnesses[0].config.rules, 40 * 20 / 4)
 
 
-# ---- the checker itself --------------------------------------------------------------------------
+# ---- the harness itself --------------------------------------------------------------------------
 
 
 def assert_violation(harness: PolicyHarness, *actions: api.Action) -> None:
+    """Check that the harness rejects one of these actions."""
     with pytest.raises(AssertionError):
         for action in actions:
             harness._check_action(action)
@@ -942,18 +958,18 @@
     one, pay = arrival(1, START), arrival(1, START, PAY)
     assert_violation(
         new_harness(one), api.RejectRequest("r1"), api.StartAttempt("r1", 1)
-    )  # 1: sent after its end
+    )  # 1: sent after its completion
     assert_violation(
         new_harness(one), api.RejectRequest("r1"), api.FailRequest("r1")
-    )  # 1: two answers
+    )  # 1: two outcomes
     assert_violation(
         new_harness(one), api.StartAttempt("r1", 1), api.StartAttempt("r1", 2)
-    )  # 2: two out, copies not allowed
+    )  # 2: two open attempts without hedging
     ran = new_harness(pay)
     ran._check_action(api.StartAttempt("r1", 1))
     ran.results["r1", 0] = api.AttemptResult.ERROR
-    assert_violation(ran, api.RejectRequest("r1"))  # 2: refused though it may have run
-    assert_violation(ran, api.StartAttempt("r1", 2))  # 2: unsafe and sent again
+    assert_violation(ran, api.RejectRequest("r1"))  # 2: rejected though it may have run
+    assert_violation(ran, api.StartAttempt("r1", 2))  # 2: not idempotent and retried
     drains = new_harness(
         one,
         api.EndpointsUpdated(
@@ -961,18 +977,20 @@
             [mixed_upstreams(1)[0]._replace(state=api.UpstreamState.DRAINING)],
         ),
     )
-    assert_violation(drains, api.StartAttempt("r1", 1))  # 3
-    with pytest.raises(AssertionError):  # 4
+    assert_violation(drains, api.StartAttempt("r1", 1))  # 3: sent to a draining upstream
+    with pytest.raises(AssertionError):  # 4: slow-start budget exceeded
         check_slow_start_budget(
             [START + i * MS for i in range(60)], START, api.TrafficRules(slow_start_ns=SECOND), 10.0
         )
     row = [arrival(i, START, KEY_ORDERED, key="k") for i in (1, 2)]
-    assert_violation(new_harness(*row), api.StartAttempt("r2", 1))  # 5: before its turn
-    is_blocked = new_harness(*row)
-    is_blocked._check_action(api.StartAttempt("r1", 1))
-    is_blocked._record_event(is_blocked.result("r1", 0, api.AttemptResult.RESET))
-    is_blocked._check_action(api.FailRequest("r1"))
-    assert_violation(is_blocked, api.StartAttempt("r2", 1))  # 5: its key rests
+    assert_violation(
+        new_harness(*row), api.StartAttempt("r2", 1)
+    )  # 5: before an earlier request of its key
+    blocked = new_harness(*row)
+    blocked._check_action(api.StartAttempt("r1", 1))
+    blocked._record_event(blocked.result("r1", 0, api.AttemptResult.RESET))
+    blocked._check_action(api.FailRequest("r1"))
+    assert_violation(blocked, api.StartAttempt("r2", 1))  # 5: while its key is blocked
     assert_violation(
         new_harness(arrival(1, START, WEST_ONLY)), api.StartAttempt("r1", 2)
     )  # 6: zone
@@ -980,13 +998,14 @@
 
 
 def load_reporting_harness(servers: int = 6) -> PolicyHarness:
-    """A desk where upstreams are asked for their load before each send."""
+    """Return a harness whose balancer probes the load of upstreams before it sends a request."""
     limits = api.Limits(max_attempts=3, probes=True, may_cancel=True, retry_after=True)
     return PolicyHarness(settings(limits=limits, report_columns=("inflight",)), servers=servers)
 
 
 def test_one_load_probe_per_upstream_serves_all_waiting_requests() -> None:
-    # Each request asked for itself: in half a second 160 connections were open, and none to spare.
+    # Guards against one probe per request: within half a second 160 connections were open, and no
+    # connection was left.
     harness = load_reporting_harness(3)
     actions = harness.deliver(*(arrival(i, harness.now) for i in range(20)))
     asked = [a.upstream for a in actions if isinstance(a, api.CheckHealth)]
@@ -996,7 +1015,8 @@
         *(api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": 0.0}) for u in asked)
     )
     assert len(harness.sends) > 1 and not harness.outcome
-    # Who does not answer is not asked again meanwhile, nor waited for; once it has, it is.
+    # An upstream with an unanswered probe is not probed again, and no further request waits for it.
+    # After the probe has finished, the next request probes the upstream again.
     harness = load_reporting_harness(1)
     assert len(of_type(api.CheckHealth, harness.deliver(arrival(1, harness.now)))) == 1
     harness.advance(20 * MS)
@@ -1012,14 +1032,15 @@
 def test_requests_sent_during_a_probe_are_added_to_the_reported_load() -> None:
     harness = load_reporting_harness(1)
     harness.deliver(arrival(1, harness.now))
-    harness.advance(20 * MS)  # not waited for any longer
+    harness.advance(20 * MS)  # the request no longer waits for the probe
     harness.deliver(arrival(2, harness.now))
     harness.deliver(api.HealthCheckFinished(1, api.AttemptResult.OK, 20 * MS, {"inflight": 3.0}))
     assert harness.balancer.upstream_set.upstreams[1].reported_load == 5.0
 
 
 def test_waiting_for_a_load_report_does_not_cause_rejections() -> None:
-    # Requests of tenants over their share were refused as soon as one other waited for an answer.
+    # Guards against rejecting requests of tenants over their share as soon as another request waits
+    # for a load report.
     harness = load_reporting_harness()
     harness.balancer.rate_controller.served_per_s = 1.0
     for t in harness.balancer.buckets.values():
@@ -1032,7 +1053,7 @@
     harness = PolicyHarness(servers=3)
     harness.deliver(*(arrival(i, harness.now) for i in range(6)))
     assert harness.open_attempts()
-    for first in range(10, 3000, 3):  # ever new ids, by whole lists and by changes
+    for first in range(10, 3000, 3):  # new ids each time, by full lists and by deltas
         gone = [
             u._replace(state=api.UpstreamState.REMOVED)
             for u in harness.endpoints.values()
@@ -1071,8 +1092,9 @@
     result_of: Callable[[int, int], api.AttemptResult],
     name: str = "",
 ) -> Counter[int]:
-    """So many rounds of eight requests; `result_of` gives the result of each attempt.
-    Returns the attempts at each upstream.
+    """Run `count` rounds of eight requests and return the number of attempts at each upstream.
+
+    `result_of` gets an upstream's id and the number of attempts so far, and returns the result.
     """
     seen: Counter[int] = Counter()
     for i in range(count):
@@ -1088,10 +1110,10 @@
 
 @pytest.mark.parametrize("faulty", [1, 6])
 def test_one_failing_upstream_is_avoided_but_not_all(faulty: int) -> None:
-    # It answers at once and so seems the lightest of all.
+    # An upstream that fails immediately always seems to be the least loaded one.
     harness = PolicyHarness(servers=6)
-    # Weighed by its errors it is met seldom: it takes more requests until it is left alone for
-    # them.
+    # Its error rate lowers its weight, so it gets few requests, and more requests are needed until
+    # its failures cause it to be avoided.
     seen = run_rounds(
         harness,
         450,
@@ -1106,8 +1128,8 @@
 
 
 def test_resets_shared_by_all_upstreams_avoid_none() -> None:
-    # With one attempt in ten broken anywhere, half the upstreams stood barred and the others were
-    # crowded.
+    # Guards against resets of one attempt in ten at all upstreams: half the upstreams were avoided,
+    # and the others were overloaded.
     harness = PolicyHarness(servers=6)
     run_rounds(
         harness,
@@ -1119,7 +1141,7 @@
         for s in harness.balancer.upstream_set.upstreams.values()
         if s.avoid_until_ns > harness.now
     ]
-    # But where all break at one upstream, it has failed.
+    # An upstream at which every attempt is reset has failed.
     run_rounds(
         harness,
         200,
@@ -1130,7 +1152,8 @@
 
 
 def test_admission_rate_recovers_quickly_without_overload() -> None:
-    # After a bad first half second R let through half of what came, for five seconds.
+    # Guards against a slow recovery: after an overloaded first half second, the admission rate R
+    # admitted only half of the requests for five seconds.
     harness = PolicyHarness(servers=6)
     harness.balancer.rate_controller.rate = 100.0
     for i in range(1500):
@@ -1150,7 +1173,7 @@
         100,
         300,
         500,
-    ):  # each after the time for which the one before it had it left alone
+    ):  # each after the avoidance period of the previous failure
         upstream_set.record_failure(Attempt(server, sent, 1.0, 1.0), sent + late_ms * MS, 10 * MS)
     assert server.failure_count == 1
     upstream_set.record_failure(
@@ -1175,7 +1198,8 @@
 def test_rejected_burst_reduces_the_rate_only_if_upstreams_are_slow(
     stress: float, keeps_rate: bool
 ) -> None:
-    # A start in which nearly all were refused left R at what little was sent, for seconds.
+    # Guards against a start in which nearly all requests are rejected: the admission rate R then
+    # stayed at the low rate of sent requests for seconds.
     harness = PolicyHarness()
     rate = harness.balancer.rate_controller
     rate.in_time_count, rate.unplaced_count = 30, 200
@@ -1196,7 +1220,8 @@
 
 
 def test_proxy_without_upstreams_subscribes_immediately() -> None:
-    # With a very long ask_within_ns a proxy that knew nobody refused everything for minutes.
+    # Guards against a proxy without upstreams that rejected all requests for minutes because the
+    # list expiry, and with it the delay of its first call, was very long.
     config = settings(discovery_push=False, rules=api.TrafficRules(list_expiry_ns=3600 * SECOND))
     for seed in range(20):
         b = Balancer(config, seed, START)
@@ -1206,7 +1231,7 @@
             now += 5 * MS
             asked += of_type(api.SubscribeEndpoints, b.handle(now, []))
         assert len(asked) == 1, f"seed {seed}"
-    known = Balancer(config, 1, START)  # whoever knows upstreams leaves the others time to ask
+    known = Balancer(config, 1, START)  # with upstreams, its first call is delayed
     first = known.handle(START, [api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(6))])
     soon = known.handle(START + 100 * MS, [])
     later = known.handle(START + 3 * SECOND, [])
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -49,8 +49,9 @@
 def run_arrivals(
     bucket: TokenBucket[Request], steps: list[int]
 ) -> tuple[list[int], list[int], list[str]]:
-    """At each second: one token, then that many requests. Gives U, the overflows so far, the order
-    sent.
+    """In each second, accrue one token, then offer the number of requests of that step.
+
+    Returns, for each step, the counter U and the overflows so far; and the ids in sending order.
     """
     counters, overflows, sent = [], [], []
     overflow = count = 0
@@ -70,7 +71,7 @@
 
 
 def recursion(total: int, u: int, steps: list[int]) -> tuple[list[int], list[int]]:
-    """(2.8) and (2.10), a token epoch and then the requests one by one."""
+    """Evaluate (2.8) and (2.10): a token epoch, then the requests one by one."""
     counters, overflows, overflow = [], [], 0
     for arrivals in steps:
         u = min(total, u + 1)
--- a/tests/policy/test_upstream_set.py
+++ b/tests/policy/test_upstream_set.py
@@ -1,6 +1,6 @@
-"""What one balancer among forty must conclude from the few requests that it sends to each upstream.
+"""Tests of upstream selection by one of many balancers, which sends few requests per upstream.
 
-A small virtual clock and a model of upstreams drive the decision module alone; the seed is fixed.
+A virtual clock and a simple model of upstreams drive the policy module alone; the seed is fixed.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
         "book", api.Effect.NON_IDEMPOTENT, latency_objective_ns=600 * MS, deadline_ns=1400 * MS
     ),
 }
-SimulatedResult = tuple[api.AttemptResult, int]  # and after how many ns
+SimulatedResult = tuple[api.AttemptResult, int]  # the result, and the attempt's duration in ns
 
 
 class SimulatedProxy:
-    """One proxy on a virtual clock: requests come by chance, `simulate_attempt` says how an attempt
-    ends.
+    """One proxy on a virtual clock with random arrivals.
+
+    `simulate_attempt` gets an upstream and the time, and returns the result of an attempt.
     """
 
     def __init__(
@@ -56,12 +57,12 @@
         self.simulate_attempt = simulate_attempt
         self.event_queue: list[tuple[int, int, api.Event]] = []
         self.count = 0
-        self.sent: list[tuple[int, int]] = []  # when, and to which
+        self.sent: list[tuple[int, int]] = []  # (time, upstream)
         self.outcomes: Counter[str] = Counter()
         self.attempts: Counter[str] = Counter()
         self.open_requests: set[str] = set()
         self.request_keys: dict[str, str] = {}
-        self.by_key: Counter[tuple[str, int]] = Counter()  # attempts of a key at an upstream
+        self.by_key: Counter[tuple[str, int]] = Counter()  # (key, upstream) -> number of attempts
         self.schedule(self.now, api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams))
 
     def schedule(self, at: int, event: api.Event) -> None:
@@ -69,7 +70,7 @@
         heapq.heappush(self.event_queue, (at, self.count, event))
 
     def run_load(self, seconds: float, rate: float, keys: Sequence[str] = ("",)) -> None:
-        """Play on, with so many requests a second, each of one of these keys."""
+        """Continue for some seconds with `rate` requests per second, each with a random key."""
         end = at = self.now
         end += int(seconds * SECOND)
         while (at := at + int(self.rng.expovariate(rate) * SECOND)) < end:
@@ -122,14 +123,15 @@
                 pass
 
     def fraction_sent_to(self, upstreams: set[int], since: int) -> float:
-        """Of what was sent since then."""
+        """Return the fraction of attempts since a time that went to these upstreams."""
         sent = [to for at, to in self.sent if at >= since]
         return sum(to in upstreams for to in sent) / len(sent)
 
 
 def test_half_failing_upstream_is_avoided_and_used_again_after_recovery() -> None:
-    """Seen in a zone's loss at 40 proxies: a third of all attempts went to upstreams that fail at
-    once.
+    """Guards against a fault observed with 40 proxies during the loss of a zone.
+
+    A third of all attempts went to upstreams that failed immediately.
     """
     shares_while_failing, shares_after_recovery = [], []
     for seed in range(1, 6):
@@ -149,13 +151,15 @@
         failing.clear()
         proxy.run_load(20, 25)
         shares_after_recovery.append(9 * proxy.fraction_sent_to({1}, proxy.now - 12 * SECOND))
-    assert sum(shares_while_failing) / 5 < 0.5, shares_while_failing  # of its share
+    assert sum(shares_while_failing) / 5 < 0.5, shares_while_failing  # of its fair share
     assert sum(shares_after_recovery) / 5 > 0.7, shares_after_recovery
 
 
 def test_small_overloaded_zone_spills_traffic_to_other_zones() -> None:
-    """Seen at 40 proxies: 15 of them held all 8 upstreams of their zone at four requests each,
-    refused half of what came, and never met the other 52, which held one.
+    """Guards against a fault observed with 40 proxies, 15 of them in a zone with 8 upstreams.
+
+    The 15 proxies kept four requests in flight at each of the 8 upstreams and rejected half of
+    their requests, but never used the other 52 upstreams, which had one request in flight.
     """
     fleet = [api.Upstream(n, zone="a" if n <= 8 else "bcd"[n % 3]) for n in range(1, 61)]
     local = set(range(1, 9))
@@ -165,7 +169,7 @@
         def simulate_attempt(
             upstream: int, now: int, chance: random.Random = chance
         ) -> SimulatedResult:
-            slowdown = 4 if upstream in local else 1  # by the others of the zone
+            slowdown = 4 if upstream in local else 1  # caused by the other proxies of the zone
             return api.AttemptResult.OK, int(slowdown * chance.uniform(40, 90) * MS)
 
         proxy = SimulatedProxy(
@@ -191,8 +195,10 @@
 
 
 def test_avoided_cold_upstreams_with_requests_count_in_the_window() -> None:
-    """Seen when six in ten are replaced: each cold one is left alone between two sends, and counted
-    for nothing in the window, which its request still filled.
+    """Guards against a fault observed when six in ten upstreams were replaced.
+
+    A cold upstream is avoided between two sends and added no capacity to the concurrency window,
+    while its request in flight still occupied the window.
     """
     cold = {5, 6, 7, 8, 9}
     fleet = [api.Upstream(n, started_ns=SECOND // 2 if n in cold else 0) for n in range(1, 10)]
@@ -209,8 +215,9 @@
 
 
 def test_malformed_endpoint_lists_keep_routing_working() -> None:
-    """Ids twice, a zone that nobody else is in, a start in the future, thousands at once, and
-    partial lists that name what was never listed as gone.
+    """Lists with duplicate ids, a zone of one upstream, a future start, or thousands of entries.
+
+    Deltas also remove or drain upstreams that were never listed.
     """
     malformed = [
         api.Upstream(1, zone="a"),
@@ -249,8 +256,11 @@
 
 
 def test_independent_proxies_send_a_key_to_the_same_few_upstreams() -> None:
-    """An upstream that lately met a key does less work for it, and remembers few keys. Drawn
-    by chance from homes of four, which differ, each key goes to all upstreams of a large fleet."""
+    """Requests of one key should reach the same few upstreams, whose caches hold few keys.
+
+    Guards against choosing upstreams at random from subsets of four, which differ between proxies:
+    each key then reached all upstreams of a large fleet.
+    """
     fleet = [api.Upstream(n) for n in range(1, 121)]
     keys = [f"order:{n}" for n in range(40)]
     total: Counter[tuple[str, int]] = Counter()
@@ -270,12 +280,12 @@
     )
     assert (
         sent_to_top_eight / sum(total.values()) > 0.6
-    )  # by chance, 8 of 120 upstreams get some 0.2
+    )  # with random choice, 8 of 120 upstreams get about 0.2
 
 
 def test_hot_key_does_not_overload_its_upstreams() -> None:
     chance = random.Random(4)
-    open_attempts: list[tuple[int, int]] = []  # until when, and where
+    open_attempts: list[tuple[int, int]] = []  # (end time, upstream)
 
     def simulate_attempt(upstream: int, now: int) -> SimulatedResult:
         held = 1 + sum(other == upstream and until > now for until, other in open_attempts)
@@ -291,7 +301,7 @@
 
 
 def test_unlimited_keys_use_bounded_memory_and_unusual_keys_are_served() -> None:
-    """On a long day keys are ever new, and bad clients send what is no text or very long."""
+    """New keys never stop arriving, and clients send keys that are not text or very long."""
     proxy = SimulatedProxy(
         [api.Upstream(n) for n in range(1, 13)], lambda upstream, now: (api.AttemptResult.OK, MS)
     )
@@ -306,8 +316,9 @@
 
 
 def test_subset_shrinks_during_fleet_replacement_and_grows_afterwards() -> None:
-    """A replaced fleet has met no key, and each of many upstreams is known the later the more there
-    are.
+    """New upstreams have no cached keys, and a larger subset takes longer to measure.
+
+    So the subset is small while many upstreams are new, and large again afterwards.
     """
     proxy = SimulatedProxy(
         [api.Upstream(n) for n in range(1, 121)],
@@ -320,8 +331,8 @@
     proxy.schedule(2 * SECOND, api.EndpointsUpdated(api.EndpointListKind.DELTA, fresh))
     proxy.run_until(3 * SECOND)
     small = proxy.balancer.upstream_set.main_pool.subset_size
-    # Random draws still come from as many, for as long as it lasts: a proxy's few are the same few
-    # others' too.
+    # While the subset is small, random choices still use as many candidates as before, because the
+    # few upstreams of a proxy's subset are in other proxies' subsets as well.
     for second in range(4, 25):
         proxy.schedule(second * SECOND, api.EndpointsUpdated(api.EndpointListKind.DELTA, []))
         proxy.run_until(second * SECOND)
@@ -332,8 +343,9 @@
 
 
 def test_response_has_more_weight_after_a_longer_pause() -> None:
-    """In a home of thirty each is met once in seconds: one that turned slow must not take ten
-    answers.
+    """In a subset of thirty, each upstream gets a request only every few seconds.
+
+    Detecting that an upstream became slow must not take ten responses.
     """
 
     def service_time_after(pause: int) -> float:
@@ -355,7 +367,10 @@
 
 
 def test_start_time_in_the_future_is_accepted_without_slow_start() -> None:
-    """Starts in a shared list are rounded; without a rule for cold ones such a list was lost."""
+    """Start times in a shared list are rounded and can be in the future.
+
+    Guards against dropping such a list when slow start is disabled.
+    """
     harness = PolicyHarness(settings(rules=api.TrafficRules(slow_start_ns=0)), servers=0)
     harness.deliver(
         api.EndpointsUpdated(
