--- a/tests/bench.py
+++ b/tests/bench.py
@@ -101,14 +101,14 @@
     In no overload window may a cold upstream get more requests than its slow-start capacity allows,
     with a tolerance of two.
     """
-    for i, last in enumerate(sends):
-        age = last - started_ns
+    for i, sent_ns in enumerate(sends):
+        age = sent_ns - started_ns
         if age >= rules.slow_start_ns:
             continue
         capacity_fraction = (
             rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age / rules.slow_start_ns
         )
-        count = sum(last - rules.overload_window_ns < t <= last for t in sends[: i + 1])
+        count = sum(sent_ns - rules.overload_window_ns < t <= sent_ns for t in sends[: i + 1])
         max_sends = (
             rules.overload_multiple
             * capacity_fraction
@@ -155,13 +155,13 @@
         self.emitted_actions += actions
         return actions
 
-    def advance(self, by_ns: int, step_ns: int = 5 * MS) -> list[api.Action]:
+    def advance(self, duration_ns: int, step_ns: int = 5 * MS) -> list[api.Action]:
         """Advance the clock in steps and return all actions.
 
         Each step delivers expired timers, and a TIMEOUT for open attempts at their deadline.
         """
         collected: list[api.Action] = []
-        end = self.now + by_ns
+        end = self.now + duration_ns
         while self.now < end:
             self.now = min(end, self.now + step_ns)
             due = sorted(t for t in self.timers if t[0] <= self.now)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -130,7 +130,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections.append(writer)
         number = len(self.connections)
-        waiting: set[asyncio.Task[None]] = set()
+        response_tasks: set[asyncio.Task[None]] = set()
         try:
             while True:
                 message = await read_message(reader)
@@ -138,12 +138,12 @@
                 self.received_requests.append(message)
                 self.notify()
                 task = asyncio.create_task(self._answer(message, writer))
-                waiting.add(task)
+                response_tasks.add(task)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.peer_closed_count += 1
             self.notify()
         finally:
-            for task in waiting:
+            for task in response_tasks:
                 task.cancel()
             writer.close()
 
@@ -237,11 +237,11 @@
         if "from=" not in message.start_line[1]:
             return http_response(200, json.dumps(self.full_list()).encode())
         query = message.start_line[1].partition("?")[2].split("&")
-        known_version, hold_ms = (int(part.partition("=")[2]) for part in query)
-        if hold_ms > self.max_answered_wait_ms:
+        known_version, wait_ms = (int(part.partition("=")[2]) for part in query)
+        if wait_ms > self.max_answered_wait_ms:
             return await never_respond()
         with suppress(TimeoutError):
-            async with asyncio.timeout(hold_ms / 1000):
+            async with asyncio.timeout(wait_ms / 1000):
                 await self.until(lambda: self.version > known_version)
         changed_rows = [row for version, row in self.changes if version > known_version]
         change = {"version": self.version, "full": False, "servers": changed_rows}
@@ -390,16 +390,24 @@
         await upstream.start()
     discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
     await discovery.start()
-    w = BalancerHarness(upstreams, discovery)
+    harness = BalancerHarness(upstreams, discovery)
     listener = listening_socket(("127.0.0.1", 0), shared=True)
     listener.listen()  # connections wait in the accept queue until the balancer runs
-    w.address = listener.getsockname()
-    plain = Config(
-        w.address, discovery.address, 7, sockets, settings, discovery.full_list(), None, [], None
+    harness.address = listener.getsockname()
+    default_config = Config(
+        harness.address,
+        discovery.address,
+        7,
+        sockets,
+        settings,
+        discovery.full_list(),
+        None,
+        [],
+        None,
     )
-    task = asyncio.create_task(serve(replace(plain, **config), listener, door))
+    task = asyncio.create_task(serve(replace(default_config, **config), listener, door))
     try:
-        yield w
+        yield harness
     finally:
         task.cancel()
         with suppress(asyncio.CancelledError):
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -260,20 +260,20 @@
     # With many proxies, a proxy's own in-flight counts are a poor measure of an upstream's load, so
     # the load that the upstreams report decides.
     harness = probing_harness()
-    asked = [
+    probed = [
         a.upstream
         for a in harness.deliver(arrival(1, harness.now))
         if isinstance(a, api.CheckHealth)
     ]
-    assert asked and "r1" not in harness.sends
+    assert probed and "r1" not in harness.sends
     harness.now += MS
     harness.deliver(
         *(
             api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": float(i)})
-            for i, u in enumerate(asked)
+            for i, u in enumerate(probed)
         )
     )
-    assert harness.sends["r1"][0][0].id == asked[0]
+    assert harness.sends["r1"][0][0].id == probed[0]
 
 
 def test_request_is_sent_when_a_load_report_is_lost() -> None:
@@ -285,14 +285,14 @@
 
 def test_request_is_rejected_when_all_probed_upstreams_are_overloaded() -> None:
     harness = probing_harness()
-    asked = [
+    probed = [
         a.upstream
         for a in harness.deliver(arrival(1, harness.now))
         if isinstance(a, api.CheckHealth)
     ]
     harness.now += MS
     harness.deliver(
-        *(api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": 500.0}) for u in asked)
+        *(api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": 500.0}) for u in probed)
     )
     assert harness.outcome["r1"] == "refused"
 
@@ -396,18 +396,18 @@
     mixed_upstreams = [u._replace(zone=("east", "west")[u.id % 2]) for u in upstreams(8)]
     harness = PolicyHarness(settings(prices=api.Prices(cross_zone=0.03)), servers=0)
     harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, mixed_upstreams))
-    near = 0
+    local_count = 0
     for i in range(100):
         harness.deliver(arrival(i, harness.now))
-        near += harness.sends[f"r{i}"][0][0].zone == "east"
+        local_count += harness.sends[f"r{i}"][0][0].zone == "east"
         harness.advance(5 * MS)
         harness.finish(f"r{i}")
-    assert near >= 75
+    assert local_count >= 75
     zones: set[str] = set()
-    for turn in range(
+    for round_number in range(
         10
     ):  # six concurrent requests exceed the capacity of the four local upstreams
-        names = [f"m{turn}-{i}" for i in range(6)]
+        names = [f"m{round_number}-{i}" for i in range(6)]
         harness.deliver(*(arrival(name, harness.now) for name in names))
         zones |= {
             harness.sends[f"r{name}"][0][0].zone for name in names if f"r{name}" in harness.sends
@@ -428,10 +428,11 @@
             s.id
             for s in b.upstream_set.main_pool.candidates[: b.upstream_set.main_pool.subset_size]
         ]
-    shared = Counter(subset_members)
-    assert set(shared) == set(range(1, 101)) and max(shared.values()) - min(shared.values()) <= 1, (
-        shared
-    )
+    proxies_per_upstream = Counter(subset_members)
+    assert (
+        set(proxies_per_upstream) == set(range(1, 101))
+        and max(proxies_per_upstream.values()) - min(proxies_per_upstream.values()) <= 1
+    ), proxies_per_upstream
 
 
 def test_subset_size_shrinks_as_proxies_increase() -> None:
@@ -495,9 +496,9 @@
     harness = PolicyHarness(settings(instance_count=10))
     start = harness.balancer.concurrency.window
     run_sequential_requests(harness, 280 * MS)
-    narrow = harness.balancer.concurrency.window
+    narrow_window = harness.balancer.concurrency.window
     run_sequential_requests(harness, 20 * MS, 200)
-    assert narrow < start and narrow < harness.balancer.concurrency.window
+    assert narrow_window < start and narrow_window < harness.balancer.concurrency.window
 
 
 def test_lost_responses_do_not_reduce_the_admission_rate() -> None:
@@ -581,8 +582,10 @@
     waited_ms: int, outcome: str | None
 ) -> None:
     harness = PolicyHarness()
-    asked = harness.now - waited_ms * MS
-    rejections = harness.deliver(arrival(1, asked, wait_ns=500 * MS)._replace(received_ns=asked))
+    arrived_ns = harness.now - waited_ms * MS
+    rejections = harness.deliver(
+        arrival(1, arrived_ns, wait_ns=500 * MS)._replace(received_ns=arrived_ns)
+    )
     assert harness.outcome.get("r1") == outcome and len(harness.sends) == (outcome is None)
     assert all(
         a.retry_after_ns > 0
@@ -648,18 +651,18 @@
 
 
 def test_first_discovery_calls_are_spread_over_time() -> None:
-    asked = set()
+    first_call_steps = set()
     for seed in range(10):
         b = Balancer(settings(discovery_push=False), seed, START)
         b.handle(START, [api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(6))])
-        asked.add(
+        first_call_steps.add(
             next(
                 n
                 for n in range(60)
                 if of_type(api.SubscribeEndpoints, b.handle(START + n * 50 * MS, []))
             )
         )
-    assert len(asked) > 5
+    assert len(first_call_steps) > 5
 
 
 def test_push_mode_never_calls_discovery() -> None:
@@ -921,10 +924,10 @@
         harness.deliver(
             api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(4) + upstreams(1, 9, started))
         )
-    waits = {
+    avoid_delays = {
         harness.balancer.upstream_set.upstreams[9].avoid_until_ns - started for harness in harnesses
     }
-    assert len(waits) == len(harnesses) and max(waits) > 100 * MS
+    assert len(avoid_delays) == len(harnesses) and max(avoid_delays) > 100 * MS
     for i in range(80):
         for harness in harnesses:
             harness.deliver(*(arrival(f"c{i}-{j}", harness.now) for j in range(2)))
@@ -970,14 +973,14 @@
     ran.results["r1", 0] = api.AttemptResult.ERROR
     assert_violation(ran, api.RejectRequest("r1"))  # 2: rejected though it may have run
     assert_violation(ran, api.StartAttempt("r1", 2))  # 2: not idempotent and retried
-    drains = new_harness(
+    draining = new_harness(
         one,
         api.EndpointsUpdated(
             api.EndpointListKind.DELTA,
             [mixed_upstreams(1)[0]._replace(state=api.UpstreamState.DRAINING)],
         ),
     )
-    assert_violation(drains, api.StartAttempt("r1", 1))  # 3: sent to a draining upstream
+    assert_violation(draining, api.StartAttempt("r1", 1))  # 3: sent to a draining upstream
     with pytest.raises(AssertionError):  # 4: slow-start budget exceeded
         check_slow_start_budget(
             [START + i * MS for i in range(60)], START, api.TrafficRules(slow_start_ns=SECOND), 10.0
@@ -1008,11 +1011,11 @@
     # connection was left.
     harness = load_reporting_harness(3)
     actions = harness.deliver(*(arrival(i, harness.now) for i in range(20)))
-    asked = [a.upstream for a in actions if isinstance(a, api.CheckHealth)]
-    assert len(asked) == len(set(asked)) <= 3 and not harness.sends
+    probed = [a.upstream for a in actions if isinstance(a, api.CheckHealth)]
+    assert len(probed) == len(set(probed)) <= 3 and not harness.sends
     harness.now += MS
     harness.deliver(
-        *(api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": 0.0}) for u in asked)
+        *(api.HealthCheckFinished(u, api.AttemptResult.OK, MS, {"inflight": 0.0}) for u in probed)
     )
     assert len(harness.sends) > 1 and not harness.outcome
     # An upstream with an unanswered probe is not probed again, and no further request waits for it.
@@ -1053,27 +1056,27 @@
     harness = PolicyHarness(servers=3)
     harness.deliver(*(arrival(i, harness.now) for i in range(6)))
     assert harness.open_attempts()
-    for first in range(10, 3000, 3):  # new ids each time, by full lists and by deltas
+    for first_id in range(10, 3000, 3):  # new ids each time, by full lists and by deltas
         gone = [
             u._replace(state=api.UpstreamState.REMOVED)
             for u in harness.endpoints.values()
             if u.state is not api.UpstreamState.REMOVED
         ]
-        kind = (api.EndpointListKind.FULL, api.EndpointListKind.DELTA)[first % 2]
+        kind = (api.EndpointListKind.FULL, api.EndpointListKind.DELTA)[first_id % 2]
         harness.deliver(
             api.EndpointsUpdated(
-                kind, upstreams(3, first) + (gone if kind is api.EndpointListKind.DELTA else [])
+                kind, upstreams(3, first_id) + (gone if kind is api.EndpointListKind.DELTA else [])
             )
         )
     upstream_set = harness.balancer.upstream_set
     assert {s.id for s in upstream_set.upstreams.values()} - {1, 2, 3} == {
-        first,
-        first + 1,
-        first + 2,
+        first_id,
+        first_id + 1,
+        first_id + 2,
     }
     for request, number in harness.open_attempts():
         harness.finish(request, number=number)
-    assert set(upstream_set.upstreams) == {first, first + 1, first + 2}
+    assert set(upstream_set.upstreams) == {first_id, first_id + 1, first_id + 2}
     assert harness.balancer.concurrency.in_flight == 0 and not harness.balancer.requests
 
 
@@ -1225,16 +1228,18 @@
     config = settings(discovery_push=False, rules=api.TrafficRules(list_expiry_ns=3600 * SECOND))
     for seed in range(20):
         b = Balancer(config, seed, START)
-        now, asked = START, []
+        now, subscriptions = START, []
         b.handle(now, [api.EndpointsUpdated(api.EndpointListKind.CACHED)] if seed % 2 else [])
         for _ in range(20):
             now += 5 * MS
-            asked += of_type(api.SubscribeEndpoints, b.handle(now, []))
-        assert len(asked) == 1, f"seed {seed}"
-    known = Balancer(config, 1, START)  # with upstreams, its first call is delayed
-    first = known.handle(START, [api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(6))])
-    soon = known.handle(START + 100 * MS, [])
-    later = known.handle(START + 3 * SECOND, [])
+            subscriptions += of_type(api.SubscribeEndpoints, b.handle(now, []))
+        assert len(subscriptions) == 1, f"seed {seed}"
+    with_upstreams = Balancer(config, 1, START)  # with upstreams, its first call is delayed
+    first = with_upstreams.handle(
+        START, [api.EndpointsUpdated(api.EndpointListKind.CACHED, upstreams(6))]
+    )
+    soon = with_upstreams.handle(START + 100 * MS, [])
+    later = with_upstreams.handle(START + 3 * SECOND, [])
     assert [len(of_type(api.SubscribeEndpoints, actions)) for actions in (first, soon, later)] == [
         0,
         0,
