--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -143,7 +143,7 @@
         self.number = 0
         self.open_attempts: list[tuple[str, int, int, int]] = []
         self.timers: list[tuple[int, str]] = []
-        self.actions = 0
+        self.action_count = 0
         self.action_types: set[str] = set()
         self.attempt_counts: dict[str, int] = {}  # request -> number of its attempts
         self.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(8)))
@@ -162,9 +162,11 @@
                 self.open_attempts.append((action.request, number, action.upstream, self.now))
             elif isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.delay_ns, action.name))
-        self.actions += len(actual)
+        self.action_count += len(actual)
 
-    def arrivals_of(self, name: str, count: int, chance: float = 0.0) -> list[api.RequestArrived]:
+    def arrivals_of(
+        self, name: str, count: int, probability: float = 0.0
+    ) -> list[api.RequestArrived]:
         self.number += count
         return [
             api.RequestArrived(
@@ -172,7 +174,7 @@
                 "read",
                 name,
                 self.now + SECOND,
-                is_retry=self.rng.random() < chance,
+                is_retry=self.rng.random() < probability,
             )
             for i in range(count)
         ]
@@ -184,8 +186,8 @@
             for e in self.arrivals_of(self.names[self.rng.randrange(tenant_count)], 1, 0.1)
         ]
 
-    def attempt_results(self, chance: float) -> list[api.Event]:
-        finished = [o for o in self.open_attempts if self.rng.random() < chance]
+    def attempt_results(self, probability: float) -> list[api.Event]:
+        finished = [o for o in self.open_attempts if self.rng.random() < probability]
         self.open_attempts = [o for o in self.open_attempts if o not in finished]
         return [
             api.AttemptFinished(
@@ -240,7 +242,9 @@
             len(weights) if i > 200 else max(1, len(weights) // 3)
         )  # some tenants send their first request late
         compared.step(tenant_count, rng.choice((2, 10, 40, 300)))
-    assert compared.actions > 300 and {"StartAttempt", "RejectRequest"} <= compared.action_types
+    assert (
+        compared.action_count > 300 and {"StartAttempt", "RejectRequest"} <= compared.action_types
+    )
 
 
 def test_demands_near_the_smallest_float_equal_the_reference() -> None:
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -53,8 +53,8 @@
     Once it is enabled again, it is in slow start.
     """
     harness = PolicyHarness(servers=2)
-    banned, other = (u.id for u in upstreams(2))
-    harness.deliver(api.UpstreamDisabled(banned))
+    disabled, other = (u.id for u in upstreams(2))
+    harness.deliver(api.UpstreamDisabled(disabled))
     harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(1, 9)))
     harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(2)))
     for number in range(1, 30):
@@ -70,15 +70,17 @@
     harness.deliver(arrival(100, harness.now))
     harness.advance(600 * MS)
     assert harness.outcome["r100"] == "refused"
-    harness.deliver(api.UpstreamDisabled(banned, False))
+    harness.deliver(api.UpstreamDisabled(disabled, False))
     upstream_set = harness.balancer.upstream_set
-    assert upstream_set.upstreams[banned].is_usable and upstream_set.availability.is_in_slow_start(
-        upstream_set.upstreams[banned], harness.now
+    assert upstream_set.upstreams[
+        disabled
+    ].is_usable and upstream_set.availability.is_in_slow_start(
+        upstream_set.upstreams[disabled], harness.now
     )
     harness.advance(600 * MS)
     harness.deliver(arrival(101, harness.now))
     harness.advance(100 * MS)
-    assert [upstream.id for upstream, _ in harness.sends["r101"]] == [banned]
+    assert [upstream.id for upstream, _ in harness.sends["r101"]] == [disabled]
 
 
 def test_reenabled_upstream_is_in_the_candidates_of_a_proxy() -> None:
@@ -97,12 +99,12 @@
     """A slow client's upload neither occupies the concurrency limit nor fails its upstream."""
     harness = PolicyHarness(servers=1)
     b = harness.balancer
-    open_ended = arrival(1, harness.now, PAY)._replace(
+    incomplete_request = arrival(1, harness.now, PAY)._replace(
         deadline_ns=harness.now + 600 * SECOND, body_complete=False
     )
-    assert harness.deliver(open_ended)
-    ((entry, _),) = harness.sends["r1"]
-    server = b.upstream_set.upstreams[entry.id]
+    assert harness.deliver(incomplete_request)
+    ((sent_to, _),) = harness.sends["r1"]
+    server = b.upstream_set.upstreams[sent_to.id]
     assert (b.concurrency.in_flight, server.in_flight) == (0, 0)
     harness.advance(20 * SECOND)
     assert (
@@ -393,9 +395,9 @@
 
 
 def test_local_zone_is_preferred_up_to_its_capacity() -> None:
-    mixed_upstreams = [u._replace(zone=("east", "west")[u.id % 2]) for u in upstreams(8)]
+    two_zones = [u._replace(zone=("east", "west")[u.id % 2]) for u in upstreams(8)]
     harness = PolicyHarness(settings(prices=api.Prices(cross_zone=0.03)), servers=0)
-    harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, mixed_upstreams))
+    harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, two_zones))
     local_count = 0
     for i in range(100):
         harness.deliver(arrival(i, harness.now))
@@ -958,23 +960,23 @@
             harness._record_event(e)
         return harness
 
-    one, pay = arrival(1, START), arrival(1, START, PAY)
+    read_arrival, pay_arrival = arrival(1, START), arrival(1, START, PAY)
     assert_violation(
-        new_harness(one), api.RejectRequest("r1"), api.StartAttempt("r1", 1)
+        new_harness(read_arrival), api.RejectRequest("r1"), api.StartAttempt("r1", 1)
     )  # 1: sent after its completion
     assert_violation(
-        new_harness(one), api.RejectRequest("r1"), api.FailRequest("r1")
+        new_harness(read_arrival), api.RejectRequest("r1"), api.FailRequest("r1")
     )  # 1: two outcomes
     assert_violation(
-        new_harness(one), api.StartAttempt("r1", 1), api.StartAttempt("r1", 2)
+        new_harness(read_arrival), api.StartAttempt("r1", 1), api.StartAttempt("r1", 2)
     )  # 2: two open attempts without hedging
-    ran = new_harness(pay)
-    ran._check_action(api.StartAttempt("r1", 1))
-    ran.results["r1", 0] = api.AttemptResult.ERROR
-    assert_violation(ran, api.RejectRequest("r1"))  # 2: rejected though it may have run
-    assert_violation(ran, api.StartAttempt("r1", 2))  # 2: not idempotent and retried
+    executed = new_harness(pay_arrival)
+    executed._check_action(api.StartAttempt("r1", 1))
+    executed.results["r1", 0] = api.AttemptResult.ERROR
+    assert_violation(executed, api.RejectRequest("r1"))  # 2: rejected though it may have run
+    assert_violation(executed, api.StartAttempt("r1", 2))  # 2: not idempotent and retried
     draining = new_harness(
-        one,
+        read_arrival,
         api.EndpointsUpdated(
             api.EndpointListKind.DELTA,
             [mixed_upstreams(1)[0]._replace(state=api.UpstreamState.DRAINING)],
@@ -985,11 +987,11 @@
         check_slow_start_budget(
             [START + i * MS for i in range(60)], START, api.TrafficRules(slow_start_ns=SECOND), 10.0
         )
-    row = [arrival(i, START, KEY_ORDERED, key="k") for i in (1, 2)]
+    key_arrivals = [arrival(i, START, KEY_ORDERED, key="k") for i in (1, 2)]
     assert_violation(
-        new_harness(*row), api.StartAttempt("r2", 1)
+        new_harness(*key_arrivals), api.StartAttempt("r2", 1)
     )  # 5: before an earlier request of its key
-    blocked = new_harness(*row)
+    blocked = new_harness(*key_arrivals)
     blocked._check_action(api.StartAttempt("r1", 1))
     blocked._record_event(blocked.result("r1", 0, api.AttemptResult.RESET))
     blocked._check_action(api.FailRequest("r1"))
--- a/tests/policy/test_upstream_set.py
+++ b/tests/policy/test_upstream_set.py
@@ -91,9 +91,11 @@
             if isinstance(event, api.RequestArrived):
                 self.open_requests.add(event.request)
             elif isinstance(event, api.AttemptFinished):
-                done = event.result is api.AttemptResult.OK and event.request in self.open_requests
-                event = event._replace(complete=done or event.request not in self.open_requests)
-                if done:
+                served = (
+                    event.result is api.AttemptResult.OK and event.request in self.open_requests
+                )
+                event = event._replace(complete=served or event.request not in self.open_requests)
+                if served:
                     self.open_requests.discard(event.request)
                     self.outcomes["served"] += 1
             for action in self.balancer.handle(self.now, [event]):
