--- a/tests/bench.py
+++ b/tests/bench.py
@@ -208,6 +208,7 @@
     # -- recorded events and checks --
 
     def _record_event(self, event: api.Event) -> None:
+        """Update the harness's state from an event before the balancer receives it."""
         if isinstance(event, api.RequestArrived):
             self.request_classes[event.request] = self.config.classes[event.class_name]
             self.deadlines[event.request] = event.deadline_ns
@@ -237,6 +238,7 @@
             self.endpoints |= {u.id: u for u in event.upstreams}
 
     def _attempts_that_may_have_run(self, request: str) -> list[tuple[api.Upstream, int]]:
+        """Return the attempts whose result does not prove that the upstream never ran them."""
         return [
             s
             for i, s in enumerate(self.sends.get(request, []))
@@ -244,6 +246,7 @@
         ]
 
     def _check_action(self, action: api.Action) -> None:
+        """Check an action and update the harness's state from it."""
         if isinstance(action, api.StartAttempt):
             self._check_attempt(action)
         elif isinstance(action, api.RejectRequest):
@@ -277,6 +280,7 @@
             self.timers.append((self.now + action.delay_ns, action.name))
 
     def _check_key_order(self, request: str) -> None:
+        """Check rule 5: earlier requests of the key are complete, and the key is not blocked."""
         for key_requests in self.requests_by_key.values():
             for earlier in (
                 key_requests[: key_requests.index(request)] if request in key_requests else ()
@@ -291,6 +295,7 @@
                 )
 
     def _record_outcome(self, request: str, outcome: str) -> None:
+        """Record the final outcome; there is at most one, and it is on time."""
         assert request in self.request_classes, f"{request} never arrived"
         assert request not in self.outcome, (
             f"{request} answered twice: {self.outcome.get(request)}, {outcome}"
@@ -301,6 +306,7 @@
         self.outcome[request] = outcome
 
     def _check_attempt(self, action: api.StartAttempt) -> None:
+        """Check that a new attempt follows the rules for its request and upstream."""
         request, upstream = action.request, self.endpoints[action.upstream]
         cls, limits, may_have_run = (
             self.request_classes[request],
--- a/tests/policy/test_decision_modules.py
+++ b/tests/policy/test_decision_modules.py
@@ -15,6 +15,8 @@
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
 class TestDecisionModules:
+    """Checks of each module of the policy package."""
+
     def test_length_is_within_the_limits(self, path: Path) -> None:
         lines = path.read_text().splitlines()
         assert sum(bool(line.strip()) for line in lines) <= MAX_LINES
--- a/tests/policy/test_fleet_slow_start.py
+++ b/tests/policy/test_fleet_slow_start.py
@@ -99,6 +99,7 @@
 
 
 def test_restarting_balancers_stay_within_the_slow_start_budget() -> None:
+    """Balancers that have just restarted have no history of the cold upstreams."""
     kills = "{kind='rolling_balancers', at='1s', lasts='6s', part=1.0, size=0.2}"
     assert (
         run_rolling_restart(30, 40, 0.6, 5, RELEASE[:-1] + ", " + kills + "]").worst_excess <= 2.0
@@ -106,4 +107,5 @@
 
 
 def test_recorder_detects_a_policy_without_slow_start() -> None:
+    """The recorder itself is checked with a faulty policy that floods cold upstreams."""
     assert run_rolling_restart(20, 24, 0.8, 20, name="broken-flooded-cold").worst_excess > 2.0
--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -149,6 +149,7 @@
         self.deliver(api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams(8)))
 
     def deliver(self, *events: api.Event) -> None:
+        """Pass events to both balancers and check that actions and state are equal."""
         actual, expected = (b.handle(self.now, events) for b in self.tested_and_reference)
         assert actual == expected
         assert numeric_state(self.tested_and_reference[0]) == numeric_state(
@@ -167,6 +168,7 @@
     def arrivals_of(
         self, name: str, count: int, probability: float = 0.0
     ) -> list[api.RequestArrived]:
+        """Return `count` new requests of one tenant; each is a retry with this probability."""
         self.number += count
         return [
             api.RequestArrived(
@@ -180,6 +182,7 @@
         ]
 
     def random_arrivals(self, count: int, tenant_count: int) -> list[api.RequestArrived]:
+        """Return new requests of random tenants among the first `tenant_count`."""
         return [
             e
             for _ in range(count)
@@ -187,6 +190,7 @@
         ]
 
     def attempt_results(self, probability: float) -> list[api.Event]:
+        """Return random results for open attempts, each finishing with this probability."""
         finished = [o for o in self.open_attempts if self.rng.random() < probability]
         self.open_attempts = [o for o in self.open_attempts if o not in finished]
         return [
@@ -198,6 +202,7 @@
         ]
 
     def step(self, tenant_count: int, load: int) -> None:
+        """Advance the clock and deliver timers, attempt results and up to `load` arrivals."""
         self.now += self.rng.choice(GAPS)
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
--- a/tests/policy/test_many_upstreams.py
+++ b/tests/policy/test_many_upstreams.py
@@ -17,7 +17,7 @@
 from loadbalancer.policy import Balancer, api
 from tests.bench import MS, READ, SECOND, START
 
-FEW, MANY = 200, 3200
+FEW, MANY = 200, 3200  # upstreams
 FLEETS = [(0, 1), (2, 5), (7, 40), (90, 200)]  # (index of this balancer, number of balancers)
 
 
@@ -40,6 +40,7 @@
 
 
 def balancer(upstreams: int, instance: int, balancers: int) -> Balancer:
+    """Return a balancer with this many upstreams and peers."""
     settings = api.Settings(
         instance_index=instance,
         instance_count=balancers,
--- a/tests/policy/test_rate_controller.py
+++ b/tests/policy/test_rate_controller.py
@@ -12,6 +12,7 @@
 
 
 def controller() -> RateController:
+    """Return a rate controller with two tenants of equal weight."""
     buckets: list[TokenBucket[Request]] = [TokenBucket(1.0, random.Random(1), 0) for _ in range(2)]
     return RateController(buckets, 0)
 
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -35,6 +35,7 @@
 
 
 def request(number: int, bucket: TokenBucket[Request]) -> Request:
+    """Return a request of this bucket whose deadline is never reached."""
     return Request(
         f"r{number}",
         READ,
--- a/tests/policy/test_upstream_set.py
+++ b/tests/policy/test_upstream_set.py
@@ -66,6 +66,7 @@
         self.schedule(self.now, api.EndpointsUpdated(api.EndpointListKind.FULL, upstreams))
 
     def schedule(self, at: int, event: api.Event) -> None:
+        """Queue an event for delivery at a time."""
         self.count += 1
         heapq.heappush(self.event_queue, (at, self.count, event))
 
@@ -86,6 +87,7 @@
         self.run_until(end)
 
     def run_until(self, end: int) -> None:
+        """Deliver all queued events up to a time and apply the actions."""
         while self.event_queue and self.event_queue[0][0] <= end:
             self.now, _, event = heapq.heappop(self.event_queue)
             if isinstance(event, api.RequestArrived):
@@ -103,6 +105,7 @@
         self.now = end
 
     def apply(self, action: api.Action) -> None:
+        """Record an action and schedule the event that follows from it."""
         match action:
             case api.StartAttempt():
                 number = self.attempts[action.request]
