--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -17,7 +17,7 @@
 from loadbalancer.proxy.parse import MAX_BODY, RequestReader
 from loadbalancer.proxy.request_intake import RequestIntake
 from loadbalancer.proxy.requests import OpenRequest
-from loadbalancer.proxy.tcp_state import Socket, has_unread_input, receive_state
+from loadbalancer.proxy.tcp_state import Socket, has_unread_data, receive_state
 
 # Fractions of the cap on connections above which an answer ends its connection: one that came from
 # no upstream, and any. Idle connections are left their 2 s, so that with many clients they would
@@ -71,7 +71,7 @@
         return (
             self.phase in (Phase.NEW, Phase.IDLE)
             and self._live is not None
-            and has_unread_input(self._socket)
+            and has_unread_data(self._socket)
         )
 
     @property
--- a/loadbalancer/proxy/tcp_state.py
+++ b/loadbalancer/proxy/tcp_state.py
@@ -57,7 +57,7 @@
     return ReceiveState(state in PEER_CLOSED_STATES, data_age_ms * NS_PER_MS)
 
 
-def has_unread_input(sock: Socket) -> bool:
+def has_unread_data(sock: Socket) -> bool:
     """Return whether the socket has unread input: bytes, a FIN or a reset.
 
     In an event-loop iteration, timers and scheduled calls run before sockets are read. When the
--- a/loadbalancer/proxy/upstream_connection.py
+++ b/loadbalancer/proxy/upstream_connection.py
@@ -14,7 +14,7 @@
 from loadbalancer.proxy.http import LAST_CHUNK, BufferedReader, chunk
 from loadbalancer.proxy.messages import Response
 from loadbalancer.proxy.parse import ResponseReader
-from loadbalancer.proxy.tcp_state import has_unread_input, receive_state
+from loadbalancer.proxy.tcp_state import has_unread_data, receive_state
 
 # A connection is closed if a body makes no progress for this long although its receiver has
 # capacity.
@@ -77,7 +77,7 @@
             transport is not None
             and not self.closed
             and not transport.is_closing()
-            and not has_unread_input(transport.get_extra_info("socket"))
+            and not has_unread_data(transport.get_extra_info("socket"))
         )
 
     def start(self, exchange: Exchange, upstream_verdict: Verdict = ALLOWED) -> None:
