--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -225,7 +225,7 @@
         is_own = lease.claim == self.name_lease.holder.claim
         if not lease.is_held or is_own or self.has_logged_name_conflict:
             return
-        if self.parts.disabled.registry.alone:
+        if self.parts.disabled.registry.is_alone:
             self.has_logged_name_conflict = True
             log.warning(
                 "balancer name belongs to another process, learned state is not saved: "
--- a/loadbalancer/proxy/client_answer.py
+++ b/loadbalancer/proxy/client_answer.py
@@ -57,7 +57,7 @@
         status: int,
         headers: Headers,
         body: bytes,
-        is_last: bool,
+        close_after_answer: bool,
         length: bytes | None = None,
     ) -> None:
         """Write an answer whose body is at hand.
@@ -66,14 +66,14 @@
             status: Its status.
             headers: Its headers, without those of its framing.
             body: Its body.
-            is_last: The connection ends behind it.
+            close_after_answer: The connection ends behind it.
             length: The length to name, where that is not the body's.
         """
         rows = [*headers, (b"Content-Length", length or b"%d" % len(body))]
-        self._write_head(status, rows, is_last, b"" if self.is_head else body)
+        self._write_head(status, rows, close_after_answer, b"" if self.is_head else body)
         self.sink.answer_completed()
 
-    def begin_body(self, headers: Headers, body: Body, is_last: bool) -> None:
+    def begin_body(self, headers: Headers, body: Body, close_after_answer: bool) -> None:
         """Begin a successful answer whose body comes in pieces."""
         rows = list(headers)
         self.in_chunks = body.length is None and self.is_http_1_1
@@ -81,7 +81,7 @@
             rows.append((b"Content-Length", b"%d" % body.length))
         elif self.in_chunks:
             rows.append((b"Transfer-Encoding", b"chunked"))
-        self._write_head(HTTPStatus.OK, rows, is_last)
+        self._write_head(HTTPStatus.OK, rows, close_after_answer)
         self.body = body
         body.changed = self.pump
         self.pump()
@@ -116,8 +116,10 @@
         if body is not None:
             body.drop()
 
-    def _write_head(self, status: int, rows: Headers, is_last: bool, body: bytes = b"") -> None:
-        if is_last:
+    def _write_head(
+        self, status: int, rows: Headers, close_after_answer: bool, body: bytes = b""
+    ) -> None:
+        if close_after_answer:
             rows = [*rows, (b"Connection", b"close")]
         self.sink.write(message(START_LINES.get(status) or start_line(status), rows, body))
 
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -50,34 +50,34 @@
         self.frontend = frontend
         self.driver = frontend.driver
         self.reader = RequestReader(memory=frontend.memory)
-        self.ahead = bytearray()
+        self.unparsed = bytearray()
         self.transport: asyncio.Transport | None = None
-        self.open: OpenRequest | None = None
+        self.open_request: OpenRequest | None = None
         self.upload: Body | None = None
-        self.progress = 0
+        self.progress_bytes = 0
         self.writer = AnswerWriter(self)
-        self.last = False
+        self.close_after_answer = False
         self.intake = RequestIntake(frontend)
         self.received_ns = 0
         self.phase: Phase | None = None
-        self.end_at = 0.0
+        self.forced_close_at = 0.0
         self.lingering = False
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether something came on an idle connection that was not read yet."""
         if self.has_data:
             return self.phase is Phase.IDLE  # sent ahead, and about to be parsed
         return (
             self.phase in (Phase.NEW, Phase.IDLE)
-            and self._live is not None
+            and self._open_transport is not None
             and readable(self._socket)
         )
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent_output(self) -> bool:
         """Whether part of what was written is still buffered here."""
-        transport = self._live
+        transport = self._open_transport
         return transport is not None and transport.get_write_buffer_size() > 0
 
     @property
@@ -86,10 +86,10 @@
 
         A loop that is late, or does not read from it, has not been notified of that yet.
         """
-        return self._live is None or received(self._socket)[0]
+        return self._open_transport is None or received(self._socket)[0]
 
     @property
-    def _live(self) -> asyncio.Transport | None:
+    def _open_transport(self) -> asyncio.Transport | None:
         transport = self.transport
         return None if transport is None or transport.is_closing() else transport
 
@@ -102,7 +102,7 @@
     @property
     def has_data(self) -> bool:
         """Whether part of a request has come."""
-        return self.reader.begun or bool(self.reader.ready or self.ahead)
+        return self.reader.begun or bool(self.reader.ready or self.unparsed)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport; called by the event loop."""
@@ -122,12 +122,12 @@
             return
         self.received_ns = time.monotonic_ns() - ago_ns
         self.frontend.note_progress(self)
-        self._count(len(data))
-        if not self.reading and len(self.ahead) > MAX_BODY:
+        self._count_progress(len(data))
+        if not self.can_parse and len(self.unparsed) > MAX_BODY:
             # One request at a time: what floods in behind it would fill the memory.
             self.abort()
             return
-        self.ahead += data
+        self.unparsed += data
         self._parse()
 
     def pause_writing(self) -> None:
@@ -141,38 +141,38 @@
         self._parse()
 
     @property
-    def reading(self) -> bool:
+    def can_parse(self) -> bool:
         """Whether what comes is parsed; otherwise it waits for an answer to end."""
         if self.lingering or self.writer.is_blocked or self.writer.body is not None:
             return False
-        return self.open is None or self.upload is not None
+        return self.open_request is None or self.upload is not None
 
-    def _count(self, size: int) -> None:
+    def _count_progress(self, size: int) -> None:
         """Leave a client that sends slowly its time, as long as it goes on."""
         if self.phase not in (Phase.NEW, Phase.BODY) or not self.reader.in_body:
             return
-        self.progress += size
-        if self.progress >= PROGRESS_BYTES:
-            self.progress = 0
+        self.progress_bytes += size
+        if self.progress_bytes >= PROGRESS_BYTES:
+            self.progress_bytes = 0
             self.frontend.wait(self, Phase.BODY)
 
     # ---- a body in pieces: called by the body ---------------------------------------------
 
     def pause(self) -> None:
         """Stop reading: what was read waits for the upstream, which is not the client's time."""
-        self.frontend.busy(self)
-        if (transport := self._live) is not None:
+        self.frontend.leave_phase(self)
+        if (transport := self._open_transport) is not None:
             transport.pause_reading()
 
     def resume(self) -> None:
         """Read on."""
-        self.progress = 0
+        self.progress_bytes = 0
         self.frontend.wait(self, Phase.BODY)
-        self._read_on()
+        self._resume_reading()
         self.frontend.loop.call_soon(self._parse)
 
-    def _read_on(self) -> None:
-        if (transport := self._live) is not None:
+    def _resume_reading(self) -> None:
+        if (transport := self._open_transport) is not None:
             transport.resume_reading()
 
     def eof_received(self) -> bool:
@@ -184,38 +184,38 @@
         """Note the connection's end; called by the event loop."""
         self._client_left()
         self.reader.close()
-        self.frontend.lost(self)
+        self.frontend.connection_closed(self)
 
     def _client_left(self) -> None:
         """Drop what its client has sent ahead, and the open request."""
         self.lingering = True
-        self._drop()
+        self._drop_request()
 
-    def _drop(self) -> None:
+    def _drop_request(self) -> None:
         """Drop the open request: nobody waits for its answer any more."""
         self.upload = None
         self.writer.drop()
-        request = self.open
-        self.open = None
+        request = self.open_request
+        self.open_request = None
         if request is not None:
             self.driver.client_gone(request)
 
-    def too_late(self) -> None:
+    def on_timeout(self) -> None:
         """End it, as it has been in its phase for as long as it may."""
         if self.phase in (Phase.NEW, Phase.BODY) and self.has_data:
-            self._drop()  # of an open request only the end was still to come
+            self._drop_request()  # of an open request only the end was still to come
             self._reject_input(408, "the request did not come in time")
         elif self.phase in (Phase.NEW, Phase.IDLE):
             self._linger()
         else:
             self.abort()
 
-    def leave(self) -> None:
+    def reject_incomplete(self) -> None:
         """Answer a request that is incomplete as this process ends: it may go elsewhere."""
-        if self.has_data and self.open is None:
+        if self.has_data and self.open_request is None:
             self._reject_input(503, "not taken")
 
-    def cut(self) -> None:
+    def close_on_shutdown(self) -> None:
         """Close it as this process ends; an incomplete answer must not seem complete."""
         if self.writer.body is not None:
             self.reset()
@@ -224,7 +224,7 @@
 
     def abort(self) -> None:
         """Close the connection at once."""
-        self.frontend.busy(self)
+        self.frontend.leave_phase(self)
         if self.transport is not None:
             self.transport.abort()
 
@@ -233,7 +233,7 @@
 
         A reset is no orderly end, and so no end of an answer without a length.
         """
-        if self._live is not None:
+        if self._open_transport is not None:
             linger = struct.pack("ii", 1, 0)
             cast(socket.socket, self._socket).setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, linger
@@ -245,32 +245,32 @@
     def _parse(self) -> None:
         """Parse on, unless a request is open, or answers pile up that are not read."""
         reader = self.reader
-        while self.reading:
+        while self.can_parse:
             if self.upload is not None and self.upload.ended:
                 self._body_completed()
             elif reader.ready:
-                self._take(reader.ready.popleft())
+                self._handle_request(reader.ready.popleft())
             elif reader.fault is not None:
-                self._drop()
+                self._drop_request()
                 self._reject_input(reader.fault.status, str(reader.fault))
             elif self.upload is not None and self.upload.paused:
                 return
-            elif self.ahead:
-                data = bytes(self.ahead[:PARSE_BYTES])
-                del self.ahead[:PARSE_BYTES]
+            elif self.unparsed:
+                data = bytes(self.unparsed[:PARSE_BYTES])
+                del self.unparsed[:PARSE_BYTES]
                 reader.feed(data)
             else:
-                self._continue()
+                self._send_continue()
                 if self.phase is Phase.IDLE and self.has_data:
                     self.frontend.wait(self, Phase.NEW)
                 return
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         if self.reader.expects_continue:
             self.reader.expects_continue = False
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _take(self, head: Request) -> None:
+    def _handle_request(self, head: Request) -> None:
         """Take a request that is complete, but for the rest of a body in pieces."""
         self.writer.expect(head)
         stream = head.stream
@@ -279,16 +279,18 @@
             self._answer(200 if ready else 503, [], b"ready\n" if ready else b"not ready\n")
             return
         try:
-            request = self.intake.open(head, self, self.received_ns)
+            request = self.intake.open_request(head, self, self.received_ns)
         except UnacceptableMessageError as error:
             # Behind a complete message the connection can go on.
-            self._answer(error.status, [], f"{error}\n".encode(), last=stream is not None)
+            self._answer(
+                error.status, [], f"{error}\n".encode(), close_after_answer=stream is not None
+            )
             return
-        self.open = request
+        self.open_request = request
         if stream is None:
-            self.frontend.busy(self)
+            self.frontend.leave_phase(self)
         else:
-            self._continue()
+            self._send_continue()
             self.upload = stream
             stream.source = self
             if stream.paused:
@@ -298,11 +300,11 @@
 
     def _body_completed(self) -> None:
         self.upload = None
-        self.frontend.busy(self)
-        self._read_on()  # its end may have come while it was full
-        if self.open is not None:
+        self.frontend.leave_phase(self)
+        self._resume_reading()  # its end may have come while it was full
+        if self.open_request is not None:
             deadline_ns = self.intake.deadline_ns(self.received_ns)
-            self.driver.body_completed(self.open, deadline_ns, self.received_ns)
+            self.driver.body_completed(self.open_request, deadline_ns, self.received_ns)
 
     # ---- out -------------------------------------------------------------------------------------
 
@@ -311,7 +313,7 @@
         rows = end_to_end(response.headers)
         is_head = self.writer.is_head
         if response.stream is not None and not is_head:
-            self._begin(rows, response.stream)
+            self._begin_answer(rows, response.stream)
         elif is_head:
             # The length that a GET would be answered with: one of 0 would be wrong.
             length = response.header(b"content-length")
@@ -328,47 +330,49 @@
         """Answer with an error, which promises nothing about the request's effect."""
         self._answer(status, [], b"failed\n")
 
-    def _reject_input(self, status: int, why: str) -> None:
+    def _reject_input(self, status: int, reason: str) -> None:
         """Answer bad input, and read no more of it."""
-        self._answer(status, [], f"{why}\n".encode(), last=True)
+        self._answer(status, [], f"{reason}\n".encode(), close_after_answer=True)
 
     def _answer(
         self,
         status: int,
         headers: Headers,
         body: bytes,
-        last: bool = False,
+        close_after_answer: bool = False,
         length: bytes | None = None,
     ) -> None:
-        self._end_request(last)
-        self.writer.write_complete(status, headers, body, self.last, length)
+        self._end_request(close_after_answer)
+        self.writer.write_complete(status, headers, body, self.close_after_answer, length)
 
-    def _begin(self, rows: Headers, body: Body) -> None:
+    def _begin_answer(self, rows: Headers, body: Body) -> None:
         """Begin an answer whose body comes in pieces."""
         self.frontend.wait(self, Phase.ANSWER)
         self._end_request(False)
-        self.writer.begin_body(rows, body, self.last)
+        self.writer.begin_body(rows, body, self.close_after_answer)
 
-    def _end_request(self, last: bool) -> None:
+    def _end_request(self, close_after_answer: bool) -> None:
         """Note that the open request is answered, and whether the connection ends behind it."""
-        was_open = self.open is not None
-        self.open = None
+        was_open = self.open_request is not None
+        self.open_request = None
         upload = self.upload
         self.upload = None
         if upload is not None and not upload.ended:
-            last = True  # what still comes of its body would be read as the next request
+            close_after_answer = (
+                True  # what still comes of its body would be read as the next request
+            )
             upload.source = None
-            self._read_on()
-        self.last = (
-            last
+            self._resume_reading()
+        self.close_after_answer = (
+            close_after_answer
             or not self.writer.keep_alive
             or self.frontend.draining
-            or self.frontend.is_loaded(CLOSE_FRACTION if was_open else CLOSE_REJECTED_FRACTION)
+            or self.frontend.is_usage_above(CLOSE_FRACTION if was_open else CLOSE_REJECTED_FRACTION)
         )
 
     def answer_completed(self) -> None:
         """Go on behind a complete answer, or end the connection."""
-        if self.last:
+        if self.close_after_answer:
             self._linger()
             return
         self.frontend.wait(self, Phase.IDLE)
@@ -386,12 +390,12 @@
         and the answer lost with it. The phase's limit ends the wait.
         """
         self.lingering = True
-        self.ahead.clear()
-        if (transport := self._live) is not None:
+        self.unparsed.clear()
+        if (transport := self._open_transport) is not None:
             self.frontend.wait(self, Phase.LINGERING)
             transport.write_eof()
 
     def write(self, data: bytes) -> None:
         """Write bytes, unless the connection is closing."""
-        if data and (transport := self._live) is not None:
+        if data and (transport := self._open_transport) is not None:
             transport.write(data)
--- a/loadbalancer/proxy/configuration.py
+++ b/loadbalancer/proxy/configuration.py
@@ -68,10 +68,10 @@
 
     def required_address(self, key: str) -> Address:
         """An address that has to be there."""
-        found = self.address(key)
-        if found is None:
+        value = self.address(key)
+        if value is None:
             raise MalformedError(f"{key} is not set")
-        return found
+        return value
 
     def seed(self) -> int:
         """The seed of the policy's random draws."""
@@ -82,10 +82,10 @@
 
     def known(self) -> Json | None:
         """The endpoint list that is known, checked."""
-        found: Json | None = optional(self.raw, "known", dict, None)
-        if found is not None:
-            read_list(found)
-        return found
+        value: Json | None = optional(self.raw, "known", dict, None)
+        if value is not None:
+            read_list(value)
+        return value
 
     def peers(self) -> list[Address]:
         """The other balancers' addresses for gossip."""
@@ -140,5 +140,5 @@
             raw = json.load(file)
     except (OSError, ValueError) as error:
         raise MalformedError(f"{path}: {error}") from None
-    found: Json = checked(raw, "configuration", dict)
-    return found
+    value: Json = checked(raw, "configuration", dict)
+    return value
--- a/loadbalancer/proxy/connection_host.py
+++ b/loadbalancer/proxy/connection_host.py
@@ -19,23 +19,23 @@
     """
 
     phase: Phase | None
-    end_at: float
+    forced_close_at: float
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether something came on an idle connection that was not read yet."""
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent_output(self) -> bool:
         """Whether part of what was written is still buffered here."""
 
-    def too_late(self) -> None:
+    def on_timeout(self) -> None:
         """End it, as it has been in its phase for as long as it may."""
 
-    def leave(self) -> None:
+    def reject_incomplete(self) -> None:
         """Answer a request that is incomplete as this process ends."""
 
-    def cut(self) -> None:
+    def close_on_shutdown(self) -> None:
         """Close it as this process ends."""
 
     def abort(self) -> None:
@@ -58,10 +58,10 @@
         """Whether the shutdown has begun."""
 
     @property
-    def last_answer_ns(self) -> int:
+    def answer_deadline_ns(self) -> int:
         """When, after SIGTERM, the last answer is given."""
 
-    def is_loaded(self, fraction: float) -> bool:
+    def is_usage_above(self, fraction: float) -> bool:
         """Whether so large a fraction of the cap on connections is used."""
 
     def wait(self, client: HostedConnection, phase: Phase) -> None:
@@ -70,8 +70,8 @@
     def note_progress(self, client: HostedConnection) -> None:
         """Note that a connection goes on sending its request."""
 
-    def busy(self, client: HostedConnection) -> None:
+    def leave_phase(self, client: HostedConnection) -> None:
         """Note that a connection is in no phase of waiting any more."""
 
-    def lost(self, client: HostedConnection) -> None:
+    def connection_closed(self, client: HostedConnection) -> None:
         """Forget a connection that has ended."""
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -82,7 +82,7 @@
         self._idle: dict[UpstreamConnection, None] = {}  # to any upstream, the oldest first
         self._next_shortage_log_s = 0.0
 
-    def allow(self, connections: int) -> None:
+    def set_limit(self, connections: int) -> None:
         """Set the cap, connections in use included, and close idle ones beyond it."""
         self.max_connections = connections
         while self.connections > connections and self._close_oldest_idle():
--- a/loadbalancer/proxy/disabled_upstreams.py
+++ b/loadbalancer/proxy/disabled_upstreams.py
@@ -132,7 +132,7 @@
         async with self._change_lock:
             if self.folder is None:
                 names = self.names | {name} if is_disabled else self.names - {name}
-                self._take(DisabledSet(names, self.version + 1))
+                self._apply_saved(DisabledSet(names, self.version + 1))
             else:
                 await self._save_change(name, is_disabled)
             version = self.version
@@ -141,7 +141,7 @@
             await asyncio.sleep(0)
         for callback in self._on_change:
             callback(name, is_disabled)
-        if not await self.registry.agreed(
+        if not await self.registry.wait_for_others(
             lambda note: note.applied_version >= version, AGREEMENT_TIMEOUT_S
         ):
             raise CallDeclinedError(
@@ -174,7 +174,7 @@
             if names == self.names:
                 return
             if self.folder is None:
-                self._take(DisabledSet(names, self.version + 1))
+                self._apply_saved(DisabledSet(names, self.version + 1))
                 return
             self.pending = {name: name in names for name in names ^ self.saved}
             self._apply()
@@ -228,7 +228,7 @@
         self.pending.clear()
         self._is_file_missing = False
         self._retry_pause_s = MIN_RETRY_S
-        self._take(DisabledSet(names, version))
+        self._apply_saved(DisabledSet(names, version))
 
     def _write_pending(self) -> None:
         """Write once more, unless a change is under way, or a write failed a moment ago."""
@@ -279,7 +279,7 @@
             with open(path, "rb") as file:
                 data = file.read(MAX_FILE_BYTES)
         except FileNotFoundError:
-            self._file_lost("it is gone")
+            self._on_unusable_file("it is gone")
             return
         except OSError as error:
             if not self._is_read_error_logged:
@@ -288,19 +288,19 @@
             return
         self._read_version = version
         self._is_read_error_logged = False
-        self._take_data(data)
+        self._load(data)
 
-    def _take_data(self, data: bytes) -> None:
+    def _load(self, data: bytes) -> None:
         try:
-            found = self._parse(json.loads(data))
+            loaded = self._parse(json.loads(data))
         except (ValueError, RecursionError, MalformedError) as error:
-            self._file_lost(str(error), always_log=True)
+            self._on_unusable_file(str(error), always_log=True)
             return
         self._is_file_missing = False
-        if found.version > self.version:
-            self._take(found)
+        if loaded.version > self.version:
+            self._apply_saved(loaded)
 
-    def _file_lost(self, reason: str, always_log: bool = False) -> None:
+    def _on_unusable_file(self, reason: str, always_log: bool = False) -> None:
         """Note that the file can't be used; it is written again where a set was known."""
         if (self.version or always_log) and not self._is_file_missing:
             log.warning("file of disabled upstreams ignored: path=%s reason=%s", FILE, reason)
@@ -319,7 +319,7 @@
 
     # ---- in force --------------------------------------------------------------------------------
 
-    def _take(self, saved: DisabledSet) -> None:
+    def _apply_saved(self, saved: DisabledSet) -> None:
         """Apply the file's set, and publish to the other processes that it is applied here."""
         self.saved = saved.names
         self.version = saved.version
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -49,7 +49,7 @@
     """What came can't be read."""
 
 
-def outcome_of(error: Exception) -> PollOutcome:
+def poll_outcome(error: Exception) -> PollOutcome:
     """Return how a poll ended that raised this."""
     if isinstance(error, PollTimeoutError):
         return PollOutcome.TIMED_OUT
@@ -58,7 +58,7 @@
     return PollOutcome.REFUSED if isinstance(error, PollError) else PollOutcome.FAILED
 
 
-def _ignore(connection: UpstreamConnection) -> None:
+def _ignore_connection(connection: UpstreamConnection) -> None:
     """Connections of discovery belong to no pool that would be notified."""
 
 
@@ -110,7 +110,7 @@
         self.watch.forget_list()
         self._run(self._watch() if self.is_watching else self._fetch())
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Use discovery at another address from now on.
 
         What waits at the old address, or to retry it, must not hold up the new one. That one counts
@@ -145,7 +145,7 @@
                 await self._poll()
                 pause_s = self.watch.on_outcome(PollOutcome.ANSWERED, time.monotonic())
             except Exception as error:  # noqa: BLE001 (an unexpected one must not end the watch)
-                pause_s = self.watch.on_outcome(outcome_of(error), time.monotonic())
+                pause_s = self.watch.on_outcome(poll_outcome(error), time.monotonic())
                 _log_failure(error)
                 if self.watch.deadline_s is not None:
                     self.staleness.on_watch_silent(self.watch.deadline_s)
@@ -224,7 +224,7 @@
             if self.connection.clear:
                 return self.connection
             self.connection.abort()
-        connection = UpstreamConnection(_ignore, _ignore)
+        connection = UpstreamConnection(_ignore_connection, _ignore_connection)
         try:
             async with asyncio.timeout_at(deadline_s):
                 await asyncio.get_running_loop().create_connection(
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -14,7 +14,7 @@
 from loadbalancer.proxy.client_connection import ClientConnection
 from loadbalancer.proxy.connection_host import HostedConnection
 from loadbalancer.proxy.connection_phase import LIMIT_S, Phase
-from loadbalancer.proxy.listener import leave_to_successor, listen
+from loadbalancer.proxy.listener import listen, redirect_to_successor
 from loadbalancer.proxy.policy_driver import Driver
 from loadbalancer.proxy.tcp_state import received
 from loadbalancer.proxy.timers import call_after
@@ -23,8 +23,8 @@
 
 BACKLOG = 1024  # connections that the kernel queues while there is no capacity
 # After SIGTERM a process has the longest deadline, or this if that is longer, and a little more.
-MAX_ANSWER_NS = 3_000_000_000
-LEAVE_NS = 550_000_000
+MAX_SHUTDOWN_DEADLINE_NS = 3_000_000_000
+SHUTDOWN_MARGIN_NS = 550_000_000
 DRAIN_S = 0.5  # after SIGTERM new connections are still accepted for almost this long
 ACCEPT_PAUSE_S = 0.05  # behind an accept that failed by this machine's fault
 QUEUE_POLL_S = 0.01  # between two tries to empty the accept queue where there is no capacity
@@ -66,17 +66,19 @@
         self.listener = listener
         self.max_clients = max_clients
         self.clients: set[ClientConnection] = set()
-        self.waiting: dict[Phase, dict[HostedConnection, float]] = {phase: {} for phase in Phase}
-        self.unfinished: dict[HostedConnection, float] = {}
+        self.clients_by_phase: dict[Phase, dict[HostedConnection, float]] = {
+            phase: {} for phase in Phase
+        }
+        self.incomplete: dict[HostedConnection, float] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0.0
-        self.opening: set[asyncio.Task[None]] = set()
-        self.drained = asyncio.Event()
-        self.drained_ns = 0
+        self.open_tasks: set[asyncio.Task[None]] = set()
+        self.shutdown_started = asyncio.Event()
+        self.shutdown_started_ns = 0
         longest_ns = max((c.deadline_ns for c in driver.settings.classes.values()), default=0)
-        self.leave_ns = min(MAX_ANSWER_NS, longest_ns) + LEAVE_NS
+        self.shutdown_timeout_ns = min(MAX_SHUTDOWN_DEADLINE_NS, longest_ns) + SHUTDOWN_MARGIN_NS
         self.closed = False
-        self.left = asyncio.Event()
+        self.all_closed = asyncio.Event()
         listener.setblocking(False)
         self.started = False
         self.listening = False
@@ -89,11 +91,11 @@
             self._listen()
 
     @property
-    def held(self) -> int:
+    def connections_open(self) -> int:
         """Connections of clients."""
         return len(self.clients)
 
-    def allow(self, connections: int) -> None:
+    def set_limit(self, connections: int) -> None:
         """Set the cap; where there are more connections, each ends with its next answer."""
         self.max_clients = connections
         if connections > len(self.clients):
@@ -102,12 +104,12 @@
     @property
     def draining(self) -> bool:
         """Whether the shutdown has begun."""
-        return self.drained.is_set()
+        return self.shutdown_started.is_set()
 
     @property
-    def last_answer_ns(self) -> int:
+    def answer_deadline_ns(self) -> int:
         """When, after SIGTERM, the last answer is given."""
-        return self.drained_ns + self.leave_ns
+        return self.shutdown_started_ns + self.shutdown_timeout_ns
 
     @property
     def ready(self) -> bool:
@@ -161,8 +163,8 @@
             client = ClientConnection(self)
             self.clients.add(client)
             task = self.loop.create_task(self._open(client, sock))
-            self.opening.add(task)
-            task.add_done_callback(self.opening.discard)
+            self.open_tasks.add(task)
+            task.add_done_callback(self.open_tasks.discard)
         return False
 
     def _evict(self) -> None:
@@ -176,15 +178,15 @@
         # Clients of a process that shuts down open connections elsewhere.
         idle_s = 0.0 if self.draining else EVICT_IDLE_S
         for table, seconds in (
-            (self.waiting[Phase.LINGERING], EVICT_LINGERING_S),
-            (self.unfinished, EVICT_SILENT_S),
-            (self.waiting[Phase.IDLE], idle_s),
-            (self.unfinished, EVICT_NEW_S),
+            (self.clients_by_phase[Phase.LINGERING], EVICT_LINGERING_S),
+            (self.incomplete, EVICT_SILENT_S),
+            (self.clients_by_phase[Phase.IDLE], idle_s),
+            (self.incomplete, EVICT_NEW_S),
         ):
             client = next(iter(table), None)
             if client is not None:
                 due_s = table[client] + seconds
-                if due_s <= now_s and not (client.unread or client.unsent):
+                if due_s <= now_s and not (client.has_unread_input or client.has_unsent_output):
                     client.abort()
                     return
                 dues_s.append(max(due_s, now_s + RECHECK_S))
@@ -196,18 +198,18 @@
         except OSError as error:
             log.error("client connection failed: error=%s", error)
             sock.close()
-            self.lost(client)
+            self.connection_closed(client)
 
-    def is_loaded(self, fraction: float) -> bool:
+    def is_usage_above(self, fraction: float) -> bool:
         """Whether so large a fraction of the cap is used."""
         return len(self.clients) >= fraction * self.max_clients
 
     def wait(self, client: HostedConnection, phase: Phase) -> None:
         """Note that it has no request open from now on, and may be closed at the cap."""
-        self.busy(client)
+        self.leave_phase(client)
         client.phase = phase
-        client.end_at = 0.0
-        self.waiting[phase][client] = self.loop.time()
+        client.forced_close_at = 0.0
+        self.clients_by_phase[phase][client] = self.loop.time()
         self.note_progress(client)
         self._sweep_at(self.loop.time() + self._limit_s(phase))
         if len(self.clients) >= self.max_clients:
@@ -216,14 +218,14 @@
     def note_progress(self, client: HostedConnection) -> None:
         """Note that it goes on sending its request."""
         if client.phase in (Phase.NEW, Phase.BODY):
-            self.unfinished.pop(client, None)
-            self.unfinished[client] = self.loop.time()
+            self.incomplete.pop(client, None)
+            self.incomplete[client] = self.loop.time()
 
-    def busy(self, client: HostedConnection) -> None:
+    def leave_phase(self, client: HostedConnection) -> None:
         """Note that it is in no phase of waiting any more."""
         if client.phase is not None:
-            del self.waiting[client.phase][client]
-            self.unfinished.pop(client, None)
+            del self.clients_by_phase[client.phase][client]
+            self.incomplete.pop(client, None)
             client.phase = None
 
     def _sweep_at(self, when: float) -> None:
@@ -240,7 +242,7 @@
             self.timer.cancel()
             self.timer = None
         now = self.loop.time()
-        for phase, clients in self.waiting.items():
+        for phase, clients in self.clients_by_phase.items():
             limit = self._limit_s(phase)
             late = []
             for client, since in clients.items():
@@ -249,22 +251,22 @@
                     break
                 late.append(client)
             for client in late:
-                client.end_at = client.end_at or now + UNREAD_S
-                if now < client.end_at and client.unread:
+                client.forced_close_at = client.forced_close_at or now + UNREAD_S
+                if now < client.forced_close_at and client.has_unread_input:
                     self._sweep_at(now + RECHECK_S)
                 else:
-                    client.too_late()
+                    client.on_timeout()
 
     def _limit_s(self, phase: Phase) -> float:
         """How long a phase may last; no connection is kept for a request that is not accepted."""
         return 0.0 if phase is Phase.IDLE and self.closed else LIMIT_S[phase]
 
-    def lost(self, client: HostedConnection) -> None:
+    def connection_closed(self, client: HostedConnection) -> None:
         """Forget a connection that has ended."""
         self.clients.discard(cast(ClientConnection, client))
-        self.busy(client)
+        self.leave_phase(client)
         self._listen()
-        self.check_left()
+        self.check_all_closed()
 
     # ---- the end ---------------------------------------------------------------------------------
 
@@ -275,10 +277,10 @@
         then their connections closed.
         """
         if not self.draining:
-            self.drained.set()
-            self.drained_ns = time.monotonic_ns()
+            self.shutdown_started.set()
+            self.shutdown_started_ns = time.monotonic_ns()
             if self.started:
-                leave_to_successor(self.listener)
+                redirect_to_successor(self.listener)
             self.loop.call_later(DRAIN_S, self._stop)
 
     def _stop(self) -> None:
@@ -295,13 +297,13 @@
         # A new connection is left its time all the same: its client has no reason yet to go
         # elsewhere.
         self._sweep()
-        self.check_left()
+        self.check_all_closed()
 
     def end_open(self) -> None:
         """Answer all open and all incomplete requests, as this process ends."""
         self.driver.end_open()
-        for client in list(self.unfinished):
-            client.leave()
+        for client in list(self.incomplete):
+            client.reject_incomplete()
 
     def close(self) -> None:
         """Close the listener and all connections at once."""
@@ -311,16 +313,16 @@
         if self.timer is not None:
             self.timer.cancel()
         for client in list(self.clients):
-            client.cut()
+            client.close_on_shutdown()
 
-    async def has_left(self, until_ns: int) -> bool:
+    async def wait_until_closed(self, until_ns: int) -> bool:
         """Wait for the last connection to end, until then (ns, monotonic) at the most."""
         with suppress(TimeoutError):
             async with asyncio.timeout((until_ns - time.monotonic_ns()) / 1e9):
-                await self.left.wait()
-        return self.left.is_set()
+                await self.all_closed.wait()
+        return self.all_closed.is_set()
 
-    def check_left(self) -> None:
+    def check_all_closed(self) -> None:
         """Note when the last connection has ended."""
         if self.closed and not self.clients:
-            self.left.set()
+            self.all_closed.set()
--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -29,7 +29,7 @@
         self.driver = driver
         self.peers = peers
         self.broadcast = broadcast
-        self.numbers = {address: number for number, address in enumerate(peers)}
+        self.peer_numbers = {address: number for number, address in enumerate(peers)}
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -38,7 +38,7 @@
 
     def datagram_received(self, data: bytes, address: Address) -> None:
         """Hand on a peer's datagram; called by the event loop."""
-        sender = self.numbers.get(address)
+        sender = self.peer_numbers.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM:
             self.driver.post(api.GossipReceived(sender, data))
 
--- a/loadbalancer/proxy/listener.py
+++ b/loadbalancer/proxy/listener.py
@@ -60,7 +60,7 @@
             log.warning("listener's old filter not removed: error=%s", error)
 
 
-def leave_to_successor(listener: socket.socket) -> None:
+def redirect_to_successor(listener: socket.socket) -> None:
     """Have the kernel send new connections to the next process, if there is one."""
     code = ctypes.create_string_buffer(struct.pack("=HBBI", BPF_RET, 0, 0, SUCCESSOR))
     program = struct.pack("@HP", 1, ctypes.addressof(code))
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -30,10 +30,10 @@
 log = logging.getLogger(__name__)
 
 ADMIN_DESCRIPTORS = MAX_CALLS + ACCEPT_BATCH + 1  # kept for the admin API
-LEAVE_S = 0.1  # beyond the time of the last answer, for its way out
+FINAL_ANSWERS_TIMEOUT_S = 0.1  # beyond the time of the last answer, for its way out
 # A process that takes over waits so long for the first list, and for the other to free capacity:
 # it has to accept clients within 6 s.
-TAKE_OVER_S = 2.0
+TAKEOVER_TIMEOUT_S = 2.0
 
 
 @dataclass(frozen=True)
@@ -130,36 +130,43 @@
 
     async def accept_clients(self) -> None:
         """Start the clients' side, once it can take over from another process."""
-        if not self.registry.alone:
+        if not self.registry.is_alone:
             # Clients are dealt to this process from its first turn on: it begins once it can serve,
             # and once the other one leaves it its share of the descriptors.
-            await self.registry.agreed(lambda note: note.is_within_share, TAKE_OVER_S)
-            await self.driver.can_serve(TAKE_OVER_S)
+            await self.registry.wait_for_others(
+                lambda note: note.is_within_share, TAKEOVER_TIMEOUT_S
+            )
+            await self.driver.can_serve(TAKEOVER_TIMEOUT_S)
         self.frontend.start()
         gc.collect()
         gc.freeze()  # what is there now stays: no collection need examine it again
 
-    async def drained(self) -> None:
+    async def wait_for_shutdown(self) -> None:
         """Wait for the shutdown, and for the last answers."""
         frontend = self.frontend
-        await frontend.drained.wait()
+        await frontend.shutdown_started.wait()
         # One after the other, not by two timers: where the loop is late these would come due
         # together, and the last answers be dropped.
-        if not await frontend.has_left(frontend.last_answer_ns):
+        if not await frontend.wait_until_closed(frontend.answer_deadline_ns):
             frontend.end_open()
-            self._accept_rest()
-            if not await frontend.has_left(time.monotonic_ns() + int(LEAVE_S * 1e9)):
-                log.info("shutdown with client connections open: connections=%d", frontend.held)
-
-    def _accept_rest(self) -> None:
+            self._accept_queued_clients()
+            if not await frontend.wait_until_closed(
+                time.monotonic_ns() + int(FINAL_ANSWERS_TIMEOUT_S * 1e9)
+            ):
+                log.info(
+                    "shutdown with client connections open: connections=%d",
+                    frontend.connections_open,
+                )
+
+    def _accept_queued_clients(self) -> None:
         """Make room for the clients that wait in the accept queue: closing it would reset them.
 
         Nothing more is sent to upstreams, so the descriptors kept for that are free. The answers
         just given leave connections that linger, and hold their places for longer than is left.
         """
-        self.upstreams.allow(0)
+        self.upstreams.set_limit(0)
         shares = self.limits.shares
-        self.frontend.allow(shares.clients + shares.upstreams)
+        self.frontend.set_limit(shares.clients + shares.upstreams)
 
     async def close(self) -> None:
         """Close all parts."""
@@ -196,6 +203,6 @@
         process.start_companion(companion, reloader.reload)
     await process.accept_clients()
     try:
-        await process.drained()
+        await process.wait_for_shutdown()
     finally:
         await process.close()
--- a/loadbalancer/proxy/process_handover.py
+++ b/loadbalancer/proxy/process_handover.py
@@ -65,7 +65,7 @@
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
         self.note = ProcessNote()
-        self.known: dict[Path, ProcessNote] = {}
+        self.other_notes: dict[Path, ProcessNote] = {}
         self._on_check: list[Callable[[], None]] = []
         self._descriptor: int | None = None
         self._path = ""
@@ -78,12 +78,12 @@
     @property
     def others(self) -> list[ProcessNote]:
         """The notes of the other processes."""
-        return list(self.known.values())
+        return list(self.other_notes.values())
 
     @property
-    def alone(self) -> bool:
+    def is_alone(self) -> bool:
         """Whether no other process is known."""
-        return not self.known
+        return not self.other_notes
 
     def on_check(self, callback: Callable[[], None]) -> None:
         """Call this behind each periodic check, whether or not anything is new."""
@@ -104,14 +104,14 @@
         except OSError as error:  # those that were known are taken to run on
             log.error("state folder not readable: path=%s error=%s", self.folder, error)
             return
-        found = {}
+        notes = {}
         for path in paths:
             note = self._read(path) if str(path) != self._path else None
             if note is not None:
-                found[path] = note
-        if len(found) != len(self.known):
-            log.info("other processes of this balancer: count=%d", len(found))
-        self.known = found
+                notes[path] = note
+        if len(notes) != len(self.other_notes):
+            log.info("other processes of this balancer: count=%d", len(notes))
+        self.other_notes = notes
 
     def watch(self) -> None:
         """Check now and periodically from now on."""
@@ -120,13 +120,15 @@
         for callback in self._on_check:
             callback()
 
-    async def agreed(self, holds: Callable[[ProcessNote], bool], seconds: float) -> bool:
+    async def wait_for_others(
+        self, condition: Callable[[ProcessNote], bool], seconds: float
+    ) -> bool:
         """Wait until this holds for all the others; False where it does not in time."""
         try:
             async with asyncio.timeout(seconds):
                 while True:
                     self.check()
-                    if all(holds(note) for note in self.others):
+                    if all(condition(note) for note in self.others):
                         return True
                     await asyncio.sleep(AGREEMENT_POLL_S)
         except TimeoutError:
@@ -136,7 +138,7 @@
         """Remove this process from the registry."""
         if self._timer is not None:
             self._timer.cancel()
-        self._remove_own()
+        self._remove_file()
 
     # ---- this process's file ---------------------------------------------------------------------
 
@@ -149,7 +151,7 @@
         self._retry_at_s = now_s + RETRY_S
         try:
             if self._descriptor is None:
-                self._make(self.folder)
+                self._create_file(self.folder)
             else:
                 self._write()
         except OSError as error:
@@ -160,7 +162,7 @@
         self._is_failure_logged = False
         self._retry_at_s = 0.0
 
-    def _make(self, folder: Path) -> None:
+    def _create_file(self, folder: Path) -> None:
         """Make and lock a file.
 
         Until it is locked, another process takes it for that of a dead one, and removes it: then
@@ -174,12 +176,12 @@
             try:
                 fcntl.flock(self._descriptor, fcntl.LOCK_EX)
                 self._write()
-                is_there = os.fstat(self._descriptor).st_nlink > 0
+                is_linked = os.fstat(self._descriptor).st_nlink > 0
             except OSError:
-                self._remove_own()
+                self._remove_file()
                 raise
-            if not is_there:
-                self._remove_own()
+            if not is_linked:
+                self._remove_file()
 
     def _write(self) -> None:
         assert self._descriptor is not None
@@ -187,7 +189,7 @@
         write_all(self._descriptor, self.note.pack())
         self._written = self.note
 
-    def _remove_own(self) -> None:
+    def _remove_file(self) -> None:
         """Remove the file: no other process sees this one any more."""
         if self._descriptor is None:
             return
@@ -219,5 +221,5 @@
         except FileNotFoundError:
             return None
         except OSError:
-            return self.known.get(path)
+            return self.other_notes.get(path)
         return None
--- a/loadbalancer/proxy/reloader.py
+++ b/loadbalancer/proxy/reloader.py
@@ -68,6 +68,6 @@
             log.info("configuration reloaded: upstreams=%d", len(new.fixed["servers"]))
             return
         if "discovery" in changed:
-            self.discovery.move(new.discovery)
+            self.discovery.change_address(new.discovery)
             self.config = dataclasses.replace(self.config, discovery=new.discovery)
         log.info("configuration reloaded: discovery=%s:%d", *new.discovery)
--- a/loadbalancer/proxy/request_head.py
+++ b/loadbalancer/proxy/request_head.py
@@ -17,23 +17,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RequestTerms:
     """What a head says.
 
     Attributes:
         wait_ns: How long its client waits, counted from the request's last byte.
     """
 
-    request: str
+    request_id: str
     class_name: str
     tenant: str
-    wait_ns: int
+    timeout_ns: int
     cost_hint_ns: int
     key: str
     retry: bool
 
 
-def read_terms(head: Request, settings: api.Settings, open_requests: Container[str]) -> Terms:
+def read_terms(
+    head: Request, settings: api.Settings, open_requests: Container[str]
+) -> RequestTerms:
     """Read a head.
 
     Args:
@@ -48,23 +50,23 @@
     path, _, query = head.target.decode("latin-1").partition("?")
     class_name = _class_of(path, headers, settings)
     _check_method(head, settings.classes[class_name])
-    request = headers.get(b"x-request-id", b"").decode("latin-1")
-    if not request:
+    request_id = headers.get(b"x-request-id", b"").decode("latin-1")
+    if not request_id:
         raise UnacceptableMessageError(400, "no X-Request-Id")
-    if len(request) > MAX_ID:
+    if len(request_id) > MAX_ID:
         raise UnacceptableMessageError(400, "X-Request-Id is too long")
-    if request in open_requests:
+    if request_id in open_requests:
         raise UnacceptableMessageError(409, "a request with this X-Request-Id is open")
     # Nobody waits longer than the class allows, whatever the header says: SIGTERM counts on it.
     longest_ns = settings.classes[class_name].deadline_ns
-    wait_ns = min(
+    timeout_ns = min(
         longest_ns, _number(headers, b"x-deadline-ms", longest_ns // MILLISECOND) * MILLISECOND
     )
-    return Terms(
-        request,
+    return RequestTerms(
+        request_id,
         class_name,
         headers.get(b"x-tenant", b"").decode("latin-1"),
-        wait_ns,
+        timeout_ns,
         _number(headers, b"x-cost-hint", 0) * MICROSECOND,
         key_of(query) if KEY_FIELD in query else "",
         headers.get(b"x-retry") == b"1",
--- a/loadbalancer/proxy/request_intake.py
+++ b/loadbalancer/proxy/request_intake.py
@@ -9,8 +9,10 @@
 from loadbalancer.proxy.request_head import read_terms
 from loadbalancer.proxy.requests import Client, OpenRequest
 
-ANSWER_NS = 3_000_000  # kept of each deadline for the answer's way to the client
-UPLOAD_NS = 600_000_000_000  # longer than the longest body takes that comes as slowly as is allowed
+ANSWER_MARGIN_NS = 3_000_000  # kept of each deadline for the answer's way to the client
+UPLOAD_DEADLINE_NS = (
+    600_000_000_000  # longer than the longest body takes that comes as slowly as is allowed
+)
 REPLACED_HEADERS = frozenset({b"x-deadline-ms"})
 
 
@@ -23,9 +25,9 @@
 
     def __init__(self, host: ConnectionHost) -> None:
         self.host = host
-        self.wait_ns = 0
+        self.timeout_ns = 0
 
-    def open(self, head: Request, client: Client, received_ns: int) -> OpenRequest:
+    def open_request(self, head: Request, client: Client, received_ns: int) -> OpenRequest:
         """Build the open request.
 
         Args:
@@ -45,26 +47,26 @@
             headers,
             head.body,
             client,
-            max(0, self.wait_ns - ANSWER_NS),
+            max(0, self.timeout_ns - ANSWER_MARGIN_NS),
             head.stream,
         )
 
     def deadline_ns(self, received_ns: int) -> int:
         """When the answer must be given, to arrive in time and before this process ends."""
-        deadline_ns = received_ns + max(0, self.wait_ns - ANSWER_NS)
+        deadline_ns = received_ns + max(0, self.timeout_ns - ANSWER_MARGIN_NS)
         if self.host.draining:
-            deadline_ns = min(deadline_ns, self.host.last_answer_ns)
+            deadline_ns = min(deadline_ns, self.host.answer_deadline_ns)
         return deadline_ns
 
     def _arrival(self, head: Request, received_ns: int) -> api.RequestArrived:
         driver = self.host.driver
         terms = read_terms(head, driver.settings, driver.requests)
-        self.wait_ns = terms.wait_ns
+        self.timeout_ns = terms.timeout_ns
         deadline_ns = self.deadline_ns(received_ns)
         if head.stream is not None:
-            deadline_ns = received_ns + UPLOAD_NS  # until it is complete
+            deadline_ns = received_ns + UPLOAD_DEADLINE_NS  # until it is complete
         return api.RequestArrived(
-            terms.request,
+            terms.request_id,
             terms.class_name,
             terms.tenant,
             deadline_ns,
--- a/loadbalancer/proxy/resource_limits.py
+++ b/loadbalancer/proxy/resource_limits.py
@@ -31,11 +31,11 @@
 class ConnectionHolder(Protocol):
     """A part that opens connections under a cap."""
 
-    def allow(self, connections: int) -> None:
+    def set_limit(self, connections: int) -> None:
         """Set the cap."""
 
     @property
-    def held(self) -> int:
+    def connections_open(self) -> int:
         """Connections that are open."""
 
 
@@ -92,7 +92,7 @@
         self.shares = self._current_shares()
 
     def _current_shares(self) -> Shares:
-        return self.limits.shares(1 if self.registry.alone else 2)
+        return self.limits.shares(1 if self.registry.is_alone else 2)
 
     def start(
         self, clients: ConnectionHolder, upstreams: ConnectionHolder, memory: BodyMemory
@@ -111,9 +111,12 @@
         shares = self._current_shares()
         if shares != self.shares:
             self.shares = shares
-            self.clients.allow(shares.clients)
-            self.upstreams.allow(shares.upstreams)
+            self.clients.set_limit(shares.clients)
+            self.upstreams.set_limit(shares.upstreams)
             self.memory.limit = shares.bodies
-        fits = self.clients.held <= shares.clients and self.upstreams.held <= shares.upstreams
+        fits = (
+            self.clients.connections_open <= shares.clients
+            and self.upstreams.connections_open <= shares.upstreams
+        )
         registry = self.registry
-        registry.publish(replace(registry.note, is_within_share=not registry.alone and fits))
+        registry.publish(replace(registry.note, is_within_share=not registry.is_alone and fits))
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -143,13 +143,13 @@
     # ---- the cap on connections ------------------------------------------------------------------
 
     @property
-    def held(self) -> int:
+    def connections_open(self) -> int:
         """Connections that are open or being opened."""
         return self.pool.connections
 
-    def allow(self, connections: int) -> None:
+    def set_limit(self, connections: int) -> None:
         """Set the cap on connections, those in use included."""
-        self.pool.allow(connections)
+        self.pool.set_limit(connections)
 
     # ---- attempts and health checks --------------------------------------------------------------
 
--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -177,7 +177,7 @@
             await new.disable("unheard-of")
         old_note.close()
         new_note.check()
-        assert new_note.alone
+        assert new_note.is_alone
         await new.enable("s-2")
         new_note.close()
 
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -436,7 +436,7 @@
                 used.send(raw_request(start="GET /quote HTTP/1.1").replace(b"pay", b"quote"))
                 assert (await loop.sock_recv(used, 4096)).startswith(b"HTTP/1.1 200 ")
                 [front] = made
-                table = front.waiting[Phase.IDLE]
+                table = front.clients_by_phase[Phase.IDLE]
                 [kept] = table
                 assert isinstance(kept, ClientConnection) and kept.transport is not None
                 sock = kept.transport.get_extra_info("socket")
@@ -468,8 +468,8 @@
     """Taken before SIGTERM, with a deadline behind the process's own end: it ended over the open
     request.
     """
-    monkeypatch.setattr(frontend, "MAX_ANSWER_NS", 100_000_000)
-    monkeypatch.setattr(frontend, "LEAVE_NS", 100_000_000)
+    monkeypatch.setattr(frontend, "MAX_SHUTDOWN_DEADLINE_NS", 100_000_000)
+    monkeypatch.setattr(frontend, "SHUTDOWN_MARGIN_NS", 100_000_000)
 
     async def test() -> None:
         async with world() as w:
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -80,9 +80,9 @@
 
 
 async def held_connection(front: Frontend) -> ClientConnection:
-    while not front.clients or not any(c.open for c in front.clients):
+    while not front.clients or not any(c.open_request for c in front.clients):
         await asyncio.sleep(0)
-    return next(c for c in front.clients if c.open)
+    return next(c for c in front.clients if c.open_request)
 
 
 # ---- close ---------------------------------------------------------------------------------------
@@ -120,7 +120,7 @@
                     phase = Phase.IDLE if when == "at rest" else Phase.NEW
                     while client.phase is not phase:
                         await asyncio.sleep(0)
-                    made[0].waiting[phase][client] -= 60.0
+                    made[0].clients_by_phase[phase][client] -= 60.0
                     made[0]._sweep()
                     sock.send(crossing)
                 got = await asyncio.wait_for(read_all(sock), 5.0)
@@ -177,7 +177,7 @@
             client = await w.held("r1")
             connection = await held_connection(made[0])
             assert connection.transport is not None
-            request = connection.open
+            request = connection.open_request
             assert request is not None and request.attempts[0] is not None
             upstream = request.attempts[0].connection
             assert isinstance(upstream, UpstreamConnection) and upstream.transport is not None
@@ -385,8 +385,8 @@
 
 
 def short_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "MAX_ANSWER_NS", SECOND // 10)
-    monkeypatch.setattr(frontend, "LEAVE_NS", SECOND // 10)
+    monkeypatch.setattr(frontend, "MAX_SHUTDOWN_DEADLINE_NS", SECOND // 10)
+    monkeypatch.setattr(frontend, "SHUTDOWN_MARGIN_NS", SECOND // 10)
 
 
 def test_the_last_answers_go_out_also_where_the_loop_is_late_at_the_end(
@@ -403,7 +403,7 @@
             made[0].drain()
             await asyncio.sleep(0)
             time.sleep(
-                0.2 + balancer_process.LEAVE_S + 0.2
+                0.2 + balancer_process.FINAL_ANSWERS_TIMEOUT_S + 0.2
             )  # the loop stands still over both times
             assert (await asyncio.wait_for(read_message(client.reader), 2.0)).status == 504
             await client.ended()
@@ -437,7 +437,7 @@
     made: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     short_leave(monkeypatch)
-    monkeypatch.setattr(balancer_process, "LEAVE_S", 5.0)
+    monkeypatch.setattr(balancer_process, "FINAL_ANSWERS_TIMEOUT_S", 5.0)
     ended = asyncio.Event()
     end_open = Frontend.end_open
 
@@ -492,7 +492,9 @@
             ]
             # To HTTP/1.0, which knows no chunks, an answer whose length was not told ends by its
             # close.
-            monkeypatch.setattr(ClientConnection, "_begin", without_length(ClientConnection._begin))
+            monkeypatch.setattr(
+                ClientConnection, "_begin_answer", without_length(ClientConnection._begin_answer)
+            )
             with await plain(w) as sock:
                 sock.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0"))
                 while not any(c.writer.body for c in made[0].clients):
@@ -529,7 +531,7 @@
         async with world():
             while not made:
                 await asyncio.sleep(0)
-            await asyncio.wait_for(made[0].left.wait(), 5.0)
+            await asyncio.wait_for(made[0].all_closed.wait(), 5.0)
             assert not listened
 
     run(test())
@@ -553,7 +555,7 @@
             made[0].drain()
             for client in waiting:
                 assert (await asyncio.wait_for(read_message(client.reader), 5.0)).status == 200
-            await asyncio.wait_for(made[0].left.wait(), 5.0)
+            await asyncio.wait_for(made[0].all_closed.wait(), 5.0)
 
     run(test())
 
@@ -605,7 +607,7 @@
     assert not looks and len(first.others) == len(second.others) == 1
     second.close()
     first.check()
-    assert first.alone
+    assert first.is_alone
     first.close()
 
 
@@ -687,7 +689,7 @@
             assert isinstance(lists, discovery.Discovery)
             other = FakeDiscovery([w.upstreams[1].row()])
             await other.start()
-            lists.move(other.address)
+            lists.change_address(other.address)
             await asyncio.wait_for(
                 heard.until(
                     lambda: [
@@ -751,7 +753,7 @@
             w.discovery.change(w.upstreams[0].row("Terminating"))
             while not lists.connection or lists.connection.clear:
                 await asyncio.sleep(0)
-            lists.move(other.address)
+            lists.change_address(other.address)
             await other.until(lambda: any("from=1&" in m.start[1] for m in other.seen))
             assert [e.kind for e in heard.of(api.EndpointsUpdated)] == [
                 api.EndpointListKind.CACHED,
@@ -883,7 +885,7 @@
             given_up.finish(api.AttemptResult.NOT_SENT)
             await asyncio.gather(*one.upstreams.pool.connecting)  # its connection came up idle
             one.ask()
-            assert one.upstreams.held == 1
+            assert one.upstreams.connections_open == 1
             (await one.link()).close()
             one.upstreams.close()
 
--- a/tests/proxy/test_state_folder.py
+++ b/tests/proxy/test_state_folder.py
@@ -236,10 +236,10 @@
     with monkeypatch.context() as patch:
         patch.setattr(builtins, "open", failing(OSError(errno.EMFILE, "Too many open files")))
         second.check()
-        assert not second.alone
+        assert not second.is_alone
     first.close()
     second.check()
-    assert second.alone
+    assert second.is_alone
     second.close()
 
 
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -374,7 +374,9 @@
                 == len(balancer.balancer.upstream_set.upstreams)
                 == 1
             )
-            assert balancer.upstreams.held <= 2 and not balancer.upstreams.pool.connecting
+            assert (
+                balancer.upstreams.connections_open <= 2 and not balancer.upstreams.pool.connecting
+            )
             assert not balancer.requests and not balancer.open and not balancer.balancer.requests
 
     run(test())
