--- a/loadbalancer/proxy/admin_api.py
+++ b/loadbalancer/proxy/admin_api.py
@@ -1,10 +1,11 @@
-"""The admin API: the `mgmt` listener and its calls, one on each connection.
+"""Admin API: the `mgmt` listener, which serves one call per connection.
 
     GET /-/ready                      whether this process accepts clients
     POST /-/upstreams/ID/disable      send no new request to this upstream
     POST /-/upstreams/ID/enable       use it again
 
-It keeps nothing but its connections. Yes is 2xx; no is 4xx or 5xx, with the reason as text.
+The API has no state except its connections. A call that succeeds gets 2xx; one that fails gets 4xx
+or 5xx, with the reason as text.
 """
 
 from __future__ import annotations
@@ -22,19 +23,20 @@
 
 log = logging.getLogger(__name__)
 
-# Calls that are open at a time; descriptors are kept for them. Each takes milliseconds.
+# Limit on concurrent calls, for which descriptors are reserved. A call takes milliseconds.
 MAX_CALLS = 12
-# Connections that asyncio accepts on one turn of the loop: it may hold so many over the cap.
+# Connections that asyncio accepts in one event-loop iteration, possibly in excess of MAX_CALLS.
 ACCEPT_BATCH = 4
-BACKLOG = 128  # connections that the kernel queues meanwhile
-# A call must be complete this long after it connected. At the cap the oldest is closed sooner.
+BACKLOG = 128  # connections that the kernel queues
+# A call must be complete within this time after the connect. At MAX_CALLS the oldest incomplete
+# call is closed sooner.
 CALL_TIMEOUT_S = 2.0
-LINGER_S = 1.0  # an answer is left so long to be read
-MAX_CALL_BYTES = 16 * 1024  # calls have no body worth reading
+LINGER_S = 1.0  # time for the caller to read the answer and close
+MAX_CALL_BYTES = 16 * 1024  # calls need no body
 
 
 class CallDeclinedError(Exception):
-    """A call is declined, with this status and reason."""
+    """Raised to reject a call with a status and a reason."""
 
     def __init__(self, status: HTTPStatus, reason: str, headers: Headers = ()) -> None:
         super().__init__(reason)
@@ -43,24 +45,24 @@
 
 
 class UpstreamSwitch(Protocol):
-    """Disables upstreams and enables them; both raise `CallDeclinedError`."""
+    """Disables and enables upstreams; both methods raise `CallDeclinedError`."""
 
     async def disable(self, name: str) -> None:
-        """Send no new request to an upstream."""
+        """Stop sending new requests to an upstream."""
 
     async def enable(self, name: str) -> None:
-        """Use an upstream again."""
+        """Resume sending requests to an upstream."""
 
 
 class AdminApi:
-    """The listener and its calls.
+    """Admin listener and its open calls.
 
     Args:
         ready: Whether this process accepts clients.
         switch: Disables and enables upstreams.
 
     Attributes:
-        calls: Open calls, the oldest first.
+        calls: Open calls, oldest first.
     """
 
     def __init__(self, ready: Callable[[], bool], switch: UpstreamSwitch) -> None:
@@ -71,7 +73,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, listener: socket.socket) -> None:
-        """Accept calls: few at a time, and many may wait."""
+        """Accept calls in small batches; the kernel queues up to `BACKLOG` more."""
         self.server = await asyncio.get_running_loop().create_server(
             lambda: Call(self), sock=listener, backlog=ACCEPT_BATCH
         )
@@ -87,7 +89,7 @@
             call.abort()
 
     def opened(self, call: Call) -> None:
-        """Note a call; at the cap the oldest incomplete one is closed."""
+        """Register a call; above `MAX_CALLS`, close the oldest, preferably incomplete one."""
         self.calls[call] = None
         if len(self.calls) > MAX_CALLS:
             incomplete = next((c for c in self.calls if not c.is_complete), None)
@@ -95,7 +97,7 @@
             oldest.abort()
 
     def run(self, call: Call, request: Request) -> None:
-        """Carry out a call and answer it."""
+        """Execute a call and answer it."""
         task = asyncio.get_running_loop().create_task(self._run(call, request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -130,10 +132,10 @@
 
 
 def require_method(request: Request, method: bytes) -> None:
-    """Decline a call of another method.
+    """Reject a call with another method.
 
     Raises:
-        CallDeclinedError: It is another.
+        CallDeclinedError: The method differs.
     """
     if request.method != method:
         raise CallDeclinedError(
@@ -144,10 +146,10 @@
 
 
 class Call(asyncio.Protocol):
-    """One connection, and the one call on it.
+    """Connection that carries a single call.
 
     Attributes:
-        is_complete: Nothing more is read.
+        is_complete: Whether the call is read or rejected; further input is ignored.
     """
 
     def __init__(self, api: AdminApi) -> None:
@@ -159,7 +161,7 @@
         self.is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by the event loop."""
+        """Store the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
         self.timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._too_late)
         self.api.opened(self)
@@ -180,11 +182,11 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def eof_received(self) -> bool:
-        """Note the end of the caller's sending; called by the event loop."""
+        """Handle the caller's end of input; called by the event loop."""
         if not self.is_complete:
             self.answer(HTTPStatus.BAD_REQUEST, "the call is not whole")
             return False
-        # A caller may end its sending and still wait for the answer.
+        # A caller may half-close and still wait for the answer.
         return not self.is_answered
 
     def _too_late(self) -> None:
@@ -194,7 +196,7 @@
             self.abort()
 
     def answer(self, status: HTTPStatus, text: str, headers: Headers = ()) -> None:
-        """Answer the call, and end the sending."""
+        """Answer the call, and half-close the connection."""
         self.is_complete = True
         self.is_answered = True
         if self.transport is None or self.transport.is_closing():
@@ -212,20 +214,20 @@
                 body,
             )
         )
-        # Closing with unread bytes in hand would reset the connection and take the answer along:
-        # only the sending ends, and the caller closes, or its time runs out.
+        # A full close with unread input would reset the connection, and the caller could lose the
+        # answer. So only the sending side closes, until the caller closes or LINGER_S has passed.
         self.transport.write_eof()
         if self.timer is not None:
             self.timer.cancel()
         self.timer = asyncio.get_running_loop().call_later(LINGER_S, self.abort)
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (a callback)
-        """Note the connection's end; called by the event loop."""
+        """Handle the closed connection; called by the event loop."""
         self.is_complete = True
         self.api.calls.pop(self, None)
         self.reader.close()
--- a/loadbalancer/proxy/atomic_files.py
+++ b/loadbalancer/proxy/atomic_files.py
@@ -1,8 +1,8 @@
 """Small files in the state folder, replaced atomically.
 
-The folder does not outlive the machine, so there is nothing to sync for: what has to last is what
-another process of this machine reads. A write may fail, or be short; a process may be killed at any
-point, which leaves the file as it was and a new one beside it that `remove_leftovers` removes.
+The folder does not outlive the machine, and only processes on this machine read it, so the files
+are not synced. A write may fail or be short. A process that is killed during a replacement leaves
+the old file unchanged, and a temporary file next to it that `remove_leftovers` removes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     """Replace a file.
 
     Raises:
-        OSError: It failed, and the file is as it was.
+        OSError: The replacement failed, and the file is unchanged.
     """
     descriptor, new_path = tempfile.mkstemp(prefix=f"{path.name}.", dir=path.parent)
     try:
@@ -33,10 +33,10 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all bytes from the file's start on, also where single writes are short.
+    """Write all bytes from the start of the file, repeating short writes.
 
     Raises:
-        OSError: It failed, and part of the bytes may be written.
+        OSError: The write failed, possibly after writing part of the data.
     """
     view = memoryview(data)
     offset = 0
@@ -47,9 +47,9 @@
 
 
 def remove_leftovers(path: Path) -> None:
-    """Remove what killed processes left beside a file.
+    """Remove temporary files that killed processes left next to a file.
 
-    The caller holds the file's lock, so that no other process is writing it.
+    The caller must hold the file's lock, so that no other process is writing the file.
     """
     for leftover in path.parent.glob(f"{path.name}.*"):
         with suppress(OSError):
--- a/loadbalancer/proxy/client_answer.py
+++ b/loadbalancer/proxy/client_answer.py
@@ -1,4 +1,4 @@
-"""Writes the answers of one client's connection: heads, framing, and bodies in pieces."""
+"""Writes the answers on one client connection: heads, framing and streamed bodies."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 
 class AnswerSink(Protocol):
-    """The connection that answers are written to."""
+    """Connection that answers are written to."""
 
     def write(self, data: bytes) -> None:
         """Write bytes, unless the connection is closing."""
 
     def reset(self) -> None:
-        """Close the connection so that the client can tell that the answer is incomplete."""
+        """Reset the connection, so that the client can tell that the answer is incomplete."""
 
     def answer_progressed(self) -> None:
-        """Note that a part of a body was written."""
+        """Handle the writing of part of a body."""
 
     def answer_completed(self) -> None:
-        """Note that the answer is complete."""
+        """Handle the completion of the answer."""
 
 
 class AnswerWriter:
-    """Answers one request after another.
+    """Writes the answers to successive requests.
 
     Attributes:
-        body: The body that goes out in pieces.
-        in_chunks: These pieces are chunks.
-        is_blocked: The client does not read its answers.
-        is_head: The request is a HEAD: its answer has no body.
-        keep_alive: The client wants the connection to stay open.
+        body: The streamed body that is being written.
+        in_chunks: Whether the body is sent with chunked transfer encoding.
+        is_blocked: Whether writing is paused because the client does not read.
+        is_head: Whether the request is a HEAD, whose answer has no body.
+        keep_alive: Whether the client asks for the connection to stay open.
     """
 
     def __init__(self, sink: AnswerSink) -> None:
@@ -47,7 +47,7 @@
         self.keep_alive = True
 
     def expect(self, request: Request) -> None:
-        """Note what the next answer has to be like."""
+        """Record how the answer to this request must be framed."""
         self.is_head = request.method == b"HEAD"
         self.keep_alive = request.keep_alive
         self.is_http_1_1 = request.is_http_1_1
@@ -60,21 +60,21 @@
         close_after_answer: bool,
         length: bytes | None = None,
     ) -> None:
-        """Write an answer whose body is at hand.
+        """Write an answer whose body is complete.
 
         Args:
-            status: Its status.
-            headers: Its headers, without those of its framing.
-            body: Its body.
-            close_after_answer: The connection ends behind it.
-            length: The length to name, where that is not the body's.
+            status: The HTTP status.
+            headers: The headers without the framing headers.
+            body: The body.
+            close_after_answer: Whether the connection closes after the answer.
+            length: The Content-Length, if it differs from the body's length.
         """
         rows = [*headers, (b"Content-Length", length or b"%d" % len(body))]
         self._write_head(status, rows, close_after_answer, b"" if self.is_head else body)
         self.sink.answer_completed()
 
     def begin_body(self, headers: Headers, body: Body, close_after_answer: bool) -> None:
-        """Begin a successful answer whose body comes in pieces."""
+        """Begin a successful answer with a streamed body."""
         rows = list(headers)
         self.in_chunks = body.length is None and self.is_http_1_1
         if body.length is not None:
@@ -87,7 +87,7 @@
         self.pump()
 
     def pump(self) -> None:
-        """Write the body on, as long as the client reads."""
+        """Write the available body data, unless the client does not read."""
         body = self.body
         if body is None:
             return
@@ -110,7 +110,7 @@
             self.sink.answer_progressed()
 
     def drop(self) -> None:
-        """Stop an answer under way: nobody waits for it any more."""
+        """Abandon the answer in progress, which the client no longer awaits."""
         body = self.body
         self.body = None
         if body is not None:
@@ -125,7 +125,7 @@
 
 
 def start_line(status: int) -> bytes:
-    """The first line of an answer."""
+    """Return the status line of an answer."""
     return b"HTTP/1.1 %d %b" % (status, HTTPStatus(status).phrase.encode())
 
 
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: requests in, one at a time, and the final answer to each out."""
+"""A client connection: reads requests one at a time and writes the answer to each."""
 
 from __future__ import annotations
 
@@ -19,31 +19,32 @@
 from loadbalancer.proxy.requests import OpenRequest
 from loadbalancer.proxy.tcp_state import Socket, readable, received
 
-# Fractions of the cap on connections above which an answer ends its connection: one that came from
-# no upstream, and any. Idle connections are left their 2 s, so that with many clients they would
-# take all of the capacity, and new ones wait for seconds.
+# Fractions of the connection limit above which a connection closes after its answer: the first if
+# no request was open, as after invalid input, the second for all answers. Idle connections stay
+# open for 2 s, so with many clients they would use up the limit, and new connections would wait for
+# seconds.
 CLOSE_REJECTED_FRACTION = 0.5
 CLOSE_FRACTION = 0.6
 PROGRESS_BYTES = 16 * 1024  # bytes of a body that count as progress
-PARSE_BYTES = 16 * 1024  # parsed at a time: what is sent ahead of answers waits unparsed, and small
+PARSE_BYTES = 16 * 1024  # parsed at a time; pipelined input stays unparsed, which takes less memory
 READY_PATH = b"/ready"
 
 
 class ClientConnection(BufferedReader):
-    """One client's connection, which carries one request at a time.
+    """One client connection, which carries one request at a time.
 
     Attributes:
-        ahead: Bytes that came and are not parsed yet.
-        open: The request that is owed an answer.
-        upload: The body of the open request, as long as it comes.
-        progress: Bytes of a body that came since progress was last counted.
+        unparsed: Received bytes that are not parsed yet.
+        open_request: The request that is not answered yet.
+        upload: The body of the open request while it arrives.
+        progress_bytes: Body bytes received since the time limit was last restarted.
         writer: Writes the answers.
-        last: The connection ends behind the answer.
-        intake: Opens requests.
-        received_ns: When what is being parsed came.
-        phase: The frontend's table that it stands in; None: it is busy with a request.
-        end_at: Overdue since it was first found so, it ends then, whatever lies unread.
-        lingering: Its last answer is given: what it sends is dropped.
+        close_after_answer: Whether the connection closes after the answer.
+        intake: Builds open requests from message heads.
+        received_ns: When the input that is being parsed arrived.
+        phase: The current phase without an open request; None: a request is open.
+        forced_close_at: When an overdue connection closes even with unread input; 0: not overdue.
+        lingering: Whether the last answer is written; further input is discarded.
     """
 
     def __init__(self, frontend: ConnectionHost) -> None:
@@ -65,9 +66,9 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether something came on an idle connection that was not read yet."""
+        """Whether an idle or new connection has input that is not read yet."""
         if self.has_data:
-            return self.phase is Phase.IDLE  # sent ahead, and about to be parsed
+            return self.phase is Phase.IDLE  # pipelined input, about to be parsed
         return (
             self.phase in (Phase.NEW, Phase.IDLE)
             and self._open_transport is not None
@@ -76,15 +77,16 @@
 
     @property
     def has_unsent_output(self) -> bool:
-        """Whether part of what was written is still buffered here."""
+        """Whether the transport still buffers written data."""
         transport = self._open_transport
         return transport is not None and transport.get_write_buffer_size() > 0
 
     @property
     def gone(self) -> bool:
-        """Whether the client has closed its connection, as far as the kernel knows.
+        """Whether the client has closed its connection, according to the kernel.
 
-        A loop that is late, or does not read from it, has not been notified of that yet.
+        The kernel is queried because the event loop may be late, or may have paused reading, and
+        has then not reported the close yet.
         """
         return self._open_transport is None or received(self._socket)[0]
 
@@ -101,11 +103,11 @@
 
     @property
     def has_data(self) -> bool:
-        """Whether part of a request has come."""
+        """Whether part of a request has arrived."""
         return self.reader.begun or bool(self.reader.ready or self.unparsed)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by the event loop."""
+        """Store the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
         self.frontend.wait(self, Phase.NEW)
 
@@ -113,9 +115,9 @@
         """Read requests; called by the event loop."""
         if self.lingering:
             return
-        # Deadlines count from the client's send. What waited in the backlog, or for a loop that was
-        # late, is not fresh; and work for a client that has left makes those behind it late, until
-        # they leave too.
+        # Deadlines count from the arrival of the data in the kernel, because it may have waited in
+        # the backlog or for a late event loop. A request of a client that has closed is dropped:
+        # serving it would delay the requests after it until their clients give up as well.
         gone, ago_ns = received(self._socket)
         if gone:
             self.abort()
@@ -124,31 +126,31 @@
         self.frontend.note_progress(self)
         self._count_progress(len(data))
         if not self.can_parse and len(self.unparsed) > MAX_BODY:
-            # One request at a time: what floods in behind it would fill the memory.
+            # Requests are served one at a time; unlimited pipelined input would exhaust memory.
             self.abort()
             return
         self.unparsed += data
         self._parse()
 
     def pause_writing(self) -> None:
-        """Note that the client does not read; called by the event loop."""
+        """Stop writing while the client does not read; called by the event loop."""
         self.writer.is_blocked = True
 
     def resume_writing(self) -> None:
-        """Write on, and read on; called by the event loop."""
+        """Resume writing and parsing; called by the event loop."""
         self.writer.is_blocked = False
         self.writer.pump()
         self._parse()
 
     @property
     def can_parse(self) -> bool:
-        """Whether what comes is parsed; otherwise it waits for an answer to end."""
+        """Whether input is parsed now; otherwise it waits until the answer is complete."""
         if self.lingering or self.writer.is_blocked or self.writer.body is not None:
             return False
         return self.open_request is None or self.upload is not None
 
     def _count_progress(self, size: int) -> None:
-        """Leave a client that sends slowly its time, as long as it goes on."""
+        """Restart the time limit of a slow upload for each `PROGRESS_BYTES` received."""
         if self.phase not in (Phase.NEW, Phase.BODY) or not self.reader.in_body:
             return
         self.progress_bytes += size
@@ -156,16 +158,16 @@
             self.progress_bytes = 0
             self.frontend.wait(self, Phase.BODY)
 
-    # ---- a body in pieces: called by the body ---------------------------------------------
+    # ---- streamed request body: called by the body ---------------------------------------
 
     def pause(self) -> None:
-        """Stop reading: what was read waits for the upstream, which is not the client's time."""
+        """Stop reading until the upstream accepts more; the client's time limit is off."""
         self.frontend.leave_phase(self)
         if (transport := self._open_transport) is not None:
             transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading, and restart the client's time limit."""
         self.progress_bytes = 0
         self.frontend.wait(self, Phase.BODY)
         self._resume_reading()
@@ -176,23 +178,23 @@
             transport.resume_reading()
 
     def eof_received(self) -> bool:
-        """Note that the client has ended its sending; called by the event loop."""
+        """Handle the client's end of input; called by the event loop."""
         self._client_left()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (a callback)
-        """Note the connection's end; called by the event loop."""
+        """Handle the closed connection; called by the event loop."""
         self._client_left()
         self.reader.close()
         self.frontend.connection_closed(self)
 
     def _client_left(self) -> None:
-        """Drop what its client has sent ahead, and the open request."""
+        """Discard pipelined input and the open request."""
         self.lingering = True
         self._drop_request()
 
     def _drop_request(self) -> None:
-        """Drop the open request: nobody waits for its answer any more."""
+        """Drop the open request, whose answer the client no longer awaits."""
         self.upload = None
         self.writer.drop()
         request = self.open_request
@@ -201,9 +203,9 @@
             self.driver.client_gone(request)
 
     def on_timeout(self) -> None:
-        """End it, as it has been in its phase for as long as it may."""
+        """Close the connection, which has exceeded its phase's time limit."""
         if self.phase in (Phase.NEW, Phase.BODY) and self.has_data:
-            self._drop_request()  # of an open request only the end was still to come
+            self._drop_request()  # a request whose streamed body is incomplete may already be open
             self._reject_input(408, "the request did not come in time")
         elif self.phase in (Phase.NEW, Phase.IDLE):
             self._linger()
@@ -211,27 +213,27 @@
             self.abort()
 
     def reject_incomplete(self) -> None:
-        """Answer a request that is incomplete as this process ends: it may go elsewhere."""
+        """Reject an incomplete request at shutdown; the client may retry elsewhere."""
         if self.has_data and self.open_request is None:
             self._reject_input(503, "not taken")
 
     def close_on_shutdown(self) -> None:
-        """Close it as this process ends; an incomplete answer must not seem complete."""
+        """Close the connection at shutdown; an incomplete answer must not seem complete."""
         if self.writer.body is not None:
             self.reset()
         else:
             self.abort()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self.frontend.leave_phase(self)
         if self.transport is not None:
             self.transport.abort()
 
     def reset(self) -> None:
-        """Close it so that its client can tell that the answer is incomplete.
+        """Reset the connection, so that the client can tell that the answer is incomplete.
 
-        A reset is no orderly end, and so no end of an answer without a length.
+        An orderly close would mark the end of an answer without a length; a reset does not.
         """
         if self._open_transport is not None:
             linger = struct.pack("ii", 1, 0)
@@ -240,10 +242,10 @@
             )
         self.abort()
 
-    # ---- in --------------------------------------------------------------------------------------
+    # ---- input -----------------------------------------------------------------------------------
 
     def _parse(self) -> None:
-        """Parse on, unless a request is open, or answers pile up that are not read."""
+        """Parse input until a request is open or the client does not read its answers."""
         reader = self.reader
         while self.can_parse:
             if self.upload is not None and self.upload.ended:
@@ -271,7 +273,7 @@
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _handle_request(self, head: Request) -> None:
-        """Take a request that is complete, but for the rest of a body in pieces."""
+        """Handle a request that is complete except for a streamed body."""
         self.writer.expect(head)
         stream = head.stream
         if head.target.partition(b"?")[0] == READY_PATH:
@@ -281,7 +283,7 @@
         try:
             request = self.intake.open_request(head, self, self.received_ns)
         except UnacceptableMessageError as error:
-            # Behind a complete message the connection can go on.
+            # After a complete message the connection stays usable.
             self._answer(
                 error.status, [], f"{error}\n".encode(), close_after_answer=stream is not None
             )
@@ -301,37 +303,37 @@
     def _body_completed(self) -> None:
         self.upload = None
         self.frontend.leave_phase(self)
-        self._resume_reading()  # its end may have come while it was full
+        self._resume_reading()  # the end of the body may have arrived while its buffer was full
         if self.open_request is not None:
             deadline_ns = self.intake.deadline_ns(self.received_ns)
             self.driver.body_completed(self.open_request, deadline_ns, self.received_ns)
 
-    # ---- out -------------------------------------------------------------------------------------
+    # ---- output ----------------------------------------------------------------------------------
 
     def serve(self, response: Response) -> None:
-        """Pass on an upstream's response."""
+        """Forward an upstream's response."""
         rows = end_to_end(response.headers)
         is_head = self.writer.is_head
         if response.stream is not None and not is_head:
             self._begin_answer(rows, response.stream)
         elif is_head:
-            # The length that a GET would be answered with: one of 0 would be wrong.
+            # The Content-Length of the answer to a GET; 0 would be wrong.
             length = response.header(b"content-length")
             self._answer(200, rows, b"", length=length)
         else:
             self._answer(200, rows, response.body)
 
     def reject(self, retry_after_ns: int) -> None:
-        """Answer 503, which promises that the request had no effect."""
+        """Answer 503, which guarantees that the request had no effect."""
         headers = [(b"Retry-After", b"%.3f" % (retry_after_ns / 1e9))] if retry_after_ns > 0 else []
         self._answer(503, headers, b"refused\n")
 
     def fail(self, status: int) -> None:
-        """Answer with an error, which promises nothing about the request's effect."""
+        """Answer with an error status; the request may or may not have had an effect."""
         self._answer(status, [], b"failed\n")
 
     def _reject_input(self, status: int, reason: str) -> None:
-        """Answer bad input, and read no more of it."""
+        """Answer invalid input and stop reading."""
         self._answer(status, [], f"{reason}\n".encode(), close_after_answer=True)
 
     def _answer(
@@ -346,21 +348,19 @@
         self.writer.write_complete(status, headers, body, self.close_after_answer, length)
 
     def _begin_answer(self, rows: Headers, body: Body) -> None:
-        """Begin an answer whose body comes in pieces."""
+        """Begin an answer with a streamed body."""
         self.frontend.wait(self, Phase.ANSWER)
         self._end_request(False)
         self.writer.begin_body(rows, body, self.close_after_answer)
 
     def _end_request(self, close_after_answer: bool) -> None:
-        """Note that the open request is answered, and whether the connection ends behind it."""
+        """Close the open request, and decide whether the connection closes after its answer."""
         was_open = self.open_request is not None
         self.open_request = None
         upload = self.upload
         self.upload = None
         if upload is not None and not upload.ended:
-            close_after_answer = (
-                True  # what still comes of its body would be read as the next request
-            )
+            close_after_answer = True  # the rest of the body would be parsed as a request
             upload.source = None
             self._resume_reading()
         self.close_after_answer = (
@@ -371,7 +371,7 @@
         )
 
     def answer_completed(self) -> None:
-        """Go on behind a complete answer, or end the connection."""
+        """Continue with the next request after a complete answer, or close."""
         if self.close_after_answer:
             self._linger()
             return
@@ -380,14 +380,14 @@
             self.frontend.loop.call_soon(self._parse)
 
     def answer_progressed(self) -> None:
-        """Count the phase's limit anew, as a part of an answer was written."""
+        """Restart the phase's time limit after part of an answer was written."""
         self.frontend.wait(self, Phase.ANSWER)
 
     def _linger(self) -> None:
-        """End the sending behind the last answer, and drop what comes until the client ends too.
+        """Half-close after the last answer, and discard input until the client closes too.
 
-        Closed at once over bytes that are unread or on their way, the connection would be reset,
-        and the answer lost with it. The phase's limit ends the wait.
+        A full close while input is unread or in flight would reset the connection, and the client
+        could lose the answer. The phase's time limit bounds the wait.
         """
         self.lingering = True
         self.unparsed.clear()
--- a/loadbalancer/proxy/configuration.py
+++ b/loadbalancer/proxy/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of one balancer: the JSON file that BALANCER_CONFIG names."""
+"""Configuration of one balancer, from the JSON file named by BALANCER_CONFIG."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     split_address,
 )
 
-# Where the configuration sets no limit.
+# Used if the configuration sets no limit.
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 256
 MIN_SOCKETS = 2 * RESERVE
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True)
 class Config:
-    """One balancer's configuration.
+    """Configuration of one balancer.
 
     Attributes:
-        known: The endpoint list as the platform last knew it.
-        mgmt: The address of the admin API; None: there is none.
-        folder: The state folder, which the processes of this balancer share.
-        fixed: The endpoint list, where no discovery serves it.
+        known: The endpoint list that the platform has cached.
+        mgmt: The address of the admin API; None: no admin API.
+        folder: The state folder, shared by all processes of this balancer.
+        fixed: The fixed endpoint list that is used without discovery.
     """
 
     listen: Address
@@ -55,40 +55,40 @@
 
 
 class _Reader:
-    """Reads the file's fields, and addresses from the environment where the file has none."""
+    """Reads fields of the file; addresses default to environment variables."""
 
     def __init__(self, raw: Json, environ: Mapping[str, str]) -> None:
         self.raw = raw
         self.environ = environ
 
     def address(self, key: str) -> Address | None:
-        """An address, if there is one."""
+        """Return an address, if it is set."""
         text = optional(self.raw, key, str, self.environ.get(f"BALANCER_{key.upper()}"))
         return split_address(text) if text else None
 
     def required_address(self, key: str) -> Address:
-        """An address that has to be there."""
+        """Return an address that is mandatory."""
         value = self.address(key)
         if value is None:
             raise MalformedError(f"{key} is not set")
         return value
 
     def seed(self) -> int:
-        """The seed of the policy's random draws."""
+        """Return the seed of the policy's random number generator."""
         try:
             return int(optional(self.raw, "seed", str, "0"), 16)
         except ValueError:
             raise MalformedError("seed must be hexadecimal") from None
 
     def known(self) -> Json | None:
-        """The endpoint list that is known, checked."""
+        """Return the cached endpoint list, validated."""
         value: Json | None = optional(self.raw, "known", dict, None)
         if value is not None:
             read_list(value)
         return value
 
     def peers(self) -> list[Address]:
-        """The other balancers' addresses for gossip."""
+        """Return the gossip addresses of the other balancers."""
         return [
             split_address(checked(p, "peers", str)) for p in optional(self.raw, "peers", list, [])
         ]
@@ -98,7 +98,7 @@
     """Read the file that BALANCER_CONFIG names.
 
     Raises:
-        MalformedError: It can't be used; the message is one line.
+        MalformedError: The configuration is not valid; the message is one line.
     """
     reader = _Reader(_read_file(environ.get("BALANCER_CONFIG")), environ)
     raw = reader.raw
--- a/loadbalancer/proxy/connection_host.py
+++ b/loadbalancer/proxy/connection_host.py
@@ -15,7 +15,8 @@
 
     Attributes:
         phase: What it is doing without an open request; None: it has one.
-        end_at: When it is ended, overdue as it is, whatever lies unread; 0: it is not overdue.
+        forced_close_at: When an overdue connection is closed even with unread input; 0: it is not
+            overdue.
     """
 
     phase: Phase | None
--- a/loadbalancer/proxy/disabled_upstreams.py
+++ b/loadbalancer/proxy/disabled_upstreams.py
@@ -1,10 +1,10 @@
-"""The upstreams that operators have disabled: the set, its file, and who is notified of a change.
+"""Maintains the set of upstreams that operators have disabled, its file and its change listeners.
 
-The file in the state folder is the truth for every process of this balancer: it is replaced
-atomically, under a lock, and each process checks it periodically. A change counts as made once it
-is saved and all processes apply it. What could not be saved is pending: it holds here at once, and
-is written again with bounded pauses until it is saved, merged into what other processes have saved
-meanwhile.
+The file in the state folder is authoritative for all processes of this balancer. It is replaced
+atomically, under a lock, and each process checks it periodically. A change is complete once it is
+saved and all processes apply it. A change that could not be saved is pending: this process applies
+it immediately, and retries the write with a bounded backoff. Each retry merges the pending changes
+into the set that other processes have saved since.
 """
 
 from __future__ import annotations
@@ -32,22 +32,22 @@
 LOCK = "lanelift-disabled.lock"
 FORMAT = 1
 MAX_FILE_BYTES = 1024 * 1024
-# An answer is owed within 1 s. A lock is held for a moment; the other process checks periodically.
+# The call must be answered within 1 s. Locks are held briefly; the other process polls the file.
 LOCK_TIMEOUT_S = 0.2
 LOCK_POLL_S = 0.005
 AGREEMENT_TIMEOUT_S = 0.5
-MIN_RETRY_S = 0.1  # between two writes that fail
+MIN_RETRY_S = 0.1  # backoff between failed writes
 MAX_RETRY_S = 2.0
 
 
 class Upstreams(Protocol):
-    """What applies the set."""
+    """Component that applies the set."""
 
     def was_listed(self, name: str) -> bool:
-        """Whether any endpoint list has ever named this upstream."""
+        """Return whether any endpoint list has ever contained this upstream."""
 
     def set_disabled(self, name: str, is_disabled: bool) -> None:
-        """Disable an upstream, or enable it again."""
+        """Disable or enable an upstream."""
 
 
 class FileVersion(NamedTuple):
@@ -58,21 +58,21 @@
 
 
 class DisabledSet(NamedTuple):
-    """The set as the file has it."""
+    """Content of the file."""
 
     names: frozenset[str]
     version: int
 
 
 class DisabledUpstreams:
-    """The set of disabled upstreams; without a folder it lives as long as the process.
+    """Set of disabled upstreams; without a folder it is lost when the process exits.
 
     Attributes:
-        balancer: A file that another balancer left is not used.
-        names: Those that are disabled: as saved, and what is pending.
-        saved: The set as the file has it.
+        balancer: The balancer's name; a file written by another balancer is ignored.
+        names: The upstreams that are disabled, including pending changes.
+        saved: The set in the file.
         version: The file's version.
-        pending: Changes that the file does not have; True: disabled.
+        pending: Changes that are not saved yet; True: disabled.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self.saved: frozenset[str] = frozenset()
         self.version = 0
         self.pending: dict[str, bool] = {}
-        self._is_file_missing = False  # it is gone, or can't be used: it is to be written again
+        self._is_file_missing = False  # missing or unusable, and must be rewritten
         self._retry_at_s = 0.0
         self._retry_pause_s = MIN_RETRY_S
         self._read_version: FileVersion | None = None
@@ -99,7 +99,7 @@
         self._on_change: list[Callable[[str, bool], None]] = []
 
     def start(self) -> None:
-        """Apply the file, now and whenever it changes."""
+        """Apply the file now and whenever it changes."""
         if self.folder is not None and not (self.folder / FILE).exists():
             log.info("no upstream is disabled, file not found: path=%s", FILE)
         self._remove_leftovers()
@@ -107,22 +107,24 @@
         self.registry.on_check(self.refresh)
 
     def on_change(self, callback: Callable[[str, bool], None]) -> None:
-        """Call this with each change that operators request here."""
+        """Register a callback for changes that operators request from this process."""
         self._on_change.append(callback)
 
     async def disable(self, name: str) -> None:
-        """Send no new request to this upstream.
+        """Stop sending new requests to an upstream.
 
         Raises:
-            CallDeclinedError: It holds here, but is not saved or not applied everywhere yet.
+            CallDeclinedError: The upstream is unknown; or the change applies here, but is not saved
+                or is not yet applied by another process.
         """
         await self._change(name, True)
 
     async def enable(self, name: str) -> None:
-        """Use this upstream again.
+        """Resume sending requests to an upstream.
 
         Raises:
-            CallDeclinedError: It could not be saved, and the upstream is disabled as before.
+            CallDeclinedError: The upstream is unknown; or the change could not be saved, and the
+                upstream stays disabled; or the change is not yet applied by another process.
         """
         await self._change(name, False)
 
@@ -136,7 +138,7 @@
             else:
                 await self._save_change(name, is_disabled)
             version = self.version
-            # The policy has been notified once the loop has turned.
+            # The policy is notified in the next event-loop iteration.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         for callback in self._on_change:
@@ -151,8 +153,8 @@
     async def _save_change(self, name: str, is_disabled: bool) -> None:
         """Save a change.
 
-        A disable binds from 1 s after the call on, whatever is answered: it holds at once, and is
-        pending. An enable is made once it is saved.
+        A disable must be in effect 1 s after the call, whatever the answer, so it applies
+        immediately and is pending until it is saved. An enable applies once it is saved.
         """
         if is_disabled:
             self.pending[name] = True
@@ -169,7 +171,7 @@
             ) from None
 
     async def adopt(self, names: frozenset[str]) -> None:
-        """Adopt the set of the service's balancers; it holds here even if it can't be saved yet."""
+        """Adopt the set shared by the service's balancers, even if it can't be saved yet."""
         async with self._change_lock:
             if names == self.names:
                 return
@@ -197,7 +199,7 @@
         """Hold the file's lock.
 
         Raises:
-            TimeoutError: Another process holds it.
+            TimeoutError: Another process holds the lock.
         """
         with self._lock_file() as lock:
             async with asyncio.timeout(LOCK_TIMEOUT_S):
@@ -206,10 +208,10 @@
             yield
 
     def _save(self, changes: Mapping[str, bool]) -> None:
-        """Write what is pending, and these changes, on top of the file. The lock is held.
+        """Merge pending changes and these changes into the file. The caller holds the lock.
 
         Raises:
-            OSError: It failed, and what was pending still is.
+            OSError: The write failed; pending changes stay pending.
         """
         assert self.folder is not None
         self._read_if_changed()
@@ -231,7 +233,7 @@
         self._apply_saved(DisabledSet(names, version))
 
     def _write_pending(self) -> None:
-        """Write once more, unless a change is under way, or a write failed a moment ago."""
+        """Retry the write, unless a change is in progress or the backoff is not over."""
         now_s = time.monotonic()
         has_work = bool(self.pending) or self._is_file_missing
         if not has_work or self._change_lock.locked() or now_s < self._retry_at_s:
@@ -247,7 +249,7 @@
             log.error("disabled upstreams not saved, retrying: error=%s", error)
 
     def _remove_leftovers(self) -> None:
-        """Remove what a process that was killed in the middle of a write has left."""
+        """Remove temporary files of a process that was killed during a write."""
         if self.folder is None:
             return
         try:
@@ -255,19 +257,19 @@
                 if _try_lock(lock):
                     remove_leftovers(self.folder / FILE)
         except OSError as error:
-            log.error("leftovers not removed: path=%s error=%s", LOCK, error)
+            log.error("can't remove leftover files: path=%s error=%s", LOCK, error)
 
     def refresh(self) -> None:
-        """Read and apply the file where it has changed, and write what is pending."""
+        """Read and apply the file if it has changed, and write pending changes."""
         if self.folder is not None:
             self._read_if_changed()
             self._write_pending()
 
     def _read_if_changed(self) -> None:
-        """Read the file.
+        """Read the file if it has changed.
 
-        One that can't be used changes nothing: the set stands, and is written again by a process
-        that knows it. One that can't be read is read again.
+        An unusable file does not change the set; a process that has loaded a set rewrites the file.
+        A file that can't be read is read again at the next check.
         """
         assert self.folder is not None
         path = self.folder / FILE
@@ -279,7 +281,7 @@
             with open(path, "rb") as file:
                 data = file.read(MAX_FILE_BYTES)
         except FileNotFoundError:
-            self._on_unusable_file("it is gone")
+            self._on_unusable_file("the file is missing")
             return
         except OSError as error:
             if not self._is_read_error_logged:
@@ -301,7 +303,7 @@
             self._apply_saved(loaded)
 
     def _on_unusable_file(self, reason: str, always_log: bool = False) -> None:
-        """Note that the file can't be used; it is written again where a set was known."""
+        """Handle an unusable file; it is rewritten if a set was loaded or saved before."""
         if (self.version or always_log) and not self._is_file_missing:
             log.warning("file of disabled upstreams ignored: path=%s reason=%s", FILE, reason)
         self._is_file_missing = bool(self.version)
@@ -309,25 +311,25 @@
     def _parse(self, raw: Any) -> DisabledSet:
         raw = checked(raw, FILE, dict)
         if required(raw, "format", int) != FORMAT:
-            raise MalformedError(f"format {raw['format']} is not known")
+            raise MalformedError(f"format {raw['format']} is not supported")
         if required(raw, "balancer", str) != self.balancer:
-            raise MalformedError(f"it is balancer {raw['balancer']}'s")
+            raise MalformedError(f"the file belongs to balancer {raw['balancer']}, not to this one")
         names = frozenset(
             checked(name, "disabled", str) for name in required(raw, "disabled", list)
         )
         return DisabledSet(names, required(raw, "version", int))
 
-    # ---- in force --------------------------------------------------------------------------------
+    # ---- applying the set ------------------------------------------------------------------------
 
     def _apply_saved(self, saved: DisabledSet) -> None:
-        """Apply the file's set, and publish to the other processes that it is applied here."""
+        """Apply the set in the file, and publish its version to the other processes."""
         self.saved = saved.names
         self.version = saved.version
         self._apply()
         self.registry.publish(replace(self.registry.note, applied_version=saved.version))
 
     def _apply(self) -> None:
-        """Apply the file's set, and what is pending beyond it."""
+        """Apply the set in the file together with the pending changes."""
         names = _with_changes(self.saved, self.pending)
         for name in sorted(names - self.names):
             log.info("upstream disabled: upstream=%s", name)
@@ -339,7 +341,7 @@
 
 
 def _with_changes(names: frozenset[str], changes: Mapping[str, bool]) -> frozenset[str]:
-    """The set with these disabled (True) or enabled."""
+    """Return the set after changes; True disables an upstream, False enables it."""
     disabled = {name for name, is_disabled in changes.items() if is_disabled}
     return names - changes.keys() | disabled
 
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -1,4 +1,4 @@
-"""Client of discovery: the first list, the watch for changes, and failed polls."""
+"""Client of the discovery service: first list, watch for changes and failed polls."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 
 MAX_LIST_BYTES: Final = 4 * 1024 * 1024
 PATH: Final = b"/v1/endpoints"
-NO_VERSION: Final = -1  # older than any list's
+NO_VERSION: Final = -1  # older than the version of any list
 
 ListListener = Callable[[api.EndpointListKind, list[Endpoint]], None]
 
 
 class PollError(Exception):
-    """A poll failed: rejected, broken, or never connected."""
+    """A poll was rejected, its connection broke, or no connection was established."""
 
 
 class PollTimeoutError(PollError):
-    """Nothing came in the time of the poll."""
+    """No answer arrived within the poll's timeout."""
 
 
 class MalformedAnswerError(PollError):
-    """What came can't be read."""
+    """The answer is malformed."""
 
 
 def poll_outcome(error: Exception) -> PollOutcome:
-    """Return how a poll ended that raised this."""
+    """Return the outcome of a poll that raised this error."""
     if isinstance(error, PollTimeoutError):
         return PollOutcome.TIMED_OUT
     if isinstance(error, MalformedAnswerError | MalformedError):
@@ -59,16 +59,16 @@
 
 
 def _ignore_connection(connection: UpstreamConnection) -> None:
-    """Connections of discovery belong to no pool that would be notified."""
+    """Ignore the event; connections to discovery belong to no pool."""
 
 
 class Discovery:
-    """Polls discovery, one poll at a time, and notifies a listener of lists and changes.
+    """Polls discovery, one poll at a time, and passes lists and changes to a listener.
 
     Attributes:
-        listener: Notified of lists, changes and failed polls; the policy's driver at first.
-        version: Of the list that is known.
-        answered_s: When discovery last answered, be it that nothing changed.
+        listener: Receives lists, changes and failed polls; initially the policy's driver.
+        version: The version of the current list.
+        answered_s: When discovery last answered, with or without changes (monotonic).
     """
 
     def __init__(self, driver: Driver, address: tuple[str, int], seed: int) -> None:
@@ -85,10 +85,10 @@
         self.answered_s = 0.0
         self.connection: UpstreamConnection | None = None
         self.is_watching = False
-        self.task: asyncio.Task[None] | None = None  # the one that polls
+        self.task: asyncio.Task[None] | None = None  # runs the polls
 
     def start(self, known: Json | None) -> None:
-        """Begin from a cached list, if there is one, and watch at once where lists are pushed."""
+        """Apply a cached list, if any, and start the watch if lists are pushed."""
         if known is not None:
             cached = read_list(known)
             self.version = cached.version
@@ -101,27 +101,28 @@
         self.driver.learn(kind, endpoints)
 
     def subscribe(self, on: bool) -> None:
-        """Begin to watch, or end it."""
+        """Start or stop the watch."""
         self.is_watching = on
         self._run(self._watch() if on else None)
 
     def fetch(self) -> None:
-        """Poll the full list; a watch begins anew with it."""
+        """Poll for the full list; a running watch restarts with it."""
         self.watch.forget_list()
         self._run(self._watch() if self.is_watching else self._fetch())
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Use discovery at another address from now on.
 
-        What waits at the old address, or to retry it, must not hold up the new one. That one counts
-        its versions for itself: its first full list is taken.
+        A poll in flight at the old address, or the backoff after one, must not delay the new
+        address. The new service counts versions on its own, so its first full list is accepted
+        whatever its version.
         """
         self.address = address
         self.version = NO_VERSION
         self.watch.forget_list()
         if self.connection is not None:
             self.connection.abort()
-        if self.task is not None:  # also one that has failed, and waits to be polled again
+        if self.task is not None:  # includes a task in its backoff after a failed poll
             self.fetch()
 
     def close(self) -> None:
@@ -131,7 +132,7 @@
             self.connection.abort()
 
     def _run(self, work: Coroutine[Any, Any, None] | None) -> None:
-        """Replace the poll that is under way; its answer is dropped."""
+        """Replace the running task; the answer of its poll is discarded."""
         if self.task is not None:
             self.task.cancel()
         if work is None:
@@ -139,12 +140,12 @@
         self.task = asyncio.get_running_loop().create_task(work) if work is not None else None
 
     async def _watch(self) -> None:
-        """Poll without a gap: each poll follows on the answer before it."""
+        """Poll continuously; each poll begins after the answer to the previous one."""
         while True:
             try:
                 await self._poll()
                 pause_s = self.watch.on_outcome(PollOutcome.ANSWERED, time.monotonic())
-            except Exception as error:  # noqa: BLE001 (an unexpected one must not end the watch)
+            except Exception as error:  # noqa: BLE001 (an unexpected error must not stop the watch)
                 pause_s = self.watch.on_outcome(poll_outcome(error), time.monotonic())
                 _log_failure(error)
                 if self.watch.deadline_s is not None:
@@ -159,7 +160,7 @@
         try:
             await self._poll()
             self.watch.on_list_known()
-        except Exception as error:  # noqa: BLE001 (the policy polls again, whatever it is)
+        except Exception as error:  # noqa: BLE001 (the policy polls again after any error)
             _log_failure(error)
             self.listener(api.EndpointListKind.FAILED, [])
 
@@ -169,7 +170,7 @@
         self.answered_s = time.monotonic()
         endpoints = answer.endpoints
         is_full = answer.is_full
-        # A list that is older than what is known, or no newer and partial, tells nothing.
+        # An older list, or a partial list that is not newer, contains no new information.
         if answer.version < self.version or (answer.version == self.version and not is_full):
             endpoints = []
             is_full = False
@@ -186,11 +187,12 @@
         return PATH + b"?from=%d&hold_ms=%d" % (self.version, poll.hold_ms)
 
     async def _get(self, target: bytes, timeout_s: float | None) -> Response:
-        """Return one answer.
+        """Send one request and return the response.
 
         Args:
-            target: Of the request.
-            timeout_s: Once there is a connection; None: what is left of `POLL_TIMEOUT_S`.
+            target: The request target.
+            timeout_s: The time for the answer once connected; None: the remainder of
+                `POLL_TIMEOUT_S`, which includes the connect.
         """
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + POLL_TIMEOUT_S
@@ -219,7 +221,7 @@
         return response
 
     async def _connect(self, deadline_s: float) -> UpstreamConnection:
-        """Return a connection that is free for a request."""
+        """Return a connection that is ready for a request."""
         if self.connection is not None:
             if self.connection.clear:
                 return self.connection
@@ -231,7 +233,7 @@
                     lambda: connection, *self.address
                 )
         except BaseException as error:
-            connection.abort()  # it may still come up
+            connection.abort()  # it may still be established
             if isinstance(error, OSError):
                 raise PollError(f"no connection: {error or 'timed out'}") from None
             raise
@@ -250,7 +252,7 @@
 
 
 def _log_failure(error: Exception) -> None:
-    """Log one line for an expected failure, and the traceback of any other."""
+    """Log an expected failure in one line, and any other error with its traceback."""
     is_expected = isinstance(error, PollError | MalformedError)
     log.warning(
         "discovery poll failed: error=%s",
--- a/loadbalancer/proxy/discovery_watch.py
+++ b/loadbalancer/proxy/discovery_watch.py
@@ -1,21 +1,24 @@
-"""Which poll of discovery comes next, how long it may take, and what follows on each outcome.
+"""Schedules the polls of discovery: the next poll, its timeout, and the reaction to its outcome.
 
-A state machine without I/O: it is handed the clock and the outcome of each poll, and says what to
-poll next, and when. `Discovery` carries it out. `docs/design/discovery.md` has the arithmetic,
-`tests/proxy/test_discovery_watch.py` checks it.
+This module is a state machine without I/O. Its inputs are the clock and the outcome of each poll;
+its output is the next poll and the pause before it. `Discovery` executes the polls. The arithmetic
+is in `docs/design/discovery.md`, and `tests/proxy/test_discovery_watch.py` checks it.
+
+A poll's hold is the time for which discovery may delay its answer until there are changes. A watch
+falls silent if such a poll times out; discovery may then have changes that the balancer lacks.
 
     deadline                        a change that a silent watch hides is in force
                                     `CHANGE_DEADLINE_S` after the silence began, or
                                     `HOLD_DEADLINE_S` after the poll's hold, if that is later
     hold + ANSWER_GRACE_S           the poll times out
-    deadline - hold - ANSWER_GRACE_S  is left for what follows: 1.2 s at least, whatever the hold
-
-Discovery handles polls in turn, so what is left is for the polls of all balancers whose watches
-fell silent together. The changes since a known version are a few lines; a full list costs discovery
-as much as dozens of those, and so may the first poll of a new watch. Beyond a handful of these it
-rejects polls. Therefore the holds of a fleet are spread over a range that grows with the fleet,
-each balancer's in a slot of its own: watches that began together, as all do after a change, time
-out one after the other.
+    deadline - hold - ANSWER_GRACE_S  remains for recovery: at least 1.2 s, whatever the hold
+
+Discovery serves polls sequentially, so all balancers whose watches fell silent together share the
+remaining time. The changes since a known version are a few lines. A full list costs discovery as
+much as dozens of such answers, and so may the first poll of a new watch. Discovery rejects polls
+beyond a few full lists. Therefore the holds of a fleet are spread over a range that grows with the
+fleet, and each balancer has a separate slot of it. Watches that began together, as all do after a
+change, then time out one after the other.
 """
 
 from __future__ import annotations
@@ -28,55 +31,55 @@
 MS_PER_S: Final = 1000
 CHANGE_DEADLINE_S = 6.0
 HOLD_DEADLINE_S = 2.0
-# Each poll is work for the one service of all balancers, whether it has changes or not: the more
-# balancers there are, the longer each lets a poll wait, and the longer it lets changes accumulate
-# before the next one. Holds are spread over a range that grows with the balancers; its mean is at
-# least `MIN_MEAN_HOLD_MS` and grows with the balancers up to a limit.
+# All balancers share one discovery service, and each poll costs it work even without changes. So
+# the hold, and the pause that lets changes accumulate between polls, grow with the number of
+# balancers. Holds are spread over a range whose width grows with the number of balancers. The mean
+# of the range is at least `MIN_MEAN_HOLD_MS` and grows with the number of balancers up to a limit.
 MIN_HOLD_MS = 2_000
 MIN_MEAN_HOLD_MS = 3_700
 HOLD_PER_BALANCER_MS = 100
 MAX_MEAN_HOLD_MS = 20_000
 SPREAD_PER_BALANCER_MS = 650
 MAX_SPREAD_MS = 18_000
-# Within its slot each hold is drawn from the middle.
+# Fractions of a slot between which a hold is drawn: its middle.
 SLOT_START = 0.3
 SLOT_END = 0.7
-# An answer may come so long after the hold. Discovery rejects what waits for 0.5 s in its queue.
+# Time for the answer after the hold. Discovery rejects polls that wait for 0.5 s in its queue.
 ANSWER_GRACE_S = 0.8
 # After a poll that failed, was rejected or timed out, a change is in force `CHANGE_DEADLINE_S`
-# after discovery has it and can be reached, whatever the hold. So the next poll waits for less,
-# connect and answer of one without a hold are given `POLL_TIMEOUT_S` together, and either fits
-# into those 6 s with the longest backoff before.
+# after discovery has it and is reachable, whatever the hold. So the hold of the next poll is
+# limited to `CATCH_UP_HOLD_MS`, and a poll without a hold has `POLL_TIMEOUT_S` for connect and
+# answer together. Either poll fits into these 6 s together with the longest backoff before it.
 CATCH_UP_HOLD_MS = 3_000
 POLL_TIMEOUT_S = 2.0
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
-# After a watch that fell silent its deadline is near, and nothing says that discovery is down: what
-# was missed is polled for without a hold, is given `CHECK_TIMEOUT_S`, and is polled for again after
-# a short pause, whatever the outcome, until `MAX_RECOVERY_S` after the deadline.
+# After a watch falls silent, the deadline is near, and discovery may well be up. So the missed
+# changes are polled for without a hold (a check), with the timeout `CHECK_TIMEOUT_S`. Failed checks
+# are repeated after a short pause until `MAX_RECOVERY_S` after the deadline.
 CHECK_TIMEOUT_S = 1.2
-# Where even a check is not answered in that time, the deadline has passed: discovery is silent, or
-# it is slow, and then it must be left the time for its answer, or nothing is ever known again.
+# Timeout of a check after one that timed out. The deadline has passed by then, and discovery is
+# either down or slow. A slow service needs enough time, or no poll would ever succeed again.
 RECHECK_TIMEOUT_S = 2.4
-# After an answer that came later than a check may, a watch is left all the time up to its deadline
-# but for `DEADLINE_MARGIN_S`; nothing is left for a check behind it, which would fail anyway.
+# If the last answer was slower than `CHECK_TIMEOUT_S`, the next poll with a hold times out only
+# `DEADLINE_MARGIN_S` before its deadline. That leaves no time for a check, which would fail anyway.
 DEADLINE_MARGIN_S = 0.1
 RECHECK_PAUSE_S = 0.1
 RECHECK_PAUSE_PER_BALANCER_S = 0.01
 MAX_RECOVERY_S = 4.0
-# Pause between two polls, whatever the outcome; a watch may pause for 200 ms.
+# Pause between two polls, whatever the outcome; the protocol allows a watch to pause for 200 ms.
 MIN_PAUSE_S = 0.02
 PAUSE_PER_BALANCER_S = 0.004
 MAX_PAUSE_S = 0.15
 
 
 def deadline_in_s(hold_ms: int) -> float:
-    """How long after the start of a poll with this hold a change that it hid is in force."""
+    """Return the time from the start of a silent poll until a hidden change is in force."""
     return max(CHANGE_DEADLINE_S, hold_ms / MS_PER_S + HOLD_DEADLINE_S)
 
 
 class PollKind(Enum):
-    """What discovery is polled for next."""
+    """Type of a poll."""
 
     FULL_LIST = "the full list"
     CHECK = "changes since the known list, without a hold: after a watch that fell silent"
@@ -85,7 +88,7 @@
 
 
 class PollOutcome(Enum):
-    """How a poll ended."""
+    """Outcome of a poll."""
 
     ANSWERED = "a list, or changes"
     TIMED_OUT = "no answer in its time"
@@ -96,11 +99,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """One poll.
+    """Parameters of one poll.
 
     Attributes:
-        hold_ms: How long discovery may hold it; 0: it answers at once.
-        timeout_s: From the moment there is a connection; None: what is left of `POLL_TIMEOUT_S`.
+        hold_ms: How long discovery may delay the answer; 0: it answers immediately.
+        timeout_s: Time for the answer once connected; None: the remainder of `POLL_TIMEOUT_S`,
+            which includes the connect.
     """
 
     kind: PollKind
@@ -110,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollSchedule:
-    """How often one of so many balancers polls, and how wide the slot of each is."""
+    """Holds and pauses of one balancer's polls, for a given size of the fleet."""
 
     min_hold_ms: float
     max_hold_ms: float
@@ -120,7 +124,7 @@
 
     @classmethod
     def for_fleet(cls, balancers: int) -> PollSchedule:
-        """Return the schedule of one of so many balancers."""
+        """Return the schedule for a fleet with this number of balancers."""
         mean_ms = min(MAX_MEAN_HOLD_MS, max(MIN_MEAN_HOLD_MS, HOLD_PER_BALANCER_MS * balancers))
         spread_ms = min(MAX_SPREAD_MS, SPREAD_PER_BALANCER_MS * balancers)
         min_hold_ms = max(MIN_HOLD_MS, mean_ms - spread_ms / 2)
@@ -133,23 +137,23 @@
         )
 
     def hold_ms(self, index: int, rng: random.Random) -> int:
-        """Draw the hold of a poll, for the balancer of this index."""
+        """Draw the hold of a poll for the balancer with this index."""
         return int(self.min_hold_ms + self.slot_ms * (index + rng.uniform(SLOT_START, SLOT_END)))
 
 
 class DiscoveryWatch:
-    """The polls of one of so many balancers that share discovery.
+    """Polls of one balancer in a fleet that shares discovery.
 
     Args:
-        balancers: How many there are.
-        index: The balancer's index among them.
-        rng: Draws holds and pauses.
+        balancers: The number of balancers.
+        index: The index of this balancer in the fleet.
+        rng: The source of random holds and pauses.
 
     Attributes:
-        has_list: A list is known, and by its version discovery can send what changed since.
-        deadline_s: A watch fell silent and no answer came since: by then what it hid may be in
-            force; else None.
-        is_slow: The last answer came later, behind its hold, than a check may.
+        has_list: Whether a list is known, so that discovery can send the changes since its version.
+        deadline_s: When a change hidden by a silent watch may be in force; None: discovery has
+            answered since.
+        is_slow: Whether the last answer came more than `CHECK_TIMEOUT_S` after its hold.
     """
 
     def __init__(self, balancers: int, index: int, rng: random.Random) -> None:
@@ -172,23 +176,23 @@
         return (self.schedule.min_hold_ms + self.schedule.max_hold_ms) / 2
 
     def set_sole_poller(self, is_sole: bool) -> None:
-        """Poll in place of all balancers, which need not spare discovery as one of many would."""
+        """Set whether this balancer alone polls for the fleet, with a fleet size of 1."""
         self.index = 0 if is_sole else self._fleet_index
         self.schedule = PollSchedule.for_fleet(1 if is_sole else self._fleet_size)
 
     def on_list_known(self) -> None:
-        """Handle a list from a cache or from a separate poll: changes since are polled for."""
+        """Handle a list from a cache or a separate poll; next, poll for changes since."""
         self.next_kind = PollKind.CATCH_UP
         self.has_list = True
         self.deadline_s = None
 
     def forget_list(self) -> None:
-        """Poll for the full list next: what is known does not count any more."""
+        """Discard the known list, and poll for the full list next."""
         self.next_kind = PollKind.FULL_LIST
         self.has_list = False
 
     def next_poll(self, now_s: float) -> Poll:
-        """Return what to poll for now."""
+        """Return the poll to send now."""
         self._poll = self._make_poll()
         self._poll_started_s = now_s
         return self._poll
@@ -207,11 +211,11 @@
         return Poll(self.next_kind, hold_ms, hold_ms / MS_PER_S + ANSWER_GRACE_S)
 
     def on_outcome(self, outcome: PollOutcome, now_s: float) -> float | None:
-        """Handle the end of a poll.
+        """Handle the outcome of a poll.
 
         Returns:
-            The pause before the next poll, in seconds; None: it failed, and the caller backs off
-            (`backoff_pause_s`).
+            The pause before the next poll, in seconds; None: the poll failed, and the caller waits
+            for `backoff_pause_s`.
         """
         kind = self.next_kind
         if outcome is PollOutcome.ANSWERED:
@@ -237,7 +241,7 @@
         )
 
     def _note_delay(self, now_s: float) -> None:
-        """Note how late an answer came behind its hold; a watch may be answered ahead of that."""
+        """Record the answer's delay after its hold; answers before its end don't count."""
         self._has_check_failed = False
         if self._poll is None or self._poll.kind is PollKind.FULL_LIST:
             return
@@ -246,11 +250,12 @@
             self.is_slow = delay_s > CHECK_TIMEOUT_S
 
     def _choose_after_failure(self, kind: PollKind, outcome: PollOutcome) -> None:
-        """Choose the next poll after one without an answer.
+        """Choose the next poll after one without a valid answer.
 
-        The known list is as good as it was; only its changes are missing. A full list is polled for
-        where none is known, and where the changes can't be read: the same might come again. If that
-        fails as well, it is the changes' turn: full lists for a fleet are too much for discovery.
+        The known list is still valid; only its changes are missing. The full list is polled for if
+        no list is known, or if the changes are malformed, because discovery might send the same
+        answer again. If the full list fails as well, the next poll is for changes again: full lists
+        for a whole fleet would overload discovery.
         """
         self.has_list = self.has_list and outcome is not PollOutcome.FAILED
         are_changes_malformed = outcome is PollOutcome.MALFORMED and kind in (
@@ -263,7 +268,7 @@
             self.next_kind = PollKind.CATCH_UP if self.deadline_s is None else PollKind.CHECK
 
     def _set_deadline(self) -> None:
-        """Set the deadline of a silence; for all that is known, it began when the poll did."""
+        """Set the deadline after a silent poll, as if the silence began with the poll."""
         assert self._poll is not None
         deadline_s = self._poll_started_s + deadline_in_s(self._poll.hold_ms)
         if self.deadline_s is None:
@@ -275,9 +280,9 @@
         return max_s * self.rng.uniform(0.7, 1.0)
 
     def backoff_pause_s(self) -> float:
-        """Return the pause after a failed poll where lists are pushed, and double the next one.
+        """Return the backoff after a failed poll, and double the next one.
 
-        It is drawn at random: balancers must not all come back together.
+        The backoff is random, so that the balancers do not all poll again together.
         """
         pause_s = self._backoff_s * self.rng.uniform(0.5, 1.0)
         self._backoff_s = min(2 * self._backoff_s, MAX_BACKOFF_S)
--- a/loadbalancer/proxy/endpoint_list.py
+++ b/loadbalancer/proxy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Parses endpoint lists, of discovery and of the operators."""
+"""Parses endpoint lists, from discovery and from the configuration."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class EndpointList(NamedTuple):
-    """A list, or the changes of one.
+    """Endpoint list, or changes to one.
 
     Attributes:
-        is_full: It replaces what is known.
+        is_full: Whether it replaces the current list.
     """
 
     version: int
@@ -37,7 +37,7 @@
     """Parse one entry.
 
     Raises:
-        MalformedError: It is not valid.
+        MalformedError: The entry is not valid.
     """
     row = checked(raw, "server", dict)
     state = choice(row, "state", STATES, "Ready")
@@ -45,7 +45,7 @@
     if state is not api.UpstreamState.REMOVED:
         host, port = split_address(required(row, "addr", str))
     try:
-        # No name: looking one up takes a thread, and may take long.
+        # Host names are rejected, because a lookup takes a thread and can be slow.
         ipaddress.ip_address(host or "::")
     except ValueError as error:
         raise MalformedError(f"addr: {error}") from None
@@ -69,7 +69,7 @@
 
 
 def read_list(raw: Any) -> EndpointList:
-    """Parse a list. Entries that are not valid are skipped, with one line in the log.
+    """Parse a list; invalid entries are skipped, and logged in one line.
 
     Raises:
         MalformedError: The list itself is not valid.
--- a/loadbalancer/proxy/endpoint_staleness.py
+++ b/loadbalancer/proxy/endpoint_staleness.py
@@ -1,9 +1,9 @@
-"""Whether the endpoint list may be used: not once a change that a silent watch hid is in force.
+"""Decides whether the endpoint list may be used while discovery does not answer.
 
-A list that is older than that names upstreams of which any may be draining, and none of them says
-so. Nothing new is sent by it until discovery has answered. That ends by itself after `MAX_STALE_S`:
-where discovery is unreachable for good, a fleet that serves nobody is worse than one that uses an
-old list.
+A watch that falls silent may hide a change. Once such a change would be in force, the list is
+stale: any of its upstreams may be draining, and the balancer would not notice. No new request is
+sent with a stale list until discovery answers. After `MAX_STALE_S` the list is used nevertheless:
+if discovery stays unreachable, using an old list is better than serving no clients at all.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 log = logging.getLogger(__name__)
 
 MAX_STALE_S: Final = 10.0
-# Sends end so long before the grace of the drain rule does: a process may be held up between its
-# reading of the clock and its write.
+# Sends stop this long before the drain rule's grace period ends, because the process may be delayed
+# between reading the clock and writing.
 PROCESSING_MARGIN_S: Final = 0.2
 NS_PER_S: Final = 1e9
 
 
 class Staleness(Enum):
-    """How far the list is trusted."""
+    """Degree to which the list is trusted."""
 
     FRESH = "discovery has answered since the last silence"
     SUSPECT = "a watch fell silent: what it hid is not in force yet"
@@ -37,7 +37,7 @@
 
 
 class EndpointStaleness:
-    """The staleness of one list, and its timer."""
+    """Staleness of one endpoint list, with its timer."""
 
     def __init__(self, driver: Driver) -> None:
         self.driver = driver
@@ -45,10 +45,10 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def on_watch_silent(self, deadline_s: float) -> None:
-        """Handle a watch that fell silent. Called again while that lasts, it changes nothing.
+        """Handle a watch that fell silent; repeated calls during the silence do nothing.
 
         Args:
-            deadline_s: From then on, monotonic seconds, what the watch hid is in force.
+            deadline_s: When a change hidden by the watch is in force, in monotonic seconds.
         """
         if self.state is Staleness.FRESH:
             self.state = Staleness.SUSPECT
@@ -66,7 +66,7 @@
             self.driver.trust(True)
 
     def close(self) -> None:
-        """Trust the list: discovery is no longer polled, another source provides it."""
+        """Trust the list, which another source provides once discovery is not polled."""
         self.on_answer()
 
     def _expire(self) -> None:
--- a/loadbalancer/proxy/fixed_list.py
+++ b/loadbalancer/proxy/fixed_list.py
@@ -1,4 +1,4 @@
-"""A fixed endpoint list in the place of discovery."""
+"""Fixed endpoint list that replaces discovery."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class FixedList:
-    """A list that the operators wrote down; it stands until they replace it."""
+    """Endpoint list from the configuration, used until a reload replaces it."""
 
     def __init__(self, driver: Driver, servers: Json) -> None:
         self.driver = driver
         self.endpoints = read_list(servers).endpoints
 
     def start(self, known: Json | None) -> None:  # noqa: ARG002 (as Discovery.start)
-        """Put the list in force; a cached list does not count."""
+        """Apply the list; a cached list is ignored."""
         self.fetch()
 
     def replace(self, servers: Json) -> None:
-        """Put another list in force. What is not in it is removed at once."""
+        """Apply another list; upstreams that it does not contain are removed immediately."""
         self.endpoints = read_list(servers).endpoints
         self.fetch()
 
     def subscribe(self, on: bool) -> None:
-        """Put the list in force again; there are no changes to watch."""
+        """Apply the list again; a fixed list has no changes to watch."""
         if on:
             self.fetch()
 
     def fetch(self) -> None:
-        """Put the list in force again."""
+        """Apply the list again."""
         self.driver.learn(api.EndpointListKind.FULL, self.endpoints)
 
     def close(self) -> None:
-        """Do nothing: there is no connection."""
+        """Do nothing; a fixed list has no connection."""
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listener, the cap on connections, and the end of the process."""
+"""Client-facing side: listener, connection limit and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -21,40 +21,45 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that the kernel queues while there is no capacity
-# After SIGTERM a process has the longest deadline, or this if that is longer, and a little more.
+BACKLOG = 1024  # connections that the kernel queues while the connection limit is reached
+# Requests are answered within this time after SIGTERM: the longest deadline of any class, capped at
+# `MAX_SHUTDOWN_DEADLINE_NS`, plus `SHUTDOWN_MARGIN_NS`.
 MAX_SHUTDOWN_DEADLINE_NS = 3_000_000_000
 SHUTDOWN_MARGIN_NS = 550_000_000
-DRAIN_S = 0.5  # after SIGTERM new connections are still accepted for almost this long
-ACCEPT_PAUSE_S = 0.05  # behind an accept that failed by this machine's fault
-QUEUE_POLL_S = 0.01  # between two tries to empty the accept queue where there is no capacity
-# At the cap connections are closed in this order: one that has lingered for so long, one that sent
-# nothing for so long though its request is incomplete, one that has been idle for the 2 s that
-# clients count on. At last it is the one that has been silent longest, but for the time in which an
-# honest client begins.
+DRAIN_S = 0.5  # new connections are accepted for about this long after SIGTERM
+ACCEPT_PAUSE_S = 0.05  # pause after an accept that failed for a local reason
+QUEUE_POLL_S = 0.01  # interval between attempts to empty the accept queue at the limit
+# At the connection limit, one connection is closed to accept another. The first rule that applies
+# decides: the connection lingers for EVICT_LINGERING_S; its request is incomplete and no data has
+# arrived for EVICT_SILENT_S; it is idle for EVICT_IDLE_S, the 2 s of keep-alive that clients rely
+# on; its request is incomplete and no data has arrived for EVICT_NEW_S, which is the time that a
+# well-behaved client needs to begin.
 EVICT_LINGERING_S = 0.1
 EVICT_SILENT_S = 0.5
 EVICT_IDLE_S = 2.0
 EVICT_NEW_S = 0.05
-# An idle connection is not closed over something unread for so long: a timer runs ahead of the
-# sockets, and where the loop is late, as on a crowded core, what came meanwhile is read only behind
-# it, on the same turn. Then the connection is checked again.
+# An overdue connection with unread input stays open for up to UNREAD_S and is checked again every
+# RECHECK_S. Timers run before socket callbacks in an event-loop iteration, so if the loop is late,
+# as on a busy core, data that arrived in time is read only after the timer.
 UNREAD_S = 0.3
 RECHECK_S = 0.004
 
 
 class Frontend:
-    """The listening socket and the clients' connections, kept under a cap.
+    """Listening socket and client connections, up to a connection limit.
 
     Attributes:
-        waiting: Connections without an open request, and since when, the longest first, so that
-            one timer serves them all.
-        unfinished: Of these, those whose request is incomplete, the longest silent first.
-        timer_at: When the timer is due.
-        opening: Tasks; they are kept here, or they might be collected.
-        drained: Set at SIGTERM.
-        leave_ns: How long after SIGTERM the last answer is given.
-        left: Set when no connection is open any more.
+        clients_by_phase: Connections without an open request by phase, with the time at which they
+        entered
+            it, oldest first. The order lets a single timer serve all of them.
+        incomplete: The connections among these whose request is incomplete, with the time at which
+            data last arrived, oldest first.
+        timer_at: When the timer fires.
+        open_tasks: Tasks that set up accepted connections; the references keep them from being
+            garbage-collected.
+        shutdown_started: Set when the graceful shutdown begins, at SIGTERM.
+        shutdown_timeout_ns: Time after SIGTERM within which all requests are answered.
+        all_closed: Set once the listener and all connections are closed.
     """
 
     def __init__(
@@ -84,7 +89,7 @@
         self.listening = False
 
     def start(self) -> None:
-        """Accept clients, unless the shutdown has begun already."""
+        """Accept clients, unless the shutdown has already begun."""
         if not self.draining:
             listen(self.listener, BACKLOG)
             self.started = True
@@ -92,11 +97,11 @@
 
     @property
     def connections_open(self) -> int:
-        """Connections of clients."""
+        """The number of client connections."""
         return len(self.clients)
 
     def set_limit(self, connections: int) -> None:
-        """Set the cap; where there are more connections, each ends with its next answer."""
+        """Set the connection limit; above it, connections close after their next answer."""
         self.max_clients = connections
         if connections > len(self.clients):
             self._listen()
@@ -108,12 +113,12 @@
 
     @property
     def answer_deadline_ns(self) -> int:
-        """When, after SIGTERM, the last answer is given."""
+        """The time by which all requests are answered once the shutdown has begun."""
         return self.shutdown_started_ns + self.shutdown_timeout_ns
 
     @property
     def ready(self) -> bool:
-        """Whether clients are accepted and can be served."""
+        """Whether this process accepts clients and can serve them."""
         return self.started and self.driver.ready and not self.draining
 
     def _listen(self) -> None:
@@ -122,7 +127,7 @@
             self.loop.add_reader(self.listener, self._accept)
 
     def _pause(self, seconds: float | None = None) -> None:
-        """Stop accepting: for so long, or until a connection becomes idle or ends."""
+        """Stop accepting for a time, or until a connection becomes idle or closes."""
         if self.listening:
             self.listening = False
             self.loop.remove_reader(self.listener)
@@ -130,18 +135,19 @@
                 self.loop.call_later(seconds, self._listen)
 
     def _accept(self) -> bool:
-        """Accept the connections that wait.
+        """Accept the connections in the accept queue.
 
-        At the cap, one without an open request is closed; where none may be yet, the backlog holds
-        the new ones: one that was accepted is owed an answer, so none is accepted to be dropped.
+        At the connection limit, a connection without an open request is closed. If no connection
+        may be closed yet, new ones stay in the backlog: every accepted connection must get an
+        answer, so none is accepted only to be dropped.
 
         Returns:
-            Whether none is left in the queue.
+            Whether the accept queue is empty.
         """
         if len(self.clients) >= self.max_clients:
             self._evict()
             return False
-        # No further than to the cap: whether more wait beyond it shows next turn.
+        # Accepts up to the limit only; the next event-loop iteration handles the remainder.
         for _ in range(self.max_clients - len(self.clients)):
             try:
                 sock, _ = self.listener.accept()
@@ -150,16 +156,16 @@
             except OSError as error:
                 if cause(Operation.ACCEPT, error) is Cause.TRANSIENT:
                     continue
-                # Out of descriptors, for example: a later connection's end frees one.
+                # For example, no descriptor is free until another connection closes.
                 log.error("accept failed: error=%s", error)
                 self._pause(ACCEPT_PAUSE_S)
                 return False
             if received(sock)[0]:
-                sock.close()  # it gave up while it waited here: nobody would read an answer
+                sock.close()  # the client closed it while it was queued
                 continue
             sock.setblocking(False)
-            # It counts from here on, and once: counted again while its transport is made, it would
-            # drive out another client for nothing.
+            # The connection counts against the limit from here on, and only once: counting it again
+            # while its transport is set up would evict another client needlessly.
             client = ClientConnection(self)
             self.clients.add(client)
             task = self.loop.create_task(self._open(client, sock))
@@ -168,14 +174,14 @@
         return False
 
     def _evict(self) -> None:
-        """Close a connection that has no request open.
+        """Close a connection that has no open request.
 
-        Its capacity is free on the loop's next turn, which looks at the listener again. Where all
-        are too fresh to be closed, wait until the first is not.
+        The next event-loop iteration frees its place and checks the listener again. If no
+        connection may be closed yet, accepting pauses until the first one may be.
         """
         now_s = self.loop.time()
         dues_s = []
-        # Clients of a process that shuts down open connections elsewhere.
+        # During shutdown, clients can open a connection to another balancer.
         idle_s = 0.0 if self.draining else EVICT_IDLE_S
         for table, seconds in (
             (self.clients_by_phase[Phase.LINGERING], EVICT_LINGERING_S),
@@ -201,11 +207,11 @@
             self.connection_closed(client)
 
     def is_usage_above(self, fraction: float) -> bool:
-        """Whether so large a fraction of the cap is used."""
+        """Whether at least this fraction of the connection limit is in use."""
         return len(self.clients) >= fraction * self.max_clients
 
     def wait(self, client: HostedConnection, phase: Phase) -> None:
-        """Note that it has no request open from now on, and may be closed at the cap."""
+        """Enter a phase without an open request, in which the connection may be evicted."""
         self.leave_phase(client)
         client.phase = phase
         client.forced_close_at = 0.0
@@ -216,20 +222,20 @@
             self._listen()
 
     def note_progress(self, client: HostedConnection) -> None:
-        """Note that it goes on sending its request."""
+        """Record that more of an incomplete request has arrived."""
         if client.phase in (Phase.NEW, Phase.BODY):
             self.incomplete.pop(client, None)
             self.incomplete[client] = self.loop.time()
 
     def leave_phase(self, client: HostedConnection) -> None:
-        """Note that it is in no phase of waiting any more."""
+        """Take the connection out of its phase; it is not evicted until it enters another."""
         if client.phase is not None:
             del self.clients_by_phase[client.phase][client]
             self.incomplete.pop(client, None)
             client.phase = None
 
     def _sweep_at(self, when: float) -> None:
-        # The handle itself knows no more than the loop's ticks.
+        # `timer_at` is kept apart because the timer handle has only the resolution of the loop.
         if self.timer is None or when < self.timer_at:
             if self.timer is not None:
                 self.timer.cancel()
@@ -237,7 +243,7 @@
             self.timer_at = when
 
     def _sweep(self) -> None:
-        """End connections that have waited too long, and set the timer for the next one."""
+        """Time out connections that exceed their phase's limit, and set the next timer."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -258,23 +264,23 @@
                     client.on_timeout()
 
     def _limit_s(self, phase: Phase) -> float:
-        """How long a phase may last; no connection is kept for a request that is not accepted."""
+        """Return a phase's time limit; idle connections close at once after the listener."""
         return 0.0 if phase is Phase.IDLE and self.closed else LIMIT_S[phase]
 
     def connection_closed(self, client: HostedConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has closed."""
         self.clients.discard(cast(ClientConnection, client))
         self.leave_phase(client)
         self._listen()
         self.check_all_closed()
 
-    # ---- the end ---------------------------------------------------------------------------------
+    # ---- shutdown --------------------------------------------------------------------------------
 
     def drain(self) -> None:
         """Begin the graceful shutdown, at SIGTERM.
 
-        New connections are accepted for a while, and open ones are used. All requests are answered,
-        then their connections closed.
+        New connections are accepted for `DRAIN_S`, and open connections stay usable. Each
+        connection closes after its next answer.
         """
         if not self.draining:
             self.shutdown_started.set()
@@ -284,7 +290,7 @@
             self.loop.call_later(DRAIN_S, self._stop)
 
     def _stop(self) -> None:
-        """Close the listener, once its accept queue is empty: closing it resets the rest."""
+        """Close the listener once its accept queue is empty; closing resets queued ones."""
         if self.closed:
             return
         self._listen()
@@ -294,19 +300,19 @@
         self._pause()
         self.closed = True
         self.listener.close()
-        # A new connection is left its time all the same: its client has no reason yet to go
-        # elsewhere.
+        # Idle connections close now. A new connection keeps its full time limit, because its client
+        # has no reason yet to use another balancer.
         self._sweep()
         self.check_all_closed()
 
     def end_open(self) -> None:
-        """Answer all open and all incomplete requests, as this process ends."""
+        """Answer all open and all incomplete requests before the process exits."""
         self.driver.end_open()
         for client in list(self.incomplete):
             client.reject_incomplete()
 
     def close(self) -> None:
-        """Close the listener and all connections at once."""
+        """Close the listener and all connections immediately."""
         self._pause()
         self.closed = True
         self.listener.close()
@@ -316,13 +322,13 @@
             client.close_on_shutdown()
 
     async def wait_until_closed(self, until_ns: int) -> bool:
-        """Wait for the last connection to end, until then (ns, monotonic) at the most."""
+        """Wait until all connections are closed, at most until a monotonic time in ns."""
         with suppress(TimeoutError):
             async with asyncio.timeout((until_ns - time.monotonic_ns()) / 1e9):
                 await self.all_closed.wait()
         return self.all_closed.is_set()
 
     def check_all_closed(self) -> None:
-        """Note when the last connection has ended."""
+        """Set `all_closed` if the listener and all connections are closed."""
         if self.closed and not self.clients:
             self.all_closed.set()
--- a/loadbalancer/proxy/gossip.py
+++ b/loadbalancer/proxy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between balancers: UDP datagrams, which may be late or lost."""
+"""Gossip between balancers by UDP datagrams, which may be delayed or lost."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class GossipProtocol(asyncio.DatagramProtocol):
-    """Sends the policy's datagrams, and hands it those of its peers.
+    """Sends the policy's datagrams, and passes received ones to the policy.
 
     Args:
         driver: The policy's driver.
-        peers: The peers' addresses, by their numbers.
-        broadcast: The address that reaches all peers, if there is one.
+        peers: The peers' addresses, indexed by peer number.
+        broadcast: The address that reaches all peers; None: not configured.
     """
 
     def __init__(self, driver: Driver, peers: Sequence[Address], broadcast: Address | None) -> None:
@@ -33,20 +33,20 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by the event loop."""
+        """Store the transport; called by the event loop."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Hand on a peer's datagram; called by the event loop."""
+        """Pass a peer's datagram to the policy; called by the event loop."""
         sender = self.peer_numbers.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM:
             self.driver.post(api.GossipReceived(sender, data))
 
     def error_received(self, error: Exception) -> None:
-        """Ignore it: a datagram may be lost; a peer that is down refuses it."""
+        """Ignore errors: datagrams may be lost, and a peer that is down refuses them."""
 
     def send(self, peer: int, data: bytes) -> None:
-        """Send a datagram to one peer; -1: to all."""
+        """Send a datagram to a peer; -1 means all peers."""
         address = self.broadcast
         if peer >= 0:
             address = self.peers[peer] if peer < len(self.peers) else None
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -1,4 +1,4 @@
-"""One balancer's process: its parts wired together, its signals, its start and its end."""
+"""The process of one balancer: assembly, signal handling, startup and shutdown."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 log = logging.getLogger(__name__)
 
-ADMIN_DESCRIPTORS = MAX_CALLS + ACCEPT_BATCH + 1  # kept for the admin API
-FINAL_ANSWERS_TIMEOUT_S = 0.1  # beyond the time of the last answer, for its way out
-# A process that takes over waits so long for the first list, and for the other to free capacity:
-# it has to accept clients within 6 s.
+ADMIN_DESCRIPTORS = MAX_CALLS + ACCEPT_BATCH + 1  # reserved for the admin API
+FINAL_ANSWERS_TIMEOUT_S = 0.1  # time to write the final answers once the answer deadline has passed
+# A process that takes over waits at most this long for the other process to free its share of the
+# descriptors, and again for the first endpoint list, because it must accept clients within 6 s.
 TAKEOVER_TIMEOUT_S = 2.0
 
 
 @dataclass(frozen=True)
 class Parts:
-    """The parts of a balancer that a companion may use."""
+    """Components of a balancer that a companion may use."""
 
     config: Config
     driver: Driver
@@ -47,22 +47,22 @@
 
 
 class Companion(Protocol):
-    """Runs beside a balancer in its process, and must never hold it up."""
+    """Service that runs in a balancer's process and must never block it."""
 
     def start(self) -> None:
-        """Begin, on the running loop."""
+        """Start on the running event loop."""
 
     async def close(self) -> None:
-        """End."""
+        """Stop."""
 
 
 class BalancerProcess:
-    """The parts of one balancer.
+    """Components of one balancer and their lifecycle.
 
     Args:
         config: The configuration.
         listener: The clients' listening socket.
-        has_admin_api: Whether descriptors are kept for the admin API.
+        has_admin_api: Whether descriptors are reserved for the admin API.
     """
 
     def __init__(self, config: Config, listener: socket.socket, has_admin_api: bool) -> None:
@@ -96,9 +96,9 @@
         return Discovery(self.driver, self.config.discovery, self.config.seed)
 
     async def start(self, admin_socket: socket.socket | None) -> None:
-        """Start all parts but the clients' side."""
+        """Start all components except the client listener."""
         await self._start_gossip()
-        self.disabled.start()  # ahead of the first list
+        self.disabled.start()  # before the first endpoint list arrives
         self.discovery.start(self.config.known)
         self.limits.start(self.frontend, self.upstreams, self.body_memory)
         self.registry.watch()
@@ -114,7 +114,7 @@
             )
 
     def handle_signals(self, reload: Callable[[], None]) -> None:
-        """SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads."""
+        """Shut down gracefully on SIGTERM and SIGINT, reload on SIGHUP."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.frontend.drain)
@@ -124,29 +124,29 @@
     def start_companion(
         self, make: Callable[[Parts], Companion], reload: Callable[[], None]
     ) -> None:
-        """Start what runs beside the balancer."""
+        """Create and start the companion."""
         self.companion = make(Parts(self.config, self.driver, self.disabled, reload))
         self.companion.start()
 
     async def accept_clients(self) -> None:
-        """Start the clients' side, once it can take over from another process."""
+        """Accept clients, once this process can take over from a running one."""
         if not self.registry.is_alone:
-            # Clients are dealt to this process from its first turn on: it begins once it can serve,
-            # and once the other one leaves it its share of the descriptors.
+            # The kernel assigns connections to this process as soon as it listens. So it listens
+            # only once the other process has freed its share of the descriptors and it can serve.
             await self.registry.wait_for_others(
                 lambda note: note.is_within_share, TAKEOVER_TIMEOUT_S
             )
             await self.driver.can_serve(TAKEOVER_TIMEOUT_S)
         self.frontend.start()
         gc.collect()
-        gc.freeze()  # what is there now stays: no collection need examine it again
+        gc.freeze()  # startup objects are permanent; excludes them from collections
 
     async def wait_for_shutdown(self) -> None:
-        """Wait for the shutdown, and for the last answers."""
+        """Wait for the shutdown to begin and for the final answers."""
         frontend = self.frontend
         await frontend.shutdown_started.wait()
-        # One after the other, not by two timers: where the loop is late these would come due
-        # together, and the last answers be dropped.
+        # The two waits run in sequence. Two parallel timers would fire together if the loop is
+        # late, and the final answers would be lost.
         if not await frontend.wait_until_closed(frontend.answer_deadline_ns):
             frontend.end_open()
             self._accept_queued_clients()
@@ -159,17 +159,17 @@
                 )
 
     def _accept_queued_clients(self) -> None:
-        """Make room for the clients that wait in the accept queue: closing it would reset them.
+        """Raise the limit so that queued clients are accepted; closing the queue would reset them.
 
-        Nothing more is sent to upstreams, so the descriptors kept for that are free. The answers
-        just given leave connections that linger, and hold their places for longer than is left.
+        Nothing more is sent to upstreams, so their descriptors are free for clients. The places of
+        the connections that were just answered are not free in time, because they still linger.
         """
         self.upstreams.set_limit(0)
         shares = self.limits.shares
         self.frontend.set_limit(shares.clients + shares.upstreams)
 
     async def close(self) -> None:
-        """Close all parts."""
+        """Close all components."""
         if self.companion is not None:
             await self.companion.close()
         self.frontend.close()
@@ -186,14 +186,14 @@
     read: Callable[[], Config] = lambda: read_config(os.environ),
     companion: Callable[[Parts], Companion] | None = None,
 ) -> None:
-    """Run a balancer until its graceful shutdown is over.
+    """Run a balancer until its graceful shutdown is complete.
 
     Args:
         config: The configuration.
         listener: The clients' listening socket.
-        admin_socket: The admin API's; None: there is none.
-        read: Reads the configuration as it is now, for a reload.
-        companion: Makes what runs beside the balancer.
+        admin_socket: The admin API's listening socket; None: no admin API.
+        read: Reads the current configuration, for a reload.
+        companion: Creates the companion.
     """
     process = BalancerProcess(config, listener, admin_socket is not None)
     await process.start(admin_socket)
--- a/loadbalancer/proxy/process_handover.py
+++ b/loadbalancer/proxy/process_handover.py
@@ -1,8 +1,8 @@
-"""The processes of one balancer: while one takes over from another, both run under shared limits.
+"""Coordination of the processes of one balancer, which share limits while one replaces another.
 
-Each process keeps a small file in the state folder, locked as long as it runs, and writes there
-what it has done: which version of the set of disabled upstreams it applies, and whether it keeps to
-its share of the limits. A file that nobody locks belongs to a process that is dead.
+Each process keeps a small file in the state folder, and holds a lock on it while it runs. The file
+states which version of the set of disabled upstreams the process applies, and whether it uses no
+more than its share of the limits. An unlocked file belongs to a process that has exited.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 log = logging.getLogger(__name__)
 
 PREFIX = "lanelift-process-"
-POLL_S = 0.05  # a tenth of the grace within which a disable must hold
+POLL_S = 0.05  # a tenth of the grace period within which a disable must take effect
 AGREEMENT_POLL_S = POLL_S / 5
-RETRY_S = 0.2  # between two tries to write where the folder refuses
-NOTE_SIZE = 64  # bytes; a note is written and read at once
+RETRY_S = 0.2  # interval between write attempts after a failure
+NOTE_SIZE = 64  # bytes; a note is written and read in one call
 NOTE_FIELDS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessNote:
-    """What a process publishes to the others.
+    """State that a process publishes to the others.
 
     Attributes:
-        applied_version: The version of the set of disabled upstreams that it applies.
-        is_within_share: It keeps to its share of the limits.
+        applied_version: The version of the set of disabled upstreams that the process applies.
+        is_within_share: Whether the process uses no more than its share of the limits.
     """
 
     applied_version: int = 0
     is_within_share: bool = False
 
     def pack(self) -> bytes:
-        """Encode it."""
+        """Encode the note."""
         return f"{self.applied_version} {int(self.is_within_share)}\n".encode().ljust(NOTE_SIZE)
 
     @classmethod
     def unpack(cls, data: bytes) -> ProcessNote:
-        """Decode it; a file that was just made and not written yet gives an empty note."""
+        """Decode a note; a file that is created but not written yet gives an empty one."""
         fields = data.decode("latin-1").split()
         if len(fields) != NOTE_FIELDS or not all(field.isdigit() for field in fields):
             return cls()
@@ -55,11 +55,11 @@
 
 
 class ProcessRegistry:
-    """The processes of this balancer; without a folder a process knows of no other.
+    """Registry of this balancer's processes; without a folder it finds no others.
 
     Attributes:
-        note: What this process publishes.
-        known: The others' files, and their notes.
+        note: The note that this process publishes.
+        other_notes: The notes of the other processes, by file.
     """
 
     def __init__(self, folder: Path | None) -> None:
@@ -82,11 +82,11 @@
 
     @property
     def is_alone(self) -> bool:
-        """Whether no other process is known."""
+        """Whether no other process is registered."""
         return not self.other_notes
 
     def on_check(self, callback: Callable[[], None]) -> None:
-        """Call this behind each periodic check, whether or not anything is new."""
+        """Register a callback that runs after each periodic check, changed or not."""
         self._on_check.append(callback)
 
     def publish(self, note: ProcessNote) -> None:
@@ -95,14 +95,14 @@
         self._write_if_due()
 
     def check(self) -> None:
-        """Find out which other processes run, and read their notes."""
+        """Find the other running processes, and read their notes."""
         if self.folder is None:
             return
         self._write_if_due()
         try:
             paths = sorted(self.folder.glob(PREFIX + "*"))
-        except OSError as error:  # those that were known are taken to run on
-            log.error("state folder not readable: path=%s error=%s", self.folder, error)
+        except OSError as error:  # keeps the last known processes
+            log.error("can't read state folder: path=%s error=%s", self.folder, error)
             return
         notes = {}
         for path in paths:
@@ -114,7 +114,7 @@
         self.other_notes = notes
 
     def watch(self) -> None:
-        """Check now and periodically from now on."""
+        """Check now, and then every `POLL_S`."""
         self._timer = asyncio.get_running_loop().call_later(POLL_S, self.watch)
         self.check()
         for callback in self._on_check:
@@ -123,7 +123,7 @@
     async def wait_for_others(
         self, condition: Callable[[ProcessNote], bool], seconds: float
     ) -> bool:
-        """Wait until this holds for all the others; False where it does not in time."""
+        """Wait until a condition holds for all others; return False on timeout."""
         try:
             async with asyncio.timeout(seconds):
                 while True:
@@ -143,7 +143,7 @@
     # ---- this process's file ---------------------------------------------------------------------
 
     def _write_if_due(self) -> None:
-        """Make or write the file where it is out of date; a failure is tried again later."""
+        """Create or write the file if it is outdated; a failed attempt is retried later."""
         now_s = time.monotonic()
         is_current = self._descriptor is not None and self._written == self.note
         if self.folder is None or is_current or now_s < self._retry_at_s:
@@ -163,13 +163,13 @@
         self._retry_at_s = 0.0
 
     def _create_file(self, folder: Path) -> None:
-        """Make and lock a file.
+        """Create and lock a file.
 
-        Until it is locked, another process takes it for that of a dead one, and removes it: then
-        another is made.
+        Another process may remove the file before it is locked, because an unlocked file seems to
+        belong to a process that has exited. In that case another file is created.
 
         Raises:
-            OSError: The folder refuses.
+            OSError: The file can't be created, locked or written.
         """
         while self._descriptor is None:
             self._descriptor, self._path = tempfile.mkstemp(prefix=PREFIX, dir=folder)
@@ -185,12 +185,12 @@
 
     def _write(self) -> None:
         assert self._descriptor is not None
-        self._written = None  # a failed write may leave half of it
+        self._written = None  # a failed write may be partial
         write_all(self._descriptor, self.note.pack())
         self._written = self.note
 
     def _remove_file(self) -> None:
-        """Remove the file: no other process sees this one any more."""
+        """Remove the file, so that the other processes no longer find this one."""
         if self._descriptor is None:
             return
         try:
@@ -198,7 +198,7 @@
         except FileNotFoundError:
             pass
         except OSError as error:
-            log.error("process note not removed: path=%s error=%s", self._path, error)
+            log.error("can't remove process note: path=%s error=%s", self._path, error)
         os.close(self._descriptor)
         self._descriptor = None
         self._written = None
@@ -206,10 +206,10 @@
     # ---- the others' files -----------------------------------------------------------------------
 
     def _read(self, path: Path) -> ProcessNote | None:
-        """Read the note of a process; None: it is dead, or gone.
+        """Read the note of a process; None: the process has exited.
 
-        Where that can't be found out, as this process is out of descriptors or the disk fails, its
-        last known note stands.
+        If the file can't be opened or read, because this process is out of descriptors or the disk
+        fails, the last known note is returned.
         """
         try:
             with open(path, "rb", buffering=0) as file:
--- a/loadbalancer/proxy/reloader.py
+++ b/loadbalancer/proxy/reloader.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration in a running balancer, at SIGHUP or by the store."""
+"""Reloads the configuration of a running balancer, on SIGHUP or for the store."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class Reloader:
-    """Reads the configuration again, off the loop, and applies what may change while running.
+    """Reads the configuration in a thread, and applies the keys that may change at run time.
 
-    A configuration that can't be used leaves everything as it was.
+    A configuration that is not valid changes nothing.
     """
 
     APPLIED = frozenset({"discovery", "fixed"})
-    # These matter to a start only, and may differ at each reading.
+    # Used at startup only; their values may differ each time the file is read.
     AT_START = frozenset({"seed", "known"})
 
     def __init__(
@@ -34,7 +34,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def reload(self) -> None:
-        """Reload once more, also where the file is being read: it may have been replaced."""
+        """Reload; if a read is in progress, read again, as the file may have changed."""
         self._is_pending = True
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._reload())
@@ -44,7 +44,7 @@
             self._is_pending = False
             try:
                 self._apply(await asyncio.to_thread(self.read))
-            except Exception as error:  # noqa: BLE001 (the balancer goes on as it was configured)
+            except Exception as error:  # noqa: BLE001 (keeps the current configuration)
                 log.error("configuration not reloaded: error=%s", error)
 
     def _apply(self, new: Config) -> None:
--- a/loadbalancer/proxy/request_head.py
+++ b/loadbalancer/proxy/request_head.py
@@ -1,4 +1,4 @@
-"""Checks the head of a client's request, and reads the terms on which it is accepted."""
+"""Validates the head of a client's request, and reads its class, tenant and deadline."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.messages import Request, UnacceptableMessageError
 
-MAX_ID = 128  # bytes of a request's id: it is a key of tables and stands in the log
+MAX_ID = 128  # bytes of a request id, which is a table key and appears in the log
 MAX_DIGITS = 15
 MILLISECOND = 1_000_000
 MICROSECOND = 1_000
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTerms:
-    """What a head says.
+    """Parameters of a request, from its head.
 
     Attributes:
-        wait_ns: How long its client waits, counted from the request's last byte.
+        timeout_ns: How long the client waits, counted from the last byte of the request.
     """
 
     request_id: str
@@ -36,15 +36,15 @@
 def read_terms(
     head: Request, settings: api.Settings, open_requests: Container[str]
 ) -> RequestTerms:
-    """Read a head.
+    """Read the parameters of a request.
 
     Args:
         head: The request.
-        settings: Name the classes.
-        open_requests: Ids that are taken.
+        settings: The settings, which define the request classes.
+        open_requests: The ids of open requests.
 
     Raises:
-        UnacceptableMessageError: It can't be accepted.
+        UnacceptableMessageError: The request can't be accepted.
     """
     headers = dict(head.headers)
     path, _, query = head.target.decode("latin-1").partition("?")
@@ -57,7 +57,7 @@
         raise UnacceptableMessageError(400, "X-Request-Id is too long")
     if request_id in open_requests:
         raise UnacceptableMessageError(409, "a request with this X-Request-Id is open")
-    # Nobody waits longer than the class allows, whatever the header says: SIGTERM counts on it.
+    # The class's deadline caps the header's: the graceful shutdown relies on this bound.
     longest_ns = settings.classes[class_name].deadline_ns
     timeout_ns = min(
         longest_ns, _number(headers, b"x-deadline-ms", longest_ns // MILLISECOND) * MILLISECOND
@@ -93,7 +93,7 @@
 
 
 def key_of(query: str) -> str:
-    """The first `obj` of a query that is not empty, decoded."""
+    """Return the first `obj` of a query that is not empty, decoded."""
     for field in query.split("&"):
         value = field.removeprefix(KEY_FIELD)
         if field.startswith(KEY_FIELD) and value:
--- a/loadbalancer/proxy/request_intake.py
+++ b/loadbalancer/proxy/request_intake.py
@@ -1,4 +1,4 @@
-"""Turns the requests of one client's connection into open requests with deadlines."""
+"""Converts the requests of one client connection to open requests with deadlines."""
 
 from __future__ import annotations
 
@@ -9,18 +9,21 @@
 from loadbalancer.proxy.request_head import read_terms
 from loadbalancer.proxy.requests import Client, OpenRequest
 
-ANSWER_MARGIN_NS = 3_000_000  # kept of each deadline for the answer's way to the client
+ANSWER_MARGIN_NS = (
+    3_000_000  # subtracted from each deadline for the answer's transfer to the client
+)
 UPLOAD_DEADLINE_NS = (
-    600_000_000_000  # longer than the longest body takes that comes as slowly as is allowed
+    600_000_000_000  # exceeds the time of the longest body at the lowest allowed rate
 )
 REPLACED_HEADERS = frozenset({b"x-deadline-ms"})
 
 
 class RequestIntake:
-    """Reads requests' terms.
+    """Reads the parameters of requests, and builds open requests.
 
     Attributes:
-        wait_ns: How long the client of the last request waits once its body is complete.
+        timeout_ns: How long the client waits for the latest request's answer, counted from the end
+            of its body.
     """
 
     def __init__(self, host: ConnectionHost) -> None:
@@ -28,15 +31,15 @@
         self.timeout_ns = 0
 
     def open_request(self, head: Request, client: Client, received_ns: int) -> OpenRequest:
-        """Build the open request.
+        """Build an open request.
 
         Args:
-            head: The request, complete but for the rest of a body in pieces.
+            head: The request, complete except for a streamed body.
             client: Receives the answer.
-            received_ns: When its last byte came.
+            received_ns: When the last byte of the request arrived.
 
         Raises:
-            UnacceptableMessageError: It can't be accepted.
+            UnacceptableMessageError: The request can't be accepted.
         """
         arrival = self._arrival(head, received_ns)
         headers = [row for row in end_to_end(head.headers) if row[0] not in REPLACED_HEADERS]
@@ -52,7 +55,7 @@
         )
 
     def deadline_ns(self, received_ns: int) -> int:
-        """When the answer must be given, to arrive in time and before this process ends."""
+        """Return when the answer is due, so that it arrives in time and before shutdown."""
         deadline_ns = received_ns + max(0, self.timeout_ns - ANSWER_MARGIN_NS)
         if self.host.draining:
             deadline_ns = min(deadline_ns, self.host.answer_deadline_ns)
@@ -64,7 +67,7 @@
         self.timeout_ns = terms.timeout_ns
         deadline_ns = self.deadline_ns(received_ns)
         if head.stream is not None:
-            deadline_ns = received_ns + UPLOAD_DEADLINE_NS  # until it is complete
+            deadline_ns = received_ns + UPLOAD_DEADLINE_NS  # replaced once the body is complete
         return api.RequestArrived(
             terms.request_id,
             terms.class_name,
--- a/loadbalancer/proxy/resource_limits.py
+++ b/loadbalancer/proxy/resource_limits.py
@@ -1,6 +1,6 @@
-"""The descriptors and the memory that the configuration allows, divided among their users.
+"""Divides the configured descriptors and memory among connections and bodies.
 
-The limits count all processes of a balancer together: while there are two, each keeps to half.
+The limits apply to all processes of a balancer together: while two run, each uses at most half.
 """
 
 from __future__ import annotations
@@ -11,42 +11,44 @@
 from loadbalancer.proxy.body_stream import BodyMemory
 from loadbalancer.proxy.process_handover import ProcessRegistry
 
-# Descriptors kept for the listener, discovery (an old and a new one), peers, the configuration and
-# the interpreter, and for sockets that were closed on this turn of the loop and still count.
+# Descriptors reserved for the listener, discovery (an old and a new connection), peers, the
+# configuration and the interpreter, and for sockets that were closed in the current event-loop
+# iteration and still hold a descriptor.
 RESERVE = 32
-# Of these a second process needs its own, less what only a turn under load takes.
+# The part of RESERVE that a second process needs as well; it excludes the descriptors that are used
+# only in an event-loop iteration under load.
 SECOND_RESERVE = 14
-PROCESS_MB = 24  # of a process without bodies, with its connections and requests
-# Of the remaining memory, for bodies in pieces: as much again lies in buffers to be written, and
-# memory is not given back at once.
+PROCESS_MB = 24  # memory of a process with its connections and requests, without bodies
+# Fraction of the remaining memory for streamed bodies. Write buffers hold as much again, and freed
+# memory does not return to the system immediately.
 BODIES_FRACTION = 0.25
-MIN_BODIES_BYTES = 1024 * 1024  # below that bodies would crawl
-# Of the remaining descriptors. Of a third of all, a client has a request open, with one attempt
-# out.
+MIN_BODIES_BYTES = 1024 * 1024  # less would make bodies very slow
+# Fraction of the remaining descriptors for clients; the others are for upstreams. About a third of
+# all descriptors belong to clients with an open request, each with one attempt in flight.
 CLIENTS_FRACTION = 0.55
 MIN_SPARE = 2
 BYTES_PER_MB = 1024 * 1024
 
 
 class ConnectionHolder(Protocol):
-    """A part that opens connections under a cap."""
+    """Component that opens connections up to a limit."""
 
     def set_limit(self, connections: int) -> None:
-        """Set the cap."""
+        """Set the connection limit."""
 
     @property
     def connections_open(self) -> int:
-        """Connections that are open."""
+        """The number of open connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """What one process may use.
+    """Resources that one process may use.
 
     Attributes:
-        clients: Connections of clients.
-        upstreams: Connections to upstreams.
-        bodies: Bytes of bodies in pieces.
+        clients: Client connections.
+        upstreams: Upstream connections.
+        bodies: Bytes of streamed bodies.
     """
 
     clients: int
@@ -56,10 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """What the processes of one balancer may use together.
+    """Resources that all processes of one balancer may use together.
 
     Attributes:
-        admin_descriptors: Descriptors that each process keeps for the admin API.
+        admin_descriptors: Descriptors that each process reserves for the admin API.
     """
 
     sockets: int
@@ -67,7 +69,7 @@
     admin_descriptors: int
 
     def shares(self, processes: int) -> Shares:
-        """Divide the limits among so many processes."""
+        """Return the share of one process out of this number."""
         reserved = RESERVE + processes * self.admin_descriptors + (processes - 1) * SECOND_RESERVE
         spare = max(MIN_SPARE, (self.sockets - reserved) // processes)
         clients = max(1, int(spare * CLIENTS_FRACTION))
@@ -77,10 +79,10 @@
 
 
 class LimitEnforcer:
-    """Applies the shares of this process, anew whenever a process starts or ends.
+    """Applies the shares of this process, and updates them when a process starts or exits.
 
     Attributes:
-        shares: What this process may use now.
+        shares: The resources that this process may use now.
     """
 
     def __init__(self, limits: ResourceLimits, registry: ProcessRegistry) -> None:
@@ -97,14 +99,14 @@
     def start(
         self, clients: ConnectionHolder, upstreams: ConnectionHolder, memory: BodyMemory
     ) -> None:
-        """Begin to enforce the shares on these."""
+        """Enforce the shares on these components from now on."""
         self.clients = clients
         self.upstreams = upstreams
         self.memory = memory
         self.registry.on_check(self.check)
 
     def check(self) -> None:
-        """Apply changed shares, and publish once what is in use fits."""
+        """Apply changed shares, and publish whether the usage is within them."""
         assert self.clients is not None
         assert self.upstreams is not None
         assert self.memory is not None
