--- a/loadbalancer/proxy/client_answer.py
+++ b/loadbalancer/proxy/client_answer.py
@@ -69,19 +69,19 @@
             close_after_answer: Whether the connection closes after the answer.
             length: The Content-Length, if it differs from the body's length.
         """
-        rows = [*headers, (b"Content-Length", length or b"%d" % len(body))]
-        self._write_head(status, rows, close_after_answer, b"" if self.is_head else body)
+        header_fields = [*headers, (b"Content-Length", length or b"%d" % len(body))]
+        self._write_head(status, header_fields, close_after_answer, b"" if self.is_head else body)
         self.sink.answer_completed()
 
     def begin_body(self, headers: Headers, body: Body, close_after_answer: bool) -> None:
         """Begin a successful answer with a streamed body."""
-        rows = list(headers)
+        header_fields = list(headers)
         self.in_chunks = body.length is None and self.is_http_1_1
         if body.length is not None:
-            rows.append((b"Content-Length", b"%d" % body.length))
+            header_fields.append((b"Content-Length", b"%d" % body.length))
         elif self.in_chunks:
-            rows.append((b"Transfer-Encoding", b"chunked"))
-        self._write_head(HTTPStatus.OK, rows, close_after_answer)
+            header_fields.append((b"Transfer-Encoding", b"chunked"))
+        self._write_head(HTTPStatus.OK, header_fields, close_after_answer)
         self.body = body
         body.changed = self.pump
         self.pump()
@@ -117,11 +117,11 @@
             body.drop()
 
     def _write_head(
-        self, status: int, rows: Headers, close_after_answer: bool, body: bytes = b""
+        self, status: int, header_fields: Headers, close_after_answer: bool, body: bytes = b""
     ) -> None:
         if close_after_answer:
-            rows = [*rows, (b"Connection", b"close")]
-        self.sink.write(message(START_LINES.get(status) or start_line(status), rows, body))
+            header_fields = [*header_fields, (b"Connection", b"close")]
+        self.sink.write(message(START_LINES.get(status) or start_line(status), header_fields, body))
 
 
 def start_line(status: int) -> bytes:
--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -312,16 +312,16 @@
 
     def serve(self, response: Response) -> None:
         """Forward an upstream's response."""
-        rows = end_to_end(response.headers)
+        header_fields = end_to_end(response.headers)
         is_head = self.writer.is_head
         if response.stream is not None and not is_head:
-            self._begin_answer(rows, response.stream)
+            self._begin_answer(header_fields, response.stream)
         elif is_head:
             # The Content-Length of the answer to a GET; 0 would be wrong.
             length = response.header(b"content-length")
-            self._answer(200, rows, b"", length=length)
+            self._answer(200, header_fields, b"", length=length)
         else:
-            self._answer(200, rows, response.body)
+            self._answer(200, header_fields, response.body)
 
     def reject(self, retry_after_ns: int) -> None:
         """Answer 503, which guarantees that the request had no effect."""
@@ -347,11 +347,11 @@
         self._end_request(close_after_answer)
         self.writer.write_complete(status, headers, body, self.close_after_answer, length)
 
-    def _begin_answer(self, rows: Headers, body: Body) -> None:
+    def _begin_answer(self, header_fields: Headers, body: Body) -> None:
         """Begin an answer with a streamed body."""
         self.frontend.wait(self, Phase.ANSWER)
         self._end_request(False)
-        self.writer.begin_body(rows, body, self.close_after_answer)
+        self.writer.begin_body(header_fields, body, self.close_after_answer)
 
     def _end_request(self, close_after_answer: bool) -> None:
         """Close the open request, and decide whether the connection closes after its answer."""
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -131,13 +131,15 @@
         if self.connection is not None:
             self.connection.abort()
 
-    def _run(self, work: Coroutine[Any, Any, None] | None) -> None:
+    def _run(self, coroutine: Coroutine[Any, Any, None] | None) -> None:
         """Replace the running task; the answer of its poll is discarded."""
         if self.task is not None:
             self.task.cancel()
-        if work is None:
+        if coroutine is None:
             self.staleness.close()
-        self.task = asyncio.get_running_loop().create_task(work) if work is not None else None
+        self.task = (
+            asyncio.get_running_loop().create_task(coroutine) if coroutine is not None else None
+        )
 
     async def _watch(self) -> None:
         """Poll continuously; each poll begins after the answer to the previous one."""
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -180,7 +180,7 @@
         connection may be closed yet, accepting pauses until the first one may be.
         """
         now_s = self.loop.time()
-        dues_s = []
+        evictable_times_s = []
         # During shutdown, clients can open a connection to another balancer.
         idle_s = 0.0 if self.draining else EVICT_IDLE_S
         for table, seconds in (
@@ -191,12 +191,14 @@
         ):
             client = next(iter(table), None)
             if client is not None:
-                due_s = table[client] + seconds
-                if due_s <= now_s and not (client.has_unread_input or client.has_unsent_output):
+                evictable_at_s = table[client] + seconds
+                if evictable_at_s <= now_s and not (
+                    client.has_unread_input or client.has_unsent_output
+                ):
                     client.abort()
                     return
-                dues_s.append(max(due_s, now_s + RECHECK_S))
-        self._pause(min(dues_s) - now_s if dues_s else None)
+                evictable_times_s.append(max(evictable_at_s, now_s + RECHECK_S))
+        self._pause(min(evictable_times_s) - now_s if evictable_times_s else None)
 
     async def _open(self, client: ClientConnection, sock: socket.socket) -> None:
         try:
@@ -250,13 +252,13 @@
         now = self.loop.time()
         for phase, clients in self.clients_by_phase.items():
             limit = self._limit_s(phase)
-            late = []
+            overdue = []
             for client, since in clients.items():
                 if since + limit > now:
                     self._sweep_at(since + limit)
                     break
-                late.append(client)
-            for client in late:
+                overdue.append(client)
+            for client in overdue:
                 client.forced_close_at = client.forced_close_at or now + UNREAD_S
                 if now < client.forced_close_at and client.has_unread_input:
                     self._sweep_at(now + RECHECK_S)
--- a/loadbalancer/proxy/request_head.py
+++ b/loadbalancer/proxy/request_head.py
@@ -48,7 +48,7 @@
     """
     headers = dict(head.headers)
     path, _, query = head.target.decode("latin-1").partition("?")
-    class_name = _class_of(path, headers, settings)
+    class_name = _class_name(path, headers, settings)
     _check_method(head, settings.classes[class_name])
     request_id = headers.get(b"x-request-id", b"").decode("latin-1")
     if not request_id:
@@ -60,23 +60,24 @@
     # The class's deadline caps the header's: the graceful shutdown relies on this bound.
     longest_ns = settings.classes[class_name].deadline_ns
     timeout_ns = min(
-        longest_ns, _number(headers, b"x-deadline-ms", longest_ns // MILLISECOND) * MILLISECOND
+        longest_ns,
+        _integer_header(headers, b"x-deadline-ms", longest_ns // MILLISECOND) * MILLISECOND,
     )
     return RequestTerms(
         request_id,
         class_name,
         headers.get(b"x-tenant", b"").decode("latin-1"),
         timeout_ns,
-        _number(headers, b"x-cost-hint", 0) * MICROSECOND,
+        _integer_header(headers, b"x-cost-hint", 0) * MICROSECOND,
         key_of(query) if KEY_FIELD in query else "",
         headers.get(b"x-retry") == b"1",
     )
 
 
-def _class_of(path: str, headers: Mapping[bytes, bytes], settings: api.Settings) -> str:
-    first = path.strip("/").partition("/")[0]
-    name = headers.get(b"x-class", first.encode("latin-1")).decode("latin-1")
-    if first not in settings.classes or name not in settings.classes:
+def _class_name(path: str, headers: Mapping[bytes, bytes], settings: api.Settings) -> str:
+    first_segment = path.strip("/").partition("/")[0]
+    name = headers.get(b"x-class", first_segment.encode("latin-1")).decode("latin-1")
+    if first_segment not in settings.classes or name not in settings.classes:
         raise UnacceptableMessageError(404, "no such class")
     if b"host" not in headers:
         raise UnacceptableMessageError(400, "no Host")
@@ -101,7 +102,7 @@
     return ""
 
 
-def _number(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
+def _integer_header(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
     text = headers.get(name)
     if text is None:
         return default
--- a/loadbalancer/proxy/resource_limits.py
+++ b/loadbalancer/proxy/resource_limits.py
@@ -116,9 +116,11 @@
             self.clients.set_limit(shares.clients)
             self.upstreams.set_limit(shares.upstreams)
             self.memory.limit = shares.bodies
-        fits = (
+        is_within_limits = (
             self.clients.connections_open <= shares.clients
             and self.upstreams.connections_open <= shares.upstreams
         )
         registry = self.registry
-        registry.publish(replace(registry.note, is_within_share=not registry.is_alone and fits))
+        registry.publish(
+            replace(registry.note, is_within_share=not registry.is_alone and is_within_limits)
+        )
