--- a/loadbalancer/proxy/client_connection.py
+++ b/loadbalancer/proxy/client_connection.py
@@ -112,7 +112,7 @@
         self.frontend.wait(self, Phase.NEW)
 
     def data_received(self, data: bytes) -> None:
-        """Read requests; called by the event loop."""
+        """Buffer and parse received data; called by the event loop."""
         if self.lingering:
             return
         # Deadlines count from the arrival of the data in the kernel, because it may have waited in
@@ -161,7 +161,7 @@
     # ---- streamed request body: called by the body ---------------------------------------
 
     def pause(self) -> None:
-        """Stop reading until the upstream accepts more; the client's time limit is off."""
+        """Stop reading until the upstream accepts more; meanwhile no time limit applies."""
         self.frontend.leave_phase(self)
         if (transport := self._open_transport) is not None:
             transport.pause_reading()
--- a/loadbalancer/proxy/disabled_upstreams.py
+++ b/loadbalancer/proxy/disabled_upstreams.py
@@ -138,7 +138,7 @@
             else:
                 await self._save_change(name, is_disabled)
             version = self.version
-            # The policy is notified in the next event-loop iteration.
+            # The policy has been notified after the event loop has run an iteration.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         for callback in self._on_change:
--- a/loadbalancer/proxy/frontend.py
+++ b/loadbalancer/proxy/frontend.py
@@ -237,7 +237,7 @@
             client.phase = None
 
     def _sweep_at(self, when: float) -> None:
-        # `timer_at` is kept apart because the timer handle has only the resolution of the loop.
+        # `timer_at` is stored separately: the timer handle's time is rounded to the loop's ticks.
         if self.timer is None or when < self.timer_at:
             if self.timer is not None:
                 self.timer.cancel()
@@ -266,7 +266,7 @@
                     client.on_timeout()
 
     def _limit_s(self, phase: Phase) -> float:
-        """Return a phase's time limit; idle connections close at once after the listener."""
+        """Return a phase's time limit; 0 for idle connections once the listener is closed."""
         return 0.0 if phase is Phase.IDLE and self.closed else LIMIT_S[phase]
 
     def connection_closed(self, client: HostedConnection) -> None:
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -61,7 +61,7 @@
 
     Args:
         config: The configuration.
-        listener: The clients' listening socket.
+        listener: The listening socket for clients.
         has_admin_api: Whether descriptors are reserved for the admin API.
     """
 
