--- a/loadbalancer/proxy/connection_host.py
+++ b/loadbalancer/proxy/connection_host.py
@@ -23,11 +23,11 @@
     force_close_at: float
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether an idle connection has received something that was not read yet."""
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent_output(self) -> bool:
         """Whether bytes that were written are still buffered in this process."""
 
     def on_phase_timeout(self) -> None:
@@ -59,10 +59,10 @@
         """Whether the graceful shutdown has started."""
 
     @property
-    def last_answer_ns(self) -> int:
+    def answer_deadline_ns(self) -> int:
         """When the last answer is given after SIGTERM (monotonic clock)."""
 
-    def is_loaded(self, fraction: float) -> bool:
+    def is_usage_above(self, fraction: float) -> bool:
         """Return whether at least this fraction of the connection limit is in use."""
 
     def wait(self, client: HostedConnection, phase: Phase) -> None:
@@ -74,5 +74,5 @@
     def leave_phase(self, client: HostedConnection) -> None:
         """End the connection's current phase."""
 
-    def forget_connection(self, client: HostedConnection) -> None:
+    def connection_closed(self, client: HostedConnection) -> None:
         """Remove a connection that is closed."""
--- a/loadbalancer/proxy/request_head.py
+++ b/loadbalancer/proxy/request_head.py
@@ -1,4 +1,4 @@
-"""Checks the head of a client's request, and reads the terms on which it is accepted."""
+"""Validates the head of a client's request, and reads its class, tenant and deadline."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loadbalancer.policy import api
 from loadbalancer.proxy.messages import Request, UnacceptableMessageError
 
-MAX_ID = 128  # bytes of a request's id: it is a key of tables and stands in the log
+MAX_ID = 128  # bytes of a request id, which is a table key and appears in the log
 MAX_DIGITS = 15
 MILLISECOND = 1_000_000
 MICROSECOND = 1_000
@@ -17,64 +17,67 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What a head says.
+class RequestTerms:
+    """Parameters of a request, from its head.
 
     Attributes:
-        wait_ns: How long its client waits, counted from the request's last byte.
+        timeout_ns: How long the client waits, counted from the last byte of the request.
     """
 
-    request: str
+    request_id: str
     class_name: str
     tenant: str
-    wait_ns: int
+    timeout_ns: int
     cost_hint_ns: int
     key: str
     retry: bool
 
 
-def read_terms(head: Request, settings: api.Settings, open_requests: Container[str]) -> Terms:
-    """Read a head.
+def read_terms(
+    head: Request, settings: api.Settings, open_requests: Container[str]
+) -> RequestTerms:
+    """Read the parameters of a request.
 
     Args:
         head: The request.
-        settings: Name the classes.
-        open_requests: Ids that are taken.
+        settings: The settings, which define the request classes.
+        open_requests: The ids of open requests.
 
     Raises:
-        UnacceptableMessageError: It can't be accepted.
+        UnacceptableMessageError: The request can't be accepted.
     """
     headers = dict(head.headers)
     path, _, query = head.target.decode("latin-1").partition("?")
-    class_name = _class_of(path, headers, settings)
+    class_name = _class_name(path, headers, settings)
     _check_method(head, settings.classes[class_name])
-    request = headers.get(b"x-request-id", b"").decode("latin-1")
-    if not request:
+    request_id = headers.get(b"x-request-id", b"").decode("latin-1")
+    if not request_id:
         raise UnacceptableMessageError(400, "no X-Request-Id")
-    if len(request) > MAX_ID:
+    if len(request_id) > MAX_ID:
         raise UnacceptableMessageError(400, "X-Request-Id is too long")
-    if request in open_requests:
+    if request_id in open_requests:
         raise UnacceptableMessageError(409, "a request with this X-Request-Id is open")
-    # Nobody waits longer than the class allows, whatever the header says: SIGTERM counts on it.
+    # The class's deadline caps the header's: the graceful shutdown relies on this bound.
     longest_ns = settings.classes[class_name].deadline_ns
-    wait_ns = min(
-        longest_ns, _number(headers, b"x-deadline-ms", longest_ns // MILLISECOND) * MILLISECOND
+    timeout_ns = min(
+        longest_ns,
+        _integer_header(headers, b"x-deadline-ms", longest_ns // MILLISECOND) * MILLISECOND,
     )
-    return Terms(
-        request,
+    return RequestTerms(
+        request_id,
         class_name,
         headers.get(b"x-tenant", b"").decode("latin-1"),
-        wait_ns,
-        _number(headers, b"x-cost-hint", 0) * MICROSECOND,
+        timeout_ns,
+        _integer_header(headers, b"x-cost-hint", 0) * MICROSECOND,
         key_of(query) if KEY_FIELD in query else "",
         headers.get(b"x-retry") == b"1",
     )
 
 
-def _class_of(path: str, headers: Mapping[bytes, bytes], settings: api.Settings) -> str:
-    first = path.strip("/").partition("/")[0]
-    name = headers.get(b"x-class", first.encode("latin-1")).decode("latin-1")
-    if first not in settings.classes or name not in settings.classes:
+def _class_name(path: str, headers: Mapping[bytes, bytes], settings: api.Settings) -> str:
+    first_segment = path.strip("/").partition("/")[0]
+    name = headers.get(b"x-class", first_segment.encode("latin-1")).decode("latin-1")
+    if first_segment not in settings.classes or name not in settings.classes:
         raise UnacceptableMessageError(404, "no such class")
     if b"host" not in headers:
         raise UnacceptableMessageError(400, "no Host")
@@ -91,7 +94,7 @@
 
 
 def key_of(query: str) -> str:
-    """The first `obj` of a query that is not empty, decoded."""
+    """Return the first `obj` of a query that is not empty, decoded."""
     for field in query.split("&"):
         value = field.removeprefix(KEY_FIELD)
         if field.startswith(KEY_FIELD) and value:
@@ -99,7 +102,7 @@
     return ""
 
 
-def _number(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
+def _integer_header(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
     text = headers.get(name)
     if text is None:
         return default
--- a/loadbalancer/proxy/upstream.py
+++ b/loadbalancer/proxy/upstream.py
@@ -145,7 +145,7 @@
     # ---- the cap on connections ------------------------------------------------------------------
 
     @property
-    def held(self) -> int:
+    def connections_open(self) -> int:
         """Number of connections that are open or being opened."""
         return self.pool.connections
 
