--- a/loadbalancer/store/durable/items.py
+++ b/loadbalancer/store/durable/items.py
@@ -65,7 +65,7 @@
             )
         ]
 
-    def _version(self, key: str) -> int:
+    def _current_version(self, key: str) -> int:
         """The version of a key; 0: it is not there."""
         row = self.db.execute("SELECT version FROM items WHERE key = ?", (key,)).fetchone()
         return int(row[0]) if row else 0
--- a/loadbalancer/store/durable/journal.py
+++ b/loadbalancer/store/durable/journal.py
@@ -35,7 +35,7 @@
     return os.urandom(SALT_BYTES)
 
 
-def _reason(error: OSError) -> str:
+def _error_text(error: OSError) -> str:
     return error.strerror or str(error)
 
 
@@ -89,8 +89,8 @@
         contents = reader.read()
         if not repair:
             return contents
-        if reader.unfinished is not None:
-            self.files.remove(reader.unfinished.name)
+        if reader.unfinished_segment is not None:
+            self.files.remove(reader.unfinished_segment.name)
             self.files.sync_folder()
         self.segments = reader.segments
         self.salt = reader.salt
@@ -144,29 +144,33 @@
         try:
             file.write(data, offset)
         except OSError as error:
-            self._cut_back(file, offset, error)
-            raise DiskFullError(f"the log can't be written: {_reason(error)}") from error
+            self._truncate_to(file, offset, error)
+            raise DiskFullError(f"the log can't be written: {_error_text(error)}") from error
         try:
             file.sync()
         except OSError as error:
             # After a failed sync a page may be marked clean and lost: a retry would prove nothing.
             self.is_broken = True
-            raise SyncFailedError(f"the log can't be synced: {_reason(error)}") from error
+            raise SyncFailedError(f"the log can't be synced: {_error_text(error)}") from error
         self.syncs += 1
 
-    def _cut_back(self, file: File, offset: int, cause: OSError) -> None:
+    def _truncate_to(self, file: File, offset: int, cause: OSError) -> None:
         try:
             file.truncate(offset)
         except OSError as error:
             self.is_broken = True
             raise SyncFailedError(
-                f"the log can't be written, nor cut back: {_reason(error)}"
+                f"the log can't be written, nor cut back: {_error_text(error)}"
             ) from cause
 
     def _begin_segment(self, number: int) -> None:
         segment = Segment(number, self.last_index)
         salt = self.draw_salt()
-        data = MAGIC + salt + encode_frame(salt, self.next_sequence, encode_payload(self._head()))
+        data = (
+            MAGIC
+            + salt
+            + encode_frame(salt, self.next_sequence, encode_payload(self._segment_head()))
+        )
         file = self._create_segment_file(segment.name, data)
         if self.file is not None:
             self.file.close()
@@ -178,7 +182,7 @@
         self.segments.append(segment)
         self.has_end_mark = True
 
-    def _head(self) -> SegmentHead:
+    def _segment_head(self) -> SegmentHead:
         return SegmentHead(
             journal_frames.FORMAT,
             self.cluster,
@@ -192,7 +196,7 @@
         try:
             file = self.files.create(name)
         except OSError as error:
-            raise DiskFullError(f"the log can't be continued: {_reason(error)}") from error
+            raise DiskFullError(f"the log can't be continued: {_error_text(error)}") from error
         try:
             self._write_synced(file, data, 0)
             self.files.sync_folder()
@@ -203,7 +207,9 @@
             raise
         except OSError as error:
             self.is_broken = True
-            raise SyncFailedError(f"the log's folder can't be synced: {_reason(error)}") from error
+            raise SyncFailedError(
+                f"the log's folder can't be synced: {_error_text(error)}"
+            ) from error
         return file
 
     def write_end_mark(self) -> None:
@@ -220,12 +226,12 @@
 
     def compact(self, index: int) -> None:
         """Remove the segments that hold no entry after this one."""
-        is_changed = False
+        is_any_removed = False
         while len(self.segments) > 1 and self.segments[1].base_index <= index:
             self.files.remove(self.segments[0].name)
             del self.segments[0]
-            is_changed = True
-        if is_changed:
+            is_any_removed = True
+        if is_any_removed:
             self.files.sync_folder()
 
     def close(self) -> None:
--- a/loadbalancer/store/durable/journal_reader.py
+++ b/loadbalancer/store/durable/journal_reader.py
@@ -63,7 +63,7 @@
         self.node = node
         self.contents: JournalContents | None = None
         self.segments: list[Segment] = []
-        self.unfinished: Segment | None = None  # its head was being written
+        self.unfinished_segment: Segment | None = None  # its head was being written
         self.salt = b""
         self.end_offset = 0
         self.next_sequence = 0
@@ -106,7 +106,7 @@
                 raise DamagedError(f"{segment.name}: its head does not read")
             assert self.contents is not None
             self.contents.torn_bytes += len(data)
-            self.unfinished = segment
+            self.unfinished_segment = segment
             return
         self._read_frames(segment, data, salt, is_last)
 
@@ -127,10 +127,10 @@
                 self._require_torn_tail(segment, data, salt, offset, is_last)
                 break
             if is_head:
-                self._take_head(segment, frame.sequence, frame.payload)
+                self._apply_head(segment, frame.sequence, frame.payload)
                 is_head = False
             elif frame.payload:
-                self._take_record(segment, frame.payload)
+                self._apply_record(segment, frame.payload)
             else:
                 self.has_end_mark = True  # the next frame is written over it
                 break
@@ -143,17 +143,21 @@
     def _require_torn_tail(
         self, segment: Segment, data: bytes, salt: bytes, offset: int, is_last: bool
     ) -> None:
-        later = find_later_frame(data, offset, salt, self.next_sequence)
-        if not is_last or later is not None:
-            more = f": a frame at byte {later} follows on it" if later is not None else ""
+        later_frame_offset = find_later_frame(data, offset, salt, self.next_sequence)
+        if not is_last or later_frame_offset is not None:
+            detail = (
+                f": a frame at byte {later_frame_offset} follows on it"
+                if later_frame_offset is not None
+                else ""
+            )
             raise DamagedError(
                 f"{segment.name}: what stands at byte {offset} was written whole and does not"
-                f" read{more}"
+                f" read{detail}"
             )
         assert self.contents is not None
         self.contents.torn_bytes += len(data) - offset
 
-    def _take_head(self, segment: Segment, sequence: int, payload: bytes) -> None:
+    def _apply_head(self, segment: Segment, sequence: int, payload: bytes) -> None:
         head = self._decode_head(segment, payload)
         segment.base_index = head.base_index
         contents = self.contents
@@ -177,20 +181,20 @@
             )
         return head
 
-    def _take_record(self, segment: Segment, payload: bytes) -> None:
+    def _apply_record(self, segment: Segment, payload: bytes) -> None:
         contents = self.contents
         assert contents is not None
         record = decode_record(payload)
         if record.hard_state is not None:
-            self._require_forward(segment, contents.hard_state, record.hard_state)
+            self._require_no_regression(segment, contents.hard_state, record.hard_state)
             contents.hard_state = record.hard_state
         if record.entries:
-            first = record.entries[0].index
-            if not contents.base_index < first <= contents.last_index + 1:
+            first_index = record.entries[0].index
+            if not contents.base_index < first_index <= contents.last_index + 1:
                 raise DamagedError(
-                    f"{segment.name}: entry {first} does not follow on {contents.last_index}"
+                    f"{segment.name}: entry {first_index} does not follow on {contents.last_index}"
                 )
-            del contents.entries[first - contents.base_index - 1 :]
+            del contents.entries[first_index - contents.base_index - 1 :]
             contents.entries.extend(record.entries)
         if record.install is not None:
             contents.install = record.install
@@ -199,7 +203,7 @@
             contents.base_term = record.install.term
 
     @staticmethod
-    def _require_forward(segment: Segment, old: HardState, new: HardState) -> None:
+    def _require_no_regression(segment: Segment, old: HardState, new: HardState) -> None:
         if new.term < old.term or (
             new.term == old.term and old.voted_for not in (NO_NODE, new.voted_for)
         ):
--- a/loadbalancer/store/durable/lease_records.py
+++ b/loadbalancer/store/durable/lease_records.py
@@ -24,17 +24,17 @@
 CANDIDATE_TTLS: Final = 2  # a candidate that does not renew for so many of its TTLs is gone
 LeaseCommand = Claim | Release | ExpireClaim
 # Parts of the replicated state: changing one is a change of format.
-LEASES_NOT_YET: Final = "not all nodes of the store know leases yet"
-RENEWED_SINCE: Final = "it was renewed since"
+LEASES_NOT_SUPPORTED: Final = "not all nodes of the store know leases yet"
+CLAIM_RENEWED: Final = "it was renewed since"
 
 
-def _ttls(lease: Lease) -> dict[int, int]:
+def _claim_ttls(lease: Lease) -> dict[int, int]:
     """The claims of a lease, and how long each lasts without a renewal, in ms."""
-    found = {c.claim: CANDIDATE_TTLS * c.ttl_ms for c in lease.candidates}
+    ttls_ms = {c.claim: CANDIDATE_TTLS * c.ttl_ms for c in lease.candidates}
     if lease.holder:
         ttl_ms = lease.ttl_ms
-        found[lease.claim] = int(ttl_ms * table.OFFER_FRACTION) if lease.is_offered else ttl_ms
-    return found
+        ttls_ms[lease.claim] = int(ttl_ms * table.OFFER_FRACTION) if lease.is_offered else ttl_ms
+    return ttls_ms
 
 
 class LeaseRecords(Items):
@@ -43,9 +43,9 @@
     def active_claims(self) -> list[ActiveClaim]:
         """Return every claim with its TTL."""
         return [
-            ActiveClaim(lease.name, claim, self._round(lease.name, claim), ttl_ms)
+            ActiveClaim(lease.name, claim, self._renewal_round(lease.name, claim), ttl_ms)
             for lease in self._stored_leases()
-            for claim, ttl_ms in _ttls(lease).items()
+            for claim, ttl_ms in _claim_ttls(lease).items()
         ]
 
     def _reload_leases(self) -> None:
@@ -77,30 +77,30 @@
 
     def _apply_lease_command(self, command: LeaseCommand, index: int) -> Result:
         if self.format < LEASES_FORMAT:
-            return Result(ResultCode.REFUSED, index, (), LEASES_NOT_YET)
-        fault = self._lease_command_fault(command)
-        if fault:
-            return Result(ResultCode.REFUSED, index, (), fault)
+            return Result(ResultCode.REFUSED, index, (), LEASES_NOT_SUPPORTED)
+        rejection_text = self._lease_command_rejection(command)
+        if rejection_text:
+            return Result(ResultCode.REFUSED, index, (), rejection_text)
         lease = self._stored_lease(command.lease)
-        if isinstance(command, Claim) and not lease.token and not self._has_room_for_lease():
+        if isinstance(command, Claim) and not lease.token and not self._is_below_lease_limit():
             return Result(ResultCode.REFUSED, index, (), f"there are {MAX_LEASES} leases already")
         if (
             isinstance(command, ExpireClaim)
-            and self._round(command.lease, command.claim) != command.round
+            and self._renewal_round(command.lease, command.claim) != command.round
         ):
-            return Result(ResultCode.DONE, index, (), RENEWED_SINCE)
+            return Result(ResultCode.DONE, index, (), CLAIM_RENEWED)
         outcome = self._lease_outcome(lease, command)
         if outcome.is_granted:
             self.counters.tokens += 1
             self._set_meta(tokens=self.counters.tokens)
         if outcome.lease != lease and (lease.token or outcome.is_granted):
             self._put_lease(outcome.lease, index, command.time_ms)
-        self._record_rounds(lease, outcome.lease, command)
+        self._record_renewal_rounds(lease, outcome.lease, command)
         versions = (outcome.token, outcome.queue_position)
         return Result(ResultCode.DONE, index, versions, outcome.reason)
 
     @staticmethod
-    def _lease_command_fault(command: LeaseCommand) -> str:
+    def _lease_command_rejection(command: LeaseCommand) -> str:
         """The reason why no state takes this command; empty: there is none."""
         if isinstance(command, Claim):
             return table.claim_fault(
@@ -125,7 +125,7 @@
             case ExpireClaim():
                 return table.lapse(lease, command.claim, next_token, command.time_ms)
 
-    def _has_room_for_lease(self) -> bool:
+    def _is_below_lease_limit(self) -> bool:
         row = self.db.execute(
             "SELECT count(*) FROM items WHERE key >= ? AND key < ?",
             (LEASE_PREFIX, prefix_end(LEASE_PREFIX)),
@@ -134,25 +134,25 @@
 
     # ---- renewals --------------------------------------------------------------------------------
 
-    def _round(self, lease: str, claim: int) -> int:
+    def _renewal_round(self, lease: str, claim: int) -> int:
         row = self.db.execute(
             "SELECT round FROM rounds WHERE lease = ? AND claim = ?", (lease, claim)
         ).fetchone()
         return int(row[0]) if row else 0
 
-    def _record_rounds(self, before: Lease, after: Lease, command: LeaseCommand) -> None:
+    def _record_renewal_rounds(self, before: Lease, after: Lease, command: LeaseCommand) -> None:
         """An ended claim has no round; one that claimed, or was offered the lease, has the next."""
-        old = _ttls(before)
-        new = _ttls(after)
-        for claim in old.keys() - new.keys():
+        old_ttls_ms = _claim_ttls(before)
+        new_ttls_ms = _claim_ttls(after)
+        for claim in old_ttls_ms.keys() - new_ttls_ms.keys():
             self.db.execute("DELETE FROM rounds WHERE lease = ? AND claim = ?", (after.name, claim))
             self.changed_claims.append(ActiveClaim(after.name, claim, 0, 0))
-        for claim, ttl_ms in new.items():
+        for claim, ttl_ms in new_ttls_ms.items():
             is_renewed = isinstance(command, Claim) and command.claim == claim
-            if old.get(claim) == ttl_ms and not is_renewed:
+            if old_ttls_ms.get(claim) == ttl_ms and not is_renewed:
                 continue
-            count = self._round(after.name, claim) + 1
+            renewal_round = self._renewal_round(after.name, claim) + 1
             self.db.execute(
-                "INSERT OR REPLACE INTO rounds VALUES (?, ?, ?)", (after.name, claim, count)
+                "INSERT OR REPLACE INTO rounds VALUES (?, ?, ?)", (after.name, claim, renewal_round)
             )
-            self.changed_claims.append(ActiveClaim(after.name, claim, count, ttl_ms))
+            self.changed_claims.append(ActiveClaim(after.name, claim, renewal_round, ttl_ms))
--- a/loadbalancer/store/durable/sessions.py
+++ b/loadbalancer/store/durable/sessions.py
@@ -46,12 +46,12 @@
             return Result(
                 ResultCode.EXPIRED, index, (), f"write {command.number} was answered before"
             )
-        earlier = self.db.execute(
+        stored_result = self.db.execute(
             "SELECT result FROM answers WHERE session = ? AND number = ?",
             (command.session, command.number),
         ).fetchone()
-        if earlier is not None:
-            return commands.unpack_result(earlier[0])
+        if stored_result is not None:
+            return commands.unpack_result(stored_result[0])
         self._acknowledge_results(command, row[0], index)
         result = self._apply_write(command, index)
         self.db.execute(
--- a/loadbalancer/store/durable/state.py
+++ b/loadbalancer/store/durable/state.py
@@ -40,7 +40,7 @@
     unpack_command,
 )
 from loadbalancer.store.durable import rows
-from loadbalancer.store.durable.lease_records import LEASES_NOT_YET, LeaseRecords
+from loadbalancer.store.durable.lease_records import LEASES_NOT_SUPPORTED, LeaseRecords
 from loadbalancer.store.durable.rows import LoadedRows, WatchEvent
 from loadbalancer.store.durable.schema import (
     DIGEST_ORDER,
@@ -53,8 +53,8 @@
 from loadbalancer.store.durable.sessions import Sessions
 from loadbalancer.store.raft.messages import Entry, EntryKind, unpack_members
 
-NOT_YET: Final = {
-    LEASES_FORMAT: LEASES_NOT_YET,
+FORMAT_NOT_REACHED: Final = {
+    LEASES_FORMAT: LEASES_NOT_SUPPORTED,
     ROWS_FORMAT: "not all nodes of the store know rows yet",
 }
 
@@ -77,7 +77,7 @@
         self.db.execute("BEGIN IMMEDIATE")
         try:
             results = [self._apply_entry(entry) for entry in entries]
-            self._finish_run(entries[-1])
+            self._finish_batch(entries[-1])
             self.db.execute("COMMIT")
         except BaseException:
             if self.db.in_transaction:
@@ -91,7 +91,7 @@
         self.term = entries[-1].term
         return results
 
-    def _finish_run(self, last: Entry) -> None:
+    def _finish_batch(self, last: Entry) -> None:
         self._trim_events()
         self._set_meta(
             applied=last.index,
@@ -132,27 +132,27 @@
     # ---- writes ----------------------------------------------------------------------------------
 
     def _apply_write(self, command: Write, index: int) -> Result:
-        fault = self._write_fault(command)
-        if fault:
-            return Result(ResultCode.REFUSED, index, (), fault)
+        rejection_text = self._write_rejection(command)
+        if rejection_text:
+            return Result(ResultCode.REFUSED, index, (), rejection_text)
         rejection = self._check_fences(command, index) or self._check_versions(command, index)
         if rejection is not None:
             return rejection
         if isinstance(command, RowsWrite):
-            fault = rows.dangling_reference(self.db, command)
-            if fault:
-                return Result(ResultCode.REFUSED, index, (), fault)
+            rejection_text = rows.dangling_reference(self.db, command)
+            if rejection_text:
+                return Result(ResultCode.REFUSED, index, (), rejection_text)
             rows.record_references(self.db, command)
         versions = tuple(
             self._apply_op(op, command, index, position) for position, op in enumerate(command.ops)
         )
         return Result(ResultCode.DONE, index, versions)
 
-    def _write_fault(self, command: Write) -> str:
+    def _write_rejection(self, command: Write) -> str:
         """The reason why a state of this format does not take a write; empty: there is none."""
-        fault = commands.rejection_reason(command)
-        if fault:
-            return fault
+        rejection_text = commands.rejection_reason(command)
+        if rejection_text:
+            return rejection_text
         keys = [op.key for op in command.ops]
         if self.format >= LEASES_FORMAT and any(key.startswith(LEASE_PREFIX) for key in keys):
             return f"what stands under {LEASE_PREFIX} is changed by claims alone"
@@ -168,7 +168,7 @@
             required = ROWS_FORMAT
         elif commands.fencing_tokens(command):
             required = LEASES_FORMAT
-        return NOT_YET[required] if self.format < required else ""
+        return FORMAT_NOT_REACHED[required] if self.format < required else ""
 
     def _check_fences(self, command: Write, index: int) -> Result | None:
         """Reject a write under a token that does not hold its lease."""
@@ -188,7 +188,7 @@
             *((op.key, op.version) for op in command.ops if op.version != ANY_VERSION),
         ]
         for key, expected in checks:
-            version = self._version(key)
+            version = self._current_version(key)
             if version != expected:
                 return Result(ResultCode.CONFLICT, index, (version,), key)
         return None
@@ -198,26 +198,26 @@
     def _upgrade(self, command: Upgrade, index: int) -> Result:
         """Take the next format; an earlier one changes nothing."""
         if command.format == LEASES_FORMAT and self.format == LEASES_FORMAT - 1:
-            self._begin_tables(LEASE_TABLES, LEASE_PREFIX, index)
+            self._create_format_tables(LEASE_TABLES, LEASE_PREFIX, index)
             self.db.execute("INSERT INTO meta VALUES ('tokens', 0)")
             self.counters.format = LEASES_FORMAT
         elif command.format == ROWS_FORMAT and self.format == ROWS_FORMAT - 1:
-            self._begin_tables(ROW_TABLES, PREFIX, index)
+            self._create_format_tables(ROW_TABLES, PREFIX, index)
             self.db.execute("INSERT INTO meta VALUES ('rows_from', ?)", (index,))
             self.counters.format = ROWS_FORMAT
             self.counters.rows_from = index
         self._set_meta(format=self.format)
         return Result(ResultCode.DONE, index, (self.format,))
 
-    def _begin_tables(self, tables: str, prefix: str, index: int) -> None:
+    def _create_format_tables(self, tables: str, prefix: str, index: int) -> None:
         """Make new tables, and delete plain keys under the prefix that they are about."""
         for statement in tables.split(";"):
             self.db.execute(statement)
-        found = self.db.execute(
+        existing_keys = self.db.execute(
             "SELECT key FROM items WHERE key >= ? AND key < ? ORDER BY key",
             (prefix, prefix_end(prefix)),
         ).fetchall()
-        for position, (key,) in enumerate(found):
+        for position, (key,) in enumerate(existing_keys):
             self._apply_op(Op(key, None), Write(0, 0, 0, ()), index, position)
 
     # ---- what changed ----------------------------------------------------------------------------
--- a/loadbalancer/store/durable/state_files.py
+++ b/loadbalancer/store/durable/state_files.py
@@ -20,7 +20,7 @@
 EXPORT_LOCK_TIMEOUT_S: Final = 5
 
 
-def _one_line(error: Exception) -> str:
+def _single_line(error: Exception) -> str:
     return " ".join(str(error).split())
 
 
@@ -42,7 +42,7 @@
             )
         return State(db)
     except (sqlite3.Error, ValueError) as error:
-        raise DamagedError(f"{name}: {_one_line(error)}") from None
+        raise DamagedError(f"{name}: {_single_line(error)}") from None
 
 
 def create_state(path: Path, cluster: str, members: Members) -> State:
@@ -119,8 +119,8 @@
     try:
         db = sqlite3.connect(f"file:{path}?mode=ro", uri=True)
         try:
-            found = db.execute("PRAGMA integrity_check(1)").fetchone()[0]
-            return "" if found == "ok" else str(found)
+            check_result = db.execute("PRAGMA integrity_check(1)").fetchone()[0]
+            return "" if check_result == "ok" else str(check_result)
         finally:
             db.close()
     except sqlite3.Error as error:
@@ -178,7 +178,7 @@
             file_checksum(path),
         )
     except (sqlite3.Error, KeyError, ValueError) as error:
-        raise DamagedError(f"{path.name}: no snapshot: {_one_line(error)}") from None
+        raise DamagedError(f"{path.name}: no snapshot: {_single_line(error)}") from None
 
 
 def checksum(data: bytes) -> int:
--- a/loadbalancer/store/durable/watch_events.py
+++ b/loadbalancer/store/durable/watch_events.py
@@ -56,17 +56,17 @@
         if after < self.forgotten:
             raise CompactedError(self.forgotten)
         end = prefix_end(prefix)
-        found = self.db.execute(
+        selected = self.db.execute(
             "SELECT revision, key, version, value FROM events WHERE revision > ? AND key >= ? "
             "AND key < ?"
             " ORDER BY revision, place LIMIT ?",
             (after, prefix, end, limit),
         ).fetchall()
-        if len(found) == limit:
-            last = found[-1][0]
-            complete = [row for row in found if row[0] < last]
-            found = complete or self._events_of(last, prefix)
-        return [WatchEvent(*row) for row in found]
+        if len(selected) == limit:
+            last = selected[-1][0]
+            complete = [row for row in selected if row[0] < last]
+            selected = complete or self._events_of(last, prefix)
+        return [WatchEvent(*row) for row in selected]
 
     def _events_of(self, revision: int, prefix: str) -> list[tuple[int, str, int, bytes | None]]:
         return self.db.execute(
--- a/loadbalancer/store/raft/election.py
+++ b/loadbalancer/store/raft/election.py
@@ -28,7 +28,7 @@
         silence_ns = self.now_ns - self.last_contact_ns
         return self.leader_id != NO_NODE and silence_ns < self.config.election_timeout_ns
 
-    def _may_stand(self) -> bool:
+    def _is_eligible_candidate(self) -> bool:
         return (
             self.node_id in self.members.voters
             and self.installing_snapshot is None
@@ -40,7 +40,7 @@
     def _election_timed_out(self) -> None:
         """Find out first whether an election could be won (thesis 9.6)."""
         self._reset_election_timer()
-        if not self._may_stand():
+        if not self._is_eligible_candidate():
             if self.now_ns - self.last_contact_ns > self.config.election_timeout_ns:
                 self.leader_id = NO_NODE
             return
@@ -77,25 +77,25 @@
 
     def _on_vote_response(self, sender: int, message: RequestVoteResponse) -> None:
         if message.is_pre_vote:
-            counts = self.role is Role.PRE_CANDIDATE and (
+            is_counted = self.role is Role.PRE_CANDIDATE and (
                 not message.is_granted or message.term == self.term + 1
             )
         else:
-            counts = self.role is Role.CANDIDATE
-        if counts:
+            is_counted = self.role is Role.CANDIDATE
+        if is_counted:
             self.votes[sender] = message.is_granted
             self._count_votes()
 
     def _count_votes(self) -> None:
         voters = self.members.voters
-        granted = sum(self.votes.get(n, False) for n in voters)
-        refused = sum(not self.votes.get(n, True) for n in voters)
-        if granted >= self.quorum(voters):
+        granted_count = sum(self.votes.get(n, False) for n in voters)
+        refused_count = sum(not self.votes.get(n, True) for n in voters)
+        if granted_count >= self.quorum(voters):
             if self.role is Role.PRE_CANDIDATE:
                 self._start_election()
             else:
                 self._become_leader()
-        elif refused >= self.quorum(voters):
+        elif refused_count >= self.quorum(voters):
             self._become_follower(self.term, NO_NODE)
 
     def _become_leader(self) -> None:
@@ -116,7 +116,7 @@
 
     def _on_request_vote(self, sender: int, message: RequestVote) -> None:
         if message.is_pre_vote:
-            self._answer_pre_vote(sender, message)
+            self._reply_to_pre_vote(sender, message)
             return
         is_granted = (
             self.hard_state.voted_for in (NO_NODE, sender)
@@ -129,7 +129,7 @@
             self._reset_election_timer()
         self._send_when_durable(sender, RequestVoteResponse(self.term, is_granted, False))
 
-    def _answer_pre_vote(self, sender: int, message: RequestVote) -> None:
+    def _reply_to_pre_vote(self, sender: int, message: RequestVote) -> None:
         is_granted = (
             message.term > self.term
             and not self._has_live_leader()
--- a/loadbalancer/store/raft/log.py
+++ b/loadbalancer/store/raft/log.py
@@ -47,13 +47,13 @@
 
     def slice(self, first: int, last: int, max_bytes: int = NO_LIMIT_BYTES) -> list[Entry]:
         """Return entries from `first` to `last`, both included, up to a size but at least one."""
-        found: list[Entry] = []
+        selected: list[Entry] = []
         for entry in self.entries[first - self.base_index - 1 : last - self.base_index]:
             max_bytes -= entry_bytes(entry)
-            if found and max_bytes < 0:
+            if selected and max_bytes < 0:
                 break
-            found.append(entry)
-        return found
+            selected.append(entry)
+        return selected
 
     def append(self, entries: Sequence[Entry]) -> None:
         """Add entries; existing ones from the first new index on are dropped."""
@@ -79,9 +79,9 @@
         """
         index = min(index, self.last_index)
         while index > self.base_index:
-            own_term = self.entries[index - self.base_index - 1].term
-            if own_term <= term:
-                return index, own_term
+            entry_term = self.entries[index - self.base_index - 1].term
+            if entry_term <= term:
+                return index, entry_term
             index -= 1
         return self.base_index, self.base_term
 
--- a/loadbalancer/store/raft/members.py
+++ b/loadbalancer/store/raft/members.py
@@ -10,7 +10,7 @@
 from loadbalancer.store.raft.errors import MembershipError
 from loadbalancer.store.raft.messages import Members
 
-MAX_REMOVED_REMEMBERED: Final = 256  # numbers of former members
+MAX_REMOVED_NODES: Final = 256  # numbers of former members
 MAX_VOTERS: Final = 9
 MAX_LEARNERS: Final = 16
 
@@ -35,7 +35,7 @@
         raise MembershipError(f"no such change: {text}") from None
 
 
-def _sorted(
+def _sorted_members(
     voters: tuple[int, ...],
     learners: tuple[int, ...],
     addresses: dict[int, str],
@@ -58,10 +58,10 @@
         )
     addresses = {**members.addresses, node: address}
     if node in members.all:
-        return _sorted(members.voters, members.learners, addresses, members.removed)
+        return _sorted_members(members.voters, members.learners, addresses, members.removed)
     if len(members.learners) >= MAX_LEARNERS:
         raise MembershipError(f"there are {MAX_LEARNERS} learners already")
-    return _sorted(members.voters, (*members.learners, node), addresses, members.removed)
+    return _sorted_members(members.voters, (*members.learners, node), addresses, members.removed)
 
 
 def promote(members: Members, node: int) -> Members:
@@ -77,7 +77,7 @@
     if len(members.voters) >= MAX_VOTERS:
         raise MembershipError(f"there are {MAX_VOTERS} voters already")
     learners = tuple(n for n in members.learners if n != node)
-    return _sorted((*members.voters, node), learners, members.addresses, members.removed)
+    return _sorted_members((*members.voters, node), learners, members.addresses, members.removed)
 
 
 def remove(members: Members, node: int) -> Members:
@@ -90,11 +90,11 @@
         raise MembershipError(f"node {node:x} is no member")
     if members.voters == (node,):
         raise MembershipError("the last voter can't be removed")
-    return _sorted(
+    return _sorted_members(
         tuple(n for n in members.voters if n != node),
         tuple(n for n in members.learners if n != node),
         {n: address for n, address in members.addresses.items() if n != node},
-        (*members.removed, node)[-MAX_REMOVED_REMEMBERED:],
+        (*members.removed, node)[-MAX_REMOVED_NODES:],
     )
 
 
--- a/loadbalancer/store/raft/node.py
+++ b/loadbalancer/store/raft/node.py
@@ -90,8 +90,8 @@
     def wake_ns(self) -> int:
         """When to call `tick` next, on the caller's clock."""
         is_leader = self.role is Role.LEADER
-        due_ns = self.heartbeat_due_ns if is_leader else self.election_deadline_ns
-        return self.caller_clock_ns + max(0, due_ns - self.now_ns)
+        deadline_ns = self.heartbeat_due_ns if is_leader else self.election_deadline_ns
+        return self.caller_clock_ns + max(0, deadline_ns - self.now_ns)
 
     # ---- proposals -------------------------------------------------------------------------------
 
@@ -136,7 +136,7 @@
         if message.term > self.term and not self._accept_newer_term(sender, message):
             return
         if message.term < self.term:
-            self._answer_older_term(sender, message)
+            self._reply_to_older_term(sender, message)
             return
         if isinstance(message, ResponseMessage):
             self._on_response(sender, message)
@@ -174,7 +174,7 @@
             self._become_follower(self.term, NO_NODE)
 
     def _on_timeout_now(self) -> None:
-        if self.role is not Role.LEADER and self._may_stand():
+        if self.role is not Role.LEADER and self._is_eligible_candidate():
             self._start_election(is_transfer=True)
 
     def _on_read_index_request(self, sender: int, message: ReadIndexRequest) -> None:
@@ -201,7 +201,7 @@
         self._become_follower(message.term, sender if is_from_leader else NO_NODE)
         return True
 
-    def _answer_older_term(self, sender: int, message: AnyMessage) -> None:
+    def _reply_to_older_term(self, sender: int, message: AnyMessage) -> None:
         """Notify a sender that is behind of the term; its message is ignored."""
         match message:
             case RequestVote():
--- a/loadbalancer/store/raft/progress.py
+++ b/loadbalancer/store/raft/progress.py
@@ -31,19 +31,19 @@
     snapshot: SnapshotMeta | None = None  # SNAPSHOT: what is being sent
     acked_bytes: int = 0  # of the snapshot
     sent_bytes: int = 0  # of the snapshot: acknowledged or in flight
-    snapshot_moved_ns: int = 0  # when `acked_bytes` last grew, or chunks were sent again
+    snapshot_progress_ns: int = 0  # when `acked_bytes` last grew, or chunks were sent again
 
     def become_probe(self, next_index: int) -> None:
         """Find out where the logs match, beginning before this entry."""
-        self._enter(ProgressState.PROBE)
+        self._set_state(ProgressState.PROBE)
         self.next_index = max(next_index, self.match_index + 1)
 
     def become_replicate(self) -> None:
         """The logs match up to `match_index`: send many appends at a time."""
-        self._enter(ProgressState.REPLICATE)
+        self._set_state(ProgressState.REPLICATE)
         self.next_index = self.match_index + 1
 
-    def _enter(self, state: ProgressState) -> None:
+    def _set_state(self, state: ProgressState) -> None:
         self.state = state
         self.is_probe_in_flight = False
         self.snapshot = None
@@ -55,7 +55,7 @@
         self.snapshot = snapshot
         self.acked_bytes = 0
         self.sent_bytes = 0
-        self.snapshot_moved_ns = now
+        self.snapshot_progress_ns = now
         self.in_flight.clear()
 
     def append_acknowledged(self, index: int) -> None:
--- a/loadbalancer/store/raft/reads.py
+++ b/loadbalancer/store/raft/reads.py
@@ -34,8 +34,8 @@
         return ready
 
     def _begin_read(self, ticket: int, requester: int | None) -> None:
-        waiting = len(self.pending_reads) + len(self.deferred_reads)
-        if waiting >= self.config.max_pending_reads:
+        waiting_count = len(self.pending_reads) + len(self.deferred_reads)
+        if waiting_count >= self.config.max_pending_reads:
             if requester is not None:
                 return  # the follower asks again
             raise BusyError("too many reads wait")
@@ -51,7 +51,7 @@
         for ticket, requester in deferred:
             self._begin_read(ticket, requester)
 
-    def _follower_contacted(self, progress: Progress, acked_round: int) -> None:
+    def _record_follower_contact(self, progress: Progress, acked_round: int) -> None:
         progress.last_contact_ns = self.now_ns
         if acked_round > progress.acked_round:
             progress.acked_round = acked_round
--- a/loadbalancer/store/raft/replication.py
+++ b/loadbalancer/store/raft/replication.py
@@ -41,7 +41,7 @@
             return
         self.is_round_due = True
         if self._is_disk_slow():
-            self._transfer_from_slow_disk()
+            self._transfer_because_disk_is_slow()
         self._retry_lost_messages()
 
     def _retry_lost_messages(self) -> None:
@@ -50,10 +50,10 @@
             progress.is_probe_in_flight = False
             if (
                 progress.state is ProgressState.SNAPSHOT
-                and self.now_ns - progress.snapshot_moved_ns > chunk_timeout_ns
+                and self.now_ns - progress.snapshot_progress_ns > chunk_timeout_ns
             ):
                 progress.sent_bytes = progress.acked_bytes
-                progress.snapshot_moved_ns = self.now_ns
+                progress.snapshot_progress_ns = self.now_ns
 
     def _is_following(self, node: int) -> bool:
         silence_ns = self.now_ns - self.progress[node].last_contact_ns
@@ -61,8 +61,8 @@
 
     def _has_quorum_contact(self) -> bool:
         voters = self.members.voters
-        following = sum(n == self.node_id or self._is_following(n) for n in voters)
-        return following >= self.quorum(voters)
+        following_count = sum(n == self.node_id or self._is_following(n) for n in voters)
+        return following_count >= self.quorum(voters)
 
     # ---- leader: transfer of leadership (thesis 3.10) --------------------------------------------
 
@@ -101,24 +101,24 @@
             and self.now_ns - self.batch_started_ns > self.config.slow_disk_timeout_ns
         )
 
-    def _transfer_from_slow_disk(self) -> None:
+    def _transfer_because_disk_is_slow(self) -> None:
         """Nothing that this node writes becomes durable: the most complete follower takes over."""
         voters = self.members.voters
-        others = [n for n in voters if n != self.node_id and self._is_following(n)]
-        if others and self.transfer_target is None:
+        candidates = [n for n in voters if n != self.node_id and self._is_following(n)]
+        if candidates and self.transfer_target is None:
             self._begin_transfer(
-                max(others, key=lambda node: (self.progress[node].match_index, -node))
+                max(candidates, key=lambda node: (self.progress[node].match_index, -node))
             )
 
     # ---- leader: sending -------------------------------------------------------------------------
 
     def _members_changed(self) -> None:
-        everyone = self.members.all
-        for node in everyone:
+        all_members = self.members.all
+        for node in all_members:
             self.progress.setdefault(
                 node, Progress(self.log.last_index, last_contact_ns=self.now_ns)
             )
-        for node in [n for n in self.progress if n not in everyone and n != self.node_id]:
+        for node in [n for n in self.progress if n not in all_members and n != self.node_id]:
             # One last append goes out, so that the node may learn of its own removal.
             self._send_append(node, self.progress[node])
             del self.progress[node]
@@ -197,7 +197,7 @@
         progress = self.progress.get(sender)
         if self.role is not Role.LEADER or progress is None:
             return
-        self._follower_contacted(progress, message.round)
+        self._record_follower_contact(progress, message.round)
         if message.is_rejected:
             self._append_rejected(progress, message)
             return
@@ -270,7 +270,7 @@
     # ---- follower --------------------------------------------------------------------------------
 
     def _on_append(self, sender: int, message: AppendEntries) -> None:
-        self._leader_contacted(sender)
+        self._record_leader_contact(sender)
         if self.installing_snapshot is not None:
             self._reject_while_installing(sender, message)
             return
@@ -287,7 +287,7 @@
             self._reject_append(sender, message)
             return
         self._store_missing(entries)
-        self._learn_commit(min(message.leader_commit, last_index))
+        self._advance_commit_index(min(message.leader_commit, last_index))
         self._acknowledge_append(sender, message, last_index)
 
     def _store_missing(self, entries: tuple[Entry, ...]) -> None:
@@ -312,7 +312,7 @@
         )
         self._send_when_durable(sender, response)
 
-    def _learn_commit(self, index: int) -> None:
+    def _advance_commit_index(self, index: int) -> None:
         if index <= self.commit_index:
             return
         self.commit_index = index
--- a/loadbalancer/store/raft/snapshots.py
+++ b/loadbalancer/store/raft/snapshots.py
@@ -44,8 +44,10 @@
         if index > self.log.base_index:
             members = self.members_at(index)
             self.log.compact(index)
-            later = [(since, m) for since, m in self.memberships if since > index]
-            self.memberships = [(index, members), *later]
+            later_memberships = [
+                (first_index, m) for first_index, m in self.memberships if first_index > index
+            ]
+            self.memberships = [(index, members), *later_memberships]
 
     @property
     def first_needed_index(self) -> int:
@@ -83,7 +85,7 @@
         progress = self.progress.get(sender)
         if self.role is not Role.LEADER or progress is None:
             return
-        self._follower_contacted(progress, message.round)
+        self._record_follower_contact(progress, message.round)
         if (
             progress.state is not ProgressState.SNAPSHOT
             or progress.snapshot is None
@@ -93,7 +95,7 @@
         offset = message.offset
         if offset > progress.acked_bytes or offset == 0:
             progress.acked_bytes = offset
-            progress.snapshot_moved_ns = self.now_ns
+            progress.snapshot_progress_ns = self.now_ns
             if offset > progress.sent_bytes or offset == 0:
                 progress.sent_bytes = offset
         self._request_chunks(sender, progress)
@@ -101,7 +103,7 @@
     # ---- follower --------------------------------------------------------------------------------
 
     def _on_chunk(self, sender: int, message: InstallSnapshotChunk) -> None:
-        self._leader_contacted(sender)
+        self._record_leader_contact(sender)
         if self.installing_snapshot is not None:
             return
         snapshot = message.snapshot
@@ -125,8 +127,8 @@
     def _accept_chunk(self, message: InstallSnapshotChunk) -> bool:
         """Store a chunk, if it is the next one; return whether it was the last."""
         snapshot = message.snapshot
-        is_next = message.offset == self.incoming_bytes
-        if not is_next or len(message.data) > snapshot.size - message.offset:
+        is_next_chunk = message.offset == self.incoming_bytes
+        if not is_next_chunk or len(message.data) > snapshot.size - message.offset:
             return False
         self.pending_batch.chunks.append(message)
         self.incoming_bytes += len(message.data)
--- a/loadbalancer/store/raft/state.py
+++ b/loadbalancer/store/raft/state.py
@@ -128,7 +128,9 @@
 
     def members_at(self, index: int) -> Members:
         """Return the members as of this entry."""
-        return next(members for since, members in reversed(self.memberships) if since <= index)
+        return next(
+            members for first_index, members in reversed(self.memberships) if first_index <= index
+        )
 
     def quorum(self, voters: Sequence[int]) -> int:
         """Return how many of these voters are a majority."""
@@ -172,7 +174,7 @@
         self.transfer_target = None
         self.uncommitted_bytes = 0
 
-    def _leader_contacted(self, sender: int) -> None:
+    def _record_leader_contact(self, sender: int) -> None:
         """A message came that only the leader of this term sends."""
         if self.leader_id != sender or self.role is not Role.FOLLOWER:
             assert self.role is not Role.LEADER, "two leaders in one term"
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -27,247 +27,271 @@
     return [Entry(term, i, 1, bytes([i % 256]) * size) for i in range(first, first + count)]
 
 
-def written() -> tuple[Disk, list[JournalContents]]:
+def written_journal() -> tuple[Disk, list[JournalContents]]:
     """A journal of three batches, and what stands after each."""
     disk = Disk()
-    j = journal(disk)
-    j.create()
-    stands = [JournalContents(HardState(), 0, 0)]
-    j.write(HardState(1, 2), entries(1, 3))
-    stands.append(JournalContents(HardState(1, 2), 0, 0, entries(1, 3)))
-    j.write(None, entries(3, 2, 2))
-    stands.append(JournalContents(HardState(1, 2), 0, 0, entries(1, 2) + entries(3, 2, 2)))
-    j.write(HardState(3, 0), [])
-    stands.append(JournalContents(HardState(3, 0), 0, 0, stands[-1].entries))
-    return disk, stands
-
-
-def opened(disk: Disk) -> JournalContents:
+    writer = journal(disk)
+    writer.create()
+    expected_contents = [JournalContents(HardState(), 0, 0)]
+    writer.write(HardState(1, 2), entries(1, 3))
+    expected_contents.append(JournalContents(HardState(1, 2), 0, 0, entries(1, 3)))
+    writer.write(None, entries(3, 2, 2))
+    expected_contents.append(
+        JournalContents(HardState(1, 2), 0, 0, entries(1, 2) + entries(3, 2, 2))
+    )
+    writer.write(HardState(3, 0), [])
+    expected_contents.append(JournalContents(HardState(3, 0), 0, 0, expected_contents[-1].entries))
+    return disk, expected_contents
+
+
+def reopened_contents(disk: Disk) -> JournalContents:
     return journal(disk).open()
 
 
-def same(found: JournalContents, other: JournalContents) -> bool:
-    return (found.hard_state, found.base_index, found.entries) == (
+def has_same_contents(contents: JournalContents, other: JournalContents) -> bool:
+    return (contents.hard_state, contents.base_index, contents.entries) == (
         other.hard_state,
         other.base_index,
         other.entries,
     )
 
 
-def test_what_was_written_comes_back_and_goes_on() -> None:
-    disk, stands = written()
-    j = journal(disk)
-    assert same(j.open(), stands[-1])
-    j.write(HardState(4, 7), entries(5, 1, 4))
-    found = opened(disk)
-    assert found.hard_state == HardState(4, 7) and found.last_index == 5 and found.last_term == 4
+def test_a_reopened_journal_returns_its_entries_and_accepts_more() -> None:
+    disk, expected_contents = written_journal()
+    writer = journal(disk)
+    assert has_same_contents(writer.open(), expected_contents[-1])
+    writer.write(HardState(4, 7), entries(5, 1, 4))
+    contents = reopened_contents(disk)
+    assert (
+        contents.hard_state == HardState(4, 7)
+        and contents.last_index == 5
+        and contents.last_term == 4
+    )
 
 
-def test_a_tail_torn_anywhere_leaves_the_batches_before_it() -> None:
-    disk, stands = written()
-    whole = disk.read("log-00000001")
+def test_a_torn_tail_keeps_the_batches_before_it() -> None:
+    disk, expected_contents = written_journal()
+    complete_file = disk.read("log-00000001")
     seen: set[int] = set()
-    for length in range(len(whole)):
-        short, _ = written()
-        short.files["log-00000001"].seen = bytearray(whole[:length])
+    for length in range(len(complete_file)):
+        truncated_disk, _ = written_journal()
+        truncated_disk.files["log-00000001"].seen = bytearray(complete_file[:length])
         try:
-            found = opened(short)
+            contents = reopened_contents(truncated_disk)
         except DamagedError as error:
             assert "head does not read" in str(error) and not seen  # not even the head is there
             continue
-        at = next(i for i, stand in enumerate(stands) if same(found, stand))
-        seen.add(at)
-        assert same(opened(short), stands[at])  # what was cut is gone for good
+        position = next(
+            i
+            for i, expected in enumerate(expected_contents)
+            if has_same_contents(contents, expected)
+        )
+        seen.add(position)
+        assert has_same_contents(
+            reopened_contents(truncated_disk), expected_contents[position]
+        )  # what was cut is gone for good
     assert seen == {0, 1, 2}
 
 
-@pytest.mark.parametrize("marked", [True, False])
-def test_no_flipped_bit_passes(marked: bool) -> None:
+@pytest.mark.parametrize("with_end_mark", [True, False])
+def test_a_flipped_bit_is_detected(with_end_mark: bool) -> None:
     """In a batch that another follows, or a mark, it is damage; in the last without one, a torn
     tail.
     """
-    disk, stands = written()
-    j = journal(disk)
-    j.open()
+    disk, expected_contents = written_journal()
+    writer = journal(disk)
+    writer.open()
     newest = len(disk.read("log-00000001")) - 60
-    if marked:
-        j.has_end_mark = False
-        j.write_end_mark()
-    whole = disk.read("log-00000001")
-    end = len(whole) - (journal_frames.FRAME_HEADER.size if marked else 0)
-    cut = 0
-    for at in range(end):
+    if with_end_mark:
+        writer.has_end_mark = False
+        writer.write_end_mark()
+    complete_file = disk.read("log-00000001")
+    end = len(complete_file) - (journal_frames.FRAME_HEADER.size if with_end_mark else 0)
+    torn_tail_count = 0
+    for position in range(end):
         for bit in (0, 5):
-            flipped, _ = written()
-            blob = flipped.files["log-00000001"]
-            blob.seen = bytearray(whole)
-            blob.seen[at] ^= 1 << bit
+            corrupt_disk, _ = written_journal()
+            blob = corrupt_disk.files["log-00000001"]
+            blob.seen = bytearray(complete_file)
+            blob.seen[position] ^= 1 << bit
             try:
-                found = opened(flipped)
+                contents = reopened_contents(corrupt_disk)
             except DamagedError:
                 continue
-            cut += 1
-            assert not marked and at > newest and same(found, stands[-2]), at
-    assert bool(cut) is not marked
+            torn_tail_count += 1
+            assert (
+                not with_end_mark
+                and position > newest
+                and has_same_contents(contents, expected_contents[-2])
+            ), position
+    assert bool(torn_tail_count) is not with_end_mark
 
 
-def test_no_flipped_bit_passes_for_a_segment_that_was_being_begun() -> None:
+def test_a_flipped_bit_in_a_new_segment_is_detected() -> None:
     """Of its salt neither: no frame of it reads then."""
 
-    def two() -> Disk:
+    def two_segments() -> Disk:
         disk = Disk()
-        j = journal(disk, 400)
-        j.create()
+        writer = journal(disk, 400)
+        writer.create()
         while len(disk.names()) < 2:
-            j.write(None, entries(j.last_index + 1, 1))
-        j.write(None, entries(j.last_index + 1, 1))
+            writer.write(None, entries(writer.last_index + 1, 1))
+        writer.write(None, entries(writer.last_index + 1, 1))
         return disk
 
-    name, last = sorted(two().names())[-1], opened(two()).last_index
-    whole = two().read(name)
-    newest = whole.rindex(journal_frames.FRAME_MARK)
-    for at in range(newest):
-        flipped = two()
-        flipped.files[name].seen[at] ^= 1
+    name, last_entry_index = (
+        sorted(two_segments().names())[-1],
+        reopened_contents(two_segments()).last_index,
+    )
+    complete_file = two_segments().read(name)
+    newest = complete_file.rindex(journal_frames.FRAME_MARK)
+    for position in range(newest):
+        corrupt_disk = two_segments()
+        corrupt_disk.files[name].seen[position] ^= 1
         with pytest.raises(DamagedError):
-            opened(flipped)
+            reopened_contents(corrupt_disk)
     for length in range(newest):  # torn it is another matter: what was not synced is no promise
-        torn = two()
-        torn.files[name].seen = bytearray(whole[:length])
-        assert opened(torn).last_index < last
+        torn = two_segments()
+        torn.files[name].seen = bytearray(complete_file[:length])
+        assert reopened_contents(torn).last_index < last_entry_index
 
 
-def test_segments_follow_on_each_other_and_compaction_removes_old_ones() -> None:
+def test_segments_are_contiguous_and_compaction_removes_old_ones() -> None:
     disk = Disk()
-    j = journal(disk, 400)
-    j.create()
+    writer = journal(disk, 400)
+    writer.create()
     for i in range(30):
-        j.write(HardState(1 + i // 10, 0), entries(1 + i, 1, 1 + i // 10, 100))
-    assert len(j.segments) > 5
-    assert opened(disk).entries[-1].index == 30
-    j.compact(15)
-    found = opened(disk)
-    assert 0 < found.base_index <= 15 and found.last_index == 30
-    assert found.hard_state == HardState(3, 0)
-    middle = j.segments[1].name
-    disk.remove(middle)
+        writer.write(HardState(1 + i // 10, 0), entries(1 + i, 1, 1 + i // 10, 100))
+    assert len(writer.segments) > 5
+    assert reopened_contents(disk).entries[-1].index == 30
+    writer.compact(15)
+    contents = reopened_contents(disk)
+    assert 0 < contents.base_index <= 15 and contents.last_index == 30
+    assert contents.hard_state == HardState(3, 0)
+    middle_segment = writer.segments[1].name
+    disk.remove(middle_segment)
     with pytest.raises(DamagedError, match="missing"):
-        opened(disk)
+        reopened_contents(disk)
 
 
-def test_a_full_disk_loses_nothing_and_goes_on_when_there_is_room() -> None:
-    disk, stands = written()
-    j = journal(disk)
-    j.open()
+def test_a_full_disk_loses_nothing_and_writes_resume_when_there_is_space() -> None:
+    disk, expected_contents = written_journal()
+    writer = journal(disk)
+    writer.open()
     disk.full = True
     for _ in range(2):
         with pytest.raises(DiskFullError, match="no space"):
-            j.write(None, entries(5, 4, 3))
-    assert same(opened(disk), stands[-1])
+            writer.write(None, entries(5, 4, 3))
+    assert has_same_contents(reopened_contents(disk), expected_contents[-1])
     disk.full = False
-    j.write(None, entries(5, 4, 3))
-    assert opened(disk).last_index == 8
+    writer.write(None, entries(5, 4, 3))
+    assert reopened_contents(disk).last_index == 8
 
 
-def test_after_a_failed_sync_nothing_more_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    disk, _ = written()
-    j = journal(disk)
-    j.open()
+def test_no_write_is_accepted_after_a_failed_sync(monkeypatch: pytest.MonkeyPatch) -> None:
+    disk, _ = written_journal()
+    writer = journal(disk)
+    writer.open()
 
-    def fails() -> bool:
+    def fail_sync() -> bool:
         raise OSError(5, "input/output error")
 
-    disk.lying = fails
+    disk.lying = fail_sync
     with pytest.raises(SyncFailedError, match="input/output"):
-        j.write(None, entries(5, 1, 3))
+        writer.write(None, entries(5, 1, 3))
     disk.lying = lambda: False
     with pytest.raises(SyncFailedError):
-        j.write(None, entries(5, 1, 3))
+        writer.write(None, entries(5, 1, 3))
 
 
 def test_a_snapshot_replaces_all_before_it() -> None:
-    disk, _ = written()
-    j = journal(disk)
-    j.open()
+    disk, _ = written_journal()
+    writer = journal(disk)
+    writer.open()
     meta = SnapshotMeta(90, 5, Members((7,)), 10, 1)
-    j.write(None, (), meta)
-    j.write(None, entries(91, 2, 5))
-    found = opened(disk)
-    assert (found.base_index, found.base_term, found.last_index, found.install) == (90, 5, 92, meta)
+    writer.write(None, (), meta)
+    writer.write(None, entries(91, 2, 5))
+    contents = reopened_contents(disk)
+    assert (contents.base_index, contents.base_term, contents.last_index, contents.install) == (
+        90,
+        5,
+        92,
+        meta,
+    )
 
 
 def test_a_journal_of_another_node_or_a_newer_format_is_rejected_in_one_line() -> None:
-    disk, _ = written()
+    disk, _ = written_journal()
     with pytest.raises(DamagedError, match="node 7 of cluster c"):
         Journal(disk, "c", 8).open()
     newer = Disk()
-    j = journal(newer)
+    writer = journal(newer)
     journal_frames.FORMAT += 1
     try:
-        j.create()
+        writer.create()
     finally:
         journal_frames.FORMAT -= 1
     with pytest.raises(DamagedError, match="format 2 is newer than 1"):
-        opened(newer)
+        reopened_contents(newer)
 
 
 def test_a_stored_frame_is_not_read_as_one_of_the_log() -> None:
     """A value may hold bytes of another journal."""
-    disk, _ = written()
+    disk, _ = written_journal()
     frames = disk.read("log-00000001")[journal_frames.SEGMENT_HEADER_BYTES :]
     other = Disk()
-    j = Journal(other, "c", 7, 1 << 20, lambda: b"another!")
-    j.create()
-    j.write(HardState(1, 1), [Entry(1, 1, 1, frames)])
+    writer = Journal(other, "c", 7, 1 << 20, lambda: b"another!")
+    writer.create()
+    writer.write(HardState(1, 1), [Entry(1, 1, 1, frames)])
     blob = other.files["log-00000001"]
     del blob.seen[-1:]  # torn: what it holds must not look like something that follows
     assert Journal(other, "c", 7).open().entries == []
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_power_lost_at_any_boundary_loses_nothing_that_was_acknowledged(seed: int) -> None:
+def test_power_loss_at_any_operation_keeps_acknowledged_entries(seed: int) -> None:
     rng = random.Random(seed)
     disk = Disk()
-    j = journal(disk, 500)
-    j.create()
-    done: list[Entry] = []
+    writer = journal(disk, 500)
+    writer.create()
+    acknowledged: list[Entry] = []
     term = 1
-    fuse = rng.randint(1, 40)
+    operations_left = rng.randint(1, 40)
 
     def trip() -> None:
-        nonlocal fuse
-        fuse -= 1
-        if fuse == 0:
+        nonlocal operations_left
+        operations_left -= 1
+        if operations_left == 0:
             raise PowerLost
 
     disk.trip = trip
-    wanted: list[Entry] = []
+    attempted: list[Entry] = []
     try:
         while True:
             term += rng.random() < 0.2
-            batch = entries(len(done) + 1, rng.randint(1, 3), term, rng.randint(1, 900))
-            wanted = done + batch
-            j.write(HardState(term, 0), batch)
-            done = wanted
+            batch = entries(len(acknowledged) + 1, rng.randint(1, 3), term, rng.randint(1, 900))
+            attempted = acknowledged + batch
+            writer.write(HardState(term, 0), batch)
+            acknowledged = attempted
     except PowerLost:
         disk.trip = lambda: None
         disk.lose_power(rng)
-    found = opened(disk)
-    assert found.entries in (done, wanted), f"seed {seed}"
-    assert same(opened(disk), found)
+    contents = reopened_contents(disk)
+    assert contents.entries in (acknowledged, attempted), f"seed {seed}"
+    assert has_same_contents(reopened_contents(disk), contents)
 
 
-def test_a_folder_on_disk_behaves_alike(tmp_path: Path) -> None:
-    j = Journal(Folder(tmp_path), "c", 7, 300)
-    j.create()
+def test_the_journal_works_on_a_real_directory(tmp_path: Path) -> None:
+    writer = Journal(Folder(tmp_path), "c", 7, 300)
+    writer.create()
     for i in range(10):
-        j.write(HardState(1, 0), entries(1 + i, 1, 1, 100))
-    j.close()
-    again = Journal(Folder(tmp_path), "c", 7)
-    found = again.open()
-    assert found.last_index == 10 and not found.torn_bytes
-    again.close()
+        writer.write(HardState(1, 0), entries(1 + i, 1, 1, 100))
+    writer.close()
+    reopened_journal = Journal(Folder(tmp_path), "c", 7)
+    contents = reopened_journal.open()
+    assert contents.last_index == 10 and not contents.torn_bytes
+    reopened_journal.close()
     newest = sorted(tmp_path.glob("log-*"))[-1]
     newest.write_bytes(newest.read_bytes()[:-30])
     assert Journal(Folder(tmp_path), "c", 7).open(repair=False).torn_bytes > 0
-    assert msgspec.msgpack.encode(found.entries)
+    assert msgspec.msgpack.encode(contents.entries)
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -25,7 +25,7 @@
     Upgrade,
     Write,
 )
-from loadbalancer.store.durable import rows as stored
+from loadbalancer.store.durable import rows as stored_rows
 from loadbalancer.store.durable import state_files, watch_events
 from loadbalancer.store.durable.rows import WatchEvent
 from loadbalancer.store.durable.state import State
@@ -33,16 +33,16 @@
 from loadbalancer.store.raft.messages import Entry, EntryKind
 from loadbalancer.testbed.cluster import rowed
 from tests.leases.test_leases import KEPT, MEMBERS, Log
-from tests.store.test_state import fresh
+from tests.store.test_state import new_state
 
 ACME, ROUTE = "feed/global/tenant/acme", "feed/service:orders/route/r1"
-OTHER, TIMES = "feed/service:orders/route/r2", "feed/service:orders/upstream/times"
-ALL = ACME, ROUTE, OTHER, TIMES
+OTHER_ROUTE, TIMES_UPSTREAM = "feed/service:orders/route/r2", "feed/service:orders/upstream/times"
+ALL_KEYS = ACME, ROUTE, OTHER_ROUTE, TIMES_UPSTREAM
 
 
-def upgraded(state: State, upto: int = STATE_FORMAT) -> Log:
+def upgraded_log(state: State, target_format: int = STATE_FORMAT) -> Log:
     log = Log(state)
-    for number in range(2, upto + 1):
+    for number in range(2, target_format + 1):
         log.do(Upgrade(number))
     log.do(OpenSession(7))
     return log
@@ -50,16 +50,16 @@
 
 @pytest.fixture
 def log() -> Log:
-    return upgraded(fresh())
+    return upgraded_log(new_state())
 
 
-def plain(log: Log, *ops: Op) -> Result:
+def plain_write(log: Log, *ops: Op) -> Result:
     return log.do(Write(7, log.state.applied, 0, ops))
 
 
 def rows(
     log: Log,
-    *said: tuple[str, bytes | None, tuple[str, ...]],
+    *changes: tuple[str, bytes | None, tuple[str, ...]],
     checks: tuple[tuple[str, int], ...] = (),
 ) -> Result:
     """Each is a key, a value (None: delete), and the rows that it names."""
@@ -68,16 +68,16 @@
             7,
             log.state.applied,
             0,
-            tuple(Op(k, v) for k, v, _ in said),
+            tuple(Op(k, v) for k, v, _ in changes),
             checks,
-            refs=tuple(refs for _, _, refs in said),
+            refs=tuple(refs for _, _, refs in changes),
         )
     )
 
 
-def test_a_row_names_only_what_is_there_after_its_write(log: Log) -> None:
-    made = rows(log, (ROUTE, b"r", (ACME,)))
-    assert (made.code, made.text) == (
+def test_a_row_refers_only_to_rows_that_exist_after_the_write(log: Log) -> None:
+    result = rows(log, (ROUTE, b"r", (ACME,)))
+    assert (result.code, result.text) == (
         ResultCode.REFUSED,
         f"{ROUTE} names {ACME}, which is not there",
     )
@@ -85,10 +85,10 @@
     assert rows(log, (ROUTE, b"r", (ACME,)), (ACME, b"t", ())).code == ResultCode.DONE, (
         "both within one write"
     )
-    made = rows(log, (ACME, None, ()))
-    assert (made.code, made.text) == (ResultCode.REFUSED, f"{ROUTE} still names {ACME}")
-    made = rows(log, (ROUTE, b"r2", (ACME,)), (ACME, None, ()))
-    assert (made.code, made.text) == (
+    result = rows(log, (ACME, None, ()))
+    assert (result.code, result.text) == (ResultCode.REFUSED, f"{ROUTE} still names {ACME}")
+    result = rows(log, (ROUTE, b"r2", (ACME,)), (ACME, None, ()))
+    assert (result.code, result.text) == (
         ResultCode.REFUSED,
         f"{ROUTE} names {ACME}, which is not there",
     )
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    "said, why",
+    "changes, expected_text",
     [
         ((("feed/orders/upstream/a", b"x", ()),), "is no row"),
         ((("feed/global/tenant", b"x", ()),), "is no row"),
@@ -142,34 +142,43 @@
         ),
     ],
 )
-def test_what_is_no_row_is_refused_in_one_line(
-    log: Log, said: tuple[tuple[str, bytes | None, tuple[str, ...]], ...], why: str
+def test_an_invalid_row_is_refused_in_one_line(
+    log: Log, changes: tuple[tuple[str, bytes | None, tuple[str, ...]], ...], expected_text: str
 ) -> None:
-    made = rows(log, *said)
-    assert made.code == ResultCode.REFUSED and why in made.text and "\n" not in made.text
+    result = rows(log, *changes)
+    assert (
+        result.code == ResultCode.REFUSED
+        and expected_text in result.text
+        and "\n" not in result.text
+    )
     assert log.do(RowsWrite(7, 999, 0, (Op(ACME, b"x"),), refs=((), ()))).text.startswith(
         "refs are told"
     )
 
 
-def test_rows_are_changed_by_writes_of_rows_alone(log: Log) -> None:
+def test_rows_are_changed_only_by_rows_writes(log: Log) -> None:
     fenced = log.do(FencedWrite(7, log.state.applied, 0, (Op(ACME, None),)))
-    for made in (plain(log, Op(ACME, b"x")), fenced):
-        assert (made.code, made.text) == (
+    for result in (plain_write(log, Op(ACME, b"x")), fenced):
+        assert (result.code, result.text) == (
             ResultCode.REFUSED,
             "what stands under feed/ is changed by writes of rows alone",
         )
     assert rows(log, ("lease/work", b"x", ())).code == ResultCode.REFUSED
 
 
-def test_before_format_3_there_are_no_rows_and_what_stood_there_goes(tmp_path: Path) -> None:
-    log = upgraded(state_files.create_state(tmp_path / "state.db", "c", MEMBERS), 2)
+def test_the_upgrade_to_format_3_enables_rows_and_deletes_plain_keys(tmp_path: Path) -> None:
+    log = upgraded_log(state_files.create_state(tmp_path / "state.db", "c", MEMBERS), 2)
     assert rows(log, (ACME, b"x", ())).text == "not all nodes of the store know rows yet"
-    assert plain(log, Op(ACME, b"x"), Op("feed/b", b"y"), Op("feeds", b"z")).code == ResultCode.DONE
+    assert (
+        plain_write(log, Op(ACME, b"x"), Op("feed/b", b"y"), Op("feeds", b"z")).code
+        == ResultCode.DONE
+    )
     assert log.state.take_row_events() == [] and log.state.rows().rows == []
-    was = log.state.digest()
+    digest_before = log.state.digest()
     log.do(Upgrade(3))
-    assert [i.key for i in log.state.scan("feed")] == ["feeds"] and log.state.digest() != was
+    assert [i.key for i in log.state.scan("feed")] == [
+        "feeds"
+    ] and log.state.digest() != digest_before
     loaded = log.state.rows()
     assert (loaded.base, loaded.rows, loaded.events) == (log.state.applied, [], []), (
         "nor is it told"
@@ -180,7 +189,7 @@
     assert state_files.open_state(tmp_path / "state.db").format == 3
 
 
-def test_a_folder_of_format_1_comes_to_format_3_step_by_step(tmp_path: Path) -> None:
+def test_a_directory_of_format_1_is_upgraded_to_format_3_one_step_at_a_time(tmp_path: Path) -> None:
     with tarfile.open(KEPT) as kept:
         kept.extractall(tmp_path, filter="data")
     log = Log(state_files.open_state(tmp_path / "state.db"))
@@ -189,20 +198,23 @@
     housekeeper, formats = Housekeeper(), {1: 3, 2: 3}
     housekeeper.leadership_gained(4, log.state, 0)
     for number in (2, 3):
-        (due,) = housekeeper.proposals(log.state.format, formats, 0)
-        assert due == Upgrade(number) and housekeeper.proposals(log.state.format, formats, 1) == []
-        assert housekeeper.proposals(log.state.format, formats, UPGRADE_RETRY_NS) == [due], (
+        (proposal,) = housekeeper.proposals(log.state.format, formats, 0)
+        assert (
+            proposal == Upgrade(number)
+            and housekeeper.proposals(log.state.format, formats, 1) == []
+        )
+        assert housekeeper.proposals(log.state.format, formats, UPGRADE_RETRY_NS) == [proposal], (
             "it may have been lost"
         )
-        assert log.do(due).versions == (number,)
+        assert log.do(proposal).versions == (number,)
     assert housekeeper.proposals(log.state.format, formats, 9 * UPGRADE_RETRY_NS) == []
     log.do(OpenSession(7))
     assert log.claim("a", 11) == (1, 0) and rows(log, (ACME, b"x", ())).code == ResultCode.DONE
 
 
-def test_an_older_program_among_the_members_holds_back_only_what_it_does_not_know() -> None:
+def test_an_older_member_holds_back_only_upgrades_that_it_does_not_support() -> None:
     housekeeper = Housekeeper()
-    housekeeper.leadership_gained(4, fresh(), 0)
+    housekeeper.leadership_gained(4, new_state(), 0)
     assert housekeeper.proposals(1, {1: 3, 2: 2}, 0) == [Upgrade(2)]
     assert (
         housekeeper.proposals(2, {1: 3, 2: 2}, 0) == [] == housekeeper.proposals(2, {1: 3, 2: 0}, 0)
@@ -210,30 +222,35 @@
     assert housekeeper.proposals(2, {1: 3, 2: 3}, 0) == [Upgrade(3)]
 
 
-@pytest.mark.parametrize("upto, prefix", [(2, "lease"), (3, "feed")])
-def test_an_upgrade_takes_away_several_keys_at_once(upto: int, prefix: str) -> None:
-    log = upgraded(fresh(), upto - 1)
-    plain(log, *(Op(f"{prefix}/{name}", b"x") for name in "abc"))
-    log.do(Upgrade(upto))
-    assert log.state.format == upto and log.state.scan(f"{prefix}/") == []
+@pytest.mark.parametrize("target_format, prefix", [(2, "lease"), (3, "feed")])
+def test_an_upgrade_deletes_several_keys(target_format: int, prefix: str) -> None:
+    log = upgraded_log(new_state(), target_format - 1)
+    plain_write(log, *(Op(f"{prefix}/{name}", b"x") for name in "abc"))
+    log.do(Upgrade(target_format))
+    assert log.state.format == target_format and log.state.scan(f"{prefix}/") == []
 
 
-def test_a_run_of_entries_that_fails_leaves_no_row_and_no_format_behind() -> None:
-    state = upgraded(fresh(), 2).state
-    at, write = state.applied, RowsWrite(7, 900, 0, (Op(ACME, b"x"),))
+def test_a_failed_batch_of_entries_leaves_no_row_and_no_format_change() -> None:
+    state = upgraded_log(new_state(), 2).state
+    base_index, write = state.applied, RowsWrite(7, 900, 0, (Op(ACME, b"x"),))
     entries = [
-        Entry(1, at + 1, EntryKind.COMMAND, commands.pack(Upgrade(3))),
-        Entry(1, at + 2, EntryKind.COMMAND, commands.pack(write)),
-        Entry(1, at + 3, EntryKind.MEMBERS, b"\xc1"),
+        Entry(1, base_index + 1, EntryKind.COMMAND, commands.pack(Upgrade(3))),
+        Entry(1, base_index + 2, EntryKind.COMMAND, commands.pack(write)),
+        Entry(1, base_index + 3, EntryKind.MEMBERS, b"\xc1"),
     ]
     with pytest.raises(ValueError):
         state.apply(entries)
-    assert (state.format, state.rows_from, state.row_events, state.applied) == (2, 0, [], at)
+    assert (state.format, state.rows_from, state.row_events, state.applied) == (
+        2,
+        0,
+        [],
+        base_index,
+    )
     assert [r.code for r in state.apply(entries[:2])] == [ResultCode.DONE, ResultCode.DONE]
-    assert state.rows_from == at + 1 and [e.key for e in state.take_row_events()] == [ACME]
+    assert state.rows_from == base_index + 1 and [e.key for e in state.take_row_events()] == [ACME]
 
 
-def test_what_a_node_loads_before_it_serves_the_feed(
+def test_a_node_loads_all_rows_and_recent_changes(
     log: Log, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for number in range(8):
@@ -242,47 +259,49 @@
             (ACME, b"%d" % number, ()),
             (ROUTE, b"r", (ACME,)) if number % 2 else (ROUTE, None, ()),
         )
-        plain(log, Op("config/a", b"x"))
+        plain_write(log, Op("config/a", b"x"))
     loaded = log.state.rows()
     assert loaded.base == log.state.rows_from and loaded.revision == log.state.applied
     assert loaded.rows == [(ACME, 8, b"7"), (ROUTE, 7, b"r")], "what was not there is not deleted"
     assert loaded.events == log.state.take_row_events() and len(loaded.events) == 15
     monkeypatch.setattr(watch_events, "MAX_EVENTS", 5)
     rows(log, (ACME, b"8", ()))
-    cut = log.state.rows()
-    assert cut.base == log.state.forgotten > loaded.base
-    assert cut.events == [
-        e for e in [*loaded.events, *log.state.take_row_events()] if e.revision > cut.base
+    trimmed = log.state.rows()
+    assert trimmed.base == log.state.forgotten > loaded.base
+    assert trimmed.events == [
+        e for e in [*loaded.events, *log.state.take_row_events()] if e.revision > trimmed.base
     ]
 
 
 OPS = st.tuples(
-    st.sampled_from(ALL),
+    st.sampled_from(ALL_KEYS),
     st.none() | st.binary(min_size=1, max_size=2),
-    st.sets(st.sampled_from(ALL), max_size=2).map(lambda found: tuple(sorted(found))),
+    st.sets(st.sampled_from(ALL_KEYS), max_size=2).map(lambda keys: tuple(sorted(keys))),
 )
-SAID = st.lists(OPS, min_size=1, max_size=3, unique_by=lambda said: said[0])
+WRITES = st.lists(OPS, min_size=1, max_size=3, unique_by=lambda changes: changes[0])
 
 
-@given(st.lists(SAID, max_size=20))
-def test_no_row_ever_names_what_is_not_there(
-    said: list[list[tuple[str, bytes | None, tuple[str, ...]]]],
+@given(st.lists(WRITES, max_size=20))
+def test_no_row_ever_refers_to_a_missing_row(
+    changes: list[list[tuple[str, bytes | None, tuple[str, ...]]]],
 ) -> None:
     """Held against books of the test's own."""
-    log, books = upgraded(fresh()), dict[str, tuple[bytes, tuple[str, ...]]]()
-    for write in said:
+    log, expected_rows = upgraded_log(new_state()), dict[str, tuple[bytes, tuple[str, ...]]]()
+    for write in changes:
         write = [(key, value, refs if value is not None else ()) for key, value, refs in write]
-        after = {**books, **{k: (v, refs) for k, v, refs in write if v is not None}}
+        after = {**expected_rows, **{k: (v, refs) for k, v, refs in write if v is not None}}
         for key, value, _ in write:
             if value is None:
                 after.pop(key, None)
-        whole = all(ref in after for _, refs in after.values() for ref in refs)
-        assert rows(log, *write).code == (ResultCode.DONE if whole else ResultCode.REFUSED)
-        books = after if whole else books
-        assert {k: v for k, _, v in log.state.rows().rows} == {k: v for k, (v, _) in books.items()}
+        is_valid = all(ref in after for _, refs in after.values() for ref in refs)
+        assert rows(log, *write).code == (ResultCode.DONE if is_valid else ResultCode.REFUSED)
+        expected_rows = after if is_valid else expected_rows
+        assert {k: v for k, _, v in log.state.rows().rows} == {
+            k: v for k, (v, _) in expected_rows.items()
+        }
 
 
-def test_a_plain_write_and_one_under_a_lease_are_what_older_programs_read() -> None:
+def test_plain_and_fenced_writes_stay_readable_by_older_programs() -> None:
     """Bytes as they were before there were rows: among its nodes may be old ones."""
     fenced = FencedWrite(5, 1, 0, (Op("k", b"v"),), (), "me", "why", 7, (("work", 1),))
     assert commands.pack(fenced).hex() == (
@@ -297,21 +316,21 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 31))
-def test_whatever_fails_rows_are_those_of_the_log_everywhere(seed: int) -> None:
+def test_rows_match_the_log_on_every_node_under_faults(seed: int) -> None:
     outcome = rowed.play(seed)
     assert not outcome.broken, f"seed {seed}"
     assert outcome.counts["rows written"] > 20 and outcome.counts["rows refused"] > 5
 
 
-def deleted_though_named(db: sqlite3.Connection, command: RowsWrite) -> str:
+def check_written_rows_only(db: sqlite3.Connection, command: RowsWrite) -> str:
     kept = tuple(op for op in command.ops if op.value is not None)
     refs = tuple(
         names for op, names in zip(command.ops, command.refs, strict=True) if op.value is not None
     )
-    return DANGLING(db, structs.replace(command, ops=kept, refs=refs))
+    return ORIGINAL_DANGLING_REFERENCE(db, structs.replace(command, ops=kept, refs=refs))
 
 
-def refs_pile_up(db: sqlite3.Connection, command: RowsWrite) -> None:
+def keep_old_references(db: sqlite3.Connection, command: RowsWrite) -> None:
     db.executemany(
         "INSERT OR IGNORE INTO refs VALUES (?, ?)",
         [
@@ -322,36 +341,42 @@
     )
 
 
-def each_alone(db: sqlite3.Connection, command: RowsWrite) -> str:
+def check_each_operation_alone(db: sqlite3.Connection, command: RowsWrite) -> str:
     pairs = zip(command.ops, command.refs, strict=True)
     return next(
         filter(
             None,
-            (DANGLING(db, structs.replace(command, ops=(op,), refs=(refs,))) for op, refs in pairs),
+            (
+                ORIGINAL_DANGLING_REFERENCE(db, structs.replace(command, ops=(op,), refs=(refs,)))
+                for op, refs in pairs
+            ),
         ),
         "",
     )
 
 
-def deaf_to_deletions(self: State) -> list[WatchEvent]:
-    return [event for event in TAKE_FED(self) if event.value is not None]
+def drop_deletion_events(self: State) -> list[WatchEvent]:
+    return [event for event in ORIGINAL_TAKE_ROW_EVENTS(self) if event.value is not None]
 
 
-def made_again(self: State, command: Write, index: int) -> Result:
+def apply_write_again(self: State, command: Write, index: int) -> Result:
     return self._apply_write(command, index)
 
 
-DANGLING, TAKE_FED = stored.dangling_reference, State.take_row_events
-PLANTS: dict[str, tuple[object, str, object]] = {
-    "deleted though named": (stored, "dangling_reference", deleted_though_named),
-    "refs pile up": (stored, "record_references", refs_pile_up),
-    "each alone": (stored, "dangling_reference", each_alone),
-    "deaf to deletions": (State, "take_row_events", deaf_to_deletions),
-    "made again": (State, "_apply_write_once", made_again),
+ORIGINAL_DANGLING_REFERENCE, ORIGINAL_TAKE_ROW_EVENTS = (
+    stored_rows.dangling_reference,
+    State.take_row_events,
+)
+SEEDED_BUGS: dict[str, tuple[object, str, object]] = {
+    "deleted though named": (stored_rows, "dangling_reference", check_written_rows_only),
+    "refs pile up": (stored_rows, "record_references", keep_old_references),
+    "each alone": (stored_rows, "dangling_reference", check_each_operation_alone),
+    "deaf to deletions": (State, "take_row_events", drop_deletion_events),
+    "made again": (State, "_apply_write_once", apply_write_again),
 }
 
 
-@pytest.mark.parametrize("name", sorted(PLANTS))
+@pytest.mark.parametrize("name", sorted(SEEDED_BUGS))
 def test_a_seeded_bug_of_rows_is_caught(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(*PLANTS[name])
+    monkeypatch.setattr(*SEEDED_BUGS[name])
     assert any(rowed.play(seed).broken for seed in range(1, 6))
--- a/tests/store/test_state.py
+++ b/tests/store/test_state.py
@@ -28,7 +28,7 @@
 MEMBERS = Members((1,), (), {1: "a"})
 
 
-def fresh() -> State:
+def new_state() -> State:
     db = sqlite3.connect(":memory:", isolation_level=None)
     schema.create_tables(db, "c", MEMBERS)
     return State(db)
@@ -40,44 +40,57 @@
     def __init__(self, state: State) -> None:
         self.state = state
 
-    def do(self, *said: AnyCommand) -> list[Result]:
+    def apply_commands(self, *submitted: AnyCommand) -> list[Result]:
         first = self.state.applied + 1
         return self.state.apply(
-            [Entry(1, first + i, EntryKind.COMMAND, commands.pack(c)) for i, c in enumerate(said)]
+            [
+                Entry(1, first + i, EntryKind.COMMAND, commands.pack(c))
+                for i, c in enumerate(submitted)
+            ]
         )
 
 
-def write(number: int, *ops: Op, session: int = 5, answered: int = 0, **rest: object) -> Write:
-    return Write(session, number, answered, ops, **rest)  # type: ignore[arg-type]
+def write(
+    number: int, *ops: Op, session: int = 5, answered: int = 0, **other_arguments: object
+) -> Write:
+    return Write(session, number, answered, ops, **other_arguments)  # type: ignore[arg-type]
 
 
 def test_a_write_that_is_sent_twice_is_applied_once() -> None:
-    log = Log(fresh())
-    log.do(OpenSession(5))
-    first, again = log.do(write(1, Op("a", b"1")), write(1, Op("a", b"1")))
-    assert first == again and first.versions == (1,)
+    log = Log(new_state())
+    log.apply_commands(OpenSession(5))
+    first, repeated = log.apply_commands(write(1, Op("a", b"1")), write(1, Op("a", b"1")))
+    assert first == repeated and first.versions == (1,)
     item = log.state.get("a")
     assert item is not None and item.version == 1
-    late = log.do(write(2, Op("a", b"2"), answered=1), write(1, Op("a", b"1")))[1]
-    assert late.code == ResultCode.EXPIRED and log.state.get("a").version == 2  # type: ignore[union-attr]
+    late_result = log.apply_commands(write(2, Op("a", b"2"), answered=1), write(1, Op("a", b"1")))[
+        1
+    ]
+    assert late_result.code == ResultCode.EXPIRED and log.state.get("a").version == 2  # type: ignore[union-attr]
 
 
 def test_a_write_is_atomic() -> None:
-    log = Log(fresh())
-    log.do(OpenSession(5), write(1, Op("a", b"1"), Op("b", b"1")))
-    result = log.do(write(2, Op("a", b"2"), Op("b", b"2", 7)))[0]
+    log = Log(new_state())
+    log.apply_commands(OpenSession(5), write(1, Op("a", b"1"), Op("b", b"1")))
+    result = log.apply_commands(write(2, Op("a", b"2"), Op("b", b"2", 7)))[0]
     assert (result.code, result.versions, result.text) == (ResultCode.CONFLICT, (1,), "b")
     assert [i.value for i in log.state.scan("")] == [b"1", b"1"]
-    assert log.do(write(3, Op("c", b"x", 0), checks=(("a", 1),)))[0].code == ResultCode.DONE
-    assert log.do(write(4, Op("d", b"x"), checks=(("a", 2),)))[0].code == ResultCode.CONFLICT
+    assert (
+        log.apply_commands(write(3, Op("c", b"x", 0), checks=(("a", 1),)))[0].code
+        == ResultCode.DONE
+    )
+    assert (
+        log.apply_commands(write(4, Op("d", b"x"), checks=(("a", 2),)))[0].code
+        == ResultCode.CONFLICT
+    )
 
 
-def test_versions_go_on_counting_over_a_deletion() -> None:
-    log = Log(fresh())
-    log.do(OpenSession(5))
+def test_versions_continue_after_a_deletion() -> None:
+    log = Log(new_state())
+    log.apply_commands(OpenSession(5))
     versions = [
         r.versions
-        for r in log.do(
+        for r in log.apply_commands(
             write(1, Op("config/a", b"1")),
             write(2, Op("config/a", None)),
             write(3, Op("config/a", b"2", 0)),
@@ -93,8 +106,8 @@
 
 
 def test_a_write_of_an_unknown_or_closed_session_expires() -> None:
-    log = Log(fresh())
-    results = log.do(
+    log = Log(new_state())
+    results = log.apply_commands(
         write(1, Op("a", b"1")),
         OpenSession(5),
         write(1, Op("a", b"1")),
@@ -114,9 +127,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(sessions, "MAX_SESSIONS", 3)
-    log = Log(fresh())
-    log.do(*[OpenSession(i) for i in (1, 2, 3)], write(1, Op("a", b"1"), session=1), OpenSession(4))
-    codes = [log.do(write(9, Op("a", b"2"), session=i))[0].code for i in (1, 2, 3, 4)]
+    log = Log(new_state())
+    log.apply_commands(
+        *[OpenSession(i) for i in (1, 2, 3)], write(1, Op("a", b"1"), session=1), OpenSession(4)
+    )
+    codes = [log.apply_commands(write(9, Op("a", b"2"), session=i))[0].code for i in (1, 2, 3, 4)]
     assert codes == [ResultCode.DONE, ResultCode.EXPIRED, ResultCode.DONE, ResultCode.DONE]
 
 
@@ -124,9 +139,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(watch_events, "MAX_EVENTS", 5)
-    log = Log(fresh())
-    log.do(OpenSession(5))
-    log.do(*[write(i, Op(f"k/{i % 2}", b"%d" % i), Op("other", b"x")) for i in range(1, 9)])
+    log = Log(new_state())
+    log.apply_commands(OpenSession(5))
+    log.apply_commands(
+        *[write(i, Op(f"k/{i % 2}", b"%d" % i), Op("other", b"x")) for i in range(1, 9)]
+    )
     events = log.state.events("k/", log.state.forgotten)
     assert [e.value for e in events] == [b"7", b"8"] and log.state.events(
         "k/", events[-1].revision
@@ -147,14 +164,14 @@
         Op("", b""),
     ],
 )
-def test_a_write_beyond_a_limit_is_rejected_by_every_node_alike(op: Op) -> None:
-    log = Log(fresh())
-    assert log.do(OpenSession(5), write(1, op))[1].code == ResultCode.REFUSED
-    assert log.do(write(2, Op("a", b"1"), Op("a", b"2")))[0].code == ResultCode.REFUSED
+def test_a_write_beyond_a_limit_is_rejected(op: Op) -> None:
+    log = Log(new_state())
+    assert log.apply_commands(OpenSession(5), write(1, op))[1].code == ResultCode.REFUSED
+    assert log.apply_commands(write(2, Op("a", b"1"), Op("a", b"2")))[0].code == ResultCode.REFUSED
 
 
 def test_an_entry_that_does_not_decode_is_rejected_and_later_ones_are_applied() -> None:
-    state = fresh()
+    state = new_state()
     result = state.apply(
         [
             Entry(1, 1, EntryKind.COMMAND, b"\xc1 nonsense"),
@@ -169,30 +186,32 @@
     )
 
 
-def test_a_run_of_entries_that_fails_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    log = Log(fresh())
-    log.do(OpenSession(5), write(1, Op("a", b"1")))
+def test_a_failed_batch_of_entries_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    log = Log(new_state())
+    log.apply_commands(OpenSession(5), write(1, Op("a", b"1")))
     before = log.state.digest()
-    real = State._apply_op
+    original_apply_op = State._apply_op
 
-    def breaks(self: State, op: Op, *rest: object) -> int:
+    def fail_on_key_c(self: State, op: Op, *other_arguments: object) -> int:
         if op.key == "c":
             raise sqlite3.OperationalError("disk I/O error")
-        return real(self, op, *rest)  # type: ignore[arg-type]
+        return original_apply_op(self, op, *other_arguments)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(State, "_apply_op", breaks)
+    monkeypatch.setattr(State, "_apply_op", fail_on_key_c)
     with pytest.raises(sqlite3.OperationalError):
-        log.do(write(2, Op("b", b"1")), write(3, Op("c", b"1")))
+        log.apply_commands(write(2, Op("b", b"1")), write(3, Op("c", b"1")))
     assert log.state.digest() == before and log.state.applied == 2
-    monkeypatch.setattr(State, "_apply_op", real)
-    assert [r.code for r in log.do(write(2, Op("b", b"1")), write(3, Op("c", b"1")))] == [0, 0]
+    monkeypatch.setattr(State, "_apply_op", original_apply_op)
+    assert [
+        r.code for r in log.apply_commands(write(2, Op("b", b"1")), write(3, Op("c", b"1")))
+    ] == [0, 0]
 
 
 KEYS = st.sampled_from(["config/a", "b", "c"])
 OPS = st.builds(
     Op, KEYS, st.one_of(st.none(), st.binary(max_size=4)), st.sampled_from([ANY_VERSION, 0, 1, 2])
 )
-SAID = st.one_of(
+COMMANDS = st.one_of(
     st.builds(
         lambda s, n, ops: Write(s, n, 0, tuple({o.key: o for o in ops}.values())),
         st.integers(1, 2),
@@ -204,25 +223,28 @@
 )
 
 
-@given(st.lists(SAID, max_size=30), st.randoms())
-def test_one_log_gives_one_state_however_it_is_split_into_runs(
-    said: list[AnyCommand], rng: object
+@given(st.lists(COMMANDS, max_size=30), st.randoms())
+def test_the_state_does_not_depend_on_how_the_log_is_split_into_batches(
+    submitted: list[AnyCommand], rng: object
 ) -> None:
-    log = [Entry(1, i + 1, EntryKind.COMMAND, commands.pack(c)) for i, c in enumerate(said)]
-    one, other = fresh(), fresh()
-    answers: list[Result] = []
-    while len(answers) < len(log):
+    log = [Entry(1, i + 1, EntryKind.COMMAND, commands.pack(c)) for i, c in enumerate(submitted)]
+    batched_state, single_state = new_state(), new_state()
+    batch_results: list[Result] = []
+    while len(batch_results) < len(log):
         size = rng.randint(1, 5)  # type: ignore[attr-defined]
-        answers += one.apply(log[len(answers) : len(answers) + size])
-    assert answers == [r for e in log for r in other.apply([e])] and one.digest() == other.digest()
+        batch_results += batched_state.apply(log[len(batch_results) : len(batch_results) + size])
+    assert (
+        batch_results == [r for e in log for r in single_state.apply([e])]
+        and batched_state.digest() == single_state.digest()
+    )
 
 
-def test_a_snapshot_is_of_one_entry_and_has_a_checksum(tmp_path: Path) -> None:
+def test_a_snapshot_holds_the_state_after_one_entry_and_has_a_checksum(tmp_path: Path) -> None:
     state = state_files.create_state(tmp_path / "state.db", "c", MEMBERS)
     log = Log(state)
-    log.do(OpenSession(5), *[write(i, Op(f"k{i}", bytes(500))) for i in range(1, 50)])
+    log.apply_commands(OpenSession(5), *[write(i, Op(f"k{i}", bytes(500))) for i in range(1, 50)])
     meta = state_files.export_snapshot(tmp_path / "state.db", tmp_path / "copy.db")
-    log.do(write(50, Op("later", b"1")))
+    log.apply_commands(write(50, Op("later", b"1")))
     assert (meta.index, meta.members) == (50, MEMBERS) and state_files.verify(
         tmp_path / "copy.db"
     ) == ""
