--- a/loadbalancer/store/commands.py
+++ b/loadbalancer/store/commands.py
@@ -1,7 +1,7 @@
 """Commands of the replicated log and their results.
 
-Encoded as MessagePack arrays with a tag. The format is fixed: a newer version of the program may
-not write what an older one can't decode before all nodes run the newer one.
+Encoded as MessagePack arrays with a tag. The format is replicated: a newer version of the program
+must not write commands that an older version can't decode until all nodes run the newer version.
 """
 
 from __future__ import annotations
@@ -54,18 +54,18 @@
 KEY_PATTERN: Final = re.compile(r"[a-z0-9][A-Za-z0-9._:@-]*(/[A-Za-z0-9][A-Za-z0-9._:@-]*)*\Z")
 MAX_KEY_LENGTH: Final = 512  # characters
 MAX_VALUE_BYTES: Final = 1 << 20
-MAX_OPERATIONS: Final = 256  # of one write, its checks included
-MAX_FENCING_TOKENS: Final = 8  # of one write
+MAX_OPERATIONS: Final = 256  # per write, including its checks
+MAX_FENCING_TOKENS: Final = 8  # per write
 MAX_TEXT_LENGTH: Final = 1024  # characters of an author or a note
-MAX_REFERENCES: Final = 16  # rows that one row refers to
+MAX_REFERENCES: Final = 16  # per row
 
 INITIAL_FORMAT: Final = 1
 LEASES_FORMAT: Final = 2  # adds leases, and fencing tokens on writes
 ROWS_FORMAT: Final = 3  # adds rows of the change feed
-STATE_FORMAT = ROWS_FORMAT  # the newest format of a state that this program knows
+STATE_FORMAT = ROWS_FORMAT  # the newest state format that this program supports
 
-ANY_VERSION: Final = -1  # encoded: a check or operation that holds at every version
-LEASE_PREFIX: Final = "lease/"  # leases are stored here; from format 2 on clients can't write there
+ANY_VERSION: Final = -1  # encoded value of a check or operation without a version condition
+LEASE_PREFIX: Final = "lease/"  # keys of leases; from format 2 on clients can't write them
 
 
 class Op(ArrayStruct, frozen=True):
@@ -74,8 +74,8 @@
     Attributes:
         key: The key.
         value: The new value; None deletes the key.
-        version: The version that the key must be at for the complete command to be applied; 0 if it
-            must not exist, `ANY_VERSION` for no condition.
+        version: The version that the key must have, or else the whole command is rejected; 0 if the
+            key must not exist, `ANY_VERSION` for no condition.
     """
 
     key: str
@@ -84,7 +84,7 @@
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """Content of a log entry."""
+    """The content of a log entry."""
 
 
 class Write(Command, frozen=True, tag=1):
@@ -93,12 +93,12 @@
     Attributes:
         session: The client's session.
         number: The write's number in its session, from 1 on.
-        answered: The client received the results up to this number; they need not be cached.
+        answered: The client received the results up to this write number, so they are dropped.
         ops: The operations.
-        checks: Keys that are not written, with the versions that they must be at.
+        checks: Keys that are not written, with the versions that they must have.
         author: Who made the change.
         note: Why it was made.
-        time_ms: The proposer's wall clock: displayed, never used for a decision.
+        time_ms: The proposer's wall clock, for display only; no decision depends on it.
     """
 
     session: int
@@ -114,11 +114,10 @@
 class FencedWrite(Write, frozen=True, tag=8):
     """A write that is applied only if its fencing tokens are current; needs format 2.
 
-    It has a tag of its own, so that a plain write stays byte for byte what a program of format 1
-    decodes.
+    A separate tag keeps the encoding of a plain write decodable by programs of format 1.
 
     Attributes:
-        fences: Leases with their tokens.
+        fences: Names of leases with their fencing tokens.
     """
 
     fences: tuple[tuple[str, int], ...] = ()
@@ -128,16 +127,16 @@
     """A write of change feed rows, possibly with other keys; needs format 3.
 
     Attributes:
-        refs: For each operation, the keys of the rows that its row refers to; empty if none does.
-            After the write each of them must exist, and no row may be deleted that another refers
-            to.
+        refs: For each operation, the keys of the rows that its row refers to; empty if no row
+            refers to another. After the write, each row that is referred to must exist, so a row
+            can't be deleted while another row refers to it.
     """
 
     refs: tuple[tuple[str, ...], ...] = ()
 
 
 class OpenSession(Command, frozen=True, tag=2):
-    """Opens a session whose number the client drew. Idempotent."""
+    """Opens a session whose number was chosen at random by the client. Idempotent."""
 
     session: int
     name: str = ""
@@ -150,7 +149,7 @@
 
 
 class Upgrade(Command, frozen=True, tag=4):
-    """Raises the format of the state; proposed by a leader once all members know that format."""
+    """Raises the format of the state; proposed by a leader once all members support that format."""
 
     format: int
 
@@ -158,8 +157,8 @@
 class Claim(Command, frozen=True, tag=5):
     """Requests or renews a lease, as its holder or as a candidate.
 
-    Idempotent, so it needs no session. The result's versions are the token, 0 for a candidate, and
-    the position among the candidates.
+    Idempotent, so it needs no session. The result's versions are the fencing token (0 for a
+    candidate) and the position among the candidates.
     """
 
     lease: str
@@ -176,8 +175,8 @@
 
     Attributes:
         lease: The lease's name.
-        claim: The claim that holds it.
-        token: Release only if it is held under this token; 0 for whichever the claim has.
+        claim: The claim that holds the lease.
+        token: The fencing token that the claim must hold for the release; 0 for any token.
         time_ms: The proposer's wall clock.
     """
 
@@ -210,24 +209,24 @@
 
 
 class ResultCode(IntEnum):
-    """Outcome of a command."""
+    """The outcome of a command."""
 
     DONE = 0
     CONFLICT = 1  # a key is at another version
-    EXPIRED = 2  # the session is unknown; whether the write was made before can't be determined
-    REFUSED = 3  # it breaks a limit; every node decides so alike
+    EXPIRED = 2  # the session is unknown, so it is unknown whether the write was applied before
+    REFUSED = 3  # invalid or over a limit; the same on every node
     FENCED = 4  # a fencing token is not current
 
 
 class Result(ArrayStruct, frozen=True):
-    """Result of a command.
+    """The result of a command.
 
     Attributes:
         code: A `ResultCode`.
         revision: The log index that made the change.
-        versions: Versions of the written keys, in the order of the operations; after a conflict,
-            the version of the key that is named in `text`.
-        text: The reason of a failure.
+        versions: Versions of the written keys, in the order of the operations. After a conflict,
+            the current version of the key in `text`.
+        text: The reason of a failure; the key after a conflict.
     """
 
     code: int
@@ -241,25 +240,25 @@
 
 
 def unpack_command(data: bytes) -> AnyCommand:
-    """Decodes a command.
+    """Decode a command.
 
     Raises:
-        ValueError: It is not a command of a known format.
+        ValueError: The data is not a command of a supported format.
     """
     return _command_decoder.decode(data)
 
 
 def unpack_result(data: bytes) -> Result:
-    """Decodes a result.
+    """Decode a result.
 
     Raises:
-        ValueError: It is not a result.
+        ValueError: The data is not a result.
     """
     return _result_decoder.decode(data)
 
 
 def required_format(command: AnyCommand) -> int:
-    """Returns the lowest format of the state that can apply the command."""
+    """Return the lowest state format that can apply the command."""
     if isinstance(command, RowsWrite):
         return ROWS_FORMAT
     if isinstance(command, FencedWrite):
@@ -270,25 +269,25 @@
 
 
 def fencing_tokens(command: Write) -> tuple[tuple[str, int], ...]:
-    """Returns the leases and tokens that the write depends on."""
+    """Return the leases and fencing tokens that the write depends on."""
     return command.fences if isinstance(command, FencedWrite) else ()
 
 
 def operations_with_references(command: Write) -> Iterator[tuple[Op, tuple[str, ...]]]:
-    """Returns each operation with the keys of the rows that its row refers to."""
+    """Return each operation with the keys of the rows that its row refers to."""
     refs = command.refs if isinstance(command, RowsWrite) else ()
     return zip(command.ops, refs or ((),) * len(command.ops), strict=False)
 
 
 def is_client_command(command: AnyCommand) -> bool:
-    """Returns whether a client may propose the command; the others are for leaders."""
+    """Return whether a client may propose the command; only leaders may propose the others."""
     return not isinstance(command, Upgrade | ExpireClaim)
 
 
 def rejection_reason(command: Write) -> str | None:
-    """Returns the first limit that a write breaks, whatever the state holds; None if it is valid.
+    """Return the first limit that a write violates in every state; None if there is none.
 
-    Part of the format: all versions of the program have to agree.
+    The checks and texts are part of the replicated format: all versions of the program must agree.
     """
     keys = [op.key for op in command.ops] + [key for key, _ in command.checks]
     return (
--- a/loadbalancer/store/durable/__init__.py
+++ b/loadbalancer/store/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What a store node stores on disk: the journal of its log, the state in SQLite, and snapshots."""
+"""The on-disk data of a store node: the log's journal, the state in SQLite, and snapshots."""
--- a/loadbalancer/store/durable/errors.py
+++ b/loadbalancer/store/durable/errors.py
@@ -1,4 +1,4 @@
-"""Errors of what is stored on disk."""
+"""Errors of the on-disk storage."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class DamagedError(StorageError):
-    """Something that was completely written no longer reads, or belongs elsewhere."""
+    """Completely written data can't be read any more, or belongs to another node or cluster."""
 
 
 class DiskFullError(StorageError):
-    """There is no room to write; nothing was lost, and the write may be tried again."""
+    """The disk has no space left; nothing was lost, and the write may be retried."""
 
 
 class SyncFailedError(StorageError):
-    """A sync failed: what is on disk is not known, so this process must not go on writing."""
+    """A sync failed, so the content of the disk is unknown and this process must stop writing."""
 
 
 class CompactedError(StorageError):
-    """The events that a watcher asks for are no longer stored."""
+    """The events requested by a watcher are no longer stored."""
 
     def __init__(self, oldest: int) -> None:
         super().__init__(
--- a/loadbalancer/store/durable/files.py
+++ b/loadbalancer/store/durable/files.py
@@ -1,4 +1,4 @@
-"""The few operations of the store on a folder, so that a simulator can replace the disk."""
+"""The store's operations on a directory, as protocols that a simulator can implement."""
 
 from __future__ import annotations
 
@@ -6,57 +6,57 @@
 from pathlib import Path
 from typing import Final, Protocol
 
-NEW_SUFFIX: Final = ".new"  # of a file that is being written, before it takes its name
-CLOSED: Final = -1  # in place of a file descriptor
+NEW_SUFFIX: Final = ".new"  # of a file that is renamed once it is completely written
+CLOSED: Final = -1  # value of `descriptor` after closing
 
 
 class File(Protocol):
     """A file open for writing."""
 
     def write(self, data: bytes, offset: int) -> None:
-        """Write all of it, from an offset on.
+        """Write all data, starting at an offset.
 
         Raises:
-            OSError: It failed; part of the data may be there.
+            OSError: The write failed; part of the data may have been written.
         """
 
     def sync(self) -> None:
-        """Make durable what was written.
+        """Make all written data durable.
 
         Raises:
-            OSError: It failed; nothing is known of what is durable.
+            OSError: The sync failed; it is unknown which data is durable.
         """
 
     def truncate(self, size: int) -> None:
-        """Cut the file to a size."""
+        """Truncate the file to a size."""
 
     def close(self) -> None:
         """Close the file; a second call does nothing."""
 
 
 class Files(Protocol):
-    """The files of a folder."""
+    """The files of a directory."""
 
     def names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Return the sorted names of all files."""
 
     def read(self, name: str) -> bytes:
         """Return a file's content."""
 
     def create(self, name: str) -> File:
-        """Open a new, empty file; it replaces one of the same name."""
+        """Create and open an empty file, replacing any file of the same name."""
 
     def open(self, name: str) -> File:
         """Open an existing file."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file atomically; it replaces one of the new name."""
+        """Rename a file atomically, replacing any file of the new name."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def sync_folder(self) -> None:
-        """Make durable which names were made, changed and removed."""
+        """Make the creation, renaming and removal of files durable."""
 
 
 class DiskFile:
@@ -66,7 +66,7 @@
         self.descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC | flags, 0o600)
 
     def write(self, data: bytes, offset: int) -> None:
-        """Write all of it, from an offset on."""
+        """Write all data, starting at an offset."""
         remaining = memoryview(data)
         while remaining:
             written = os.pwrite(self.descriptor, remaining, offset)
@@ -74,11 +74,11 @@
             offset += written
 
     def sync(self) -> None:
-        """Make durable what was written."""
+        """Make all written data durable."""
         os.fdatasync(self.descriptor)
 
     def truncate(self, size: int) -> None:
-        """Cut the file to a size."""
+        """Truncate the file to a size."""
         os.ftruncate(self.descriptor, size)
 
     def close(self) -> None:
@@ -89,13 +89,13 @@
 
 
 class Folder:
-    """A folder on a disk."""
+    """A directory on a disk."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
     def names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Return the sorted names of all files."""
         return sorted(entry.name for entry in self.path.iterdir() if entry.is_file())
 
     def read(self, name: str) -> bytes:
@@ -103,7 +103,7 @@
         return (self.path / name).read_bytes()
 
     def create(self, name: str) -> File:
-        """Open a new, empty file; it replaces one of the same name."""
+        """Create and open an empty file, replacing any file of the same name."""
         return DiskFile(self.path / name, os.O_CREAT | os.O_TRUNC)
 
     def open(self, name: str) -> File:
@@ -111,7 +111,7 @@
         return DiskFile(self.path / name, 0)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file atomically; it replaces one of the new name."""
+        """Rename a file atomically, replacing any file of the new name."""
         os.replace(self.path / old, self.path / new)
 
     def remove(self, name: str) -> None:
@@ -119,7 +119,7 @@
         os.unlink(self.path / name)
 
     def sync_folder(self) -> None:
-        """Make durable which names were made, changed and removed."""
+        """Make the creation, renaming and removal of files durable."""
         descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
--- a/loadbalancer/store/durable/items.py
+++ b/loadbalancer/store/durable/items.py
@@ -1,4 +1,4 @@
-"""Keys, their versions and their history."""
+"""Tables of keys with their values, versions and history."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from loadbalancer.store.durable.schema import LEASES_FORMAT, ROWS_FORMAT, prefix_end
 from loadbalancer.store.durable.watch_events import WatchEvents
 
-MAX_HISTORY: Final = 100  # versions of one key
-CONFIG_PREFIX: Final = "config/"  # keys with a history; from format 2 on also those of leases
+MAX_HISTORY: Final = 100  # versions per key
+CONFIG_PREFIX: Final = "config/"  # keys with a history; from format 2 on, leases have one too
 ITEMS_PER_SCAN: Final = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A key as it stands, or as it stood."""
+    """A key with its value at one version, current or earlier."""
 
     key: str
-    value: bytes | None  # None: deleted
+    value: bytes | None  # None if the key was deleted
     version: int
     revision: int
     time_ms: int = 0
@@ -35,7 +35,7 @@
     # ---- reading ---------------------------------------------------------------------------------
 
     def get(self, key: str) -> Item | None:
-        """Return a key's item. None: there is none."""
+        """Return a key's item, or None if the key does not exist."""
         row = self.db.execute(
             "SELECT key, value, version, revision, time_ms, author, note FROM items WHERE key = ?",
             (key,),
@@ -43,7 +43,7 @@
         return Item(*row) if row else None
 
     def scan(self, prefix: str, after: str = "", limit: int = ITEMS_PER_SCAN) -> list[Item]:
-        """Return items whose key begins with a prefix, in order, from the one behind `after` on."""
+        """Return items whose key has a prefix, ordered by key, starting after the key `after`."""
         return [
             Item(*row)
             for row in self.db.execute(
@@ -54,7 +54,7 @@
         ]
 
     def history(self, key: str, limit: int = MAX_HISTORY) -> list[Item]:
-        """Return the versions of a key, newest first."""
+        """Return the retained versions of a key, newest first."""
         return [
             Item(*row)
             for row in self.db.execute(
@@ -66,14 +66,14 @@
         ]
 
     def _current_version(self, key: str) -> int:
-        """The version of a key; 0: it is not there."""
+        """Return the version of a key; 0 if it does not exist."""
         row = self.db.execute("SELECT version FROM items WHERE key = ?", (key,)).fetchone()
         return int(row[0]) if row else 0
 
     # ---- writing ---------------------------------------------------------------------------------
 
     def _apply_op(self, op: Op, command: Write, index: int, position: int) -> int:
-        """Apply one operation of a write; return the new version, 0 where the key is gone."""
+        """Apply one operation of a write; return the key's new version, or 0 if it is deleted."""
         version = self._next_version(op.key)
         if op.value is None:
             if self.db.execute("DELETE FROM items WHERE key = ?", (op.key,)).rowcount == 0:
@@ -94,7 +94,10 @@
         return 0 if op.value is None else version
 
     def _next_version(self, key: str) -> int:
-        """Versions count on over a deletion, so that none stands for two values."""
+        """Return the next version of a key.
+
+        Versions continue after a deletion, so that no version is used for two values.
+        """
         row = self.db.execute("SELECT version FROM versions WHERE key = ?", (key,)).fetchone()
         return (int(row[0]) if row else 0) + 1
 
--- a/loadbalancer/store/durable/journal.py
+++ b/loadbalancer/store/durable/journal.py
@@ -1,7 +1,7 @@
-"""The log on disk: hard state and entries, in segments of checksummed frames.
+"""The on-disk log: hard state and entries, in segments of checksummed frames.
 
-No frame is written before the one ahead of it is synced (see `journal_frames` for the format and
-`journal_reader` for what comes back).
+A frame is written only after the previous frame is synced. See `journal_frames` for the format and
+`journal_reader` for recovery.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Journal:
-    """The journal, open for writing; for one thread at a time."""
+    """A journal that is open for writing; not safe for concurrent use by threads."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.segments: list[Segment] = []
         self.file: File | None = None
         self.salt = b""
-        self.end_offset = 0  # where the next frame goes
+        self.end_offset = 0  # of the next frame
         self.last_frame_offset = 0
         self.next_sequence = 0
         self.hard_state = HardState()
@@ -71,19 +71,19 @@
     # ---- opening ---------------------------------------------------------------------------------
 
     def create(self, base_index: int = 0, base_term: int = 0) -> None:
-        """Begin a journal where there is none."""
+        """Create a journal where none exists."""
         self.last_index = base_index
         self.last_term = base_term
         self._begin_segment(1)
 
     def open(self, repair: bool = True) -> JournalContents:
-        """Read the journal, cut off a torn tail, and go on from there.
+        """Read the journal, truncate a torn tail, and prepare to append.
 
         Args:
-            repair: False: only read it.
+            repair: If False, only read the journal.
 
         Raises:
-            DamagedError: It does not read, or belongs to another node or a newer program.
+            DamagedError: The journal is damaged, or belongs to another node or a newer program.
         """
         reader = JournalReader(self.files, self.cluster, self.node)
         contents = reader.read()
@@ -114,14 +114,14 @@
         entries: Sequence[Entry],
         install: SnapshotMeta | None = None,
     ) -> None:
-        """Write a batch; it is durable when this returns.
+        """Write a batch, which is durable when the call returns.
 
         Raises:
-            DiskFullError: There is no room; the journal is as before, and the batch may be retried.
-            SyncFailedError: What is on disk is not known.
+            DiskFullError: The disk is full; the journal is unchanged and the batch may be retried.
+            SyncFailedError: The content of the disk is unknown.
         """
         if self.is_broken:
-            raise SyncFailedError("the log could not be synced before")
+            raise SyncFailedError("an earlier sync of the log failed")
         if self.file is None or self.end_offset >= self.segment_bytes:
             self._begin_segment(self.segments[-1].number + 1)
         assert self.file is not None
@@ -149,7 +149,8 @@
         try:
             file.sync()
         except OSError as error:
-            # After a failed sync a page may be marked clean and lost: a retry would prove nothing.
+            # After a failed sync the kernel may mark a lost page as clean, so a successful retry
+            # would not prove that the data is durable.
             self.is_broken = True
             raise SyncFailedError(f"the log can't be synced: {_error_text(error)}") from error
         self.syncs += 1
@@ -160,7 +161,7 @@
         except OSError as error:
             self.is_broken = True
             raise SyncFailedError(
-                f"the log can't be written, nor cut back: {_error_text(error)}"
+                f"the log can't be written, nor truncated: {_error_text(error)}"
             ) from cause
 
     def _begin_segment(self, number: int) -> None:
@@ -213,10 +214,10 @@
         return file
 
     def write_end_mark(self) -> None:
-        """Say on disk that the last batch was synced, where no other followed.
+        """Write a mark that the last batch was synced, unless another batch follows it.
 
-        The mark is not synced itself: it tells damage from a torn tail, and the next batch is
-        written over it.
+        The mark tells damage to the last batch from a torn tail. It is not synced itself, and the
+        next batch overwrites it.
         """
         if self.file is not None and not self.has_end_mark and not self.is_broken:
             with suppress(OSError):
@@ -225,7 +226,7 @@
             self.has_end_mark = True
 
     def compact(self, index: int) -> None:
-        """Remove the segments that hold no entry after this one."""
+        """Remove segments that hold only entries up to an index."""
         is_any_removed = False
         while len(self.segments) > 1 and self.segments[1].base_index <= index:
             self.files.remove(self.segments[0].name)
@@ -235,7 +236,7 @@
             self.files.sync_folder()
 
     def close(self) -> None:
-        """Close the journal, with an end mark."""
+        """Write an end mark and close the journal."""
         if self.file is not None:
             self.write_end_mark()
             self.file.close()
--- a/loadbalancer/store/durable/journal_frames.py
+++ b/loadbalancer/store/durable/journal_frames.py
@@ -1,14 +1,14 @@
 """The format of the journal: segments of checksummed frames.
 
-A segment `log-NNNNNNNN` begins with a salt and a head frame; then comes one frame for each batch.
+A segment file `log-NNNNNNNN` starts with a salt and a head frame, followed by one frame per batch.
 
     segment = magic(8) salt(8) frame*
     frame   = mark(4) length(4) sequence(8) CRC-32C(4) payload(length)
 
-Little-endian; the checksum covers salt, sequence and payload, so that a frame of another segment,
-or one that was stored as a value, does not pass for one of this. An end mark, a frame without
-payload, may stand after the last frame: it says that the one before it was synced, and the next
-frame is written over it.
+Little-endian. The checksum covers salt, sequence and payload, so a frame of another segment, or one
+that is part of a stored value, is not accepted as a frame of this segment. The last frame may be
+followed by an end mark, which is a frame without payload. It records that the previous frame was
+synced, and the next frame overwrites it.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 FORMAT = 1
 MAGIC: Final = b"LANELOG\x01"
 SALT_BYTES: Final = 8
-SEGMENT_HEADER_BYTES: Final = len(MAGIC) + SALT_BYTES  # where the head frame begins
+SEGMENT_HEADER_BYTES: Final = len(MAGIC) + SALT_BYTES  # offset of the head frame
 FRAME_MARK: Final = b"\xf5Lg\x9a"
 FRAME_HEADER: Final = struct.Struct("<4sIQI")
 MAX_PAYLOAD_BYTES: Final = 1 << 30
@@ -34,7 +34,7 @@
 
 
 class SegmentHead(ArrayStruct, frozen=True):
-    """A segment's first frame: whose it is, and what stood before its entries."""
+    """The first frame of a segment: its owner, and the log's position before its entries."""
 
     format: int
     cluster: str
@@ -45,15 +45,15 @@
 
 
 class Record(ArrayStruct, frozen=True):
-    """A batch."""
+    """One batch of changes to the log."""
 
     hard_state: HardState | None = None
     entries: tuple[Entry, ...] = ()
-    install: SnapshotMeta | None = None  # this snapshot replaced all entries before it
+    install: SnapshotMeta | None = None  # the snapshot that replaced all earlier entries
 
 
 class Frame(NamedTuple):
-    """A complete frame."""
+    """A decoded frame."""
 
     sequence: int
     payload: bytes
@@ -64,11 +64,11 @@
     """A file of the journal."""
 
     number: int
-    base_index: int = 0  # the last entry before it
+    base_index: int = 0  # the last entry before the segment
 
     @property
     def name(self) -> str:
-        """Its file name."""
+        """The file name."""
         return segment_name(self.number)
 
 
@@ -88,7 +88,7 @@
 
 
 def decode_format(payload: bytes) -> int:
-    """Return the format version of a segment's head, whatever else it holds."""
+    """Return the format version of a segment's head, whose other fields may be unsupported."""
     return int(msgspec.msgpack.decode(payload)[0])
 
 
@@ -108,13 +108,13 @@
 
 
 def encode_frame(salt: bytes, sequence: int, payload: bytes) -> bytes:
-    """Return a frame's bytes."""
+    """Encode a frame."""
     checksum = _checksum(salt, sequence, payload)
     return FRAME_HEADER.pack(FRAME_MARK, len(payload), sequence, checksum) + payload
 
 
 def decode_frame(data: bytes, offset: int, salt: bytes) -> Frame | None:
-    """Return the frame at an offset. None: there is no complete one."""
+    """Return the frame at an offset, or None if there is no valid frame."""
     if len(data) - offset < FRAME_HEADER.size:
         return None
     mark, length, sequence, checksum = FRAME_HEADER.unpack_from(data, offset)
@@ -126,9 +126,9 @@
 
 
 def has_data_after_head(data: bytes) -> bool:
-    """Return whether anything stands behind a segment's head frame.
+    """Return whether a segment contains data after its head frame.
 
-    Then the head was synced, though it, or the salt of its checksum, may no longer read.
+    If so, the head was synced, even if the head or the salt of its checksum is damaged now.
     """
     if len(data) < SEGMENT_HEADER_BYTES + FRAME_HEADER.size:
         return False
@@ -139,7 +139,7 @@
 
 
 def find_later_frame(data: bytes, offset: int, salt: bytes, sequence: int) -> int | None:
-    """Return where, after an offset, a complete frame begins that is no older than `sequence`."""
+    """Return the offset of the next valid frame whose number is at least `sequence`."""
     candidate = data.find(FRAME_MARK, offset + 1)
     while candidate >= 0:
         frame = decode_frame(data, candidate, salt)
--- a/loadbalancer/store/durable/journal_reader.py
+++ b/loadbalancer/store/durable/journal_reader.py
@@ -1,10 +1,10 @@
-"""Reading the journal: what was synced comes back, a torn tail is found, damage is reported.
+"""Reads the journal, detects a torn tail and reports damage.
 
-No frame is written before the one ahead of it is synced, so at most the last frame can be torn. A
-frame that does not read is
+A frame is written only after the previous frame is synced, so at most the last frame can be torn.
+An invalid frame is
 
-- a torn tail, which may be cut off, where no frame that reads comes after it;
-- damage, where one does.
+- a torn tail, which may be truncated, if no valid frame follows it;
+- damage, if a valid frame follows it.
 """
 
 from __future__ import annotations
@@ -34,28 +34,28 @@
 
 @dataclass(slots=True)
 class JournalContents:
-    """What the journal held when it was opened."""
+    """The content of the journal when it was opened."""
 
     hard_state: HardState
     base_index: int
     base_term: int
     entries: list[Entry] = field(default_factory=list)
-    install: SnapshotMeta | None = None  # the last one; it may not be carried out yet
-    torn_bytes: int = 0  # of a torn tail
+    install: SnapshotMeta | None = None  # the last snapshot; its installation may be incomplete
+    torn_bytes: int = 0  # size of the torn tail
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, or the base."""
+        """The index of the last entry, or the base index if there are no entries."""
         return self.entries[-1].index if self.entries else self.base_index
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry, or of the base."""
+        """The term of the last entry, or the base term if there are no entries."""
         return self.entries[-1].term if self.entries else self.base_term
 
 
 class JournalReader:
-    """Reads all segments, and knows afterwards where the next frame goes."""
+    """Reads all segments and determines the position of the next frame."""
 
     def __init__(self, files: Files, cluster: str, node: int) -> None:
         self.files = files
@@ -63,17 +63,17 @@
         self.node = node
         self.contents: JournalContents | None = None
         self.segments: list[Segment] = []
-        self.unfinished_segment: Segment | None = None  # its head was being written
+        self.unfinished_segment: Segment | None = None  # without a complete head
         self.salt = b""
         self.end_offset = 0
         self.next_sequence = 0
         self.has_end_mark = True
 
     def read(self) -> JournalContents:
-        """Read all of the journal, without changing it.
+        """Read the complete journal without changing it.
 
         Raises:
-            DamagedError: It does not read, or belongs to another node or a newer program.
+            DamagedError: The journal is damaged, or belongs to another node or a newer program.
         """
         numbers = self._segment_numbers()
         for number in numbers:
@@ -132,7 +132,7 @@
             elif frame.payload:
                 self._apply_record(segment, frame.payload)
             else:
-                self.has_end_mark = True  # the next frame is written over it
+                self.has_end_mark = True  # the next frame overwrites the mark
                 break
             self.next_sequence = frame.sequence + 1
             offset += FRAME_HEADER.size + len(frame.payload)
@@ -146,13 +146,13 @@
         later_frame_offset = find_later_frame(data, offset, salt, self.next_sequence)
         if not is_last or later_frame_offset is not None:
             detail = (
-                f": a frame at byte {later_frame_offset} follows on it"
+                f": a valid frame at byte {later_frame_offset} follows"
                 if later_frame_offset is not None
                 else ""
             )
             raise DamagedError(
-                f"{segment.name}: what stands at byte {offset} was written whole and does not"
-                f" read{detail}"
+                f"{segment.name}: the frame at byte {offset} was completely written but is"
+                f" damaged{detail}"
             )
         assert self.contents is not None
         self.contents.torn_bytes += len(data) - offset
@@ -166,7 +166,7 @@
             return
         expected = (self.next_sequence, contents.hard_state, contents.last_index)
         if (sequence, head.hard_state, head.base_index) != expected:
-            raise DamagedError(f"{segment.name}: it does not follow on the segment before it")
+            raise DamagedError(f"{segment.name}: it does not continue the previous segment")
 
     def _decode_head(self, segment: Segment, payload: bytes) -> SegmentHead:
         version = decode_format(payload)
@@ -192,7 +192,8 @@
             first_index = record.entries[0].index
             if not contents.base_index < first_index <= contents.last_index + 1:
                 raise DamagedError(
-                    f"{segment.name}: entry {first_index} does not follow on {contents.last_index}"
+                    f"{segment.name}: entry {first_index} does not continue the log after entry"
+                    f" {contents.last_index}"
                 )
             del contents.entries[first_index - contents.base_index - 1 :]
             contents.entries.extend(record.entries)
@@ -208,6 +209,6 @@
             new.term == old.term and old.voted_for not in (NO_NODE, new.voted_for)
         ):
             raise DamagedError(
-                f"{segment.name}: term and vote go back from {old.term}, {old.voted_for:x} to "
+                f"{segment.name}: term and vote regress from {old.term}, {old.voted_for:x} to "
                 f"{new.term}, {new.voted_for:x}"
             )
--- a/loadbalancer/store/durable/lease_records.py
+++ b/loadbalancer/store/durable/lease_records.py
@@ -1,4 +1,4 @@
-"""Leases in the state: their keys, and how often each claim was renewed."""
+"""Leases in the state: their keys, and the number of renewals of each claim."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from loadbalancer.store.durable.schema import LEASES_FORMAT, prefix_end
 
 MAX_LEASES = 5_000
-CANDIDATE_TTLS: Final = 2  # a candidate that does not renew for so many of its TTLs is gone
+CANDIDATE_TTLS: Final = 2  # a candidate's claim expires after this number of TTLs without renewal
 LeaseCommand = Claim | Release | ExpireClaim
-# Parts of the replicated state: changing one is a change of format.
+# These texts are part of the replicated state: changing one is a change of format.
 LEASES_NOT_SUPPORTED: Final = "not all nodes of the store know leases yet"
 CLAIM_RENEWED: Final = "it was renewed since"
 
 
 def _claim_ttls(lease: Lease) -> dict[int, int]:
-    """The claims of a lease, and how long each lasts without a renewal, in ms."""
+    """Return the time in ms after which each claim of a lease expires without renewal."""
     ttls_ms = {c.claim: CANDIDATE_TTLS * c.ttl_ms for c in lease.candidates}
     if lease.holder:
         ttl_ms = lease.ttl_ms
@@ -38,10 +38,10 @@
 
 
 class LeaseRecords(Items):
-    """The leases, and the table of renewals."""
+    """The leases and the table of their renewals."""
 
     def active_claims(self) -> list[ActiveClaim]:
-        """Return every claim with its TTL."""
+        """Return all claims with their renewal rounds and TTLs."""
         return [
             ActiveClaim(lease.name, claim, self._renewal_round(lease.name, claim), ttl_ms)
             for lease in self._stored_leases()
@@ -101,7 +101,7 @@
 
     @staticmethod
     def _lease_command_rejection(command: LeaseCommand) -> str:
-        """The reason why no state takes this command; empty: there is none."""
+        """Return why the command is invalid in every state; empty if it is valid."""
         if isinstance(command, Claim):
             return table.claim_fault(
                 command.lease, command.holder, command.claim, command.ttl_ms, command.note
@@ -141,7 +141,11 @@
         return int(row[0]) if row else 0
 
     def _record_renewal_rounds(self, before: Lease, after: Lease, command: LeaseCommand) -> None:
-        """An ended claim has no round; one that claimed, or was offered the lease, has the next."""
+        """Update the renewal rounds of a lease's claims.
+
+        Ended claims lose their round. The round advances for a claim that was made or renewed, or
+        whose TTL changed because the lease was granted or offered to it.
+        """
         old_ttls_ms = _claim_ttls(before)
         new_ttls_ms = _claim_ttls(after)
         for claim in old_ttls_ms.keys() - new_ttls_ms.keys():
--- a/loadbalancer/store/durable/rows.py
+++ b/loadbalancer/store/durable/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the feed within the state, from its format 3 on: references, and what a node loads."""
+"""Change feed rows in the state, from format 3 on: references and initial loading."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     revision: int
     key: str
     version: int
-    value: bytes | None  # None: the key was deleted
+    value: bytes | None  # None if the key was deleted
 
 
 class StoredRow(NamedTuple):
-    """A row as it stands."""
+    """The current version of a row."""
 
     key: str
     version: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedRows:
-    """All rows as of `revision`, and each change in (base, revision]."""
+    """All rows as of `revision`, and the changes after `base` up to `revision`."""
 
     revision: int
     rows: list[StoredRow]
@@ -40,9 +40,9 @@
 
 
 def dangling_reference(db: sqlite3.Connection, command: RowsWrite) -> str:
-    """Return which reference would have no target after this write; empty: none.
+    """Return a description of a reference without a target after a write; empty if there is none.
 
-    It is called before anything is written.
+    Call this before anything is written.
     """
     written = {op.key for op in command.ops if op.value is not None}
     deleted = {op.key for op in command.ops if op.value is None}
@@ -68,7 +68,10 @@
 
 
 def _remaining_reference(db: sqlite3.Connection, command: RowsWrite, changed: set[str]) -> str:
-    """Rows that this write changes need no check here: their new references are checked above."""
+    """Return a description of an unchanged row that refers to a deleted row.
+
+    Rows that this write changes are skipped: `_missing_target` checks their new references.
+    """
     for op in command.ops:
         if op.value is not None:
             continue
--- a/loadbalancer/store/durable/schema.py
+++ b/loadbalancer/store/durable/schema.py
@@ -1,4 +1,4 @@
-"""The tables of the state, by format, and how its database is opened."""
+"""The tables of the state by format, and the settings of its database."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from loadbalancer.store.raft.messages import Members, pack
 
 LEASES_FORMAT: Final = 2  # the first format with leases
-ROWS_FORMAT: Final = 3  # the first format with rows of the feed
+ROWS_FORMAT: Final = 3  # the first format with change feed rows
 
 TABLES: Final = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value) WITHOUT ROWID;
@@ -27,8 +27,8 @@
 CREATE TABLE answers (session INTEGER, number INTEGER, result BLOB NOT NULL,
     PRIMARY KEY (session, number)) WITHOUT ROWID;
 """
-# `rounds`: how often each claim was renewed. Beside the lease, which a renewal leaves as it is: its
-# watchers are not woken.
+# `rounds` holds the number of renewals of each claim. It is separate from the lease's item, so a
+# renewal leaves the item unchanged and does not notify its watchers.
 LEASE_TABLES: Final = """
 CREATE TABLE rounds (lease TEXT, claim INTEGER, round INTEGER NOT NULL, PRIMARY KEY (lease, claim))
     WITHOUT ROWID;
@@ -37,7 +37,7 @@
 CREATE TABLE refs (key TEXT, ref TEXT, PRIMARY KEY (key, ref)) WITHOUT ROWID;
 CREATE INDEX refs_ref ON refs (ref, key);
 """
-# The tables in the order of the digest: name, order of the rows, and the format it begins with.
+# The tables in the order of the digest: name, order of the rows, and the first format with it.
 DIGEST_ORDER: Final = (
     ("items", "key", 1),
     ("versions", "key", 1),
@@ -52,24 +52,25 @@
 
 
 def prefix_end(prefix: str) -> str:
-    """Return a string after all keys that begin with a prefix."""
+    """Return a string that sorts after all keys with a prefix."""
     return prefix + "\U0010ffff"
 
 
 def connect(path: str) -> sqlite3.Connection:
     """Open a state's database for writing."""
     db = sqlite3.connect(path, isolation_level=None, check_same_thread=False, cached_statements=64)
-    # Of a new file: a write changes a page in each of a few tables.
+    # Takes effect on new files only. Small pages, as a write changes one page in each of a few
+    # tables.
     db.execute("PRAGMA page_size = 1024")
     db.execute("PRAGMA journal_mode = WAL")
-    db.execute("PRAGMA synchronous = NORMAL")  # durable with `flush`
-    db.execute("PRAGMA wal_autocheckpoint = 0")  # only `flush` does it, so that its syncs are known
+    db.execute("PRAGMA synchronous = NORMAL")  # `flush` makes commits durable
+    db.execute("PRAGMA wal_autocheckpoint = 0")  # checkpoints, and so syncs, only in `flush`
     db.execute("PRAGMA cache_size = -8192")
     return db
 
 
 def create_tables(db: sqlite3.Connection, cluster: str, members: Members) -> None:
-    """Make a new, empty state of format 1."""
+    """Create the tables of an empty state of format 1."""
     db.executescript("BEGIN;" + TABLES + "COMMIT;")
     db.executemany(
         "INSERT INTO meta VALUES (?, ?)",
--- a/loadbalancer/store/durable/sessions.py
+++ b/loadbalancer/store/durable/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of clients: a write that is sent again is applied once (thesis 6.3)."""
+"""Client sessions, which apply a repeated write only once (thesis 6.3)."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from loadbalancer.store.commands import OpenSession, Result, ResultCode, Write
 from loadbalancer.store.durable.state_tables import StateTables
 
-MAX_SESSIONS = 2_000  # beyond them the least recently used one is closed
-MAX_STORED_RESULTS: Final = 256  # of one session
+MAX_SESSIONS = 2_000  # if exceeded, the least recently used session is closed
+MAX_STORED_RESULTS: Final = 256  # per session
 
 
 class Sessions(StateTables):
@@ -34,7 +34,7 @@
         self.db.execute("DELETE FROM answers WHERE session = ?", (session,))
 
     def _apply_write_once(self, command: Write, index: int) -> Result:
-        """Apply a write; one that was applied before gets the same result again."""
+        """Apply a write, or return the stored result if it was applied before."""
         row = self.db.execute(
             "SELECT answered FROM sessions WHERE id = ?", (command.session,)
         ).fetchone()
@@ -61,7 +61,7 @@
         return result
 
     def _acknowledge_results(self, command: Write, acknowledged: int, index: int) -> None:
-        """Drop results that the client has, or that are too old."""
+        """Drop results that the client received or that exceed the limit per session."""
         answered = max(acknowledged, command.answered, command.number - MAX_STORED_RESULTS)
         if answered > acknowledged:
             self.db.execute(
@@ -73,5 +73,5 @@
         )
 
     def _apply_write(self, command: Write, index: int) -> Result:
-        """Apply a write, whatever was applied before."""
+        """Apply a write without deduplication."""
         raise NotImplementedError
--- a/loadbalancer/store/durable/state.py
+++ b/loadbalancer/store/durable/state.py
@@ -1,12 +1,12 @@
-"""The state that the log builds: keys with versions, their history, sessions, watch events. SQLite.
+"""The replicated state in SQLite: keys with versions, their history, sessions and watch events.
 
-A run of entries is applied in one transaction together with its last index, so no reader sees half
-of a write and no entry is applied twice. Commits here are not synced: after power was lost the
-state may be older than the log, which is then applied again; `state_files.flush` syncs it, and the
-log is compacted only up to there.
+A batch of entries is applied in one transaction together with its last index, so a reader never
+sees part of a write and no entry is applied twice. The transactions are not synced: after a power
+loss the state may be older than the log, and entries of the log are applied again.
+`state_files.flush` syncs the state, and the log is compacted only up to the synced index.
 
-All that decides lies in the entries and in the state: the same log gives the same bytes of results
-on every node. So the texts of results are part of the format.
+Results depend only on the entries and the state, so the same log produces byte-identical results
+on every node. The texts of results are therefore part of the format.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 class State(LeaseRecords, Sessions):
-    """The replicated state machine; for one thread at a time."""
+    """The replicated state machine; not safe for concurrent use by threads."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         super().__init__(db)
@@ -69,8 +69,8 @@
     # ---- applying --------------------------------------------------------------------------------
 
     def apply(self, entries: Sequence[Entry]) -> list[Result]:
-        """Apply entries that follow on those applied before; all of them or, if it raises, none."""
-        assert entries[0].index == self.applied + 1, "a gap between state and log"
+        """Apply the next entries: all of them, or none if it raises."""
+        assert entries[0].index == self.applied + 1, "entries do not continue the applied ones"
         counters = dataclasses.replace(self.counters)
         claim_count = len(self.changed_claims)
         event_count = len(self.row_events)
@@ -149,7 +149,7 @@
         return Result(ResultCode.DONE, index, versions)
 
     def _write_rejection(self, command: Write) -> str:
-        """The reason why a state of this format does not take a write; empty: there is none."""
+        """Return why a write is invalid in this format of the state; empty if it is valid."""
         rejection_text = commands.rejection_reason(command)
         if rejection_text:
             return rejection_text
@@ -171,7 +171,7 @@
         return FORMAT_NOT_REACHED[required] if self.format < required else ""
 
     def _check_fences(self, command: Write, index: int) -> Result | None:
-        """Reject a write under a token that does not hold its lease."""
+        """Reject a write with a fencing token that is not current."""
         for name, token in commands.fencing_tokens(command):
             lease = self._stored_lease(name)
             if not lease.permits(token):
@@ -182,7 +182,7 @@
         return None
 
     def _check_versions(self, command: Write, index: int) -> Result | None:
-        """Reject a write that expects another version of a key."""
+        """Reject a write if a key is not at the expected version."""
         checks = [
             *command.checks,
             *((op.key, op.version) for op in command.ops if op.version != ANY_VERSION),
@@ -196,7 +196,7 @@
     # ---- formats ---------------------------------------------------------------------------------
 
     def _upgrade(self, command: Upgrade, index: int) -> Result:
-        """Take the next format; an earlier one changes nothing."""
+        """Upgrade the state by one format; commands for any other format change nothing."""
         if command.format == LEASES_FORMAT and self.format == LEASES_FORMAT - 1:
             self._create_format_tables(LEASE_TABLES, LEASE_PREFIX, index)
             self.db.execute("INSERT INTO meta VALUES ('tokens', 0)")
@@ -210,7 +210,7 @@
         return Result(ResultCode.DONE, index, (self.format,))
 
     def _create_format_tables(self, tables: str, prefix: str, index: int) -> None:
-        """Make new tables, and delete plain keys under the prefix that they are about."""
+        """Create the tables of a format, and delete existing plain keys with its prefix."""
         for statement in tables.split(";"):
             self.db.execute(statement)
         existing_keys = self.db.execute(
@@ -220,22 +220,22 @@
         for position, (key,) in enumerate(existing_keys):
             self._apply_op(Op(key, None), Write(0, 0, 0, ()), index, position)
 
-    # ---- what changed ----------------------------------------------------------------------------
+    # ---- recorded changes ------------------------------------------------------------------------
 
     def take_changed_claims(self) -> list[ActiveClaim]:
-        """Return claims that were made, renewed or ended since last taken."""
+        """Return claims that were made, renewed or ended since the last call."""
         taken = self.changed_claims
         self.changed_claims = []
         return taken
 
     def take_row_events(self) -> list[WatchEvent]:
-        """Return changes of rows since last taken, in their order."""
+        """Return changes of rows since the last call, in order."""
         taken = self.row_events
         self.row_events = []
         return taken
 
     def take_changed_keys(self) -> set[str]:
-        """Return keys that changed since last taken, and perhaps some of a run that failed."""
+        """Return keys changed since the last call, possibly with keys of a failed batch."""
         taken = self.changed_keys
         self.changed_keys = set()
         return taken
@@ -243,15 +243,15 @@
     # ---- reading ---------------------------------------------------------------------------------
 
     def rows(self) -> LoadedRows:
-        """Return what a node of the feed begins with. Before format 3 there is nothing."""
+        """Return the rows and changes that a change feed node loads; none before format 3."""
         if self.format < ROWS_FORMAT:
             return LoadedRows(self.applied, [], self.applied, [])
         return rows.load_rows(self.db, self.applied, max(self.forgotten, self.rows_from))
 
     def digest(self) -> int:
-        """Return a checksum of all that the log decides.
+        """Return a checksum of all replicated data.
 
-        It is the same on every node that applied as much.
+        It is equal on all nodes that have applied the same entries.
         """
         total = 0
         for name, order, since_format in DIGEST_ORDER:
--- a/loadbalancer/store/durable/state_directory.py
+++ b/loadbalancer/store/durable/state_directory.py
@@ -1,4 +1,4 @@
-"""Where the state and the snapshots of one node are stored: three SQLite files in its folder."""
+"""The directory of a node's state and its incoming and outgoing snapshot, as SQLite files."""
 
 from __future__ import annotations
 
@@ -18,67 +18,67 @@
 STATE: Final = "state.db"
 INCOMING: Final = "incoming.db"
 OUTGOING: Final = "outgoing.db"
-WAL_SUFFIXES: Final = ("-wal", "-shm")  # of SQLite's files beside the state
+WAL_SUFFIXES: Final = ("-wal", "-shm")  # of SQLite's additional files
 
 
 class StateDirectory(Protocol):
-    """What a replica needs of its state's files. A simulator has its own."""
+    """The operations on state files that a replica uses; a simulator implements them too."""
 
     def open(self) -> State:
         """Open the state.
 
         Raises:
-            DamagedError: It does not read.
+            DamagedError: The state is damaged.
         """
 
     def flush(self, state: State) -> int:
-        """Sync the state; return the index up to which it is durable now.
+        """Sync the state; return the index up to which it is durable.
 
         Raises:
-            DiskFullError: It can't be synced now.
+            DiskFullError: The state can't be synced now.
         """
 
     def export_snapshot(self) -> SnapshotMeta:
-        """Make the snapshot that is sent to others; it replaces the one before it.
+        """Create the outgoing snapshot, which replaces the previous one.
 
         Raises:
-            DiskFullError: It can't be made now.
+            DiskFullError: The snapshot can't be created now.
         """
 
     def read_chunk(self, snapshot: SnapshotMeta, offset: int, size: int) -> bytes | None:
-        """Read a part of the outgoing snapshot. None: it is not there any more."""
+        """Read a chunk of the outgoing snapshot; None if this snapshot was replaced."""
 
     def write_chunk(self, offset: int, data: bytes) -> None:
-        """Write a part of the incoming snapshot; the first part begins it anew.
+        """Write a chunk of the incoming snapshot; a chunk at offset 0 starts a new one.
 
         Raises:
-            DiskFullError: It can't be written now.
+            DiskFullError: The chunk can't be written now.
         """
 
     def verify_incoming(self, snapshot: SnapshotMeta) -> bool:
-        """Sync the incoming snapshot; return whether it is complete, and this one."""
+        """Sync the incoming snapshot; return whether it is complete and matches `snapshot`."""
 
     def install_incoming(self, state: State | None, snapshot: SnapshotMeta) -> State:
-        """Replace the state by the incoming snapshot; doing it twice does the same.
+        """Replace the state by the incoming snapshot. Idempotent.
 
         Raises:
-            DamagedError: The snapshot is not there.
+            DamagedError: The snapshot is missing.
         """
 
     def close(self) -> None:
-        """Close all files but the state."""
+        """Close all files except the state."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingSnapshot:
-    """The snapshot that is sent, and its open file."""
+    """The outgoing snapshot and its open file descriptor."""
 
     meta: SnapshotMeta
     descriptor: int
 
 
 class DiskStateDirectory:
-    """The files of a state in a folder on a disk."""
+    """The state files in a directory on a disk."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -91,7 +91,7 @@
         return state_files.open_state(self.folder / STATE)
 
     def flush(self, state: State) -> int:
-        """Sync the state; return the index up to which it is durable now."""
+        """Sync the state; return the index up to which it is durable."""
         try:
             return state_files.flush(state)
         except sqlite3.Error as error:
@@ -100,7 +100,7 @@
     # ---- outgoing --------------------------------------------------------------------------------
 
     def export_snapshot(self) -> SnapshotMeta:
-        """Make the snapshot that is sent to others; it replaces the one before it."""
+        """Create the outgoing snapshot, which replaces the previous one."""
         path = self.folder / (OUTGOING + NEW_SUFFIX)
         try:
             meta = state_files.export_snapshot(self.folder / STATE, path)
@@ -115,7 +115,7 @@
         return meta
 
     def read_chunk(self, snapshot: SnapshotMeta, offset: int, size: int) -> bytes | None:
-        """Read a part of the outgoing snapshot. None: it is not there any more."""
+        """Read a chunk of the outgoing snapshot; None if this snapshot was replaced."""
         if self.outgoing is None or self.outgoing.meta.id != snapshot.id:
             return None
         data = os.pread(self.outgoing.descriptor, size, offset)
@@ -124,7 +124,7 @@
     # ---- incoming --------------------------------------------------------------------------------
 
     def write_chunk(self, offset: int, data: bytes) -> None:
-        """Write a part of the incoming snapshot; the first part begins it anew."""
+        """Write a chunk of the incoming snapshot; a chunk at offset 0 starts a new one."""
         try:
             if offset == 0 or self.incoming is None:
                 self._close_incoming()
@@ -137,7 +137,7 @@
             ) from error
 
     def verify_incoming(self, snapshot: SnapshotMeta) -> bool:
-        """Sync the incoming snapshot; return whether it is complete, and this one."""
+        """Sync the incoming snapshot; return whether it is complete and matches `snapshot`."""
         try:
             if self.incoming is not None:
                 self.incoming.sync()
@@ -157,12 +157,12 @@
             self.incoming = None
 
     def install_incoming(self, state: State | None, snapshot: SnapshotMeta) -> State:
-        """Replace the state by the incoming snapshot; doing it twice does the same."""
+        """Replace the state by the incoming snapshot. Idempotent."""
         if state is not None:
             state.close()
         self._close_incoming()
         if (self.folder / INCOMING).exists():
-            # Pages that belong to the old file must be gone before the new one has its name.
+            # Remove the old file's WAL first, or SQLite would apply it to the new file.
             for suffix in WAL_SUFFIXES:
                 with suppress(FileNotFoundError):
                     self.files.remove(STATE + suffix)
@@ -173,12 +173,12 @@
         if installed.applied < snapshot.index:
             installed.close()
             raise DamagedError(
-                f"the snapshot up to entry {snapshot.index} that the log speaks of is not there"
+                f"the snapshot up to entry {snapshot.index} that the log refers to is missing"
             )
         return installed
 
     def close(self) -> None:
-        """Close all files but the state."""
+        """Close all files except the state."""
         self._close_incoming()
         if self.outgoing is not None:
             os.close(self.outgoing.descriptor)
--- a/loadbalancer/store/durable/state_files.py
+++ b/loadbalancer/store/durable/state_files.py
@@ -1,4 +1,4 @@
-"""Files of the state: created, opened, synced, copied and checked."""
+"""Creates, opens, syncs, copies and checks the files of the state."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     """Return the state in an open database.
 
     Raises:
-        DamagedError: It does not read, or is of a newer format; in one line.
+        DamagedError: The state is damaged or has a newer format; the message is one line.
     """
     try:
         version = db.execute("SELECT value FROM meta WHERE name = 'format'").fetchone()
@@ -46,7 +46,7 @@
 
 
 def create_state(path: Path, cluster: str, members: Members) -> State:
-    """Make a new, empty state."""
+    """Create an empty state."""
     db = connect(str(path))
     create_tables(db, cluster, members)
     db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -57,10 +57,10 @@
     """Open an existing state.
 
     Raises:
-        DamagedError: It is not there, does not read, or is of a newer format.
+        DamagedError: The state is missing, is damaged, or has a newer format.
     """
     if not path.exists():
-        raise DamagedError(f"{path.name} is not there")
+        raise DamagedError(f"{path.name} does not exist")
     try:
         db = connect(str(path))
     except sqlite3.Error as error:
@@ -69,16 +69,16 @@
 
 
 def adopt_copy(path: Path, cluster: str, members: Members, unix_s: int) -> State:
-    """Make a copy the state of another cluster.
+    """Turn a copy of a state into the state of another cluster.
 
     Args:
         path: The copy.
         cluster: The other cluster's name.
-        members: Its members.
-        unix_s: The operator's clock, for the epoch of its fencing tokens.
+        members: The other cluster's members.
+        unix_s: The operator's wall clock in s, which sets the epoch of the fencing tokens.
 
     Raises:
-        DamagedError: The copy does not read, or is of a newer format.
+        DamagedError: The copy is damaged or has a newer format.
     """
     old = open_state(path)
     db = old.db
@@ -102,10 +102,10 @@
 
 
 def flush(state: State) -> int:
-    """Sync what was applied; return the index up to which the state is durable now.
+    """Sync the applied entries; return the index up to which the state is durable.
 
     Raises:
-        sqlite3.Error: It can't be synced now.
+        sqlite3.Error: The state can't be synced now.
     """
     applied = state.applied
     busy, _, _ = state.db.execute("PRAGMA wal_checkpoint(FULL)").fetchone()
@@ -115,7 +115,7 @@
 
 
 def verify(path: Path) -> str:
-    """Read all of a state's file; return its first fault, empty where there is none."""
+    """Check a complete state file; return its first error, empty if there is none."""
     try:
         db = sqlite3.connect(f"file:{path}?mode=ro", uri=True)
         try:
@@ -131,13 +131,13 @@
 
 
 def export_snapshot(source: Path, target: Path) -> SnapshotMeta:
-    """Copy the state as of one entry, while it goes on changing; the copy is durable.
+    """Make a durable, consistent copy of the state while it may change.
 
-    It uses a connection of its own.
+    The copy uses a separate database connection.
 
     Raises:
-        sqlite3.Error: The copy can't be made.
-        OSError: It can't be synced.
+        sqlite3.Error: The copy can't be created.
+        OSError: The copy can't be synced.
     """
     target.unlink(missing_ok=True)
     db = sqlite3.connect(f"file:{source}?mode=ro", uri=True, timeout=EXPORT_LOCK_TIMEOUT_S)
@@ -154,10 +154,10 @@
 
 
 def describe_snapshot(path: Path) -> SnapshotMeta:
-    """Return what a snapshot's file holds.
+    """Return the metadata of a snapshot file.
 
     Raises:
-        DamagedError: It is no snapshot, or of a newer format.
+        DamagedError: The file is not a snapshot, or has a newer format.
     """
     try:
         db = sqlite3.connect(f"file:{path}?mode=ro&immutable=1", uri=True)
--- a/loadbalancer/store/durable/state_tables.py
+++ b/loadbalancer/store/durable/state_tables.py
@@ -1,4 +1,4 @@
-"""The state's database and the counters beside it, as all tables share them."""
+"""The state's database, and the counters that all tables share."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What is kept in memory beside the tables; a run of entries that fails leaves it as it was."""
+    """Values cached in memory; they are restored when a batch of entries fails."""
 
     members: Members
     format: int
-    forgotten: int  # events up to this revision are gone
+    forgotten: int  # events up to this revision were dropped
     event_count: int
     event_bytes: int
     session_count: int
     tokens: int  # the last fencing token granted
-    rows_from: int  # the revision of the upgrade to rows
+    rows_from: int  # the revision of the upgrade to change feed rows
 
 
 class StateTables:
-    """The open database; for one thread at a time."""
+    """The open database; not safe for concurrent use by threads."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self.db = db
@@ -37,11 +37,11 @@
         self.term = int(self._meta("term"))
         self.cluster = str(self._meta("cluster"))
         self.counters = self._load_counters()
-        self.leases: dict[str, Lease] = {}  # as they stand
-        # What changed since it was last taken:
+        self.leases: dict[str, Lease] = {}  # current leases by name
+        # Changes since the last call of the corresponding `take_...` method:
         self.changed_keys: set[str] = set()
         self.changed_claims: list[ActiveClaim] = []  # made, renewed or ended
-        self.row_events: list[WatchEvent] = []  # of rows of the feed, in their order
+        self.row_events: list[WatchEvent] = []  # of change feed rows, in order
 
     def _load_counters(self) -> Counters:
         state_format = int(self._meta("format"))
@@ -70,7 +70,7 @@
 
     @property
     def forgotten(self) -> int:
-        """Events up to this revision are gone."""
+        """The revision up to which events were dropped."""
         return self.counters.forgotten
 
     @property
@@ -80,7 +80,7 @@
 
     @property
     def rows_from(self) -> int:
-        """The revision of the upgrade to rows of the feed; 0: there was none."""
+        """The revision of the upgrade to change feed rows; 0 before that."""
         return self.counters.rows_from
 
     def _meta(self, name: str) -> Any:
--- a/loadbalancer/store/durable/watch_events.py
+++ b/loadbalancer/store/durable/watch_events.py
@@ -1,4 +1,4 @@
-"""Changes of keys, stored for watchers within a bound."""
+"""The most recent changes of keys, stored for watchers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """The table of events."""
 
     def _record_event(self, event: WatchEvent, position: int) -> None:
-        """Store an event; `position` is its place within its revision."""
+        """Store an event; `position` is its index within its revision."""
         self.db.execute(
             "INSERT INTO events VALUES (?, ?, ?, ?, ?)",
             (event.revision, position, event.key, event.version, event.value),
@@ -27,7 +27,7 @@
         self.counters.event_bytes += len(event.value or b"") + len(event.key.encode())
 
     def _trim_events(self) -> None:
-        """Drop complete revisions, oldest first, until the rest is within bounds."""
+        """Drop complete revisions, oldest first, until the events are within the limits."""
         counters = self.counters
         while counters.event_count > MAX_EVENTS or counters.event_bytes > MAX_EVENTS_BYTES:
             oldest = self.db.execute("SELECT min(revision) FROM events").fetchone()[0]
@@ -43,15 +43,15 @@
             counters.forgotten = oldest
 
     def events(self, prefix: str, after: int, limit: int = EVENTS_PER_READ) -> list[WatchEvent]:
-        """Return changes after a revision, complete revisions only, in their order.
+        """Return changes after a revision in order, in complete revisions only.
 
         Args:
-            prefix: Of the keys.
-            after: The revision.
-            limit: Of events; it is exceeded only by one revision that holds more.
+            prefix: The prefix of the keys.
+            after: The revision after which changes are returned.
+            limit: The maximum number of events; a single revision may exceed it.
 
         Raises:
-            CompactedError: Some of them are no longer stored.
+            CompactedError: Some of the changes are no longer stored.
         """
         if after < self.forgotten:
             raise CompactedError(self.forgotten)
--- a/loadbalancer/store/raft/config.py
+++ b/loadbalancer/store/raft/config.py
@@ -10,19 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftConfig:
-    """Timeouts and limits; the same on all nodes of a cluster."""
+    """Timeouts and limits, which must be the same on all nodes of a cluster."""
 
     heartbeat_interval_ns: int = 100 * NS_PER_MS
-    # An election timeout is drawn between this and twice this.
+    # Each election timeout is drawn at random between this value and twice this value.
     election_timeout_ns: int = 500 * NS_PER_MS
-    max_append_bytes: int = 256 << 10  # of entries in one message
-    max_in_flight_appends: int = 64  # to one follower
-    max_uncommitted_bytes: int = 8 << 20  # of proposals
+    max_append_bytes: int = 256 << 10  # size of the entries in one message
+    max_in_flight_appends: int = 64  # per follower
+    max_uncommitted_bytes: int = 8 << 20  # total size of uncommitted proposals
     max_uncommitted_entries: int = 10_000
     max_pending_reads: int = 10_000
     snapshot_chunk_bytes: int = 256 << 10
-    max_in_flight_chunks: int = 4  # of a snapshot, to one follower
-    commit_notice_ns: int = 5 * NS_PER_MS  # within which followers learn of a commit
-    # A leader whose disk takes longer over one batch transfers its leadership.
+    max_in_flight_chunks: int = 4  # snapshot chunks, per follower
+    commit_notice_ns: int = 5 * NS_PER_MS  # maximum delay until followers are notified of a commit
+    # A leader whose disk takes longer to persist one batch transfers its leadership.
     slow_disk_timeout_ns: int = 1_500 * NS_PER_MS
-    max_promotion_lag: int = 1_000  # entries: a learner further behind is not promoted
+    max_promotion_lag: int = 1_000  # entries; a learner with a larger lag is not promoted
--- a/loadbalancer/store/raft/election.py
+++ b/loadbalancer/store/raft/election.py
@@ -16,12 +16,12 @@
 
 
 class Election(Replication):
-    """Candidates, voters, and how a node becomes the leader."""
+    """Elections: requesting votes, granting votes and becoming the leader."""
 
     def _has_live_leader(self) -> bool:
-        """Return whether a leader was in contact within an election timeout.
+        """Return whether a leader was in contact within the last election timeout.
 
-        Then a vote is refused (paper, 6: disruptive servers).
+        If so, this node refuses to vote (paper, 6: disruptive servers).
         """
         if self.role is Role.LEADER:
             return True
@@ -38,7 +38,7 @@
     # ---- candidate -------------------------------------------------------------------------------
 
     def _election_timed_out(self) -> None:
-        """Find out first whether an election could be won (thesis 9.6)."""
+        """Start a pre-vote, which checks whether an election could be won (thesis 9.6)."""
         self._reset_election_timer()
         if not self._is_eligible_candidate():
             if self.now_ns - self.last_contact_ns > self.config.election_timeout_ns:
@@ -62,7 +62,7 @@
         self.election_count += 1
         self.role = Role.CANDIDATE
         self._set_hard_state(self.term, self.node_id)
-        # Its own vote counts when it is durable.
+        # This node's vote for itself counts only once the vote is durable.
         self._send_when_durable(self.node_id, RequestVoteResponse(self.term, True, False))
         request = RequestVote(
             self.term,
@@ -139,6 +139,6 @@
         self._send_when_durable(sender, RequestVoteResponse(term, is_granted, True))
 
     def _notify_if_removed(self, sender: int) -> None:
-        """A former member may not know that its removal was committed."""
+        """Notify a former member, which may have missed that its removal was committed."""
         if sender in self.members.removed and self.members_index <= self.commit_index:
             self._send(sender, NodeRemoved(self.term, self.members_index))
--- a/loadbalancer/store/raft/errors.py
+++ b/loadbalancer/store/raft/errors.py
@@ -8,7 +8,7 @@
 
 
 class NotLeaderError(RaftError):
-    """Another node leads, or none."""
+    """This node is not the leader: another node leads, or there is no leader."""
 
     def __init__(self, leader: int) -> None:
         super().__init__(f"the leader is node {leader:x}" if leader else "there is no leader now")
@@ -16,8 +16,8 @@
 
 
 class BusyError(RaftError):
-    """The leader accepts nothing more just now."""
+    """The leader temporarily accepts no further requests of this kind."""
 
 
 class MembershipError(RaftError):
-    """A change of members, or a transfer of leadership, that can't be made."""
+    """A membership change or leadership transfer is not possible."""
--- a/loadbalancer/store/raft/members.py
+++ b/loadbalancer/store/raft/members.py
@@ -10,13 +10,13 @@
 from loadbalancer.store.raft.errors import MembershipError
 from loadbalancer.store.raft.messages import Members
 
-MAX_REMOVED_NODES: Final = 256  # numbers of former members
+MAX_REMOVED_NODES: Final = 256  # former members whose numbers are retained
 MAX_VOTERS: Final = 9
 MAX_LEARNERS: Final = 16
 
 
 class ChangeKind(Enum):
-    """A single-server change; the values are those of the wire and the command line."""
+    """Kinds of single-server changes; the values are used on the wire and the command line."""
 
     LEARN = "learn"
     PROMOTE = "promote"
@@ -24,10 +24,10 @@
 
 
 def parse_change_kind(text: str) -> ChangeKind:
-    """Return the kind that a request names.
+    """Return the change kind with the name in a request.
 
     Raises:
-        MembershipError: There is none.
+        MembershipError: No change kind has this name.
     """
     try:
         return ChangeKind(text)
@@ -47,10 +47,12 @@
 
 
 def add_learner(members: Members, node: int, address: str) -> Members:
-    """Add a node that takes the log but has no vote; a known one gets another address.
+    """Add a learner, a node that receives the log but has no vote.
+
+    If the node is already a member, only its address is updated.
 
     Raises:
-        MembershipError: It was removed, or there are too many learners.
+        MembershipError: The node was removed before, or there are too many learners.
     """
     if node in members.removed:
         raise MembershipError(
@@ -68,7 +70,7 @@
     """Make a learner a voter.
 
     Raises:
-        MembershipError: It is no learner, or there are too many voters.
+        MembershipError: The node is not a learner, or there are too many voters.
     """
     if node in members.voters:
         return members
@@ -81,10 +83,10 @@
 
 
 def remove(members: Members, node: int) -> Members:
-    """Remove a member for good.
+    """Remove a member permanently.
 
     Raises:
-        MembershipError: It is no member, or the last voter.
+        MembershipError: The node is not a member, or it is the last voter.
     """
     if node not in members.all:
         raise MembershipError(f"node {node:x} is no member")
@@ -99,7 +101,7 @@
 
 
 class MembershipChange(msgspec.Struct, frozen=True):
-    """One change of the members."""
+    """A change of one member."""
 
     kind: ChangeKind
     node: int
@@ -109,7 +111,7 @@
         """Return the members after this change.
 
         Raises:
-            MembershipError: It can't be made.
+            MembershipError: The change is not possible.
         """
         match self.kind:
             case ChangeKind.LEARN:
--- a/loadbalancer/store/raft/membership.py
+++ b/loadbalancer/store/raft/membership.py
@@ -1,7 +1,7 @@
-"""Entries into the log, and the members that they define.
+"""Appending entries to the log, and the membership that they define.
 
-Members change one server at a time (thesis 4.1 to 4.3), and count from the moment that their entry
-stands in the log.
+Members change one server at a time (thesis 4.1 to 4.3). A new membership takes effect as soon as
+its entry is in the log, before the entry is committed.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class Membership(RaftState):
-    """Writes entries into this node's log, and changes the members by them."""
+    """Appends entries to this node's log and applies the membership changes among them."""
 
     def require_change_possible(self) -> None:
-        """Check that this node may begin a change of the members now.
+        """Check that this node may start a membership change now.
 
         Raises:
-            NotLeaderError: Another node leads, or none.
-            BusyError: A transfer of leadership or another change is under way.
+            NotLeaderError: This node is not the leader.
+            BusyError: A leadership transfer or another membership change is in progress.
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader_id)
@@ -33,12 +33,12 @@
             raise BusyError("another change of members is under way, or this leader is too new")
 
     def change_membership(self, change: MembershipChange) -> int:
-        """Propose a change of the members; return the index of its entry.
+        """Propose a membership change; return the index of its entry.
 
         Raises:
-            NotLeaderError: Another node leads, or none.
-            BusyError: A transfer of leadership or another change is under way.
-            MembershipError: The change can't be made.
+            NotLeaderError: This node is not the leader.
+            BusyError: A leadership transfer or another membership change is in progress.
+            MembershipError: The change is not possible.
         """
         self.require_change_possible()
         members = change.applied_to(self.members)
@@ -58,9 +58,10 @@
             )
 
     def _is_membership_settled(self) -> bool:
-        """The correction of single-server changes (Ongaro, raft-dev, July 2015).
+        """Return whether a leader may start a membership change.
 
-        A leader makes none before an entry of its own term is committed, and never two at a time.
+        A leader may start one only after an entry of its own term is committed, and only one at a
+        time. This is the correction of single-server changes (Ongaro, raft-dev, July 2015).
         """
         return (
             self.members_index <= self.commit_index
@@ -75,7 +76,7 @@
         return entry.index
 
     def _store_entries(self, entries: Sequence[Entry]) -> None:
-        """Put entries into the log, in place of those from the first index on, and to disk."""
+        """Store entries in log and next batch, replacing those from the first index on."""
         first_index = entries[0].index
         if first_index <= self.log.last_index:
             self._drop_entries_from(first_index)
@@ -85,7 +86,7 @@
             self._record_members(entry)
 
     def _drop_entries_from(self, first_index: int) -> None:
-        assert first_index > self.commit_index, "a committed entry would be dropped"
+        assert first_index > self.commit_index, "dropping a committed entry"
         self.durable_index = min(self.durable_index, first_index - 1)
         self.memberships = [(i, members) for i, members in self.memberships if i < first_index]
         pending = self.pending_batch.entries
@@ -99,5 +100,5 @@
             self._members_changed()
 
     def _members_changed(self) -> None:
-        """As a leader, follow the members that were just recorded."""
+        """Update the leader's followers after a membership change was recorded."""
         raise NotImplementedError
--- a/loadbalancer/store/raft/messages.py
+++ b/loadbalancer/store/raft/messages.py
@@ -1,4 +1,4 @@
-"""The messages between nodes, and what nodes agree on: terms, entries, members.
+"""Messages between nodes, and the replicated structs: terms, entries and members.
 
 Names and fields follow D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus
 Algorithm (Extended Version)", figure 2 and section 7, and D. Ongaro's thesis, chapters 3, 4, 6 and
@@ -12,20 +12,21 @@
 
 import msgspec
 
-NO_NODE: Final = 0  # the number of no node: nobody leads, or nobody was voted for
+NO_NODE: Final = 0  # no leader, or no vote was cast
 
 
 class EntryKind(IntEnum):
-    """What an entry holds."""
+    """The kind of an entry's data."""
 
-    # A new leader's first: it commits what came before (thesis 6.4, and the correction of 4.1).
+    # A new leader's first entry; committing it commits all earlier entries (thesis 6.4, and the
+    # correction of 4.1).
     NO_OP = 0
     COMMAND = 1  # for the state machine
-    MEMBERS = 2  # the members from here on, `Members` as msgpack
+    MEMBERS = 2  # the members from this entry on, as `Members` in MessagePack
 
 
 class ArrayStruct(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Encoded by position, on the wire and on disk.
+    """A struct that is encoded by position, on the wire and on disk.
 
     Fields are only ever added at the end, with a default.
     """
@@ -41,19 +42,22 @@
 
 
 class HardState(ArrayStruct, frozen=True, gc=False):
-    """What must be durable before a promise leaves: figure 2's `currentTerm` and `votedFor`."""
+    """Figure 2's `currentTerm` and `votedFor`.
+
+    They must be durable before a message that depends on them is sent.
+    """
 
     term: int = 0
     voted_for: int = NO_NODE
 
 
 class Members(ArrayStruct, frozen=True):
-    """Who belongs to the cluster."""
+    """The members of the cluster."""
 
     voters: tuple[int, ...] = ()
     learners: tuple[int, ...] = ()
     addresses: dict[int, str] = {}
-    removed: tuple[int, ...] = ()  # numbers of former members, newest last: none returns
+    removed: tuple[int, ...] = ()  # former members, newest last; they can't rejoin
 
     @property
     def all(self) -> tuple[int, ...]:
@@ -62,7 +66,7 @@
 
 
 class SnapshotId(NamedTuple):
-    """What tells two snapshots apart."""
+    """Identifies a snapshot."""
 
     last_index: int
     last_term: int
@@ -77,41 +81,44 @@
     term: int
     members: Members
     size: int  # bytes
-    checksum: int  # CRC-32C of them
+    checksum: int  # CRC-32C of the content
 
     @property
     def id(self) -> SnapshotId:
-        """What tells it from another snapshot."""
+        """The identifier of this snapshot."""
         return SnapshotId(self.index, self.term, self.size, self.checksum)
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """A message between nodes. `term` is the sender's; in a pre-vote the one that it would have."""
+    """A message between nodes.
+
+    `term` is the sender's term. In a pre-vote request it is the term of the prospective election.
+    """
 
     term: int
 
 
 class RequestVote(Message, frozen=True, tag=1):
-    """A candidate asks for a vote."""
+    """Requests a vote for a candidate."""
 
     last_log_index: int
     last_log_term: int
-    is_pre_vote: bool  # would it be granted? (thesis 9.6)
+    is_pre_vote: bool  # asks only whether a vote would be granted (thesis 9.6)
     is_transfer: bool = False  # the leader transferred its leadership (thesis 3.10)
 
 
 class RequestVoteResponse(Message, frozen=True, tag=2):
-    """A vote, or its refusal."""
+    """Grants or refuses a vote."""
 
     is_granted: bool
     is_pre_vote: bool
 
 
 class AppendEntries(Message, frozen=True, tag=3):
-    """Entries from the leader; without any, a heartbeat.
+    """Entries from the leader; a heartbeat if there are none.
 
-    `round` counts the leader's rounds in its term; a response that bears it proves that the sender
-    still followed when the round began (thesis 6.4).
+    `round` counts the leader's rounds of messages in its term. A response with this number proves
+    that its sender still followed the leader when the round began (thesis 6.4).
     """
 
     prev_log_index: int
@@ -122,9 +129,9 @@
 
 
 class AppendEntriesResponse(Message, frozen=True, tag=4):
-    """How far a follower's log matches the leader's."""
+    """Reports how far a follower's log matches the leader's."""
 
-    index: int  # the last that matches; if rejected, the `prev_log_index` that did not
+    index: int  # the last matching index; if rejected, the mismatched `prev_log_index`
     round: int
     is_rejected: bool = False
     hint_index: int = 0  # the last entry that may match (paper, 5.3)
@@ -132,7 +139,7 @@
 
 
 class InstallSnapshotChunk(Message, frozen=True, tag=5):
-    """Part of a snapshot, from byte `offset` on."""
+    """A part of a snapshot, starting at byte `offset`."""
 
     snapshot: SnapshotMeta
     offset: int
@@ -141,7 +148,7 @@
 
 
 class InstallSnapshotChunkResponse(Message, frozen=True, tag=6):
-    """How much of a snapshot the follower has; the sender goes on from `offset`."""
+    """Reports how much of a snapshot the follower has; sending continues at `offset`."""
 
     snapshot_id: SnapshotId
     offset: int
@@ -149,24 +156,24 @@
 
 
 class TimeoutNow(Message, frozen=True, tag=7):
-    """Start an election at once (thesis 3.10)."""
+    """Tells the receiver to start an election immediately (thesis 3.10)."""
 
 
 class ReadIndexRequest(Message, frozen=True, tag=8):
-    """A follower asks from which index on a read is linearizable."""
+    """Requests the index from which a follower's read is linearizable."""
 
     ticket: int
 
 
 class ReadIndexResponse(Message, frozen=True, tag=9):
-    """The index that must be applied before the read is answered."""
+    """Carries the index that must be applied before the read is served."""
 
     ticket: int
     index: int
 
 
 class NodeRemoved(Message, frozen=True, tag=10):
-    """The receiver was removed from the cluster and should start no more elections."""
+    """Notifies a removed node, which must not start further elections."""
 
     index: int
 
@@ -183,7 +190,7 @@
 
 
 def pack(struct: msgspec.Struct) -> bytes:
-    """Encode a message, or a struct of the log."""
+    """Encode a message or another struct."""
     return _encoder.encode(struct)
 
 
@@ -191,7 +198,7 @@
     """Decode a message.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The data is not a valid message.
     """
     return _message_decoder.decode(data)
 
@@ -200,6 +207,6 @@
     """Decode the data of an entry that changes the members.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The data is not a valid `Members` struct.
     """
     return _members_decoder.decode(data)
--- a/loadbalancer/store/raft/node.py
+++ b/loadbalancer/store/raft/node.py
@@ -1,20 +1,20 @@
 """The Raft state machine of one node, without I/O.
 
-It is handed the time, messages and reports of what is durable, and gives back messages, work for
-the disk and committed entries.
+The caller passes in the time, received messages and reports of completed disk writes. The state
+machine returns messages to send, batches to persist and committed entries to apply.
 
 Sources: the extended Raft paper (figure 2, sections 5 to 8) and Ongaro's thesis (3.10 leadership
 transfer, 4 membership, 6.4 reads, 9.6 pre-vote, 10.2 pipelining and writing in parallel). A caller
 
-1. calls `tick`, `step`, `propose`, `change_membership`, `request_read` and `transfer_leadership` as
-   things happen;
-2. sends what `take_messages` gives, at once;
+1. calls `tick`, `step`, `propose`, `change_membership`, `request_read` and `transfer_leadership`
+   when the corresponding event occurs;
+2. sends the messages from `take_messages` immediately;
 3. takes one `Batch` at a time with `take_batch`, makes all of it durable, and calls
-   `batch_persisted`: only then do the promises in it leave;
-4. applies what `take_committed` gives, in order, and calls `mark_applied`.
+   `batch_persisted`, which releases the batch's messages for sending;
+4. applies the entries from `take_committed` in order and calls `mark_applied`.
 
-Nothing is believed of the clock but that it moves on by itself: reads are proved by a round of
-messages, never by a lease.
+The only assumption about the clock is that it advances: reads are confirmed by a round of messages,
+never by a leader lease.
 """
 
 from __future__ import annotations
@@ -51,19 +51,19 @@
 
 
 class RaftNode(Election):
-    """The entry points of the state machine: time, messages, proposals, disk and state machine."""
+    """The entry points for the caller: time, messages, proposals, disk and applied entries."""
 
     def __init__(
         self, node_id: int, config: RaftConfig, stored: StoredState, now: int, rng: random.Random
     ) -> None:
-        """Begin as a follower, from what is on disk.
+        """Start as a follower with the state stored on disk.
 
         Args:
             node_id: This node's number.
             config: Timeouts and limits.
-            stored: What is on disk.
-            now: The clock.
-            rng: Draws election timeouts.
+            stored: The state stored on disk.
+            now: The current time of the caller's clock, in ns.
+            rng: The source of random election timeouts.
         """
         super().__init__(node_id, config, stored, now, rng)
         for entry in self.log.entries[self.applied_index - self.log.base_index :]:
@@ -73,10 +73,11 @@
     # ---- time ------------------------------------------------------------------------------------
 
     def tick(self, caller_clock_ns: int) -> None:
-        """Take in that time has passed.
+        """Advance the node's clock and run timers that are due.
 
-        A clock that jumps back stands still, one that jumps on moves by half an election timeout:
-        messages that came meanwhile are to be processed first.
+        The node's clock does not go back if the caller's clock does. It advances by at most half an
+        election timeout per call, so that after a long pause the messages that arrived in the
+        meantime are processed before an election starts.
         """
         step_ns = min(caller_clock_ns - self.caller_clock_ns, self.config.election_timeout_ns // 2)
         self.now_ns += max(0, step_ns)
@@ -88,7 +89,7 @@
 
     @property
     def wake_ns(self) -> int:
-        """When to call `tick` next, on the caller's clock."""
+        """The time of the next `tick`, on the caller's clock."""
         is_leader = self.role is Role.LEADER
         deadline_ns = self.heartbeat_due_ns if is_leader else self.election_deadline_ns
         return self.caller_clock_ns + max(0, deadline_ns - self.now_ns)
@@ -96,11 +97,11 @@
     # ---- proposals -------------------------------------------------------------------------------
 
     def propose(self, commands: Sequence[bytes]) -> list[int]:
-        """Append commands; return the indices at which they stand if this leader stays.
+        """Append commands; return their indices, which are final only once they are committed.
 
         Raises:
-            NotLeaderError: Another node leads, or none.
-            BusyError: Leadership is being transferred, or too much is not yet committed.
+            NotLeaderError: This node is not the leader.
+            BusyError: A leadership transfer is in progress, or too many proposals are uncommitted.
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader_id)
@@ -118,7 +119,7 @@
     # ---- messages --------------------------------------------------------------------------------
 
     def take_messages(self) -> list[tuple[int, AnyMessage]]:
-        """Return messages that may leave now, each with its receiver."""
+        """Return messages to send now, each with its receiver."""
         if self.role is Role.LEADER:
             self._flush()
         messages = self.outbox
@@ -128,7 +129,8 @@
     def step(self, sender: int, message: AnyMessage) -> None:
         """Process a message.
 
-        One from a node that is no member counts, too: it may know more (thesis 4.1).
+        Messages from nodes that are not members are processed too: this node's membership may be
+        out of date (thesis 4.1).
         """
         if isinstance(message, NodeRemoved):
             self._on_node_removed(message)
@@ -168,7 +170,10 @@
                 self.confirmed_reads.append(ConfirmedRead(message.ticket, message.index))
 
     def _on_node_removed(self, message: NodeRemoved) -> None:
-        """Only a removed node is notified, by one that saw the removal committed."""
+        """Stop taking part in elections after a removal.
+
+        A node sends this message only to a removed node, after the removal was committed.
+        """
         if message.index > self.members_index or self.node_id not in self.members.all:
             self.is_removed = True
             self._become_follower(self.term, NO_NODE)
@@ -182,9 +187,9 @@
             self._begin_read(message.ticket, sender)
 
     def _accept_newer_term(self, sender: int, message: AnyMessage) -> bool:
-        """Adopt a later term; return whether the message is processed.
+        """Adopt a newer term; return whether to process the message.
 
-        It is not adopted from a pre-vote, nor from a candidate while there is a live leader.
+        The term is not adopted from a pre-vote, nor from a candidate while there is a live leader.
         """
         if isinstance(message, RequestVote):
             if not message.is_transfer and self._has_live_leader():
@@ -194,7 +199,7 @@
                 return True
         elif isinstance(message, RequestVoteResponse):
             if message.is_pre_vote and message.is_granted:
-                return True  # its term is the one that the pre-vote was for
+                return True  # a granted pre-vote has the term of the prospective election
         elif isinstance(message, TimeoutNow | ReadIndexRequest | ReadIndexResponse):
             return False
         is_from_leader = isinstance(message, AppendEntries | InstallSnapshotChunk)
@@ -202,7 +207,7 @@
         return True
 
     def _reply_to_older_term(self, sender: int, message: AnyMessage) -> None:
-        """Notify a sender that is behind of the term; its message is ignored."""
+        """Reply to a message of an older term with the current term; the message is ignored."""
         match message:
             case RequestVote():
                 response = RequestVoteResponse(self.term, False, message.is_pre_vote)
@@ -213,7 +218,7 @@
     # ---- disk ------------------------------------------------------------------------------------
 
     def take_batch(self) -> Batch | None:
-        """Return work for the disk. There is never more than one batch in flight."""
+        """Return the next batch to persist; None if one is in flight or nothing is pending."""
         if self.batch_in_flight is not None or self.pending_batch.is_empty:
             return None
         self.batch_in_flight = self.pending_batch
@@ -222,11 +227,11 @@
         return self.batch_in_flight
 
     def batch_persisted(self, batch: Batch, is_installed: bool = True) -> None:
-        """Take in that a batch is durable; its messages leave.
+        """Record that a batch is durable and release its messages for sending.
 
         Args:
             batch: The batch in flight.
-            is_installed: Whether the snapshot in it was complete.
+            is_installed: Whether the snapshot in the batch was complete and is installed.
         """
         assert batch is self.batch_in_flight
         self.batch_in_flight = None
@@ -247,7 +252,7 @@
     # ---- the replicated state machine ------------------------------------------------------------
 
     def take_committed(self, limit: int = MAX_ENTRIES_TO_APPLY) -> list[Entry]:
-        """Return entries to apply next: committed, and durable on this node."""
+        """Return the next entries to apply, which are committed and durable on this node."""
         last = min(self.commit_index, self.durable_index, self.delivered_index + limit)
         if last <= self.delivered_index or self.installing_snapshot is not None:
             return []
@@ -256,5 +261,5 @@
         return entries
 
     def mark_applied(self, index: int) -> None:
-        """Take in that entries up to `index` are applied."""
+        """Record that entries up to `index` are applied."""
         self.applied_index = max(self.applied_index, index)
--- a/loadbalancer/store/raft/progress.py
+++ b/loadbalancer/store/raft/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one follower, and the flow control of appends and snapshots to it."""
+"""A leader's view of one follower, with flow control of appends and snapshots."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 
 
 class ProgressState(Enum):
-    """How entries go to a follower."""
+    """How entries are sent to a follower."""
 
-    PROBE = "probe"  # one message at a time, until it is known where the logs match
+    PROBE = "probe"  # one message at a time, until the matching index is found
     REPLICATE = "replicate"  # many messages in flight
-    SNAPSHOT = "snapshot"  # what it needs is no longer in the log
+    SNAPSHOT = "snapshot"  # the log no longer holds the entries that the follower needs
 
 
 @dataclass(slots=True, eq=False)
 class Progress:
-    """One follower, as its leader knows it."""
+    """Replication progress of one follower."""
 
     next_index: int
     match_index: int = 0
     state: ProgressState = ProgressState.PROBE
     is_probe_in_flight: bool = False
-    in_flight: deque[int] = field(default_factory=deque)  # REPLICATE: last index of each append
-    acked_round: int = 0  # the last of the leader's rounds that it responded to
+    in_flight: deque[int] = field(default_factory=deque)  # REPLICATE: the last index of each append
+    acked_round: int = 0  # the leader's last round that the follower responded to
     last_contact_ns: int = 0
-    snapshot: SnapshotMeta | None = None  # SNAPSHOT: what is being sent
-    acked_bytes: int = 0  # of the snapshot
+    snapshot: SnapshotMeta | None = None  # SNAPSHOT: the snapshot being sent
+    acked_bytes: int = 0  # of the snapshot: acknowledged
     sent_bytes: int = 0  # of the snapshot: acknowledged or in flight
     snapshot_progress_ns: int = 0  # when `acked_bytes` last grew, or chunks were sent again
 
     def become_probe(self, next_index: int) -> None:
-        """Find out where the logs match, beginning before this entry."""
+        """Probe for the matching index, starting just before `next_index`."""
         self._set_state(ProgressState.PROBE)
         self.next_index = max(next_index, self.match_index + 1)
 
     def become_replicate(self) -> None:
-        """The logs match up to `match_index`: send many appends at a time."""
+        """Pipeline appends, as the logs match up to `match_index`."""
         self._set_state(ProgressState.REPLICATE)
         self.next_index = self.match_index + 1
 
@@ -50,7 +50,7 @@
         self.in_flight.clear()
 
     def become_snapshot(self, snapshot: SnapshotMeta | None, now: int) -> None:
-        """Send this snapshot, or wait for one."""
+        """Send a snapshot, or wait for one to become available if it is None."""
         self.state = ProgressState.SNAPSHOT
         self.snapshot = snapshot
         self.acked_bytes = 0
@@ -59,7 +59,7 @@
         self.in_flight.clear()
 
     def append_acknowledged(self, index: int) -> None:
-        """Appends up to this index are no longer in flight."""
+        """Remove appends up to this index from those in flight."""
         while self.in_flight and self.in_flight[0] <= index:
             self.in_flight.popleft()
 
--- a/loadbalancer/store/raft/reads.py
+++ b/loadbalancer/store/raft/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads, proved by a round of messages and never by a lease (thesis 6.4)."""
+"""Linearizable reads, confirmed by a round of messages, never by a leader lease (thesis 6.4)."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Reads(RaftState):
-    """Read-index requests: those of this node, and as a leader those of followers."""
+    """Read-index requests of this node and, on the leader, of its followers."""
 
     def request_read(self, ticket: int) -> None:
-        """Ask for a linearizable read; `take_confirmed_reads` gives the ticket back.
+        """Request a linearizable read; `take_confirmed_reads` returns its ticket once confirmed.
 
         Raises:
             NotLeaderError: No leader is known.
-            BusyError: Too many reads wait.
+            BusyError: Too many reads are pending.
         """
         if self.role is Role.LEADER:
             self._begin_read(ticket, None)
@@ -27,7 +27,7 @@
             raise NotLeaderError(NO_NODE)
 
     def take_confirmed_reads(self) -> list[int]:
-        """Return tickets of reads that may be answered from the applied state now."""
+        """Return tickets of reads that may be served from the applied state now."""
         ready = []
         while self.confirmed_reads and self.confirmed_reads[0].read_index <= self.applied_index:
             ready.append(self.confirmed_reads.popleft().ticket)
@@ -37,7 +37,7 @@
         waiting_count = len(self.pending_reads) + len(self.deferred_reads)
         if waiting_count >= self.config.max_pending_reads:
             if requester is not None:
-                return  # the follower asks again
+                return  # the follower retries
             raise BusyError("too many reads wait")
         if self.log.term_at(self.commit_index) != self.term:
             self.deferred_reads.append(ReadRequest(ticket, requester))
@@ -58,7 +58,7 @@
             self._confirm_reads()
 
     def _confirm_reads(self) -> None:
-        """Confirm the reads whose round a quorum acknowledged."""
+        """Confirm reads whose round was acknowledged by a quorum."""
         if not self.pending_reads:
             return
         voters = self.members.voters
--- a/loadbalancer/store/raft/ready.py
+++ b/loadbalancer/store/raft/ready.py
@@ -1,4 +1,4 @@
-"""What the state machine hands to its caller: work for the disk, chunks to send, reads."""
+"""Output of the state machine for its caller: disk batches, snapshot chunks and reads."""
 
 from __future__ import annotations
 
@@ -16,22 +16,24 @@
 
 @dataclass(slots=True)
 class Batch:
-    """What must be durable, all of it in this order, before `messages` may leave."""
+    """Work for the disk, in the order of the fields; `messages` are sent once it is durable."""
 
     hard_state: HardState | None = None
-    entries: list[Entry] = field(default_factory=list)  # the first drops those from its index on
+    entries: list[Entry] = field(
+        default_factory=list
+    )  # stored entries from the first index on are dropped
     chunks: list[InstallSnapshotChunk] = field(default_factory=list)
-    install: SnapshotMeta | None = None  # all its chunks are there: it replaces state and log
+    install: SnapshotMeta | None = None  # all chunks are stored: it replaces state and log
     messages: list[tuple[int, AnyMessage]] = field(default_factory=list)  # receiver, message
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether the batch has neither work for the disk nor messages."""
         return not (self.needs_disk or self.messages)
 
     @property
     def needs_disk(self) -> bool:
-        """Whether there is something to make durable."""
+        """Whether the batch has data to make durable."""
         return bool(self.hard_state or self.entries or self.chunks or self.install)
 
 
@@ -48,11 +50,11 @@
     """A read that waits for the first commit of the leader's term."""
 
     ticket: int
-    requester: int | None  # a follower; None: this node
+    requester: int | None  # a follower; None for this node
 
 
 class PendingRead(NamedTuple):
-    """A read that waits until its round is acknowledged by a quorum."""
+    """A read that waits until a quorum acknowledges its round."""
 
     ticket: int
     requester: int | None
@@ -61,7 +63,7 @@
 
 
 class ConfirmedRead(NamedTuple):
-    """A read that may be answered once `read_index` is applied."""
+    """A read that may be served once `read_index` is applied."""
 
     ticket: int
     read_index: int
--- a/loadbalancer/store/raft/replication.py
+++ b/loadbalancer/store/raft/replication.py
@@ -1,4 +1,4 @@
-"""Log replication and commitment (paper, 5.3 and 5.4; thesis 10.2.1: writing in parallel)."""
+"""Log replication and commitment (paper, 5.3 and 5.4; thesis 10.2.1: parallel disk writes)."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from loadbalancer.store.raft.snapshots import Snapshots
 from loadbalancer.store.raft.state import Role
 
-# A follower without contact for so many election timeouts does not count as following.
+# A follower without contact for this number of election timeouts does not count as following.
 FOLLOWING_TIMEOUTS: Final = 2
-# Chunks without progress for so many heartbeats are sent again.
+# Snapshot chunks are sent again after this number of heartbeat intervals without progress.
 CHUNK_RETRY_HEARTBEATS: Final = 2
 
 
 class Replication(Membership, Snapshots):
-    """Both sides of AppendEntries, what a leader commits, and how it transfers its leadership."""
+    """AppendEntries on leader and follower, commitment, and leadership transfer."""
 
     # ---- leader: timers --------------------------------------------------------------------------
 
     def _tick_leader(self) -> None:
-        """Begin a heartbeat when one is due, if a quorum still follows (thesis 6.2)."""
+        """Start a heartbeat when it is due; step down without contact to a quorum (thesis 6.2)."""
         if self.transfer_target is not None and self.now_ns >= self.transfer_deadline_ns:
-            self.transfer_target = None  # it did not take over in time
+            self.transfer_target = None  # the target did not take over in time
         if self.now_ns < self.heartbeat_due_ns:
             return
         self.heartbeat_due_ns = self.now_ns + self.config.heartbeat_interval_ns
@@ -67,12 +67,12 @@
     # ---- leader: transfer of leadership (thesis 3.10) --------------------------------------------
 
     def transfer_leadership(self, target: int) -> None:
-        """Hand the leadership over to a voter.
+        """Start to transfer the leadership to a voter.
 
         Raises:
-            NotLeaderError: Another node leads, or none.
-            BusyError: Another transfer is under way.
-            MembershipError: The target is no voter.
+            NotLeaderError: This node is not the leader.
+            BusyError: Another transfer is in progress.
+            MembershipError: The target is not a voter.
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader_id)
@@ -90,7 +90,7 @@
         self._try_transfer(target)
 
     def _try_transfer(self, target: int) -> None:
-        """Let the target start an election, once it has all entries."""
+        """Tell the target to start an election if it has all entries."""
         progress = self.progress.get(target)
         if progress is not None and progress.match_index == self.log.last_index:
             self._send(target, TimeoutNow(self.term))
@@ -102,7 +102,7 @@
         )
 
     def _transfer_because_disk_is_slow(self) -> None:
-        """Nothing that this node writes becomes durable: the most complete follower takes over."""
+        """Transfer leadership to the most up-to-date follower, as the local disk is slow."""
         voters = self.members.voters
         candidates = [n for n in voters if n != self.node_id and self._is_following(n)]
         if candidates and self.transfer_target is None:
@@ -119,12 +119,12 @@
                 node, Progress(self.log.last_index, last_contact_ns=self.now_ns)
             )
         for node in [n for n in self.progress if n not in all_members and n != self.node_id]:
-            # One last append goes out, so that the node may learn of its own removal.
+            # Send one last append, which may inform the node of its removal.
             self._send_append(node, self.progress[node])
             del self.progress[node]
 
     def _flush(self) -> None:
-        """Send what flow control permits to each follower, and a new round where one is due."""
+        """Send to each follower what flow control permits, and start a new round if one is due."""
         if self.is_round_due:
             self.round += 1
         for node, progress in list(self.progress.items()):
@@ -150,10 +150,10 @@
             self._send_heartbeat(node, progress)
 
     def _send_heartbeat(self, node: int, progress: Progress) -> None:
-        """Send an append without entries, which flow control does not bind.
+        """Send an append without entries, which is not subject to flow control.
 
-        While replicating it follows on all that was sent: where some of that was lost, it is
-        rejected, and the leader notices.
+        In the REPLICATE state its previous index is the last index sent. If an append was lost,
+        the follower rejects the heartbeat, and so the leader detects the loss.
         """
         is_replicating = progress.state is ProgressState.REPLICATE
         index = progress.next_index - 1 if is_replicating else progress.match_index
@@ -164,7 +164,7 @@
         self._send(node, AppendEntries(self.term, index, term, self.commit_index, self.round))
 
     def _send_append(self, node: int, progress: Progress) -> bool:
-        """Send the next entries. False: the log no longer holds them, and a snapshot is due."""
+        """Send the next entries; return False if they were compacted and a snapshot is needed."""
         prev_index = progress.next_index - 1
         prev_term = self.log.term_at(prev_index)
         if prev_term is None:
@@ -187,7 +187,7 @@
     def _fall_back_to_snapshot(self, progress: Progress) -> None:
         snapshot = self.available_snapshot
         if snapshot is not None and snapshot.index < self.log.base_index:
-            snapshot = None  # the entries after it are gone, too
+            snapshot = None  # the entries after the snapshot were compacted, too
         progress.become_snapshot(snapshot, self.now_ns)
         self.needs_snapshot = self.needs_snapshot or snapshot is None
 
@@ -207,7 +207,7 @@
             self._try_transfer(sender)
 
     def _append_rejected(self, progress: Progress, message: AppendEntriesResponse) -> None:
-        """Go back to where the logs may match; a stale rejection is ignored."""
+        """Probe again from the last entry that may match; ignore a stale rejection."""
         is_probing = progress.state is ProgressState.PROBE
         is_stale = message.index <= progress.match_index or (
             is_probing and message.index != progress.next_index - 1
@@ -231,7 +231,7 @@
             progress.become_probe(index + 1)
 
     def _update_match(self, node: int, index: int) -> None:
-        """A node's log matches up to `index`: commit what a quorum has."""
+        """Record that a node's log matches up to `index`; commit entries that a quorum holds."""
         progress = self.progress.get(node)
         if progress is None:
             return
@@ -244,7 +244,10 @@
             self._commit(quorum_index)
 
     def _can_commit(self, index: int) -> bool:
-        """Only an entry of its own term is committed by counting (paper, 5.4.2)."""
+        """Return whether counting replicas may commit this entry.
+
+        A leader commits only entries of its own term in this way (paper, 5.4.2).
+        """
         return self.log.term_at(index) == self.term
 
     def _commit(self, index: int) -> None:
@@ -255,12 +258,15 @@
         if self.members_index <= index and self.node_id not in self.members.all:
             self._resign_after_removal()
         elif self.role is Role.LEADER:
-            # Followers learn of it with the next entries, or by a heartbeat soon.
+            # Followers are notified by the next append, or by an early heartbeat.
             notice_ns = self.now_ns + self.config.commit_notice_ns
             self.heartbeat_due_ns = min(self.heartbeat_due_ns, notice_ns)
 
     def _resign_after_removal(self) -> None:
-        """A leader leads, without a vote, until its own removal is committed (thesis 4.2.2)."""
+        """Step down after this leader's removal was committed.
+
+        Until then it leads without counting itself in the quorum (thesis 4.2.2).
+        """
         for node, progress in self.progress.items():
             if node != self.node_id:
                 self._send_append(node, progress)
@@ -277,7 +283,7 @@
         entries = message.entries
         last_index = message.prev_log_index + len(entries)
         if message.prev_log_index < self.commit_index:
-            # Committed entries agree with any leader's log: only the others are compared.
+            # Committed entries match every leader's log, so only later entries are compared.
             if last_index <= self.commit_index:
                 response = AppendEntriesResponse(self.term, self.commit_index, message.round)
                 self._send_when_durable(sender, response)
@@ -296,7 +302,10 @@
             self._store_entries(entries[matching:])
 
     def _reject_while_installing(self, sender: int, message: AppendEntries) -> None:
-        """This node still follows, and saying so needs no disk."""
+        """Reject an append while a snapshot is being installed.
+
+        The response proves that this node still follows the leader. It needs no disk write.
+        """
         commit_term = self.log.term_at(self.commit_index) or 0
         response = AppendEntriesResponse(
             self.term, message.prev_log_index, message.round, True, self.commit_index, commit_term
@@ -321,8 +330,8 @@
 
     def _acknowledge_append(self, sender: int, message: AppendEntries, last_index: int) -> None:
         if not message.entries and self._is_term_durable():
-            # A heartbeat is acknowledged past the disk, with what that holds: a slow or full disk
-            # stops writes, not reads.
+            # A heartbeat is acknowledged without waiting for the disk, up to the durable index.
+            # So a slow or full disk blocks writes but not reads.
             index = min(last_index, self.durable_index)
             self._send(sender, AppendEntriesResponse(self.term, index, message.round))
         else:
--- a/loadbalancer/store/raft/snapshots.py
+++ b/loadbalancer/store/raft/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: sent in chunks to followers that need compacted entries, and installed by them."""
+"""Snapshots, sent in chunks to followers that need compacted entries and installed there."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class Snapshots(Reads):
-    """Both sides of a snapshot's transfer, and the compaction of the log."""
+    """Snapshot transfer on leader and follower, and log compaction."""
 
     # ---- this node's own snapshots and log -------------------------------------------------------
 
     def snapshot_exported(self, snapshot: SnapshotMeta) -> None:
-        """Take in that the caller made a snapshot which can be sent."""
+        """Record that a snapshot is available for sending."""
         self.available_snapshot = snapshot
         self.needs_snapshot = False
         if self.role is not Role.LEADER:
@@ -31,7 +31,7 @@
                 self._request_chunks(node, progress)
 
     def snapshot_lost(self) -> None:
-        """Take in that the snapshot can't be read any more."""
+        """Record that the available snapshot can no longer be read."""
         self.available_snapshot = None
         for progress in self.progress.values():
             if progress.state is ProgressState.SNAPSHOT:
@@ -39,7 +39,7 @@
                 self.needs_snapshot = True
 
     def compact(self, index: int) -> None:
-        """Drop entries up to `index` from the log: the state contains them durably."""
+        """Drop entries up to `index` from the log; the durable state contains them."""
         index = min(index, self.applied_index, self.durable_index)
         if index > self.log.base_index:
             members = self.members_at(index)
@@ -51,12 +51,12 @@
 
     @property
     def first_needed_index(self) -> int:
-        """Entries after this one will be needed by members that are taking a snapshot now."""
+        """The index after which members that are receiving a snapshot need all entries."""
         indices = [p.snapshot.index for p in self.progress.values() if p.snapshot is not None]
         return min(indices, default=self.log.last_index)
 
     def take_chunk_requests(self) -> list[ChunkRequest]:
-        """Return chunks of snapshots to read and send."""
+        """Return requests for snapshot chunks to read and send."""
         requests = self.chunk_requests
         self.chunk_requests = []
         return requests
@@ -64,7 +64,7 @@
     # ---- leader ----------------------------------------------------------------------------------
 
     def _request_chunks(self, node: int, progress: Progress) -> None:
-        """Ask the caller for as many chunks as flow control permits."""
+        """Request as many chunks from the caller as flow control permits."""
         snapshot = progress.snapshot
         if snapshot is None:
             return
@@ -108,7 +108,8 @@
             return
         snapshot = message.snapshot
         if snapshot.index <= self.commit_index or self.log.term_at(snapshot.index) == snapshot.term:
-            # It has all of that (paper, figure 13, step 6): entries after it may stay.
+            # This node has all entries of the snapshot, so later entries may be retained (paper,
+            # figure 13, step 6).
             self.commit_index = max(self.commit_index, snapshot.index)
             self._send_when_durable(
                 sender, AppendEntriesResponse(self.term, self.commit_index, message.round)
@@ -125,7 +126,7 @@
         self._send_when_durable(sender, response)
 
     def _accept_chunk(self, message: InstallSnapshotChunk) -> bool:
-        """Store a chunk, if it is the next one; return whether it was the last."""
+        """Store a chunk if it is the next in order; return whether it completes the snapshot."""
         snapshot = message.snapshot
         is_next_chunk = message.offset == self.incoming_bytes
         if not is_next_chunk or len(message.data) > snapshot.size - message.offset:
@@ -139,7 +140,7 @@
         return True
 
     def _snapshot_installed(self, snapshot: SnapshotMeta, is_complete: bool) -> None:
-        """Begin anew after the snapshot; ask for all of it again where it was not complete."""
+        """Restart from an installed snapshot; request an incomplete one again from the start."""
         self.installing_snapshot = None
         self.incoming_snapshot = None
         self.incoming_bytes = 0
--- a/loadbalancer/store/raft/state.py
+++ b/loadbalancer/store/raft/state.py
@@ -1,4 +1,4 @@
-"""What a Raft node knows, and the steps that all parts of the protocol share."""
+"""The state of a Raft node, and steps shared by all parts of the protocol."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
     ReadRequest,
 )
 
-NO_CONTACT_TIMEOUTS: Final = 2  # election timeouts without contact, at the start of a node
+NO_CONTACT_TIMEOUTS: Final = 2  # assumed election timeouts without contact when a node starts
 
 
 class Role(Enum):
-    """The role of a node in its term."""
+    """The role of a node in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -41,21 +41,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What a node had on disk; all of it counts as durable."""
+    """The state that a node loads from disk; all of it is durable."""
 
     hard_state: HardState
     log: Log
     members: Members  # as of `applied_index`
-    applied_index: int = 0  # the last entry that the state contains, if it is after the log's base
+    applied_index: int = 0  # the last applied entry, if it is after the log's base
 
 
 class RaftState:
-    """The state of one node, and steps without a concern of their own."""
+    """The state of one node, with steps that all parts of the protocol use."""
 
     def __init__(
         self, node_id: int, config: RaftConfig, stored: StoredState, now: int, rng: random.Random
     ) -> None:
-        """Begin as a follower, from what is on disk."""
+        """Start as a follower with the state stored on disk."""
         self.node_id = node_id
         self.config = config
         self.rng = rng
@@ -69,19 +69,19 @@
         self.log = stored.log
         self.applied_index = max(stored.log.base_index, stored.applied_index)
         self.commit_index = self.applied_index
-        self.delivered_index = self.applied_index  # handed out to be applied
+        self.delivered_index = self.applied_index  # passed to the caller for applying
         self.durable_index = stored.log.last_index  # on this node's disk
-        # The members, and the index of the entry from which on they count.
+        # Each membership with the index of the entry from which it is in effect.
         self.memberships: list[tuple[int, Members]] = [(stored.log.base_index, stored.members)]
         self.uncommitted_bytes = 0
         self.incoming_snapshot: SnapshotMeta | None = None
         self.incoming_bytes = 0
         self.installing_snapshot: SnapshotMeta | None = None
-        self.available_snapshot: SnapshotMeta | None = None  # the newest that can be sent
+        self.available_snapshot: SnapshotMeta | None = None  # the newest one that can be sent
         self.needs_snapshot = False  # a follower needs one, and none is available
 
     def _init_clock(self, now: int) -> None:
-        self.now_ns = now  # moves on by bounded steps, see `RaftNode.tick`
+        self.now_ns = now  # advances in bounded steps, see `RaftNode.tick`
         self.caller_clock_ns = now
         self.last_contact_ns = now - NO_CONTACT_TIMEOUTS * self.config.election_timeout_ns
         self.election_deadline_ns = now
@@ -90,17 +90,17 @@
     def _init_role(self) -> None:
         self.role = Role.FOLLOWER
         self.leader_id = NO_NODE
-        self.is_removed = False  # it was notified of its removal, or saw it committed
+        self.is_removed = False  # notified of its removal, or its removal was committed
         self.election_count = 0
         self.votes: dict[int, bool] = {}
         self.progress: dict[int, Progress] = {}
         self.round = 0
-        self.is_round_due = False  # a new round begins with the next messages
+        self.is_round_due = False  # a new round starts with the next messages
         self.pending_reads: deque[PendingRead] = deque()
-        self.deferred_reads: list[ReadRequest] = []  # came before the term's first commit
+        self.deferred_reads: list[ReadRequest] = []  # received before the term's first commit
         self.confirmed_reads: deque[ConfirmedRead] = deque()
         self.transfer_target: int | None = None
-        self.transfer_deadline_ns = 0  # the leadership is kept if the transfer takes longer
+        self.transfer_deadline_ns = 0  # after this time the transfer is abandoned
 
     def _init_output(self) -> None:
         self.outbox: list[tuple[int, AnyMessage]] = []
@@ -109,7 +109,7 @@
         self.batch_in_flight: Batch | None = None
         self.batch_started_ns = 0
 
-    # ---- what is asked of it ---------------------------------------------------------------------
+    # ---- queries ---------------------------------------------------------------------------------
 
     @property
     def term(self) -> int:
@@ -118,32 +118,32 @@
 
     @property
     def members(self) -> Members:
-        """The members that count now."""
+        """The membership in effect."""
         return self.memberships[-1][1]
 
     @property
     def members_index(self) -> int:
-        """The index of the entry from which on they count."""
+        """The index of the entry that defines the membership in effect."""
         return self.memberships[-1][0]
 
     def members_at(self, index: int) -> Members:
-        """Return the members as of this entry."""
+        """Return the membership in effect at this entry."""
         return next(
             members for first_index, members in reversed(self.memberships) if first_index <= index
         )
 
     def quorum(self, voters: Sequence[int]) -> int:
-        """Return how many of these voters are a majority."""
+        """Return the size of a majority of these voters."""
         return len(voters) // 2 + 1
 
     # ---- shared steps ----------------------------------------------------------------------------
 
     def _send(self, receiver: int, message: AnyMessage) -> None:
-        """Send a message that binds this node to nothing."""
+        """Send a message that doesn't depend on unsynced state."""
         self.outbox.append((receiver, message))
 
     def _send_when_durable(self, receiver: int, message: AnyMessage) -> None:
-        """Send a message that must not leave before all decided so far is durable."""
+        """Send a message once all earlier state changes are durable."""
         self.pending_batch.messages.append((receiver, message))
 
     def _reset_election_timer(self) -> None:
@@ -175,7 +175,7 @@
         self.uncommitted_bytes = 0
 
     def _record_leader_contact(self, sender: int) -> None:
-        """A message came that only the leader of this term sends."""
+        """Record a message that only the leader of this term sends."""
         if self.leader_id != sender or self.role is not Role.FOLLOWER:
             assert self.role is not Role.LEADER, "two leaders in one term"
             self._become_follower(self.term, sender)
--- a/loadbalancer/store/wire/frames.py
+++ b/loadbalancer/store/wire/frames.py
@@ -1,10 +1,10 @@
-"""Frames of a connection, in both directions.
+"""Encoding and decoding of the frames of a connection.
 
     frame = length(4) number(4) CRC-32C(4) payload(length)
 
-Little-endian. The checksum covers the connection's nonce, the frame's number and the payload, so a
-frame that was recorded on another connection, is repeated or is out of order is rejected. The nonce
-is empty until the handshake has set it.
+Little-endian. The checksum covers the connection's nonce, the frame's number and the payload, so
+frames that are replayed from another connection, repeated or out of order are rejected. The nonce
+is empty until the handshake sets it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from loadbalancer.store.errors import ProtocolError
 
 FRAME_HEADER: Final = struct.Struct("<III")
-MAX_GREETING_BYTES: Final = 4 << 10  # of the first frame: the peer is not authenticated yet
+MAX_GREETING_BYTES: Final = 4 << 10  # limit of the first frame; the peer is not authenticated yet
 NONCE_BYTES: Final = 16
 NUMBER_MASK: Final = 0xFFFFFFFF
 
@@ -36,11 +36,11 @@
         self.seed = 0
 
     def bind(self, nonce: bytes) -> None:
-        """Binds all further frames to the connection with this nonce."""
+        """Bind all further frames to the connection with this nonce."""
         self.seed = int(google_crc32c.value(nonce))
 
     def frame(self, payload: bytes) -> bytes:
-        """Returns the next frame."""
+        """Return the next frame, with this payload."""
         number = self.number & NUMBER_MASK
         self.number += 1
         checksum = _checksum(self.seed, number, payload)
@@ -51,7 +51,7 @@
     """Decodes the frames of one direction from a byte stream.
 
     Args:
-        max_payload_bytes: Longer payloads are rejected; may be changed between two frames.
+        max_payload_bytes: The limit of a payload; it may be changed between two frames.
     """
 
     def __init__(self, max_payload_bytes: int = MAX_GREETING_BYTES) -> None:
@@ -61,15 +61,15 @@
         self.buffer = bytearray()
 
     def bind(self, nonce: bytes) -> None:
-        """Binds all further frames to the connection with this nonce."""
+        """Bind all further frames to the connection with this nonce."""
         self.seed = int(google_crc32c.value(nonce))
 
     def feed(self, data: bytes) -> None:
-        """Adds received bytes."""
+        """Append received bytes."""
         self.buffer += data
 
     def payloads(self) -> Iterator[bytes]:
-        """Yields the payload of each complete frame; limit and nonce may change between two.
+        """Yield the payload of each complete frame; limit and nonce may change between frames.
 
         Raises:
             ProtocolError: The next frame is not valid on this connection.
--- a/loadbalancer/store/wire/protocol.py
+++ b/loadbalancer/store/wire/protocol.py
@@ -1,4 +1,4 @@
-"""Messages of the store's connections: handshake, requests of clients and their replies.
+"""Messages of the store's connections: handshake, client requests and replies.
 
 Encoded as MessagePack arrays with a tag. Fields are only added at the end, with a default.
 """
@@ -54,24 +54,24 @@
 ]
 
 PROTOCOL_VERSION: Final = 1
-MAX_REQUEST_BYTES: Final = 3 << 20  # twice a write with a value of the largest size, and more
-MAX_MESSAGE_BYTES: Final = 8 << 20  # between nodes
-MAX_PAGE_BYTES: Final = 2 << 20  # values of one reply
+MAX_REQUEST_BYTES: Final = 3 << 20  # more than twice a write with a value of the maximum size
+MAX_MESSAGE_BYTES: Final = 8 << 20  # of a message between nodes
+MAX_PAGE_BYTES: Final = 2 << 20  # total size of the values in one reply
 
 
 class Greeting(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """First frame of each side."""
+    """The first frame of each side."""
 
 
 class Hello(Greeting, frozen=True, tag=1):
-    """Greeting of the side that connected.
+    """The greeting of the connecting side.
 
     Attributes:
-        format: Its `PROTOCOL_VERSION`.
-        cluster: The cluster's name; empty if it is not known.
+        format: The sender's `PROTOCOL_VERSION`.
+        cluster: The cluster's name; empty if unknown.
         node: The node's number; 0 for a client.
-        address: Where the node accepts connections.
-        name: A name for the logs.
+        address: The address at which the node accepts connections.
+        name: The sender's name for log lines.
     """
 
     format: int
@@ -85,12 +85,12 @@
     """Accepts a connection.
 
     Attributes:
-        format: The newest format of the state that this node's program knows
+        format: The newest format of the state that this node's program supports
             (`commands.STATE_FORMAT`).
         cluster: The cluster's name.
         node: This node's number.
         nonce: The connection's nonce; all further frames are bound to it.
-        role: The role that the peer's certificate gives it.
+        role: The role that the peer's certificate grants.
     """
 
     format: int
@@ -101,7 +101,7 @@
 
 
 class Declined(Greeting, frozen=True, tag=3):
-    """Rejects a connection, with the reason in one line; the connection is closed."""
+    """Rejects a connection, which is then closed; `text` is the reason in one line."""
 
     text: str
 
@@ -111,11 +111,11 @@
 
     NOT_LEADER = 1  # retry at `RequestFailed.leader`
     BUSY = 2  # retry later
-    OUTCOME_UNKNOWN = 3  # it may have been executed: retry with the same number
+    OUTCOME_UNKNOWN = 3  # the request may have been executed; retry with the same number
     REJECTED = 4  # don't retry
-    FORBIDDEN = 5  # the certificate's role doesn't permit it
+    FORBIDDEN = 5  # the certificate's role doesn't permit the request
     COMPACTED = 6  # a watch's history is no longer retained
-    DEADLINE_EXCEEDED = 7  # its time limit passed
+    DEADLINE_EXCEEDED = 7  # the request's time limit passed
     DISK_FULL = 8  # the disk is full
 
 
@@ -123,8 +123,8 @@
     """Base of all requests.
 
     Attributes:
-        id: Drawn by the client; replies carry it.
-        timeout_ms: The client waits no longer for the reply.
+        id: Chosen by the client; replies carry the same id.
+        timeout_ms: The time that the client waits for the reply.
     """
 
     id: int
@@ -132,7 +132,7 @@
 
 
 class Propose(Request, frozen=True, tag=1):
-    """Proposes an encoded command: a write, a lease's or a session's."""
+    """Proposes an encoded write, lease or session command."""
 
     command: bytes
 
@@ -142,7 +142,8 @@
 
     Attributes:
         keys: The keys.
-        linear: Linearizable, confirmed by a majority; otherwise as this node has them applied.
+        linear: Whether the read is linearizable, which a majority confirms. Otherwise it returns
+            the state that this node has applied.
     """
 
     keys: tuple[str, ...]
@@ -150,7 +151,7 @@
 
 
 class Scan(Request, frozen=True, tag=3):
-    """Reads a page of the keys with a prefix, from the first one after `after` on."""
+    """Reads a page of the keys with a prefix, starting after the key `after`."""
 
     prefix: str
     after: str = ""
@@ -166,14 +167,14 @@
 
 
 class Watch(Request, frozen=True, tag=5):
-    """Subscribes to changes after a revision, until the connection ends or `CancelWatch`."""
+    """Subscribes to changes after a revision until `CancelWatch` or the end of the connection."""
 
     prefix: str
     after: int
 
 
 class CancelWatch(Request, frozen=True, tag=6):
-    """Ends the watch with this request id."""
+    """Cancels the watch with this request id."""
 
     watch: int
 
@@ -183,22 +184,22 @@
 
 
 class AdminAction(StrEnum):
-    """Actions of `Administer`."""
+    """The actions of `Administer`."""
 
     LEARN = "learn"  # add a member without a vote
-    PROMOTE = "promote"  # give it a vote
+    PROMOTE = "promote"  # make a learner a voter
     REMOVE = "remove"
-    TRANSFER = "transfer"  # hand leadership over
-    SNAPSHOT = "snapshot"  # on the node that receives the request
+    TRANSFER = "transfer"  # transfer the leadership
+    SNAPSHOT = "snapshot"  # create a snapshot on the node that receives the request
 
 
 class Administer(Request, frozen=True, tag=8):
     """Changes the membership or requests a snapshot.
 
     Attributes:
-        action: An `AdminAction`; nodes reject what they don't know.
-        node: The member that it is about.
-        address: The address of a member that is added.
+        action: An `AdminAction`; nodes reject unsupported actions.
+        node: The affected member.
+        address: The address of an added member.
     """
 
     action: str
@@ -207,7 +208,7 @@
 
 
 class ReadBackup(Request, frozen=True, tag=9):
-    """Reads a chunk of a backup of the state; offset 0 creates the backup."""
+    """Reads a chunk of a backup of the state; a request with offset 0 creates the backup."""
 
     offset: int
     meta_id: tuple[int, int, int, int] = (0, 0, 0, 0)
@@ -216,8 +217,8 @@
 class SendToChangefeed(Request, frozen=True, tag=10):
     """Carries a message to the node's change feed (`loadbalancer/changefeed/messages.py`).
 
-    The first one of a connection begins its only subscription, whose messages carry this request's
-    id until the connection ends.
+    The first such request of a connection starts the connection's only subscription, whose messages
+    carry this request's id until the connection is closed.
     """
 
     message: bytes
@@ -238,13 +239,13 @@
 
 
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """Base of all replies; `id` is the request's."""
+    """Base of all replies; `id` is the id of the request."""
 
     id: int
 
 
 class Committed(Reply, frozen=True, tag=1):
-    """The proposed command was applied; carries its encoded result."""
+    """Reports that the proposed command was applied, with its encoded result."""
 
     result: bytes
 
@@ -262,13 +263,13 @@
 
 
 class Rows(Reply, frozen=True, tag=2):
-    """Rows that were read.
+    """The result of a read.
 
     Attributes:
         rows: The rows.
-        revision: The log index as of which they are.
-        more: The page is full and there are more.
-        behind_ms: How long ago this node last knew a leader; 0 for a linearizable read.
+        revision: The log index of the state that was read.
+        more: Whether there are further rows after a full page.
+        behind_ms: The time since this node last had a known leader; 0 for a linearizable read.
     """
 
     rows: tuple[Row, ...]
@@ -287,19 +288,19 @@
 
 
 class Changes(Reply, frozen=True, tag=3):
-    """Completes a watch's changes up to `revision`."""
+    """Changes for a watch, which is then complete up to `revision`."""
 
     changes: tuple[Change, ...]
     revision: int
 
 
 class RequestFailed(Reply, frozen=True, tag=4):
-    """A request failed.
+    """Reports a failed request.
 
     Attributes:
         code: A `FailureCode`.
         text: The reason in one line.
-        leader: The leader's address, if it is known.
+        leader: The leader's address; empty if unknown.
     """
 
     code: int
@@ -314,7 +315,7 @@
 
 
 class BackupChunk(Reply, frozen=True, tag=6):
-    """A chunk of a backup; `meta_id` is its index, term, size and checksum."""
+    """A chunk of a backup; `meta_id` is the backup's index, term, size and checksum."""
 
     meta_id: tuple[int, int, int, int]
     offset: int
@@ -325,8 +326,8 @@
     """A message of the node's change feed.
 
     Attributes:
-        generation: Of the subscription's scopes, as the node knows them.
-        sequence: Of the patch within the subscription, from 1 on; 0 if it is not a patch.
+        generation: The generation of the subscription's scopes that the node last received.
+        sequence: The number of the patch in the subscription, from 1 on; 0 if it is not a patch.
         message: The encoded message.
     """
 
@@ -344,28 +345,28 @@
 
 
 def unpack_greeting(data: bytes) -> AnyGreeting:
-    """Decodes the first frame of a connection.
+    """Decode the first frame of a connection.
 
     Raises:
-        ValueError: It is not a greeting.
+        ValueError: The data is not a greeting.
     """
     greeting: AnyGreeting = _greeting_decoder.decode(data)
     return greeting
 
 
 def unpack_request(data: bytes) -> AnyRequest:
-    """Decodes a client's request.
+    """Decode a client's request.
 
     Raises:
-        ValueError: It is not a request.
+        ValueError: The data is not a request.
     """
     return _request_decoder.decode(data)
 
 
 def unpack_reply(data: bytes) -> AnyReply:
-    """Decodes a node's reply.
+    """Decode a node's reply.
 
     Raises:
-        ValueError: It is not a reply.
+        ValueError: The data is not a reply.
     """
     return _reply_decoder.decode(data)
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -1,4 +1,4 @@
-"""The log on disk: what was synced comes back, a torn tail goes, damage is refused."""
+"""The journal: synced entries are recovered, a torn tail is truncated, damage is rejected."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def written_journal() -> tuple[Disk, list[JournalContents]]:
-    """A journal of three batches, and what stands after each."""
+    """Return a disk with a journal of three batches, and the expected contents after each batch."""
     disk = Disk()
     writer = journal(disk)
     writer.create()
@@ -79,7 +79,7 @@
         try:
             contents = reopened_contents(truncated_disk)
         except DamagedError as error:
-            assert "head does not read" in str(error) and not seen  # not even the head is there
+            assert "head does not read" in str(error) and not seen  # the head frame itself is torn
             continue
         position = next(
             i
@@ -89,14 +89,15 @@
         seen.add(position)
         assert has_same_contents(
             reopened_contents(truncated_disk), expected_contents[position]
-        )  # what was cut is gone for good
+        )  # the truncation is permanent
     assert seen == {0, 1, 2}
 
 
 @pytest.mark.parametrize("with_end_mark", [True, False])
 def test_a_flipped_bit_is_detected(with_end_mark: bool) -> None:
-    """In a batch that another follows, or a mark, it is damage; in the last without one, a torn
-    tail.
+    """A flipped bit in a batch that is followed by another batch or an end mark is damage.
+
+    In the last batch, without an end mark, it can't be told from a torn tail.
     """
     disk, expected_contents = written_journal()
     writer = journal(disk)
@@ -128,7 +129,7 @@
 
 
 def test_a_flipped_bit_in_a_new_segment_is_detected() -> None:
-    """Of its salt neither: no frame of it reads then."""
+    """A flipped bit in the segment's salt must be detected too, as it invalidates every frame."""
 
     def two_segments() -> Disk:
         disk = Disk()
@@ -150,7 +151,7 @@
         corrupt_disk.files[name].seen[position] ^= 1
         with pytest.raises(DamagedError):
             reopened_contents(corrupt_disk)
-    for length in range(newest):  # torn it is another matter: what was not synced is no promise
+    for length in range(newest):  # a torn segment was not synced, so it may be dropped
         torn = two_segments()
         torn.files[name].seen = bytearray(complete_file[:length])
         assert reopened_contents(torn).last_index < last_entry_index
@@ -236,7 +237,7 @@
 
 
 def test_a_stored_frame_is_not_read_as_one_of_the_log() -> None:
-    """A value may hold bytes of another journal."""
+    """A stored value may contain bytes of another journal."""
     disk, _ = written_journal()
     frames = disk.read("log-00000001")[journal_frames.SEGMENT_HEADER_BYTES :]
     other = Disk()
@@ -244,7 +245,7 @@
     writer.create()
     writer.write(HardState(1, 1), [Entry(1, 1, 1, frames)])
     blob = other.files["log-00000001"]
-    del blob.seen[-1:]  # torn: what it holds must not look like something that follows
+    del blob.seen[-1:]  # torn: the frames in the value must not count as later frames
     assert Journal(other, "c", 7).open().entries == []
 
 
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows in the store's state: references have targets, writes are atomic; from format 3 on."""
+"""Change feed rows in the state, from format 3 on: valid references and atomic writes."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     *changes: tuple[str, bytes | None, tuple[str, ...]],
     checks: tuple[tuple[str, int], ...] = (),
 ) -> Result:
-    """Each is a key, a value (None: delete), and the rows that it names."""
+    """Apply a rows write; a change is a key, a value (None to delete) and the rows it refers to."""
     return log.do(
         RowsWrite(
             7,
@@ -83,7 +83,7 @@
     )
     assert log.state.get(ROUTE) is None
     assert rows(log, (ROUTE, b"r", (ACME,)), (ACME, b"t", ())).code == ResultCode.DONE, (
-        "both within one write"
+        "both rows are in one write"
     )
     result = rows(log, (ACME, None, ()))
     assert (result.code, result.text) == (ResultCode.REFUSED, f"{ROUTE} still names {ACME}")
@@ -92,14 +92,18 @@
         ResultCode.REFUSED,
         f"{ROUTE} names {ACME}, which is not there",
     )
-    assert rows(log, (ACME, b"t2", ())).code == ResultCode.DONE, "a row that is named may change"
+    assert rows(log, (ACME, b"t2", ())).code == ResultCode.DONE, (
+        "a row with references to it may change"
+    )
     assert rows(log, (ROUTE, b"r2", ()), (ACME, None, ())).code == ResultCode.DONE, (
-        "it names it no more"
+        "the reference is removed in the same write"
     )
     assert rows(log, (ACME, b"t", ()), (ROUTE, b"r", (ACME,))).versions == (4, 3)
-    assert rows(log, (ACME, None, ()), (ROUTE, None, ())).code == ResultCode.DONE, "both go at once"
+    assert rows(log, (ACME, None, ()), (ROUTE, None, ())).code == ResultCode.DONE, (
+        "both rows are deleted in one write"
+    )
     assert rows(log, (ACME, b"t", ())).code == ResultCode.DONE
-    assert rows(log, (ACME, None, ())).code == ResultCode.DONE, "what is gone names nothing"
+    assert rows(log, (ACME, None, ())).code == ResultCode.DONE, "a deleted row has no references"
 
 
 def test_a_write_of_rows_is_atomic(log: Log) -> None:
@@ -118,9 +122,11 @@
         log.state.get(ACME) or pytest.fail()
     ).value == b"t" and log.state.take_row_events() == []
     assert rows(log, (ROUTE, b"r", (ACME,)), ("config/a", b"x", ())).code == ResultCode.DONE, (
-        "other keys with it"
+        "a rows write may include other keys"
+    )
+    assert [e.key for e in log.state.take_row_events()] == [ROUTE], (
+        "only rows are reported as row events"
     )
-    assert [e.key for e in log.state.take_row_events()] == [ROUTE], "and only rows are fed"
     assert len(log.state.history(ROUTE)) == 0 and len(log.state.history("config/a")) == 1
 
 
@@ -181,9 +187,9 @@
     ] and log.state.digest() != digest_before
     loaded = log.state.rows()
     assert (loaded.base, loaded.rows, loaded.events) == (log.state.applied, [], []), (
-        "nor is it told"
+        "the deletion by the upgrade is not reported"
     )
-    assert rows(log, (ACME, b"x", ())).versions == (3,), "versions go on counting"
+    assert rows(log, (ACME, b"x", ())).versions == (3,), "versions continue after the deletion"
     assert log.state.rows().rows == [(ACME, 3, b"x")]
     log.state.close()
     assert state_files.open_state(tmp_path / "state.db").format == 3
@@ -194,7 +200,7 @@
         kept.extractall(tmp_path, filter="data")
     log = Log(state_files.open_state(tmp_path / "state.db"))
     log.do(Upgrade(3))
-    assert log.state.format == 1, "no step is left out"
+    assert log.state.format == 1, "no format may be skipped"
     housekeeper, formats = Housekeeper(), {1: 3, 2: 3}
     housekeeper.leadership_gained(4, log.state, 0)
     for number in (2, 3):
@@ -204,7 +210,7 @@
             and housekeeper.proposals(log.state.format, formats, 1) == []
         )
         assert housekeeper.proposals(log.state.format, formats, UPGRADE_RETRY_NS) == [proposal], (
-            "it may have been lost"
+            "the proposal may have been lost, so it is repeated"
         )
         assert log.do(proposal).versions == (number,)
     assert housekeeper.proposals(log.state.format, formats, 9 * UPGRADE_RETRY_NS) == []
@@ -262,7 +268,9 @@
         plain_write(log, Op("config/a", b"x"))
     loaded = log.state.rows()
     assert loaded.base == log.state.rows_from and loaded.revision == log.state.applied
-    assert loaded.rows == [(ACME, 8, b"7"), (ROUTE, 7, b"r")], "what was not there is not deleted"
+    assert loaded.rows == [(ACME, 8, b"7"), (ROUTE, 7, b"r")], (
+        "deleting a missing row has no effect"
+    )
     assert loaded.events == log.state.take_row_events() and len(loaded.events) == 15
     monkeypatch.setattr(watch_events, "MAX_EVENTS", 5)
     rows(log, (ACME, b"8", ()))
@@ -285,7 +293,7 @@
 def test_no_row_ever_refers_to_a_missing_row(
     changes: list[list[tuple[str, bytes | None, tuple[str, ...]]]],
 ) -> None:
-    """Held against books of the test's own."""
+    """Compares the state with rows that the test tracks itself."""
     log, expected_rows = upgraded_log(new_state()), dict[str, tuple[bytes, tuple[str, ...]]]()
     for write in changes:
         write = [(key, value, refs if value is not None else ()) for key, value, refs in write]
@@ -302,7 +310,7 @@
 
 
 def test_plain_and_fenced_writes_stay_readable_by_older_programs() -> None:
-    """Bytes as they were before there were rows: among its nodes may be old ones."""
+    """Their encoding is unchanged since before format 3, as a cluster may include old nodes."""
     fenced = FencedWrite(5, 1, 0, (Op("k", b"v"),), (), "me", "why", 7, (("work", 1),))
     assert commands.pack(fenced).hex() == (
         "9a080501009193a16bc40176ff90a26d65a3776879079192a4776f726b01"
@@ -368,11 +376,15 @@
     State.take_row_events,
 )
 SEEDED_BUGS: dict[str, tuple[object, str, object]] = {
-    "deleted though named": (stored_rows, "dangling_reference", check_written_rows_only),
-    "refs pile up": (stored_rows, "record_references", keep_old_references),
-    "each alone": (stored_rows, "dangling_reference", check_each_operation_alone),
-    "deaf to deletions": (State, "take_row_events", drop_deletion_events),
-    "made again": (State, "_apply_write_once", apply_write_again),
+    "references of deleted rows": (stored_rows, "dangling_reference", check_written_rows_only),
+    "old references kept": (stored_rows, "record_references", keep_old_references),
+    "operations checked separately": (
+        stored_rows,
+        "dangling_reference",
+        check_each_operation_alone,
+    ),
+    "deletions not reported": (State, "take_row_events", drop_deletion_events),
+    "repeated write applied": (State, "_apply_write_once", apply_write_again),
 }
 
 
--- a/tests/store/test_state.py
+++ b/tests/store/test_state.py
@@ -1,4 +1,4 @@
-"""The state that the log builds: atomic, applied once, the same on every node."""
+"""The replicated state: writes are atomic, applied once, and equal on every node."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Log:
-    """Feeds a state."""
+    """Applies commands to a state as consecutive log entries."""
 
     def __init__(self, state: State) -> None:
         self.state = state
