--- a/loadbalancer/store/durable/journal_reader.py
+++ b/loadbalancer/store/durable/journal_reader.py
@@ -100,8 +100,8 @@
     def _read_segment(self, segment: Segment, is_last: bool) -> None:
         data = self.files.read(segment.name)
         salt = data[len(MAGIC) : SEGMENT_HEADER_BYTES]
-        is_segment = data.startswith(MAGIC)
-        if not is_segment or decode_frame(data, SEGMENT_HEADER_BYTES, salt) is None:
+        has_magic = data.startswith(MAGIC)
+        if not has_magic or decode_frame(data, SEGMENT_HEADER_BYTES, salt) is None:
             if not is_last or not self._was_being_created(data, salt):
                 raise DamagedError(f"{segment.name}: its head does not read")
             assert self.contents is not None
--- a/loadbalancer/store/durable/rows.py
+++ b/loadbalancer/store/durable/rows.py
@@ -44,21 +44,21 @@
 
     Call this before anything is written.
     """
-    written = {op.key for op in command.ops if op.value is not None}
-    deleted = {op.key for op in command.ops if op.value is None}
-    return _missing_target(db, command, written, deleted) or _remaining_reference(
-        db, command, written | deleted
+    written_keys = {op.key for op in command.ops if op.value is not None}
+    deleted_keys = {op.key for op in command.ops if op.value is None}
+    return _missing_target(db, command, written_keys, deleted_keys) or _remaining_reference(
+        db, command, written_keys | deleted_keys
     )
 
 
 def _missing_target(
-    db: sqlite3.Connection, command: RowsWrite, written: set[str], deleted: set[str]
+    db: sqlite3.Connection, command: RowsWrite, written_keys: set[str], deleted_keys: set[str]
 ) -> str:
     for op, refs in operations_with_references(command):
         for ref in refs:
-            if ref in written:
+            if ref in written_keys:
                 continue
-            if ref in deleted or not _exists(db, ref):
+            if ref in deleted_keys or not _exists(db, ref):
                 return f"{op.key} names {ref}, which is not there"
     return ""
 
@@ -67,7 +67,7 @@
     return db.execute("SELECT 1 FROM items WHERE key = ?", (key,)).fetchone() is not None
 
 
-def _remaining_reference(db: sqlite3.Connection, command: RowsWrite, changed: set[str]) -> str:
+def _remaining_reference(db: sqlite3.Connection, command: RowsWrite, changed_keys: set[str]) -> str:
     """Return a description of an unchanged row that refers to a deleted row.
 
     Rows that this write changes are skipped: `_missing_target` checks their new references.
@@ -75,9 +75,11 @@
     for op in command.ops:
         if op.value is not None:
             continue
-        for (name,) in db.execute("SELECT key FROM refs WHERE ref = ? ORDER BY key", (op.key,)):
-            if name not in changed:
-                return f"{name} still names {op.key}"
+        for (referring_key,) in db.execute(
+            "SELECT key FROM refs WHERE ref = ? ORDER BY key", (op.key,)
+        ):
+            if referring_key not in changed_keys:
+                return f"{referring_key} still names {op.key}"
     return ""
 
 
--- a/loadbalancer/store/durable/state_files.py
+++ b/loadbalancer/store/durable/state_files.py
@@ -80,13 +80,13 @@
     Raises:
         DamagedError: The copy is damaged or has a newer format.
     """
-    old = open_state(path)
-    db = old.db
+    copied_state = open_state(path)
+    db = copied_state.db
     db.execute("BEGIN IMMEDIATE")
-    if old.format >= LEASES_FORMAT:
+    if copied_state.format >= LEASES_FORMAT:
         db.execute(
             "UPDATE meta SET value = ? WHERE name = 'tokens'",
-            (table.next_epoch(old.tokens, unix_s),),
+            (table.next_epoch(copied_state.tokens, unix_s),),
         )
     db.executemany(
         "UPDATE meta SET value = ? WHERE name = ?",
@@ -108,8 +108,8 @@
         sqlite3.Error: The state can't be synced now.
     """
     applied = state.applied
-    busy, _, _ = state.db.execute("PRAGMA wal_checkpoint(FULL)").fetchone()
-    if busy:
+    is_busy, _, _ = state.db.execute("PRAGMA wal_checkpoint(FULL)").fetchone()
+    if is_busy:
         raise sqlite3.OperationalError("a reader holds the state: it can't be synced now")
     return applied
 
--- a/loadbalancer/store/durable/watch_events.py
+++ b/loadbalancer/store/durable/watch_events.py
@@ -63,9 +63,9 @@
             (after, prefix, end, limit),
         ).fetchall()
         if len(selected) == limit:
-            last = selected[-1][0]
-            complete = [row for row in selected if row[0] < last]
-            selected = complete or self._events_of(last, prefix)
+            last_revision = selected[-1][0]
+            complete_revisions = [row for row in selected if row[0] < last_revision]
+            selected = complete_revisions or self._events_of(last_revision, prefix)
         return [WatchEvent(*row) for row in selected]
 
     def _events_of(self, revision: int, prefix: str) -> list[tuple[int, str, int, bytes | None]]:
--- a/loadbalancer/store/raft/membership.py
+++ b/loadbalancer/store/raft/membership.py
@@ -89,8 +89,10 @@
         assert first_index > self.commit_index, "dropping a committed entry"
         self.durable_index = min(self.durable_index, first_index - 1)
         self.memberships = [(i, members) for i, members in self.memberships if i < first_index]
-        pending = self.pending_batch.entries
-        del pending[max(0, first_index - pending[0].index) if pending else 0 :]
+        pending_entries = self.pending_batch.entries
+        del pending_entries[
+            max(0, first_index - pending_entries[0].index) if pending_entries else 0 :
+        ]
 
     def _record_members(self, entry: Entry) -> None:
         if entry.kind != EntryKind.MEMBERS:
--- a/loadbalancer/store/raft/replication.py
+++ b/loadbalancer/store/raft/replication.py
@@ -297,9 +297,9 @@
         self._acknowledge_append(sender, message, last_index)
 
     def _store_missing(self, entries: tuple[Entry, ...]) -> None:
-        matching = self.log.count_matching(entries)
-        if matching < len(entries):
-            self._store_entries(entries[matching:])
+        matching_count = self.log.count_matching(entries)
+        if matching_count < len(entries):
+            self._store_entries(entries[matching_count:])
 
     def _reject_while_installing(self, sender: int, message: AppendEntries) -> None:
         """Reject an append while a snapshot is being installed.
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -297,13 +297,13 @@
     log, expected_rows = upgraded_log(new_state()), dict[str, tuple[bytes, tuple[str, ...]]]()
     for write in changes:
         write = [(key, value, refs if value is not None else ()) for key, value, refs in write]
-        after = {**expected_rows, **{k: (v, refs) for k, v, refs in write if v is not None}}
+        rows_after = {**expected_rows, **{k: (v, refs) for k, v, refs in write if v is not None}}
         for key, value, _ in write:
             if value is None:
-                after.pop(key, None)
-        is_valid = all(ref in after for _, refs in after.values() for ref in refs)
+                rows_after.pop(key, None)
+        is_valid = all(ref in rows_after for _, refs in rows_after.values() for ref in refs)
         assert rows(log, *write).code == (ResultCode.DONE if is_valid else ResultCode.REFUSED)
-        expected_rows = after if is_valid else expected_rows
+        expected_rows = rows_after if is_valid else expected_rows
         assert {k: v for k, _, v in log.state.rows().rows} == {
             k: v for k, (v, _) in expected_rows.items()
         }
