--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -20,6 +20,7 @@
 
 
 def journal(disk: Disk, segment: int = 1 << 20) -> Journal:
+    """Return a journal with a fixed salt and a segment size in bytes."""
     return Journal(disk, "c", 7, segment, lambda: SALT)
 
 
@@ -45,10 +46,12 @@
 
 
 def reopened_contents(disk: Disk) -> JournalContents:
+    """Open the journal on a disk, which repairs a torn tail, and return its contents."""
     return journal(disk).open()
 
 
 def has_same_contents(contents: JournalContents, other: JournalContents) -> bool:
+    """Compare hard state, base and entries."""
     return (contents.hard_state, contents.base_index, contents.entries) == (
         other.hard_state,
         other.base_index,
--- a/tests/store/test_rows.py
+++ b/tests/store/test_rows.py
@@ -41,6 +41,7 @@
 
 
 def upgraded_log(state: State, target_format: int = STATE_FORMAT) -> Log:
+    """Upgrade a new state to a format and open a session."""
     log = Log(state)
     for number in range(2, target_format + 1):
         log.do(Upgrade(number))
@@ -54,6 +55,7 @@
 
 
 def plain_write(log: Log, *ops: Op) -> Result:
+    """Apply a write that is not a rows write."""
     return log.do(Write(7, log.state.applied, 0, ops))
 
 
@@ -331,6 +333,7 @@
 
 
 def check_written_rows_only(db: sqlite3.Connection, command: RowsWrite) -> str:
+    """Seeded bug: a row may be deleted while another row refers to it."""
     kept = tuple(op for op in command.ops if op.value is not None)
     refs = tuple(
         names for op, names in zip(command.ops, command.refs, strict=True) if op.value is not None
@@ -339,6 +342,7 @@
 
 
 def keep_old_references(db: sqlite3.Connection, command: RowsWrite) -> None:
+    """Seeded bug: references that a write removes stay recorded."""
     db.executemany(
         "INSERT OR IGNORE INTO refs VALUES (?, ?)",
         [
@@ -350,6 +354,7 @@
 
 
 def check_each_operation_alone(db: sqlite3.Connection, command: RowsWrite) -> str:
+    """Seeded bug: references are checked without the write's other operations."""
     pairs = zip(command.ops, command.refs, strict=True)
     return next(
         filter(
@@ -364,10 +369,12 @@
 
 
 def drop_deletion_events(self: State) -> list[WatchEvent]:
+    """Seeded bug: deletions of rows are not reported."""
     return [event for event in ORIGINAL_TAKE_ROW_EVENTS(self) if event.value is not None]
 
 
 def apply_write_again(self: State, command: Write, index: int) -> Result:
+    """Seeded bug: a repeated write is applied again."""
     return self._apply_write(command, index)
 
 
--- a/tests/store/test_state.py
+++ b/tests/store/test_state.py
@@ -29,6 +29,7 @@
 
 
 def new_state() -> State:
+    """Return an empty in-memory state."""
     db = sqlite3.connect(":memory:", isolation_level=None)
     schema.create_tables(db, "c", MEMBERS)
     return State(db)
