--- a/loadbalancer/changefeed/acknowledgement.py
+++ b/loadbalancer/changefeed/acknowledgement.py
@@ -17,15 +17,15 @@
     def __init__(self, limits: SubscriptionLimits) -> None:
         self._limits = limits
         self.due_ns: int | None = None
-        self._bytes = 0
-        self._refusing: dict[str, ScopeTable] = {}
-        self._reported: tuple[Refusal, ...] = ()
+        self._unacknowledged_bytes = 0
+        self._tables_with_refusals: dict[str, ScopeTable] = {}
+        self._reported_refusals: tuple[Refusal, ...] = ()
 
     def reset(self) -> None:
         """Begin a connection."""
         self.due_ns = None
-        self._bytes = 0
-        self._reported = ()
+        self._unacknowledged_bytes = 0
+        self._reported_refusals = ()
 
     def cancel(self) -> None:
         """The connection ended: nothing is due."""
@@ -35,38 +35,38 @@
         """Count a patch that was received."""
         if self.due_ns is None:
             self.due_ns = now + self._limits.ack_ns
-        self._bytes += size
+        self._unacknowledged_bytes += size
 
     @property
     def is_due_by_size(self) -> bool:
         """So much was received that it is acknowledged at once."""
-        return self.due_ns is not None and self._bytes >= self._limits.ack_bytes
+        return self.due_ns is not None and self._unacknowledged_bytes >= self._limits.ack_bytes
 
-    def track(self, table: ScopeTable) -> None:
+    def update_refusals(self, table: ScopeTable) -> None:
         """Note whether a table refuses rows."""
         if table.refused:
-            self._refusing[table.scope] = table
+            self._tables_with_refusals[table.scope] = table
         else:
-            self._refusing.pop(table.scope, None)
+            self._tables_with_refusals.pop(table.scope, None)
 
-    def forget(self, scope: str) -> None:
+    def forget_scope(self, scope: str) -> None:
         """Drop the refusals of a scope that is no longer subscribed."""
-        self._refusing.pop(scope, None)
+        self._tables_with_refusals.pop(scope, None)
 
     def schedule_refusals(self, now: int) -> None:
         """Schedule an acknowledgement where the refusals differ from those reported."""
-        if self.due_ns is None and self._refusals() != self._reported:
+        if self.due_ns is None and self._current_refusals() != self._reported_refusals:
             self.due_ns = now + self._limits.ack_ns
 
-    def _refusals(self) -> tuple[Refusal, ...]:
+    def _current_refusals(self) -> tuple[Refusal, ...]:
         refusals: list[Refusal] = []
-        for table in self._refusing.values():
+        for table in self._tables_with_refusals.values():
             refusals += list(table.refused.values())[: MAX_REFUSALS - len(refusals)]
         return tuple(refusals)
 
-    def take(self, sequence: int) -> Acknowledge:
+    def build_acknowledgement(self, sequence: int) -> Acknowledge:
         """Return the acknowledgement of all patches up to `sequence`."""
         self.due_ns = None
-        self._bytes = 0
-        self._reported = self._refusals()
-        return Acknowledge(sequence, self._reported)
+        self._unacknowledged_bytes = 0
+        self._reported_refusals = self._current_refusals()
+        return Acknowledge(sequence, self._reported_refusals)
--- a/loadbalancer/changefeed/audit.py
+++ b/loadbalancer/changefeed/audit.py
@@ -42,7 +42,7 @@
         """When the next step is due; None where nothing is audited."""
         return self._next_step_ns if self._audits else None
 
-    def begin(self, table: ScopeTable, now: int) -> None:
+    def enqueue(self, table: ScopeTable, now: int) -> None:
         """Queue a table, unless it is queued already."""
         if all(audit.table is not table for audit in self._audits):
             self._audits.append(_Audit(table))
@@ -58,7 +58,7 @@
         table = audit.table
         if (
             not self._is_subscribed(table)
-            or not table.is_known
+            or not table.is_synced
             or audit.change_count != table.change_count
         ):
             self._audits.popleft()
--- a/loadbalancer/changefeed/cache.py
+++ b/loadbalancer/changefeed/cache.py
@@ -34,8 +34,8 @@
         first: The first revision that changed it since.
     """
 
-    after: int
-    first: int
+    previous_revision: int
+    first_revision: int
 
 
 class WatchCache:
@@ -71,7 +71,7 @@
 
     def load(self, snapshot: StoreSnapshot) -> dict[str, WatchedScope]:
         """Replace everything; return the old scopes, whose watchers are still to be moved."""
-        old = self.scopes
+        old_scopes = self.scopes
         old_revision = self.revision
         self.scopes = {}
         self._base = snapshot.base
@@ -79,19 +79,19 @@
         self._log.clear()
         self._log_bytes = 0
         for key, version, value in snapshot.rows:
-            name, short = split_key(key)
-            self.scope(name).put(Row(short, version, value))
+            name, row_key = split_key(key)
+            self.scope(name).put(Row(row_key, version, value))
         for change in snapshot.changes:
             if snapshot.base < change.revision <= snapshot.revision:
-                name, short = split_key(change.key)
+                name, row_key = split_key(change.key)
                 self._append(
-                    self.scope(name), change.revision, Row(short, change.version, change.value)
+                    self.scope(name), change.revision, Row(row_key, change.version, change.value)
                 )
-        for name, before in old.items():
+        for name, old_scope in old_scopes.items():
             scope = self.scope(name)
-            if old_revision and not scope.log and before.digest == scope.digest:
-                scope.bridge = range(before.revision, old_revision + 1)
-        return old
+            if old_revision and not scope.log and old_scope.digest == scope.digest:
+                scope.unchanged_revisions = range(old_scope.revision, old_revision + 1)
+        return old_scopes
 
     def apply(
         self, revision: int, changes: Sequence[FeedChange]
@@ -101,16 +101,16 @@
         `trim` is due once those who watch them were notified.
         """
         self.revision = revision
-        touched: dict[WatchedScope, ScopeChange] = {}
+        changed_scopes: dict[WatchedScope, ScopeChange] = {}
         for change in changes:
-            name, short = split_key(change.key)
+            name, row_key = split_key(change.key)
             scope = self.scope(name)
-            if scope not in touched:
-                touched[scope] = ScopeChange(scope.revision, change.revision)
-            row = Row(short, change.version, change.value)
+            if scope not in changed_scopes:
+                changed_scopes[scope] = ScopeChange(scope.revision, change.revision)
+            row = Row(row_key, change.version, change.value)
             scope.put(row)
             self._append(scope, change.revision, row)
-        return touched
+        return changed_scopes
 
     def _append(self, scope: WatchedScope, revision: int, row: Row) -> None:
         scope.append(revision, row)
@@ -118,10 +118,10 @@
         self._log.append((scope, revision, size))
         self._log_bytes += size
 
-    def trim(self, touched: Iterable[WatchedScope]) -> None:
+    def trim(self, changed_scopes: Iterable[WatchedScope]) -> None:
         """Drop the oldest revisions until all logs are within their bounds."""
         limits = self._limits
-        for scope in touched:
+        for scope in changed_scopes:
             while scope.log_length > limits.scope_changes:
                 scope.drop_oldest()
         while len(self._log) > limits.log_changes or self._log_bytes > limits.log_bytes:
@@ -129,11 +129,11 @@
             self._log_bytes -= size
             while scope.log and scope.log[0].revision <= revision:
                 scope.drop_oldest()
-            self.discard_if_idle(scope)
+            self.discard_if_unused(scope)
 
-    def discard_if_idle(self, scope: WatchedScope) -> None:
+    def discard_if_unused(self, scope: WatchedScope) -> None:
         """Remove a scope without rows, log and watchers; its base holds for unknown scopes."""
-        if scope.is_idle and self.scopes.get(scope.name) is scope:
+        if scope.is_unused and self.scopes.get(scope.name) is scope:
             del self.scopes[scope.name]
             self._base = max(self._base, scope.base)
 
--- a/loadbalancer/changefeed/delivery.py
+++ b/loadbalancer/changefeed/delivery.py
@@ -64,15 +64,19 @@
         for subscriber in scope.watchers:
             if name in subscriber.dirty or name in subscriber.pending:
                 continue
-            held = subscriber.unacknowledged_bytes
-            if not (is_single and subscriber.is_writable and (held + size <= window or not held)):
+            in_flight_bytes = subscriber.unacknowledged_bytes
+            if not (
+                is_single
+                and subscriber.is_writable
+                and (in_flight_bytes + size <= window or not in_flight_bytes)
+            ):
                 subscriber.dirty[name] = ScopeLag(after, floor, now)
                 if not is_single:
                     self._send_deltas(subscriber, now)
                 continue
             subscriber.sequence = sequence = subscriber.sequence + 1
             subscriber.unacknowledged.append(Unacknowledged(sequence, size, floor, now, name))
-            subscriber.unacknowledged_bytes = held + size
+            subscriber.unacknowledged_bytes = in_flight_bytes + size
             self._outbox.append(Send(subscriber.number, subscriber.generation, sequence, payload))
             count += 1
         self.sent_messages += count
@@ -191,7 +195,7 @@
         digests = tuple((name, subscriber.scopes[name].digest) for name in chosen)
         self._send_control(subscriber, Bookmark(self._cache.revision, digests))
 
-    def send_behind(self, subscriber: Subscriber) -> None:
+    def send_replica_behind(self, subscriber: Subscriber) -> None:
         """Tell a parked subscriber where this node stands."""
         self._send_control(subscriber, ReplicaBehind(self._cache.revision))
 
@@ -201,8 +205,10 @@
         self._outbox.append(Send(number, 1, 0, pack(message)))
 
     def _has_window(self, subscriber: Subscriber, size: int) -> bool:
-        held = subscriber.unacknowledged_bytes
-        return subscriber.is_writable and (not held or held + size <= self._limits.window_bytes)
+        in_flight_bytes = subscriber.unacknowledged_bytes
+        return subscriber.is_writable and (
+            not in_flight_bytes or in_flight_bytes + size <= self._limits.window_bytes
+        )
 
     def _send_patch_chunk(
         self, subscriber: Subscriber, payload: bytes, floor: int, scope: str, now: int
@@ -212,13 +218,13 @@
             Unacknowledged(subscriber.sequence, len(payload), floor, now, scope)
         )
         subscriber.unacknowledged_bytes += len(payload)
-        self._post(subscriber, subscriber.sequence, payload)
+        self._enqueue(subscriber, subscriber.sequence, payload)
 
     def _send_control(self, subscriber: Subscriber, message: Message) -> None:
         """Send a message that is not a patch, and so not acknowledged."""
-        self._post(subscriber, 0, pack(message))
+        self._enqueue(subscriber, 0, pack(message))
 
-    def _post(self, subscriber: Subscriber, sequence: int, payload: bytes) -> None:
+    def _enqueue(self, subscriber: Subscriber, sequence: int, payload: bytes) -> None:
         self._outbox.append(Send(subscriber.number, subscriber.generation, sequence, payload))
         self.sent_messages += 1
         self.sent_bytes += len(payload)
--- a/loadbalancer/changefeed/digest.py
+++ b/loadbalancer/changefeed/digest.py
@@ -30,6 +30,6 @@
     return sum(map(of_row, rows)) & MASK
 
 
-def replaced(digest: int, old: Row | None, new: Row) -> int:
+def replace_row(digest: int, old: Row | None, new: Row) -> int:
     """Return the digest after `new` took the place of `old`."""
     return (digest - (of_row(old) if old is not None else 0) + of_row(new)) & MASK
--- a/loadbalancer/changefeed/fanout.py
+++ b/loadbalancer/changefeed/fanout.py
@@ -26,7 +26,7 @@
     MAX_REFUSED_ROWS,
     FeedStatus,
     RefusedRow,
-    progress_of,
+    compute_progress,
 )
 from loadbalancer.changefeed.subscriber import ScopeLag, Subscriber
 from loadbalancer.changefeed.validation import (
@@ -45,7 +45,9 @@
     "Send",
     "StoreSnapshot",
 ]
-PARKED_SLACK: Final = 64  # heap entries of subscribers that left, beside those that are there
+MAX_STALE_PARKED_ENTRIES: Final = (
+    64  # heap entries of subscribers that left, beside those that are there
+)
 
 
 class Fanout:
@@ -58,12 +60,14 @@
         self.subscribers: dict[int, Subscriber] = {}
         self._delivery = Delivery(self.cache, limits, now)
         self.patches = self._delivery.patches
-        self._bookmarks: OrderedDict[Subscriber, int] = OrderedDict()  # when the next is due
+        self._bookmark_due_ns: OrderedDict[Subscriber, int] = OrderedDict()  # when the next is due
         # Heap of parked subscribers: the revision that each needs, and the order of arrival.
         self._parked: list[tuple[int, int, Subscriber]] = []
-        self._parked_count = 0
-        self._refusing: dict[Subscriber, None] = {}
-        self._rejected: set[int] = set()  # connections whose subscription was not accepted
+        self._parked_sequence = 0
+        self._refusing_subscribers: dict[Subscriber, None] = {}
+        self._rejected_connections: set[int] = (
+            set()
+        )  # connections whose subscription was not accepted
         self._now = now
         self._resumes = 0
         self._retry_later_count = 0
@@ -86,20 +90,24 @@
                 f"rows of revision {revision} on a base of {base}, after {self.revision}"
             )
         self._now = now
-        before = self.revision
-        if before > 0 and base <= before:
-            if revision > before:
-                changes = [one for one in snapshot.changes if before < one.revision <= revision]
+        revision_before_load = self.revision
+        if revision_before_load > 0 and base <= revision_before_load:
+            if revision > revision_before_load:
+                changes = [
+                    one
+                    for one in snapshot.changes
+                    if revision_before_load < one.revision <= revision
+                ]
                 self.apply(revision, changes, now)
             return
         self.patches.clear()
-        old = self.cache.load(snapshot)
+        old_scopes = self.cache.load(snapshot)
         self.cache.trim(self.cache.scopes.values())
         for subscriber in self.subscribers.values():
             if subscriber.parked_cursors is None:
-                self._move_to_loaded_scopes(subscriber, before, now)
-        for name in old:
-            self.cache.discard_if_idle(self.cache.scopes[name])
+                self._move_to_loaded_scopes(subscriber, revision_before_load, now)
+        for name in old_scopes:
+            self.cache.discard_if_unused(self.cache.scopes[name])
         self._release_parked(now)
         self._delivery.send_snapshots(now)
 
@@ -115,10 +123,12 @@
         if revision <= self.revision:
             raise ValueError(f"revision {revision} comes after {self.revision}")
         self._now = now
-        touched = self.cache.apply(revision, changes)
-        for scope, change in touched.items():
-            self._delivery.broadcast(scope, change.after, change.first - 1, now)
-        self.cache.trim(touched)
+        changed_scopes = self.cache.apply(revision, changes)
+        for scope, change in changed_scopes.items():
+            self._delivery.broadcast(
+                scope, change.previous_revision, change.first_revision - 1, now
+            )
+        self.cache.trim(changed_scopes)
         self._release_parked(now)
         self._delivery.send_snapshots(now)
 
@@ -148,7 +158,9 @@
                 raise FeedProtocolError("a second subscription on one connection")
             self._subscribe(number, message, now)
         elif subscriber is None:
-            if number not in self._rejected:  # it may not have received the rejection yet
+            if (
+                number not in self._rejected_connections
+            ):  # it may not have received the rejection yet
                 raise FeedProtocolError("a subscription begins with Subscribe")
         elif isinstance(message, UpdateScopes):
             self._update_scopes(subscriber, message, now)
@@ -166,25 +178,25 @@
         is_full = len(self.subscribers) >= self.limits.subscribers_most
         if is_full or (needed_bytes and self._delivery.queue.is_full):
             self._retry_later_count += 1
-            self._rejected.add(number)
+            self._rejected_connections.add(number)
             self._delivery.send_retry_later(number, needed_bytes, now)
             return
         subscriber = self.subscribers[number] = Subscriber(number, message.name)
-        self._bookmarks[subscriber] = now + self.limits.bookmark_ns
+        self._bookmark_due_ns[subscriber] = now + self.limits.bookmark_ns
         if max(cursors.values(), default=0) > self.revision:
             self._park(subscriber, cursors, now)
         else:
-            self._begin(subscriber, cursors, now)
+            self._start_delivery(subscriber, cursors, now)
 
     def _park(self, subscriber: Subscriber, cursors: dict[str, int], now: int) -> None:
         subscriber.parked_cursors = cursors
         subscriber.parked_at_ns = now
-        if len(self._parked) > 2 * len(self.subscribers) + PARKED_SLACK:
+        if len(self._parked) > 2 * len(self.subscribers) + MAX_STALE_PARKED_ENTRIES:
             self._parked = [one for one in self._parked if one[2].parked_cursors is not None]
             heapq.heapify(self._parked)
-        self._parked_count += 1
-        heapq.heappush(self._parked, (max(cursors.values()), self._parked_count, subscriber))
-        self._delivery.send_behind(subscriber)
+        self._parked_sequence += 1
+        heapq.heappush(self._parked, (max(cursors.values()), self._parked_sequence, subscriber))
+        self._delivery.send_replica_behind(subscriber)
 
     def _release_parked(self, now: int) -> None:
         """Serve the parked subscribers that the node has caught up with."""
@@ -193,9 +205,9 @@
             cursors = subscriber.parked_cursors
             if cursors is not None and max(cursors.values(), default=0) <= self.revision:
                 subscriber.parked_cursors = None
-                self._begin(subscriber, cursors, now)
+                self._start_delivery(subscriber, cursors, now)
 
-    def _begin(self, subscriber: Subscriber, cursors: dict[str, int], now: int) -> None:
+    def _start_delivery(self, subscriber: Subscriber, cursors: dict[str, int], now: int) -> None:
         for name, cursor in cursors.items():
             self._watch(subscriber, name, cursor, now)
         subscriber.bookmark_due = True
@@ -236,18 +248,20 @@
         scope = subscriber.scopes.pop(name)
         scope.watchers.pop(subscriber, None)
         self._delivery.clear_lag(subscriber, name)
-        self.cache.discard_if_idle(scope)
+        self.cache.discard_if_unused(scope)
 
-    def _move_to_loaded_scopes(self, subscriber: Subscriber, before: int, now: int) -> None:
+    def _move_to_loaded_scopes(
+        self, subscriber: Subscriber, revision_before_load: int, now: int
+    ) -> None:
         """Move a subscriber to the scopes as they were loaded.
 
-        Where it was up to date, it was so at `before`.
+        Where it was up to date, it was so at `revision_before_load`.
         """
         self._delivery.queue.leave(subscriber)
         for name in list(subscriber.scopes):
             lag = self._delivery.clear_lag(subscriber, name)
             if lag is None:
-                self._watch(subscriber, name, before, now)
+                self._watch(subscriber, name, revision_before_load, now)
             else:
                 self._watch(subscriber, name, 0, now, lag)  # its cursor is older than the log
         subscriber.bookmark_due = True
@@ -265,7 +279,7 @@
             if max(parked_cursors.values(), default=0) > self.revision:
                 self._park(subscriber, parked_cursors, now)
             else:
-                self._begin(subscriber, parked_cursors, now)
+                self._start_delivery(subscriber, parked_cursors, now)
             return
         for name in message.remove:
             self._unwatch(subscriber, name)
@@ -274,16 +288,16 @@
             if name in subscriber.scopes:
                 self._delivery.clear_lag(subscriber, name)
                 subscriber.ignore_in_flight(name)
-        self._begin(subscriber, added, now)
+        self._start_delivery(subscriber, added, now)
 
     def _acknowledge(self, subscriber: Subscriber, message: Acknowledge, now: int) -> None:
         validate_acknowledge(message, subscriber)
         subscriber.acknowledge(message.sequence)
         subscriber.refusals = message.refused
         if message.refused:
-            self._refusing[subscriber] = None
+            self._refusing_subscribers[subscriber] = None
         else:
-            self._refusing.pop(subscriber, None)
+            self._refusing_subscribers.pop(subscriber, None)
         self._delivery.serve(subscriber, now)
 
     def set_writable(self, number: int, is_writable: bool, now: int) -> None:
@@ -299,7 +313,7 @@
     def remove(self, number: int, now: int) -> None:
         """Forget a connection that ended."""
         self._now = now
-        self._rejected.discard(number)
+        self._rejected_connections.discard(number)
         subscriber = self.subscribers.pop(number, None)
         if subscriber is None:
             return
@@ -307,8 +321,8 @@
         self._delivery.queue.leave(subscriber)
         for name in list(subscriber.scopes):
             self._unwatch(subscriber, name)
-        self._bookmarks.pop(subscriber, None)
-        self._refusing.pop(subscriber, None)
+        self._bookmark_due_ns.pop(subscriber, None)
+        self._refusing_subscribers.pop(subscriber, None)
         self._delivery.send_snapshots(now)
 
     # Timers and output
@@ -317,18 +331,18 @@
         """Send the bookmarks and snapshots that are due."""
         self._now = now
         interval_ns = self.limits.bookmark_ns
-        while self._bookmarks:
-            subscriber, due = next(iter(self._bookmarks.items()))
-            if due > now:
+        while self._bookmark_due_ns:
+            subscriber, due_ns = next(iter(self._bookmark_due_ns.items()))
+            if due_ns > now:
                 break
-            self._bookmarks[subscriber] = now + interval_ns
-            self._bookmarks.move_to_end(subscriber)
+            self._bookmark_due_ns[subscriber] = now + interval_ns
+            self._bookmark_due_ns.move_to_end(subscriber)
             in_flight = subscriber.unacknowledged
             is_stalled = bool(in_flight) and in_flight[0].sent_at_ns <= now - interval_ns
             if is_stalled or not subscriber.is_writable:
                 continue
             if subscriber.parked_cursors is not None:
-                self._delivery.send_behind(subscriber)
+                self._delivery.send_replica_behind(subscriber)
             else:
                 self._delivery.send_bookmark(subscriber)
         self._delivery.send_snapshots(now)
@@ -336,11 +350,11 @@
     @property
     def wake_ns(self) -> int | None:
         """When `tick` has something to do; None: never."""
-        due = next(iter(self._bookmarks.values()), None)
+        due_ns = next(iter(self._bookmark_due_ns.values()), None)
         if not self._delivery.queue:
-            return due
+            return due_ns
         ready_at = self._delivery.queue.ready_at(self._now)
-        return ready_at if due is None else min(due, ready_at)
+        return ready_at if due_ns is None else min(due_ns, ready_at)
 
     def take_sends(self) -> list[Send]:
         """Return and forget the messages to send, in order.
@@ -352,10 +366,10 @@
     def status(self) -> FeedStatus:
         """Return the progress of all subscribers. Visits each of them."""
         subscribers = self.subscribers.values()
-        progress = progress_of(subscribers, self.revision, self._now)
+        progress = compute_progress(subscribers, self.revision, self._now)
         refused = [
             RefusedRow(subscriber.name, refusal)
-            for subscriber in self._refusing
+            for subscriber in self._refusing_subscribers
             for refusal in subscriber.refusals
         ]
         return FeedStatus(
--- a/loadbalancer/changefeed/messages.py
+++ b/loadbalancer/changefeed/messages.py
@@ -176,12 +176,12 @@
     Raises:
         ValueError: The key is not that of a row.
     """
-    found = _KEY.match(key)
-    if found is None:
+    key_match = _KEY.match(key)
+    if key_match is None:
         raise ValueError(
             f"{key[:80]!r} is no row: feed/SCOPE/KIND/NAME, SCOPE global or service:NAME"
         )
-    return found[1], found[2]
+    return key_match[1], key_match[2]
 
 
 def is_scope_name(name: str) -> bool:
--- a/loadbalancer/changefeed/patches.py
+++ b/loadbalancer/changefeed/patches.py
@@ -71,10 +71,10 @@
 
     def delta(self, scope: Scope, after: int) -> EncodedPatch:
         """Return the patch from a position of the scope's log to its end."""
-        found = self._cached.get((scope.name, after))
-        if found is not None and found.revision == scope.revision:
+        cached_patch = self._cached.get((scope.name, after))
+        if cached_patch is not None and cached_patch.revision == scope.revision:
             self._cached.move_to_end((scope.name, after))
-            return found
+            return cached_patch
         return self._encode(scope, after, scope.revision)
 
     def snapshot(self, scope: Scope, min_revision: int, revision: int) -> EncodedPatch:
@@ -85,10 +85,10 @@
             min_revision: A cached snapshot is not to be older.
             revision: Where the store stands now.
         """
-        found = self._cached.get((scope.name, UNKNOWN))
-        if found is not None and found.revision >= max(min_revision, scope.revision):
+        cached_patch = self._cached.get((scope.name, UNKNOWN))
+        if cached_patch is not None and cached_patch.revision >= max(min_revision, scope.revision):
             self._cached.move_to_end((scope.name, UNKNOWN))
-            return found
+            return cached_patch
         return self._encode(scope, UNKNOWN, revision)
 
     def _encode(self, scope: Scope, after: int, revision: int) -> EncodedPatch:
--- a/loadbalancer/changefeed/scope.py
+++ b/loadbalancer/changefeed/scope.py
@@ -10,7 +10,7 @@
 
 UNKNOWN: Final = -1  # a cursor: nothing is known
 ROW_OVERHEAD_BYTES: Final = 24  # of a row beside its key and value, in a message and in the log
-NO_BRIDGE: Final = range(0)
+NO_REVISIONS: Final = range(0)
 
 
 class FeedChange(NamedTuple):
@@ -27,7 +27,7 @@
     value: bytes | None
 
 
-class Entry(NamedTuple):
+class LogEntry(NamedTuple):
     """What one revision changed in a scope."""
 
     revision: int
@@ -43,8 +43,8 @@
     """Rows, digest and log of one scope.
 
     The log covers (base, revision]: a cursor at or past `base` continues from it. So does a cursor
-    within `bridge`, a range of earlier revisions after which nothing changed up to `base`, although
-    the log does not show it.
+    within `unchanged_revisions`, a range of earlier revisions after which nothing changed up to
+    `base`, although the log does not show it.
 
     Attributes:
         size_bytes: Of the rows, as messages carry them.
@@ -54,7 +54,6 @@
 
     __slots__ = (
         "base",
-        "bridge",
         "digest",
         "log",
         "log_length",
@@ -62,6 +61,7 @@
         "revision",
         "rows",
         "size_bytes",
+        "unchanged_revisions",
     )
 
     def __init__(self, name: str, base: int) -> None:
@@ -71,14 +71,14 @@
         self.size_bytes = 0
         self.revision = base
         self.base = base
-        self.bridge = NO_BRIDGE
-        self.log: deque[Entry] = deque()
+        self.unchanged_revisions = NO_REVISIONS
+        self.log: deque[LogEntry] = deque()
         self.log_length = 0
 
     def put(self, row: Row) -> None:
         """Store a row, or delete it, without logging the change."""
         old = self.rows.get(row.key)
-        self.digest = digest.replaced(self.digest, old, row)
+        self.digest = digest.replace_row(self.digest, old, row)
         if old is not None:
             self.size_bytes -= size_of(old)
         if row.value is None:
@@ -92,7 +92,7 @@
         if self.log and self.log[-1].revision == revision:
             self.log[-1].rows.append(row)
         else:
-            self.log.append(Entry(revision, [row]))
+            self.log.append(LogEntry(revision, [row]))
         self.log_length += 1
         self.revision = revision
 
@@ -101,11 +101,11 @@
         entry = self.log.popleft()
         self.log_length -= len(entry.rows)
         self.base = entry.revision
-        self.bridge = NO_BRIDGE
+        self.unchanged_revisions = NO_REVISIONS
 
     def covers(self, cursor: int) -> bool:
         """Return whether the log has all changes after a cursor."""
-        return cursor >= self.base or cursor in self.bridge
+        return cursor >= self.base or cursor in self.unchanged_revisions
 
     def log_position(self, cursor: int) -> int:
         """Return the last revision of the log up to a cursor that it covers.
@@ -113,7 +113,7 @@
         Cursors between the same two changes have the same position, and so share a delta.
         """
         if cursor < self.base:
-            return self.bridge.start
+            return self.unchanged_revisions.start
         for entry in reversed(self.log):
             if entry.revision <= cursor:
                 return entry.revision
--- a/loadbalancer/changefeed/scope_table.py
+++ b/loadbalancer/changefeed/scope_table.py
@@ -27,7 +27,7 @@
         self.hash_sum = 0
         self.refused: dict[str, str] = {}
 
-    def is_for(self, patch: Patch) -> bool:
+    def matches(self, patch: Patch) -> bool:
         """Return whether a chunk belongs to this patch."""
         return (
             self.after == patch.after
@@ -62,7 +62,7 @@
     def __init__(self, scope: str, generation: int) -> None:
         self.scope = scope
         self.generation = generation
-        self.is_known = False
+        self.is_synced = False
         self.cursor = 0
         self.rows: dict[str, Row] = {}
         self.digest = 0
@@ -73,7 +73,7 @@
 
     def resume_cursor(self) -> int:
         """Return the cursor to subscribe from; 0 where nothing is known."""
-        return self.cursor if self.is_known else 0
+        return self.cursor if self.is_synced else 0
 
     def discard_chunks(self) -> None:
         """Forget the chunks of a patch whose rest does not come."""
@@ -82,7 +82,7 @@
     def add_chunk(self, patch: Patch, check_row: RowCheck) -> PatchBuffer | None:
         """Buffer one chunk; return the complete patch once its last chunk is there."""
         buffer = self._buffer
-        if buffer is None or not buffer.is_for(patch):
+        if buffer is None or not buffer.matches(patch):
             buffer = self._buffer = PatchBuffer(patch)
         buffer.add(self.scope, patch.rows, check_row)
         if not patch.is_last_chunk:
@@ -98,7 +98,7 @@
         """
         new_digest = self.digest
         for row in patch.rows.values():
-            new_digest = digest.replaced(new_digest, self.rows.get(row.key), row)
+            new_digest = digest.replace_row(new_digest, self.rows.get(row.key), row)
         if new_digest != expected_digest:
             return None
         accepted = []
@@ -135,13 +135,13 @@
         accepted: dict[str, Row] = {}
         for key, reason in patch.refused.items():
             refused[key] = Refusal(self.scope, key, patch.rows[key].version, reason)
-            last = self._accepted.get(key) if key in self.refused else self.rows.get(key)
-            if last is not None:
-                accepted[key] = last
+            last_accepted = self._accepted.get(key) if key in self.refused else self.rows.get(key)
+            if last_accepted is not None:
+                accepted[key] = last_accepted
         self.rows = patch.rows
         self.refused = refused
         self._accepted = accepted
-        self.is_known = True
+        self.is_synced = True
         self._advance(patch.revision, expected_digest)
         return list(self.rows_in_force())
 
--- a/loadbalancer/changefeed/snapshot_queue.py
+++ b/loadbalancer/changefeed/snapshot_queue.py
@@ -22,7 +22,7 @@
         self._queue: deque[Subscriber] = deque()
         self._queued_bytes = 0
         self._bucket = TokenBucket(limits.snapshot_bytes_s, limits.snapshot_burst, now)
-        self._slots = RetrySlots(
+        self._retry_slots = RetrySlots(
             limits.snapshot_bytes_s, limits.later_least_ms, limits.later_most_ms
         )
 
@@ -77,4 +77,4 @@
 
     def retry_after_ms(self, needed_bytes: int, now: int) -> int:
         """Return when a subscriber that needs so many bytes is to retry."""
-        return self._slots.draw(self._queued_bytes, needed_bytes, now)
+        return self._retry_slots.reserve(self._queued_bytes, needed_bytes, now)
--- a/loadbalancer/changefeed/snapshot_rate.py
+++ b/loadbalancer/changefeed/snapshot_rate.py
@@ -21,30 +21,30 @@
         self._rate = bytes_s
         self._burst = burst
         self._tokens = float(burst)
-        self._filled_at = now
+        self._refilled_at_ns = now
 
-    def _fill(self, now: int) -> None:
-        if now > self._filled_at:
-            earned = (now - self._filled_at) * self._rate / SECOND_NS
-            self._tokens = min(float(self._burst), self._tokens + earned)
-            self._filled_at = now
+    def _refill(self, now: int) -> None:
+        if now > self._refilled_at_ns:
+            new_tokens = (now - self._refilled_at_ns) * self._rate / SECOND_NS
+            self._tokens = min(float(self._burst), self._tokens + new_tokens)
+            self._refilled_at_ns = now
 
     def is_ready(self, now: int) -> bool:
         """Return whether any token is left."""
-        self._fill(now)
+        self._refill(now)
         return self._tokens > 0
 
     def take(self, size: int, now: int) -> None:
         """Spend tokens, also such as are not there yet."""
-        self._fill(now)
+        self._refill(now)
         self._tokens -= size
 
     def ready_at(self, now: int) -> int:
         """Return when a token is left again."""
-        self._fill(now)
+        self._refill(now)
         if self._tokens > 0:
             return now
-        return self._filled_at + int((1 - self._tokens) * SECOND_NS / self._rate) + 1
+        return self._refilled_at_ns + int((1 - self._tokens) * SECOND_NS / self._rate) + 1
 
 
 class RetrySlots:
@@ -59,9 +59,9 @@
         self._min_ms = min_ms
         self._max_ms = max_ms
         self._next_ns = 0
-        self._spread = 0.0
+        self._spread_fraction = 0.0
 
-    def draw(self, queued_bytes: int, needed_bytes: int, now: int) -> int:
+    def reserve(self, queued_bytes: int, needed_bytes: int, now: int) -> int:
         """Return the milliseconds after which to retry.
 
         Args:
@@ -72,7 +72,7 @@
         slot = max(self._next_ns, now + queued_bytes * SECOND_NS // self._rate)
         after_ms = (slot - now) // MILLISECOND_NS
         if after_ms >= self._max_ms:
-            self._spread = (self._spread + GOLDEN_RATIO) % 1
-            return int(self._max_ms * (0.5 + 0.5 * self._spread))
+            self._spread_fraction = (self._spread_fraction + GOLDEN_RATIO) % 1
+            return int(self._max_ms * (0.5 + 0.5 * self._spread_fraction))
         self._next_ns = slot + max(needed_bytes * SECOND_NS // self._rate, MILLISECOND_NS)
         return max(self._min_ms, after_ms)
--- a/loadbalancer/changefeed/status.py
+++ b/loadbalancer/changefeed/status.py
@@ -78,7 +78,7 @@
     laggards: tuple[Laggard, ...]
 
 
-def progress_of(subscribers: Iterable[Subscriber], revision: int, now: int) -> Progress:
+def compute_progress(subscribers: Iterable[Subscriber], revision: int, now: int) -> Progress:
     """Return how far subscribers are, against the node's revision. Visits each of them."""
     acknowledged: Counter[int] = Counter()
     lagging: list[tuple[int, int, str]] = []
--- a/loadbalancer/changefeed/subscriber.py
+++ b/loadbalancer/changefeed/subscriber.py
@@ -16,7 +16,7 @@
 from loadbalancer.changefeed.patches import EncodedPatch
 from loadbalancer.changefeed.scope import UNKNOWN, Scope
 
-NO_FLOOR: Final = 1 << 62  # past any revision
+IGNORED_FLOOR: Final = 1 << 62  # past any revision
 
 
 class WatchedScope(Scope):
@@ -29,7 +29,7 @@
         self.watchers: dict[Subscriber, None] = {}
 
     @property
-    def is_idle(self) -> bool:
+    def is_unused(self) -> bool:
         """Nothing is known of the scope and nobody watches it."""
         return not (self.rows or self.log or self.watchers)
 
@@ -157,10 +157,10 @@
         """
         if self.parked_cursors is not None:
             return min(self.parked_cursors.values(), default=0), self.parked_at_ns
-        behind = [(lag.floor, lag.since_ns) for lag in self.dirty.values()]
-        behind += [(lag.floor, lag.since_ns) for lag in self.pending.values()]
-        behind += [(patch.floor, patch.sent_at_ns) for patch in self.unacknowledged]
-        return min(behind) if behind else None
+        lags = [(lag.floor, lag.since_ns) for lag in self.dirty.values()]
+        lags += [(lag.floor, lag.since_ns) for lag in self.pending.values()]
+        lags += [(patch.floor, patch.sent_at_ns) for patch in self.unacknowledged]
+        return min(lags) if lags else None
 
     def acknowledge(self, sequence: int) -> None:
         """Take patches up to a sequence number out of the window."""
@@ -173,6 +173,6 @@
         """Patches in flight of a removed or restarted scope no longer count as lag."""
         if any(patch.scope == scope for patch in self.unacknowledged):
             self.unacknowledged = deque(
-                structs.replace(patch, floor=NO_FLOOR) if patch.scope == scope else patch
+                structs.replace(patch, floor=IGNORED_FLOOR) if patch.scope == scope else patch
                 for patch in self.unacknowledged
             )
--- a/loadbalancer/changefeed/subscription.py
+++ b/loadbalancer/changefeed/subscription.py
@@ -81,7 +81,7 @@
         self._rng = options.rng
         self._address_index = 0
         self._failed_dials = 0  # connections in a row that brought nothing
-        self._retry_laters = 0  # in a row
+        self._retry_later_count = 0  # in a row
         self._state_deadline_ns = now
         self._sequence = 0  # of the last patch
         self._received_generation = 1
@@ -118,7 +118,7 @@
             self.generation += 1
         for scope in removed:
             del self.scopes[scope]
-            self._acknowledger.forget(scope)
+            self._acknowledger.forget_scope(scope)
         for scope in added:
             self.scopes[scope] = ScopeTable(scope, self.generation)
         self._send_update([(scope, 0) for scope in added], removed)
@@ -131,7 +131,7 @@
     @property
     def is_ready(self) -> bool:
         """Every scope was received."""
-        return all(table.is_known for table in self.scopes.values())
+        return all(table.is_synced for table in self.scopes.values())
 
     def age_ns(self, now: int) -> int:
         """Return the time since a node last showed that it had sent everything.
@@ -153,7 +153,7 @@
         if epoch != self.epoch:
             self.epoch = epoch
             for table in self.scopes.values():
-                table.is_known = False
+                table.is_synced = False
                 table.cursor = 0
         self.state = SubscriptionState.SUBSCRIBING
         self._state_deadline_ns = now + self.limits.silent_ns
@@ -183,11 +183,11 @@
         doublings = min(self._failed_dials, MAX_BACKOFF_DOUBLINGS)
         max_delay_ns = min(self.limits.backoff_most_ns, self.limits.backoff_ns << doublings)
         self._failed_dials += 1
-        self._retry_laters = 0
+        self._retry_later_count = 0
         self._address_index += 1
-        self._wait(reason, now + int(self._rng.random() * max_delay_ns) + 1)
+        self._enter_backoff(reason, now + int(self._rng.random() * max_delay_ns) + 1)
 
-    def _wait(self, reason: str, until_ns: int) -> None:
+    def _enter_backoff(self, reason: str, until_ns: int) -> None:
         self.state = SubscriptionState.BACKING_OFF
         self.disconnect_reason = reason
         self._state_deadline_ns = until_ns
@@ -203,9 +203,9 @@
             self._acknowledge()
         audit_due_ns = self._auditor.due_ns
         if audit_due_ns is not None and audit_due_ns <= now:
-            corrupt = self._auditor.step(now)
-            if corrupt is not None:
-                self._resync(corrupt)
+            corrupt_table = self._auditor.step(now)
+            if corrupt_table is not None:
+                self._resync(corrupt_table)
 
     def _on_state_deadline(self, now: int) -> None:
         if self.state is SubscriptionState.BACKING_OFF:
@@ -273,59 +273,57 @@
 
     def _on_retry_later(self, after_ms: int, now: int) -> None:
         self._actions.append(Disconnect(RETRY_LATER_REASON))
-        self._retry_laters += 1
-        if self._retry_laters > self.limits.later_most:
-            self._retry_laters = 0
+        self._retry_later_count += 1
+        if self._retry_later_count > self.limits.later_most:
+            self._retry_later_count = 0
             self._address_index += 1
         delay_ns = min(max(after_ms, 1) * MILLISECOND_NS, self.limits.later_ns)
-        self._wait(RETRY_LATER_REASON, now + delay_ns)
+        self._enter_backoff(RETRY_LATER_REASON, now + delay_ns)
 
     def _on_bookmark(self, generation: int, bookmark: Bookmark, now: int) -> None:
         self._failed_dials = 0
-        self._retry_laters = 0
-        current = [
+        self._retry_later_count = 0
+        synced_tables = [
             table
             for table in self.scopes.values()
-            if table.generation <= generation and table.is_known
+            if table.generation <= generation and table.is_synced
         ]
-        for table in current:
+        for table in synced_tables:
             table.cursor = max(table.cursor, bookmark.revision)
         for scope, expected_digest in bookmark.digests:
             self._compare_digest(generation, scope, expected_digest, now)
         # A bookmark without digests means that something is still to be sent.
         is_complete = bool(bookmark.digests) or not self.scopes
-        self._is_current = is_complete and len(current) == len(self.scopes) and self.is_ready
+        self._is_current = is_complete and len(synced_tables) == len(self.scopes) and self.is_ready
 
     def _compare_digest(self, generation: int, scope: str, expected: int, now: int) -> None:
         table = self.scopes.get(scope)
         if table is None or table.generation > generation:
             return
-        if not table.is_known or table.digest != expected or not self._digest_matches(table):
+        if not table.is_synced or table.digest != expected or not self._digest_matches(table):
             self._resync(table)
         elif len(table.rows) > self.limits.audit_rows:
-            self._auditor.begin(table, now)
+            self._auditor.enqueue(table, now)
 
     def _on_patch(self, generation: int, patch: Patch, size: int, now: int) -> None:
         self._acknowledger.add_patch(size, now)
         table = self.scopes.get(patch.scope)
         if table is not None and table.generation <= generation:
-            complete = table.add_chunk(patch, self._check_row)
-            if complete is not None:
-                self._apply_patch(table, patch, complete, now)
+            buffer = table.add_chunk(patch, self._check_row)
+            if buffer is not None:
+                self._apply_patch(table, patch, buffer, now)
         if self._acknowledger.is_due_by_size:
             self._acknowledge()
 
-    def _apply_patch(
-        self, table: ScopeTable, patch: Patch, complete: PatchBuffer, now: int
-    ) -> None:
+    def _apply_patch(self, table: ScopeTable, patch: Patch, buffer: PatchBuffer, now: int) -> None:
         """Apply a complete patch; `patch` is its last chunk."""
         if patch.is_snapshot:
-            accepted = self._apply_snapshot(table, patch, complete, now)
+            accepted = self._apply_snapshot(table, patch, buffer, now)
         else:
-            accepted = self._apply_delta(table, patch, complete)
+            accepted = self._apply_delta(table, patch, buffer)
         if accepted is None:
             return
-        self._acknowledger.track(table)
+        self._acknowledger.update_refusals(table)
         if accepted or patch.is_snapshot:
             self._actions.append(
                 Apply(table.scope, patch.is_snapshot, tuple(accepted), table.cursor)
@@ -333,27 +331,27 @@
         self._schedule_refusals(now)
 
     def _apply_snapshot(
-        self, table: ScopeTable, patch: Patch, complete: PatchBuffer, now: int
+        self, table: ScopeTable, patch: Patch, buffer: PatchBuffer, now: int
     ) -> list[Row] | None:
         if patch.revision < table.cursor:
             self._disconnect(
                 f"{table.scope} went back from {table.cursor} to {patch.revision}", now
             )
             return None
-        accepted = table.apply_snapshot(complete, patch.digest)
+        accepted = table.apply_snapshot(buffer, patch.digest)
         if accepted is None:  # the node itself is corrupt: another one is to be tried
             self._disconnect(f"rows of {table.scope} do not have their digest", now)
         return accepted
 
     def _apply_delta(
-        self, table: ScopeTable, patch: Patch, complete: PatchBuffer
+        self, table: ScopeTable, patch: Patch, buffer: PatchBuffer
     ) -> list[Row] | None:
-        if not table.is_known or patch.revision <= table.cursor:
+        if not table.is_synced or patch.revision <= table.cursor:
             return None
         if patch.after > table.cursor:
             self._resync(table)
             return None
-        accepted = table.apply_delta(complete, patch.digest)
+        accepted = table.apply_delta(buffer, patch.digest)
         if accepted is None or not self._digest_matches(table):
             self._resync(table)
             return None
@@ -366,7 +364,7 @@
             self._acknowledger.schedule_refusals(now)
 
     def _acknowledge(self) -> None:
-        self._send(self._acknowledger.take(self._sequence))
+        self._send(self._acknowledger.build_acknowledgement(self._sequence))
 
     def _send(self, message: ClientMessage) -> None:
         self._actions.append(SendMessage(pack(message)))
@@ -377,7 +375,7 @@
         if self._is_connected:
             self.generation += 1
             table.generation = self.generation
-        table.is_known = False
+        table.is_synced = False
         table.discard_chunks()
         self._is_current = False
         self._send_update([(table.scope, 0)], [])
--- a/loadbalancer/testbed/feed/planted.py
+++ b/loadbalancer/testbed/feed/planted.py
@@ -30,7 +30,7 @@
     """A scope's cursor moves on with the first part of a patch."""
     table = self.scopes.get(patch.scope)
     if table is not None and table.generation <= generation and not patch.is_last_chunk:
-        table.cursor, table.is_known = max(table.cursor, patch.revision), True
+        table.cursor, table.is_synced = max(table.cursor, patch.revision), True
     _on_patch(self, generation, patch, size, now)
 
 
@@ -89,7 +89,7 @@
 
 def _never_parked(self: Fanout, subscriber: Subscriber, cursors: dict[str, int], now: int) -> None:
     """Who knows more than the node is served like all."""
-    self._begin(subscriber, cursors, now)
+    self._start_delivery(subscriber, cursors, now)
 
 
 def _served_while_parked(self: Delivery, subscriber: Subscriber, now: int) -> None:
@@ -114,7 +114,7 @@
     """No digest finds anything, so the books have to."""
     after = self.digest
     for row in stage.rows.values():
-        after = digest.replaced(after, self.rows.get(row.key), row)
+        after = digest.replace_row(after, self.rows.get(row.key), row)
     taken = _apply_delta(self, stage, after)
     self.digest = expected
     return taken
--- a/loadbalancer/testbed/feed/sim.py
+++ b/loadbalancer/testbed/feed/sim.py
@@ -501,7 +501,7 @@
     def _spoil(self, balancer: Balancer) -> None:
         """A row is lost, or stands there twice."""
         for table in balancer.subscription.scopes.values():
-            if table.is_known and table.rows:
+            if table.is_synced and table.rows:
                 key = self.rng.choice(sorted(table.rows))
                 if self.rng.random() < 0.5:
                     del table.rows[key]
@@ -522,7 +522,7 @@
             raise Broken("digest", f"{balancer.book.name} had to take a scope anew")
         history = self.histories[subscription.epoch]
         for scope, table in subscription.scopes.items():
-            if table.is_known and table.rows != history.rows(scope, table.cursor):
+            if table.is_synced and table.rows != history.rows(scope, table.cursor):
                 raise Broken("table", f"{balancer.book.name}: {scope} is not as of {table.cursor}")
 
     def _statuses(self, node: Node) -> None:
--- a/tests/changefeed/test_simulation.py
+++ b/tests/changefeed/test_simulation.py
@@ -17,19 +17,19 @@
 from loadbalancer.testbed.feed.sim import Options, play
 from loadbalancer.testbed.topology import Unusable
 
-SEEDS = 40
-WITHIN = 12  # seeds, of those that the true program passes above, each bug shows
+SEED_COUNT = 40
+MAX_SEEDS_PER_BUG = 12  # seeds, of those that the true program passes above, each bug shows
 
 
 @pytest.mark.parametrize("spoil", [False, True])
 def test_no_invariant_breaks_under_random_faults(spoil: bool) -> None:
     counts: Counter[str] = Counter()
-    for seed in range(1, SEEDS + 1):
+    for seed in range(1, SEED_COUNT + 1):
         outcome = play(seed, Options(spoil=spoil))
         assert not outcome.broken, f"seed {seed}, {outcome.broken}"
         counts += outcome.counts
     # The storms were some.
-    for what in (
+    for counter in (
         "cuts",
         "killed",
         "restores",
@@ -45,7 +45,7 @@
         "refusals",
         "hung up: the",
     ):
-        assert counts[what] > 3, what
+        assert counts[counter] > 3, counter
     assert counts["spoilt"] > 50 if spoil else not counts["mended"]
     assert counts["mended"] > 50 if spoil else not counts["spoilt"]
     assert counts["encoded"] < counts["Patch"] / 5
@@ -56,23 +56,26 @@
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
-def test_a_seeded_bug_is_caught(name: str) -> None:
-    found = catch(name, WITHIN)
-    assert found is not None
-    assert played(name, found.seed) == found and not play(found.seed).broken
+def test_a_planted_bug_is_caught(name: str) -> None:
+    failing_outcome = catch(name, MAX_SEEDS_PER_BUG)
+    assert failing_outcome is not None
+    assert (
+        played(name, failing_outcome.seed) == failing_outcome
+        and not play(failing_outcome.seed).broken
+    )
 
 
-def test_the_command_runs_seeds_and_seeded_bugs() -> None:
-    def said(*words: str) -> tuple[int, str]:
+def test_the_command_runs_seeds_and_planted_bugs() -> None:
+    def run_command(*arguments: str) -> tuple[int, str]:
         result = CliRunner().invoke(
-            application(["lab"]), ["lab", "feed-sim", "--seconds", "5", *words]
+            application(["lab"]), ["lab", "feed-sim", "--seconds", "5", *arguments]
         )
         return result.exit_code, result.output
 
-    assert said("--seeds", "2")[1].startswith("2 seeds, 0 broken; ")
-    code, text = said("--seeds", "1", "--planted", "cursor-before-last-part")
+    assert run_command("--seeds", "2")[1].startswith("2 seeds, 0 broken; ")
+    code, text = run_command("--seeds", "1", "--planted", "cursor-before-last-part")
     assert code == 1 and "seed 1, at " in text and "1 seeds, 1 broken" in text
-    code, text = said("--seeds", "4", "--planted", "all")
+    code, text = run_command("--seeds", "4", "--planted", "all")
     assert "cursor-before-last-part: seed 1" in text and text.count(": ") >= len(PLANTS)
     result = CliRunner().invoke(application(["lab"]), ["lab", "feed-sim", "--planted", "none"])
     assert isinstance(result.exception, Unusable)
@@ -81,77 +84,88 @@
 # ---- the books themselves ------------------------------------------------------------------------
 
 
-def history() -> History:
-    made = History("e", 1, {}, {})
-    made.write(2, [("global", "k/x", b"a"), ("global", "k/y", b"a")])
-    made.write(4, [("global", "k/x", None), ("service:a", "k/x", b"a")])
-    made.write(5, [("global", "k/x", REFUSED)])
-    return made
+def build_history() -> History:
+    store_history = History("e", 1, {}, {})
+    store_history.write(2, [("global", "k/x", b"a"), ("global", "k/y", b"a")])
+    store_history.write(4, [("global", "k/x", None), ("service:a", "k/x", b"a")])
+    store_history.write(5, [("global", "k/x", REFUSED)])
+    return store_history
 
 
-def test_the_history_knows_each_revision() -> None:
-    made = history()
-    assert [sorted(made.rows("global", at)) for at in range(1, 6)] == [
+def test_history_returns_the_rows_and_last_change_of_each_revision() -> None:
+    store_history = build_history()
+    assert [sorted(store_history.rows("global", at)) for at in range(1, 6)] == [
         [],
         ["k/x", "k/y"],
         ["k/x", "k/y"],
         ["k/y"],
         ["k/x", "k/y"],
     ]
-    assert made.rows("global", 5)["k/x"].version == 3
-    assert [made.changed("global", at) for at in range(1, 6)] == [0, 2, 2, 4, 5]
-    assert made.rows("service:b", 5) == {} and made.changed("service:b", 5) == 0
+    assert store_history.rows("global", 5)["k/x"].version == 3
+    assert [store_history.changed("global", at) for at in range(1, 6)] == [0, 2, 2, 4, 5]
+    assert store_history.rows("service:b", 5) == {} and store_history.changed("service:b", 5) == 0
 
 
-def test_the_checker_finds_impossible_states() -> None:
-    made = history()
+def test_the_checker_rejects_impossible_states() -> None:
+    store_history = build_history()
     book = Book("b", old=False)
     book.wanted(["global"], [])
 
-    def whole(at: int) -> None:
-        book.applied(made, "global", True, tuple(made.rows("global", at).values()), at)
-
-    whole(4)
-    x, y = made.rows("global", 2).values()
-    wrong: dict[str, Callable[[], None]] = {
-        "dropped": lambda: book.applied(made, "service:a", True, (), 5),
-        "back in time": lambda: whole(2),
-        "future": lambda: whole(6),
-        "whole": lambda: book.applied(made, "global", True, (y, y), 5),
-        "rows": lambda: book.applied(made, "global", False, (x,), 5),
+    def apply_snapshot(at: int) -> None:
+        book.applied(
+            store_history, "global", True, tuple(store_history.rows("global", at).values()), at
+        )
+
+    apply_snapshot(4)
+    x, y = store_history.rows("global", 2).values()
+    invalid_updates: dict[str, Callable[[], None]] = {
+        "dropped": lambda: book.applied(store_history, "service:a", True, (), 5),
+        "back in time": lambda: apply_snapshot(2),
+        "future": lambda: apply_snapshot(6),
+        "whole": lambda: book.applied(store_history, "global", True, (y, y), 5),
+        "rows": lambda: book.applied(store_history, "global", False, (x,), 5),
         "epoch": lambda: book.applied(History("f", 1, {}, {}), "global", False, (), 1),
-        "reached": lambda: book.reached(made, "global", 99),
+        "reached": lambda: book.reached(store_history, "global", 99),
     }
-    for name, call in wrong.items():
+    for name, update in invalid_updates.items():
         book.views["global"].epoch, book.views["global"].revision = "e", 4
         with pytest.raises(Broken) as broken:
-            call()
+            update()
         assert broken.value.name == name
-    whole(5)
-    book.reached(made, "global", 99)
+    apply_snapshot(5)
+    book.reached(store_history, "global", 99)
     # An older program has the last that it could take, or none; not one that it can't.
     old = Book("old", old=True)
     old.wanted(["global"], [])
-    old.applied(made, "global", True, (y,), 5)
-    old.applied(made, "global", True, (x, y), 5)
+    old.applied(store_history, "global", True, (y,), 5)
+    old.applied(store_history, "global", True, (x, y), 5)
     with pytest.raises(Broken, match="rows"):
-        old.applied(made, "global", True, tuple(made.rows("global", 5).values()), 5)
+        old.applied(
+            store_history, "global", True, tuple(store_history.rows("global", 5).values()), 5
+        )
     with pytest.raises(Broken, match="rows"):
-        old.applied(made, "global", True, (), 5)
+        old.applied(store_history, "global", True, (), 5)
 
 
 # ---- many at once --------------------------------------------------------------------------------
 
 
-def test_many_balancers_start_soon_and_fail_over_without_a_snapshot() -> None:
+def test_120_balancers_start_within_the_snapshot_rate_and_fail_over_without_snapshots() -> None:
     limits = FanoutLimits(snapshot_bytes_s=200_000, snapshot_burst=20_000, waiting_most=4)
     herd = Herd(1, 3, 120, 5, limits, kinds=(("upstream", 2_000, 110),), services=50)
-    started = herd.start()
-    assert started["current"] == 120 and started["later"] > 50 and started["mended"] == 0
-    assert started["snapshots"] == 120 * 6 and started["s_90"] < 10
-    assert started["encoded"] <= 3 * 51
+    startup_stats = herd.start()
+    assert (
+        startup_stats["current"] == 120
+        and startup_stats["later"] > 50
+        and startup_stats["mended"] == 0
+    )
+    assert startup_stats["snapshots"] == 120 * 6 and startup_stats["s_90"] < 10
+    assert startup_stats["encoded"] <= 3 * 51
     # Not sooner than the pace allows.
-    assert started["s_100"] > started["sent_bytes"] / 3 / 200_000 * 0.7
-    moved = herd.node_dies()
-    assert moved["current"] == moved["members"] > 20
-    assert moved["snapshots"] == moved["later"] == moved["mended"] == 0 and moved["s_100"] < 1
+    assert startup_stats["s_100"] > startup_stats["sent_bytes"] / 3 / 200_000 * 0.7
+    failover_stats = herd.node_dies()
+    assert failover_stats["current"] == failover_stats["members"] > 20
+    assert (
+        failover_stats["snapshots"] == failover_stats["later"] == failover_stats["mended"] == 0
+        and failover_stats["s_100"] < 1
+    )
--- a/tests/changefeed/test_subscriptions.py
+++ b/tests/changefeed/test_subscriptions.py
@@ -45,29 +45,31 @@
 )
 
 pack = messages.pack
-S = 1_000_000_000
-MS = 1_000_000
-QUICK = FanoutLimits(snapshot_bytes_s=1 << 40, snapshot_burst=1 << 40)
-LIMITS = SubscriptionLimits(ack_ns=50 * MS)
-A, B = "service:a", "service:b"
+SECOND_NS = 1_000_000_000
+MILLISECOND_NS = 1_000_000
+UNTHROTTLED_LIMITS = FanoutLimits(snapshot_bytes_s=1 << 40, snapshot_burst=1 << 40)
+SUBSCRIPTION_LIMITS = SubscriptionLimits(ack_ns=50 * MILLISECOND_NS)
+SCOPE_A, SCOPE_B = "service:a", "service:b"
 
 
-def change(revision: int, scope: str, name: str, version: int, value: bytes | None) -> FeedChange:
+def feed_change(
+    revision: int, scope: str, name: str, version: int, value: bytes | None
+) -> FeedChange:
     return FeedChange(revision, f"feed/{scope}/upstream/{name}", version, value)
 
 
-def fanout(
-    limits: FanoutLimits = QUICK, revision: int = 10, epoch: str = "e", size: int = 1
+def build_fanout(
+    limits: FanoutLimits = UNTHROTTLED_LIMITS, revision: int = 10, epoch: str = "e", size: int = 1
 ) -> Fanout:
     """A, B and global hold the rows x and y of version 1, as of revision 10."""
-    made = Fanout(epoch, limits, 0)
+    new_node = Fanout(epoch, limits, 0)
     rows = [
         (f"feed/{scope}/upstream/{name}", 1, b"1" * size)
-        for scope in (A, B, "global")
+        for scope in (SCOPE_A, SCOPE_B, "global")
         for name in "xy"
     ]
-    made.load(StoreSnapshot(revision, rows, revision, []), 0)
-    return made
+    new_node.load(StoreSnapshot(revision, rows, revision, []), 0)
+    return new_node
 
 
 def subscribe(
@@ -85,23 +87,23 @@
     ]
 
 
-def acknowledge(node: Fanout, sends: list[Send], now: int = 0) -> None:
+def acknowledge_sends(node: Fanout, sends: list[Send], now: int = 0) -> None:
     for number, sequence in {
         send.subscriber: send.sequence for send in sends if send.sequence
     }.items():
         node.receive(number, pack(Acknowledge(sequence)), now)
 
 
-def acknowledged_sends(node: Fanout, now: int = 0) -> list[Send]:
+def take_and_acknowledge_sends(node: Fanout, now: int = 0) -> list[Send]:
     """What goes out, all of it acknowledged at once."""
     sends: list[Send] = []
-    while more := node.take_sends():
-        sends += more
-        acknowledge(node, more, now)
+    while new_sends := node.take_sends():
+        sends += new_sends
+        acknowledge_sends(node, new_sends, now)
     return sends
 
 
-def rows_of(patch: Patch) -> dict[str, bytes | None]:
+def values_by_name(patch: Patch) -> dict[str, bytes | None]:
     return {row.key.split("/")[1]: row.value for row in patch.rows}
 
 
@@ -114,35 +116,40 @@
         self,
         nodes: list[Fanout],
         scopes: Iterable[str],
-        refuses: bytes = b"!",
-        limits: SubscriptionLimits = LIMITS,
+        refused_prefix: bytes = b"!",
+        limits: SubscriptionLimits = SUBSCRIPTION_LIMITS,
         seed: int = 1,
         now: int = 0,
         number: int = 1,
     ) -> None:
         self.nodes, self.now, self.number = nodes, now, number * 1_000
-        self.refuses = refuses
+        self.refused_prefix = refused_prefix
         self.tables: dict[str, dict[str, Row]] = {}
         self.messages: list[Any] = []
         self.actions: list[Action] = []
         self.node: Fanout | None = None
         self.client = Subscription(
-            f"b{number}", list(scopes), SubscriptionOptions(self.check, limits, Random(seed)), now
+            f"b{number}",
+            list(scopes),
+            SubscriptionOptions(self.check_row, limits, Random(seed)),
+            now,
         )
 
-    def check(self, scope: str, row: Row) -> str:
+    def check_row(self, scope: str, row: Row) -> str:
         return (
-            "not known here" if row.value is not None and row.value.startswith(self.refuses) else ""
+            "not known here"
+            if row.value is not None and row.value.startswith(self.refused_prefix)
+            else ""
         )
 
-    def act(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         self.actions.append(action)
         if isinstance(action, Dial):
             self.number += 1
             self.node = self.nodes[action.address_index % len(self.nodes)]
             self.client.on_connected(self.node.epoch, self.now)
         elif isinstance(action, Disconnect):
-            self.cut()
+            self.close_connection()
         elif isinstance(action, SendMessage):
             self.messages.append(messages.unpack_client_message(action.payload))
             if self.node is not None:
@@ -156,41 +163,46 @@
                 key: row for key, row in rows.items() if row.value is not None
             }
 
-    def cut(self) -> None:
+    def close_connection(self) -> None:
         if self.node is not None:
             self.node.remove(self.number, self.now)
             self.node = None
 
-    def exchange(self, most: int = 1_000) -> Connection:
+    def exchange_messages(self, max_messages: int = 1_000) -> Connection:
         """Until neither side has anything to say, or so many words of nodes were heard."""
         while True:
             actions = self.client.take_actions()
             for action in actions:
-                self.act(action)
+                self.perform(action)
             sends = self.node.take_sends() if self.node is not None else []
             for send in sends:
                 if send.subscriber == self.number:
-                    if not most:
+                    if not max_messages:
                         return self
-                    most -= 1
+                    max_messages -= 1
                     self.client.receive(send.generation, send.sequence, send.payload, self.now)
             if not actions and not sends:
                 return self
 
     def advance(self, ns: int) -> Connection:
         """Through all that is due within this time."""
-        until = self.now + ns
-        self.exchange()
+        end_ns = self.now + ns
+        self.exchange_messages()
         while True:
-            due = [self.client.wake_ns]
+            wake_times = [self.client.wake_ns]
             if self.node is not None and self.node.wake_ns:
-                due.append(self.node.wake_ns)
-            self.now = min(until, max(self.now, *due) if len(due) == 1 else max(self.now, min(due)))
+                wake_times.append(self.node.wake_ns)
+            self.now = min(
+                end_ns,
+                max(self.now, *wake_times)
+                if len(wake_times) == 1
+                else max(self.now, min(wake_times)),
+            )
             if self.node is not None:
                 self.node.tick(self.now)
             self.client.tick(self.now)
-            self.exchange()
-            if self.now >= until:
+            self.exchange_messages()
+            if self.now >= end_ns:
                 return self
 
     def state(self) -> str:
@@ -203,151 +215,181 @@
 # ---- one change, many who hear it ----------------------------------------------------------------
 
 
-def test_a_change_is_encoded_once_a_scope_and_not_once_a_watcher() -> None:
-    node = fanout()
+def test_a_change_is_encoded_once_per_scope_not_once_per_watcher() -> None:
+    node = build_fanout()
     for number in range(300):
-        subscribe(node, number, [(A, 10), (B, 10)])
+        subscribe(node, number, [(SCOPE_A, 10), (SCOPE_B, 10)])
     before = node.status().encoded
-    node.apply(11, [change(11, A, "x", 2, b"2"), change(11, B, "x", 2, b"2")], 0)
+    node.apply(
+        11, [feed_change(11, SCOPE_A, "x", 2, b"2"), feed_change(11, SCOPE_B, "x", 2, b"2")], 0
+    )
     sends = node.take_sends()
     assert len(sends) == 600 and len({id(send.payload) for send in sends}) == 2
     assert node.status().encoded == before + 2
     # Those who come back from another node and stand at one place share as well.
     for number in range(300, 400):
-        subscribe(node, number, [(A, 10)])
+        subscribe(node, number, [(SCOPE_A, 10)])
     assert node.status().encoded == before + 2
 
 
 def test_snapshots_are_encoded_once_for_all_subscribers() -> None:
-    node = fanout()
+    node = build_fanout()
     for number in range(50):
-        subscribe(node, number, [(A, 0)])
+        subscribe(node, number, [(SCOPE_A, 0)])
     assert node.status().encoded == 1 and node.status().snapshots == 50
 
 
-def test_a_write_over_many_scopes_is_complete_within_each() -> None:
-    node = fanout()
-    line = Connection([node], [A, B]).exchange()
-    node.apply(11, [change(11, scope, name, 2, b"2") for name in "xy" for scope in (A, B)], 0)
+def test_a_write_to_two_scopes_is_sent_as_one_complete_patch_per_scope() -> None:
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages()
+    node.apply(
+        11,
+        [feed_change(11, scope, name, 2, b"2") for name in "xy" for scope in (SCOPE_A, SCOPE_B)],
+        0,
+    )
     patches = [messages.unpack_server_message(send.payload) for send in node.take_sends()]
-    assert [(patch.scope, rows_of(patch)) for patch in patches if isinstance(patch, Patch)] == [
-        (A, {"x": b"2", "y": b"2"}),
-        (B, {"x": b"2", "y": b"2"}),
+    assert [
+        (patch.scope, values_by_name(patch)) for patch in patches if isinstance(patch, Patch)
+    ] == [
+        (SCOPE_A, {"x": b"2", "y": b"2"}),
+        (SCOPE_B, {"x": b"2", "y": b"2"}),
     ]
-    assert line.client.is_ready
+    assert connection.client.is_ready
 
 
-def test_a_slow_subscriber_blocks_nobody_and_gets_one_coalesced_delta() -> None:
-    node = fanout(structs.replace(QUICK, window_bytes=2_000))
+def test_a_slow_subscriber_does_not_delay_others_and_gets_one_coalesced_delta() -> None:
+    node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, window_bytes=2_000))
     for number in (1, 2):
-        subscribe(node, number, [(A, 10)])
-    heard: Counter[int] = Counter()
-    slow: list[Send] = []
+        subscribe(node, number, [(SCOPE_A, 10)])
+    patch_counts: Counter[int] = Counter()
+    slow_sends: list[Send] = []
     for revision in range(11, 511):
         node.apply(
-            revision, [change(revision, A, "xyz"[revision % 3], revision, b"%d" % revision)], 0
+            revision,
+            [feed_change(revision, SCOPE_A, "xyz"[revision % 3], revision, b"%d" % revision)],
+            0,
         )
         for send in node.take_sends():
-            heard[send.subscriber] += 1
+            patch_counts[send.subscriber] += 1
             if send.subscriber == 1:
-                slow.append(send)
+                slow_sends.append(send)
             else:
                 node.receive(2, pack(Acknowledge(send.sequence)), 0)
         assert node.subscribers[1].unacknowledged_bytes <= 2_000
-    assert heard[2] == 500 and 0 < heard[1] < 50
-    node.receive(1, pack(Acknowledge(slow[-1].sequence)), 0)
+    assert patch_counts[2] == 500 and 0 < patch_counts[1] < 50
+    node.receive(1, pack(Acknowledge(slow_sends[-1].sequence)), 0)
     (patch,) = sent(node, 1)
-    assert rows_of(patch) == {"x": b"510", "y": b"508", "z": b"509"}
-    assert patch.after == slow_revision(slow) and patch.revision == 510
+    assert values_by_name(patch) == {"x": b"510", "y": b"508", "z": b"509"}
+    assert patch.after == last_patch_revision(slow_sends) and patch.revision == 510
 
 
-def slow_revision(sends: list[Send]) -> int:
+def last_patch_revision(sends: list[Send]) -> int:
     patch = messages.unpack_server_message(sends[-1].payload)
     assert isinstance(patch, Patch)
     return patch.revision
 
 
 def test_an_unwritable_subscriber_is_sent_nothing_until_it_is_writable() -> None:
-    node = fanout()
-    subscribe(node, 1, [(A, 10), (B, 10)])
+    node = build_fanout()
+    subscribe(node, 1, [(SCOPE_A, 10), (SCOPE_B, 10)])
     node.set_writable(1, False, 0)
     for revision in range(11, 60):
-        node.apply(revision, [change(revision, A, "x", revision, b"%d" % revision)], 0)
-    node.tick(100 * S)
+        node.apply(revision, [feed_change(revision, SCOPE_A, "x", revision, b"%d" % revision)], 0)
+    node.tick(100 * SECOND_NS)
     assert node.take_sends() == []
     node.set_writable(1, True, 0)
     (patch,) = sent(node)
-    assert (patch.scope, rows_of(patch)) == (A, {"x": b"59"})
+    assert (patch.scope, values_by_name(patch)) == (SCOPE_A, {"x": b"59"})
 
 
-def test_a_row_deleted_and_recreated_is_there_once() -> None:
-    node = fanout()
-    line = Connection([node], [A]).exchange()
-    node.set_writable(line.number, False, 0)
-    node.apply(11, [change(11, A, "x", 2, None), change(11, A, "y", 2, None)], 0)
-    node.apply(12, [change(12, A, "x", 3, b"new"), change(12, A, "z", 1, b"z")], 0)
-    node.apply(13, [change(13, A, "z", 2, None)], 0)
-    node.set_writable(line.number, True, 0)
-    line.exchange()
-    assert line.values(A) == {"x": b"new"} and line.client.resyncs == 0
-    node.apply(14, [change(14, A, "x", 4, None)], 0)
-    assert line.exchange().values(A) == {}
-    node.apply(15, [change(15, A, "x", 5, b"again")], 0)
-    assert line.exchange().values(A) == {"x": b"again"}
+def test_deletions_and_recreations_are_coalesced_to_the_last_value() -> None:
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
+    node.set_writable(connection.number, False, 0)
+    node.apply(
+        11, [feed_change(11, SCOPE_A, "x", 2, None), feed_change(11, SCOPE_A, "y", 2, None)], 0
+    )
+    node.apply(
+        12, [feed_change(12, SCOPE_A, "x", 3, b"new"), feed_change(12, SCOPE_A, "z", 1, b"z")], 0
+    )
+    node.apply(13, [feed_change(13, SCOPE_A, "z", 2, None)], 0)
+    node.set_writable(connection.number, True, 0)
+    connection.exchange_messages()
+    assert connection.values(SCOPE_A) == {"x": b"new"} and connection.client.resyncs == 0
+    node.apply(14, [feed_change(14, SCOPE_A, "x", 4, None)], 0)
+    assert connection.exchange_messages().values(SCOPE_A) == {}
+    node.apply(15, [feed_change(15, SCOPE_A, "x", 5, b"again")], 0)
+    assert connection.exchange_messages().values(SCOPE_A) == {"x": b"again"}
 
 
 def test_a_patch_in_chunks_is_applied_atomically() -> None:
-    node = fanout(structs.replace(QUICK, chunk_bytes=200, window_bytes=500))
-    line = Connection([node], [A]).exchange()
-    node.apply(11, [change(11, A, f"n{number}", 1, b"v" * 90) for number in range(20)], 0)
-    line.actions.clear()
-    line.advance(S)
-    applied = [action for action in line.actions if isinstance(action, Apply)]
+    node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, chunk_bytes=200, window_bytes=500))
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
+    node.apply(
+        11, [feed_change(11, SCOPE_A, f"n{number}", 1, b"v" * 90) for number in range(20)], 0
+    )
+    connection.actions.clear()
+    connection.advance(SECOND_NS)
+    applied = [action for action in connection.actions if isinstance(action, Apply)]
     assert [len(action.rows) for action in applied] == [20]
-    assert line.client.resyncs == 0 and node.status().acknowledged == ((11, 1),)
-
-
-def test_changes_during_a_snapshot_follow_it() -> None:
-    limits = structs.replace(QUICK, chunk_bytes=200, window_bytes=500)
-    node = fanout(limits, size=150)
-    node.apply(11, [change(11, A, f"n{number}", 1, b"v" * 90) for number in range(20)], 0)
-    line = Connection([node], [A]).exchange()  # the window holds it up in the middle
-    assert not line.client.is_ready and node.subscribers[line.number].pending
-    node.apply(12, [change(12, A, "n3", 2, None), change(12, A, "new", 1, b"n")], 0)
-    line.advance(S)
-    assert line.client.is_ready and "n3" not in line.values(A) and line.values(A)["new"] == b"n"
-    assert line.client.resyncs == 0
+    assert connection.client.resyncs == 0 and node.status().acknowledged == ((11, 1),)
+
+
+def test_changes_made_during_a_snapshot_are_sent_as_a_delta_after_the_snapshot() -> None:
+    limits = structs.replace(UNTHROTTLED_LIMITS, chunk_bytes=200, window_bytes=500)
+    node = build_fanout(limits, size=150)
+    node.apply(
+        11, [feed_change(11, SCOPE_A, f"n{number}", 1, b"v" * 90) for number in range(20)], 0
+    )
+    connection = Connection(
+        [node], [SCOPE_A]
+    ).exchange_messages()  # the window holds it up in the middle
+    assert not connection.client.is_ready and node.subscribers[connection.number].pending
+    node.apply(
+        12, [feed_change(12, SCOPE_A, "n3", 2, None), feed_change(12, SCOPE_A, "new", 1, b"n")], 0
+    )
+    connection.advance(SECOND_NS)
+    assert (
+        connection.client.is_ready
+        and "n3" not in connection.values(SCOPE_A)
+        and connection.values(SCOPE_A)["new"] == b"n"
+    )
+    assert connection.client.resyncs == 0
     assert node.status().acknowledged == ((12, 1),)
 
 
 def test_live_deltas_do_not_wait_for_snapshots() -> None:
-    node = fanout(FanoutLimits(snapshot_bytes_s=1_000, snapshot_burst=1), size=3_000)
-    subscribe(node, 1, [(A, 10)])
+    node = build_fanout(FanoutLimits(snapshot_bytes_s=1_000, snapshot_burst=1), size=3_000)
+    subscribe(node, 1, [(SCOPE_A, 10)])
     for number in range(2, 12):
-        subscribe(node, number, [(A, 0), (B, 0)])
+        subscribe(node, number, [(SCOPE_A, 0), (SCOPE_B, 0)])
     node.take_sends()
     assert node.status().waiting == 10
-    node.apply(11, [change(11, A, "x", 2, b"2")], 0)
+    node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
     sent = [send.subscriber for send in node.take_sends()]
     assert sent == [1, 2]  # the second has A already, and waits for B
 
 
-def test_a_log_trimmed_past_a_slow_subscriber_gives_a_snapshot() -> None:
-    node = fanout(structs.replace(QUICK, log_changes=4))
-    line = Connection([node], [A, B]).exchange().advance(S)
-    node.set_writable(line.number, False, line.now)
+def test_a_subscriber_whose_cursor_was_trimmed_from_the_log_gets_a_snapshot() -> None:
+    node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, log_changes=4))
+    connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages().advance(SECOND_NS)
+    node.set_writable(connection.number, False, connection.now)
     for revision in range(11, 31):
-        node.apply(revision, [change(revision, A, "x", revision, b"%d" % revision)], line.now)
+        node.apply(
+            revision,
+            [feed_change(revision, SCOPE_A, "x", revision, b"%d" % revision)],
+            connection.now,
+        )
     assert node.status().acknowledged == ((10, 1),)
-    line.actions.clear()
-    node.set_writable(line.number, True, line.now)
-    line.advance(S)
-    assert [(one.scope, one.is_snapshot) for one in line.actions if isinstance(one, Apply)] == [
-        (A, True)
-    ]
+    connection.actions.clear()
+    node.set_writable(connection.number, True, connection.now)
+    connection.advance(SECOND_NS)
+    assert [
+        (one.scope, one.is_snapshot) for one in connection.actions if isinstance(one, Apply)
+    ] == [(SCOPE_A, True)]
     assert (
-        line.values(A)["x"] == b"30"
-        and line.client.resyncs == 0
+        connection.values(SCOPE_A)["x"] == b"30"
+        and connection.client.resyncs == 0
         and node.status().acknowledged == ((30, 1),)
     )
 
@@ -355,202 +397,247 @@
 # ---- scopes come and go --------------------------------------------------------------------------
 
 
-def test_a_scope_is_added_without_a_gap_and_a_removed_one_gets_no_more_rows() -> None:
-    node = fanout()
-    line = Connection([node], [A]).exchange()
-    line.client.update_scopes([B], [], 0)
+def test_adding_a_scope_misses_no_change_and_a_removed_scope_applies_no_rows() -> None:
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
+    connection.client.update_scopes([SCOPE_B], [], 0)
     node.apply(
-        11, [change(11, A, "x", 2, b"2"), change(11, B, "x", 2, b"2")], 0
+        11, [feed_change(11, SCOPE_A, "x", 2, b"2"), feed_change(11, SCOPE_B, "x", 2, b"2")], 0
     )  # before it has heard
-    line.exchange()
-    assert line.values(B) == {"x": b"2", "y": b"1"} and line.values(A)["x"] == b"2"
-    line.actions.clear()
-    node.apply(12, [change(12, A, "x", 3, b"3"), change(12, B, "x", 3, b"3")], 0)  # on its way
-    line.client.update_scopes([], [A], 0)
-    line.exchange()
-    assert {action.scope for action in line.actions if isinstance(action, Apply)} == {B}
-    assert A not in line.client.scopes and A not in node.subscribers[line.number].scopes
+    connection.exchange_messages()
+    assert (
+        connection.values(SCOPE_B) == {"x": b"2", "y": b"1"}
+        and connection.values(SCOPE_A)["x"] == b"2"
+    )
+    connection.actions.clear()
+    node.apply(
+        12, [feed_change(12, SCOPE_A, "x", 3, b"3"), feed_change(12, SCOPE_B, "x", 3, b"3")], 0
+    )  # on its way
+    connection.client.update_scopes([], [SCOPE_A], 0)
+    connection.exchange_messages()
+    assert {action.scope for action in connection.actions if isinstance(action, Apply)} == {SCOPE_B}
+    assert (
+        SCOPE_A not in connection.client.scopes
+        and SCOPE_A not in node.subscribers[connection.number].scopes
+    )
 
 
 def test_messages_from_before_a_scope_was_removed_and_added_are_ignored() -> None:
-    node = fanout()
-    line = Connection([node], [A]).exchange()
-    node.apply(11, [change(11, A, "x", 2, b"old")], 0)
-    late = node.take_sends()
-    line.client.update_scopes([], [A], 0)
-    line.client.update_scopes([A], [], 0)
-    table = line.client.scopes[A]
-    for send in late:
-        line.client.receive(send.generation, send.sequence, send.payload, 0)
-    late_bookmark = pack(Bookmark(99, ((A, 1),)))
-    line.client.receive(1, 0, late_bookmark, 0)
-    assert not table.is_known and not table.rows and table.cursor == 0
-    line.exchange()
-    assert table.is_known and line.values(A)["x"] == b"old" and line.client.resyncs == 0
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
+    node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"old")], 0)
+    stale_sends = node.take_sends()
+    connection.client.update_scopes([], [SCOPE_A], 0)
+    connection.client.update_scopes([SCOPE_A], [], 0)
+    table = connection.client.scopes[SCOPE_A]
+    for send in stale_sends:
+        connection.client.receive(send.generation, send.sequence, send.payload, 0)
+    stale_bookmark = pack(Bookmark(99, ((SCOPE_A, 1),)))
+    connection.client.receive(1, 0, stale_bookmark, 0)
+    assert not table.is_synced and not table.rows and table.cursor == 0
+    connection.exchange_messages()
+    assert (
+        table.is_synced
+        and connection.values(SCOPE_A)["x"] == b"old"
+        and connection.client.resyncs == 0
+    )
     # In one word it is the same.
-    line.client.update_scopes([A], [A], 0)
-    assert not line.client.scopes[A].is_known
-    assert line.exchange().client.is_ready
-    node.apply(12, [change(12, A, "x", 3, b"3")], 0)
-    line.advance(S)
-    assert line.values(A)["x"] == b"3" and node.status().acknowledged == ((12, 1),)
-
-
-def test_many_scope_updates_in_flight_at_once() -> None:
-    node = fanout()
-    line = Connection([node], [A])
-    for add, drop in (([B], [A]), ([A, "global"], [B]), ([B], ["global"]), ([], [A]), ([A], [])):
-        line.client.update_scopes(add, drop, 0)
-    line.exchange()
-    line.client.update_scopes(["global"], [B], 0)
-    line.client.update_scopes([B], ["global"], 0)
-    line.exchange()
-    assert set(line.tables) >= {A, B} and line.client.is_ready and set(line.client.scopes) == {A, B}
-    assert set(node.subscribers[line.number].scopes) == {A, B}
-
-
-def test_each_scope_update_ends_with_a_bookmark_once_all_was_sent() -> None:
-    node = fanout()
-    assert [type(word) for word in subscribe(node, 1, [(A, 0)])] == [Patch, Bookmark]
-    node.receive(1, pack(UpdateScopes(2, ((B, 0),), ())), 0)
-    assert [type(word) for word in sent(node)] == [Patch, Bookmark]
-    node.receive(1, pack(UpdateScopes(3, (), (A,))), 0)
+    connection.client.update_scopes([SCOPE_A], [SCOPE_A], 0)
+    assert not connection.client.scopes[SCOPE_A].is_synced
+    assert connection.exchange_messages().client.is_ready
+    node.apply(12, [feed_change(12, SCOPE_A, "x", 3, b"3")], 0)
+    connection.advance(SECOND_NS)
+    assert connection.values(SCOPE_A)["x"] == b"3" and node.status().acknowledged == ((12, 1),)
+
+
+def test_several_scope_updates_in_flight_are_applied_in_order() -> None:
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A])
+    for add, drop in (
+        ([SCOPE_B], [SCOPE_A]),
+        ([SCOPE_A, "global"], [SCOPE_B]),
+        ([SCOPE_B], ["global"]),
+        ([], [SCOPE_A]),
+        ([SCOPE_A], []),
+    ):
+        connection.client.update_scopes(add, drop, 0)
+    connection.exchange_messages()
+    connection.client.update_scopes(["global"], [SCOPE_B], 0)
+    connection.client.update_scopes([SCOPE_B], ["global"], 0)
+    connection.exchange_messages()
+    assert (
+        set(connection.tables) >= {SCOPE_A, SCOPE_B}
+        and connection.client.is_ready
+        and set(connection.client.scopes) == {SCOPE_A, SCOPE_B}
+    )
+    assert set(node.subscribers[connection.number].scopes) == {SCOPE_A, SCOPE_B}
+
+
+def test_a_scope_update_is_followed_by_its_patches_and_a_bookmark() -> None:
+    node = build_fanout()
+    assert [type(message) for message in subscribe(node, 1, [(SCOPE_A, 0)])] == [Patch, Bookmark]
+    node.receive(1, pack(UpdateScopes(2, ((SCOPE_B, 0),), ())), 0)
+    assert [type(message) for message in sent(node)] == [Patch, Bookmark]
+    node.receive(1, pack(UpdateScopes(3, (), (SCOPE_A,))), 0)
     (bookmark,) = sent(node)
-    assert bookmark.digests == ((B, node.cache.scopes[B].digest),)
+    assert bookmark.digests == ((SCOPE_B, node.cache.scopes[SCOPE_B].digest),)
 
 
 def test_invalid_scopes_are_rejected() -> None:
-    one = Subscription("b", [A], SubscriptionOptions(lambda scope, row: "", LIMITS, Random(1)), 0)
+    one = Subscription(
+        "b",
+        [SCOPE_A],
+        SubscriptionOptions(lambda scope, row: "", SUBSCRIPTION_LIMITS, Random(1)),
+        0,
+    )
     with pytest.raises(ValueError, match="no scope"):
         one.update_scopes(["service:"], [], 0)
     with pytest.raises(ValueError, match="more than 4096"):
         one.update_scopes([f"service:{number}" for number in range(4_096)], [], 0)
-    assert set(one.scopes) == {A}
+    assert set(one.scopes) == {SCOPE_A}
 
 
 # ---- another node --------------------------------------------------------------------------------
 
 
 def test_a_subscriber_ahead_of_the_node_is_parked_and_resumes() -> None:
-    ahead, behind = fanout(), fanout()
-    line = Connection([ahead, behind], [A, B]).exchange()
-    ahead.apply(11, [change(11, A, "x", 2, b"2")], 0)
-    line.exchange()
-    line.cut()
-    line.client.on_disconnected("node died", 0)
-    line.advance(S)
-    assert line.node is behind and line.state() == "parked"
-    assert line.values(A)["x"] == b"2" and behind.status().parked == 1
-    assert line.client.age_ns(line.now) == line.now > 0
-    behind.apply(11, [change(11, A, "x", 2, b"2")], line.now)
-    line.exchange()
-    assert line.state() == "following" and line.client.age_ns(line.now) == 0
-    behind.apply(12, [change(12, B, "y", 2, b"2")], line.now)
-    line.advance(S)
-    assert line.values(B)["y"] == b"2" and behind.status().acknowledged == ((12, 1),)
-    assert behind.status().snapshots == 0
-
-
-def test_a_parked_subscriber_is_sent_nothing_else() -> None:
-    node = fanout()
-    assert subscribe(node, 1, [(A, 11), (B, 10)]) == [ReplicaBehind(10)]
-    node.receive(1, pack(Acknowledge(0, (Refusal(A, "upstream/x", 1, "why"),))), 0)
+    node_ahead, node_behind = build_fanout(), build_fanout()
+    connection = Connection([node_ahead, node_behind], [SCOPE_A, SCOPE_B]).exchange_messages()
+    node_ahead.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
+    connection.exchange_messages()
+    connection.close_connection()
+    connection.client.on_disconnected("node died", 0)
+    connection.advance(SECOND_NS)
+    assert connection.node is node_behind and connection.state() == "parked"
+    assert connection.values(SCOPE_A)["x"] == b"2" and node_behind.status().parked == 1
+    assert connection.client.age_ns(connection.now) == connection.now > 0
+    node_behind.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], connection.now)
+    connection.exchange_messages()
+    assert connection.state() == "following" and connection.client.age_ns(connection.now) == 0
+    node_behind.apply(12, [feed_change(12, SCOPE_B, "y", 2, b"2")], connection.now)
+    connection.advance(SECOND_NS)
+    assert connection.values(SCOPE_B)["y"] == b"2" and node_behind.status().acknowledged == (
+        (12, 1),
+    )
+    assert node_behind.status().snapshots == 0
+
+
+def test_a_parked_subscriber_is_sent_only_replica_behind() -> None:
+    node = build_fanout()
+    assert subscribe(node, 1, [(SCOPE_A, 11), (SCOPE_B, 10)]) == [ReplicaBehind(10)]
+    node.receive(1, pack(Acknowledge(0, (Refusal(SCOPE_A, "upstream/x", 1, "why"),))), 0)
     node.set_writable(1, False, 0)
     node.set_writable(1, True, 0)
-    node.receive(1, pack(UpdateScopes(2, (("global", 0),), (B,))), 0)
+    node.receive(1, pack(UpdateScopes(2, (("global", 0),), (SCOPE_B,))), 0)
     assert sent(node) == [ReplicaBehind(10)] and node.status().refusals == 1
-    node.tick(5 * S)
+    node.tick(5 * SECOND_NS)
     assert sent(node) == [ReplicaBehind(10)] and node.status().acknowledged == ((0, 1),)
-    node.apply(12, [change(12, A, "x", 2, b"2")], 5 * S)
+    node.apply(12, [feed_change(12, SCOPE_A, "x", 2, b"2")], 5 * SECOND_NS)
     assert [(one.scope, one.is_snapshot) for one in sent(node) if isinstance(one, Patch)] == [
-        (A, False),
+        (SCOPE_A, False),
         ("global", True),
     ]
 
 
 def test_a_parked_subscription_times_out_and_tries_other_nodes() -> None:
-    nodes = [fanout(), fanout(), fanout()]
-    line = Connection(nodes, [A]).exchange()
-    nodes[0].apply(11, [change(11, A, "x", 2, b"2")], 0)
-    line.exchange()
-    line.cut()
-    line.client.on_disconnected("node died", 0)
-    line.advance(10 * S)
-    dials = [action.address_index % 3 for action in line.actions if isinstance(action, Dial)]
-    assert dials[:4] == [0, 1, 2, 0] and line.node is nodes[0]
-    assert line.values(A)["x"] == b"2"
+    nodes = [build_fanout(), build_fanout(), build_fanout()]
+    connection = Connection(nodes, [SCOPE_A]).exchange_messages()
+    nodes[0].apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
+    connection.exchange_messages()
+    connection.close_connection()
+    connection.client.on_disconnected("node died", 0)
+    connection.advance(10 * SECOND_NS)
+    dials = [action.address_index % 3 for action in connection.actions if isinstance(action, Dial)]
+    assert dials[:4] == [0, 1, 2, 0] and connection.node is nodes[0]
+    assert connection.values(SCOPE_A)["x"] == b"2"
     for node in nodes[1:]:
         assert not node.subscribers
 
 
-def test_a_scope_never_goes_back_to_an_older_snapshot() -> None:
-    line = Connection([fanout(revision=20)], [A]).exchange()
-    line.client.scopes[A].rows.popitem()  # so it is asked for anew, without a cursor
-    line.nodes.append(fanout(revision=15))
-    line.cut()
-    line.client.scopes[A].is_known = False
-    line.client.on_disconnected("cut", 0)
-    line.actions.clear()
-    line.advance(300 * MS)
+def test_a_snapshot_older_than_the_cursor_is_rejected() -> None:
+    connection = Connection([build_fanout(revision=20)], [SCOPE_A]).exchange_messages()
+    connection.client.scopes[SCOPE_A].rows.popitem()  # so it is asked for anew, without a cursor
+    connection.nodes.append(build_fanout(revision=15))
+    connection.close_connection()
+    connection.client.scopes[SCOPE_A].is_synced = False
+    connection.client.on_disconnected("cut", 0)
+    connection.actions.clear()
+    connection.advance(300 * MILLISECOND_NS)
     assert any(
-        isinstance(action, Disconnect) and "went back" in action.reason for action in line.actions
+        isinstance(action, Disconnect) and "went back" in action.reason
+        for action in connection.actions
+    )
+    assert not any(isinstance(action, Apply) for action in connection.actions)
+    assert (
+        connection.advance(20 * SECOND_NS).client.is_ready
+        and connection.client.scopes[SCOPE_A].cursor == 20
     )
-    assert not any(isinstance(action, Apply) for action in line.actions)
-    assert line.advance(20 * S).client.is_ready and line.client.scopes[A].cursor == 20
 
 
-def test_an_interrupted_snapshot_alone_is_requested_again() -> None:
-    node = fanout(structs.replace(QUICK, chunk_bytes=100), size=60)
-    line = Connection([node], [A, B]).exchange(most=3)  # both parts of A, and one of B
+def test_after_a_reconnect_only_the_incomplete_snapshot_is_requested_again() -> None:
+    node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, chunk_bytes=100), size=60)
+    connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages(
+        max_messages=3
+    )  # both parts of A, and one of B
     assert (
-        line.client.scopes[A].is_known
-        and not line.client.scopes[B].is_known
-        and B not in line.tables
+        connection.client.scopes[SCOPE_A].is_synced
+        and not connection.client.scopes[SCOPE_B].is_synced
+        and SCOPE_B not in connection.tables
+    )
+    connection.close_connection()
+    connection.client.on_disconnected("cut", 0)
+    connection.messages.clear()
+    connection.advance(SECOND_NS)
+    assert connection.messages[0].cursors == ((SCOPE_A, 10), (SCOPE_B, 0))
+    assert (
+        connection.client.is_ready
+        and node.status().snapshots == 3
+        and connection.client.resyncs == 0
     )
-    line.cut()
-    line.client.on_disconnected("cut", 0)
-    line.messages.clear()
-    line.advance(S)
-    assert line.messages[0].cursors == ((A, 10), (B, 0))
-    assert line.client.is_ready and node.status().snapshots == 3 and line.client.resyncs == 0
 
 
-def test_a_log_that_no_longer_covers_a_cursor_gives_a_snapshot_of_that_scope() -> None:
-    node = fanout(structs.replace(QUICK, log_changes=5))
+def test_only_the_scope_whose_log_does_not_cover_the_cursor_gets_a_snapshot() -> None:
+    node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, log_changes=5))
     for revision in range(11, 31):
-        node.apply(revision, [change(revision, A, "x", revision, b"%d" % revision)], 0)
-    node.apply(31, [change(31, B, "x", 2, b"2")], 0)
-    found = subscribe(node, 1, [(A, 12), (B, 12), ("global", 12)])
+        node.apply(revision, [feed_change(revision, SCOPE_A, "x", revision, b"%d" % revision)], 0)
+    node.apply(31, [feed_change(31, SCOPE_B, "x", 2, b"2")], 0)
+    replies = subscribe(node, 1, [(SCOPE_A, 12), (SCOPE_B, 12), ("global", 12)])
     assert [
-        (one.scope, one.is_snapshot, rows_of(one)) for one in found if isinstance(one, Patch)
+        (one.scope, one.is_snapshot, values_by_name(one))
+        for one in replies
+        if isinstance(one, Patch)
     ] == [
-        (B, False, {"x": b"2"}),
-        (A, True, {"x": b"30", "y": b"1"}),
+        (SCOPE_B, False, {"x": b"2"}),
+        (SCOPE_A, True, {"x": b"30", "y": b"1"}),
     ]
     status = node.status()
     assert status.resumes == 2 and status.snapshots == 1
 
 
-def test_the_log_of_one_scope_and_of_all_is_bounded() -> None:
-    node = fanout(structs.replace(QUICK, scope_changes=8, log_changes=20, log_bytes=2_000))
+def test_the_logs_of_one_scope_and_of_all_scopes_stay_within_their_limits() -> None:
+    node = build_fanout(
+        structs.replace(UNTHROTTLED_LIMITS, scope_changes=8, log_changes=20, log_bytes=2_000)
+    )
     for revision in range(11, 200):
-        scope = A if revision % 10 else f"service:s{revision}"
-        node.apply(revision, [change(revision, scope, "x", revision, b"." * (revision % 50))], 0)
+        scope = SCOPE_A if revision % 10 else f"service:s{revision}"
+        node.apply(
+            revision, [feed_change(revision, scope, "x", revision, b"." * (revision % 50))], 0
+        )
         changes, size = node.cache.log_size
         assert changes <= 20 and size <= 2_000
-        assert sum(len(entry.rows) for entry in node.cache.scopes[A].log) <= 8
+        assert sum(len(entry.rows) for entry in node.cache.scopes[SCOPE_A].log) <= 8
 
 
 def test_scopes_without_rows_and_watchers_are_discarded() -> None:
-    node = fanout(structs.replace(QUICK, log_changes=3))
+    node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, log_changes=3))
     subscribe(node, 1, [(f"service:none-{number}", 0) for number in range(100)])
     assert len(node.cache.scopes) == 103
     node.remove(1, 0)
     assert len(node.cache.scopes) == 3
-    node.apply(11, [change(11, "service:short", "x", 1, b"1")], 0)
-    node.apply(12, [change(12, "service:short", "x", 2, None)], 0)
+    node.apply(11, [feed_change(11, "service:short", "x", 1, b"1")], 0)
+    node.apply(12, [feed_change(12, "service:short", "x", 2, None)], 0)
     for revision in range(13, 20):
-        node.apply(revision, [change(revision, A, "x", revision, b"1")], 0)
+        node.apply(revision, [feed_change(revision, SCOPE_A, "x", revision, b"1")], 0)
     assert "service:short" not in node.cache.scopes
     # Who saw it there is not left with it.
     patch = subscribe(node, 2, [("service:short", 11)])[0]
@@ -580,62 +667,78 @@
     )
 
 
-def test_a_snapshot_of_the_store_is_installed_under_live_subscribers() -> None:
-    node = fanout()
+def test_after_a_store_snapshot_changed_scopes_are_sent_as_snapshots_to_live_subscribers() -> None:
+    node = build_fanout()
     node.apply(
-        11, [change(11, "service:other", "x", 1, b"1")], 0
+        11, [feed_change(11, "service:other", "x", 1, b"1")], 0
     )  # its log goes, and its bytes with it
-    line = Connection([node], [A, B, "global"]).exchange()
-    line.advance(S)
-    line.actions.clear()
-    load(node, 30, 20, [change(15, A, "x", 2, b"unseen"), change(25, B, "y", 2, b"seen")])
-    line.advance(S)
-    applied = {action.scope: action for action in line.actions if isinstance(action, Apply)}
-    assert applied[A].is_snapshot and applied[B].is_snapshot and "global" not in applied
-    assert line.values(A)["x"] == b"unseen" and line.values(B)["y"] == b"seen"
+    connection = Connection([node], [SCOPE_A, SCOPE_B, "global"]).exchange_messages()
+    connection.advance(SECOND_NS)
+    connection.actions.clear()
+    load(
+        node,
+        30,
+        20,
+        [feed_change(15, SCOPE_A, "x", 2, b"unseen"), feed_change(25, SCOPE_B, "y", 2, b"seen")],
+    )
+    connection.advance(SECOND_NS)
+    applied = {action.scope: action for action in connection.actions if isinstance(action, Apply)}
+    assert applied[SCOPE_A].is_snapshot and applied[SCOPE_B].is_snapshot and "global" not in applied
+    assert (
+        connection.values(SCOPE_A)["x"] == b"unseen" and connection.values(SCOPE_B)["y"] == b"seen"
+    )
     assert node.cache.log_size == (1, len("upstream/y") + len(b"seen") + 24)
-    node.apply(31, [change(31, "global", "x", 2, b"2")], 0)
-    line.advance(S)
-    assert line.values("global")["x"] == b"2" and line.client.resyncs == 0
+    node.apply(31, [feed_change(31, "global", "x", 2, b"2")], 0)
+    connection.advance(SECOND_NS)
+    assert connection.values("global")["x"] == b"2" and connection.client.resyncs == 0
     assert node.status().acknowledged == ((31, 1),) and node.status().snapshots == 5
 
 
 def test_a_store_snapshot_that_continues_the_log_is_sent_as_deltas() -> None:
-    node = fanout()
-    line = Connection([node], [A, B]).exchange()
-    line.actions.clear()
-    load(node, 30, 5, [change(8, A, "x", 1, b"1"), change(15, A, "x", 2, b"2")])
-    line.exchange()
-    assert [(one.scope, one.is_snapshot) for one in line.actions if isinstance(one, Apply)] == [
-        (A, False)
-    ]
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages()
+    connection.actions.clear()
+    load(
+        node, 30, 5, [feed_change(8, SCOPE_A, "x", 1, b"1"), feed_change(15, SCOPE_A, "x", 2, b"2")]
+    )
+    connection.exchange_messages()
+    assert [
+        (one.scope, one.is_snapshot) for one in connection.actions if isinstance(one, Apply)
+    ] == [(SCOPE_A, False)]
     with pytest.raises(ValueError, match="revision 12"):
         node.load(StoreSnapshot(12, [], 1, []), 0)
     with pytest.raises(ValueError, match="comes after"):
         node.apply(30, [], 0)
 
 
-def test_a_restored_store_is_read_again_and_old_rows_stay_until_then() -> None:
-    line = Connection([fanout(revision=50)], [A, B]).exchange()
-    line.cut()
-    line.nodes = [
-        fanout(structs.replace(QUICK, snapshot_burst=1, snapshot_bytes_s=60), 12, "restored")
+def test_a_new_epoch_resets_cursors_and_old_rows_stay_until_their_snapshot_arrives() -> None:
+    connection = Connection([build_fanout(revision=50)], [SCOPE_A, SCOPE_B]).exchange_messages()
+    connection.close_connection()
+    connection.nodes = [
+        build_fanout(
+            structs.replace(UNTHROTTLED_LIMITS, snapshot_burst=1, snapshot_bytes_s=60),
+            12,
+            "restored",
+        )
     ]
-    line.nodes[0].apply(13, [change(13, A, "x", 2, b"back")], 0)
-    line.client.on_disconnected("cut", 0)
-    line.messages.clear()
-    line.advance(300 * MS)
-    assert line.messages[0] == Subscribe("b1", "restored", ((A, 0), (B, 0)))
-    assert line.values(A)["x"] == b"back" and line.values(B) == {"x": b"1", "y": b"1"}
-    assert not line.client.is_ready
-    line.advance(10 * S)
+    connection.nodes[0].apply(13, [feed_change(13, SCOPE_A, "x", 2, b"back")], 0)
+    connection.client.on_disconnected("cut", 0)
+    connection.messages.clear()
+    connection.advance(300 * MILLISECOND_NS)
+    assert connection.messages[0] == Subscribe("b1", "restored", ((SCOPE_A, 0), (SCOPE_B, 0)))
+    assert connection.values(SCOPE_A)["x"] == b"back" and connection.values(SCOPE_B) == {
+        "x": b"1",
+        "y": b"1",
+    }
+    assert not connection.client.is_ready
+    connection.advance(10 * SECOND_NS)
     assert (
-        line.client.is_ready
-        and line.client.scopes[B].cursor == 13
-        and line.client.epoch == "restored"
+        connection.client.is_ready
+        and connection.client.scopes[SCOPE_B].cursor == 13
+        and connection.client.epoch == "restored"
     )
     # A cursor of another epoch is none.
-    assert subscribe(fanout(), 9, [(A, 10)], epoch="other")[0].is_snapshot
+    assert subscribe(build_fanout(), 9, [(SCOPE_A, 10)], epoch="other")[0].is_snapshot
 
 
 # ---- many come at once ---------------------------------------------------------------------------
@@ -643,26 +746,29 @@
 
 def test_snapshots_are_rate_limited_and_their_queue_is_bounded() -> None:
     limits = FanoutLimits(snapshot_bytes_s=100_000, snapshot_burst=20_000, waiting_most=10)
-    node = fanout(limits, size=2_000)
-    subscribe(node, 0, [(A, 10)])  # a live one
-    waits = []
+    node = build_fanout(limits, size=2_000)
+    subscribe(node, 0, [(SCOPE_A, 10)])  # a live one
+    retry_delays_ms = []
     for number in range(1, 321):
-        waits += [
+        retry_delays_ms += [
             one.after_ms
-            for one in subscribe(node, number, [(A, 0), (B, 0)])
+            for one in subscribe(node, number, [(SCOPE_A, 0), (SCOPE_B, 0)])
             if isinstance(one, RetryLater)
         ]
     status = node.status()
-    assert status.waiting == 10 and status.later == len(waits) == 320 - status.subscribers + 1
+    assert (
+        status.waiting == 10
+        and status.later == len(retry_delays_ms) == 320 - status.subscribers + 1
+    )
     # Not before those in the queue are served; and they don't come back together: no half second
     # gets more than twice its share.
-    spread = Counter(wait // 500 for wait in waits)
-    assert 700 < waits[0] < 1_000 and min(waits) >= waits[0]
-    assert max(waits) <= limits.later_most_ms and len(spread) > 10
-    assert max(spread.values()) < 2 * len(waits) / (max(waits) / 500)
+    delay_histogram = Counter(delay_ms // 500 for delay_ms in retry_delays_ms)
+    assert 700 < retry_delays_ms[0] < 1_000 and min(retry_delays_ms) >= retry_delays_ms[0]
+    assert max(retry_delays_ms) <= limits.later_most_ms and len(delay_histogram) > 10
+    assert max(delay_histogram.values()) < 2 * len(retry_delays_ms) / (max(retry_delays_ms) / 500)
     # Who needs no snapshot is served at once, and told when there is something.
-    assert isinstance(subscribe(node, 999, [(A, 10), (B, 10)])[0], Bookmark)
-    node.apply(11, [change(11, B, "x", 2, b"2")], 0)
+    assert isinstance(subscribe(node, 999, [(SCOPE_A, 10), (SCOPE_B, 10)])[0], Bookmark)
+    node.apply(11, [feed_change(11, SCOPE_B, "x", 2, b"2")], 0)
     sends = node.take_sends()
     assert {send.subscriber for send in sends} == {1, 2, 999} and len(
         {id(send.payload) for send in sends}
@@ -670,54 +776,57 @@
     # As many bytes as may go, and not more.
     sent = now = 0
     while node.status().waiting:
-        now += 10 * MS
+        now += 10 * MILLISECOND_NS
         node.tick(now)
-        sent += sum(len(send.payload) for send in acknowledged_sends(node, now))
-        assert sent <= 100_000 * now // S + 5_000
+        sent += sum(len(send.payload) for send in take_and_acknowledge_sends(node, now))
+        assert sent <= 100_000 * now // SECOND_NS + 5_000
     assert (
-        now < sent * S // 100_000 + 50 * MS
+        now < sent * SECOND_NS // 100_000 + 50 * MILLISECOND_NS
         and node.status().snapshots == 2 * status.subscribers - 2
     )
 
 
 def test_a_subscriber_blocked_in_its_snapshot_leaves_the_queue() -> None:
-    node = fanout(
-        structs.replace(QUICK, window_bytes=300, chunk_bytes=150, waiting_most=2), size=140
+    node = build_fanout(
+        structs.replace(UNTHROTTLED_LIMITS, window_bytes=300, chunk_bytes=150, waiting_most=2),
+        size=140,
     )
     for number in range(1, 6):  # none of these acknowledges anything
         assert not any(
-            isinstance(one, RetryLater) for one in subscribe(node, number, [(A, 0), (B, 0)])
+            isinstance(one, RetryLater)
+            for one in subscribe(node, number, [(SCOPE_A, 0), (SCOPE_B, 0)])
         )
         node.set_writable(number, False, 0)
-    line = Connection([node], [A, B]).exchange()
-    assert line.advance(S).client.is_ready
+    connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages()
+    assert connection.advance(SECOND_NS).client.is_ready
 
 
-def test_nine_in_ten_of_many_that_start_at_once_are_ready_within_ten_seconds() -> None:
+def test_90_percent_of_360_subscribers_starting_at_once_are_ready_within_10_seconds() -> None:
     limits = FanoutLimits(snapshot_bytes_s=2 << 20, snapshot_burst=1 << 18, waiting_most=16)
-    node = fanout(limits, size=4_000)
-    lines = [
-        Connection([node], [A, B, "global"], number=number, seed=number) for number in range(1, 361)
+    node = build_fanout(limits, size=4_000)
+    connections = [
+        Connection([node], [SCOPE_A, SCOPE_B, "global"], number=number, seed=number)
+        for number in range(1, 361)
     ]
-    ready: dict[int, int] = {}
-    for now in range(0, 12 * S, 20 * MS):
+    ready_at_ns: dict[int, int] = {}
+    for now in range(0, 12 * SECOND_NS, 20 * MILLISECOND_NS):
         node.tick(now)
-        for line in lines:
-            line.now = now
-            if line.client.wake_ns <= now:
-                line.client.tick(now)
-            for action in line.client.take_actions():
-                line.act(action)
-        by_number = {line.number: line for line in lines}
+        for connection in connections:
+            connection.now = now
+            if connection.client.wake_ns <= now:
+                connection.client.tick(now)
+            for action in connection.client.take_actions():
+                connection.perform(action)
+        by_number = {connection.number: connection for connection in connections}
         for send in node.take_sends():
-            line = by_number[send.subscriber]
-            line.client.receive(send.generation, send.sequence, send.payload, now)
-        for line in lines:
-            if line.client.is_ready:
-                ready.setdefault(line.number // 1_000, now)
+            connection = by_number[send.subscriber]
+            connection.client.receive(send.generation, send.sequence, send.payload, now)
+        for connection in connections:
+            if connection.client.is_ready:
+                ready_at_ns.setdefault(connection.number // 1_000, now)
         assert node.status().waiting <= 16 + 1
-    assert len(ready) == 360
-    assert sorted(ready.values())[324] < 10 * S
+    assert len(ready_at_ns) == 360
+    assert sorted(ready_at_ns.values())[324] < 10 * SECOND_NS
     assert node.status().later > 300
 
 
@@ -726,46 +835,49 @@
     rest.
     """
     limits = FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1, waiting_most=1)
-    dead, others = fanout(), [fanout(limits) for _ in range(8)]
-    lines = [
+    failed_node, surviving_nodes = build_fanout(), [build_fanout(limits) for _ in range(8)]
+    connections = [
         Connection(
-            [dead, others[number % 8]], [A, B, "global"], number=number, seed=number
-        ).exchange()
+            [failed_node, surviving_nodes[number % 8]],
+            [SCOPE_A, SCOPE_B, "global"],
+            number=number,
+            seed=number,
+        ).exchange_messages()
         for number in range(1, 321)
     ]
     for revision in (11, 12):
-        for node in (dead, *others):
-            node.apply(revision, [change(revision, B, "x", revision, b"1")], 0)
-    for line in lines:
-        line.node = None
-        line.client.on_disconnected("reset", 0)
-    dead.take_sends()
-    sent = [node.status().sent_bytes for node in others]
-    for line in lines:
-        line.advance(S)
+        for node in (failed_node, *surviving_nodes):
+            node.apply(revision, [feed_change(revision, SCOPE_B, "x", revision, b"1")], 0)
+    for connection in connections:
+        connection.node = None
+        connection.client.on_disconnected("reset", 0)
+    failed_node.take_sends()
+    sent = [node.status().sent_bytes for node in surviving_nodes]
+    for connection in connections:
+        connection.advance(SECOND_NS)
         assert (
-            line.client.is_ready
-            and line.client.age_ns(line.now) < S
-            and line.values(B)["x"] == b"1"
+            connection.client.is_ready
+            and connection.client.age_ns(connection.now) < SECOND_NS
+            and connection.values(SCOPE_B)["x"] == b"1"
         )
-    for node, before in zip(others, sent, strict=True):
+    for node, before in zip(surviving_nodes, sent, strict=True):
         status = node.status()
         assert status.acknowledged == ((12, 40),) and status.later == status.snapshots == 0
         assert status.encoded == 1 and status.sent_bytes - before < 40 * 400
 
 
-def test_after_a_long_partition_each_scope_is_encoded_once_for_all() -> None:
-    node = fanout()
+def test_200_reconnects_after_a_long_partition_share_one_encoded_delta_per_scope() -> None:
+    node = build_fanout()
     for number in range(200):
-        subscribe(node, number, [(A, 10), (B, 10)])
+        subscribe(node, number, [(SCOPE_A, 10), (SCOPE_B, 10)])
     for number in range(200):
         node.remove(number, 0)
     for revision in range(11, 2_011):
-        scope = A if revision % 2 else "global"
-        node.apply(revision, [change(revision, scope, f"n{revision % 50}", revision, b"1")], 0)
+        scope = SCOPE_A if revision % 2 else "global"
+        node.apply(revision, [feed_change(revision, scope, f"n{revision % 50}", revision, b"1")], 0)
     encoded = node.status().encoded
     for number in range(200):
-        patch, bookmark = subscribe(node, number, [(A, 10), (B, 10)])
+        patch, bookmark = subscribe(node, number, [(SCOPE_A, 10), (SCOPE_B, 10)])
         assert len(patch.rows) == 25 and patch.after == 10 and bookmark.revision == 2_010
     assert node.status().encoded == encoded + 1 and node.status().snapshots == 0
 
@@ -774,191 +886,225 @@
     bucket = TokenBucket(1_000, 100, 0)
     assert bucket.is_ready(0)
     bucket.take(1_100, 0)
-    assert not bucket.is_ready(0) and not bucket.is_ready(900 * MS)
+    assert not bucket.is_ready(0) and not bucket.is_ready(900 * MILLISECOND_NS)
     at = bucket.ready_at(0)
-    assert S <= at <= 1_002 * MS and bucket.is_ready(at)
-    bucket.take(1, at - S)  # a clock that goes back gives nothing
-    assert bucket.ready_at(at) <= at + S
+    assert SECOND_NS <= at <= 1_002 * MILLISECOND_NS and bucket.is_ready(at)
+    bucket.take(1, at - SECOND_NS)  # a clock that goes back gives nothing
+    assert bucket.ready_at(at) <= at + SECOND_NS
 
 
-def test_retry_slots_are_as_far_apart_as_serving_takes() -> None:
+def test_retry_slots_are_spaced_by_the_time_to_serve_each_subscriber() -> None:
     slots = RetrySlots(1_000_000, 10, 2_000)
-    assert [slots.draw(500_000, 100_000, 0) for _ in range(3)] == [500, 600, 700]
-    assert slots.draw(0, 100_000, 5 * S) == 10
-    waits = [slots.draw(9_000_000, 100_000, 5 * S) for _ in range(100)]
-    assert min(waits) >= 1_000 and max(waits) <= 2_000 and len(set(waits)) > 90
-
-
-def test_a_rejected_subscriber_may_send_more_before_it_knows() -> None:
-    node = fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1, waiting_most=1))
-    subscribe(node, 1, [(A, 0), (B, 0)])
-    line = Connection([node], [A], number=2)
-    line.act(line.client.take_actions()[0])  # dials
-    line.act(line.client.take_actions()[0])  # subscribes, and is put off
-    line.client.update_scopes([B], [], 0)
-    assert isinstance(line.messages[0], Subscribe)
-    line.exchange()
-    assert line.messages[1] == UpdateScopes(2, ((B, 0),), ()) and line.node is None
-    assert isinstance(line.actions[-1], Disconnect) and node.status().subscribers == 1
+    assert [slots.reserve(500_000, 100_000, 0) for _ in range(3)] == [500, 600, 700]
+    assert slots.reserve(0, 100_000, 5 * SECOND_NS) == 10
+    retry_delays_ms = [slots.reserve(9_000_000, 100_000, 5 * SECOND_NS) for _ in range(100)]
+    assert (
+        min(retry_delays_ms) >= 1_000
+        and max(retry_delays_ms) <= 2_000
+        and len(set(retry_delays_ms)) > 90
+    )
+
+
+def test_messages_in_flight_from_a_rejected_subscriber_are_ignored() -> None:
+    node = build_fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1, waiting_most=1))
+    subscribe(node, 1, [(SCOPE_A, 0), (SCOPE_B, 0)])
+    connection = Connection([node], [SCOPE_A], number=2)
+    connection.perform(connection.client.take_actions()[0])  # dials
+    connection.perform(connection.client.take_actions()[0])  # subscribes, and is put off
+    connection.client.update_scopes([SCOPE_B], [], 0)
+    assert isinstance(connection.messages[0], Subscribe)
+    connection.exchange_messages()
+    assert (
+        connection.messages[1] == UpdateScopes(2, ((SCOPE_B, 0),), ()) and connection.node is None
+    )
+    assert isinstance(connection.actions[-1], Disconnect) and node.status().subscribers == 1
     with pytest.raises(FeedProtocolError):
-        node.receive(line.number, pack(Acknowledge(0)), 0)
+        node.receive(connection.number, pack(Acknowledge(0)), 0)
 
 
 # ---- what is lost is found -----------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("how", ["lost", "doubled", "other"])
-@pytest.mark.parametrize("when", ["patch", "bookmark", "audit"])
-def test_a_digest_finds_a_corrupt_row_and_resyncs_just_that_scope(how: str, when: str) -> None:
-    limits = structs.replace(LIMITS, audit_rows=1) if when == "audit" else LIMITS
-    node = fanout()
-    line = Connection([node], [A, B], limits=limits).exchange()
-    table = line.client.scopes[A]
+@pytest.mark.parametrize("corruption", ["lost", "doubled", "other"])
+@pytest.mark.parametrize("detected_by", ["patch", "bookmark", "audit"])
+def test_a_digest_mismatch_resyncs_only_the_corrupt_scope(
+    corruption: str, detected_by: str
+) -> None:
+    limits = (
+        structs.replace(SUBSCRIPTION_LIMITS, audit_rows=1)
+        if detected_by == "audit"
+        else SUBSCRIPTION_LIMITS
+    )
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A, SCOPE_B], limits=limits).exchange_messages()
+    table = connection.client.scopes[SCOPE_A]
     row = table.rows["upstream/x"]
-    if how == "lost":
+    if corruption == "lost":
         del table.rows["upstream/x"]
-    elif how == "doubled":
+    elif corruption == "doubled":
         table.rows["upstream/xx"] = structs.replace(row, key="upstream/xx")
     else:
         table.rows["upstream/x"] = structs.replace(row, value=b"?")
-    line.messages.clear()
-    if when == "patch":
-        node.apply(11, [change(11, A, "y", 2, b"2")], 0)
-        line.exchange()
+    connection.messages.clear()
+    if detected_by == "patch":
+        node.apply(11, [feed_change(11, SCOPE_A, "y", 2, b"2")], 0)
+        connection.exchange_messages()
     else:
-        line.advance(20 * S)
-    rescopes = [word for word in line.messages if isinstance(word, UpdateScopes)]
-    assert rescopes == [UpdateScopes(2, ((A, 0),), ())]
-    assert line.client.resyncs == 1 and line.client.is_ready and node.status().snapshots == 3
-    assert table.rows == node.cache.scopes[A].rows and line.values(A) == {
+        connection.advance(20 * SECOND_NS)
+    scope_updates = [
+        message for message in connection.messages if isinstance(message, UpdateScopes)
+    ]
+    assert scope_updates == [UpdateScopes(2, ((SCOPE_A, 0),), ())]
+    assert (
+        connection.client.resyncs == 1
+        and connection.client.is_ready
+        and node.status().snapshots == 3
+    )
+    assert table.rows == node.cache.scopes[SCOPE_A].rows and connection.values(SCOPE_A) == {
         "x": b"1",
-        "y": b"2" if when == "patch" else b"1",
+        "y": b"2" if detected_by == "patch" else b"1",
     }
 
 
 def test_a_large_scope_is_audited_in_steps() -> None:
-    node = fanout()
-    node.apply(11, [change(11, A, f"n{number}", 1, b"1") for number in range(100)], 0)
-    line = Connection(
-        [node], [A], limits=structs.replace(LIMITS, audit_rows=10, audit_ns=20 * MS)
-    ).exchange()
-    line.advance(S)  # the first look finds nothing
-    line.client.scopes[A].rows.popitem()
-    line.messages.clear()
-    line.now = 5 * S
-    node.tick(line.now)
-    line.exchange()  # hears the digest, and begins
-    looks = 0
-    while not line.messages:
-        assert line.client.wake_ns == line.now + (20 * MS if looks else 0)
-        line.now = line.client.wake_ns
-        line.client.tick(line.now)
-        line.exchange()
-        looks += 1
+    node = build_fanout()
+    node.apply(11, [feed_change(11, SCOPE_A, f"n{number}", 1, b"1") for number in range(100)], 0)
+    connection = Connection(
+        [node],
+        [SCOPE_A],
+        limits=structs.replace(SUBSCRIPTION_LIMITS, audit_rows=10, audit_ns=20 * MILLISECOND_NS),
+    ).exchange_messages()
+    connection.advance(SECOND_NS)  # the first look finds nothing
+    connection.client.scopes[SCOPE_A].rows.popitem()
+    connection.messages.clear()
+    connection.now = 5 * SECOND_NS
+    node.tick(connection.now)
+    connection.exchange_messages()  # hears the digest, and begins
+    audit_steps = 0
+    while not connection.messages:
+        assert connection.client.wake_ns == connection.now + (
+            20 * MILLISECOND_NS if audit_steps else 0
+        )
+        connection.now = connection.client.wake_ns
+        connection.client.tick(connection.now)
+        connection.exchange_messages()
+        audit_steps += 1
     assert (
-        looks == 11 and line.messages[0] == UpdateScopes(2, ((A, 0),), ()) and line.client.is_ready
+        audit_steps == 11
+        and connection.messages[0] == UpdateScopes(2, ((SCOPE_A, 0),), ())
+        and connection.client.is_ready
     )
     # A change under way ends it; the next bookmark begins it again.
-    line.client.scopes[A].rows.popitem()
+    connection.client.scopes[SCOPE_A].rows.popitem()
     for revision in range(12, 40):
-        line.advance(S // 2)
-        node.apply(revision, [change(revision, A, "n0", revision, b"2")], line.now)
-    line.advance(20 * S)
-    assert line.client.resyncs == 2 and line.client.is_ready
+        connection.advance(SECOND_NS // 2)
+        node.apply(revision, [feed_change(revision, SCOPE_A, "n0", revision, b"2")], connection.now)
+    connection.advance(20 * SECOND_NS)
+    assert connection.client.resyncs == 2 and connection.client.is_ready
 
 
-def test_a_node_whose_snapshots_are_wrong_is_left() -> None:
-    bad, good = fanout(), fanout()
-    bad.cache.scopes[A].digest ^= 1
-    line = Connection([bad, good], [A])
-    line.exchange()
-    assert line.node is None and A not in line.tables and not bad.subscribers
-    line.advance(S)
-    assert line.node is good and line.client.is_ready
+def test_a_snapshot_with_a_wrong_digest_makes_the_subscription_try_another_node() -> None:
+    corrupt_node, good_node = build_fanout(), build_fanout()
+    corrupt_node.cache.scopes[SCOPE_A].digest ^= 1
+    connection = Connection([corrupt_node, good_node], [SCOPE_A])
+    connection.exchange_messages()
+    assert (
+        connection.node is None
+        and SCOPE_A not in connection.tables
+        and not corrupt_node.subscribers
+    )
+    connection.advance(SECOND_NS)
+    assert connection.node is good_node and connection.client.is_ready
 
 
-def test_a_digest_does_not_depend_on_order_and_sees_duplicates() -> None:
+def test_a_digest_is_independent_of_row_order_and_detects_duplicates() -> None:
     rows = [Row(f"upstream/{number}", number, b"v") for number in range(9)]
     assert digest.of_rows(rows) == digest.of_rows(reversed(rows))
     assert digest.of_rows([*rows, rows[0], rows[0]]) != digest.of_rows(rows)
-    moved = 0
+    incremental_digest = 0
     for row in rows:
-        moved = digest.replaced(moved, None, row)
-    assert moved == digest.of_rows(rows)
+        incremental_digest = digest.replace_row(incremental_digest, None, row)
+    assert incremental_digest == digest.of_rows(rows)
     for row in rows:
-        moved = digest.replaced(moved, row, Row(row.key, row.version + 1, None))
-    assert moved == 0
+        incremental_digest = digest.replace_row(
+            incremental_digest, row, Row(row.key, row.version + 1, None)
+        )
+    assert incremental_digest == 0
 
 
 # ---- a row that can't be taken -------------------------------------------------------------------
 
 
-def test_the_last_accepted_version_of_a_refused_row_stays_and_the_refusal_is_reported() -> None:
-    node = fanout()
-    line = Connection([node], [A]).exchange()
+def test_a_refused_row_keeps_its_last_accepted_version_and_is_reported() -> None:
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
     node.apply(
         11,
-        [change(11, A, "x", 2, b"!"), change(11, A, "y", 2, b"2"), change(11, A, "z", 1, b"!")],
+        [
+            feed_change(11, SCOPE_A, "x", 2, b"!"),
+            feed_change(11, SCOPE_A, "y", 2, b"2"),
+            feed_change(11, SCOPE_A, "z", 1, b"!"),
+        ],
         0,
     )
-    line.advance(S)
-    assert line.values(A) == {"x": b"1", "y": b"2"}
+    connection.advance(SECOND_NS)
+    assert connection.values(SCOPE_A) == {"x": b"1", "y": b"2"}
     refused = (
-        Refusal(A, "upstream/x", 2, "not known here"),
-        Refusal(A, "upstream/z", 1, "not known here"),
+        Refusal(SCOPE_A, "upstream/x", 2, "not known here"),
+        Refusal(SCOPE_A, "upstream/z", 1, "not known here"),
     )
-    assert line.messages[-1].refused == refused
+    assert connection.messages[-1].refused == refused
     status = node.status()
     assert status.acknowledged == ((11, 1),) and status.refusals == 2
     assert [(one.name, one.refusal) for one in status.refused] == [("b1", one) for one in refused]
     # Refused again: still the last good one. A whole scope has it too.
-    node.apply(12, [change(12, A, "x", 3, b"!!")], 0)
-    line.exchange()
-    line.client.scopes[A].rows.pop("upstream/y")
-    line.advance(20 * S)
-    assert line.client.resyncs == 1 and line.values(A) == {"x": b"1", "y": b"2"}
-    assert [row.value for row in line.client.scopes[A].rows_in_force()] == [b"1", b"2"]
+    node.apply(12, [feed_change(12, SCOPE_A, "x", 3, b"!!")], 0)
+    connection.exchange_messages()
+    connection.client.scopes[SCOPE_A].rows.pop("upstream/y")
+    connection.advance(20 * SECOND_NS)
+    assert connection.client.resyncs == 1 and connection.values(SCOPE_A) == {"x": b"1", "y": b"2"}
+    assert [row.value for row in connection.client.scopes[SCOPE_A].rows_in_force()] == [b"1", b"2"]
     # Withdrawn by what can be taken, and by a deletion.
-    node.apply(13, [change(13, A, "x", 4, b"4")], line.now)
-    line.advance(S)
-    assert line.values(A)["x"] == b"4" and node.status().refusals == 1
-    node.apply(14, [change(14, A, "z", 2, None)], line.now)
-    line.advance(S)
-    assert node.status().refusals == 0 and line.values(A) == {"x": b"4", "y": b"2"}
+    node.apply(13, [feed_change(13, SCOPE_A, "x", 4, b"4")], connection.now)
+    connection.advance(SECOND_NS)
+    assert connection.values(SCOPE_A)["x"] == b"4" and node.status().refusals == 1
+    node.apply(14, [feed_change(14, SCOPE_A, "z", 2, None)], connection.now)
+    connection.advance(SECOND_NS)
+    assert node.status().refusals == 0 and connection.values(SCOPE_A) == {"x": b"4", "y": b"2"}
 
 
-def test_refusals_go_with_their_scope_and_are_reported_to_the_next_node() -> None:
-    nodes = [fanout(), fanout()]
+def test_refusals_are_reported_after_failover_and_cleared_when_their_scope_is_removed() -> None:
+    nodes = [build_fanout(), build_fanout()]
     for node in nodes:
-        node.apply(11, [change(11, A, f"r{number}", 1, b"!") for number in range(30)], 0)
-    line = Connection(nodes, [A, B]).exchange().advance(S)
-    assert nodes[0].status().refusals == 16 and line.tables[A].keys() == {
+        node.apply(11, [feed_change(11, SCOPE_A, f"r{number}", 1, b"!") for number in range(30)], 0)
+    connection = Connection(nodes, [SCOPE_A, SCOPE_B]).exchange_messages().advance(SECOND_NS)
+    assert nodes[0].status().refusals == 16 and connection.tables[SCOPE_A].keys() == {
         "upstream/x",
         "upstream/y",
     }
-    line.cut()
-    line.client.on_disconnected("cut", line.now)
-    line.advance(S)
-    assert line.node is nodes[1] and nodes[1].status().refusals == 16
-    line.client.update_scopes([], [A], line.now)
-    line.advance(S)
+    connection.close_connection()
+    connection.client.on_disconnected("cut", connection.now)
+    connection.advance(SECOND_NS)
+    assert connection.node is nodes[1] and nodes[1].status().refusals == 16
+    connection.client.update_scopes([], [SCOPE_A], connection.now)
+    connection.advance(SECOND_NS)
     assert nodes[1].status().refusals == 0
 
 
 # ---- how far they have come ----------------------------------------------------------------------
 
 
-def test_the_status_counts_what_is_acknowledged_and_names_who_lags() -> None:
-    node = fanout()
+def test_status_counts_acknowledged_revisions_and_lists_lagging_subscribers() -> None:
+    node = build_fanout()
     for number in range(40):
-        subscribe(node, number, [(A, 10), (B, 10)])
+        subscribe(node, number, [(SCOPE_A, 10), (SCOPE_B, 10)])
     assert node.status().acknowledged == ((10, 40),)
-    node.apply(11, [change(11, A, "x", 2, b"2")], 5 * S)
-    node.apply(12, [change(12, B, "x", 2, b"2")], 6 * S)
+    node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 5 * SECOND_NS)
+    node.apply(12, [feed_change(12, SCOPE_B, "x", 2, b"2")], 6 * SECOND_NS)
     assert node.status().acknowledged == ((10, 40),)  # sent is not in force
     for number in range(40):
         if number != 7:
-            node.receive(number, pack(Acknowledge(2 if number > 10 else 1)), 7 * S)
+            node.receive(number, pack(Acknowledge(2 if number > 10 else 1)), 7 * SECOND_NS)
     status = node.status()
     assert status.acknowledged == ((10, 1), (11, 10), (12, 29))
     assert [(lag.name, lag.revision, lag.since_ms) for lag in status.laggards[:2]] == [
@@ -966,77 +1112,86 @@
         ("b0", 11, 1_000),
     ]
     assert len(status.laggards) == 11 and status.sent_messages == 40 + 80  # bookmarks, patches
-    subscribe(node, 40, [(A, 99), (B, 5)], now=7 * S)
-    node.tick(10 * S)
+    subscribe(node, 40, [(SCOPE_A, 99), (SCOPE_B, 5)], now=7 * SECOND_NS)
+    node.tick(10 * SECOND_NS)
     assert [
         (lag.revision, lag.since_ms) for lag in node.status().laggards if lag.name == "b40"
     ] == [(5, 3_000)]
     assert node.status().parked == 1
-    node.remove(40, 10 * S)
-    node.apply(13, [change(13, "global", "x", 2, b"2")], 8 * S)  # which none of them watches
+    node.remove(40, 10 * SECOND_NS)
+    node.apply(
+        13, [feed_change(13, "global", "x", 2, b"2")], 8 * SECOND_NS
+    )  # which none of them watches
     assert node.status().acknowledged == ((10, 1), (11, 10), (13, 29))
-    node.apply(14, [change(14, A, "x", 3, b"3")], 9 * S)
+    node.apply(14, [feed_change(14, SCOPE_A, "x", 3, b"3")], 9 * SECOND_NS)
     assert node.status().acknowledged == ((10, 1), (11, 10), (13, 29))
 
 
 def test_patches_in_flight_of_a_removed_scope_do_not_count_as_lag() -> None:
-    node = fanout()
-    subscribe(node, 1, [(A, 10), (B, 10)])
-    node.apply(11, [change(11, A, "x", 2, b"2")], 0)
-    node.apply(12, [change(12, B, "x", 2, b"2")], 0)
-    node.receive(1, pack(UpdateScopes(2, (), (A,))), 0)
+    node = build_fanout()
+    subscribe(node, 1, [(SCOPE_A, 10), (SCOPE_B, 10)])
+    node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
+    node.apply(12, [feed_change(12, SCOPE_B, "x", 2, b"2")], 0)
+    node.receive(1, pack(UpdateScopes(2, (), (SCOPE_A,))), 0)
     assert node.status().acknowledged == ((11, 1),)
-    node.receive(1, pack(UpdateScopes(3, ((B, 12),), ())), 0)
+    node.receive(1, pack(UpdateScopes(3, ((SCOPE_B, 12),), ())), 0)
     assert node.status().acknowledged == ((12, 1),)
 
 
-def test_a_bookmark_while_more_is_pending_does_not_make_it_current() -> None:
-    node = fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1))
-    line = Connection([node], [A]).exchange()
-    assert line.client.age_ns(line.now) == 0
-    line.client.update_scopes([B], [], 0)
-    line.advance(30 * S)
-    assert not line.client.is_ready and line.client.age_ns(line.now) > 20 * S and line.node is node
+def test_a_bookmark_sent_while_a_snapshot_is_pending_does_not_reset_the_age() -> None:
+    node = build_fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1))
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
+    assert connection.client.age_ns(connection.now) == 0
+    connection.client.update_scopes([SCOPE_B], [], 0)
+    connection.advance(30 * SECOND_NS)
+    assert (
+        not connection.client.is_ready
+        and connection.client.age_ns(connection.now) > 20 * SECOND_NS
+        and connection.node is node
+    )
 
 
-def test_the_status_is_json() -> None:
-    node = fanout()
-    line = Connection([node], [A]).exchange()
-    node.apply(11, [change(11, A, "x", 2, b"!")], 0)
-    line.advance(S)
+def test_status_round_trips_through_json() -> None:
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
+    node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"!")], 0)
+    connection.advance(SECOND_NS)
     status = node.status()
     assert status.refusals == 1 and json.decode(json.encode(status), type=FeedStatus) == status
 
 
-def test_a_subscriber_that_was_sent_nothing_has_acknowledged_nothing() -> None:
-    node = fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1))
-    subscribe(node, 1, [(A, 0)])
-    subscribe(node, 2, [(B, 0), (A, 10)])
+def test_a_subscriber_waiting_for_its_first_snapshot_counts_as_revision_0() -> None:
+    node = build_fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1))
+    subscribe(node, 1, [(SCOPE_A, 0)])
+    subscribe(node, 2, [(SCOPE_B, 0), (SCOPE_A, 10)])
     assert node.status().acknowledged == ((0, 2),)
     assert {lag.name for lag in node.status().laggards} == {"b1", "b2"}
 
 
 @pytest.mark.parametrize(
-    ("words", "why"),
+    ("payloads", "expected_error"),
     [
         ([b"\xc1"], "invalid message"),
         ([pack(Bookmark(1, ()))], "invalid message"),
         ([pack(Acknowledge(0))], "begins with Subscribe"),
-        ([pack(Subscribe("b", "e", ((A, 0),)))] * 2, "second subscription"),
+        ([pack(Subscribe("b", "e", ((SCOPE_A, 0),)))] * 2, "second subscription"),
         ([pack(Subscribe("", "e", ()))], "name"),
-        ([pack(Subscribe("b", "e", ((A, 0), (A, 0))))], "named twice"),
-        ([pack(Subscribe("b", "e", ((A, -1),)))], "cursor"),
+        ([pack(Subscribe("b", "e", ((SCOPE_A, 0), (SCOPE_A, 0))))], "named twice"),
+        ([pack(Subscribe("b", "e", ((SCOPE_A, -1),)))], "cursor"),
         ([pack(Subscribe("b", "e", (("zone:a", 0),)))], "no scope"),
         ([pack(Subscribe("b", "e", tuple((f"service:{at}", 0) for at in range(4_097))))], "4096"),
         ([pack(Subscribe("b", "e", ())), pack(Acknowledge(1))], "acknowledged 1 of 0"),
         (
-            [pack(Subscribe("b", "e", ())), pack(Acknowledge(0, (Refusal(A, "x", 1, ""),) * 17))],
+            [
+                pack(Subscribe("b", "e", ())),
+                pack(Acknowledge(0, (Refusal(SCOPE_A, "x", 1, ""),) * 17)),
+            ],
             "over 16 refusals",
         ),
         (
             [
                 pack(Subscribe("b", "e", ())),
-                pack(Acknowledge(0, (Refusal(A, "x" * 2_000, 1, ""),))),
+                pack(Acknowledge(0, (Refusal(SCOPE_A, "x" * 2_000, 1, ""),))),
             ],
             "over 2000 char",
         ),
@@ -1054,25 +1209,25 @@
             ],
             "more than 4096",
         ),
-        ([pack(Subscribe("b", "e", ())), pack(UpdateScopes(2, (), (A,)))], "not there"),
+        ([pack(Subscribe("b", "e", ())), pack(UpdateScopes(2, (), (SCOPE_A,)))], "not there"),
         (
-            [pack(Subscribe("b", "e", ())), pack(UpdateScopes(2, ((A, 11),), ()))],
+            [pack(Subscribe("b", "e", ())), pack(UpdateScopes(2, ((SCOPE_A, 11),), ()))],
             "past revision 10",
         ),
     ],
 )
-def test_a_protocol_error_closes_its_connection_and_nothing_else(
-    words: list[bytes], why: str
+def test_a_protocol_error_does_not_affect_other_connections(
+    payloads: list[bytes], expected_error: str
 ) -> None:
-    node = fanout()
-    subscribe(node, 1, [(A, 10)])
-    for word in words[:-1]:
-        node.receive(2, word, 0)
-    with pytest.raises(FeedProtocolError, match=why):
-        node.receive(2, words[-1], 0)
+    node = build_fanout()
+    subscribe(node, 1, [(SCOPE_A, 10)])
+    for message in payloads[:-1]:
+        node.receive(2, message, 0)
+    with pytest.raises(FeedProtocolError, match=expected_error):
+        node.receive(2, payloads[-1], 0)
     node.remove(2, 0)
     node.take_sends()
-    node.apply(11, [change(11, A, "x", 2, b"2")], 0)
+    node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
     assert [send.subscriber for send in node.take_sends()] == [1] and node.status().subscribers == 1
 
 
@@ -1080,53 +1235,67 @@
 
 
 def test_an_idle_subscriber_gets_bookmarks_with_rotating_digests() -> None:
-    node = fanout(structs.replace(QUICK, bookmark_ns=10 * S, bookmark_scopes=2))
-    subscribe(node, 1, [(A, 10), (B, 10), ("global", 10)])
-    assert node.wake_ns == 10 * S
-    node.tick(10 * S - 1)
+    node = build_fanout(
+        structs.replace(UNTHROTTLED_LIMITS, bookmark_ns=10 * SECOND_NS, bookmark_scopes=2)
+    )
+    subscribe(node, 1, [(SCOPE_A, 10), (SCOPE_B, 10), ("global", 10)])
+    assert node.wake_ns == 10 * SECOND_NS
+    node.tick(10 * SECOND_NS - 1)
     assert node.take_sends() == []
-    named = []
-    for turn in (1, 2, 3):
-        node.apply(10 + turn, [], turn * 10 * S)
-        node.tick(turn * 10 * S)
+    digest_scopes = []
+    for index in (1, 2, 3):
+        node.apply(10 + index, [], index * 10 * SECOND_NS)
+        node.tick(index * 10 * SECOND_NS)
         (bookmark,) = sent(node)
-        assert bookmark.revision == 10 + turn and len(bookmark.digests) == 2
-        named += [scope for scope, _ in bookmark.digests]
-    assert Counter(named) == {A: 2, B: 2, "global": 2}
+        assert bookmark.revision == 10 + index and len(bookmark.digests) == 2
+        digest_scopes += [scope for scope, _ in bookmark.digests]
+    assert Counter(digest_scopes) == {SCOPE_A: 2, SCOPE_B: 2, "global": 2}
     node.remove(1, 0)
     assert node.wake_ns is None
 
 
-def test_a_bookmark_moves_cursors_on_so_that_a_short_log_covers_them() -> None:
-    nodes = [fanout(structs.replace(QUICK, log_changes=3)) for _ in range(2)]
-    line = Connection(nodes, [A, B]).exchange()
+def test_bookmarks_advance_cursors_so_that_a_short_log_still_covers_them() -> None:
+    nodes = [build_fanout(structs.replace(UNTHROTTLED_LIMITS, log_changes=3)) for _ in range(2)]
+    connection = Connection(nodes, [SCOPE_A, SCOPE_B]).exchange_messages()
     for revision in range(11, 31):
         for node in nodes:
-            node.apply(revision, [change(revision, "global", "x", revision, b"1")], line.now)
-    line.advance(20 * S)
-    line.cut()
-    line.client.on_disconnected("cut", line.now)
-    line.messages.clear()
-    line.advance(S)
-    assert line.messages[0].cursors == ((A, 30), (B, 30)) and nodes[1].status().snapshots == 0
-
-
-def test_a_node_that_is_silent_is_left_for_the_next() -> None:
-    node = fanout()
-    line = Connection([node, fanout()], [A]).exchange()
-    sub = line.client
-    assert sub.state is SubscriptionState.FOLLOWING
-    for now in range(0, 60 * S, S):  # the link is dead
-        sub.tick(now)
-    assert sub.take_actions()[-2:] != [] and sub.disconnect_reason in (
+            node.apply(
+                revision, [feed_change(revision, "global", "x", revision, b"1")], connection.now
+            )
+    connection.advance(20 * SECOND_NS)
+    connection.close_connection()
+    connection.client.on_disconnected("cut", connection.now)
+    connection.messages.clear()
+    connection.advance(SECOND_NS)
+    assert (
+        connection.messages[0].cursors == ((SCOPE_A, 30), (SCOPE_B, 30))
+        and nodes[1].status().snapshots == 0
+    )
+
+
+def test_a_silent_node_is_disconnected_after_the_idle_timeout() -> None:
+    node = build_fanout()
+    connection = Connection([node, build_fanout()], [SCOPE_A]).exchange_messages()
+    silent_subscription = connection.client
+    assert silent_subscription.state is SubscriptionState.FOLLOWING
+    for now in range(0, 60 * SECOND_NS, SECOND_NS):  # the link is dead
+        silent_subscription.tick(now)
+    assert silent_subscription.take_actions()[
+        -2:
+    ] != [] and silent_subscription.disconnect_reason in (
         "the node is silent",
         "the connection took too long",
     )
-    assert sub.age_ns(60 * S) == 60 * S
+    assert silent_subscription.age_ns(60 * SECOND_NS) == 60 * SECOND_NS
 
 
-def test_dials_rotate_and_back_off() -> None:
-    one = Subscription("b", [A], SubscriptionOptions(lambda scope, row: "", LIMITS, Random(7)), 0)
+def test_failed_dials_rotate_addresses_with_increasing_backoff() -> None:
+    one = Subscription(
+        "b",
+        [SCOPE_A],
+        SubscriptionOptions(lambda scope, row: "", SUBSCRIPTION_LIMITS, Random(7)),
+        0,
+    )
     dials: list[tuple[int, int]] = []
     now = 0
     while len(dials) < 40:
@@ -1136,79 +1305,107 @@
                 one.on_disconnected("refused", now)
         now = one.wake_ns
         one.tick(now)
-    assert [turn for _, turn in dials] == list(range(40))
-    gaps = [later - earlier for (earlier, _), (later, _) in zip(dials, dials[1:], strict=False)]
-    assert max(gaps[:2]) <= LIMITS.backoff_ns * 2 and max(gaps) <= LIMITS.backoff_most_ns + 1
-    assert sum(gaps[-10:]) > sum(gaps[:10])
+    assert [index for _, index in dials] == list(range(40))
+    dial_delays = [
+        later - earlier for (earlier, _), (later, _) in zip(dials, dials[1:], strict=False)
+    ]
+    assert (
+        max(dial_delays[:2]) <= SUBSCRIPTION_LIMITS.backoff_ns * 2
+        and max(dial_delays) <= SUBSCRIPTION_LIMITS.backoff_most_ns + 1
+    )
+    assert sum(dial_delays[-10:]) > sum(dial_delays[:10])
 
 
-def test_retry_later_is_obeyed_at_the_same_node_but_not_for_ever() -> None:
-    one = Subscription("b", [A], SubscriptionOptions(lambda scope, row: "", LIMITS, Random(7)), 0)
-    now, turns = 0, []
+def test_retry_later_retries_the_same_node_up_to_a_limit_then_the_next() -> None:
+    one = Subscription(
+        "b",
+        [SCOPE_A],
+        SubscriptionOptions(lambda scope, row: "", SUBSCRIPTION_LIMITS, Random(7)),
+        0,
+    )
+    now, dialled_indices = 0, []
     for _ in range(7):
         (dial,) = one.take_actions()
         assert isinstance(dial, Dial)
-        turns.append(dial.address_index)
+        dialled_indices.append(dial.address_index)
         one.on_connected("e", now)
         one.receive(1, 0, pack(RetryLater(700)), now)
-        assert isinstance(one.take_actions()[-1], Disconnect) and one.wake_ns == now + 700 * MS
+        assert (
+            isinstance(one.take_actions()[-1], Disconnect)
+            and one.wake_ns == now + 700 * MILLISECOND_NS
+        )
         now = one.wake_ns
         one.tick(now)
-    assert turns == [0] * 6 + [1]
+    assert dialled_indices == [0] * 6 + [1]
     one.on_connected("e", now)
     one.receive(1, 0, pack(RetryLater(1 << 40)), now)
-    assert one.wake_ns == now + LIMITS.later_ns
+    assert one.wake_ns == now + SUBSCRIPTION_LIMITS.later_ns
 
 
 @pytest.mark.parametrize(
-    ("generation", "sequence", "word", "why"),
+    ("generation", "sequence", "message", "expected_error"),
     [
         (1, 1, b"\xc1", "invalid message"),
-        (1, 3, pack(Patch(A, 0, 10, True, True, 0, ())), "patch 3 after 0"),
-        (2, 1, pack(Patch(A, 0, 10, True, True, 0, ())), "generation 2 of 1"),
+        (1, 3, pack(Patch(SCOPE_A, 0, 10, True, True, 0, ())), "patch 3 after 0"),
+        (2, 1, pack(Patch(SCOPE_A, 0, 10, True, True, 0, ())), "generation 2 of 1"),
         (0, 0, pack(ReplicaBehind(1)), "generation 0 of 1"),
     ],
 )
-def test_a_node_that_violates_the_protocol_is_left(
-    generation: int, sequence: int, word: bytes, why: str
+def test_a_node_that_violates_the_protocol_is_disconnected(
+    generation: int, sequence: int, message: bytes, expected_error: str
 ) -> None:
-    one = Subscription("b", [A], SubscriptionOptions(lambda scope, row: "", LIMITS, Random(7)), 0)
+    one = Subscription(
+        "b",
+        [SCOPE_A],
+        SubscriptionOptions(lambda scope, row: "", SUBSCRIPTION_LIMITS, Random(7)),
+        0,
+    )
     one.take_actions()
     one.on_connected("e", 0)
     one.take_actions()
-    one.receive(generation, sequence, word, 0)
+    one.receive(generation, sequence, message, 0)
     last = one.take_actions()[-1]
     assert (
         isinstance(last, Disconnect)
-        and why in last.reason
+        and expected_error in last.reason
         and one.state is SubscriptionState.BACKING_OFF
     )
     one.receive(
-        1, 1, pack(Patch(A, 0, 10, True, True, 0, ())), 0
+        1, 1, pack(Patch(SCOPE_A, 0, 10, True, True, 0, ())), 0
     )  # what comes after that is nothing
     assert one.take_actions() == [] and not one.is_ready
 
 
-def test_acknowledgements_are_coalesced() -> None:
-    node = fanout()
-    line = Connection([node], [A]).exchange()
-    line.advance(S)
-    line.messages.clear()
+def test_acknowledgements_of_many_patches_are_coalesced() -> None:
+    node = build_fanout()
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
+    connection.advance(SECOND_NS)
+    connection.messages.clear()
     for revision in range(11, 61):
-        node.apply(revision, [change(revision, A, "x", revision, b"%d" % revision)], line.now)
-        line.exchange()
-    line.advance(S)
-    assert line.messages == [Acknowledge(51)] and node.status().acknowledged == ((60, 1),)
+        node.apply(
+            revision,
+            [feed_change(revision, SCOPE_A, "x", revision, b"%d" % revision)],
+            connection.now,
+        )
+        connection.exchange_messages()
+    connection.advance(SECOND_NS)
+    assert connection.messages == [Acknowledge(51)] and node.status().acknowledged == ((60, 1),)
 
 
-def test_a_gap_is_not_skipped() -> None:
-    line = Connection([fanout()], [A]).exchange()
-    word = pack(Patch(A, 12, 13, False, True, 0, (Row("upstream/x", 9, b"9"),)))
-    line.client.receive(1, 2, word, 0)
-    assert line.client.resyncs == 1 and line.client.scopes[A].rows["upstream/x"].value == b"1"
+def test_a_delta_after_a_gap_triggers_a_resync_and_an_old_delta_is_ignored() -> None:
+    connection = Connection([build_fanout()], [SCOPE_A]).exchange_messages()
+    message = pack(Patch(SCOPE_A, 12, 13, False, True, 0, (Row("upstream/x", 9, b"9"),)))
+    connection.client.receive(1, 2, message, 0)
+    assert (
+        connection.client.resyncs == 1
+        and connection.client.scopes[SCOPE_A].rows["upstream/x"].value == b"1"
+    )
     # An old delta, of what is known already, is nothing.
-    line = Connection([fanout()], [A]).exchange()
-    line.client.receive(
-        1, 2, pack(Patch(A, 3, 9, False, True, 0, (Row("upstream/x", 9, b"9"),))), 0
+    connection = Connection([build_fanout()], [SCOPE_A]).exchange_messages()
+    connection.client.receive(
+        1, 2, pack(Patch(SCOPE_A, 3, 9, False, True, 0, (Row("upstream/x", 9, b"9"),))), 0
+    )
+    assert (
+        connection.client.resyncs == 0
+        and connection.client.scopes[SCOPE_A].rows["upstream/x"].value == b"1"
     )
-    assert line.client.resyncs == 0 and line.client.scopes[A].rows["upstream/x"].value == b"1"
