--- a/loadbalancer/changefeed/__init__.py
+++ b/loadbalancer/changefeed/__init__.py
@@ -1,4 +1,5 @@
 """Delta subscriptions to the store's rows: cursors, snapshots, watch cache and fan-out.
 
-Pure: no sockets, no store and no clock but the one that is handed in.
+The package has no side effects: it opens no sockets, does not call the store, and takes the current
+time as an argument.
 """
--- a/loadbalancer/changefeed/acknowledgement.py
+++ b/loadbalancer/changefeed/acknowledgement.py
@@ -1,4 +1,4 @@
-"""When a subscription acknowledges patches, and the refusals that it reports."""
+"""Timing of a subscription's acknowledgements, and the refused rows that they report."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Acknowledger:
-    """Coalesces acknowledgements: one after `ack_ns`, or after `ack_bytes` of patches.
+    """Coalesces acknowledgements: sends one after `ack_ns` or after `ack_bytes` of patches.
 
     Attributes:
-        due_ns: When an acknowledgement is due; None where there is nothing to acknowledge.
+        due_ns: When the next acknowledgement is due; None if there is nothing to acknowledge.
     """
 
     def __init__(self, limits: SubscriptionLimits) -> None:
@@ -22,28 +22,28 @@
         self._reported_refusals: tuple[Refusal, ...] = ()
 
     def reset(self) -> None:
-        """Begin a connection."""
+        """Reset the state for a new connection."""
         self.due_ns = None
         self._unacknowledged_bytes = 0
         self._reported_refusals = ()
 
     def cancel(self) -> None:
-        """The connection ended: nothing is due."""
+        """Cancel the scheduled acknowledgement after the connection closed."""
         self.due_ns = None
 
     def add_patch(self, size: int, now: int) -> None:
-        """Count a patch that was received."""
+        """Count a received patch and schedule its acknowledgement."""
         if self.due_ns is None:
             self.due_ns = now + self._limits.ack_ns
         self._unacknowledged_bytes += size
 
     @property
     def is_due_by_size(self) -> bool:
-        """So much was received that it is acknowledged at once."""
+        """Whether `ack_bytes` or more are unacknowledged, so that an acknowledgement is due now."""
         return self.due_ns is not None and self._unacknowledged_bytes >= self._limits.ack_bytes
 
     def update_refusals(self, table: ScopeTable) -> None:
-        """Note whether a table refuses rows."""
+        """Record the refused rows of a table, or clear them if it has none."""
         if table.refused:
             self._tables_with_refusals[table.scope] = table
         else:
@@ -54,7 +54,7 @@
         self._tables_with_refusals.pop(scope, None)
 
     def schedule_refusals(self, now: int) -> None:
-        """Schedule an acknowledgement where the refusals differ from those reported."""
+        """Schedule an acknowledgement if the refused rows differ from those last reported."""
         if self.due_ns is None and self._current_refusals() != self._reported_refusals:
             self.due_ns = now + self._limits.ack_ns
 
@@ -65,7 +65,7 @@
         return tuple(refusals)
 
     def build_acknowledgement(self, sequence: int) -> Acknowledge:
-        """Return the acknowledgement of all patches up to `sequence`."""
+        """Return the acknowledgement of all patches up to `sequence` and mark it as sent."""
         self.due_ns = None
         self._unacknowledged_bytes = 0
         self._reported_refusals = self._current_refusals()
--- a/loadbalancer/changefeed/actions.py
+++ b/loadbalancer/changefeed/actions.py
@@ -1,4 +1,4 @@
-"""What a subscription asks its owner to do."""
+"""Actions that a subscription requests from its owner."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class Dial(msgspec.Struct, frozen=True):
-    """Open a new connection, to the address of this index modulo their number."""
+    """Open a new connection, to the address at this index modulo the number of addresses."""
 
     address_index: int
 
 
 class Disconnect(msgspec.Struct, frozen=True):
-    """Give up the connection or the dial; nothing of it is to be handed in any more."""
+    """Close the connection or cancel the dial; its later events must not be passed in."""
 
     reason: str
 
 
 class Apply(msgspec.Struct, frozen=True):
-    """Rows that came into force.
+    """Apply the accepted rows of a scope.
 
-    Refused rows are not among them; in a snapshot their last accepted version is.
+    Refused rows are left out. In a snapshot their last accepted version takes their place.
 
     Attributes:
-        is_snapshot: They are all rows of the scope; else the last of each that changed, with None
-            as the value of a deleted one.
+        is_snapshot: Whether `rows` holds all rows of the scope. Otherwise it holds the last version
+            of each changed row, with None as the value of a deleted row.
     """
 
     scope: str
--- a/loadbalancer/changefeed/audit.py
+++ b/loadbalancer/changefeed/audit.py
@@ -1,4 +1,4 @@
-"""Audit of large scopes: their rows are hashed in steps and compared with the digest."""
+"""Audit of large scopes: hashes their rows in steps and compares the sum with the digest."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class _Audit:
-    """The state of one audit."""
+    """Progress of the audit of one table."""
 
     def __init__(self, table: ScopeTable) -> None:
         self.table = table
@@ -25,8 +25,8 @@
     """Audits tables one after another, `audit_rows` rows every `audit_ns`.
 
     Args:
-        limits: Its steps and their interval.
-        is_subscribed: Whether a table is still the subscription's.
+        limits: The rows per step and the interval of the steps.
+        is_subscribed: Returns whether a table still belongs to the subscription.
     """
 
     def __init__(
@@ -39,19 +39,19 @@
 
     @property
     def due_ns(self) -> int | None:
-        """When the next step is due; None where nothing is audited."""
+        """When the next step is due; None if no audit is running."""
         return self._next_step_ns if self._audits else None
 
     def enqueue(self, table: ScopeTable, now: int) -> None:
-        """Queue a table, unless it is queued already."""
+        """Queue a table for an audit, unless it is already queued."""
         if all(audit.table is not table for audit in self._audits):
             self._audits.append(_Audit(table))
             self._next_step_ns = max(self._next_step_ns, now)
 
     def step(self, now: int) -> ScopeTable | None:
-        """Do one step; return the table that was found corrupt, if this step found one.
+        """Run one step; return the table if the step completes its audit and finds it corrupt.
 
-        An audit ends when its table changes; the next bookmark begins it again.
+        An audit is abandoned if its table changes; the next bookmark restarts it.
         """
         self._next_step_ns = now + self._limits.audit_ns
         audit = self._audits[0]
--- a/loadbalancer/changefeed/cache.py
+++ b/loadbalancer/changefeed/cache.py
@@ -1,4 +1,4 @@
-"""Watch cache of a node: rows and the last changes of all scopes, within bounds."""
+"""Watch cache of a node: the rows and the bounded logs of recent changes of all scopes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class StoreSnapshot(NamedTuple):
-    """The store's rows as of a revision.
+    """The store's rows as of a revision, with the changes that led to it.
 
     Attributes:
         rows: Key, version and value of each row.
-        base: `changes` holds all changes in (base, revision].
+        base: The revision after which `changes` is complete: it holds all in (base, revision].
     """
 
     revision: int
@@ -27,11 +27,11 @@
 
 
 class ScopeChange(NamedTuple):
-    """How a write touched a scope.
+    """Revisions of a scope before and after a batch of changes.
 
     Attributes:
-        after: The scope's revision before.
-        first: The first revision that changed it since.
+        previous_revision: The scope's revision before the batch.
+        first_revision: The first revision of the batch that changed the scope.
     """
 
     previous_revision: int
@@ -39,30 +39,30 @@
 
 
 class WatchCache:
-    """All scopes of a node, with the bounds of their logs."""
+    """All scopes of a node, with limits on the size of their logs."""
 
     def __init__(self, limits: FanoutLimits) -> None:
         self.scopes: dict[str, WatchedScope] = {}
         self.revision = 0
         self._limits = limits
-        self._base = 0  # of scopes of which nothing is known
-        # The changes of all logs in order: scope, revision and bytes of each.
+        self._base = 0  # base revision of scopes that are not cached
+        # The changes in all logs, oldest first: scope, revision and size in bytes.
         self._log: deque[tuple[WatchedScope, int, int]] = deque()
         self._log_bytes = 0
 
     def scope(self, name: str) -> WatchedScope:
-        """Return a scope, created where it is not there yet."""
+        """Return a scope; create it if it does not exist yet."""
         scope = self.scopes.get(name)
         if scope is None:
             scope = self.scopes[name] = WatchedScope(name, self._base)
         return scope
 
     def snapshot_bytes_needed(self, name: str, cursor: int) -> int:
-        """Return the size of the snapshot that a cursor needs, at least 1; 0 if a delta is enough.
+        """Return the size of the snapshot that a cursor needs, at least 1; 0 if a delta suffices.
 
         Args:
-            name: Of the scope.
-            cursor: 0 where nothing is known.
+            name: Name of the scope.
+            cursor: Revision that the subscriber has; 0 if it has none.
         """
         scope = self.scopes.get(name)
         if scope is None:
@@ -70,7 +70,7 @@
         return 0 if cursor and scope.covers(cursor) else scope.size_bytes + 1
 
     def load(self, snapshot: StoreSnapshot) -> dict[str, WatchedScope]:
-        """Replace everything; return the old scopes, whose watchers are still to be moved."""
+        """Replace all scopes; return the old ones, whose watchers the caller must move."""
         old_scopes = self.scopes
         old_revision = self.revision
         self.scopes = {}
@@ -98,7 +98,7 @@
     ) -> dict[WatchedScope, ScopeChange]:
         """Apply complete revisions; return the scopes that changed.
 
-        `trim` is due once those who watch them were notified.
+        The caller must call `trim` after it has notified the watchers of these scopes.
         """
         self.revision = revision
         changed_scopes: dict[WatchedScope, ScopeChange] = {}
@@ -119,7 +119,7 @@
         self._log_bytes += size
 
     def trim(self, changed_scopes: Iterable[WatchedScope]) -> None:
-        """Drop the oldest revisions until all logs are within their bounds."""
+        """Drop the oldest revisions until all logs are within their limits."""
         limits = self._limits
         for scope in changed_scopes:
             while scope.log_length > limits.scope_changes:
@@ -132,12 +132,15 @@
             self.discard_if_unused(scope)
 
     def discard_if_unused(self, scope: WatchedScope) -> None:
-        """Remove a scope without rows, log and watchers; its base holds for unknown scopes."""
+        """Remove a scope that has no rows, log or watchers.
+
+        Its base becomes a lower bound for the base of scopes that are not cached.
+        """
         if scope.is_unused and self.scopes.get(scope.name) is scope:
             del self.scopes[scope.name]
             self._base = max(self._base, scope.base)
 
     @property
     def log_size(self) -> tuple[int, int]:
-        """Changes and bytes in the logs."""
+        """Number of changes and of bytes in all logs."""
         return len(self._log), self._log_bytes
--- a/loadbalancer/changefeed/delivery.py
+++ b/loadbalancer/changefeed/delivery.py
@@ -1,4 +1,4 @@
-"""What a node sends to its subscribers: deltas at once, snapshots as fast as their rate limit."""
+"""Sending to the subscribers of a node: deltas immediately, snapshots within a rate limit."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
     """A message for one subscriber.
 
     Attributes:
-        sequence: Of a patch; 0 for any other message.
-        payload: One object for all who are sent the same.
+        subscriber: Number of the subscriber's connection.
+        sequence: Sequence number of a patch; 0 for any other message.
+        payload: The encoded message; subscribers that receive the same message share one object.
     """
 
     subscriber: int
@@ -32,9 +33,9 @@
     Attributes:
         patches: The cache of encoded patches.
         queue: Subscribers that wait for snapshots.
-        sent_messages: Since the start, as all that follow.
-        sent_bytes: Of those messages.
-        snapshots: Scopes that were sent as a snapshot.
+        sent_messages: Messages sent since the start.
+        sent_bytes: Bytes of messages sent since the start.
+        snapshots: Scopes sent as a snapshot since the start.
     """
 
     def __init__(self, cache: WatchCache, limits: FanoutLimits, now: int) -> None:
@@ -48,9 +49,10 @@
         self._outbox: list[Send] = []
 
     def broadcast(self, scope: WatchedScope, after: int, floor: int, now: int) -> None:
-        """Send a change to all watchers of its scope; those who are up to date were at `after`.
+        """Send a change to all watchers of its scope.
 
-        This runs for each change and watcher, so the window check and the send stand inline.
+        Watchers that are up to date had revision `after` before the change. The loop runs for each
+        change and watcher, so the window check and the send are inlined.
         """
         if not scope.watchers:
             return
@@ -83,7 +85,7 @@
         self.sent_bytes += count * size
 
     def serve(self, subscriber: Subscriber, now: int) -> None:
-        """Send everything that a subscriber can take now; snapshots are queued."""
+        """Send the deltas and the bookmark that the window admits; queue snapshots."""
         if subscriber.parked_cursors is not None:
             return
         self._send_deltas(subscriber, now)
@@ -98,9 +100,10 @@
             self.send_bookmark(subscriber)
 
     def send_snapshots(self, now: int) -> None:
-        """Send queued snapshots as fast as their rate limit.
+        """Send queued snapshots within the rate limit.
 
-        A subscriber that can't take more leaves the queue, and joins it again when it can.
+        A subscriber that is not writable or whose window is full leaves the queue, and joins it
+        again when it can receive more.
         """
         while self.queue:
             subscriber = self.queue.first
@@ -134,7 +137,7 @@
             self.serve(subscriber, now)
 
     def _send_deltas(self, subscriber: Subscriber, now: int) -> None:
-        """Send deltas of the scopes that changed while the subscriber could not take them."""
+        """Send deltas of the scopes that changed while the subscriber could not receive them."""
         while subscriber.dirty and subscriber.is_writable:
             name, lag = next(iter(subscriber.dirty.items()))
             scope = subscriber.scopes[name]
@@ -156,7 +159,7 @@
     def _requeue_if_changed(
         self, subscriber: Subscriber, scope: WatchedScope, revision: int, now: int
     ) -> None:
-        """A patch up to `revision` was sent; send what changed in the scope since it was made."""
+        """Mark the scope for a delta if it changed after the `revision` of the patch just sent."""
         if scope.revision > revision:
             floor = revision
             if scope.covers(revision):
@@ -164,13 +167,13 @@
             subscriber.dirty[scope.name] = ScopeLag(revision, floor, now)
 
     def request_snapshot(self, subscriber: Subscriber, scope: WatchedScope, lag: ScopeLag) -> None:
-        """Owe a subscriber a snapshot of a scope."""
+        """Mark a scope as pending, so that the subscriber is sent a snapshot of it."""
         lag.require_snapshot(self._cache.revision, scope.size_bytes)
         subscriber.pending[scope.name] = lag
         self.queue.add_pending_bytes(subscriber, lag.snapshot_bytes)
 
     def clear_lag(self, subscriber: Subscriber, name: str) -> ScopeLag | None:
-        """Owe a subscriber nothing of a scope; return what was owed."""
+        """Cancel the pending delta or snapshot of a scope; return its state, if there was one."""
         lag = subscriber.pending.pop(name, None)
         if lag is not None:
             self.queue.add_pending_bytes(subscriber, -lag.snapshot_bytes)
@@ -178,9 +181,10 @@
         return subscriber.dirty.pop(name, None)
 
     def send_bookmark(self, subscriber: Subscriber) -> None:
-        """Send the revision up to which everything was sent, with the digests of some scopes.
+        """Send a bookmark: the revision up to which all was sent, and digests of some scopes.
 
-        The scopes rotate. While anything is still to be sent there are no digests.
+        Successive bookmarks rotate through the scopes. A bookmark carries no digests while deltas
+        or snapshots are still to be sent.
         """
         delivered = subscriber.delivered_revision()
         if delivered is not None:
@@ -196,11 +200,11 @@
         self._send_control(subscriber, Bookmark(self._cache.revision, digests))
 
     def send_replica_behind(self, subscriber: Subscriber) -> None:
-        """Tell a parked subscriber where this node stands."""
+        """Send a parked subscriber the revision of this node."""
         self._send_control(subscriber, ReplicaBehind(self._cache.revision))
 
     def send_retry_later(self, number: int, needed_bytes: int, now: int) -> None:
-        """Put off a connection whose subscription is not accepted."""
+        """Reject the subscription of a connection with a time after which to retry."""
         message = RetryLater(self.queue.retry_after_ms(needed_bytes, now))
         self._outbox.append(Send(number, 1, 0, pack(message)))
 
@@ -221,7 +225,7 @@
         self._enqueue(subscriber, subscriber.sequence, payload)
 
     def _send_control(self, subscriber: Subscriber, message: Message) -> None:
-        """Send a message that is not a patch, and so not acknowledged."""
+        """Send a message other than a patch; such messages are not acknowledged."""
         self._enqueue(subscriber, 0, pack(message))
 
     def _enqueue(self, subscriber: Subscriber, sequence: int, payload: bytes) -> None:
@@ -230,7 +234,7 @@
         self.sent_bytes += len(payload)
 
     def take_sends(self) -> list[Send]:
-        """Return and forget the messages to send, in order."""
+        """Return the messages to send, in order, and clear the outbox."""
         sends = self._outbox
         self._outbox = []
         return sends
--- a/loadbalancer/changefeed/digest.py
+++ b/loadbalancer/changefeed/digest.py
@@ -1,8 +1,8 @@
 """Digest of a scope's rows: the sum, modulo 2**64, of a hash of each row.
 
-The digest does not depend on the order of rows, so it is maintained by adding and subtracting. It
-is a sum rather than an exclusive or, so that a row counted twice shows. It finds faults, not
-malice.
+The digest does not depend on the order of rows, so it is updated by adding and subtracting hashes.
+It is a sum rather than an XOR, so that a duplicate row changes it. It detects accidental corruption
+and does not protect against deliberate tampering.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def of_row(row: Row) -> int:
-    """Return the hash of one row; 0 for a deleted one."""
+    """Return the hash of one row; 0 for a deleted row."""
     if row.value is None:
         return 0
-    # Keys hold no NUL, so key and value can't run into each other.
+    # Keys contain no NUL byte, so the separator makes the split of key and value unambiguous.
     return xxh3_64_intdigest(row.key.encode() + b"\0" + row.value, row.version & MASK)
 
 
@@ -31,5 +31,5 @@
 
 
 def replace_row(digest: int, old: Row | None, new: Row) -> int:
-    """Return the digest after `new` took the place of `old`."""
+    """Return the digest after `new` replaces `old`."""
     return (digest - (of_row(old) if old is not None else 0) + of_row(new)) & MASK
--- a/loadbalancer/changefeed/fanout.py
+++ b/loadbalancer/changefeed/fanout.py
@@ -1,11 +1,12 @@
-"""A node's side of the changefeed: who is subscribed to which scopes, and what each is sent.
+"""A node's side of the changefeed: the subscribers, their scopes, and the messages they are sent.
 
-Pure: the store's changes and the subscribers' messages go in with the clock, messages for
-subscribers come out. A change costs one encoding a scope and one `Send` for each who watches it;
-an idle subscriber costs a bookmark now and then. The scopes of a subscriber that can't take more
-are marked, and it is sent their last state when it can: in each scope it sees complete revisions
-only, in order, some of them coalesced; *across* scopes no order is promised. Deltas are sent at
-once; snapshots wait in a queue with a rate limit in bytes.
+The module does no I/O: its inputs are the store's changes, the subscribers' messages and the
+current time; its output is messages for subscribers. A change costs one encoding per scope and one
+`Send` per watcher; an idle subscriber costs a periodic bookmark. If a subscriber can't receive
+more, its changed scopes are marked, and it is sent their latest state once it can. Within a scope a
+subscriber receives complete revisions only, in order, some of them coalesced; there is no ordering
+guarantee *across* scopes. Deltas are sent immediately; snapshots wait in a queue with a rate limit
+in bytes.
 
 All times are those of a monotonic clock, in nanoseconds.
 """
@@ -45,9 +46,8 @@
     "Send",
     "StoreSnapshot",
 ]
-MAX_STALE_PARKED_ENTRIES: Final = (
-    64  # heap entries of subscribers that left, beside those that are there
-)
+# Heap entries beyond twice the number of subscribers at which stale ones are removed.
+MAX_STALE_PARKED_ENTRIES: Final = 64
 
 
 class Fanout:
@@ -60,14 +60,13 @@
         self.subscribers: dict[int, Subscriber] = {}
         self._delivery = Delivery(self.cache, limits, now)
         self.patches = self._delivery.patches
-        self._bookmark_due_ns: OrderedDict[Subscriber, int] = OrderedDict()  # when the next is due
-        # Heap of parked subscribers: the revision that each needs, and the order of arrival.
+        self._bookmark_due_ns: OrderedDict[Subscriber, int] = OrderedDict()
+        # Heap of parked subscribers: the revision that each needs, and a sequence number as
+        # tie-breaker.
         self._parked: list[tuple[int, int, Subscriber]] = []
         self._parked_sequence = 0
         self._refusing_subscribers: dict[Subscriber, None] = {}
-        self._rejected_connections: set[int] = (
-            set()
-        )  # connections whose subscription was not accepted
+        self._rejected_connections: set[int] = set()
         self._now = now
         self._resumes = 0
         self._retry_later_count = 0
@@ -75,13 +74,13 @@
     # The store
 
     def load(self, snapshot: StoreSnapshot, now: int) -> None:
-        """Take all rows of the store: at the start, and after a snapshot of it was installed.
+        """Load all rows of the store, at startup and after the store installed a snapshot.
 
-        Subscribers stay. Where the snapshot's changes continue from what is known, only these are
-        applied.
+        Subscribers stay subscribed. If the snapshot's changes continue from the current revision,
+        only those changes are applied.
 
         Raises:
-            ValueError: The snapshot is older than what is known.
+            ValueError: The snapshot is older than the current revision.
         """
         revision = snapshot.revision
         base = snapshot.base
@@ -112,13 +111,13 @@
         self._delivery.send_snapshots(now)
 
     def apply(self, revision: int, changes: Sequence[FeedChange], now: int) -> None:
-        """Apply what the store changed up to `revision`: complete revisions, in order.
+        """Apply the store's changes up to `revision`: complete revisions, in order.
 
-        It is called also where no row changed: a subscriber that comes from a node that is further
-        is parked until this one reaches its revision.
+        It must be called even if no row changed, because a subscriber that comes from a node with a
+        higher revision is parked until this node reaches that revision.
 
         Raises:
-            ValueError: The revision is not newer than what is known.
+            ValueError: The revision is not newer than the current revision.
         """
         if revision <= self.revision:
             raise ValueError(f"revision {revision} comes after {self.revision}")
@@ -134,7 +133,7 @@
 
     @property
     def revision(self) -> int:
-        """The store's revision that is known here."""
+        """The store's revision up to which this node has applied changes."""
         return self.cache.revision
 
     # Subscribers
@@ -143,12 +142,12 @@
         """Handle a message of a subscriber.
 
         Args:
-            number: Of its connection.
-            payload: The message.
-            now: The clock.
+            number: Number of the connection.
+            payload: The encoded message.
+            now: The current time.
 
         Raises:
-            FeedProtocolError: The connection is to be closed, and `remove` to be called.
+            FeedProtocolError: The caller must close the connection and call `remove`.
         """
         self._now = now
         message = parse_message(payload)
@@ -158,9 +157,7 @@
                 raise FeedProtocolError("a second subscription on one connection")
             self._subscribe(number, message, now)
         elif subscriber is None:
-            if (
-                number not in self._rejected_connections
-            ):  # it may not have received the rejection yet
+            if number not in self._rejected_connections:  # the rejection may still be in flight
                 raise FeedProtocolError("a subscription begins with Subscribe")
         elif isinstance(message, UpdateScopes):
             self._update_scopes(subscriber, message, now)
@@ -199,7 +196,7 @@
         self._delivery.send_replica_behind(subscriber)
 
     def _release_parked(self, now: int) -> None:
-        """Serve the parked subscribers that the node has caught up with."""
+        """Start delivery to the parked subscribers whose revision the node has reached."""
         while self._parked and self._parked[0][0] <= self.revision:
             subscriber = heapq.heappop(self._parked)[2]
             cursors = subscriber.parked_cursors
@@ -225,10 +222,10 @@
 
         Args:
             subscriber: The subscriber.
-            name: Of the scope.
-            cursor: Where it starts; 0 where nothing is known.
-            now: The clock.
-            lag: How it lagged in the scope already, if it did.
+            name: Name of the scope.
+            cursor: Revision to resume from; 0 if a snapshot is needed.
+            now: The current time.
+            lag: The previous lag in the scope, whose floor and start time are kept.
         """
         scope = self.cache.scope(name)
         scope.watchers[subscriber] = None
@@ -253,9 +250,9 @@
     def _move_to_loaded_scopes(
         self, subscriber: Subscriber, revision_before_load: int, now: int
     ) -> None:
-        """Move a subscriber to the scopes as they were loaded.
+        """Move a subscriber from the old scopes to the loaded ones.
 
-        Where it was up to date, it was so at `revision_before_load`.
+        In scopes without lag it resumes from `revision_before_load`.
         """
         self._delivery.queue.leave(subscriber)
         for name in list(subscriber.scopes):
@@ -263,7 +260,7 @@
             if lag is None:
                 self._watch(subscriber, name, revision_before_load, now)
             else:
-                self._watch(subscriber, name, 0, now, lag)  # its cursor is older than the log
+                self._watch(subscriber, name, 0, now, lag)  # its cursor precedes the log
         subscriber.bookmark_due = True
         self._delivery.serve(subscriber, now)
 
@@ -301,7 +298,7 @@
         self._delivery.serve(subscriber, now)
 
     def set_writable(self, number: int, is_writable: bool, now: int) -> None:
-        """Note whether a connection takes more; what was held back is sent when it does."""
+        """Record whether a connection is writable; send the delayed messages once it is."""
         self._now = now
         subscriber = self.subscribers.get(number)
         if subscriber is not None and subscriber.is_writable != is_writable:
@@ -311,7 +308,7 @@
         self._delivery.send_snapshots(now)
 
     def remove(self, number: int, now: int) -> None:
-        """Forget a connection that ended."""
+        """Remove the state of a closed connection."""
         self._now = now
         self._rejected_connections.discard(number)
         subscriber = self.subscribers.pop(number, None)
@@ -349,7 +346,7 @@
 
     @property
     def wake_ns(self) -> int | None:
-        """When `tick` has something to do; None: never."""
+        """When `tick` must be called next; None if no timer is set."""
         due_ns = next(iter(self._bookmark_due_ns.values()), None)
         if not self._delivery.queue:
             return due_ns
@@ -357,14 +354,14 @@
         return ready_at if due_ns is None else min(due_ns, ready_at)
 
     def take_sends(self) -> list[Send]:
-        """Return and forget the messages to send, in order.
+        """Return the messages to send, in order, and clear the outbox.
 
-        One may be for a connection that has ended meanwhile.
+        Some may be addressed to a connection that has closed in the meantime.
         """
         return self._delivery.take_sends()
 
     def status(self) -> FeedStatus:
-        """Return the progress of all subscribers. Visits each of them."""
+        """Return the status of the feed. The cost is linear in the number of subscribers."""
         subscribers = self.subscribers.values()
         progress = compute_progress(subscribers, self.revision, self._now)
         refused = [
--- a/loadbalancer/changefeed/limits.py
+++ b/loadbalancer/changefeed/limits.py
@@ -14,19 +14,20 @@
     """Limits of a node's fan-out.
 
     Attributes:
-        snapshot_bytes_s: Rate of all snapshots together.
-        snapshot_burst: Bytes of snapshots that may be sent at once.
-        waiting_most: Subscribers queued for snapshots, beyond which a newcomer that needs one is
-            told to retry after `later_least_ms` to `later_most_ms`.
+        snapshot_bytes_s: Rate limit of all snapshots together, in bytes per second.
+        snapshot_burst: Burst size of the rate limit, in bytes.
+        waiting_most: Length of the snapshot queue at which a new subscription that needs a snapshot
+            is rejected, to be retried after `later_least_ms` to `later_most_ms`.
         chunk_bytes: Size at which a patch is split into chunks.
-        log_changes: Changes in the logs of all scopes together.
-        log_bytes: Bytes in the logs of all scopes together.
-        scope_changes: Changes in the log of one scope.
+        log_changes: Maximum number of changes in the logs of all scopes together.
+        log_bytes: Maximum size of the logs of all scopes together.
+        scope_changes: Maximum number of changes in the log of one scope.
         bookmark_ns: Interval of bookmarks to one subscriber.
-        bookmark_scopes: Digests in one bookmark; the scopes rotate.
-        window_bytes: Bytes sent to one subscriber and not acknowledged.
-        cache_bytes: Bytes of encoded patches that are cached.
-        subscribers_most: Subscribers of one node.
+        bookmark_scopes: Maximum number of digests in a bookmark; successive bookmarks rotate
+            through the scopes.
+        window_bytes: Maximum number of unacknowledged bytes per subscriber.
+        cache_bytes: Maximum size of the cache of encoded patches.
+        subscribers_most: Maximum number of subscribers of a node.
     """
 
     snapshot_bytes_s: int = 8 << 20
@@ -50,17 +51,18 @@
 
     Attributes:
         dial_ns: Connect timeout.
-        silent_ns: Idle timeout: a node that sends nothing for so long is left. Several bookmarks.
-        behind_ns: How long to wait for a node that is behind the cursors.
-        backoff_ns: First upper bound of the reconnect delay; it doubles up to `backoff_most_ns`,
-            and the delay is drawn uniformly below it.
-        backoff_most_ns: Last upper bound of the reconnect delay.
-        later_most: How often in a row one node may answer "retry later".
-        later_ns: Longest delay that a node may ask for.
-        ack_ns: Longest delay of an acknowledgement.
-        ack_bytes: Received bytes that are acknowledged at once.
-        audit_rows: Rows hashed in one step. A larger scope is audited in steps of so many, begun
-            by a bookmark that carries its digest.
+        silent_ns: Idle timeout, after which the subscription disconnects and tries the next node;
+            several bookmark intervals.
+        behind_ns: How long to wait for a node whose revision is behind the cursors.
+        backoff_ns: Initial upper bound of the reconnect delay. The bound doubles with each failure,
+            up to `backoff_most_ns`; the delay is drawn uniformly below the bound.
+        backoff_most_ns: Maximum upper bound of the reconnect delay.
+        later_most: Consecutive `RetryLater` answers after which the next node is tried.
+        later_ns: Maximum retry delay accepted from a node.
+        ack_ns: Maximum delay of an acknowledgement.
+        ack_bytes: Received bytes after which an acknowledgement is sent immediately.
+        audit_rows: Rows hashed per audit step. A scope with more rows is audited in several steps,
+            started by a bookmark that carries its digest.
         audit_ns: Interval of audit steps.
     """
 
--- a/loadbalancer/changefeed/messages.py
+++ b/loadbalancer/changefeed/messages.py
@@ -1,11 +1,11 @@
 """Messages between a node's changefeed and its subscribers.
 
-Each message is a msgpack array with a tag. Fields are only ever added at the end, with a default;
-they are encoded by position, so their names in code are free.
+Each message is a msgpack array with a tag. New fields are added only at
+the end, with a default value. Fields are encoded by position, so they can be renamed in the code.
 
 A row is a key of the store, `feed/SCOPE/KIND/NAME`, where SCOPE is `global` or `service:NAME`.
-Within its scope a row goes by `KIND/NAME`. Revisions are the store's: the index of the log entry
-that made the change.
+Within its scope a row is identified by `KIND/NAME`. A revision is the index of the store's log
+entry that made the change.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 GLOBAL: Final = "global"
 SERVICE: Final = "service:"
 MAX_ROW_BYTES: Final = 4096
-MAX_SCOPES: Final = 4096  # of one subscription
-MAX_REFUSALS: Final = 16  # in one acknowledgement
-MAX_NAME_LENGTH: Final = 200  # characters of a subscriber's name
+MAX_SCOPES: Final = 4096  # per subscription
+MAX_REFUSALS: Final = 16  # per acknowledgement
+MAX_NAME_LENGTH: Final = 200  # characters, of a subscriber's name
 MAX_REASON_LENGTH: Final = 200  # characters
-MAX_REFUSAL_LENGTH: Final = 2_000  # characters of reason, scope and key together
+MAX_REFUSAL_LENGTH: Final = 2_000  # characters, of scope, key and reason together
 _KEY = re.compile(
     r"feed/(global|service:[A-Za-z0-9][A-Za-z0-9._:@-]*)/"
     r"([A-Za-z0-9][A-Za-z0-9._:@-]*/[A-Za-z0-9][A-Za-z0-9._:@-]*)\Z"
@@ -32,7 +32,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, forbid_unknown_fields=True):
-    """One message in either direction."""
+    """Base class of the messages in both directions."""
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -40,8 +40,8 @@
 
     Attributes:
         key: KIND/NAME within the scope.
-        version: Counts the writes of the key; it continues after a deletion.
-        value: None where the row was deleted.
+        version: Number of writes to the key, including deletions.
+        value: None if the row was deleted.
     """
 
     key: str
@@ -50,7 +50,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, array_like=True):
-    """A row that a subscriber can't apply; the last version that it could stays in force."""
+    """A row that a subscriber can't apply; its last accepted version stays in force."""
 
     scope: str
     key: str
@@ -59,12 +59,12 @@
 
 
 class Subscribe(Message, frozen=True, tag=1):
-    """The first message of a subscriber. Its generation is 1.
+    """The first message of a subscriber. It starts generation 1 of the subscription.
 
     Attributes:
-        name: The balancer's name, for the status.
-        epoch: The store's epoch that the cursors belong to.
-        cursors: Scopes, each with the revision up to which it is known; 0 where nothing is.
+        name: Name of the balancer, shown in the status.
+        epoch: Epoch of the store that the cursors belong to.
+        cursors: Scopes, each with the revision that the subscriber has; 0 if it has none.
     """
 
     name: str
@@ -73,12 +73,12 @@
 
 
 class UpdateScopes(Message, frozen=True, tag=2):
-    """Changes the subscription's scopes.
+    """Changes the scopes of a subscription.
 
     Attributes:
-        generation: One more than before.
+        generation: The previous generation plus one.
         add: Scopes with their cursors. Adding a subscribed scope restarts it from that cursor.
-        remove: Scopes that are no longer subscribed.
+        remove: Scopes to unsubscribe from.
     """
 
     generation: int
@@ -87,14 +87,14 @@
 
 
 class Acknowledge(Message, frozen=True, tag=3):
-    """All patches up to a sequence number are in force.
+    """Acknowledges that all patches up to a sequence number are in force.
 
     Patches whose last chunk has not arrived are only buffered: acknowledging their chunks opens the
-    node's window and nothing else.
+    node's send window and has no other effect.
 
     Attributes:
-        sequence: Of the last patch received.
-        refused: The rows that are not in force, as they stand now.
+        sequence: Sequence number of the last patch received.
+        refused: The rows that are currently refused, and therefore not in force.
     """
 
     sequence: int
@@ -105,11 +105,11 @@
     """Rows of one scope: a delta or a snapshot, possibly one chunk of several.
 
     A delta holds the last value of each key that changed in (after, revision]. A snapshot replaces
-    all rows, and its `after` is 0. A large patch is sent in chunks of the same `after` and
-    `revision`, which come into force together with the last one.
+    all rows, and its `after` is 0. A large patch is sent in chunks with the same `after` and
+    `revision`, which are applied together when the last chunk arrives.
 
     Attributes:
-        digest: Of the scope's rows as of `revision`.
+        digest: Digest of the scope's rows as of `revision`.
     """
 
     scope: str
@@ -122,22 +122,22 @@
 
 
 class Bookmark(Message, frozen=True, tag=5):
-    """Nothing else is to be sent up to `revision`; `digests` of some of the subscribed scopes."""
+    """Reports that everything up to `revision` was sent, with digests of some subscribed scopes."""
 
     revision: int
     digests: tuple[tuple[str, int], ...]
 
 
 class RetryLater(Message, frozen=True, tag=6):
-    """The node is overloaded: the subscription is not accepted and may be retried after a while."""
+    """Rejects a subscription because the node is overloaded; retry after `after_ms`."""
 
     after_ms: int
 
 
 class ReplicaBehind(Message, frozen=True, tag=7):
-    """The node has applied the store only up to `revision`, which is less than a cursor.
+    """Reports that the node has applied the store only up to `revision`, less than a cursor.
 
-    The subscription is kept, and continues once the node has caught up.
+    The subscription stays parked and resumes once the node has caught up.
     """
 
     revision: int
@@ -151,30 +151,30 @@
 
 
 def unpack_client_message(data: bytes) -> ClientMessage:
-    """Decode a message of a subscriber.
+    """Decode a message from a subscriber.
 
     Raises:
-        ValueError: The bytes are not such a message.
+        ValueError: The bytes are not a valid message.
     """
     message: ClientMessage = _client_decoder.decode(data)
     return message
 
 
 def unpack_server_message(data: bytes) -> ServerMessage:
-    """Decode a message of a node.
+    """Decode a message from a node.
 
     Raises:
-        ValueError: The bytes are not such a message.
+        ValueError: The bytes are not a valid message.
     """
     message: ServerMessage = _server_decoder.decode(data)
     return message
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Return the scope of a store key, and KIND/NAME within it.
+    """Return the scope of a store key, and its KIND/NAME within the scope.
 
     Raises:
-        ValueError: The key is not that of a row.
+        ValueError: The key does not have the form of a row's key.
     """
     key_match = _KEY.match(key)
     if key_match is None:
@@ -185,5 +185,5 @@
 
 
 def is_scope_name(name: str) -> bool:
-    """Return whether `name` is a well-formed scope."""
+    """Return whether `name` is a well-formed scope name."""
     return _SCOPE.match(name) is not None
--- a/loadbalancer/changefeed/patches.py
+++ b/loadbalancer/changefeed/patches.py
@@ -1,4 +1,4 @@
-"""Encoded patches, each made once for all subscribers at the same log position."""
+"""Encoding of patches, and a cache that subscribers at the same log position share."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class EncodedPatch(NamedTuple):
-    """The messages of a patch, in order, and the scope's revision that they lead to."""
+    """The encoded chunks of a patch, in order, and the scope's revision after it is applied."""
 
     revision: int
     chunks: tuple[bytes, ...]
 
 
 def _split(rows: Iterable[Row], chunk_bytes: int) -> Iterator[tuple[Row, ...]]:
-    """Split rows into at least one chunk, each of at least one row where there is any."""
+    """Split rows into one or more chunks; only the chunk of an empty patch has no rows."""
     chunk: list[Row] = []
     chunk_size = 0
     for row in rows:
@@ -33,7 +33,7 @@
 
 
 def encode(scope: Scope, after: int, revision: int, chunk_bytes: int) -> EncodedPatch:
-    """Encode all rows where `after` is UNKNOWN, else the changes past it."""
+    """Encode a snapshot if `after` is UNKNOWN, otherwise the changes after that revision."""
     is_snapshot = after == UNKNOWN
     rows = scope.rows.values() if is_snapshot else scope.changes_since(after)
     chunks = list(_split(rows, chunk_bytes))
@@ -54,12 +54,12 @@
     """Least-recently-used cache of encoded patches.
 
     Args:
-        max_bytes: Of all cached patches; the last one made is always cached.
+        max_bytes: Maximum size of the cache; the most recent patch is cached even if it is larger.
         chunk_bytes: Size at which a patch is split into chunks.
 
     Attributes:
-        size_bytes: Of the cached patches.
-        encoded: Patches encoded since the start.
+        size_bytes: Size of the cached patches.
+        encoded: Number of patches encoded since the start.
     """
 
     def __init__(self, max_bytes: int, chunk_bytes: int) -> None:
@@ -70,7 +70,7 @@
         self.encoded = 0
 
     def delta(self, scope: Scope, after: int) -> EncodedPatch:
-        """Return the patch from a position of the scope's log to its end."""
+        """Return the delta from a position in the scope's log to the end of the log."""
         cached_patch = self._cached.get((scope.name, after))
         if cached_patch is not None and cached_patch.revision == scope.revision:
             self._cached.move_to_end((scope.name, after))
@@ -78,12 +78,12 @@
         return self._encode(scope, after, scope.revision)
 
     def snapshot(self, scope: Scope, min_revision: int, revision: int) -> EncodedPatch:
-        """Return all rows of a scope.
+        """Return a snapshot of a scope.
 
         Args:
             scope: The scope.
-            min_revision: A cached snapshot is not to be older.
-            revision: Where the store stands now.
+            min_revision: Oldest acceptable revision of a cached snapshot.
+            revision: The current revision of the store.
         """
         cached_patch = self._cached.get((scope.name, UNKNOWN))
         if cached_patch is not None and cached_patch.revision >= max(min_revision, scope.revision):
--- a/loadbalancer/changefeed/scope.py
+++ b/loadbalancer/changefeed/scope.py
@@ -1,4 +1,4 @@
-"""The rows of one scope and the log of its last changes (Kubernetes' watch cache)."""
+"""The rows of one scope and the log of its recent changes (cf. Kubernetes' watch cache)."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from loadbalancer.changefeed import digest
 from loadbalancer.changefeed.messages import Row
 
-UNKNOWN: Final = -1  # a cursor: nothing is known
-ROW_OVERHEAD_BYTES: Final = 24  # of a row beside its key and value, in a message and in the log
+UNKNOWN: Final = -1  # cursor of a subscriber that needs a snapshot
+ROW_OVERHEAD_BYTES: Final = (
+    24  # of a row in addition to its key and value, in a message and in the log
+)
 NO_REVISIONS: Final = range(0)
 
 
@@ -17,8 +19,8 @@
     """One change of a row in the store's log.
 
     Attributes:
-        key: The complete store key.
-        value: None where the row was deleted.
+        key: The full store key.
+        value: None if the row was deleted.
     """
 
     revision: int
@@ -28,14 +30,14 @@
 
 
 class LogEntry(NamedTuple):
-    """What one revision changed in a scope."""
+    """The rows of a scope that one revision changed."""
 
     revision: int
     rows: list[Row]
 
 
 def size_of(row: Row) -> int:
-    """Return the bytes of a row in a message, roughly."""
+    """Return the approximate size of an encoded row in bytes."""
     return len(row.key) + len(row.value or b"") + ROW_OVERHEAD_BYTES
 
 
@@ -47,9 +49,9 @@
     `base`, although the log does not show it.
 
     Attributes:
-        size_bytes: Of the rows, as messages carry them.
-        revision: Of the last change, or a later one since which there was none.
-        log_length: Changes in the log.
+        size_bytes: Approximate encoded size of all rows.
+        revision: Revision of the last change, or a later revision up to which nothing changed.
+        log_length: Number of changes in the log.
     """
 
     __slots__ = (
@@ -76,7 +78,7 @@
         self.log_length = 0
 
     def put(self, row: Row) -> None:
-        """Store a row, or delete it, without logging the change."""
+        """Store or delete a row without logging the change."""
         old = self.rows.get(row.key)
         self.digest = digest.replace_row(self.digest, old, row)
         if old is not None:
@@ -104,11 +106,11 @@
         self.unchanged_revisions = NO_REVISIONS
 
     def covers(self, cursor: int) -> bool:
-        """Return whether the log has all changes after a cursor."""
+        """Return whether the log contains all changes after a cursor."""
         return cursor >= self.base or cursor in self.unchanged_revisions
 
     def log_position(self, cursor: int) -> int:
-        """Return the last revision of the log up to a cursor that it covers.
+        """Return the last logged revision that is not after a covered cursor.
 
         Cursors between the same two changes have the same position, and so share a delta.
         """
@@ -120,9 +122,9 @@
         return self.base
 
     def last_revision_before_change(self, cursor: int) -> int:
-        """Return the last revision that is as good as a cursor: before the next logged change.
+        """Return the last revision before the next logged change after a cursor.
 
-        Where the log holds no change past the cursor this is the cursor itself.
+        If the log contains no change after the cursor, this is the cursor itself.
         """
         first = cursor + 1
         for entry in reversed(self.log):
@@ -132,7 +134,7 @@
         return first - 1
 
     def changes_since(self, cursor: int) -> list[Row]:
-        """Return the last value of each key that changed past a cursor that the log covers."""
+        """Return the last version of each row that changed after a covered cursor."""
         last: dict[str, Row] = {}
         for entry in reversed(self.log):
             if entry.revision <= cursor:
--- a/loadbalancer/changefeed/scope_table.py
+++ b/loadbalancer/changefeed/scope_table.py
@@ -1,4 +1,4 @@
-"""One scope as a balancer holds it: rows as received, and the last accepted of refused ones."""
+"""A balancer's copy of one scope: received rows, and last accepted versions of refused rows."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from loadbalancer.changefeed import digest
 from loadbalancer.changefeed.messages import MAX_REASON_LENGTH, Patch, Refusal, Row
 
-RowCheck = Callable[[str, Row], str]  # of a scope's row: why it is refused; empty: it is accepted
+RowCheck = Callable[[str, Row], str]  # arguments: scope, row; returns why it is refused, or ""
 
 
 class PatchBuffer:
-    """The chunks of one patch, until its last one is there.
+    """Buffers the chunks of one patch until the last chunk arrives.
 
-    The work for each row of a snapshot is done as its chunk arrives, so that the last chunk does
-    not have to do it for all.
+    The rows of a snapshot are hashed and checked as each chunk arrives, so that the work is not
+    concentrated on the last chunk.
     """
 
     __slots__ = ("after", "hash_sum", "is_snapshot", "refused", "revision", "rows")
@@ -36,7 +36,7 @@
         )
 
     def add(self, scope: str, rows: tuple[Row, ...], check_row: RowCheck) -> None:
-        """Add the rows of one chunk."""
+        """Add and check the rows of one chunk."""
         for row in rows:
             self.rows[row.key] = row
             if self.is_snapshot:
@@ -51,12 +51,13 @@
     """The rows of one scope.
 
     Attributes:
-        rows: As received, refused ones among them.
-        cursor: The revision up to which they are known; it never falls within an epoch.
-        is_known: A snapshot was received and its digest was right; else the scope is requested
-            anew, and the rows stay meanwhile.
-        generation: Messages of an earlier one are not about this table.
-        change_count: Grows with each change of the rows, so that an audit notices.
+        rows: The rows as received, including refused ones.
+        cursor: The revision that the rows reflect; it never decreases within an epoch.
+        is_synced: Whether a snapshot was received and its digest matched. If not, the scope is
+            requested again, and the old rows are kept until then.
+        generation: Generation of the last request for this scope; messages of earlier ones are
+            ignored.
+        change_count: Incremented with each change of the rows, so that an audit detects changes.
     """
 
     def __init__(self, scope: str, generation: int) -> None:
@@ -68,19 +69,19 @@
         self.digest = 0
         self.refused: dict[str, Refusal] = {}
         self.change_count = 0
-        self._accepted: dict[str, Row] = {}  # the last accepted of refused rows, where any was
+        self._accepted: dict[str, Row] = {}  # last accepted versions of refused rows
         self._buffer: PatchBuffer | None = None
 
     def resume_cursor(self) -> int:
-        """Return the cursor to subscribe from; 0 where nothing is known."""
+        """Return the cursor to subscribe from; 0 if a snapshot is needed."""
         return self.cursor if self.is_synced else 0
 
     def discard_chunks(self) -> None:
-        """Forget the chunks of a patch whose rest does not come."""
+        """Discard the buffered chunks of an incomplete patch."""
         self._buffer = None
 
     def add_chunk(self, patch: Patch, check_row: RowCheck) -> PatchBuffer | None:
-        """Buffer one chunk; return the complete patch once its last chunk is there."""
+        """Buffer one chunk; return the complete patch if it was the last chunk."""
         buffer = self._buffer
         if buffer is None or not buffer.matches(patch):
             buffer = self._buffer = PatchBuffer(patch)
@@ -94,7 +95,7 @@
         """Apply a delta.
 
         Returns:
-            The rows that come into force; None, with nothing changed, where the digest is wrong.
+            The accepted rows; None, with nothing changed, if the digest does not match.
         """
         new_digest = self.digest
         for row in patch.rows.values():
@@ -127,7 +128,7 @@
         """Replace all rows.
 
         Returns:
-            All rows in force; None, with nothing changed, where the digest is wrong.
+            All rows in force; None, with nothing changed, if the digest does not match.
         """
         if patch.hash_sum & digest.MASK != expected_digest:
             return None
@@ -151,7 +152,10 @@
         self.change_count += 1
 
     def rows_in_force(self) -> Iterator[Row]:
-        """Iterate over the rows, with the last accepted in the place of refused ones."""
+        """Iterate over the rows in force.
+
+        A refused row is replaced by its last accepted version, or left out if it has none.
+        """
         if not self.refused:
             yield from self.rows.values()
             return
--- a/loadbalancer/changefeed/snapshot_queue.py
+++ b/loadbalancer/changefeed/snapshot_queue.py
@@ -1,4 +1,4 @@
-"""Queue of subscribers that wait for snapshots: bounded for newcomers, rate-limited in bytes."""
+"""Rate-limited queue of subscribers that wait for snapshots; bounded for new subscribers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 
 class SnapshotQueue:
-    """Subscribers that wait for snapshots.
+    """Queue of subscribers that wait for snapshots.
 
-    None in it is blocked by its own connection: a blocked subscriber leaves and joins again when it
-    is writable. The queue is full, for newcomers, at `waiting_most`; those who are subscribed
-    already are bounded by their number.
+    A subscriber that is blocked by its own connection or window leaves the queue and joins it again
+    when it can receive more. New subscriptions that need a snapshot are rejected once
+    `waiting_most` subscribers wait; existing subscribers may always join, so the queue is bounded
+    by their number.
     """
 
     def __init__(self, limits: FanoutLimits, now: int) -> None:
@@ -31,22 +32,22 @@
 
     @property
     def first(self) -> Subscriber:
-        """The subscriber that is served next."""
+        """The subscriber to serve next."""
         return self._queue[0]
 
     @property
     def is_full(self) -> bool:
-        """A newcomer that needs a snapshot has to retry later."""
+        """Whether a new subscriber that needs a snapshot must retry later."""
         return len(self._queue) >= self._max_length
 
     def add_pending_bytes(self, subscriber: Subscriber, size: int) -> None:
-        """Note that so many bytes more (or fewer, where negative) are owed to a subscriber."""
+        """Add `size`, which may be negative, to the snapshot bytes pending for a subscriber."""
         subscriber.pending_bytes += size
         if subscriber.is_queued:
             self._queued_bytes += size
 
     def join(self, subscriber: Subscriber) -> None:
-        """Queue a subscriber: last, or first where it is in the middle of a snapshot."""
+        """Add a subscriber at the end, or at the front if a snapshot to it is in progress."""
         if subscriber.is_queued:
             return
         subscriber.is_queued = True
@@ -57,24 +58,24 @@
             self._queue.appendleft(subscriber)
 
     def leave(self, subscriber: Subscriber) -> None:
-        """Remove a subscriber from the queue, if it is there."""
+        """Remove a subscriber from the queue if it is queued."""
         if subscriber.is_queued:
             subscriber.is_queued = False
             self._queued_bytes -= subscriber.pending_bytes
             self._queue.remove(subscriber)
 
     def is_ready(self, now: int) -> bool:
-        """Return whether the rate limit lets a message through."""
+        """Return whether the rate limit admits a message now."""
         return self._bucket.is_ready(now)
 
     def ready_at(self, now: int) -> int:
-        """Return when the rate limit lets a message through."""
+        """Return when the rate limit admits the next message."""
         return self._bucket.ready_at(now)
 
     def spend(self, size: int, now: int) -> None:
-        """Count the bytes of a message that was sent."""
+        """Charge the bytes of a sent message to the rate limit."""
         self._bucket.take(size, now)
 
     def retry_after_ms(self, needed_bytes: int, now: int) -> int:
-        """Return when a subscriber that needs so many bytes is to retry."""
+        """Return the delay after which a subscriber that needs `needed_bytes` should retry."""
         return self._retry_slots.reserve(self._queued_bytes, needed_bytes, now)
--- a/loadbalancer/changefeed/snapshot_rate.py
+++ b/loadbalancer/changefeed/snapshot_rate.py
@@ -1,4 +1,4 @@
-"""Rate limit of a node's snapshots, and retry times for subscribers that find the queue full."""
+"""Rate limit of a node's snapshots, and retry times for rejected subscribers."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 
 from loadbalancer.changefeed.limits import MILLISECOND_NS, SECOND_NS
 
-# Successive multiples, modulo 1, are spread evenly however many there are.
+# Fractional part of the golden ratio: any number of its successive multiples, modulo 1, are spread
+# evenly over [0, 1).
 GOLDEN_RATIO: Final = 0.6180339887498949
 
 
 class TokenBucket:
-    """Token bucket of bytes that may be overdrawn.
+    """Token bucket of bytes whose balance may go negative.
 
-    A request is granted as long as any token is left, so that a message larger than the burst
-    passes too; it is paid for afterwards.
+    A message is admitted as long as any token is left, so that a message larger than the burst is
+    also admitted; later messages wait until the deficit is refilled.
     """
 
     def __init__(self, bytes_s: int, burst: int, now: int) -> None:
@@ -35,12 +36,12 @@
         return self._tokens > 0
 
     def take(self, size: int, now: int) -> None:
-        """Spend tokens, also such as are not there yet."""
+        """Spend tokens; the balance may become negative."""
         self._refill(now)
         self._tokens -= size
 
     def ready_at(self, now: int) -> int:
-        """Return when a token is left again."""
+        """Return when a token is next available."""
         self._refill(now)
         if self._tokens > 0:
             return now
@@ -48,10 +49,10 @@
 
 
 class RetrySlots:
-    """Times at which subscribers retry that found the queue full.
+    """Assigns retry times to subscribers that were rejected because the queue was full.
 
-    They follow each other at the distance that serving each takes. Past `max_ms` they are spread
-    over its later half.
+    Successive slots are spaced by the time it takes to serve each subscriber. Delays that would
+    exceed `max_ms` are spread evenly between half of `max_ms` and `max_ms`.
     """
 
     def __init__(self, bytes_s: int, min_ms: int, max_ms: int) -> None:
@@ -62,12 +63,12 @@
         self._spread_fraction = 0.0
 
     def reserve(self, queued_bytes: int, needed_bytes: int, now: int) -> int:
-        """Return the milliseconds after which to retry.
+        """Reserve a slot; return the delay until it in milliseconds.
 
         Args:
-            queued_bytes: Snapshots that others wait for already.
-            needed_bytes: Snapshots that this subscriber needs.
-            now: The clock in nanoseconds.
+            queued_bytes: Size of the snapshots that queued subscribers wait for.
+            needed_bytes: Size of the snapshots that this subscriber needs.
+            now: The current time in nanoseconds.
         """
         slot = max(self._next_ns, now + queued_bytes * SECOND_NS // self._rate)
         after_ms = (slot - now) // MILLISECOND_NS
--- a/loadbalancer/changefeed/status.py
+++ b/loadbalancer/changefeed/status.py
@@ -1,4 +1,4 @@
-"""Progress of a node's subscribers, in figures that add up over the nodes."""
+"""Progress of a node's subscribers, as counts that can be summed over all nodes."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     """A subscriber that is behind its node.
 
     Attributes:
-        revision: Everything up to it is in force there.
-        since_ms: For how long it has been behind.
+        revision: Revision up to which everything is in force at the subscriber.
+        since_ms: How long it has been behind, in milliseconds.
     """
 
     name: str
@@ -42,16 +42,16 @@
     """Status of a node's changefeed.
 
     Attributes:
-        acknowledged: Revisions, and on how many subscribers each is the last in force; the lowest
-            first, 100 at most. Subscribers that are not counted there are further. A row that was
-            refused counts as in force and stands in `refusals`.
+        acknowledged: Pairs of a revision and the number of subscribers on which it is the last one
+            in force: the 100 lowest revisions, in ascending order. Subscribers not counted here are
+            at higher revisions. A refused row counts as in force; `refusals` counts it too.
         parked: Subscribers that are ahead of the node.
         waiting: Subscribers that wait for snapshots.
-        sent_bytes: Since the start, as all that follow.
+        sent_bytes: Bytes sent since the start; the counts below are also since the start.
         encoded: Patches that were encoded.
-        resumes: Scopes that continued from the log.
+        resumes: Scopes that resumed from the log.
         snapshots: Scopes that were sent as a snapshot.
-        later: Subscriptions that were told to retry later.
+        later: Subscriptions that were rejected with `RetryLater`.
     """
 
     epoch: str
@@ -72,14 +72,17 @@
 
 
 class Progress(NamedTuple):
-    """How far subscribers are: `FeedStatus.acknowledged`, and those furthest behind."""
+    """Progress of subscribers: `FeedStatus.acknowledged`, and the subscribers furthest behind."""
 
     acknowledged: tuple[tuple[int, int], ...]
     laggards: tuple[Laggard, ...]
 
 
 def compute_progress(subscribers: Iterable[Subscriber], revision: int, now: int) -> Progress:
-    """Return how far subscribers are, against the node's revision. Visits each of them."""
+    """Return the progress of subscribers relative to the node's revision.
+
+    The cost is linear in the number of subscribers.
+    """
     acknowledged: Counter[int] = Counter()
     lagging: list[tuple[int, int, str]] = []
     for subscriber in subscribers:
--- a/loadbalancer/changefeed/subscriber.py
+++ b/loadbalancer/changefeed/subscriber.py
@@ -1,6 +1,6 @@
-"""A node's state of one subscriber, and scopes with the subscribers that watch them.
+"""A node's state for one subscriber, and scopes with their watchers.
 
-A scope in which the subscriber is up to date costs nothing but its entry among the scope's
+A scope in which a subscriber is up to date costs only the subscriber's entry among the scope's
 watchers.
 """
 
@@ -16,7 +16,7 @@
 from loadbalancer.changefeed.patches import EncodedPatch
 from loadbalancer.changefeed.scope import UNKNOWN, Scope
 
-IGNORED_FLOOR: Final = 1 << 62  # past any revision
+IGNORED_FLOOR: Final = 1 << 62  # higher than any revision
 
 
 class WatchedScope(Scope):
@@ -30,15 +30,15 @@
 
     @property
     def is_unused(self) -> bool:
-        """Nothing is known of the scope and nobody watches it."""
+        """Whether the scope has no rows, no logged changes and no watchers."""
         return not (self.rows or self.log or self.watchers)
 
 
 class Unacknowledged(msgspec.Struct, frozen=True, gc=False):
-    """A patch in flight.
+    """A patch that was sent and not yet acknowledged.
 
     Attributes:
-        floor: The revision up to which the scope was in force before the patch.
+        floor: Revision up to which the scope is in force at the subscriber before the patch.
     """
 
     sequence: int
@@ -52,11 +52,11 @@
     """A scope in which a subscriber is not up to date.
 
     Attributes:
-        cursor: The revision that the subscriber knows; UNKNOWN where only a snapshot helps.
+        cursor: The revision that the subscriber has; UNKNOWN if it needs a snapshot.
         floor: The last revision up to which everything was sent.
-        since_ns: When the subscriber stopped being up to date.
-        min_revision: A snapshot is not to be older.
-        snapshot_bytes: Size of the snapshot that is owed; 0 for a delta.
+        since_ns: When the subscriber fell behind.
+        min_revision: Oldest acceptable revision of a snapshot.
+        snapshot_bytes: Size of the pending snapshot; 0 for a delta.
         patch: The patch that is being sent.
         next_chunk: Index of the next chunk to send.
     """
@@ -81,7 +81,7 @@
         self.next_chunk = 0
 
     def require_snapshot(self, min_revision: int, snapshot_bytes: int) -> None:
-        """Only a snapshot helps any more."""
+        """Discard the cursor, so that the scope is sent as a snapshot."""
         self.cursor = UNKNOWN
         self.min_revision = min_revision
         self.snapshot_bytes = snapshot_bytes
@@ -91,15 +91,15 @@
     """One subscriber of a node.
 
     Attributes:
-        number: Of its connection.
-        dirty: Scopes that a delta brings up to date, in the order in which they are served.
+        number: Number of the connection.
+        dirty: Scopes that need a delta, in the order in which they are served.
         pending: Scopes that need a snapshot, in the order in which they are served.
-        pending_bytes: Size of the snapshots that are owed.
-        is_writable: Its connection accepts more.
-        parked_cursors: Cursors of one that is ahead of the node, to which nothing is sent; else
-            None.
-        bookmark_due: A bookmark is sent as soon as everything else was.
-        is_queued: It stands in the queue for snapshots.
+        pending_bytes: Total size of the pending snapshots.
+        is_writable: Whether the connection accepts more data.
+        parked_cursors: Cursors of a subscriber that is ahead of the node, which is sent no patches
+            and bookmarks; None if it is not parked.
+        bookmark_due: Whether to send a bookmark once all deltas and snapshots are sent.
+        is_queued: Whether it is in the snapshot queue.
         next_digest: Index of the scope whose digest is sent next.
     """
 
@@ -145,15 +145,15 @@
         self.next_digest = 0
 
     def delivered_revision(self) -> int | None:
-        """Return the revision up to which everything was sent; None: as far as the node knows."""
+        """Return the revision up to which everything was sent; None for the node's revision."""
         floors = [lag.floor for lag in self.dirty.values()]
         floors += [lag.floor for lag in self.pending.values()]
         return min(floors) if floors else None
 
     def lag(self) -> tuple[int, int] | None:
-        """Return the revision that is in force, and since when it is not the node's.
+        """Return the revision in force at the subscriber, and since when it has been behind.
 
-        None: everything that the node knows is in force.
+        Returns None if the subscriber is not behind the node.
         """
         if self.parked_cursors is not None:
             return min(self.parked_cursors.values(), default=0), self.parked_at_ns
@@ -163,14 +163,14 @@
         return min(lags) if lags else None
 
     def acknowledge(self, sequence: int) -> None:
-        """Take patches up to a sequence number out of the window."""
+        """Remove the patches up to a sequence number from the window."""
         self.acknowledged = sequence
         in_flight = self.unacknowledged
         while in_flight and in_flight[0].sequence <= sequence:
             self.unacknowledged_bytes -= in_flight.popleft().size
 
     def ignore_in_flight(self, scope: str) -> None:
-        """Patches in flight of a removed or restarted scope no longer count as lag."""
+        """Stop counting the in-flight patches of a removed or restarted scope as lag."""
         if any(patch.scope == scope for patch in self.unacknowledged):
             self.unacknowledged = deque(
                 structs.replace(patch, floor=IGNORED_FLOOR) if patch.scope == scope else patch
--- a/loadbalancer/changefeed/subscription.py
+++ b/loadbalancer/changefeed/subscription.py
@@ -1,12 +1,13 @@
-"""A balancer's side of the changefeed: what it knows of its scopes, and how it gets the rest.
+"""A balancer's side of the changefeed: the rows of its scopes, and the protocol that syncs them.
 
-Pure: messages of the node and the clock go in; messages for it, dials and rows to apply come out.
+The module does no I/O: its inputs are the node's messages and the current time; its output is
+messages for the node, dials, and rows to apply.
 
-Guaranteed: a scope's rows are those of one revision of the store, except for refused rows, of which
-the last accepted stays; that revision never falls while the store's epoch stays. Not guaranteed:
-that two scopes are at the same revision, even where one write changed both; and that a node which
-sends a bookmark knows everything itself: `age_ns` counts from the last message of a node, not from
-the store's last write.
+Guaranteed: the rows of a scope are those of one revision of the store, except that a refused row
+keeps its last accepted version; the revision never decreases while the store's epoch is unchanged.
+Not guaranteed: two scopes may be at different revisions, even if one write changed both; and a node
+that sends a bookmark may itself be behind the store: `age_ns` counts from the node's last message,
+not from the store's last write.
 
 All times are those of a monotonic clock, in nanoseconds.
 """
@@ -56,14 +57,14 @@
 
 
 class Subscription:
-    """A subscription to some scopes.
+    """A subscription to a set of scopes.
 
-    It dials when it is created, and again after each loss, as `tick` is called.
+    It dials when it is created, and redials after each disconnect; `tick` drives the timers.
 
     Attributes:
-        epoch: Of the store, as the last node had it.
-        disconnect_reason: Why the last connection ended.
-        resyncs: Times that a scope was requested anew because its digest was wrong.
+        epoch: The store's epoch, as reported by the last node.
+        disconnect_reason: Why the last connection was closed.
+        resyncs: How often a scope was requested again after a digest mismatch or a gap.
     """
 
     def __init__(
@@ -80,14 +81,14 @@
         self._check_row = options.check_row
         self._rng = options.rng
         self._address_index = 0
-        self._failed_dials = 0  # connections in a row that brought nothing
-        self._retry_later_count = 0  # in a row
+        self._failed_dials = 0  # consecutive attempts without a bookmark
+        self._retry_later_count = 0  # consecutive
         self._state_deadline_ns = now
-        self._sequence = 0  # of the last patch
+        self._sequence = 0  # of the last received patch
         self._received_generation = 1
         self._acknowledger = Acknowledger(options.limits)
         self._auditor = Auditor(options.limits, lambda table: self.scopes.get(table.scope) is table)
-        self._is_current = False  # a bookmark of this connection showed that all was sent
+        self._is_current = False  # whether the last bookmark showed all scopes up to date
         self._current_at_ns = now
         self._actions: list[Action] = []
         self.update_scopes(scopes, (), now)
@@ -96,7 +97,10 @@
     # Scopes
 
     def update_scopes(self, add: Collection[str], remove: Collection[str], now: int) -> None:
-        """Change the scopes, with one message. Those that are there, or not, stay so.
+        """Change the scopes with one message.
+
+        Scopes to add that are already subscribed, and scopes to remove that are not, are ignored; a
+        subscribed scope in both lists is restarted.
 
         Raises:
             ValueError: A scope is malformed, or there are too many.
@@ -130,13 +134,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Every scope was received."""
+        """Whether a snapshot of every scope was received."""
         return all(table.is_synced for table in self.scopes.values())
 
     def age_ns(self, now: int) -> int:
-        """Return the time since a node last showed that it had sent everything.
+        """Return the time since the subscription was last up to date with its node.
 
-        Where none did it is the time since the start.
+        If it never was, this is the time since the subscription was created.
         """
         return now - self._current_at_ns
 
@@ -147,7 +151,7 @@
     # The connection
 
     def on_connected(self, epoch: str, now: int) -> None:
-        """Handle a dial that succeeded, to a node of this epoch."""
+        """Handle a successful dial to a node with this store epoch."""
         if self.state is not SubscriptionState.DIALLING:
             return
         if epoch != self.epoch:
@@ -170,7 +174,7 @@
         self._schedule_refusals(now)
 
     def on_disconnected(self, reason: str, now: int) -> None:
-        """Handle a connection or a dial that ended by itself."""
+        """Handle a failed dial, or a connection that the node or the network closed."""
         if self.state is not SubscriptionState.BACKING_OFF:
             self._back_off(reason, now)
 
@@ -179,7 +183,7 @@
         self._back_off(reason, now)
 
     def _back_off(self, reason: str, now: int) -> None:
-        """Go on to the next node, after a random delay."""
+        """Schedule a dial to the next node after a random delay."""
         doublings = min(self._failed_dials, MAX_BACKOFF_DOUBLINGS)
         max_delay_ns = min(self.limits.backoff_most_ns, self.limits.backoff_ns << doublings)
         self._failed_dials += 1
@@ -195,7 +199,7 @@
         self._is_current = False
 
     def tick(self, now: int) -> None:
-        """Do what is due: dial, time out, acknowledge, audit."""
+        """Run the timers that are due: dials, timeouts, acknowledgements and audit steps."""
         if self._state_deadline_ns <= now:
             self._on_state_deadline(now)
         ack_due_ns = self._acknowledger.due_ns
@@ -221,7 +225,7 @@
 
     @property
     def wake_ns(self) -> int:
-        """When `tick` has something to do."""
+        """When `tick` must be called next."""
         due = self._state_deadline_ns
         if self._acknowledger.due_ns is not None:
             due = min(due, self._acknowledger.due_ns)
@@ -229,16 +233,16 @@
             due = min(due, self._auditor.due_ns)
         return due
 
-    # Messages of the node
+    # Messages from the node
 
     def receive(self, generation: int, sequence: int, payload: bytes, now: int) -> None:
-        """Handle a message of the node.
+        """Handle a message from the node.
 
         Args:
-            generation: Of the subscription when the node sent it.
-            sequence: Of a patch; 0 for any other message.
-            payload: The message.
-            now: The clock.
+            generation: Generation of the subscription when the node sent the message.
+            sequence: Sequence number of a patch; 0 for any other message.
+            payload: The encoded message.
+            now: The current time.
         """
         if not self._is_connected:
             return
@@ -292,7 +296,7 @@
             table.cursor = max(table.cursor, bookmark.revision)
         for scope, expected_digest in bookmark.digests:
             self._compare_digest(generation, scope, expected_digest, now)
-        # A bookmark without digests means that something is still to be sent.
+        # A bookmark without digests means that the node has more to send.
         is_complete = bool(bookmark.digests) or not self.scopes
         self._is_current = is_complete and len(synced_tables) == len(self.scopes) and self.is_ready
 
@@ -316,7 +320,7 @@
             self._acknowledge()
 
     def _apply_patch(self, table: ScopeTable, patch: Patch, buffer: PatchBuffer, now: int) -> None:
-        """Apply a complete patch; `patch` is its last chunk."""
+        """Apply the complete patch in `buffer`; `patch` is its last chunk."""
         if patch.is_snapshot:
             accepted = self._apply_snapshot(table, patch, buffer, now)
         else:
@@ -339,7 +343,7 @@
             )
             return None
         accepted = table.apply_snapshot(buffer, patch.digest)
-        if accepted is None:  # the node itself is corrupt: another one is to be tried
+        if accepted is None:  # the node's own rows are corrupt, so try another node
             self._disconnect(f"rows of {table.scope} do not have their digest", now)
         return accepted
 
@@ -370,7 +374,7 @@
         self._actions.append(SendMessage(pack(message)))
 
     def _resync(self, table: ScopeTable) -> None:
-        """Request all rows of a scope, as they are not the node's; the old ones stay meanwhile."""
+        """Request a snapshot of a scope whose rows differ from the node's; keep the old rows."""
         self.resyncs += 1
         if self._is_connected:
             self.generation += 1
@@ -381,13 +385,13 @@
         self._send_update([(table.scope, 0)], [])
 
     def _digest_matches(self, table: ScopeTable) -> bool:
-        """Return whether the rows have their digest. Of large scopes only an audit can tell."""
+        """Return whether the rows match their digest; always true for scopes left to the audit."""
         if len(table.rows) > self.limits.audit_rows:
             return True
         return digest.of_rows(table.rows.values()) == table.digest
 
     def take_actions(self) -> list[Action]:
-        """Return and forget what is to be done, in order."""
+        """Return the requested actions, in order, and clear them."""
         actions = self._actions
         self._actions = []
         return actions
--- a/loadbalancer/changefeed/subscription_options.py
+++ b/loadbalancer/changefeed/subscription_options.py
@@ -13,21 +13,21 @@
 class SubscriptionState(Enum):
     """State of a subscription's connection."""
 
-    BACKING_OFF = "resting"  # until the next dial
+    BACKING_OFF = "resting"  # waiting for the next dial
     DIALLING = "dialling"
-    SUBSCRIBING = "subscribing"  # requested, and nothing received yet
+    SUBSCRIBING = "subscribing"  # Subscribe sent, no answer received yet
     PARKED = "parked"  # the node is behind the cursors
     FOLLOWING = "following"
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriptionOptions:
-    """How a subscription behaves.
+    """Options of a subscription.
 
     Attributes:
-        check_row: Returns why a row is refused, or an empty string.
+        check_row: Returns why a row is refused, or an empty string if it is accepted.
         limits: Limits and timing.
-        rng: Draws the reconnect delays.
+        rng: Random generator for reconnect delays.
     """
 
     check_row: RowCheck
--- a/loadbalancer/changefeed/validation.py
+++ b/loadbalancer/changefeed/validation.py
@@ -1,4 +1,4 @@
-"""Validation of what subscribers send."""
+"""Validation of subscribers' messages."""
 
 from __future__ import annotations
 
@@ -18,14 +18,17 @@
 
 
 class FeedProtocolError(Exception):
-    """A subscriber violated the protocol; in one line. Its connection is to be closed."""
+    """A subscriber violated the protocol, so its connection must be closed.
+
+    The message is a single line.
+    """
 
 
 def parse_message(payload: bytes) -> ClientMessage:
-    """Decode a message of a subscriber.
+    """Decode a message from a subscriber.
 
     Raises:
-        FeedProtocolError: The bytes are not such a message.
+        FeedProtocolError: The bytes are not a valid message.
     """
     try:
         return unpack_client_message(payload)
@@ -34,7 +37,7 @@
 
 
 def parse_cursors(pairs: tuple[tuple[str, int], ...]) -> dict[str, int]:
-    """Return cursors by scope.
+    """Return the cursors as a mapping by scope.
 
     Raises:
         FeedProtocolError: A scope is named twice or malformed, or a cursor is negative.
@@ -54,7 +57,7 @@
     """Check a subscription; return its cursors by scope.
 
     Raises:
-        FeedProtocolError: Its name, its scopes or its cursors are not valid.
+        FeedProtocolError: The name, a scope or a cursor is invalid.
     """
     cursors = parse_cursors(message.cursors)
     if not 0 < len(message.name) <= MAX_NAME_LENGTH:
@@ -65,10 +68,10 @@
 
 
 def validate_update(message: UpdateScopes, subscriber: Subscriber, revision: int) -> dict[str, int]:
-    """Check a change of scopes against the subscription; return the cursors that are added.
+    """Check a change of scopes against the subscription; return the cursors of added scopes.
 
     Raises:
-        FeedProtocolError: The change does not fit the subscription.
+        FeedProtocolError: The change is inconsistent with the subscription.
     """
     added = parse_cursors(message.add)
     if message.generation != subscriber.generation + 1:
@@ -90,10 +93,11 @@
 
 
 def validate_acknowledge(message: Acknowledge, subscriber: Subscriber) -> None:
-    """Check an acknowledgement against what was sent.
+    """Check an acknowledgement against the patches that were sent.
 
     Raises:
-        FeedProtocolError: It does not fit what was sent, or has too many or too long refusals.
+        FeedProtocolError: The sequence number is out of range, or there are too many refusals, or
+            one is too long.
     """
     if not subscriber.acknowledged <= message.sequence <= subscriber.sequence:
         raise FeedProtocolError(
