--- a/tests/changefeed/test_simulation.py
+++ b/tests/changefeed/test_simulation.py
@@ -1,4 +1,4 @@
-"""The feed in virtual time: many seeds without a broken promise, and planted bugs that show."""
+"""Simulation of the changefeed in virtual time, with random faults and planted bugs."""
 
 from __future__ import annotations
 
@@ -18,17 +18,21 @@
 from loadbalancer.testbed.topology import Unusable
 
 SEED_COUNT = 40
-MAX_SEEDS_PER_BUG = 12  # seeds, of those that the true program passes above, each bug shows
+MAX_SEEDS_PER_BUG = 12  # each planted bug must break an invariant within this many seeds
 
 
 @pytest.mark.parametrize("spoil", [False, True])
 def test_no_invariant_breaks_under_random_faults(spoil: bool) -> None:
+    """Each fault must occur in some run, or the test would show nothing about it.
+
+    With `spoil`, table rows are corrupted and the digests must repair them.
+    """
     counts: Counter[str] = Counter()
     for seed in range(1, SEED_COUNT + 1):
         outcome = play(seed, Options(spoil=spoil))
         assert not outcome.broken, f"seed {seed}, {outcome.broken}"
         counts += outcome.counts
-    # The storms were some.
+    # Each kind of fault and recovery occurred.
     for counter in (
         "cuts",
         "killed",
@@ -52,11 +56,13 @@
 
 
 def test_a_run_is_reproduced_by_its_seed() -> None:
+    """The same seed gives the same outcome, another seed a different one."""
     assert play(17) == play(17) != play(18)
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
 def test_a_planted_bug_is_caught(name: str) -> None:
+    """Each planted bug breaks an invariant in one of the first seeds, reproducibly."""
     failing_outcome = catch(name, MAX_SEEDS_PER_BUG)
     assert failing_outcome is not None
     assert (
@@ -66,6 +72,8 @@
 
 
 def test_the_command_runs_seeds_and_planted_bugs() -> None:
+    """The exit code and the output of `lab feed-sim`, with and without planted bugs."""
+
     def run_command(*arguments: str) -> tuple[int, str]:
         result = CliRunner().invoke(
             application(["lab"]), ["lab", "feed-sim", "--seconds", "5", *arguments]
@@ -81,10 +89,11 @@
     assert isinstance(result.exception, Unusable)
 
 
-# ---- the books themselves ------------------------------------------------------------------------
+# ---- Reference history and checker ---------------------------------------------------------------
 
 
 def build_history() -> History:
+    """Return a history with two writes, a deletion and a refused row in revisions 2 to 5."""
     store_history = History("e", 1, {}, {})
     store_history.write(2, [("global", "k/x", b"a"), ("global", "k/y", b"a")])
     store_history.write(4, [("global", "k/x", None), ("service:a", "k/x", b"a")])
@@ -93,6 +102,7 @@
 
 
 def test_history_returns_the_rows_and_last_change_of_each_revision() -> None:
+    """The history answers for every revision, including those without a change."""
     store_history = build_history()
     assert [sorted(store_history.rows("global", at)) for at in range(1, 6)] == [
         [],
@@ -107,6 +117,7 @@
 
 
 def test_the_checker_rejects_impossible_states() -> None:
+    """Each invalid update fails the check that names it; valid updates pass."""
     store_history = build_history()
     book = Book("b", old=False)
     book.wanted(["global"], [])
@@ -134,7 +145,7 @@
         assert broken.value.name == name
     apply_snapshot(5)
     book.reached(store_history, "global", 99)
-    # An older program has the last that it could take, or none; not one that it can't.
+    # An older program keeps the last row version that it accepts, or none, never a refused one.
     old = Book("old", old=True)
     old.wanted(["global"], [])
     old.applied(store_history, "global", True, (y,), 5)
@@ -147,10 +158,11 @@
         old.applied(store_history, "global", True, (), 5)
 
 
-# ---- many at once --------------------------------------------------------------------------------
+# ---- Many balancers at once ----------------------------------------------------------------------
 
 
 def test_120_balancers_start_within_the_snapshot_rate_and_fail_over_without_snapshots() -> None:
+    """All balancers start at once and need six snapshots each; then one of three nodes fails."""
     limits = FanoutLimits(snapshot_bytes_s=200_000, snapshot_burst=20_000, waiting_most=4)
     herd = Herd(1, 3, 120, 5, limits, kinds=(("upstream", 2_000, 110),), services=50)
     startup_stats = herd.start()
@@ -161,7 +173,7 @@
     )
     assert startup_stats["snapshots"] == 120 * 6 and startup_stats["s_90"] < 10
     assert startup_stats["encoded"] <= 3 * 51
-    # Not sooner than the pace allows.
+    # Startup takes at least as long as the rate limit requires.
     assert startup_stats["s_100"] > startup_stats["sent_bytes"] / 3 / 200_000 * 0.7
     failover_stats = herd.node_dies()
     assert failover_stats["current"] == failover_stats["members"] > 20
--- a/tests/changefeed/test_subscriptions.py
+++ b/tests/changefeed/test_subscriptions.py
@@ -1,4 +1,4 @@
-"""The changefeed's fan-out and subscription, connected to each other by the test."""
+"""Fan-out and subscription of the changefeed, connected directly, without sockets."""
 
 from __future__ import annotations
 
@@ -55,13 +55,17 @@
 def feed_change(
     revision: int, scope: str, name: str, version: int, value: bytes | None
 ) -> FeedChange:
+    """Return a change of one upstream row; the value None deletes the row."""
     return FeedChange(revision, f"feed/{scope}/upstream/{name}", version, value)
 
 
 def build_fanout(
     limits: FanoutLimits = UNTHROTTLED_LIMITS, revision: int = 10, epoch: str = "e", size: int = 1
 ) -> Fanout:
-    """A, B and global hold the rows x and y of version 1, as of revision 10."""
+    """Return a node whose scopes A, B and global have rows x and y at version 1.
+
+    The store's revision is 10 by default.
+    """
     new_node = Fanout(epoch, limits, 0)
     rows = [
         (f"feed/{scope}/upstream/{name}", 1, b"1" * size)
@@ -75,11 +79,13 @@
 def subscribe(
     node: Fanout, number: int, scopes: Iterable[tuple[str, int]], epoch: str = "e", now: int = 0
 ) -> list[Any]:
+    """Send a Subscribe message on a connection; return the messages the node answers with."""
     node.receive(number, pack(Subscribe(f"b{number}", epoch, tuple(scopes))), now)
     return sent(node, number)
 
 
 def sent(node: Fanout, number: int | None = None) -> list[Any]:
+    """Take the messages that the node sends, decoded, to all or to one of its subscribers."""
     return [
         messages.unpack_server_message(send.payload)
         for send in node.take_sends()
@@ -88,6 +94,7 @@
 
 
 def acknowledge_sends(node: Fanout, sends: list[Send], now: int = 0) -> None:
+    """Acknowledge the last patch in `sends` for each subscriber."""
     for number, sequence in {
         send.subscriber: send.sequence for send in sends if send.sequence
     }.items():
@@ -95,7 +102,7 @@
 
 
 def take_and_acknowledge_sends(node: Fanout, now: int = 0) -> list[Send]:
-    """What goes out, all of it acknowledged at once."""
+    """Take and acknowledge messages until the node sends no more; return all of them."""
     sends: list[Send] = []
     while new_sends := node.take_sends():
         sends += new_sends
@@ -104,12 +111,17 @@
 
 
 def values_by_name(patch: Patch) -> dict[str, bytes | None]:
+    """Return the values of a patch by row name; None for a deleted row."""
     return {row.key.split("/")[1]: row.value for row in patch.rows}
 
 
 class Connection:
-    """A balancer and the nodes that it dials, without delay. `tables`: its scopes as they were
-    applied.
+    """A subscription connected to the nodes that it dials, without delay.
+
+    Attributes:
+        tables: The applied rows by scope.
+        messages: The decoded messages sent by the subscription.
+        actions: All actions performed.
     """
 
     def __init__(
@@ -136,6 +148,7 @@
         )
 
     def check_row(self, scope: str, row: Row) -> str:
+        """Refuse rows whose value begins with `refused_prefix`."""
         return (
             "not known here"
             if row.value is not None and row.value.startswith(self.refused_prefix)
@@ -143,6 +156,7 @@
         )
 
     def perform(self, action: Action) -> None:
+        """Carry out one action of the subscription."""
         self.actions.append(action)
         if isinstance(action, Dial):
             self.number += 1
@@ -164,12 +178,13 @@
             }
 
     def close_connection(self) -> None:
+        """Remove the connection at the node without notifying the subscription."""
         if self.node is not None:
             self.node.remove(self.number, self.now)
             self.node = None
 
     def exchange_messages(self, max_messages: int = 1_000) -> Connection:
-        """Until neither side has anything to say, or so many words of nodes were heard."""
+        """Pass messages until neither side sends any, or `max_messages` came from the node."""
         while True:
             actions = self.client.take_actions()
             for action in actions:
@@ -185,7 +200,7 @@
                 return self
 
     def advance(self, ns: int) -> Connection:
-        """Through all that is due within this time."""
+        """Advance the clock by `ns`, running all timers that become due."""
         end_ns = self.now + ns
         self.exchange_messages()
         while True:
@@ -206,16 +221,19 @@
                 return self
 
     def state(self) -> str:
+        """Return the value of the subscription's state."""
         return self.client.state.value
 
     def values(self, scope: str) -> dict[str, bytes | None]:
+        """Return the applied values of a scope by row name."""
         return {key.split("/")[1]: row.value for key, row in self.tables[scope].items()}
 
 
-# ---- one change, many who hear it ----------------------------------------------------------------
+# ---- Fan-out of changes --------------------------------------------------------------------------
 
 
 def test_a_change_is_encoded_once_per_scope_not_once_per_watcher() -> None:
+    """A change to two scopes with 300 watchers costs two encodings, shared by all watchers."""
     node = build_fanout()
     for number in range(300):
         subscribe(node, number, [(SCOPE_A, 10), (SCOPE_B, 10)])
@@ -226,13 +244,14 @@
     sends = node.take_sends()
     assert len(sends) == 600 and len({id(send.payload) for send in sends}) == 2
     assert node.status().encoded == before + 2
-    # Those who come back from another node and stand at one place share as well.
+    # Subscribers that reconnect with the same cursor share the encoded delta too.
     for number in range(300, 400):
         subscribe(node, number, [(SCOPE_A, 10)])
     assert node.status().encoded == before + 2
 
 
 def test_snapshots_are_encoded_once_for_all_subscribers() -> None:
+    """Fifty subscribers without a cursor share one encoded snapshot."""
     node = build_fanout()
     for number in range(50):
         subscribe(node, number, [(SCOPE_A, 0)])
@@ -240,6 +259,7 @@
 
 
 def test_a_write_to_two_scopes_is_sent_as_one_complete_patch_per_scope() -> None:
+    """A write that interleaves rows of two scopes must not be split into partial patches."""
     node = build_fanout()
     connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages()
     node.apply(
@@ -258,6 +278,10 @@
 
 
 def test_a_slow_subscriber_does_not_delay_others_and_gets_one_coalesced_delta() -> None:
+    """A subscriber that acknowledges nothing fills its window; another one still gets every change.
+
+    Once it acknowledges, it gets a single delta with the last value of each row.
+    """
     node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, window_bytes=2_000))
     for number in (1, 2):
         subscribe(node, number, [(SCOPE_A, 10)])
@@ -290,6 +314,7 @@
 
 
 def test_an_unwritable_subscriber_is_sent_nothing_until_it_is_writable() -> None:
+    """Changes and bookmarks wait while the connection is not writable, and are then coalesced."""
     node = build_fanout()
     subscribe(node, 1, [(SCOPE_A, 10), (SCOPE_B, 10)])
     node.set_writable(1, False, 0)
@@ -303,6 +328,7 @@
 
 
 def test_deletions_and_recreations_are_coalesced_to_the_last_value() -> None:
+    """A coalesced delta must not restore a deleted row or drop a row that was created again."""
     node = build_fanout()
     connection = Connection([node], [SCOPE_A]).exchange_messages()
     node.set_writable(connection.number, False, 0)
@@ -323,6 +349,7 @@
 
 
 def test_a_patch_in_chunks_is_applied_atomically() -> None:
+    """A patch larger than the window arrives in chunks; its rows are applied in one action."""
     node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, chunk_bytes=200, window_bytes=500))
     connection = Connection([node], [SCOPE_A]).exchange_messages()
     node.apply(
@@ -336,14 +363,14 @@
 
 
 def test_changes_made_during_a_snapshot_are_sent_as_a_delta_after_the_snapshot() -> None:
+    """A full window interrupts the snapshot; changes made meanwhile must not be lost."""
     limits = structs.replace(UNTHROTTLED_LIMITS, chunk_bytes=200, window_bytes=500)
     node = build_fanout(limits, size=150)
     node.apply(
         11, [feed_change(11, SCOPE_A, f"n{number}", 1, b"v" * 90) for number in range(20)], 0
     )
-    connection = Connection(
-        [node], [SCOPE_A]
-    ).exchange_messages()  # the window holds it up in the middle
+    # The full window interrupts the snapshot.
+    connection = Connection([node], [SCOPE_A]).exchange_messages()
     assert not connection.client.is_ready and node.subscribers[connection.number].pending
     node.apply(
         12, [feed_change(12, SCOPE_A, "n3", 2, None), feed_change(12, SCOPE_A, "new", 1, b"n")], 0
@@ -359,6 +386,7 @@
 
 
 def test_live_deltas_do_not_wait_for_snapshots() -> None:
+    """Ten subscribers wait for snapshots; a change still reaches up-to-date watchers."""
     node = build_fanout(FanoutLimits(snapshot_bytes_s=1_000, snapshot_burst=1), size=3_000)
     subscribe(node, 1, [(SCOPE_A, 10)])
     for number in range(2, 12):
@@ -367,10 +395,14 @@
     assert node.status().waiting == 10
     node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
     sent = [send.subscriber for send in node.take_sends()]
-    assert sent == [1, 2]  # the second has A already, and waits for B
+    assert sent == [1, 2]  # subscriber 2 already has A and waits for B
 
 
 def test_a_subscriber_whose_cursor_was_trimmed_from_the_log_gets_a_snapshot() -> None:
+    """While a connection is not writable, the log drops changes that its subscriber needs.
+
+    Only the changed scope is sent as a snapshot, without a resync by the subscriber.
+    """
     node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, log_changes=4))
     connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages().advance(SECOND_NS)
     node.set_writable(connection.number, False, connection.now)
@@ -394,25 +426,28 @@
     )
 
 
-# ---- scopes come and go --------------------------------------------------------------------------
+# ---- Scope updates -------------------------------------------------------------------------------
 
 
 def test_adding_a_scope_misses_no_change_and_a_removed_scope_applies_no_rows() -> None:
+    """The scope updates race with changes: the node applies a change before the update arrives."""
     node = build_fanout()
     connection = Connection([node], [SCOPE_A]).exchange_messages()
     connection.client.update_scopes([SCOPE_B], [], 0)
+    # The node applies this change before it receives the update.
     node.apply(
         11, [feed_change(11, SCOPE_A, "x", 2, b"2"), feed_change(11, SCOPE_B, "x", 2, b"2")], 0
-    )  # before it has heard
+    )
     connection.exchange_messages()
     assert (
         connection.values(SCOPE_B) == {"x": b"2", "y": b"1"}
         and connection.values(SCOPE_A)["x"] == b"2"
     )
     connection.actions.clear()
+    # The patches of this change are in flight when the scope is removed.
     node.apply(
         12, [feed_change(12, SCOPE_A, "x", 3, b"3"), feed_change(12, SCOPE_B, "x", 3, b"3")], 0
-    )  # on its way
+    )
     connection.client.update_scopes([], [SCOPE_A], 0)
     connection.exchange_messages()
     assert {action.scope for action in connection.actions if isinstance(action, Apply)} == {SCOPE_B}
@@ -423,6 +458,7 @@
 
 
 def test_messages_from_before_a_scope_was_removed_and_added_are_ignored() -> None:
+    """Patches and bookmarks of an earlier generation must not change the new, empty table."""
     node = build_fanout()
     connection = Connection([node], [SCOPE_A]).exchange_messages()
     node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"old")], 0)
@@ -441,7 +477,7 @@
         and connection.values(SCOPE_A)["x"] == b"old"
         and connection.client.resyncs == 0
     )
-    # In one word it is the same.
+    # Removing and adding the scope in one update also resets the table.
     connection.client.update_scopes([SCOPE_A], [SCOPE_A], 0)
     assert not connection.client.scopes[SCOPE_A].is_synced
     assert connection.exchange_messages().client.is_ready
@@ -451,6 +487,7 @@
 
 
 def test_several_scope_updates_in_flight_are_applied_in_order() -> None:
+    """Updates sent before any answer arrives leave client and node with the same scopes."""
     node = build_fanout()
     connection = Connection([node], [SCOPE_A])
     for add, drop in (
@@ -474,6 +511,7 @@
 
 
 def test_a_scope_update_is_followed_by_its_patches_and_a_bookmark() -> None:
+    """The bookmark tells the subscriber that everything of the new scopes was sent."""
     node = build_fanout()
     assert [type(message) for message in subscribe(node, 1, [(SCOPE_A, 0)])] == [Patch, Bookmark]
     node.receive(1, pack(UpdateScopes(2, ((SCOPE_B, 0),), ())), 0)
@@ -484,6 +522,7 @@
 
 
 def test_invalid_scopes_are_rejected() -> None:
+    """A malformed scope name or too many scopes raise ValueError and leave the scopes unchanged."""
     one = Subscription(
         "b",
         [SCOPE_A],
@@ -497,10 +536,14 @@
     assert set(one.scopes) == {SCOPE_A}
 
 
-# ---- another node --------------------------------------------------------------------------------
+# ---- Failover, log coverage and store snapshots --------------------------------------------------
 
 
 def test_a_subscriber_ahead_of_the_node_is_parked_and_resumes() -> None:
+    """After a failover the new node is one revision behind; the subscriber keeps its rows.
+
+    It resumes without a snapshot when the node reaches its revision.
+    """
     node_ahead, node_behind = build_fanout(), build_fanout()
     connection = Connection([node_ahead, node_behind], [SCOPE_A, SCOPE_B]).exchange_messages()
     node_ahead.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
@@ -523,6 +566,7 @@
 
 
 def test_a_parked_subscriber_is_sent_only_replica_behind() -> None:
+    """Acknowledgements, writability and scope updates of a parked subscriber trigger no patch."""
     node = build_fanout()
     assert subscribe(node, 1, [(SCOPE_A, 11), (SCOPE_B, 10)]) == [ReplicaBehind(10)]
     node.receive(1, pack(Acknowledge(0, (Refusal(SCOPE_A, "upstream/x", 1, "why"),))), 0)
@@ -540,6 +584,7 @@
 
 
 def test_a_parked_subscription_times_out_and_tries_other_nodes() -> None:
+    """Both other nodes stay behind, so the subscription returns to the first one."""
     nodes = [build_fanout(), build_fanout(), build_fanout()]
     connection = Connection(nodes, [SCOPE_A]).exchange_messages()
     nodes[0].apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
@@ -555,8 +600,13 @@
 
 
 def test_a_snapshot_older_than_the_cursor_is_rejected() -> None:
+    """A node whose revision is older than the cursor must not replace newer rows.
+
+    The subscription has no valid cursor to send, so the node cannot detect that it is behind.
+    """
     connection = Connection([build_fanout(revision=20)], [SCOPE_A]).exchange_messages()
-    connection.client.scopes[SCOPE_A].rows.popitem()  # so it is asked for anew, without a cursor
+    # Corrupt the table, so that its snapshot is needed.
+    connection.client.scopes[SCOPE_A].rows.popitem()
     connection.nodes.append(build_fanout(revision=15))
     connection.close_connection()
     connection.client.scopes[SCOPE_A].is_synced = False
@@ -575,10 +625,10 @@
 
 
 def test_after_a_reconnect_only_the_incomplete_snapshot_is_requested_again() -> None:
+    """The connection closes after a complete snapshot of one scope and one chunk of another."""
     node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, chunk_bytes=100), size=60)
-    connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages(
-        max_messages=3
-    )  # both parts of A, and one of B
+    # Three messages: both chunks of A, and one of B.
+    connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages(max_messages=3)
     assert (
         connection.client.scopes[SCOPE_A].is_synced
         and not connection.client.scopes[SCOPE_B].is_synced
@@ -597,6 +647,7 @@
 
 
 def test_only_the_scope_whose_log_does_not_cover_the_cursor_gets_a_snapshot() -> None:
+    """Three scopes resume from one cursor; the log has dropped changes of only one of them."""
     node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, log_changes=5))
     for revision in range(11, 31):
         node.apply(revision, [feed_change(revision, SCOPE_A, "x", revision, b"%d" % revision)], 0)
@@ -615,6 +666,7 @@
 
 
 def test_the_logs_of_one_scope_and_of_all_scopes_stay_within_their_limits() -> None:
+    """The limits on changes per scope, on all changes and on bytes hold after every write."""
     node = build_fanout(
         structs.replace(UNTHROTTLED_LIMITS, scope_changes=8, log_changes=20, log_bytes=2_000)
     )
@@ -629,6 +681,7 @@
 
 
 def test_scopes_without_rows_and_watchers_are_discarded() -> None:
+    """Subscriptions to nonexistent scopes and deleted scopes must not use memory forever."""
     node = build_fanout(structs.replace(UNTHROTTLED_LIMITS, log_changes=3))
     subscribe(node, 1, [(f"service:none-{number}", 0) for number in range(100)])
     assert len(node.cache.scopes) == 103
@@ -639,13 +692,13 @@
     for revision in range(13, 20):
         node.apply(revision, [feed_change(revision, SCOPE_A, "x", revision, b"1")], 0)
     assert "service:short" not in node.cache.scopes
-    # Who saw it there is not left with it.
+    # A subscriber that has the deleted row gets an empty snapshot.
     patch = subscribe(node, 2, [("service:short", 11)])[0]
     assert patch.is_snapshot and patch.rows == ()
 
 
 def load(node: Fanout, revision: int, base: int, changes: list[FeedChange], now: int = 0) -> None:
-    """A snapshot that holds these changes, of which it tells those past `base`."""
+    """Load a store snapshot with `changes` applied to the node's rows; its log starts at `base`."""
     rows = {
         f"feed/{scope.name}/{row.key}": (row.version, row.value)
         for scope in node.cache.scopes.values()
@@ -668,10 +721,13 @@
 
 
 def test_after_a_store_snapshot_changed_scopes_are_sent_as_snapshots_to_live_subscribers() -> None:
+    """The store snapshot's changes begin after the node's revision, so the logs have a gap.
+
+    Changed scopes are sent as snapshots; an unchanged scope is not sent at all.
+    """
     node = build_fanout()
-    node.apply(
-        11, [feed_change(11, "service:other", "x", 1, b"1")], 0
-    )  # its log goes, and its bytes with it
+    # The load drops this change from the log and its size.
+    node.apply(11, [feed_change(11, "service:other", "x", 1, b"1")], 0)
     connection = Connection([node], [SCOPE_A, SCOPE_B, "global"]).exchange_messages()
     connection.advance(SECOND_NS)
     connection.actions.clear()
@@ -695,6 +751,7 @@
 
 
 def test_a_store_snapshot_that_continues_the_log_is_sent_as_deltas() -> None:
+    """Only the changes after the current revision are sent; older revisions raise ValueError."""
     node = build_fanout()
     connection = Connection([node], [SCOPE_A, SCOPE_B]).exchange_messages()
     connection.actions.clear()
@@ -712,6 +769,10 @@
 
 
 def test_a_new_epoch_resets_cursors_and_old_rows_stay_until_their_snapshot_arrives() -> None:
+    """A restored store reuses lower revisions, so cursors of the old epoch are invalid.
+
+    Snapshots are throttled, so one scope still has its old rows while the other is replaced.
+    """
     connection = Connection([build_fanout(revision=50)], [SCOPE_A, SCOPE_B]).exchange_messages()
     connection.close_connection()
     connection.nodes = [
@@ -737,17 +798,21 @@
         and connection.client.scopes[SCOPE_B].cursor == 13
         and connection.client.epoch == "restored"
     )
-    # A cursor of another epoch is none.
+    # A cursor of another epoch is ignored.
     assert subscribe(build_fanout(), 9, [(SCOPE_A, 10)], epoch="other")[0].is_snapshot
 
 
-# ---- many come at once ---------------------------------------------------------------------------
+# ---- Many subscribers at once --------------------------------------------------------------------
 
 
 def test_snapshots_are_rate_limited_and_their_queue_is_bounded() -> None:
+    """Of 320 subscribers that need snapshots only ten wait; rejected ones get spread retry times.
+
+    The snapshots sent stay within the rate limit and use all of it.
+    """
     limits = FanoutLimits(snapshot_bytes_s=100_000, snapshot_burst=20_000, waiting_most=10)
     node = build_fanout(limits, size=2_000)
-    subscribe(node, 0, [(SCOPE_A, 10)])  # a live one
+    subscribe(node, 0, [(SCOPE_A, 10)])  # up to date
     retry_delays_ms = []
     for number in range(1, 321):
         retry_delays_ms += [
@@ -760,20 +825,20 @@
         status.waiting == 10
         and status.later == len(retry_delays_ms) == 320 - status.subscribers + 1
     )
-    # Not before those in the queue are served; and they don't come back together: no half second
-    # gets more than twice its share.
+    # Retries are due only after the queue is served, and are spread out: no interval of 0.5 s gets
+    # more than twice the average.
     delay_histogram = Counter(delay_ms // 500 for delay_ms in retry_delays_ms)
     assert 700 < retry_delays_ms[0] < 1_000 and min(retry_delays_ms) >= retry_delays_ms[0]
     assert max(retry_delays_ms) <= limits.later_most_ms and len(delay_histogram) > 10
     assert max(delay_histogram.values()) < 2 * len(retry_delays_ms) / (max(retry_delays_ms) / 500)
-    # Who needs no snapshot is served at once, and told when there is something.
+    # A subscriber that needs no snapshot is served immediately and gets later changes.
     assert isinstance(subscribe(node, 999, [(SCOPE_A, 10), (SCOPE_B, 10)])[0], Bookmark)
     node.apply(11, [feed_change(11, SCOPE_B, "x", 2, b"2")], 0)
     sends = node.take_sends()
     assert {send.subscriber for send in sends} == {1, 2, 999} and len(
         {id(send.payload) for send in sends}
     ) == 1
-    # As many bytes as may go, and not more.
+    # The bytes sent neither exceed the rate limit nor leave it unused.
     sent = now = 0
     while node.status().waiting:
         now += 10 * MILLISECOND_NS
@@ -787,6 +852,7 @@
 
 
 def test_a_subscriber_blocked_in_its_snapshot_leaves_the_queue() -> None:
+    """Subscribers that neither read nor acknowledge must not keep others from their snapshots."""
     node = build_fanout(
         structs.replace(UNTHROTTLED_LIMITS, window_bytes=300, chunk_bytes=150, waiting_most=2),
         size=140,
@@ -802,6 +868,7 @@
 
 
 def test_90_percent_of_360_subscribers_starting_at_once_are_ready_within_10_seconds() -> None:
+    """All subscribers need three snapshots at a limited rate, and most are told to retry later."""
     limits = FanoutLimits(snapshot_bytes_s=2 << 20, snapshot_burst=1 << 18, waiting_most=16)
     node = build_fanout(limits, size=4_000)
     connections = [
@@ -831,9 +898,7 @@
 
 
 def test_320_subscribers_fail_over_without_a_snapshot() -> None:
-    """All rows that a subscriber knows are of a few revisions ago; the others' logs tell the
-    rest.
-    """
+    """The subscribers are two revisions behind; the surviving nodes' logs cover their cursors."""
     limits = FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1, waiting_most=1)
     failed_node, surviving_nodes = build_fanout(), [build_fanout(limits) for _ in range(8)]
     connections = [
@@ -867,6 +932,7 @@
 
 
 def test_200_reconnects_after_a_long_partition_share_one_encoded_delta_per_scope() -> None:
+    """The node applies 2,000 revisions while all subscribers are disconnected."""
     node = build_fanout()
     for number in range(200):
         subscribe(node, number, [(SCOPE_A, 10), (SCOPE_B, 10)])
@@ -883,17 +949,19 @@
 
 
 def test_a_token_bucket_can_be_overdrawn() -> None:
+    """A message larger than the burst is admitted; the deficit delays the next message."""
     bucket = TokenBucket(1_000, 100, 0)
     assert bucket.is_ready(0)
     bucket.take(1_100, 0)
     assert not bucket.is_ready(0) and not bucket.is_ready(900 * MILLISECOND_NS)
     at = bucket.ready_at(0)
     assert SECOND_NS <= at <= 1_002 * MILLISECOND_NS and bucket.is_ready(at)
-    bucket.take(1, at - SECOND_NS)  # a clock that goes back gives nothing
+    bucket.take(1, at - SECOND_NS)  # a clock that goes backwards adds no tokens
     assert bucket.ready_at(at) <= at + SECOND_NS
 
 
 def test_retry_slots_are_spaced_by_the_time_to_serve_each_subscriber() -> None:
+    """Slots follow the queued bytes; delays above the maximum are spread over its upper half."""
     slots = RetrySlots(1_000_000, 10, 2_000)
     assert [slots.reserve(500_000, 100_000, 0) for _ in range(3)] == [500, 600, 700]
     assert slots.reserve(0, 100_000, 5 * SECOND_NS) == 10
@@ -906,11 +974,12 @@
 
 
 def test_messages_in_flight_from_a_rejected_subscriber_are_ignored() -> None:
+    """A scope update sent before the rejection arrives is no protocol error."""
     node = build_fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1, waiting_most=1))
     subscribe(node, 1, [(SCOPE_A, 0), (SCOPE_B, 0)])
     connection = Connection([node], [SCOPE_A], number=2)
     connection.perform(connection.client.take_actions()[0])  # dials
-    connection.perform(connection.client.take_actions()[0])  # subscribes, and is put off
+    connection.perform(connection.client.take_actions()[0])  # subscribes and is rejected
     connection.client.update_scopes([SCOPE_B], [], 0)
     assert isinstance(connection.messages[0], Subscribe)
     connection.exchange_messages()
@@ -922,7 +991,7 @@
         node.receive(connection.number, pack(Acknowledge(0)), 0)
 
 
-# ---- what is lost is found -----------------------------------------------------------------------
+# ---- Digests and audits --------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("corruption", ["lost", "doubled", "other"])
@@ -930,6 +999,10 @@
 def test_a_digest_mismatch_resyncs_only_the_corrupt_scope(
     corruption: str, detected_by: str
 ) -> None:
+    """A row of the client's table is lost, duplicated or changed.
+
+    The digest of a patch, a bookmark or an audit detects it; a snapshot repairs it.
+    """
     limits = (
         structs.replace(SUBSCRIPTION_LIMITS, audit_rows=1)
         if detected_by == "audit"
@@ -967,6 +1040,7 @@
 
 
 def test_a_large_scope_is_audited_in_steps() -> None:
+    """A bookmark starts an audit of ten rows per 20 ms, which finds a lost row in eleven steps."""
     node = build_fanout()
     node.apply(11, [feed_change(11, SCOPE_A, f"n{number}", 1, b"1") for number in range(100)], 0)
     connection = Connection(
@@ -974,12 +1048,12 @@
         [SCOPE_A],
         limits=structs.replace(SUBSCRIPTION_LIMITS, audit_rows=10, audit_ns=20 * MILLISECOND_NS),
     ).exchange_messages()
-    connection.advance(SECOND_NS)  # the first look finds nothing
+    connection.advance(SECOND_NS)  # the first audit finds no corruption
     connection.client.scopes[SCOPE_A].rows.popitem()
     connection.messages.clear()
     connection.now = 5 * SECOND_NS
     node.tick(connection.now)
-    connection.exchange_messages()  # hears the digest, and begins
+    connection.exchange_messages()  # receives the digest and starts the audit
     audit_steps = 0
     while not connection.messages:
         assert connection.client.wake_ns == connection.now + (
@@ -994,7 +1068,7 @@
         and connection.messages[0] == UpdateScopes(2, ((SCOPE_A, 0),), ())
         and connection.client.is_ready
     )
-    # A change under way ends it; the next bookmark begins it again.
+    # A change during the audit abandons it; the next bookmark restarts it.
     connection.client.scopes[SCOPE_A].rows.popitem()
     for revision in range(12, 40):
         connection.advance(SECOND_NS // 2)
@@ -1004,6 +1078,7 @@
 
 
 def test_a_snapshot_with_a_wrong_digest_makes_the_subscription_try_another_node() -> None:
+    """The node's own digest does not match its rows, so its snapshot is never applied."""
     corrupt_node, good_node = build_fanout(), build_fanout()
     corrupt_node.cache.scopes[SCOPE_A].digest ^= 1
     connection = Connection([corrupt_node, good_node], [SCOPE_A])
@@ -1018,6 +1093,7 @@
 
 
 def test_a_digest_is_independent_of_row_order_and_detects_duplicates() -> None:
+    """Incremental replacement gives the digest of hashing all rows; deletions reset it to 0."""
     rows = [Row(f"upstream/{number}", number, b"v") for number in range(9)]
     assert digest.of_rows(rows) == digest.of_rows(reversed(rows))
     assert digest.of_rows([*rows, rows[0], rows[0]]) != digest.of_rows(rows)
@@ -1032,10 +1108,15 @@
     assert incremental_digest == 0
 
 
-# ---- a row that can't be taken -------------------------------------------------------------------
+# ---- Refused rows --------------------------------------------------------------------------------
 
 
 def test_a_refused_row_keeps_its_last_accepted_version_and_is_reported() -> None:
+    """The client refuses a new version of one row and the first version of another.
+
+    The accepted version survives further refusals and a resync; an accepted write or a deletion
+    clears the refusal.
+    """
     node = build_fanout()
     connection = Connection([node], [SCOPE_A]).exchange_messages()
     node.apply(
@@ -1057,14 +1138,14 @@
     status = node.status()
     assert status.acknowledged == ((11, 1),) and status.refusals == 2
     assert [(one.name, one.refusal) for one in status.refused] == [("b1", one) for one in refused]
-    # Refused again: still the last good one. A whole scope has it too.
+    # A second refusal keeps the last accepted version, and so does a resync of the scope.
     node.apply(12, [feed_change(12, SCOPE_A, "x", 3, b"!!")], 0)
     connection.exchange_messages()
     connection.client.scopes[SCOPE_A].rows.pop("upstream/y")
     connection.advance(20 * SECOND_NS)
     assert connection.client.resyncs == 1 and connection.values(SCOPE_A) == {"x": b"1", "y": b"2"}
     assert [row.value for row in connection.client.scopes[SCOPE_A].rows_in_force()] == [b"1", b"2"]
-    # Withdrawn by what can be taken, and by a deletion.
+    # An accepted write and a deletion each clear a refusal.
     node.apply(13, [feed_change(13, SCOPE_A, "x", 4, b"4")], connection.now)
     connection.advance(SECOND_NS)
     assert connection.values(SCOPE_A)["x"] == b"4" and node.status().refusals == 1
@@ -1074,6 +1155,7 @@
 
 
 def test_refusals_are_reported_after_failover_and_cleared_when_their_scope_is_removed() -> None:
+    """An acknowledgement reports 16 of 30 refused rows; the next node gets the report too."""
     nodes = [build_fanout(), build_fanout()]
     for node in nodes:
         node.apply(11, [feed_change(11, SCOPE_A, f"r{number}", 1, b"!") for number in range(30)], 0)
@@ -1091,17 +1173,18 @@
     assert nodes[1].status().refusals == 0
 
 
-# ---- how far they have come ----------------------------------------------------------------------
+# ---- Status and protocol errors ------------------------------------------------------------------
 
 
 def test_status_counts_acknowledged_revisions_and_lists_lagging_subscribers() -> None:
+    """Forty subscribers acknowledge none, one or both of two patches, and one is parked."""
     node = build_fanout()
     for number in range(40):
         subscribe(node, number, [(SCOPE_A, 10), (SCOPE_B, 10)])
     assert node.status().acknowledged == ((10, 40),)
     node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 5 * SECOND_NS)
     node.apply(12, [feed_change(12, SCOPE_B, "x", 2, b"2")], 6 * SECOND_NS)
-    assert node.status().acknowledged == ((10, 40),)  # sent is not in force
+    assert node.status().acknowledged == ((10, 40),)  # sent patches are not yet in force
     for number in range(40):
         if number != 7:
             node.receive(number, pack(Acknowledge(2 if number > 10 else 1)), 7 * SECOND_NS)
@@ -1119,15 +1202,15 @@
     ] == [(5, 3_000)]
     assert node.status().parked == 1
     node.remove(40, 10 * SECOND_NS)
-    node.apply(
-        13, [feed_change(13, "global", "x", 2, b"2")], 8 * SECOND_NS
-    )  # which none of them watches
+    # None of the remaining subscribers watches this scope.
+    node.apply(13, [feed_change(13, "global", "x", 2, b"2")], 8 * SECOND_NS)
     assert node.status().acknowledged == ((10, 1), (11, 10), (13, 29))
     node.apply(14, [feed_change(14, SCOPE_A, "x", 3, b"3")], 9 * SECOND_NS)
     assert node.status().acknowledged == ((10, 1), (11, 10), (13, 29))
 
 
 def test_patches_in_flight_of_a_removed_scope_do_not_count_as_lag() -> None:
+    """Removing or restarting a scope with an unacknowledged patch raises the revision in force."""
     node = build_fanout()
     subscribe(node, 1, [(SCOPE_A, 10), (SCOPE_B, 10)])
     node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"2")], 0)
@@ -1139,6 +1222,7 @@
 
 
 def test_a_bookmark_sent_while_a_snapshot_is_pending_does_not_reset_the_age() -> None:
+    """The snapshot of an added scope never fits the rate limit, while bookmarks keep arriving."""
     node = build_fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1))
     connection = Connection([node], [SCOPE_A]).exchange_messages()
     assert connection.client.age_ns(connection.now) == 0
@@ -1152,6 +1236,7 @@
 
 
 def test_status_round_trips_through_json() -> None:
+    """A status with a refused row decodes to an equal status."""
     node = build_fanout()
     connection = Connection([node], [SCOPE_A]).exchange_messages()
     node.apply(11, [feed_change(11, SCOPE_A, "x", 2, b"!")], 0)
@@ -1161,6 +1246,7 @@
 
 
 def test_a_subscriber_waiting_for_its_first_snapshot_counts_as_revision_0() -> None:
+    """Subscribers whose snapshots are rate-limited have no revision in force and lag behind."""
     node = build_fanout(FanoutLimits(snapshot_bytes_s=1, snapshot_burst=1))
     subscribe(node, 1, [(SCOPE_A, 0)])
     subscribe(node, 2, [(SCOPE_B, 0), (SCOPE_A, 10)])
@@ -1219,6 +1305,7 @@
 def test_a_protocol_error_does_not_affect_other_connections(
     payloads: list[bytes], expected_error: str
 ) -> None:
+    """The invalid message raises FeedProtocolError; another subscriber still gets its changes."""
     node = build_fanout()
     subscribe(node, 1, [(SCOPE_A, 10)])
     for message in payloads[:-1]:
@@ -1231,10 +1318,11 @@
     assert [send.subscriber for send in node.take_sends()] == [1] and node.status().subscribers == 1
 
 
-# ---- who is idle, and who is silent --------------------------------------------------------------
+# ---- Bookmarks, timeouts and retries -------------------------------------------------------------
 
 
 def test_an_idle_subscriber_gets_bookmarks_with_rotating_digests() -> None:
+    """Three bookmarks with two digests each cover each of three scopes twice."""
     node = build_fanout(
         structs.replace(UNTHROTTLED_LIMITS, bookmark_ns=10 * SECOND_NS, bookmark_scopes=2)
     )
@@ -1255,6 +1343,9 @@
 
 
 def test_bookmarks_advance_cursors_so_that_a_short_log_still_covers_them() -> None:
+    """Unrelated changes push the old cursor out of a short log; without bookmarks the failover
+    would need snapshots.
+    """
     nodes = [build_fanout(structs.replace(UNTHROTTLED_LIMITS, log_changes=3)) for _ in range(2)]
     connection = Connection(nodes, [SCOPE_A, SCOPE_B]).exchange_messages()
     for revision in range(11, 31):
@@ -1274,11 +1365,12 @@
 
 
 def test_a_silent_node_is_disconnected_after_the_idle_timeout() -> None:
+    """The connection delivers nothing for 60 s, and redials are not answered."""
     node = build_fanout()
     connection = Connection([node, build_fanout()], [SCOPE_A]).exchange_messages()
     silent_subscription = connection.client
     assert silent_subscription.state is SubscriptionState.FOLLOWING
-    for now in range(0, 60 * SECOND_NS, SECOND_NS):  # the link is dead
+    for now in range(0, 60 * SECOND_NS, SECOND_NS):  # no message is delivered
         silent_subscription.tick(now)
     assert silent_subscription.take_actions()[
         -2:
@@ -1290,6 +1382,7 @@
 
 
 def test_failed_dials_rotate_addresses_with_increasing_backoff() -> None:
+    """Forty refused dials use successive addresses, with delays up to the maximum backoff."""
     one = Subscription(
         "b",
         [SCOPE_A],
@@ -1317,6 +1410,7 @@
 
 
 def test_retry_later_retries_the_same_node_up_to_a_limit_then_the_next() -> None:
+    """Six attempts go to the first node, the seventh to the next; an excessive delay is capped."""
     one = Subscription(
         "b",
         [SCOPE_A],
@@ -1354,6 +1448,7 @@
 def test_a_node_that_violates_the_protocol_is_disconnected(
     generation: int, sequence: int, message: bytes, expected_error: str
 ) -> None:
+    """Messages that arrive after the disconnect are ignored."""
     one = Subscription(
         "b",
         [SCOPE_A],
@@ -1370,13 +1465,13 @@
         and expected_error in last.reason
         and one.state is SubscriptionState.BACKING_OFF
     )
-    one.receive(
-        1, 1, pack(Patch(SCOPE_A, 0, 10, True, True, 0, ())), 0
-    )  # what comes after that is nothing
+    # A message after the disconnect is ignored.
+    one.receive(1, 1, pack(Patch(SCOPE_A, 0, 10, True, True, 0, ())), 0)
     assert one.take_actions() == [] and not one.is_ready
 
 
 def test_acknowledgements_of_many_patches_are_coalesced() -> None:
+    """Fifty patches within one acknowledgement delay are acknowledged by a single message."""
     node = build_fanout()
     connection = Connection([node], [SCOPE_A]).exchange_messages()
     connection.advance(SECOND_NS)
@@ -1393,6 +1488,7 @@
 
 
 def test_a_delta_after_a_gap_triggers_a_resync_and_an_old_delta_is_ignored() -> None:
+    """A delta that starts after the cursor would skip changes, so it is not applied."""
     connection = Connection([build_fanout()], [SCOPE_A]).exchange_messages()
     message = pack(Patch(SCOPE_A, 12, 13, False, True, 0, (Row("upstream/x", 9, b"9"),)))
     connection.client.receive(1, 2, message, 0)
@@ -1400,7 +1496,7 @@
         connection.client.resyncs == 1
         and connection.client.scopes[SCOPE_A].rows["upstream/x"].value == b"1"
     )
-    # An old delta, of what is known already, is nothing.
+    # A delta up to a revision before the cursor is ignored.
     connection = Connection([build_fanout()], [SCOPE_A]).exchange_messages()
     connection.client.receive(
         1, 2, pack(Patch(SCOPE_A, 3, 9, False, True, 0, (Row("upstream/x", 9, b"9"),))), 0
