--- a/loadbalancer/changefeed/delivery.py
+++ b/loadbalancer/changefeed/delivery.py
@@ -85,7 +85,7 @@
         self.sent_bytes += count * size
 
     def serve(self, subscriber: Subscriber, now: int) -> None:
-        """Send the deltas and the bookmark that the window admits; queue snapshots."""
+        """Send the deltas that the window admits, queue snapshots, and send a bookmark if due."""
         if subscriber.parked_cursors is not None:
             return
         self._send_deltas(subscriber, now)
--- a/loadbalancer/changefeed/limits.py
+++ b/loadbalancer/changefeed/limits.py
@@ -57,7 +57,8 @@
         backoff_ns: Initial upper bound of the reconnect delay. The bound doubles with each failure,
             up to `backoff_most_ns`; the delay is drawn uniformly below the bound.
         backoff_most_ns: Maximum upper bound of the reconnect delay.
-        later_most: Consecutive `RetryLater` answers after which the next node is tried.
+        later_most: Consecutive `RetryLater` answers accepted from a node; one more makes the
+            subscription try the next node.
         later_ns: Maximum retry delay accepted from a node.
         ack_ns: Maximum delay of an acknowledgement.
         ack_bytes: Received bytes after which an acknowledgement is sent immediately.
--- a/loadbalancer/changefeed/subscriber.py
+++ b/loadbalancer/changefeed/subscriber.py
@@ -97,7 +97,7 @@
         pending_bytes: Total size of the pending snapshots.
         is_writable: Whether the connection accepts more data.
         parked_cursors: Cursors of a subscriber that is ahead of the node, which is sent no patches
-            and bookmarks; None if it is not parked.
+            or bookmarks; None if it is not parked.
         bookmark_due: Whether to send a bookmark once all deltas and snapshots are sent.
         is_queued: Whether it is in the snapshot queue.
         next_digest: Index of the scope whose digest is sent next.
