--- a/loadbalancer/changefeed/cache.py
+++ b/loadbalancer/changefeed/cache.py
@@ -1,4 +1,4 @@
-"""Watch cache of a node: rows and the last changes of all scopes, within bounds."""
+"""Watch cache of a node: the rows and the bounded logs of recent changes of all scopes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class StoreSnapshot(NamedTuple):
-    """The store's rows as of a revision.
+    """The store's rows as of a revision, with the changes that led to it.
 
     Attributes:
         rows: Key, version and value of each row.
-        base: `changes` holds all changes in (base, revision].
+        base: The revision after which `changes` is complete: it holds all in (base, revision].
     """
 
     revision: int
@@ -27,42 +27,42 @@
 
 
 class ScopeChange(NamedTuple):
-    """How a write touched a scope.
+    """Revisions of a scope before and after a batch of changes.
 
     Attributes:
-        after: The scope's revision before.
-        first: The first revision that changed it since.
+        previous_revision: The scope's revision before the batch.
+        first_revision: The first revision of the batch that changed the scope.
     """
 
-    after: int
-    first: int
+    previous_revision: int
+    first_revision: int
 
 
 class WatchCache:
-    """All scopes of a node, with the bounds of their logs."""
+    """All scopes of a node, with limits on the size of their logs."""
 
     def __init__(self, limits: FanoutLimits) -> None:
         self.scopes: dict[str, WatchedScope] = {}
         self.revision = 0
         self._limits = limits
-        self._base = 0  # of scopes of which nothing is known
-        # The changes of all logs in order: scope, revision and bytes of each.
+        self._base = 0  # base revision of scopes that are not cached
+        # The changes in all logs, oldest first: scope, revision and size in bytes.
         self._log: deque[tuple[WatchedScope, int, int]] = deque()
         self._log_bytes = 0
 
     def scope(self, name: str) -> WatchedScope:
-        """Return a scope, created where it is not there yet."""
+        """Return a scope; create it if it does not exist yet."""
         scope = self.scopes.get(name)
         if scope is None:
             scope = self.scopes[name] = WatchedScope(name, self._base)
         return scope
 
     def snapshot_bytes_needed(self, name: str, cursor: int) -> int:
-        """Return the size of the snapshot that a cursor needs, at least 1; 0 if a delta is enough.
+        """Return the size of the snapshot that a cursor needs, at least 1; 0 if a delta suffices.
 
         Args:
-            name: Of the scope.
-            cursor: 0 where nothing is known.
+            name: Name of the scope.
+            cursor: Revision that the subscriber has; 0 if it has none.
         """
         scope = self.scopes.get(name)
         if scope is None:
@@ -70,8 +70,8 @@
         return 0 if cursor and scope.covers(cursor) else scope.size_bytes + 1
 
     def load(self, snapshot: StoreSnapshot) -> dict[str, WatchedScope]:
-        """Replace everything; return the old scopes, whose watchers are still to be moved."""
-        old = self.scopes
+        """Replace all scopes; return the old ones, whose watchers the caller must move."""
+        old_scopes = self.scopes
         old_revision = self.revision
         self.scopes = {}
         self._base = snapshot.base
@@ -79,38 +79,38 @@
         self._log.clear()
         self._log_bytes = 0
         for key, version, value in snapshot.rows:
-            name, short = split_key(key)
-            self.scope(name).put(Row(short, version, value))
+            name, row_key = split_key(key)
+            self.scope(name).put(Row(row_key, version, value))
         for change in snapshot.changes:
             if snapshot.base < change.revision <= snapshot.revision:
-                name, short = split_key(change.key)
+                name, row_key = split_key(change.key)
                 self._append(
-                    self.scope(name), change.revision, Row(short, change.version, change.value)
+                    self.scope(name), change.revision, Row(row_key, change.version, change.value)
                 )
-        for name, before in old.items():
+        for name, old_scope in old_scopes.items():
             scope = self.scope(name)
-            if old_revision and not scope.log and before.digest == scope.digest:
-                scope.bridge = range(before.revision, old_revision + 1)
-        return old
+            if old_revision and not scope.log and old_scope.digest == scope.digest:
+                scope.unchanged_revisions = range(old_scope.revision, old_revision + 1)
+        return old_scopes
 
     def apply(
         self, revision: int, changes: Sequence[FeedChange]
     ) -> dict[WatchedScope, ScopeChange]:
         """Apply complete revisions; return the scopes that changed.
 
-        `trim` is due once those who watch them were notified.
+        The caller must call `trim` after it has notified the watchers of these scopes.
         """
         self.revision = revision
-        touched: dict[WatchedScope, ScopeChange] = {}
+        changed_scopes: dict[WatchedScope, ScopeChange] = {}
         for change in changes:
-            name, short = split_key(change.key)
+            name, row_key = split_key(change.key)
             scope = self.scope(name)
-            if scope not in touched:
-                touched[scope] = ScopeChange(scope.revision, change.revision)
-            row = Row(short, change.version, change.value)
+            if scope not in changed_scopes:
+                changed_scopes[scope] = ScopeChange(scope.revision, change.revision)
+            row = Row(row_key, change.version, change.value)
             scope.put(row)
             self._append(scope, change.revision, row)
-        return touched
+        return changed_scopes
 
     def _append(self, scope: WatchedScope, revision: int, row: Row) -> None:
         scope.append(revision, row)
@@ -118,10 +118,10 @@
         self._log.append((scope, revision, size))
         self._log_bytes += size
 
-    def trim(self, touched: Iterable[WatchedScope]) -> None:
-        """Drop the oldest revisions until all logs are within their bounds."""
+    def trim(self, changed_scopes: Iterable[WatchedScope]) -> None:
+        """Drop the oldest revisions until all logs are within their limits."""
         limits = self._limits
-        for scope in touched:
+        for scope in changed_scopes:
             while scope.log_length > limits.scope_changes:
                 scope.drop_oldest()
         while len(self._log) > limits.log_changes or self._log_bytes > limits.log_bytes:
@@ -129,15 +129,18 @@
             self._log_bytes -= size
             while scope.log and scope.log[0].revision <= revision:
                 scope.drop_oldest()
-            self.discard_if_idle(scope)
+            self.discard_if_unused(scope)
 
-    def discard_if_idle(self, scope: WatchedScope) -> None:
-        """Remove a scope without rows, log and watchers; its base holds for unknown scopes."""
-        if scope.is_idle and self.scopes.get(scope.name) is scope:
+    def discard_if_unused(self, scope: WatchedScope) -> None:
+        """Remove a scope that has no rows, log or watchers.
+
+        Its base becomes a lower bound for the base of scopes that are not cached.
+        """
+        if scope.is_unused and self.scopes.get(scope.name) is scope:
             del self.scopes[scope.name]
             self._base = max(self._base, scope.base)
 
     @property
     def log_size(self) -> tuple[int, int]:
-        """Changes and bytes in the logs."""
+        """Number of changes and of bytes in all logs."""
         return len(self._log), self._log_bytes
--- a/loadbalancer/changefeed/scope_table.py
+++ b/loadbalancer/changefeed/scope_table.py
@@ -1,4 +1,4 @@
-"""One scope as a balancer holds it: rows as received, and the last accepted of refused ones."""
+"""A balancer's copy of one scope: received rows, and last accepted versions of refused rows."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from loadbalancer.changefeed import digest
 from loadbalancer.changefeed.messages import MAX_REASON_LENGTH, Patch, Refusal, Row
 
-RowCheck = Callable[[str, Row], str]  # of a scope's row: why it is refused; empty: it is accepted
+RowCheck = Callable[[str, Row], str]  # arguments: scope, row; returns why it is refused, or ""
 
 
 class PatchBuffer:
-    """The chunks of one patch, until its last one is there.
+    """Buffers the chunks of one patch until the last chunk arrives.
 
-    The work for each row of a snapshot is done as its chunk arrives, so that the last chunk does
-    not have to do it for all.
+    The rows of a snapshot are hashed and checked as each chunk arrives, so that the work is not
+    concentrated on the last chunk.
     """
 
     __slots__ = ("after", "hash_sum", "is_snapshot", "refused", "revision", "rows")
@@ -27,7 +27,7 @@
         self.hash_sum = 0
         self.refused: dict[str, str] = {}
 
-    def is_for(self, patch: Patch) -> bool:
+    def matches(self, patch: Patch) -> bool:
         """Return whether a chunk belongs to this patch."""
         return (
             self.after == patch.after
@@ -36,7 +36,7 @@
         )
 
     def add(self, scope: str, rows: tuple[Row, ...], check_row: RowCheck) -> None:
-        """Add the rows of one chunk."""
+        """Add and check the rows of one chunk."""
         for row in rows:
             self.rows[row.key] = row
             if self.is_snapshot:
@@ -51,38 +51,39 @@
     """The rows of one scope.
 
     Attributes:
-        rows: As received, refused ones among them.
-        cursor: The revision up to which they are known; it never falls within an epoch.
-        is_known: A snapshot was received and its digest was right; else the scope is requested
-            anew, and the rows stay meanwhile.
-        generation: Messages of an earlier one are not about this table.
-        change_count: Grows with each change of the rows, so that an audit notices.
+        rows: The rows as received, including refused ones.
+        cursor: The revision that the rows reflect; it never decreases within an epoch.
+        is_synced: Whether a snapshot was received and its digest matched. If not, the scope is
+            requested again, and the old rows are kept until then.
+        generation: Generation of the last request for this scope; messages of earlier ones are
+            ignored.
+        change_count: Incremented with each change of the rows, so that an audit detects changes.
     """
 
     def __init__(self, scope: str, generation: int) -> None:
         self.scope = scope
         self.generation = generation
-        self.is_known = False
+        self.is_synced = False
         self.cursor = 0
         self.rows: dict[str, Row] = {}
         self.digest = 0
         self.refused: dict[str, Refusal] = {}
         self.change_count = 0
-        self._accepted: dict[str, Row] = {}  # the last accepted of refused rows, where any was
+        self._accepted: dict[str, Row] = {}  # last accepted versions of refused rows
         self._buffer: PatchBuffer | None = None
 
     def resume_cursor(self) -> int:
-        """Return the cursor to subscribe from; 0 where nothing is known."""
-        return self.cursor if self.is_known else 0
+        """Return the cursor to subscribe from; 0 if a snapshot is needed."""
+        return self.cursor if self.is_synced else 0
 
     def discard_chunks(self) -> None:
-        """Forget the chunks of a patch whose rest does not come."""
+        """Discard the buffered chunks of an incomplete patch."""
         self._buffer = None
 
     def add_chunk(self, patch: Patch, check_row: RowCheck) -> PatchBuffer | None:
-        """Buffer one chunk; return the complete patch once its last chunk is there."""
+        """Buffer one chunk; return the complete patch if it was the last chunk."""
         buffer = self._buffer
-        if buffer is None or not buffer.is_for(patch):
+        if buffer is None or not buffer.matches(patch):
             buffer = self._buffer = PatchBuffer(patch)
         buffer.add(self.scope, patch.rows, check_row)
         if not patch.is_last_chunk:
@@ -94,11 +95,11 @@
         """Apply a delta.
 
         Returns:
-            The rows that come into force; None, with nothing changed, where the digest is wrong.
+            The accepted rows; None, with nothing changed, if the digest does not match.
         """
         new_digest = self.digest
         for row in patch.rows.values():
-            new_digest = digest.replaced(new_digest, self.rows.get(row.key), row)
+            new_digest = digest.replace_row(new_digest, self.rows.get(row.key), row)
         if new_digest != expected_digest:
             return None
         accepted = []
@@ -127,7 +128,7 @@
         """Replace all rows.
 
         Returns:
-            All rows in force; None, with nothing changed, where the digest is wrong.
+            All rows in force; None, with nothing changed, if the digest does not match.
         """
         if patch.hash_sum & digest.MASK != expected_digest:
             return None
@@ -135,13 +136,13 @@
         accepted: dict[str, Row] = {}
         for key, reason in patch.refused.items():
             refused[key] = Refusal(self.scope, key, patch.rows[key].version, reason)
-            last = self._accepted.get(key) if key in self.refused else self.rows.get(key)
-            if last is not None:
-                accepted[key] = last
+            last_accepted = self._accepted.get(key) if key in self.refused else self.rows.get(key)
+            if last_accepted is not None:
+                accepted[key] = last_accepted
         self.rows = patch.rows
         self.refused = refused
         self._accepted = accepted
-        self.is_known = True
+        self.is_synced = True
         self._advance(patch.revision, expected_digest)
         return list(self.rows_in_force())
 
@@ -151,7 +152,10 @@
         self.change_count += 1
 
     def rows_in_force(self) -> Iterator[Row]:
-        """Iterate over the rows, with the last accepted in the place of refused ones."""
+        """Iterate over the rows in force.
+
+        A refused row is replaced by its last accepted version, or left out if it has none.
+        """
         if not self.refused:
             yield from self.rows.values()
             return
