--- a/loadbalancer/failover/site_reports.py
+++ b/loadbalancer/failover/site_reports.py
@@ -136,7 +136,7 @@
     others_silent = [site for site in silent_to if site != name]
     others_answered = [site for site in answers_to if site != name]
     reason = (
-        f"{len(others_silent)} other sites get no response from it"
+        f"{len(others_silent)} other sites get no answer there"
         f" ({', '.join(others_silent) or 'none'}),"
         f" {len(others_answered)} do; {opinions.reporting.get(name, 0)} of its own balancers"
         f" report; {ready} of {usual} upstreams are ready"
@@ -150,14 +150,14 @@
     majority = MAJORITY * (len(others_silent) + len(others_answered))
     if others_silent and len(others_silent) >= max(voters, majority):
         if name in answers_to:
-            reason = "its own balancers get responses; " + reason
+            reason = "its own balancers are answered; " + reason
             return Verdict(SiteHealth.PARTITIONED, 0, alive, reason)
         return Verdict(SiteHealth.LOST, 0, 0.0, reason)
     if others_silent and len(others_silent) >= voters:
-        reason = "some sites get no response from it; " + reason
+        reason = "some sites get no answer there; " + reason
         return Verdict(SiteHealth.PARTITIONED, 0, alive, reason)
     if name in silent_to and not others_answered:
-        reason = "its own balancers get no response from it; " + reason
+        reason = "its own balancers get no answer there; " + reason
         return Verdict(SiteHealth.LOST, 0, 0.0, reason)
     is_impaired = usual and alive < 1 - IMPAIRED_FRACTION
     health = SiteHealth.IMPAIRED if is_impaired else SiteHealth.HEALTHY
--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -194,7 +194,7 @@
 
 def _end_partition(state: SiteState) -> SiteState:
     """Return the state of a site after the end of its partition."""
-    reason = "the other sites reach it again"
+    reason = "it is reached again"
     if state.desired is not DesiredState.ACTIVE or state.fraction <= 0:
         return _changed(state, is_partitioned=False, reason=reason)
     # Its upstreams kept serving the local load and are warmed up, so the recovery skips the early
@@ -238,7 +238,7 @@
         failures=after.failures,
         has_failed=after.has_failed,
         reason=(
-            f"{after.stage.value} at {after.fraction:.0%}: {observed.attempts} attempts,"
+            f"{after.stage.value} at {after.fraction:.0%}: {observed.attempts} answers,"
             f" {observed.good_fraction:.0%} in time"
         ),
     )
@@ -257,8 +257,8 @@
         if state.desired is DesiredState.DRILL:
             return _begin_recovery(
                 state,
-                f"the drill ended early: {view.served:.1%} are served,"
-                f" {state.served_before:.1%} were before",
+                f"the drill ended itself: {view.served:.1%} are served,"
+                f" {state.served_before:.1%} were",
             )
         if state.fraction > 0:
             return _pause_drain(state, view.served)
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -102,7 +102,7 @@
         if self._wait_until_settled(target, exchange):
             return
         if self.connections >= self.max_connections and not self._close_oldest_idle():
-            self._log_shortage("connection limit reached")
+            self._log_shortage("no connection to spare")
             loop.call_soon(exchange.give_up, api.AttemptResult.NOT_SENT)
             return
         self.connections += 1
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -724,7 +724,7 @@
     assert (
         ended.desired is DesiredState.ACTIVE
         and ended.stage is Stage.HEALTH_CHECKS
-        and "ended early" in ended.reason
+        and "ended itself" in ended.reason
     )
 
 
