--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -31,10 +31,10 @@
 
 R = api.AttemptResult
 OK = b"HTTP/1.1 200 OK\r\n"
-AIM_NS = CLASSES["quote"].latency_objective_ns
+LATENCY_OBJECTIVE_NS = CLASSES["quote"].latency_objective_ns
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(recorder: EventRecorder) -> None:
+def test_request_and_response_are_forwarded_unchanged(recorder: EventRecorder) -> None:
     async def test() -> None:
         async with running_balancer(
             settings=replace(SETTINGS, report_columns=("inflight", "util"))
@@ -42,7 +42,7 @@
             body = bytes(range(256)) * 256  # 64 KiB
             load = "X-Load: inflight=7,util=0.5"
             w.upstreams[0].script = [http_response(200, body[::-1], "Content-Type: text/x", load)]
-            got = await w.ask(
+            response_message = await w.ask(
                 "r1",
                 "pay",
                 "POST",
@@ -52,15 +52,25 @@
                 X_Cost_Hint=12000,
                 X_Retry=1,
             )
-            assert (got.status, got.body, got.headers["content-type"]) == (
+            assert (
+                response_message.status,
+                response_message.body,
+                response_message.headers["content-type"],
+            ) == (
                 200,
                 body[::-1],
                 "text/x",
             )
-            seen = w.upstreams[0].received_requests[-1]
-            assert seen.start_line[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="] and seen.body == body
-            assert seen.headers["x-request-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
-            assert 0 < int(seen.headers["x-deadline-ms"]) <= 3000
+            forwarded = w.upstreams[0].received_requests[-1]
+            assert (
+                forwarded.start_line[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="]
+                and forwarded.body == body
+            )
+            assert (
+                forwarded.headers["x-request-id"] == "r1"
+                and forwarded.headers["idempotency-key"] == "k1"
+            )
+            assert 0 < int(forwarded.headers["x-deadline-ms"]) <= 3000
             (arrived,) = recorder.of_type(api.RequestArrived)
             assert (arrived.cost_hint_ns, arrived.key, arrived.is_retry) == (12_000_000, "7f", True)
             await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
@@ -96,40 +106,46 @@
         (never_respond, R.TIMEOUT),
     ],
 )
-@pytest.mark.parametrize("kind", ["quote", "pay"])
-def test_outcomes(
-    recorder: EventRecorder, reply: Any, result: api.AttemptResult, kind: str
+@pytest.mark.parametrize("request_class", ["quote", "pay"])
+def test_attempt_result_and_client_status_for_reply(
+    recorder: EventRecorder, reply: Any, result: api.AttemptResult, request_class: str
 ) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             w.upstreams[0].script = [reply]
-            got = await w.ask(
+            response_message = await w.ask(
                 "r1",
-                kind,
-                "GET" if kind == "quote" else "POST",
+                request_class,
+                "GET" if request_class == "quote" else "POST",
                 X_Deadline_Ms=400 if result is R.TIMEOUT else 3000,
             )
             await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
             (outcome,) = recorder.of_type(api.AttemptFinished)
             assert (outcome.request, outcome.attempt, outcome.result) == ("r1", 0, result)
             assert not outcome.complete
-            if kind == "quote" or result is R.REJECTED:
-                assert got.status == 503 and 0 < float(got.headers["retry-after"]) <= 1
+            if request_class == "quote" or result is R.REJECTED:
+                assert (
+                    response_message.status == 503
+                    and 0 < float(response_message.headers["retry-after"]) <= 1
+                )
             else:  # it may have run: no promise
-                assert got.status == (504 if result is R.TIMEOUT else 502)
-                assert "retry-after" not in got.headers
+                assert response_message.status == (504 if result is R.TIMEOUT else 502)
+                assert "retry-after" not in response_message.headers
 
     run(test())
 
 
-@pytest.mark.parametrize("extra", [http_response(200, b"again"), b"\x00noise\r\n", b"H"])
-def test_what_stands_behind_an_answer_answers_no_other_request(
-    recorder: EventRecorder, extra: bytes
+@pytest.mark.parametrize("trailing_bytes", [http_response(200, b"again"), b"\x00noise\r\n", b"H"])
+def test_bytes_after_response_are_not_used_for_next_request(
+    recorder: EventRecorder, trailing_bytes: bytes
 ) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             upstream = w.upstreams[0]
-            upstream.script = [http_response(200, b"first") + extra, http_response(200, b"second")]
+            upstream.script = [
+                http_response(200, b"first") + trailing_bytes,
+                http_response(200, b"second"),
+            ]
             assert (await w.ask("r1")).body == b"first"
             assert (await w.ask("r2")).body == b"second"
             assert [m.connection_number for m in upstream.received_requests] == [
@@ -141,7 +157,7 @@
     run(test())
 
 
-def test_what_comes_late_behind_an_answer_ends_the_connection() -> None:
+def test_late_bytes_after_response_close_connection() -> None:
     async def test() -> None:
         async with running_balancer() as w:
             upstream = w.upstreams[0]
@@ -153,7 +169,7 @@
     run(test())
 
 
-def test_interim_answers_are_let_pass() -> None:
+def test_interim_responses_are_skipped() -> None:
     async def test() -> None:
         async with running_balancer() as w:
             hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
@@ -176,11 +192,11 @@
         (b"\xff\xfe=1", None),
     ],
 )
-def test_a_load_report_is_believed_as_far_as_it_can_be(text: bytes | None, report: Any) -> None:
+def test_load_report_keeps_valid_columns_only(text: bytes | None, report: Any) -> None:
     assert read_load_report(text, ("inflight", "queue")) == report
 
 
-def test_refused_connection(recorder: EventRecorder) -> None:
+def test_refused_connection_is_connect_failed(recorder: EventRecorder) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             w.upstreams[0].port = free_port()
@@ -191,35 +207,35 @@
     run(test())
 
 
-def test_a_connection_that_never_comes_up(recorder: EventRecorder) -> None:
+def test_connect_timeout_is_connect_failed(recorder: EventRecorder) -> None:
     async def test() -> None:
         # A listener whose backlog is full answers nothing to the next connection.
-        full = socket.socket()
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        waiting = [socket.socket() for _ in range(4)]
-        for sock in waiting:
+        full_listener = socket.socket()
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
+        pending_connects = [socket.socket() for _ in range(4)]
+        for sock in pending_connects:
             sock.setblocking(False)
-            sock.connect_ex(full.getsockname())
+            sock.connect_ex(full_listener.getsockname())
         limits = replace(SETTINGS.limits, connect_timeout_ns=100_000_000)
         async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
-            w.upstreams[0].port = full.getsockname()[1]
+            w.upstreams[0].port = full_listener.getsockname()[1]
             await w.update_endpoints(w.upstreams[0].row())
             assert (await w.ask("r1", "pay", "POST")).status == 503
             assert recorder.results() == [R.CONNECT_FAILED]
-        for sock in (full, *waiting):
+        for sock in (full_listener, *pending_connects):
             sock.close()
 
     run(test())
 
 
 @pytest.mark.parametrize(("size", "result"), [(10, R.RESET), (50_000_000, R.CONNECT_FAILED)])
-def test_a_break_before_the_last_byte_was_written_is_no_reset(
+def test_break_before_last_byte_was_written_is_connect_failed(
     size: int, result: api.AttemptResult
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        ended: asyncio.Future[api.AttemptResult] = loop.create_future()
+        attempt_result: asyncio.Future[api.AttemptResult] = loop.create_future()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -229,24 +245,24 @@
         connection = UpstreamConnection(lambda c: None, lambda c: None)
         await loop.create_connection(lambda: connection, *server.sockets[0].getsockname())
         request = message(b"POST / HTTP/1.1", [(b"Content-Length", b"%d" % size)], b"x" * size)
-        connection.start(Exchange(request, lambda r, response: ended.set_result(r)))
-        assert await ended is result
+        connection.start(Exchange(request, lambda r, response: attempt_result.set_result(r)))
+        assert await attempt_result is result
         server.close()
 
     run(test())
 
 
-def test_the_deadline_cuts_the_attempt_and_the_answer_comes_in_time(
+def test_deadline_cancels_attempt_and_client_is_answered_in_time(
     recorder: EventRecorder,
 ) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             w.upstreams[0].script = [never_respond]
-            got = await w.ask("r1", X_Deadline_Ms=300)
-            assert got.status == 503
+            response_message = await w.ask("r1", X_Deadline_Ms=300)
+            assert response_message.status == 503
             assert int(w.upstreams[0].received_requests[-1].headers["x-deadline-ms"]) < 300
             (outcome,) = recorder.of_type(api.AttemptFinished)
-            assert outcome.result is R.TIMEOUT and outcome.duration_ns < AIM_NS
+            assert outcome.result is R.TIMEOUT and outcome.duration_ns < LATENCY_OBJECTIVE_NS
             # Giving up an attempt closes its connection: the upstream knows, and a late answer hits
             # nobody.
             await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count == 1)
@@ -254,13 +270,13 @@
     run(test())
 
 
-def test_after_a_stall_the_module_still_has_the_last_word(recorder: EventRecorder) -> None:
+def test_policy_still_rejects_request_after_event_loop_stall(recorder: EventRecorder) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             client = await w.client_awaiting_response("r1", X_Deadline_Ms=300)
             time.sleep(0.4)  # the whole loop stands still, past every timer of the request
-            got = await read_message(client.reader)
-            assert got.status == 503 and "retry-after" in got.headers
+            response_message = await read_message(client.reader)
+            assert response_message.status == 503 and "retry-after" in response_message.headers
             assert recorder.results() == [R.TIMEOUT] and not recorder.of_type(
                 api.ClientDisconnected
             )
@@ -268,7 +284,7 @@
     run(test())
 
 
-def test_a_client_that_leaves(recorder: EventRecorder) -> None:
+def test_client_disconnect_cancels_attempt(recorder: EventRecorder) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             client = await w.client_awaiting_response("r1")
@@ -286,36 +302,38 @@
     run(test())
 
 
-class Puppet(Balancer):
+class ScriptedPolicy(Balancer):
     """A module that does what a test says."""
 
-    acts: Callable[[api.Event], list[api.Action]]
+    decide_actions: Callable[[api.Event], list[api.Action]]
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
-        return [action for event in events for action in type(self).acts(event)]
+        return [action for event in events for action in type(self).decide_actions(event)]
 
 
-def puppet(
+def use_scripted_policy(
     monkeypatch: pytest.MonkeyPatch,
     recorder: EventRecorder,
-    acts: Callable[[api.Event, int], list[api.Action]],
+    decide_actions: Callable[[api.Event, int], list[api.Action]],
 ) -> None:
-    """Have `acts` decide: it gets the event and the number of the first upstream listed."""
-    known: list[int] = []
+    """Have `decide_actions` decide: it gets the event and the number of the first upstream
+    listed.
+    """
+    upstream_numbers: list[int] = []
 
     def decide(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.EndpointsUpdated):
-            known.extend(u.id for u in event.upstreams)
-        return acts(event, known[0]) if known else []
+            upstream_numbers.extend(u.id for u in event.upstreams)
+        return decide_actions(event, upstream_numbers[0]) if upstream_numbers else []
 
-    monkeypatch.setattr(Puppet, "acts", staticmethod(decide), raising=False)
-    monkeypatch.setattr(policy_driver, "Balancer", recorder.wrap(Puppet))
+    monkeypatch.setattr(ScriptedPolicy, "decide_actions", staticmethod(decide), raising=False)
+    monkeypatch.setattr(policy_driver, "Balancer", recorder.wrap(ScriptedPolicy))
 
 
-def test_a_send_that_cannot_start_is_moot(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_that_cannot_start_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     recorder = EventRecorder()
 
-    def acts(event: api.Event, upstream: int) -> list[api.Action]:
+    def decide_actions(event: api.Event, upstream: int) -> list[api.Action]:
         if isinstance(
             event, api.RequestArrived
         ):  # a second copy is not allowed, nor an upstream nobody listed
@@ -326,7 +344,7 @@
             ]
         return []
 
-    puppet(monkeypatch, recorder, acts)
+    use_scripted_policy(monkeypatch, recorder, decide_actions)
 
     async def test() -> None:
         limits = replace(SETTINGS.limits, max_attempts=5)
@@ -343,10 +361,10 @@
     run(test())
 
 
-def test_a_failing_module_fails_the_request_and_is_logged(
+def test_policy_exception_fails_request_and_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    def acts(event: api.Event, upstream: int) -> list[api.Action]:
+    def decide_actions(event: api.Event, upstream: int) -> list[api.Action]:
         if isinstance(event, api.RequestArrived) and event.request == "bad":
             raise RuntimeError("out of its mind")
         return (
@@ -355,7 +373,7 @@
             else []
         )
 
-    puppet(monkeypatch, EventRecorder(), acts)
+    use_scripted_policy(monkeypatch, EventRecorder(), decide_actions)
 
     async def test() -> None:
         async with running_balancer() as w:
@@ -367,11 +385,11 @@
     run(test())
 
 
-def test_a_module_that_forgets_a_request(
+def test_request_without_decision_times_out_and_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     recorder = EventRecorder()
-    puppet(monkeypatch, recorder, lambda event, upstream: [])
+    use_scripted_policy(monkeypatch, recorder, lambda event, upstream: [])
 
     async def test() -> None:
         async with running_balancer() as w:
@@ -405,19 +423,19 @@
     run(test())
 
 
-def test_an_answer_that_cannot_be_given_harms_no_other(
+def test_failure_to_serve_response_does_not_affect_other_requests(
     monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
     from loadbalancer.proxy.client_connection import ClientConnection
 
     serve = ClientConnection.serve
 
-    def fails(self: ClientConnection, response: Response) -> None:
+    def serve_unless_bad(self: ClientConnection, response: Response) -> None:
         if response.body == b"bad":
             raise RuntimeError("no")
         serve(self, response)
 
-    monkeypatch.setattr(ClientConnection, "serve", fails)
+    monkeypatch.setattr(ClientConnection, "serve", serve_unless_bad)
 
     async def test() -> None:
         async with running_balancer() as w:
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -37,60 +37,68 @@
     run,
     running_balancer,
 )
-from tests.proxy.test_races import blocked, held_connection, plain
+from tests.proxy.test_races import (
+    connect_raw_socket,
+    connection_with_open_request,
+    upstream_with_full_accept_queue,
+)
 
-SLACK_MS = 150  # a process may be held up for so long between reading its clock and writing
-PATIENT = replace(SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=5 * SECOND))
-LONG = 200_000  # bytes of a body that passes through in pieces
+MAX_STALL_MS = 150  # a process may be held up for so long between reading its clock and writing
+LONG_CONNECT_SETTINGS = replace(
+    SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=5 * SECOND)
+)
+STREAMED_BODY_BYTES = 200_000  # bytes of a body that passes through in pieces
 
 
 @pytest.fixture
-def begun(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
+def attempt_start_times_ns(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
     """When the first byte of each attempt was written, ns."""
     times: list[int] = []
     start = UpstreamConnection.start
 
-    def noted(
+    def start_and_record_time(
         connection: UpstreamConnection, exchange: Exchange, *upstream_verdict: Verdict
     ) -> None:
         times.append(time.monotonic_ns())
         start(connection, exchange, *upstream_verdict)
 
-    monkeypatch.setattr(UpstreamConnection, "start", noted)
+    monkeypatch.setattr(UpstreamConnection, "start", start_and_record_time)
     yield times
 
 
-def told_ms(message: Message) -> int:
+def announced_deadline_ms(message: Message) -> int:
     return int(message.headers["x-deadline-ms"])
 
 
-def test_a_connection_that_comes_up_late_tells_what_is_left_then(
-    begun: list[int], frontends: list[Frontend]
+def test_late_connection_announces_time_remaining_at_write(
+    attempt_start_times_ns: list[int], frontends: list[Frontend]
 ) -> None:
     """Its upstream's accept queue is full: the SYN is sent again after a second."""
 
     async def test() -> None:
-        with blocked() as (row, admit):
+        with upstream_with_full_accept_queue() as (row, accept_next):
             async with running_balancer(
-                0, settings=PATIENT, known={"version": 1, "full": True, "servers": [row]}
+                0,
+                settings=LONG_CONNECT_SETTINGS,
+                known={"version": 1, "full": True, "servers": [row]},
             ) as w:
-                with closing(await plain(w)) as client:
+                with closing(await connect_raw_socket(w)) as client:
                     received_ns = time.monotonic_ns()
                     client.send(
                         b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nX-Class: quote\r\n"
                         b"X-Deadline-Ms: 2800\r\n\r\n"
                     )
-                    await held_connection(frontends[0])
+                    await connection_with_open_request(frontends[0])
                     while not frontends[0].driver.upstreams.pool.connecting:
                         await asyncio.sleep(0)
                     await asyncio.sleep(0.2)  # its SYN finds the queue full meanwhile
-                    link = await asyncio.to_thread(admit)
+                    link = await asyncio.to_thread(accept_next)
                     link.setblocking(False)
                     reader, writer = await asyncio.open_connection(sock=link)
                     with closing(writer):
                         message = await read_message(reader)
-                        left_ms = 2800 - (begun[-1] - received_ns) / 1e6
-                        assert told_ms(message) <= left_ms + SLACK_MS
+                        remaining_ms = 2800 - (attempt_start_times_ns[-1] - received_ns) / 1e6
+                        assert announced_deadline_ms(message) <= remaining_ms + MAX_STALL_MS
                         writer.write(http_response(200, b"done"))
                         assert (await asyncio.get_running_loop().sock_recv(client, 99)).startswith(
                             b"HTTP/1.1 200 "
@@ -99,24 +107,26 @@
     run(test())
 
 
-def test_the_head_of_a_body_in_pieces_tells_no_more_than_its_client_waits() -> None:
+def test_streamed_body_announces_at_most_deadline_of_client() -> None:
     deadline_ms = 400
 
     async def test() -> None:
-        async with running_balancer(settings=PATIENT) as w:
+        async with running_balancer(settings=LONG_CONNECT_SETTINGS) as w:
             client = await w.client()
-            client.send("r1", "pay", "POST", X_Deadline_Ms=deadline_ms, Content_Length=LONG)
-            client.writer.write(b"x" * (LONG - 1))
-            await until_connected(w)
+            client.send(
+                "r1", "pay", "POST", X_Deadline_Ms=deadline_ms, Content_Length=STREAMED_BODY_BYTES
+            )
+            client.writer.write(b"x" * (STREAMED_BODY_BYTES - 1))
+            await wait_until_connected(w)
             client.writer.write(b"x")
             assert (await read_message(client.reader)).status == 200
-            assert told_ms(w.upstreams[0].received_requests[0]) <= deadline_ms
+            assert announced_deadline_ms(w.upstreams[0].received_requests[0]) <= deadline_ms
             client.close()
 
     run(test())
 
 
-def test_the_last_byte_of_a_body_is_not_written_when_its_head_tells_too_much_by_then(
+def test_last_body_byte_is_not_written_if_announced_deadline_is_too_late(
     recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its upstream reads slowly: the client's time runs on from its last byte, while that waits
@@ -125,29 +135,29 @@
     started: list[tuple[UpstreamConnection, Body]] = []
     start = UpstreamConnection.start
 
-    def keep(
+    def start_and_record_body(
         connection: UpstreamConnection, exchange: Exchange, *upstream_verdict: Verdict
     ) -> None:
         if exchange.body is not None:
             started.append((connection, exchange.body))
         start(connection, exchange, *upstream_verdict)
 
-    monkeypatch.setattr(UpstreamConnection, "start", keep)
-    go_on = UpstreamConnection.resume_writing
+    monkeypatch.setattr(UpstreamConnection, "start", start_and_record_body)
+    original_resume_writing = UpstreamConnection.resume_writing
 
     async def test() -> None:
-        async with running_balancer(settings=PATIENT) as w:
+        async with running_balancer(settings=LONG_CONNECT_SETTINGS) as w:
             client = await w.client()
-            client.send("r1", "pay", "POST", X_Deadline_Ms=500, Content_Length=LONG)
-            client.writer.write(b"x" * (LONG - 1))
-            while not started or started[0][1].taken_bytes < LONG - 1:
+            client.send("r1", "pay", "POST", X_Deadline_Ms=500, Content_Length=STREAMED_BODY_BYTES)
+            client.writer.write(b"x" * (STREAMED_BODY_BYTES - 1))
+            while not started or started[0][1].taken_bytes < STREAMED_BODY_BYTES - 1:
                 await asyncio.sleep(0)
             started[0][0].pause_writing()
             client.writer.write(b"x")
             monkeypatch.setattr(UpstreamConnection, "resume_writing", lambda connection: None)
             await recorder.until(lambda: recorder.of_type(api.BodyCompleted))
             await asyncio.sleep(0.3)  # time that goes by is what is tested
-            go_on(started[0][0])
+            original_resume_writing(started[0][0])
             assert (await read_message(client.reader)).status in (502, 503, 504)
             await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count)
             assert not w.upstreams[0].received_requests  # none whole
@@ -156,43 +166,46 @@
     run(test())
 
 
-async def until_connected(w: BalancerHarness) -> None:
+async def wait_until_connected(w: BalancerHarness) -> None:
     while not w.upstreams[0].connections:
         await asyncio.sleep(0)
 
 
-def test_a_retry_tells_what_is_left_then(begun: list[int]) -> None:
+def test_retry_announces_remaining_time(attempt_start_times_ns: list[int]) -> None:
     async def test() -> None:
-        limits = replace(PATIENT.limits, max_attempts=2)
-        async with running_balancer(2, settings=replace(PATIENT, limits=limits)) as w:
-            turned_away = asyncio.Event()
+        limits = replace(LONG_CONNECT_SETTINGS.limits, max_attempts=2)
+        async with running_balancer(2, settings=replace(LONG_CONNECT_SETTINGS, limits=limits)) as w:
+            rejection_released = asyncio.Event()
 
-            async def late() -> bytes:
-                await turned_away.wait()
+            async def reject_when_released() -> bytes:
+                await rejection_released.wait()
                 return http_response(503, b"", "X-Not-Run: 1")
 
             for upstream in w.upstreams:
-                upstream.script = [late]
+                upstream.script = [reject_when_released]
             client = await w.client()
             received_ns = time.monotonic_ns()
             client.send("r1", X_Deadline_Ms=2000)
-            while not begun:
+            while not attempt_start_times_ns:
                 await asyncio.sleep(0)
             await asyncio.sleep(0.2)  # time that goes by is what is tested
-            turned_away.set()
-            while len(begun) < 2:
+            rejection_released.set()
+            while len(attempt_start_times_ns) < 2:
                 await asyncio.sleep(0)
             for upstream in w.upstreams:
                 upstream.script = []
             await read_message(client.reader)
             seen = [m for u in w.upstreams for m in u.received_requests]
-            assert min(map(told_ms, seen)) <= 2000 - (begun[1] - received_ns) / 1e6 + SLACK_MS
+            assert (
+                min(map(announced_deadline_ms, seen))
+                <= 2000 - (attempt_start_times_ns[1] - received_ns) / 1e6 + MAX_STALL_MS
+            )
             client.close()
 
     run(test())
 
 
-class StillThere:
+class ConnectedClient:
     """A client that waits."""
 
     gone = False
@@ -213,72 +226,74 @@
 @given(
     wait_ms=st.integers(1, 4000),
     timeout_ms=st.integers(0, 4000),
-    in_pieces=st.booleans(),
-    decided_ms=milliseconds,
-    connect_ms=milliseconds,
-    body_ms=milliseconds,
-    write_ms=milliseconds,
-    held_up_ms=st.integers(0, SLACK_MS),
-    late_ms=st.integers(0, 50),
+    is_streamed=st.booleans(),
+    decision_delay_ms=milliseconds,
+    connect_delay_ms=milliseconds,
+    body_duration_ms=milliseconds,
+    write_delay_ms=milliseconds,
+    stall_ms=st.integers(0, MAX_STALL_MS),
+    event_loop_delay_ms=st.integers(0, 50),
     number=st.integers(0, 1),
 )
-def test_whatever_delays_an_attempt_it_tells_no_more_than_its_client_has_left(
+def test_announced_deadline_never_exceeds_remaining_time_of_client(
     wait_ms: int,
     timeout_ms: int,
-    in_pieces: bool,
-    decided_ms: int,
-    connect_ms: int,
-    body_ms: int,
-    write_ms: int,
-    held_up_ms: int,
-    late_ms: int,
+    is_streamed: bool,
+    decision_delay_ms: int,
+    connect_delay_ms: int,
+    body_duration_ms: int,
+    write_delay_ms: int,
+    stall_ms: int,
+    event_loop_delay_ms: int,
     number: int,
 ) -> None:
-    """First tries, retries and second copies. `body_ms`: from the head to the last byte of a body
-    that comes in pieces, `write_ms`: from there to its write, `held_up_ms`: from the look at the
-    clock to the write.
+    """First tries, retries and second copies. `body_duration_ms`: from the head to the last byte of
+    a body that comes in pieces, `write_delay_ms`: from there to its write, `stall_ms`: from the
+    look at the clock to the write.
     """
     start_ns = 10 * SECOND
-    wait_ns, whole = wait_ms * MS, not in_pieces
-    deadline_ns = start_ns + wait_ns if whole else start_ns + 600 * SECOND
+    wait_ns, is_complete = wait_ms * MS, not is_streamed
+    deadline_ns = start_ns + wait_ns if is_complete else start_ns + 600 * SECOND
     arrival = api.RequestArrived(
-        "r1", "pay", "ash", deadline_ns, received_ns=start_ns, body_complete=whole
+        "r1", "pay", "ash", deadline_ns, received_ns=start_ns, body_complete=is_complete
     )
-    body = Body(10, BodyMemory(1024), True) if in_pieces else None
+    body = Body(10, BodyMemory(1024), True) if is_streamed else None
     request = OpenRequest(
         arrival,
         b"POST",
         b"/pay",
         [],
         b"",
-        StillThere(),
+        ConnectedClient(),
         wait_ns,
         body,
         attempts=[None] * (number + 1),
         attempts_in_flight=number + 1,
     )
-    limits = api.Limits(max_attempts=2, may_hedge=not in_pieces)
-    now_ns = start_ns + decided_ms * MS
+    limits = api.Limits(max_attempts=2, may_hedge=not is_streamed)
+    now_ns = start_ns + decision_delay_ms * MS
     timeout_ns = (timeout_ms or 4000) * MS
     attempt_limits = AttemptLimits(limits, timeout_ns, now_ns + timeout_ns, 0)
     attempt = OutgoingAttempt(request, number, attempt_limits, PolicyViolations(), lambda r: None)
-    clock = now_ns + connect_ms * MS
+    clock = now_ns + connect_delay_ms * MS
     with mock.patch("loadbalancer.proxy.attempt.time.monotonic_ns", lambda: clock):
         data = attempt.begin(ALLOWED)
         if isinstance(data, Denied):
             return
-        [told] = [
+        [announced_ms] = [
             int(row.partition(b":")[2])
             for row in data.split(b"\r\n")
             if row.startswith(b"X-Deadline")
         ]
-        if whole:
-            assert told <= (deadline_ns - clock) / MS - held_up_ms + SLACK_MS
+        if is_complete:
+            assert announced_ms <= (deadline_ns - clock) / MS - stall_ms + MAX_STALL_MS
             return
-        received_ns = clock + body_ms * MS  # its last byte: the client's time runs from there
-        clock = received_ns + (late_ms + write_ms) * MS
+        received_ns = (
+            clock + body_duration_ms * MS
+        )  # its last byte: the client's time runs from there
+        clock = received_ns + (event_loop_delay_ms + write_delay_ms) * MS
         request.arrival = arrival._replace(
             deadline_ns=received_ns + wait_ns, received_ns=received_ns, body_complete=True
         )
         if attempt.may_finish():
-            assert told <= (received_ns + wait_ns - clock) / MS + SLACK_MS - 50
+            assert announced_ms <= (received_ns + wait_ns - clock) / MS + MAX_STALL_MS - 50
--- a/tests/proxy/test_event_loop_waits.py
+++ b/tests/proxy/test_event_loop_waits.py
@@ -20,73 +20,73 @@
 from tests.fakes import SECOND, SETTINGS, never_respond, run, running_balancer
 
 # Parts of the loop's ticks, of which it makes nothing or one too few.
-PARTS_S = (0.0004, 0.0014, 0.0123)
+INTERVALS_S = (0.0004, 0.0014, 0.0123)
 # calls for one timer: on time, and early by a tick of the loop's clock and one of the kernel's
-EARLY = 4
+MAX_CALLS_PER_TIMER = 4
 
 
-@pytest.mark.parametrize("part_s", PARTS_S)
-def test_a_wake_that_comes_early_does_not_turn_without_a_wait(
-    part_s: float, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("interval_s", INTERVALS_S)
+def test_early_policy_timer_does_not_busy_loop(
+    interval_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The module set what was left anew, and was asked hundreds of times until the clock had moved
     on.
     """
-    done = asyncio.Event()
-    calls: list[int] = []
+    all_timers_fired = asyncio.Event()
+    calls_per_timer: list[int] = []
 
-    class Timed:
+    class TimerPolicy:
         """Has one timer after another, each until its time has come."""
 
         def __init__(self, config: api.Settings, seed: int, now: int) -> None:
-            self.due, self.left = 0, 20
+            self.due_ns, self.timers_left = 0, 20
 
         def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
             if (
                 not any(isinstance(e, api.TimerFired | api.EndpointsUpdated) for e in events)
-                or not self.left
+                or not self.timers_left
             ):
                 return []
-            if now >= self.due:
-                self.left -= 1
-                self.due = now + int(part_s * SECOND)
-                calls.append(0)
-            if not self.left:
-                done.set()
-            calls[-1] += 1
-            return [api.SetTimer(self.due - now, "rest")]
+            if now >= self.due_ns:
+                self.timers_left -= 1
+                self.due_ns = now + int(interval_s * SECOND)
+                calls_per_timer.append(0)
+            if not self.timers_left:
+                all_timers_fired.set()
+            calls_per_timer[-1] += 1
+            return [api.SetTimer(self.due_ns - now, "rest")]
 
-    monkeypatch.setattr(policy_driver, "Balancer", Timed)
+    monkeypatch.setattr(policy_driver, "Balancer", TimerPolicy)
 
     async def test() -> None:
         async with running_balancer():
-            await done.wait()
+            await all_timers_fired.wait()
 
     run(test())
-    assert max(calls[:-1]) <= EARLY, calls
+    assert max(calls_per_timer[:-1]) <= MAX_CALLS_PER_TIMER, calls_per_timer
 
 
-@pytest.mark.parametrize("part_s", PARTS_S)
-@pytest.mark.parametrize("what", ["a client's", "an upstream's"])
-def test_a_sweep_that_comes_early_does_not_turn_without_a_wait(
-    what: str, part_s: float, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("interval_s", INTERVALS_S)
+@pytest.mark.parametrize("connection_side", ["a client's", "an upstream's"])
+def test_early_sweep_timer_does_not_busy_loop(
+    connection_side: str, interval_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The same at the two timers that serve whole tables of connections."""
-    sweeps: list[float] = []
-    kind: Any = Frontend if what == "a client's" else ConnectionPool
-    method = "_sweep" if what == "a client's" else "_close_expired_idle"
-    sweep = getattr(kind, method)
+    sweep_times_s: list[float] = []
+    swept_class: Any = Frontend if connection_side == "a client's" else ConnectionPool
+    method = "_sweep" if connection_side == "a client's" else "_close_expired_idle"
+    sweep = getattr(swept_class, method)
 
     def counted(*args: Any) -> None:
-        sweeps.append(time.monotonic())
+        sweep_times_s.append(time.monotonic())
         sweep(*args)
 
-    monkeypatch.setattr(kind, method, counted)
+    monkeypatch.setattr(swept_class, method, counted)
     limits = SETTINGS.limits
-    if what == "a client's":
-        monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, part_s)
+    if connection_side == "a client's":
+        monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, interval_s)
     else:
-        limits = replace(limits, conn_idle_ns=int(part_s / IDLE_FRACTION * SECOND))
+        limits = replace(limits, conn_idle_ns=int(interval_s / IDLE_FRACTION * SECOND))
 
     async def test() -> None:
         async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
@@ -94,7 +94,7 @@
             for number in range(10):
                 client = await w.client()
                 assert (await client.ask(f"r{number}")).status == 200
-                if what == "a client's":
+                if connection_side == "a client's":
                     await client.expect_eof()
                 else:
                     await upstream.until(
@@ -103,19 +103,19 @@
                 client.close()
 
     run(test())
-    assert len(sweeps) <= 10 * EARLY, len(sweeps)
+    assert len(sweep_times_s) <= 10 * MAX_CALLS_PER_TIMER, len(sweep_times_s)
 
 
-@pytest.mark.parametrize("places", ["have open requests", "are too fresh to make room"])
-def test_newcomers_that_find_no_place_do_not_turn_the_loop_without_a_wait(
-    places: str, monkeypatch: pytest.MonkeyPatch, frontends: list[Frontend]
+@pytest.mark.parametrize("occupancy", ["have open requests", "are too fresh to make room"])
+def test_clients_over_connection_limit_do_not_cause_busy_loop(
+    occupancy: str, monkeypatch: pytest.MonkeyPatch, frontends: list[Frontend]
 ) -> None:
     """They lie in the queue, and the listener would be readable on every turn."""
-    looks: list[int] = []
+    client_counts_at_accept: list[int] = []
     accept = Frontend._accept
 
     def counted(front: Frontend) -> bool:
-        looks.append(len(front.clients))
+        client_counts_at_accept.append(len(front.clients))
         return accept(front)
 
     monkeypatch.setattr(Frontend, "_accept", counted)
@@ -126,23 +126,23 @@
         async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # two clients
             upstream = w.upstreams[0]
             upstream.script = [never_respond, never_respond]
-            taken = [await w.client() for _ in range(2)]
-            for number, client in enumerate(taken):
-                if places == "have open requests":
+            accepted_clients = [await w.client() for _ in range(2)]
+            for number, client in enumerate(accepted_clients):
+                if occupancy == "have open requests":
                     client.send(f"r{number}")
                 else:
                     client.writer.write(b"GET /quote HTT")
-            if places == "have open requests":
+            if occupancy == "have open requests":
                 await upstream.until(lambda: len(upstream.received_requests) == 2)
             [front] = frontends
             while len(front.clients) < 2:
                 await asyncio.sleep(0)
-            looks.clear()
-            late = [await w.client() for _ in range(20)]
+            client_counts_at_accept.clear()
+            queued_clients = [await w.client() for _ in range(20)]
             for _ in range(1000):
                 await asyncio.sleep(0)
-            assert 1 <= len(looks) <= 3, len(looks)
-            for client in taken + late:
+            assert 1 <= len(client_counts_at_accept) <= 3, len(client_counts_at_accept)
+            for client in accepted_clients + queued_clients:
                 client.close()
 
     run(test())
--- a/tests/proxy/test_parse.py
+++ b/tests/proxy/test_parse.py
@@ -11,8 +11,8 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-@pytest.mark.parametrize("step", [1, 7, 1_000_000])
-def test_requests_are_read_alike_in_whatever_pieces_they_come(step: int) -> None:
+@pytest.mark.parametrize("piece_bytes", [1, 7, 1_000_000])
+def test_requests_are_parsed_identically_for_any_piece_size(piece_bytes: int) -> None:
     data = (
         HEAD
         + b"X-Odd:  a b\t\r\nContent-Length: 4\r\n\r\nbody"
@@ -22,8 +22,8 @@
         + b"Connection: close\r\n\r\n"
     )
     reader = RequestReader()
-    for at in range(0, len(data), step):
-        reader.feed(data[at : at + step])
+    for offset in range(0, len(data), piece_bytes):
+        reader.feed(data[offset : offset + piece_bytes])
     assert reader.fault is None and not reader.in_message
     assert [(r.method, r.target, r.body, r.keep_alive) for r in reader.ready] == [
         (b"POST", b"/pay", b"body", True),
@@ -78,29 +78,29 @@
         (b"GET /" + b"x" * MAX_HEAD, 431),
     ],
 )
-def test_requests_that_are_turned_away(data: bytes, status: int) -> None:
-    for step in (1000, 1_000_000_000):
+def test_invalid_request_is_rejected_with_status(data: bytes, status: int) -> None:
+    for piece_bytes in (1000, 1_000_000_000):
         reader = RequestReader()
-        for at in range(0, len(data), step):
-            reader.feed(data[at : at + step])
+        for offset in range(0, len(data), piece_bytes):
+            reader.feed(data[offset : offset + piece_bytes])
         assert reader.fault is not None and reader.fault.status == status
         reader.feed(HEAD + b"\r\n")
         assert not reader.ready  # nothing is read behind it
 
 
-def test_a_wish_for_another_protocol_is_ignored_in_a_request_and_not_believed_in_an_answer() -> (
-    None
-):
-    wish = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
+def test_upgrade_is_ignored_in_request_and_rejected_in_response() -> None:
+    upgrade_headers = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader = RequestReader()
-    reader.feed(HEAD + wish)
+    reader.feed(HEAD + upgrade_headers)
     assert reader.fault is None and [r.keep_alive for r in reader.ready] == [False]
-    answers = ResponseReader()
-    answers.feed(b"HTTP/1.1 101 X\r\n" + wish + OK + b"Content-Length: 0\r\n\r\n")
-    assert answers.fault is not None and not answers.ready
+    response_reader = ResponseReader()
+    response_reader.feed(
+        b"HTTP/1.1 101 X\r\n" + upgrade_headers + OK + b"Content-Length: 0\r\n\r\n"
+    )
+    assert response_reader.fault is not None and not response_reader.ready
 
 
-def test_a_client_that_waits_to_be_told_to_go_on() -> None:
+def test_expect_continue_is_set_until_body_arrives() -> None:
     reader = RequestReader()
     reader.feed(HEAD + b"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
     assert reader.expects_continue and not reader.ready
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "body", "clean"),
+    ("data", "body", "is_only_message"),
     [
         (OK + b"Content-Length: 2\r\n\r\nok", b"ok", True),
         (b"HTTP/1.1 204 X\r\n\r\n", b"", True),
@@ -119,21 +119,21 @@
         (OK + b"Content-Length: 2\r\n\r\nok" + OK + b"Content-Length: 0\r\n\r\n", b"ok", False),
     ],
 )
-def test_an_answer_and_whether_anything_stands_behind_it(
-    data: bytes, body: bytes, clean: bool
+def test_response_is_parsed_and_bytes_after_it_are_detected(
+    data: bytes, body: bytes, is_only_message: bool
 ) -> None:
     reader = ResponseReader()
     reader.feed(data)
     assert reader.ready.popleft().body == body
-    assert clean is not bool(reader.ready or reader.in_message or reader.fault)
+    assert is_only_message is not bool(reader.ready or reader.in_message or reader.fault)
 
 
-def test_how_long_an_answer_may_be_is_told_for_each() -> None:
-    long = OK + b"Content-Length: 70000\r\n\r\n" + b"x" * 70_000
+def test_response_size_limit_is_set_per_response() -> None:
+    long_response = OK + b"Content-Length: 70000\r\n\r\n" + b"x" * 70_000
     reader = ResponseReader()
     reader.expect(4 * MAX_BODY)
-    reader.feed(long)
+    reader.feed(long_response)
     assert len(reader.ready.popleft().body) == 70_000
     reader.expect(MAX_BODY)
-    reader.feed(long)
+    reader.feed(long_response)
     assert reader.fault is not None and not reader.ready
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -63,7 +63,7 @@
 REQUEST = message(b"GET /quote HTTP/1.1", [(b"Host", b"h"), (b"X-Request-Id", b"r1")])
 
 
-async def plain(w: BalancerHarness) -> socket.socket:
+async def connect_raw_socket(w: BalancerHarness) -> socket.socket:
     """A client's bare socket: what it does is done at once, not on a turn of the loop."""
     sock = socket.socket()
     sock.setblocking(False)
@@ -71,7 +71,7 @@
     return sock
 
 
-async def read_all(sock: socket.socket) -> bytes:
+async def read_until_eof(sock: socket.socket) -> bytes:
     """All that comes until the end; a reset raises."""
     got = b""
     while data := await asyncio.get_running_loop().sock_recv(sock, 65536):
@@ -79,7 +79,7 @@
     return got
 
 
-async def held_connection(front: Frontend) -> ClientConnection:
+async def connection_with_open_request(front: Frontend) -> ClientConnection:
     while not front.clients or not any(c.open_request for c in front.clients):
         await asyncio.sleep(0)
     return next(c for c in front.clients if c.open_request)
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("when", ["behind the last answer", "at rest", "silent"])
-def test_what_crosses_the_close_of_a_connection_does_not_reset_it(
+def test_request_received_during_close_does_not_reset_connection(
     when: str, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Bytes that come between the last look and the close turned it into a reset, which can take
@@ -98,7 +98,7 @@
 
     async def test() -> None:
         async with running_balancer() as w:
-            with await plain(w) as sock:
+            with await connect_raw_socket(w) as sock:
                 crossing = REQUEST.replace(b"r1", b"crossing")
                 if when == "behind the last answer":
                     write = ClientConnection.write
@@ -123,7 +123,7 @@
                     frontends[0].clients_by_phase[phase][client] -= 60.0
                     frontends[0]._sweep()
                     sock.send(crossing)
-                got = await asyncio.wait_for(read_all(sock), 5.0)
+                got = await asyncio.wait_for(read_until_eof(sock), 5.0)
                 assert got.startswith(b"HTTP/1.1 200 ") is (when == "behind the last answer")
             assert (await w.ask("last")).status == 200
             assert b"crossing" not in b" ".join(
@@ -133,7 +133,7 @@
     run(test())
 
 
-def test_a_client_that_goes_on_sending_does_not_keep_a_connection_that_has_ended(
+def test_lingering_connection_closes_although_client_keeps_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.LINGERING, 0.1)
@@ -151,14 +151,14 @@
     run(test())
 
 
-def test_what_a_client_sent_ahead_is_not_begun_once_it_has_gone(
+def test_pipelined_request_does_not_start_after_client_disconnects(
     recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             client = await w.client_awaiting_response("r1")
             client.send("ahead")
-            connection = await held_connection(frontends[0])
+            connection = await connection_with_open_request(frontends[0])
             while not connection.has_data:
                 await asyncio.sleep(0)
             connection.eof_received()
@@ -169,13 +169,13 @@
     run(test())
 
 
-def test_small_writes_are_not_held_back(frontends: list[Frontend]) -> None:
+def test_tcp_nodelay_is_set_on_both_sides(frontends: list[Frontend]) -> None:
     """What the system holds back to fill a segment goes with a reset: so it holds back nothing."""
 
     async def test() -> None:
         async with running_balancer() as w:
             client = await w.client_awaiting_response("r1")
-            connection = await held_connection(frontends[0])
+            connection = await connection_with_open_request(frontends[0])
             assert connection.transport is not None
             request = connection.open_request
             assert request is not None and request.attempts[0] is not None
@@ -191,7 +191,7 @@
 
 # ---- a client that has gone ----------------------------------------------------------------------
 
-RETRIES = replace(
+RETRY_SETTINGS = replace(
     SETTINGS,
     limits=replace(
         SETTINGS.limits, max_attempts=3, may_cancel=False, connect_timeout_ns=20 * SECOND
@@ -200,15 +200,13 @@
 
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
-def test_no_further_attempt_for_a_client_whose_close_lies_unread(
-    how: str, frontends: list[Frontend]
-) -> None:
+def test_no_retry_if_close_of_client_is_unread(how: str, frontends: list[Frontend]) -> None:
     """It is not read from, as while a body waits for room or the loop is late: the end lies in the
     kernel.
     """
 
     async def test() -> None:
-        async with running_balancer(2, settings=RETRIES) as w:
+        async with running_balancer(2, settings=RETRY_SETTINGS) as w:
             turned_away = asyncio.Event()
 
             async def busy() -> bytes:
@@ -217,9 +215,9 @@
 
             for upstream in w.upstreams:
                 upstream.script = [busy]
-            with await plain(w) as sock:
+            with await connect_raw_socket(w) as sock:
                 sock.send(REQUEST)
-                connection = await held_connection(frontends[0])
+                connection = await connection_with_open_request(frontends[0])
                 assert connection.transport is not None
                 while not any(u.received_requests for u in w.upstreams):
                     await asyncio.sleep(0)
@@ -241,7 +239,7 @@
 
 
 @contextmanager
-def blocked() -> Iterator[tuple[Json, Callable[[], socket.socket]]]:
+def upstream_with_full_accept_queue() -> Iterator[tuple[Json, Callable[[], socket.socket]]]:
     """An upstream whose accept queue is full: connections to it come up only once it is emptied.
     Gives its entry of the list, and a call that empties the queue and takes the next connection.
     """
@@ -254,14 +252,14 @@
             while True:
                 fill.append(socket.create_connection(address, 0.2))
 
-        def admit() -> socket.socket:
+        def accept_next() -> socket.socket:
             for sock in fill:
                 server.accept()[0].close()
                 sock.close()
             server.settimeout(10.0)
             return server.accept()[0]
 
-        yield {"id": "blocked", "addr": "{}:{}".format(*address), "state": "Ready"}, admit
+        yield {"id": "blocked", "addr": "{}:{}".format(*address), "state": "Ready"}, accept_next
 
 
 @pytest.mark.parametrize(
@@ -274,30 +272,30 @@
         "it may not be repeated any more",
     ],
 )
-def test_a_connection_that_comes_up_too_late_carries_no_attempt(
+def test_connection_established_too_late_carries_no_attempt(
     what: str, frontends: list[Frontend], recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     start_attempt = Dispatcher.start_attempt
 
-    def hurried(module: Dispatcher, *args: Any) -> None:
+    def start_attempt_with_limit(module: Dispatcher, *args: Any) -> None:
         start_attempt(module, *args)
         module.context.actions[-1] = cast(api.StartAttempt, module.context.actions[-1])._replace(
             start_by_ns=100 * MS
         )
 
     if what == "it may not be repeated any more":
-        monkeypatch.setattr(Dispatcher, "start_attempt", hurried)
+        monkeypatch.setattr(Dispatcher, "start_attempt", start_attempt_with_limit)
 
     async def test() -> None:
-        with blocked() as (row, admit):
-            once = replace(RETRIES, limits=replace(RETRIES.limits, max_attempts=1))
+        with upstream_with_full_accept_queue() as (row, accept_next):
+            once = replace(RETRY_SETTINGS, limits=replace(RETRY_SETTINGS.limits, max_attempts=1))
             async with running_balancer(
                 0, settings=once, known={"version": 1, "full": True, "servers": [row]}
             ) as w:
-                client = await plain(w)
+                client = await connect_raw_socket(w)
                 with closing(client):
                     client.send(REQUEST)
-                    connection = await held_connection(frontends[0])
+                    connection = await connection_with_open_request(frontends[0])
                     upstreams = frontends[0].driver.upstreams
                     while not upstreams.pool.connecting:
                         await asyncio.sleep(0)
@@ -316,7 +314,7 @@
                         )
                     else:
                         upstreams.learn([read_endpoint({**row, "started_ms": 7})], full=False)
-                    accepted = await asyncio.to_thread(admit)
+                    accepted = await asyncio.to_thread(accept_next)
                     with accepted:
                         while upstreams.pool.connecting:
                             await asyncio.sleep(0)
@@ -331,7 +329,7 @@
 
 
 @pytest.mark.parametrize("what", ["a second answer", "the end", "a reset"])
-def test_an_idle_connection_with_something_unread_carries_no_request(what: str) -> None:
+def test_idle_connection_with_unread_data_carries_no_request(what: str) -> None:
     """With the loop late, what came lies unread: a late second answer would be taken for the next
     one's, and the upstream's close would break a request that may not be repeated.
     """
@@ -367,37 +365,37 @@
     run(test())
 
 
-def test_a_repeat_is_told_how_long_it_may_begin() -> None:
+def test_retry_must_start_within_window_of_key() -> None:
     """Chosen inside the window of its key, it began behind it where its connection came up late."""
-    harness = PolicyHarness(settings(), servers=3)
-    harness.deliver(arrival(1, harness.now, CELL_SCOPED, wait_ns=900 * MS))
-    harness.now += 150 * MS
-    sends = of_type(api.StartAttempt, harness.finish("r1", api.AttemptResult.RESET)) or of_type(
-        api.StartAttempt, harness.advance(100 * MS)
-    )
+    policy_harness = PolicyHarness(settings(), servers=3)
+    policy_harness.deliver(arrival(1, policy_harness.now, CELL_SCOPED, wait_ns=900 * MS))
+    policy_harness.now += 150 * MS
+    sends = of_type(
+        api.StartAttempt, policy_harness.finish("r1", api.AttemptResult.RESET)
+    ) or of_type(api.StartAttempt, policy_harness.advance(100 * MS))
     [again] = sends
     assert isinstance(again, api.StartAttempt)
-    first, second = (sent for _, sent in harness.sends["r1"])
+    first, second = (sent for _, sent in policy_harness.sends["r1"])
     assert again.start_by_ns == first + CELL_SCOPED.window_ns - second
-    [other] = of_type(api.StartAttempt, harness.deliver(arrival(2, harness.now)))
+    [other] = of_type(api.StartAttempt, policy_harness.deliver(arrival(2, policy_harness.now)))
     assert isinstance(other, api.StartAttempt) and other.start_by_ns == 0
 
 
 # ---- shutdown ------------------------------------------------------------------------------------
 
 
-def short_leave(monkeypatch: pytest.MonkeyPatch) -> None:
+def shorten_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "MAX_SHUTDOWN_DEADLINE_NS", SECOND // 10)
     monkeypatch.setattr(frontend, "SHUTDOWN_MARGIN_NS", SECOND // 10)
 
 
-def test_the_last_answers_go_out_also_where_the_loop_is_late_at_the_end(
+def test_final_responses_are_sent_if_event_loop_is_late_at_shutdown(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end of the open requests and that of the process come due on one turn: the second must
     not drop the answers of the first.
     """
-    short_leave(monkeypatch)
+    shorten_shutdown(monkeypatch)
 
     async def test() -> None:
         async with running_balancer() as w:
@@ -417,10 +415,10 @@
     ("part", "status"),
     [(REQUEST[:-2], 503), (POST % 9 + b"half", 503), (POST % 900_000 + b"x" * 99_000, 504)],
 )
-def test_who_has_sent_part_of_a_request_at_the_end_is_told_so(
+def test_partial_request_at_shutdown_receives_error_response(
     part: bytes, status: int, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    short_leave(monkeypatch)
+    shorten_shutdown(monkeypatch)
 
     async def test() -> None:
         async with running_balancer() as w:
@@ -435,19 +433,19 @@
     run(test())
 
 
-def test_a_request_that_comes_behind_the_time_of_the_last_answer_is_refused_at_once(
+def test_request_after_shutdown_deadline_is_rejected_immediately(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    short_leave(monkeypatch)
+    shorten_shutdown(monkeypatch)
     monkeypatch.setattr(balancer_process, "FINAL_ANSWERS_TIMEOUT_S", 5.0)
     ended = asyncio.Event()
     end_open = Frontend.end_open
 
-    def ends(front: Frontend) -> None:
+    def end_open_and_notify(front: Frontend) -> None:
         end_open(front)
         ended.set()
 
-    monkeypatch.setattr(Frontend, "end_open", ends)
+    monkeypatch.setattr(Frontend, "end_open", end_open_and_notify)
 
     async def test() -> None:
         async with running_balancer() as w:
@@ -462,13 +460,13 @@
     run(test())
 
 
-def test_an_answer_and_the_close_of_its_client_in_one_turn(
+def test_response_and_client_close_in_same_iteration_leave_no_open_request(
     frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             w.upstreams[0].script = [never_respond]
-            with await plain(w) as sock:
+            with await connect_raw_socket(w) as sock:
                 sock.send(REQUEST)
                 await w.upstreams[0].until(lambda: w.upstreams[0].received_requests)
                 os.write(
@@ -483,10 +481,10 @@
     run(test())
 
 
-def test_an_answer_without_a_length_that_the_end_cuts_off_does_not_seem_whole(
+def test_response_without_length_truncated_by_shutdown_is_reset(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    short_leave(monkeypatch)
+    shorten_shutdown(monkeypatch)
 
     async def test() -> None:
         async with running_balancer() as w:
@@ -498,25 +496,25 @@
             monkeypatch.setattr(
                 ClientConnection, "_begin_answer", without_length(ClientConnection._begin_answer)
             )
-            with await plain(w) as sock:
+            with await connect_raw_socket(w) as sock:
                 sock.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0"))
                 while not any(c.writer.body for c in frontends[0].clients):
                     await asyncio.sleep(0)
                 frontends[0].drain()
                 with pytest.raises(ConnectionResetError):
-                    await asyncio.wait_for(read_all(sock), 5.0)
+                    await asyncio.wait_for(read_until_eof(sock), 5.0)
 
     def without_length(begin: Any) -> Any:
-        def begins(client: ClientConnection, rows: Any, body: Any) -> None:
+        def begin_without_length(client: ClientConnection, rows: Any, body: Any) -> None:
             body.length = None
             begin(client, rows, body)
 
-        return begins
+        return begin_without_length
 
     run(test())
 
 
-def test_told_to_leave_before_it_takes_clients_it_takes_none(
+def test_drain_before_start_prevents_listening(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     listened: list[object] = []
@@ -524,11 +522,11 @@
     monkeypatch.setattr(frontend, "DRAIN_S", 0.0)
     start = Frontend.start
 
-    def drained_first(front: Frontend) -> None:
+    def drain_then_start(front: Frontend) -> None:
         front.drain()
         start(front)
 
-    monkeypatch.setattr(Frontend, "start", drained_first)
+    monkeypatch.setattr(Frontend, "start", drain_then_start)
 
     async def test() -> None:
         async with running_balancer():
@@ -540,7 +538,7 @@
     run(test())
 
 
-def test_while_it_leaves_idle_clients_make_room_for_those_in_the_queue(
+def test_idle_clients_are_evicted_for_queued_clients_while_draining(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
@@ -563,13 +561,13 @@
     run(test())
 
 
-def test_who_waits_in_the_queue_at_the_end_is_refused_and_not_reset(
+def test_queued_clients_at_shutdown_are_rejected_and_not_reset(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All places were taken by open requests until the end, and closing the listener reset those
     that waited behind them.
     """
-    short_leave(monkeypatch)
+    shorten_shutdown(monkeypatch)
     monkeypatch.setattr(frontend, "DRAIN_S", 0.05)
 
     async def test() -> None:
@@ -589,7 +587,7 @@
     run(test())
 
 
-def test_a_process_whose_file_was_not_locked_yet_is_not_taken_for_a_dead_one(
+def test_process_with_file_not_locked_yet_is_not_considered_dead(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The other one looked in between, removed the file, and each thought itself alone from then
@@ -616,12 +614,12 @@
 
 # ---- lists ---------------------------------------------------------------------------------------
 
-FLEET = replace(SETTINGS, instance_count=200)  # each call waits for 20 s there
+FLEET_SETTINGS = replace(SETTINGS, instance_count=200)  # each call waits for 20 s there
 
 
 @pytest.mark.parametrize("push", [True, False])
 @pytest.mark.parametrize("before", ["turned away", "broken", "given up"])
-def test_a_change_behind_a_failed_call_is_told_whatever_the_next_hold_is(
+def test_change_after_failed_poll_is_applied_whatever_the_next_hold(
     before: str, push: bool, recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The call behind it waited for 20 s: fallen silent, it hid all changes meanwhile."""
@@ -637,7 +635,7 @@
     monkeypatch.setattr(discovery, "POLL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with running_balancer(2, settings=replace(FLEET, discovery_push=push)) as w:
+        async with running_balancer(2, settings=replace(FLEET_SETTINGS, discovery_push=push)) as w:
             lists = w.discovery
             await w.wait_for_endpoint_list()
             lists.busy, lists.down = before == "turned away", before == "broken"
@@ -671,16 +669,16 @@
     run(test())
 
 
-def test_a_move_does_not_wait_for_the_pause_behind_a_failed_call(
+def test_address_change_does_not_wait_for_backoff(
     frontends: list[Frontend], recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Told to go elsewhere (SIGHUP), discovery's word there counts 4 s later."""
     monkeypatch.setattr(subscription, "MAX_BACKOFF_NS", 1000 * SECOND)
 
     async def test() -> None:
-        rules = replace(FLEET.rules, list_expiry_ns=1000 * SECOND)
+        rules = replace(FLEET_SETTINGS.rules, list_expiry_ns=1000 * SECOND)
         async with running_balancer(
-            2, settings=replace(FLEET, discovery_push=False, rules=rules)
+            2, settings=replace(FLEET_SETTINGS, discovery_push=False, rules=rules)
         ) as w:
             w.discovery.down = True
             monkeypatch.setattr(subscription, "SPREAD_NS", 0)
@@ -711,22 +709,22 @@
     run(test())
 
 
-def test_where_discovery_is_asked_the_module_asks_again_in_time() -> None:
-    harness = PolicyHarness(settings(discovery_push=False))
+def test_policy_subscribes_again_within_max_backoff() -> None:
+    policy_harness = PolicyHarness(settings(discovery_push=False))
     for _ in range(12):
-        harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
-        before = harness.now
-        while not of_type(api.SubscribeEndpoints, harness.advance(10 * MS)):
-            assert harness.now - before <= subscription.MAX_BACKOFF_NS + 20 * MS
+        policy_harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
+        before = policy_harness.now
+        while not of_type(api.SubscribeEndpoints, policy_harness.advance(10 * MS)):
+            assert policy_harness.now - before <= subscription.MAX_BACKOFF_NS + 20 * MS
 
 
-def test_a_list_asked_for_on_the_side_does_not_wait_for_the_watch(
+def test_fetched_list_does_not_wait_for_watch_poll(
     recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
     """It waited for the one connection, and with it for the hold of the call that was out there."""
 
     async def test() -> None:
-        async with running_balancer(2, settings=FLEET) as w:
+        async with running_balancer(2, settings=FLEET_SETTINGS) as w:
             await w.wait_for_endpoint_list()
             lists = frontends[0].driver.discovery
             assert lists is not None
@@ -749,7 +747,7 @@
     run(test())
 
 
-def test_an_answer_of_the_old_address_behind_a_move_is_not_believed(
+def test_answer_of_old_address_after_address_change_is_ignored(
     frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
     async def test() -> None:
@@ -776,7 +774,7 @@
     run(test())
 
 
-def test_entries_that_can_not_be_read_are_one_line_of_the_log(
+def test_invalid_entries_are_logged_in_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     bad = [{"id": f"s-{n}", "addr": "a.host:80"} for n in range(1000)]
@@ -788,7 +786,7 @@
 # ---- a second answer -----------------------------------------------------------------------------
 
 
-class Attempt:
+class StubAttempt:
     """A request that starts only where its upstream may be used."""
 
     def begin(self, upstream_verdict: Verdict) -> bytes | Denied:
@@ -798,7 +796,7 @@
         return True
 
 
-class OneUpstream:
+class SingleUpstream:
     """An upstream of bare sockets, and connections to it."""
 
     def __init__(self, server: socket.socket) -> None:
@@ -813,7 +811,7 @@
         self.upstreams.learn([read_endpoint(row)], full=True)
 
     def send(self, done: AttemptCallback) -> Exchange | None:
-        return self.upstreams.send(upstream_number("s-0"), Attempt(), done, Timing(5.0))
+        return self.upstreams.send(upstream_number("s-0"), StubAttempt(), done, Timing(5.0))
 
     def ask(self) -> None:
         self.send(
@@ -829,14 +827,14 @@
         return link
 
 
-async def second_answer_crosses(seen_before: bool) -> None:
+async def check_duplicate_response_is_not_reused(had_duplicate_before: bool) -> None:
     """The next request is asked for at once, and a second copy of the first answer is on its
     way.
     """
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
-        one = OneUpstream(server)
-        one.upstreams.pool.cautious_until_s = loop.time() + 60.0 * seen_before
+        one = SingleUpstream(server)
+        one.upstreams.pool.cautious_until_s = loop.time() + 60.0 * had_duplicate_before
         one.ask()
         with await one.link() as link:
             await loop.sock_sendall(link, http_response(200, b"first"))
@@ -849,22 +847,22 @@
         one.upstreams.close()
 
 
-def test_a_second_answer_that_comes_milliseconds_late_is_not_the_next_request_s() -> None:
+def test_late_duplicate_response_is_not_used_for_next_request() -> None:
     """Seen in a soak: the next request was written 1 ms behind the first answer, and served with
     the second one, which no upstream had made for it.
     """
-    run(second_answer_crosses(seen_before=False))
+    run(check_duplicate_response_is_not_reused(had_duplicate_before=False))
 
 
-def test_once_a_second_answer_was_seen_the_next_one_is_not_taken_for_a_request_s() -> None:
-    run(second_answer_crosses(seen_before=True))
+def test_repeated_duplicate_response_is_not_used_for_next_request() -> None:
+    run(check_duplicate_response_is_not_reused(had_duplicate_before=True))
 
 
-def test_an_upstream_that_answered_twice_is_waited_for_longer() -> None:
+def test_settle_time_is_longer_after_duplicate_response() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = OneUpstream(server)
+            one = SingleUpstream(server)
             one.ask()
             with await one.link() as link:
                 await loop.sock_sendall(
@@ -888,10 +886,10 @@
     run(test())
 
 
-def test_a_connection_that_has_carried_no_response_needs_no_rest() -> None:
+def test_connection_without_response_is_reused_without_settling() -> None:
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = OneUpstream(server)
+            one = SingleUpstream(server)
             given_up = one.send(lambda *_: None)
             assert given_up is not None
             given_up.finish(api.AttemptResult.NOT_SENT)
@@ -905,13 +903,13 @@
 
 
 @pytest.mark.parametrize("state", ["Ready", "Terminating"])
-def test_an_attempt_that_waits_for_a_connection_to_rest_asks_again_whether_it_may_start(
+def test_attempt_waiting_for_settling_checks_upstream_state_again(
     state: str,
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = OneUpstream(server)
+            one = SingleUpstream(server)
             one.ask()
             with await one.link() as link:
                 await loop.sock_sendall(link, http_response(200, b"first"))
@@ -930,13 +928,13 @@
     run(test())
 
 
-def test_where_many_wait_for_a_connection_to_rest_another_is_opened() -> None:
+def test_frequent_settle_waits_open_another_connection() -> None:
     """With many requests a second each would be late by up to the whole rest."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = OneUpstream(server)
+            one = SingleUpstream(server)
             one.ask()
             with await one.link() as link:
                 await loop.sock_sendall(link, http_response(200, b"first"))
--- a/tests/proxy/test_system_call_errors.py
+++ b/tests/proxy/test_system_call_errors.py
@@ -16,94 +16,114 @@
 from loadbalancer.policy import api
 from tests.fakes import SECOND, SETTINGS, BalancerHarness, EventRecorder, run, running_balancer
 
-LOCAL = ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "EMFILE", "ENFILE", "ENETUNREACH", "EAGAIN"]
-PEER = ["ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH"]
-ONCE = replace(SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=SECOND))
+LOCAL_ERRORS = ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "EMFILE", "ENFILE", "ENETUNREACH", "EAGAIN"]
+UPSTREAM_ERRORS = ["ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH"]
+SHORT_CONNECT_SETTINGS = replace(
+    SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=SECOND)
+)
 
 
-class Dials:
+class FailingConnects:
     """Connections to one port fail, so many times."""
 
-    def __init__(self, port: int, name: str, times: int) -> None:
+    def __init__(self, port: int, error_name: str, max_failures: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.port, self.number, self.times = port, getattr(errno, name), times
-        self.failed = 0
+        self.port, self.error_number, self.max_failures = (
+            port,
+            getattr(errno, error_name),
+            max_failures,
+        )
+        self.failure_count = 0
         self.plain = self.loop.create_connection
 
-    async def dial(self, factory: Any, host: str, port: int) -> Any:
-        if port == self.port and self.failed < self.times:
-            self.failed += 1
-            raise OSError(self.number, os.strerror(self.number))
+    async def create_connection_or_fail(self, factory: Any, host: str, port: int) -> Any:
+        if port == self.port and self.failure_count < self.max_failures:
+            self.failure_count += 1
+            raise OSError(self.error_number, os.strerror(self.error_number))
         return await self.plain(factory, host, port)
 
 
 @asynccontextmanager
-async def failing_world(name: str, times: int) -> AsyncIterator[tuple[BalancerHarness, Dials]]:
-    async with running_balancer(settings=ONCE) as w:
-        dials = Dials(w.upstreams[0].port, name, times)
-        dials.loop.create_connection = dials.dial  # type: ignore[method-assign, assignment]
-        yield w, dials
-
-
-@pytest.mark.parametrize("name", LOCAL)
-def test_trouble_of_this_machine_is_waited_out_and_laid_to_nobody_s_charge(
-    name: str, recorder: EventRecorder
+async def balancer_with_failing_connects(
+    error_name: str, max_failures: int
+) -> AsyncIterator[tuple[BalancerHarness, FailingConnects]]:
+    async with running_balancer(settings=SHORT_CONNECT_SETTINGS) as w:
+        failing_connects = FailingConnects(w.upstreams[0].port, error_name, max_failures)
+        failing_connects.loop.create_connection = failing_connects.create_connection_or_fail  # type: ignore[method-assign, assignment]
+        yield w, failing_connects
+
+
+@pytest.mark.parametrize("error_name", LOCAL_ERRORS)
+def test_local_connect_error_is_retried_and_not_reported(
+    error_name: str, recorder: EventRecorder
 ) -> None:
     async def test() -> None:
-        async with failing_world(name, 2) as (w, dials):
+        async with balancer_with_failing_connects(error_name, 2) as (w, failing_connects):
             assert (await w.ask("r1")).status == 200
-            assert dials.failed == 2 and recorder.results() == [api.AttemptResult.OK]
+            assert failing_connects.failure_count == 2 and recorder.results() == [
+                api.AttemptResult.OK
+            ]
 
     run(test())
 
 
-@pytest.mark.parametrize("name", LOCAL)
-def test_trouble_of_this_machine_that_lasts_is_no_word_on_the_upstream(
-    name: str, recorder: EventRecorder, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("error_name", LOCAL_ERRORS)
+def test_lasting_local_connect_error_is_not_attributed_to_upstream(
+    error_name: str, recorder: EventRecorder, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with failing_world(name, 1 << 30) as (w, _):
+        async with balancer_with_failing_connects(error_name, 1 << 30) as (w, _):
             assert (await w.ask("r1")).status == 503
             assert recorder.results() == [api.AttemptResult.NOT_SENT]
             assert (
-                len([r for r in caplog.records if os.strerror(getattr(errno, name)) in r.message])
+                len(
+                    [
+                        r
+                        for r in caplog.records
+                        if os.strerror(getattr(errno, error_name)) in r.message
+                    ]
+                )
                 == 1
             )
 
     run(test())
 
 
-@pytest.mark.parametrize("name", PEER)
-def test_trouble_of_the_upstream_is_known_at_once(name: str, recorder: EventRecorder) -> None:
+@pytest.mark.parametrize("error_name", UPSTREAM_ERRORS)
+def test_upstream_connect_error_is_reported_without_retry(
+    error_name: str, recorder: EventRecorder
+) -> None:
     async def test() -> None:
-        async with failing_world(name, 1) as (w, dials):
+        async with balancer_with_failing_connects(error_name, 1) as (w, failing_connects):
             assert (await w.ask("r1")).status == 503
-            assert dials.failed == 1 and recorder.results() == [api.AttemptResult.CONNECT_FAILED]
+            assert failing_connects.failure_count == 1 and recorder.results() == [
+                api.AttemptResult.CONNECT_FAILED
+            ]
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    "name",
+    "error_name",
     ["ECONNABORTED", "EPROTO", "EHOSTUNREACH", "ENETDOWN", "EINTR", "ENFILE", "ENOBUFS", "ENOMEM"],
 )
-def test_whatever_accept_says_the_next_client_is_taken(
-    name: str, monkeypatch: pytest.MonkeyPatch
+def test_next_client_is_accepted_after_accept_error(
+    error_name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         async with running_balancer() as w:
             assert (await w.ask("r1")).status == 200
-            plain, left = socket.socket.accept, [2]
+            plain, remaining_failures = socket.socket.accept, [2]
 
             def accept(listener: socket.socket) -> Any:
-                if left[0] and listener.getsockname()[1] == w.address[1]:
-                    left[0] -= 1
-                    number = getattr(errno, name)
-                    raise OSError(number, os.strerror(number))
+                if remaining_failures[0] and listener.getsockname()[1] == w.address[1]:
+                    remaining_failures[0] -= 1
+                    error_number = getattr(errno, error_name)
+                    raise OSError(error_number, os.strerror(error_number))
                 return plain(listener)
 
             monkeypatch.setattr(socket.socket, "accept", accept)
             assert (await w.ask("r2")).status == 200
-            assert left == [0]
+            assert remaining_failures == [0]
 
     run(test())
