--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -29,7 +29,7 @@
     running_balancer,
 )
 
-R = api.AttemptResult
+Result = api.AttemptResult
 OK = b"HTTP/1.1 200 OK\r\n"
 LATENCY_OBJECTIVE_NS = CLASSES["quote"].latency_objective_ns
 
@@ -38,11 +38,13 @@
     async def test() -> None:
         async with running_balancer(
             settings=replace(SETTINGS, report_columns=("inflight", "util"))
-        ) as w:
+        ) as harness:
             body = bytes(range(256)) * 256  # 64 KiB
             load = "X-Load: inflight=7,util=0.5"
-            w.upstreams[0].script = [http_response(200, body[::-1], "Content-Type: text/x", load)]
-            response_message = await w.ask(
+            harness.upstreams[0].script = [
+                http_response(200, body[::-1], "Content-Type: text/x", load)
+            ]
+            response_message = await harness.ask(
                 "r1",
                 "pay",
                 "POST",
@@ -61,7 +63,7 @@
                 body[::-1],
                 "text/x",
             )
-            forwarded = w.upstreams[0].received_requests[-1]
+            forwarded = harness.upstreams[0].received_requests[-1]
             assert (
                 forwarded.start_line[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="]
                 and forwarded.body == body
@@ -75,7 +77,7 @@
             assert (arrived.cost_hint_ns, arrived.key, arrived.is_retry) == (12_000_000, "7f", True)
             await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
             (outcome,) = recorder.of_type(api.AttemptFinished)
-            assert (outcome.result, outcome.complete) == (R.OK, True)
+            assert (outcome.result, outcome.complete) == (Result.OK, True)
             assert outcome.report == {"inflight": 7.0, "util": 0.5}
 
     run(test())
@@ -84,26 +86,29 @@
 @pytest.mark.parametrize(
     ("reply", "result"),
     [
-        (http_response(500), R.ERROR),
-        (http_response(503, b"", "X-Not-Run: 1"), R.REJECTED),
-        (http_response(504, b"", "X-Not-Run: 1"), R.REJECTED),
-        (http_response(503), R.ERROR),
-        (None, R.RESET),
-        (http_response(200, b"whole")[:-2], R.TIMEOUT),  # begun, and silent from then on
-        (b"not HTTP at all\r\n\r\n", R.ERROR),  # it has run, and no connection broke
-        (OK + b"\r\nbody", R.ERROR),  # no length: whether it is whole can't be known
-        (OK + b"Connection: close\r\n\r\nbody", R.TIMEOUT),  # and its end never comes
-        (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
+        (http_response(500), Result.ERROR),
+        (http_response(503, b"", "X-Not-Run: 1"), Result.REJECTED),
+        (http_response(504, b"", "X-Not-Run: 1"), Result.REJECTED),
+        (http_response(503), Result.ERROR),
+        (None, Result.RESET),
+        (http_response(200, b"whole")[:-2], Result.TIMEOUT),  # begun, and silent from then on
+        (b"not HTTP at all\r\n\r\n", Result.ERROR),  # it has run, and no connection broke
+        (OK + b"\r\nbody", Result.ERROR),  # no length: whether it is whole can't be known
+        (OK + b"Connection: close\r\n\r\nbody", Result.TIMEOUT),  # and its end never comes
+        (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", Result.ERROR),
         (
             OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
-            R.ERROR,
+            Result.ERROR,
+        ),
+        (OK + b"Content-Length: 3000000000\r\n\r\nbody", Result.ERROR),
+        (
+            OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nzz\r\nbody\r\n0\r\n\r\n",
+            Result.ERROR,
         ),
-        (OK + b"Content-Length: 3000000000\r\n\r\nbody", R.ERROR),
-        (OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nzz\r\nbody\r\n0\r\n\r\n", R.ERROR),
-        (OK + b"X-Pad: p\r\n" * 10_000, R.ERROR),  # a head without end
-        (OK + b"no colon here\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
-        (b"HTTP/1.1 102 Processing\r\n\r\n" * 100, R.ERROR),
-        (never_respond, R.TIMEOUT),
+        (OK + b"X-Pad: p\r\n" * 10_000, Result.ERROR),  # a head without end
+        (OK + b"no colon here\r\nContent-Length: 4\r\n\r\nbody", Result.ERROR),
+        (b"HTTP/1.1 102 Processing\r\n\r\n" * 100, Result.ERROR),
+        (never_respond, Result.TIMEOUT),
     ],
 )
 @pytest.mark.parametrize("request_class", ["quote", "pay"])
@@ -111,25 +116,25 @@
     recorder: EventRecorder, reply: Any, result: api.AttemptResult, request_class: str
 ) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            w.upstreams[0].script = [reply]
-            response_message = await w.ask(
+        async with running_balancer() as harness:
+            harness.upstreams[0].script = [reply]
+            response_message = await harness.ask(
                 "r1",
                 request_class,
                 "GET" if request_class == "quote" else "POST",
-                X_Deadline_Ms=400 if result is R.TIMEOUT else 3000,
+                X_Deadline_Ms=400 if result is Result.TIMEOUT else 3000,
             )
             await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
             (outcome,) = recorder.of_type(api.AttemptFinished)
             assert (outcome.request, outcome.attempt, outcome.result) == ("r1", 0, result)
             assert not outcome.complete
-            if request_class == "quote" or result is R.REJECTED:
+            if request_class == "quote" or result is Result.REJECTED:
                 assert (
                     response_message.status == 503
                     and 0 < float(response_message.headers["retry-after"]) <= 1
                 )
             else:  # it may have run: no promise
-                assert response_message.status == (504 if result is R.TIMEOUT else 502)
+                assert response_message.status == (504 if result is Result.TIMEOUT else 502)
                 assert "retry-after" not in response_message.headers
 
     run(test())
@@ -140,41 +145,41 @@
     recorder: EventRecorder, trailing_bytes: bytes
 ) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            upstream = w.upstreams[0]
+        async with running_balancer() as harness:
+            upstream = harness.upstreams[0]
             upstream.script = [
                 http_response(200, b"first") + trailing_bytes,
                 http_response(200, b"second"),
             ]
-            assert (await w.ask("r1")).body == b"first"
-            assert (await w.ask("r2")).body == b"second"
+            assert (await harness.ask("r1")).body == b"first"
+            assert (await harness.ask("r2")).body == b"second"
             assert [m.connection_number for m in upstream.received_requests] == [
                 1,
                 2,
             ]  # nothing more comes on the first connection
-            assert recorder.results() == [R.OK, R.OK]
+            assert recorder.results() == [Result.OK, Result.OK]
 
     run(test())
 
 
 def test_late_bytes_after_response_close_connection() -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            upstream = w.upstreams[0]
-            assert (await w.ask("r1")).status == 200
+        async with running_balancer() as harness:
+            upstream = harness.upstreams[0]
+            assert (await harness.ask("r1")).status == 200
             upstream.connections[0].write(http_response(200, b"again"))
             await upstream.until(lambda: upstream.peer_closed_count == 1)
-            assert (await w.ask("r2")).body == b"s-0"
+            assert (await harness.ask("r2")).body == b"s-0"
 
     run(test())
 
 
 def test_interim_responses_are_skipped() -> None:
     async def test() -> None:
-        async with running_balancer() as w:
+        async with running_balancer() as harness:
             hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
-            w.upstreams[0].script = [hints + http_response(200, b"at last")]
-            assert (await w.ask("r1")).body == b"at last"
+            harness.upstreams[0].script = [hints + http_response(200, b"at last")]
+            assert (await harness.ask("r1")).body == b"at last"
 
     run(test())
 
@@ -198,11 +203,13 @@
 
 def test_refused_connection_is_connect_failed(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            w.upstreams[0].port = free_port()
-            await w.update_endpoints(w.upstreams[0].row())
-            assert (await w.ask("r1", "pay", "POST")).status == 503  # never ran: it may be refused
-            assert recorder.results() == [R.CONNECT_FAILED]
+        async with running_balancer() as harness:
+            harness.upstreams[0].port = free_port()
+            await harness.update_endpoints(harness.upstreams[0].row())
+            assert (
+                await harness.ask("r1", "pay", "POST")
+            ).status == 503  # never ran: it may be refused
+            assert recorder.results() == [Result.CONNECT_FAILED]
 
     run(test())
 
@@ -218,18 +225,20 @@
             sock.setblocking(False)
             sock.connect_ex(full_listener.getsockname())
         limits = replace(SETTINGS.limits, connect_timeout_ns=100_000_000)
-        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
-            w.upstreams[0].port = full_listener.getsockname()[1]
-            await w.update_endpoints(w.upstreams[0].row())
-            assert (await w.ask("r1", "pay", "POST")).status == 503
-            assert recorder.results() == [R.CONNECT_FAILED]
+        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as harness:
+            harness.upstreams[0].port = full_listener.getsockname()[1]
+            await harness.update_endpoints(harness.upstreams[0].row())
+            assert (await harness.ask("r1", "pay", "POST")).status == 503
+            assert recorder.results() == [Result.CONNECT_FAILED]
         for sock in (full_listener, *pending_connects):
             sock.close()
 
     run(test())
 
 
-@pytest.mark.parametrize(("size", "result"), [(10, R.RESET), (50_000_000, R.CONNECT_FAILED)])
+@pytest.mark.parametrize(
+    ("size", "result"), [(10, Result.RESET), (50_000_000, Result.CONNECT_FAILED)]
+)
 def test_break_before_last_byte_was_written_is_connect_failed(
     size: int, result: api.AttemptResult
 ) -> None:
@@ -256,28 +265,28 @@
     recorder: EventRecorder,
 ) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            w.upstreams[0].script = [never_respond]
-            response_message = await w.ask("r1", X_Deadline_Ms=300)
+        async with running_balancer() as harness:
+            harness.upstreams[0].script = [never_respond]
+            response_message = await harness.ask("r1", X_Deadline_Ms=300)
             assert response_message.status == 503
-            assert int(w.upstreams[0].received_requests[-1].headers["x-deadline-ms"]) < 300
+            assert int(harness.upstreams[0].received_requests[-1].headers["x-deadline-ms"]) < 300
             (outcome,) = recorder.of_type(api.AttemptFinished)
-            assert outcome.result is R.TIMEOUT and outcome.duration_ns < LATENCY_OBJECTIVE_NS
+            assert outcome.result is Result.TIMEOUT and outcome.duration_ns < LATENCY_OBJECTIVE_NS
             # Giving up an attempt closes its connection: the upstream knows, and a late answer hits
             # nobody.
-            await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count == 1)
+            await harness.upstreams[0].until(lambda: harness.upstreams[0].peer_closed_count == 1)
 
     run(test())
 
 
 def test_policy_still_rejects_request_after_event_loop_stall(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1", X_Deadline_Ms=300)
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1", X_Deadline_Ms=300)
             time.sleep(0.4)  # the whole loop stands still, past every timer of the request
             response_message = await read_message(client.reader)
             assert response_message.status == 503 and "retry-after" in response_message.headers
-            assert recorder.results() == [R.TIMEOUT] and not recorder.of_type(
+            assert recorder.results() == [Result.TIMEOUT] and not recorder.of_type(
                 api.ClientDisconnected
             )
 
@@ -286,8 +295,8 @@
 
 def test_client_disconnect_cancels_attempt(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1")
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1")
             client.close()
             await recorder.until(
                 lambda: (
@@ -296,8 +305,8 @@
                 )
             )
             (outcome,) = recorder.of_type(api.AttemptFinished)
-            assert (outcome.result, outcome.complete) == (R.CANCELLED, True)
-            await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count == 1)
+            assert (outcome.result, outcome.complete) == (Result.CANCELLED, True)
+            await harness.upstreams[0].until(lambda: harness.upstreams[0].peer_closed_count == 1)
 
     run(test())
 
@@ -348,15 +357,15 @@
 
     async def test() -> None:
         limits = replace(SETTINGS.limits, max_attempts=5)
-        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
-            assert (await w.ask("r1")).status == 200
+        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as harness:
+            assert (await harness.ask("r1")).status == 200
             await recorder.until(lambda: len(recorder.of_type(api.AttemptFinished)) == 3)
             assert {o.attempt: o.result for o in recorder.of_type(api.AttemptFinished)} == {
-                0: R.OK,
-                1: R.NOT_SENT,
-                2: R.NOT_SENT,
+                0: Result.OK,
+                1: Result.NOT_SENT,
+                2: Result.NOT_SENT,
             }
-            assert len(w.upstreams[0].received_requests) == 1
+            assert len(harness.upstreams[0].received_requests) == 1
 
     run(test())
 
@@ -376,9 +385,9 @@
     use_scripted_policy(monkeypatch, EventRecorder(), decide_actions)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            assert (await w.ask("bad")).status == 502
-            assert (await w.ask("good")).status == 200
+        async with running_balancer() as harness:
+            assert (await harness.ask("bad")).status == 502
+            assert (await harness.ask("good")).status == 200
         (record,) = [r for r in caplog.records if r.exc_info]
         assert "bad" in record.getMessage()
 
@@ -392,8 +401,8 @@
     use_scripted_policy(monkeypatch, recorder, lambda event, upstream: [])
 
     async def test() -> None:
-        async with running_balancer() as w:
-            assert (await w.ask("r1", X_Deadline_Ms=100)).status == 504
+        async with running_balancer() as harness:
+            assert (await harness.ask("r1", X_Deadline_Ms=100)).status == 504
             await recorder.until(lambda: recorder.of_type(api.ClientDisconnected))
         assert "r1" in caplog.text
 
@@ -407,15 +416,17 @@
             limits=replace(SETTINGS.limits, probes=True),
             report_columns=("inflight", "queue"),
         )
-        async with running_balancer(settings=settings) as w:
-            assert (await w.ask("r1")).status == 200
+        async with running_balancer(settings=settings) as harness:
+            assert (await harness.ask("r1")).status == 200
             probes = [
-                m for m in w.upstreams[0].received_requests if m.start_line[1] == "/status/load"
+                m
+                for m in harness.upstreams[0].received_requests
+                if m.start_line[1] == "/status/load"
             ]
             assert probes and "x-request-id" not in probes[0].headers
             results = recorder.of_type(api.HealthCheckFinished)
             assert len(results) == len(probes)
-            assert results[0].result is R.OK and results[0].report == {
+            assert results[0].result is Result.OK and results[0].report == {
                 "inflight": 3.0,
                 "queue": 1.0,
             }
@@ -438,13 +449,13 @@
     monkeypatch.setattr(ClientConnection, "serve", serve_unless_bad)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            w.upstreams[0].script = [http_response(200, b"bad")]
-            client = await w.client()
+        async with running_balancer() as harness:
+            harness.upstreams[0].script = [http_response(200, b"bad")]
+            client = await harness.client()
             client.send("r1")
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_message(client.reader)
-            assert (await w.ask("r2")).status == 200
-            assert recorder.results() == [R.OK, R.OK]
+            assert (await harness.ask("r2")).status == 200
+            assert recorder.results() == [Result.OK, Result.OK]
 
     run(test())
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -81,8 +81,8 @@
                 0,
                 settings=LONG_CONNECT_SETTINGS,
                 known={"version": 1, "full": True, "servers": [row]},
-            ) as w:
-                with closing(await connect_raw_socket(w)) as client:
+            ) as harness:
+                with closing(await connect_raw_socket(harness)) as client:
                     received_ns = time.monotonic_ns()
                     client.send(
                         b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nX-Class: quote\r\n"
@@ -92,9 +92,9 @@
                     while not frontends[0].driver.upstreams.pool.connecting:
                         await asyncio.sleep(0)
                     await asyncio.sleep(0.2)  # its SYN finds the queue full meanwhile
-                    link = await asyncio.to_thread(accept_next)
-                    link.setblocking(False)
-                    reader, writer = await asyncio.open_connection(sock=link)
+                    upstream_socket = await asyncio.to_thread(accept_next)
+                    upstream_socket.setblocking(False)
+                    reader, writer = await asyncio.open_connection(sock=upstream_socket)
                     with closing(writer):
                         message = await read_message(reader)
                         remaining_ms = 2800 - (attempt_start_times_ns[-1] - received_ns) / 1e6
@@ -111,16 +111,16 @@
     deadline_ms = 400
 
     async def test() -> None:
-        async with running_balancer(settings=LONG_CONNECT_SETTINGS) as w:
-            client = await w.client()
+        async with running_balancer(settings=LONG_CONNECT_SETTINGS) as harness:
+            client = await harness.client()
             client.send(
                 "r1", "pay", "POST", X_Deadline_Ms=deadline_ms, Content_Length=STREAMED_BODY_BYTES
             )
             client.writer.write(b"x" * (STREAMED_BODY_BYTES - 1))
-            await wait_until_connected(w)
+            await wait_until_connected(harness)
             client.writer.write(b"x")
             assert (await read_message(client.reader)).status == 200
-            assert announced_deadline_ms(w.upstreams[0].received_requests[0]) <= deadline_ms
+            assert announced_deadline_ms(harness.upstreams[0].received_requests[0]) <= deadline_ms
             client.close()
 
     run(test())
@@ -146,8 +146,8 @@
     original_resume_writing = UpstreamConnection.resume_writing
 
     async def test() -> None:
-        async with running_balancer(settings=LONG_CONNECT_SETTINGS) as w:
-            client = await w.client()
+        async with running_balancer(settings=LONG_CONNECT_SETTINGS) as harness:
+            client = await harness.client()
             client.send("r1", "pay", "POST", X_Deadline_Ms=500, Content_Length=STREAMED_BODY_BYTES)
             client.writer.write(b"x" * (STREAMED_BODY_BYTES - 1))
             while not started or started[0][1].taken_bytes < STREAMED_BODY_BYTES - 1:
@@ -159,31 +159,33 @@
             await asyncio.sleep(0.3)  # time that goes by is what is tested
             original_resume_writing(started[0][0])
             assert (await read_message(client.reader)).status in (502, 503, 504)
-            await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count)
-            assert not w.upstreams[0].received_requests  # none whole
+            await harness.upstreams[0].until(lambda: harness.upstreams[0].peer_closed_count)
+            assert not harness.upstreams[0].received_requests  # none whole
             client.close()
 
     run(test())
 
 
-async def wait_until_connected(w: BalancerHarness) -> None:
-    while not w.upstreams[0].connections:
+async def wait_until_connected(harness: BalancerHarness) -> None:
+    while not harness.upstreams[0].connections:
         await asyncio.sleep(0)
 
 
 def test_retry_announces_remaining_time(attempt_start_times_ns: list[int]) -> None:
     async def test() -> None:
         limits = replace(LONG_CONNECT_SETTINGS.limits, max_attempts=2)
-        async with running_balancer(2, settings=replace(LONG_CONNECT_SETTINGS, limits=limits)) as w:
+        async with running_balancer(
+            2, settings=replace(LONG_CONNECT_SETTINGS, limits=limits)
+        ) as harness:
             rejection_released = asyncio.Event()
 
             async def reject_when_released() -> bytes:
                 await rejection_released.wait()
                 return http_response(503, b"", "X-Not-Run: 1")
 
-            for upstream in w.upstreams:
+            for upstream in harness.upstreams:
                 upstream.script = [reject_when_released]
-            client = await w.client()
+            client = await harness.client()
             received_ns = time.monotonic_ns()
             client.send("r1", X_Deadline_Ms=2000)
             while not attempt_start_times_ns:
@@ -192,12 +194,12 @@
             rejection_released.set()
             while len(attempt_start_times_ns) < 2:
                 await asyncio.sleep(0)
-            for upstream in w.upstreams:
+            for upstream in harness.upstreams:
                 upstream.script = []
             await read_message(client.reader)
-            seen = [m for u in w.upstreams for m in u.received_requests]
+            forwarded = [m for u in harness.upstreams for m in u.received_requests]
             assert (
-                min(map(announced_deadline_ms, seen))
+                min(map(announced_deadline_ms, forwarded))
                 <= 2000 - (attempt_start_times_ns[1] - received_ns) / 1e6 + MAX_STALL_MS
             )
             client.close()
@@ -233,7 +235,7 @@
     write_delay_ms=milliseconds,
     stall_ms=st.integers(0, MAX_STALL_MS),
     event_loop_delay_ms=st.integers(0, 50),
-    number=st.integers(0, 1),
+    attempt_number=st.integers(0, 1),
 )
 def test_announced_deadline_never_exceeds_remaining_time_of_client(
     wait_ms: int,
@@ -245,7 +247,7 @@
     write_delay_ms: int,
     stall_ms: int,
     event_loop_delay_ms: int,
-    number: int,
+    attempt_number: int,
 ) -> None:
     """First tries, retries and second copies. `body_duration_ms`: from the head to the last byte of
     a body that comes in pieces, `write_delay_ms`: from there to its write, `stall_ms`: from the
@@ -267,16 +269,18 @@
         ConnectedClient(),
         wait_ns,
         body,
-        attempts=[None] * (number + 1),
-        attempts_in_flight=number + 1,
+        attempts=[None] * (attempt_number + 1),
+        attempts_in_flight=attempt_number + 1,
     )
     limits = api.Limits(max_attempts=2, may_hedge=not is_streamed)
     now_ns = start_ns + decision_delay_ms * MS
     timeout_ns = (timeout_ms or 4000) * MS
     attempt_limits = AttemptLimits(limits, timeout_ns, now_ns + timeout_ns, 0)
-    attempt = OutgoingAttempt(request, number, attempt_limits, PolicyViolations(), lambda r: None)
-    clock = now_ns + connect_delay_ms * MS
-    with mock.patch("loadbalancer.proxy.attempt.time.monotonic_ns", lambda: clock):
+    attempt = OutgoingAttempt(
+        request, attempt_number, attempt_limits, PolicyViolations(), lambda r: None
+    )
+    clock_ns = now_ns + connect_delay_ms * MS
+    with mock.patch("loadbalancer.proxy.attempt.time.monotonic_ns", lambda: clock_ns):
         data = attempt.begin(ALLOWED)
         if isinstance(data, Denied):
             return
@@ -286,14 +290,14 @@
             if row.startswith(b"X-Deadline")
         ]
         if is_complete:
-            assert announced_ms <= (deadline_ns - clock) / MS - stall_ms + MAX_STALL_MS
+            assert announced_ms <= (deadline_ns - clock_ns) / MS - stall_ms + MAX_STALL_MS
             return
         received_ns = (
-            clock + body_duration_ms * MS
+            clock_ns + body_duration_ms * MS
         )  # its last byte: the client's time runs from there
-        clock = received_ns + (event_loop_delay_ms + write_delay_ms) * MS
+        clock_ns = received_ns + (event_loop_delay_ms + write_delay_ms) * MS
         request.arrival = arrival._replace(
             deadline_ns=received_ns + wait_ns, received_ns=received_ns, body_complete=True
         )
         if attempt.may_finish():
-            assert announced_ms <= (received_ns + wait_ns - clock) / MS + MAX_STALL_MS - 50
+            assert announced_ms <= (received_ns + wait_ns - clock_ns) / MS + MAX_STALL_MS - 50
--- a/tests/proxy/test_event_loop_waits.py
+++ b/tests/proxy/test_event_loop_waits.py
@@ -89,10 +89,10 @@
         limits = replace(limits, conn_idle_ns=int(interval_s / IDLE_FRACTION * SECOND))
 
     async def test() -> None:
-        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
-            upstream = w.upstreams[0]
+        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as harness:
+            upstream = harness.upstreams[0]
             for number in range(10):
-                client = await w.client()
+                client = await harness.client()
                 assert (await client.ask(f"r{number}")).status == 200
                 if connection_side == "a client's":
                     await client.expect_eof()
@@ -123,10 +123,10 @@
     monkeypatch.setattr(frontend, "EVICT_SILENT_S", 60.0)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # two clients
-            upstream = w.upstreams[0]
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # two clients
+            upstream = harness.upstreams[0]
             upstream.script = [never_respond, never_respond]
-            accepted_clients = [await w.client() for _ in range(2)]
+            accepted_clients = [await harness.client() for _ in range(2)]
             for number, client in enumerate(accepted_clients):
                 if occupancy == "have open requests":
                     client.send(f"r{number}")
@@ -138,7 +138,7 @@
             while len(front.clients) < 2:
                 await asyncio.sleep(0)
             client_counts_at_accept.clear()
-            queued_clients = [await w.client() for _ in range(20)]
+            queued_clients = [await harness.client() for _ in range(20)]
             for _ in range(1000):
                 await asyncio.sleep(0)
             assert 1 <= len(client_counts_at_accept) <= 3, len(client_counts_at_accept)
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -63,20 +63,20 @@
 REQUEST = message(b"GET /quote HTTP/1.1", [(b"Host", b"h"), (b"X-Request-Id", b"r1")])
 
 
-async def connect_raw_socket(w: BalancerHarness) -> socket.socket:
+async def connect_raw_socket(harness: BalancerHarness) -> socket.socket:
     """A client's bare socket: what it does is done at once, not on a turn of the loop."""
     sock = socket.socket()
     sock.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(sock, w.address)
+    await asyncio.get_running_loop().sock_connect(sock, harness.address)
     return sock
 
 
 async def read_until_eof(sock: socket.socket) -> bytes:
     """All that comes until the end; a reset raises."""
-    got = b""
+    received = b""
     while data := await asyncio.get_running_loop().sock_recv(sock, 65536):
-        got += data
-    return got
+        received += data
+    return received
 
 
 async def connection_with_open_request(front: Frontend) -> ClientConnection:
@@ -88,46 +88,48 @@
 # ---- close ---------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("when", ["behind the last answer", "at rest", "silent"])
+@pytest.mark.parametrize("connection_state", ["behind the last answer", "at rest", "silent"])
 def test_request_received_during_close_does_not_reset_connection(
-    when: str, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    connection_state: str, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Bytes that come between the last look and the close turned it into a reset, which can take
     along an answer that its client has not read yet. Nor is what comes then sent on.
     """
 
     async def test() -> None:
-        async with running_balancer() as w:
-            with await connect_raw_socket(w) as sock:
-                crossing = REQUEST.replace(b"r1", b"crossing")
-                if when == "behind the last answer":
-                    write = ClientConnection.write
-
-                    def cross(client: ClientConnection, data: bytes) -> None:
-                        write(client, data)
+        async with running_balancer() as harness:
+            with await connect_raw_socket(harness) as sock:
+                late_request = REQUEST.replace(b"r1", b"crossing")
+                if connection_state == "behind the last answer":
+                    original_write = ClientConnection.write
+
+                    def write_and_send_request(client: ClientConnection, data: bytes) -> None:
+                        original_write(client, data)
                         if sock.fileno() >= 0:  # not for the last request
-                            sock.send(crossing)
+                            sock.send(late_request)
 
                     sock.send(REQUEST.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-                    monkeypatch.setattr(ClientConnection, "write", cross)
+                    monkeypatch.setattr(ClientConnection, "write", write_and_send_request)
                 else:
-                    if when == "at rest":
+                    if connection_state == "at rest":
                         sock.send(REQUEST)
                         await asyncio.get_running_loop().sock_recv(sock, 4096)
                     while not frontends[0].clients:
                         await asyncio.sleep(0)
                     [client] = frontends[0].clients
-                    phase = Phase.IDLE if when == "at rest" else Phase.NEW
+                    phase = Phase.IDLE if connection_state == "at rest" else Phase.NEW
                     while client.phase is not phase:
                         await asyncio.sleep(0)
                     frontends[0].clients_by_phase[phase][client] -= 60.0
                     frontends[0]._sweep()
-                    sock.send(crossing)
-                got = await asyncio.wait_for(read_until_eof(sock), 5.0)
-                assert got.startswith(b"HTTP/1.1 200 ") is (when == "behind the last answer")
-            assert (await w.ask("last")).status == 200
+                    sock.send(late_request)
+                received = await asyncio.wait_for(read_until_eof(sock), 5.0)
+                assert received.startswith(b"HTTP/1.1 200 ") is (
+                    connection_state == "behind the last answer"
+                )
+            assert (await harness.ask("last")).status == 200
             assert b"crossing" not in b" ".join(
-                m.headers["x-request-id"].encode() for m in w.upstreams[0].received_requests
+                m.headers["x-request-id"].encode() for m in harness.upstreams[0].received_requests
             )
 
     run(test())
@@ -139,8 +141,8 @@
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.LINGERING, 0.1)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
+        async with running_balancer() as harness:
+            client = await harness.client()
             assert (await client.ask("r1", Connection="close")).status == 200
             with suppress(ConnectionError):
                 while True:
@@ -155,15 +157,15 @@
     recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1")
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1")
             client.send("ahead")
             connection = await connection_with_open_request(frontends[0])
             while not connection.has_data:
                 await asyncio.sleep(0)
             connection.eof_received()
             connection._parse()  # as behind an answer, or once its buffer has room
-            assert (await w.ask("last")).status == 200
+            assert (await harness.ask("last")).status == 200
             assert [e.request for e in recorder.of_type(api.RequestArrived)] == ["r1", "last"]
 
     run(test())
@@ -173,8 +175,8 @@
     """What the system holds back to fill a segment goes with a reset: so it holds back nothing."""
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1")
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1")
             connection = await connection_with_open_request(frontends[0])
             assert connection.transport is not None
             request = connection.open_request
@@ -199,40 +201,40 @@
 )
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
-def test_no_retry_if_close_of_client_is_unread(how: str, frontends: list[Frontend]) -> None:
+@pytest.mark.parametrize("disconnect", ["closes", "resets"])
+def test_no_retry_if_close_of_client_is_unread(disconnect: str, frontends: list[Frontend]) -> None:
     """It is not read from, as while a body waits for room or the loop is late: the end lies in the
     kernel.
     """
 
     async def test() -> None:
-        async with running_balancer(2, settings=RETRY_SETTINGS) as w:
-            turned_away = asyncio.Event()
+        async with running_balancer(2, settings=RETRY_SETTINGS) as harness:
+            rejection_released = asyncio.Event()
 
-            async def busy() -> bytes:
-                await turned_away.wait()
+            async def reject_when_released() -> bytes:
+                await rejection_released.wait()
                 return http_response(503, b"", "X-Not-Run: 1")
 
-            for upstream in w.upstreams:
-                upstream.script = [busy]
-            with await connect_raw_socket(w) as sock:
+            for upstream in harness.upstreams:
+                upstream.script = [reject_when_released]
+            with await connect_raw_socket(harness) as sock:
                 sock.send(REQUEST)
                 connection = await connection_with_open_request(frontends[0])
                 assert connection.transport is not None
-                while not any(u.received_requests for u in w.upstreams):
+                while not any(u.received_requests for u in harness.upstreams):
                     await asyncio.sleep(0)
                 connection.transport.pause_reading()
-                if how == "resets":
+                if disconnect == "resets":
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            turned_away.set()
+            rejection_released.set()
             while frontends[0].driver.open:
                 await asyncio.sleep(0)
             connection.transport.resume_reading()
-            for upstream in w.upstreams:
+            for upstream in harness.upstreams:
                 upstream.script = []
-            assert (await w.ask("last")).status == 200
+            assert (await harness.ask("last")).status == 200
             assert [
-                m.headers["x-request-id"] for u in w.upstreams for m in u.received_requests
+                m.headers["x-request-id"] for u in harness.upstreams for m in u.received_requests
             ].count("r1") == 1
 
     run(test())
@@ -247,13 +249,13 @@
         server.bind(("127.0.0.1", 0))
         server.listen(0)
         address = server.getsockname()
-        fill = [socket.create_connection(address)]
+        fillers = [socket.create_connection(address)]
         with suppress(TimeoutError):
             while True:
-                fill.append(socket.create_connection(address, 0.2))
+                fillers.append(socket.create_connection(address, 0.2))
 
         def accept_next() -> socket.socket:
-            for sock in fill:
+            for sock in fillers:
                 server.accept()[0].close()
                 sock.close()
             server.settimeout(10.0)
@@ -263,7 +265,7 @@
 
 
 @pytest.mark.parametrize(
-    "what",
+    "obstacle",
     [
         "its client goes",
         "its client goes unread",
@@ -273,7 +275,10 @@
     ],
 )
 def test_connection_established_too_late_carries_no_attempt(
-    what: str, frontends: list[Frontend], recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
+    obstacle: str,
+    frontends: list[Frontend],
+    recorder: EventRecorder,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     start_attempt = Dispatcher.start_attempt
 
@@ -283,32 +288,36 @@
             start_by_ns=100 * MS
         )
 
-    if what == "it may not be repeated any more":
+    if obstacle == "it may not be repeated any more":
         monkeypatch.setattr(Dispatcher, "start_attempt", start_attempt_with_limit)
 
     async def test() -> None:
         with upstream_with_full_accept_queue() as (row, accept_next):
-            once = replace(RETRY_SETTINGS, limits=replace(RETRY_SETTINGS.limits, max_attempts=1))
+            single_attempt_settings = replace(
+                RETRY_SETTINGS, limits=replace(RETRY_SETTINGS.limits, max_attempts=1)
+            )
             async with running_balancer(
-                0, settings=once, known={"version": 1, "full": True, "servers": [row]}
-            ) as w:
-                client = await connect_raw_socket(w)
+                0,
+                settings=single_attempt_settings,
+                known={"version": 1, "full": True, "servers": [row]},
+            ) as harness:
+                client = await connect_raw_socket(harness)
                 with closing(client):
                     client.send(REQUEST)
                     connection = await connection_with_open_request(frontends[0])
                     upstreams = frontends[0].driver.upstreams
                     while not upstreams.pool.connecting:
                         await asyncio.sleep(0)
-                    if what == "its client goes unread":
+                    if obstacle == "its client goes unread":
                         assert connection.transport is not None
                         connection.transport.pause_reading()
-                    if what.startswith("its client"):
+                    if obstacle.startswith("its client"):
                         client.close()
-                    elif what == "it may not be repeated any more":
+                    elif obstacle == "it may not be repeated any more":
                         await recorder.until(
                             lambda: recorder.results()[:1] == [api.AttemptResult.NOT_SENT]
                         )
-                    elif what == "it drains":
+                    elif obstacle == "it drains":
                         upstreams.learn(
                             [read_endpoint({**row, "state": "Terminating"})], full=False
                         )
@@ -328,8 +337,8 @@
 # ---- an idle connection to an upstream -----------------------------------------------------------
 
 
-@pytest.mark.parametrize("what", ["a second answer", "the end", "a reset"])
-def test_idle_connection_with_unread_data_carries_no_request(what: str) -> None:
+@pytest.mark.parametrize("unread", ["a second answer", "the end", "a reset"])
+def test_idle_connection_with_unread_data_carries_no_request(unread: str) -> None:
     """With the loop late, what came lies unread: a late second answer would be taken for the next
     one's, and the upstream's close would break a request that may not be repeated.
     """
@@ -341,26 +350,26 @@
             upstreams = Upstreams(SETTINGS.limits, 4, (), BodyMemory(1024))
             row = {"id": "s-0", "addr": "{}:{}".format(*server.getsockname()), "state": "Ready"}
             upstreams.learn([read_endpoint(row)], full=True)
-            ended: asyncio.Queue[tuple[api.AttemptResult, bytes]] = asyncio.Queue()
+            results: asyncio.Queue[tuple[api.AttemptResult, bytes]] = asyncio.Queue()
 
-            def done(result: api.AttemptResult, response: Any, report: Any) -> None:
-                ended.put_nowait((result, response.body if response is not None else b""))
+            def on_done(result: api.AttemptResult, response: Any, report: Any) -> None:
+                results.put_nowait((result, response.body if response is not None else b""))
 
             for body in (b"first", b"second"):  # each on a connection of its own
-                upstreams.send(upstream_number("s-0"), REQUEST, done, Timing(5.0))
-                link, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
-                assert await loop.sock_recv(link, 4096) == REQUEST
-                await loop.sock_sendall(link, http_response(200, body))
-                assert await ended.get() == (api.AttemptResult.OK, body)
-                if what == "a second answer":
-                    link.send(http_response(200, b"stray"))
-                elif what == "the end":
-                    link.shutdown(socket.SHUT_WR)
+                upstreams.send(upstream_number("s-0"), REQUEST, on_done, Timing(5.0))
+                upstream_socket, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
+                assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
+                await loop.sock_sendall(upstream_socket, http_response(200, body))
+                assert await results.get() == (api.AttemptResult.OK, body)
+                if unread == "a second answer":
+                    upstream_socket.send(http_response(200, b"stray"))
+                elif unread == "the end":
+                    upstream_socket.shutdown(socket.SHUT_WR)
                 else:
-                    link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-                    link.close()
+                    upstream_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    upstream_socket.close()
             upstreams.close()
-            link.close()
+            upstream_socket.close()
 
     run(test())
 
@@ -370,15 +379,17 @@
     policy_harness = PolicyHarness(settings(), servers=3)
     policy_harness.deliver(arrival(1, policy_harness.now, CELL_SCOPED, wait_ns=900 * MS))
     policy_harness.now += 150 * MS
-    sends = of_type(
+    retries = of_type(
         api.StartAttempt, policy_harness.finish("r1", api.AttemptResult.RESET)
     ) or of_type(api.StartAttempt, policy_harness.advance(100 * MS))
-    [again] = sends
-    assert isinstance(again, api.StartAttempt)
-    first, second = (sent for _, sent in policy_harness.sends["r1"])
-    assert again.start_by_ns == first + CELL_SCOPED.window_ns - second
-    [other] = of_type(api.StartAttempt, policy_harness.deliver(arrival(2, policy_harness.now)))
-    assert isinstance(other, api.StartAttempt) and other.start_by_ns == 0
+    [retry] = retries
+    assert isinstance(retry, api.StartAttempt)
+    first_sent_ns, second_sent_ns = (sent for _, sent in policy_harness.sends["r1"])
+    assert retry.start_by_ns == first_sent_ns + CELL_SCOPED.window_ns - second_sent_ns
+    [first_attempt] = of_type(
+        api.StartAttempt, policy_harness.deliver(arrival(2, policy_harness.now))
+    )
+    assert isinstance(first_attempt, api.StartAttempt) and first_attempt.start_by_ns == 0
 
 
 # ---- shutdown ------------------------------------------------------------------------------------
@@ -398,8 +409,8 @@
     shorten_shutdown(monkeypatch)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1", X_Deadline_Ms=3000)
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1", X_Deadline_Ms=3000)
             frontends[0].drain()
             await asyncio.sleep(0)
             time.sleep(
@@ -412,18 +423,18 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "status"),
+    ("partial_request", "status"),
     [(REQUEST[:-2], 503), (POST % 9 + b"half", 503), (POST % 900_000 + b"x" * 99_000, 504)],
 )
 def test_partial_request_at_shutdown_receives_error_response(
-    part: bytes, status: int, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
+    partial_request: bytes, status: int, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten_shutdown(monkeypatch)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
-            client.writer.write(part)
+        async with running_balancer() as harness:
+            client = await harness.client()
+            client.writer.write(partial_request)
             while not any(c.has_data for c in frontends[0].clients):
                 await asyncio.sleep(0)
             frontends[0].drain()
@@ -438,24 +449,24 @@
 ) -> None:
     shorten_shutdown(monkeypatch)
     monkeypatch.setattr(balancer_process, "FINAL_ANSWERS_TIMEOUT_S", 5.0)
-    ended = asyncio.Event()
-    end_open = Frontend.end_open
+    open_requests_ended = asyncio.Event()
+    original_end_open = Frontend.end_open
 
     def end_open_and_notify(front: Frontend) -> None:
-        end_open(front)
-        ended.set()
+        original_end_open(front)
+        open_requests_ended.set()
 
     monkeypatch.setattr(Frontend, "end_open", end_open_and_notify)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
+        async with running_balancer() as harness:
+            client = await harness.client()
             while not frontends[0].clients:
                 await asyncio.sleep(0)
             frontends[0].drain()
-            await ended.wait()
+            await open_requests_ended.wait()
             assert (await asyncio.wait_for(client.ask("r1"), 2.0)).status == 503
-            assert not w.upstreams[0].received_requests
+            assert not harness.upstreams[0].received_requests
 
     run(test())
 
@@ -464,18 +475,18 @@
     frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            w.upstreams[0].script = [never_respond]
-            with await connect_raw_socket(w) as sock:
+        async with running_balancer() as harness:
+            harness.upstreams[0].script = [never_respond]
+            with await connect_raw_socket(harness) as sock:
                 sock.send(REQUEST)
-                await w.upstreams[0].until(lambda: w.upstreams[0].received_requests)
+                await harness.upstreams[0].until(lambda: harness.upstreams[0].received_requests)
                 os.write(
-                    w.upstreams[0].connections[0].get_extra_info("socket").fileno(),
+                    harness.upstreams[0].connections[0].get_extra_info("socket").fileno(),
                     http_response(200, b"late"),
                 )
             await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
             driver = frontends[0].driver
-            assert (await w.ask("last")).status == 200
+            assert (await harness.ask("last")).status == 200
             assert not driver.requests and not driver.open and not driver.balancer.requests
 
     run(test())
@@ -487,8 +498,8 @@
     shorten_shutdown(monkeypatch)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            w.upstreams[0].script = [
+        async with running_balancer() as harness:
+            harness.upstreams[0].script = [
                 b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 100_000
             ]
             # To HTTP/1.0, which knows no chunks, an answer whose length was not told ends by its
@@ -496,7 +507,7 @@
             monkeypatch.setattr(
                 ClientConnection, "_begin_answer", without_length(ClientConnection._begin_answer)
             )
-            with await connect_raw_socket(w) as sock:
+            with await connect_raw_socket(harness) as sock:
                 sock.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0"))
                 while not any(c.writer.body for c in frontends[0].clients):
                     await asyncio.sleep(0)
@@ -504,10 +515,10 @@
                 with pytest.raises(ConnectionResetError):
                     await asyncio.wait_for(read_until_eof(sock), 5.0)
 
-    def without_length(begin: Any) -> Any:
+    def without_length(original_begin_answer: Any) -> Any:
         def begin_without_length(client: ClientConnection, rows: Any, body: Any) -> None:
             body.length = None
-            begin(client, rows, body)
+            original_begin_answer(client, rows, body)
 
         return begin_without_length
 
@@ -517,8 +528,8 @@
 def test_drain_before_start_prevents_listening(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    listened: list[object] = []
-    monkeypatch.setattr(frontend, "listen", lambda *args: listened.append(args))
+    listen_calls: list[object] = []
+    monkeypatch.setattr(frontend, "listen", lambda *args: listen_calls.append(args))
     monkeypatch.setattr(frontend, "DRAIN_S", 0.0)
     start = Frontend.start
 
@@ -533,7 +544,7 @@
             while not frontends:
                 await asyncio.sleep(0)
             await asyncio.wait_for(frontends[0].all_closed.wait(), 5.0)
-            assert not listened
+            assert not listen_calls
 
     run(test())
 
@@ -546,15 +557,15 @@
     monkeypatch.setattr(client_connection, "CLOSE_FRACTION", 9.0)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # places for two clients
-            idle = [await w.client(), await w.client()]
-            for number, client in enumerate(idle):
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # places for two clients
+            idle_clients = [await harness.client(), await harness.client()]
+            for number, client in enumerate(idle_clients):
                 assert (await client.ask(f"r{number}")).status == 200
-            waiting = [await w.client(), await w.client()]
-            for number, client in enumerate(waiting):
+            queued_clients = [await harness.client(), await harness.client()]
+            for number, client in enumerate(queued_clients):
                 client.send(f"w{number}")
             frontends[0].drain()
-            for client in waiting:
+            for client in queued_clients:
                 assert (await asyncio.wait_for(read_message(client.reader), 5.0)).status == 200
             await asyncio.wait_for(frontends[0].all_closed.wait(), 5.0)
 
@@ -571,17 +582,21 @@
     monkeypatch.setattr(frontend, "DRAIN_S", 0.05)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # places for two clients
-            w.upstreams[0].script = [never_respond] * 20
-            held = [await w.client(), await w.client()]
-            for number, client in enumerate(held):
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # places for two clients
+            harness.upstreams[0].script = [never_respond] * 20
+            accepted_clients = [await harness.client(), await harness.client()]
+            for number, client in enumerate(accepted_clients):
                 client.send(f"r{number}", X_Deadline_Ms=3000)
-            await w.upstreams[0].until(lambda: len(w.upstreams[0].received_requests) >= len(held))
-            waiting = [await w.client(), await w.client()]
-            for number, client in enumerate(waiting):
+            await harness.upstreams[0].until(
+                lambda: len(harness.upstreams[0].received_requests) >= len(accepted_clients)
+            )
+            queued_clients = [await harness.client(), await harness.client()]
+            for number, client in enumerate(queued_clients):
                 client.send(f"w{number}", X_Deadline_Ms=3000)
             frontends[0].drain()
-            for client, status in [(c, 504) for c in held] + [(c, 503) for c in waiting]:
+            for client, status in [(c, 504) for c in accepted_clients] + [
+                (c, 503) for c in queued_clients
+            ]:
                 assert (await asyncio.wait_for(read_message(client.reader), 5.0)).status == status
 
     run(test())
@@ -593,23 +608,23 @@
     """The other one looked in between, removed the file, and each thought itself alone from then
     on.
     """
-    first = ProcessRegistry(tmp_path)
-    lock = fcntl.flock
-    looks = [first.check]
+    first_registry = ProcessRegistry(tmp_path)
+    original_flock = fcntl.flock
+    pending_checks = [first_registry.check]
 
-    def cross(file: Any, how: int) -> None:
-        if how == fcntl.LOCK_EX and looks:
-            looks.pop()()
-        lock(file, how)
+    def check_and_lock(file: Any, operation: int) -> None:
+        if operation == fcntl.LOCK_EX and pending_checks:
+            pending_checks.pop()()
+        original_flock(file, operation)
 
-    monkeypatch.setattr(fcntl, "flock", cross)
-    second = ProcessRegistry(tmp_path)
-    first.check()
-    assert not looks and len(first.others) == len(second.others) == 1
-    second.close()
-    first.check()
-    assert first.is_alone
-    first.close()
+    monkeypatch.setattr(fcntl, "flock", check_and_lock)
+    second_registry = ProcessRegistry(tmp_path)
+    first_registry.check()
+    assert not pending_checks and len(first_registry.others) == len(second_registry.others) == 1
+    second_registry.close()
+    first_registry.check()
+    assert first_registry.is_alone
+    first_registry.close()
 
 
 # ---- lists ---------------------------------------------------------------------------------------
@@ -618,14 +633,14 @@
 
 
 @pytest.mark.parametrize("push", [True, False])
-@pytest.mark.parametrize("before", ["turned away", "broken", "given up"])
+@pytest.mark.parametrize("failure", ["turned away", "broken", "given up"])
 def test_change_after_failed_poll_is_applied_whatever_the_next_hold(
-    before: str, push: bool, recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
+    failure: str, push: bool, recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The call behind it waited for 20 s: fallen silent, it hid all changes meanwhile."""
-    pause_s = max(discovery_watch.MAX_BACKOFF_S, subscription.MAX_BACKOFF_NS / SECOND)
+    backoff_s = max(discovery_watch.MAX_BACKOFF_S, subscription.MAX_BACKOFF_NS / SECOND)
     assert (
-        pause_s
+        backoff_s
         + max(
             2 * discovery_watch.POLL_TIMEOUT_S,
             discovery_watch.CATCH_UP_HOLD_MS / 1000 + discovery_watch.ANSWER_GRACE_S,
@@ -635,36 +650,45 @@
     monkeypatch.setattr(discovery, "POLL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with running_balancer(2, settings=replace(FLEET_SETTINGS, discovery_push=push)) as w:
-            lists = w.discovery
-            await w.wait_for_endpoint_list()
-            lists.busy, lists.down = before == "turned away", before == "broken"
-            lists.silent = before == "given up"
-            asked = len(lists.received_requests)
-            if before == "turned away":
-                lists.change(w.upstreams[0].row())  # ends the call that waits
+        async with running_balancer(
+            2, settings=replace(FLEET_SETTINGS, discovery_push=push)
+        ) as harness:
+            fake_discovery = harness.discovery
+            await harness.wait_for_endpoint_list()
+            fake_discovery.busy, fake_discovery.down = failure == "turned away", failure == "broken"
+            fake_discovery.silent = failure == "given up"
+            poll_count = len(fake_discovery.received_requests)
+            if failure == "turned away":
+                fake_discovery.change(harness.upstreams[0].row())  # ends the call that waits
             else:
-                lists.abort_connections()
-            await lists.until(lambda: len(lists.received_requests) > asked + 1)
-            lists.max_answered_wait_ms, lists.busy, lists.down, lists.silent = (
+                fake_discovery.abort_connections()
+            await fake_discovery.until(
+                lambda: len(fake_discovery.received_requests) > poll_count + 1
+            )
+            (
+                fake_discovery.max_answered_wait_ms,
+                fake_discovery.busy,
+                fake_discovery.down,
+                fake_discovery.silent,
+            ) = (
                 discovery_watch.CATCH_UP_HOLD_MS,
                 False,
                 False,
                 False,
             )
-            lists.change(w.upstreams[1].row("Gone"))
-            gone = upstream_number(w.upstreams[1].name)
+            fake_discovery.change(harness.upstreams[1].row("Gone"))
+            removed_upstream = upstream_number(harness.upstreams[1].name)
 
-            def told() -> bool:
-                [last] = recorder.of_type(api.EndpointsUpdated)[-1:]
+            def is_removal_delivered() -> bool:
+                [last_update] = recorder.of_type(api.EndpointsUpdated)[-1:]
                 return (
-                    last.kind is api.EndpointListKind.FULL
-                    and gone not in [u.id for u in last.upstreams]
-                    or last.kind is api.EndpointListKind.DELTA
-                    and gone in [u.id for u in last.upstreams]
+                    last_update.kind is api.EndpointListKind.FULL
+                    and removed_upstream not in [u.id for u in last_update.upstreams]
+                    or last_update.kind is api.EndpointListKind.DELTA
+                    and removed_upstream in [u.id for u in last_update.upstreams]
                 )
 
-            await asyncio.wait_for(recorder.until(told), 6.0)
+            await asyncio.wait_for(recorder.until(is_removal_delivered), 6.0)
 
     run(test())
 
@@ -679,8 +703,8 @@
         rules = replace(FLEET_SETTINGS.rules, list_expiry_ns=1000 * SECOND)
         async with running_balancer(
             2, settings=replace(FLEET_SETTINGS, discovery_push=False, rules=rules)
-        ) as w:
-            w.discovery.down = True
+        ) as harness:
+            harness.discovery.down = True
             monkeypatch.setattr(subscription, "SPREAD_NS", 0)
             monkeypatch.setattr(subscription, "SPREAD_WITHOUT_UPSTREAMS_NS", 0)
             await recorder.until(
@@ -689,11 +713,11 @@
                     in [e.kind for e in recorder.of_type(api.EndpointsUpdated)]
                 )
             )
-            lists = frontends[0].driver.discovery
-            assert isinstance(lists, discovery.Discovery)
-            other = FakeDiscovery([w.upstreams[1].row()])
-            await other.start()
-            lists.change_address(other.address)
+            discovery_client = frontends[0].driver.discovery
+            assert isinstance(discovery_client, discovery.Discovery)
+            other_discovery = FakeDiscovery([harness.upstreams[1].row()])
+            await other_discovery.start()
+            discovery_client.change_address(other_discovery.address)
             await asyncio.wait_for(
                 recorder.until(
                     lambda: [
@@ -704,7 +728,7 @@
                 ),
                 4.0,
             )
-            other.stop()
+            other_discovery.stop()
 
     run(test())
 
@@ -713,9 +737,9 @@
     policy_harness = PolicyHarness(settings(discovery_push=False))
     for _ in range(12):
         policy_harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
-        before = policy_harness.now
+        failed_at_ns = policy_harness.now
         while not of_type(api.SubscribeEndpoints, policy_harness.advance(10 * MS)):
-            assert policy_harness.now - before <= subscription.MAX_BACKOFF_NS + 20 * MS
+            assert policy_harness.now - failed_at_ns <= subscription.MAX_BACKOFF_NS + 20 * MS
 
 
 def test_fetched_list_does_not_wait_for_watch_poll(
@@ -724,12 +748,12 @@
     """It waited for the one connection, and with it for the hold of the call that was out there."""
 
     async def test() -> None:
-        async with running_balancer(2, settings=FLEET_SETTINGS) as w:
-            await w.wait_for_endpoint_list()
-            lists = frontends[0].driver.discovery
-            assert lists is not None
-            w.discovery.rows.pop()  # nobody is told
-            lists.fetch()
+        async with running_balancer(2, settings=FLEET_SETTINGS) as harness:
+            await harness.wait_for_endpoint_list()
+            discovery_client = frontends[0].driver.discovery
+            assert discovery_client is not None
+            harness.discovery.rows.pop()  # nobody is told
+            discovery_client.fetch()
             await asyncio.wait_for(
                 recorder.until(
                     lambda: [
@@ -740,8 +764,8 @@
                 ),
                 6.0,
             )
-            await w.update_endpoints(
-                w.upstreams[0].row("Terminating")
+            await harness.update_endpoints(
+                harness.upstreams[0].row("Terminating")
             )  # and it goes on being watched
 
     run(test())
@@ -751,25 +775,25 @@
     frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
     async def test() -> None:
-        async with running_balancer(2) as w:
-            await w.wait_for_endpoint_list()
-            lists = frontends[0].driver.discovery
-            assert isinstance(lists, discovery.Discovery)
-            other = FakeDiscovery([w.upstreams[1].row()])
-            await other.start()
+        async with running_balancer(2) as harness:
+            await harness.wait_for_endpoint_list()
+            discovery_client = frontends[0].driver.discovery
+            assert isinstance(discovery_client, discovery.Discovery)
+            other_discovery = FakeDiscovery([harness.upstreams[1].row()])
+            await other_discovery.start()
             # The old one's answer is written, and lies unread, when the move comes.
-            w.discovery.change(w.upstreams[0].row("Terminating"))
-            while not lists.connection or lists.connection.reusable:
+            harness.discovery.change(harness.upstreams[0].row("Terminating"))
+            while not discovery_client.connection or discovery_client.connection.reusable:
                 await asyncio.sleep(0)
-            lists.change_address(other.address)
-            await other.until(
-                lambda: any("from=1&" in m.start_line[1] for m in other.received_requests)
+            discovery_client.change_address(other_discovery.address)
+            await other_discovery.until(
+                lambda: any("from=1&" in m.start_line[1] for m in other_discovery.received_requests)
             )
             assert [e.kind for e in recorder.of_type(api.EndpointsUpdated)] == [
                 api.EndpointListKind.CACHED,
                 api.EndpointListKind.FULL,
             ]
-            other.stop()
+            other_discovery.stop()
 
     run(test())
 
@@ -777,9 +801,11 @@
 def test_invalid_entries_are_logged_in_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    bad = [{"id": f"s-{n}", "addr": "a.host:80"} for n in range(1000)]
-    good = {"id": "s-0", "addr": "127.0.0.1:80"}
-    version, full, endpoints = endpoint_list.read_list({"version": 1, "servers": [*bad, good]})
+    invalid_rows = [{"id": f"s-{n}", "addr": "a.host:80"} for n in range(1000)]
+    valid_row = {"id": "s-0", "addr": "127.0.0.1:80"}
+    version, full, endpoints = endpoint_list.read_list(
+        {"version": 1, "servers": [*invalid_rows, valid_row]}
+    )
     assert (version, full, len(endpoints), len(caplog.records)) == (1, False, 1, 1)
 
 
@@ -804,27 +830,29 @@
         self.server = server
         self.upstreams = Upstreams(SETTINGS.limits, 8, (), BodyMemory(1024))
         self.learn("Ready")
-        self.ended: asyncio.Queue[bytes] = asyncio.Queue()
+        self.response_bodies: asyncio.Queue[bytes] = asyncio.Queue()
 
     def learn(self, state: str) -> None:
         row = {"id": "s-0", "addr": "{}:{}".format(*self.server.getsockname()), "state": state}
         self.upstreams.learn([read_endpoint(row)], full=True)
 
-    def send(self, done: AttemptCallback) -> Exchange | None:
-        return self.upstreams.send(upstream_number("s-0"), StubAttempt(), done, Timing(5.0))
+    def send(self, on_done: AttemptCallback) -> Exchange | None:
+        return self.upstreams.send(upstream_number("s-0"), StubAttempt(), on_done, Timing(5.0))
 
     def ask(self) -> None:
         self.send(
-            lambda result, response, report: self.ended.put_nowait(
+            lambda result, response, report: self.response_bodies.put_nowait(
                 response.body if response is not None else b""
             )
         )
 
-    async def link(self) -> socket.socket:
+    async def accept_request(self) -> socket.socket:
         """The next connection, with a request on it."""
-        link, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.server), 5.0)
-        assert await asyncio.get_running_loop().sock_recv(link, 4096) == REQUEST
-        return link
+        upstream_socket, _ = await asyncio.wait_for(
+            asyncio.get_running_loop().sock_accept(self.server), 5.0
+        )
+        assert await asyncio.get_running_loop().sock_recv(upstream_socket, 4096) == REQUEST
+        return upstream_socket
 
 
 async def check_duplicate_response_is_not_reused(had_duplicate_before: bool) -> None:
@@ -833,18 +861,18 @@
     """
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
-        one = SingleUpstream(server)
-        one.upstreams.pool.cautious_until_s = loop.time() + 60.0 * had_duplicate_before
-        one.ask()
-        with await one.link() as link:
-            await loop.sock_sendall(link, http_response(200, b"first"))
-            assert await one.ended.get() == b"first"
-            one.ask()  # at once
-            link.send(http_response(200, b"first, once more"))
-            with await one.link() as other:
-                await loop.sock_sendall(other, http_response(200, b"second"))
-                assert await one.ended.get() == b"second"
-        one.upstreams.close()
+        upstream = SingleUpstream(server)
+        upstream.upstreams.pool.cautious_until_s = loop.time() + 60.0 * had_duplicate_before
+        upstream.ask()
+        with await upstream.accept_request() as upstream_socket:
+            await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
+            assert await upstream.response_bodies.get() == b"first"
+            upstream.ask()  # at once
+            upstream_socket.send(http_response(200, b"first, once more"))
+            with await upstream.accept_request() as other_socket:
+                await loop.sock_sendall(other_socket, http_response(200, b"second"))
+                assert await upstream.response_bodies.get() == b"second"
+        upstream.upstreams.close()
 
 
 def test_late_duplicate_response_is_not_used_for_next_request() -> None:
@@ -862,26 +890,29 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = SingleUpstream(server)
-            one.ask()
-            with await one.link() as link:
+            upstream = SingleUpstream(server)
+            upstream.ask()
+            with await upstream.accept_request() as upstream_socket:
                 await loop.sock_sendall(
-                    link, http_response(200, b"first") + http_response(200, b"first, once more")
+                    upstream_socket,
+                    http_response(200, b"first") + http_response(200, b"first, once more"),
                 )
-                assert await one.ended.get() == b"first"
-                assert await loop.sock_recv(link, 10) == b""  # that connection is not used any more
-            one.ask()
-            with await one.link() as link:
-                await loop.sock_sendall(link, http_response(200, b"second"))
-                assert await one.ended.get() == b"second"
+                assert await upstream.response_bodies.get() == b"first"
+                assert (
+                    await loop.sock_recv(upstream_socket, 10) == b""
+                )  # that connection is not used any more
+            upstream.ask()
+            with await upstream.accept_request() as upstream_socket:
+                await loop.sock_sendall(upstream_socket, http_response(200, b"second"))
+                assert await upstream.response_bodies.get() == b"second"
                 await asyncio.sleep(
                     2 * connection_pool.SETTLE_S
                 )  # a connection that rests for so long is used else
-                one.ask()
-                with await one.link() as other:
-                    await loop.sock_sendall(other, http_response(200, b"third"))
-                    assert await one.ended.get() == b"third"
-            one.upstreams.close()
+                upstream.ask()
+                with await upstream.accept_request() as other_socket:
+                    await loop.sock_sendall(other_socket, http_response(200, b"third"))
+                    assert await upstream.response_bodies.get() == b"third"
+            upstream.upstreams.close()
 
     run(test())
 
@@ -889,15 +920,15 @@
 def test_connection_without_response_is_reused_without_settling() -> None:
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = SingleUpstream(server)
-            given_up = one.send(lambda *_: None)
-            assert given_up is not None
-            given_up.finish(api.AttemptResult.NOT_SENT)
-            await asyncio.gather(*one.upstreams.pool.connecting)  # its connection came up idle
-            one.ask()
-            assert one.upstreams.connections_open == 1
-            (await one.link()).close()
-            one.upstreams.close()
+            upstream = SingleUpstream(server)
+            cancelled = upstream.send(lambda *_: None)
+            assert cancelled is not None
+            cancelled.finish(api.AttemptResult.NOT_SENT)
+            await asyncio.gather(*upstream.upstreams.pool.connecting)  # its connection came up idle
+            upstream.ask()
+            assert upstream.upstreams.connections_open == 1
+            (await upstream.accept_request()).close()
+            upstream.upstreams.close()
 
     run(test())
 
@@ -909,21 +940,21 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = SingleUpstream(server)
-            one.ask()
-            with await one.link() as link:
-                await loop.sock_sendall(link, http_response(200, b"first"))
-                assert await one.ended.get() == b"first"
-                one.ask()  # at once: it waits
-                one.learn(state)
+            upstream = SingleUpstream(server)
+            upstream.ask()
+            with await upstream.accept_request() as upstream_socket:
+                await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
+                assert await upstream.response_bodies.get() == b"first"
+                upstream.ask()  # at once: it waits
+                upstream.learn(state)
                 if state == "Ready":
-                    assert await loop.sock_recv(link, 4096) == REQUEST
-                    await loop.sock_sendall(link, http_response(200, b"second"))
-                    assert await one.ended.get() == b"second"
+                    assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
+                    await loop.sock_sendall(upstream_socket, http_response(200, b"second"))
+                    assert await upstream.response_bodies.get() == b"second"
                 else:
-                    assert await one.ended.get() == b""
-                    assert await loop.sock_recv(link, 4096) == b""
-            one.upstreams.close()
+                    assert await upstream.response_bodies.get() == b""
+                    assert await loop.sock_recv(upstream_socket, 4096) == b""
+            upstream.upstreams.close()
 
     run(test())
 
@@ -934,20 +965,20 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = SingleUpstream(server)
-            one.ask()
-            with await one.link() as link:
-                await loop.sock_sendall(link, http_response(200, b"first"))
+            upstream = SingleUpstream(server)
+            upstream.ask()
+            with await upstream.accept_request() as upstream_socket:
+                await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
                 for _ in range(connection_pool.MAX_SETTLE_WAITS):
-                    assert await one.ended.get() == b"first"
-                    one.ask()  # at once: it waits
-                    assert await loop.sock_recv(link, 4096) == REQUEST
-                    await loop.sock_sendall(link, http_response(200, b"first"))
-                assert await one.ended.get() == b"first"
-                one.ask()
-                with await one.link() as other:
-                    await loop.sock_sendall(other, http_response(200, b"other"))
-                    assert await one.ended.get() == b"other"
-            one.upstreams.close()
+                    assert await upstream.response_bodies.get() == b"first"
+                    upstream.ask()  # at once: it waits
+                    assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
+                    await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
+                assert await upstream.response_bodies.get() == b"first"
+                upstream.ask()
+                with await upstream.accept_request() as other_socket:
+                    await loop.sock_sendall(other_socket, http_response(200, b"other"))
+                    assert await upstream.response_bodies.get() == b"other"
+            upstream.upstreams.close()
 
     run(test())
--- a/tests/proxy/test_system_call_errors.py
+++ b/tests/proxy/test_system_call_errors.py
@@ -34,23 +34,23 @@
             max_failures,
         )
         self.failure_count = 0
-        self.plain = self.loop.create_connection
+        self.original = self.loop.create_connection
 
     async def create_connection_or_fail(self, factory: Any, host: str, port: int) -> Any:
         if port == self.port and self.failure_count < self.max_failures:
             self.failure_count += 1
             raise OSError(self.error_number, os.strerror(self.error_number))
-        return await self.plain(factory, host, port)
+        return await self.original(factory, host, port)
 
 
 @asynccontextmanager
 async def balancer_with_failing_connects(
     error_name: str, max_failures: int
 ) -> AsyncIterator[tuple[BalancerHarness, FailingConnects]]:
-    async with running_balancer(settings=SHORT_CONNECT_SETTINGS) as w:
-        failing_connects = FailingConnects(w.upstreams[0].port, error_name, max_failures)
+    async with running_balancer(settings=SHORT_CONNECT_SETTINGS) as harness:
+        failing_connects = FailingConnects(harness.upstreams[0].port, error_name, max_failures)
         failing_connects.loop.create_connection = failing_connects.create_connection_or_fail  # type: ignore[method-assign, assignment]
-        yield w, failing_connects
+        yield harness, failing_connects
 
 
 @pytest.mark.parametrize("error_name", LOCAL_ERRORS)
@@ -58,8 +58,8 @@
     error_name: str, recorder: EventRecorder
 ) -> None:
     async def test() -> None:
-        async with balancer_with_failing_connects(error_name, 2) as (w, failing_connects):
-            assert (await w.ask("r1")).status == 200
+        async with balancer_with_failing_connects(error_name, 2) as (harness, failing_connects):
+            assert (await harness.ask("r1")).status == 200
             assert failing_connects.failure_count == 2 and recorder.results() == [
                 api.AttemptResult.OK
             ]
@@ -72,8 +72,8 @@
     error_name: str, recorder: EventRecorder, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with balancer_with_failing_connects(error_name, 1 << 30) as (w, _):
-            assert (await w.ask("r1")).status == 503
+        async with balancer_with_failing_connects(error_name, 1 << 30) as (harness, _):
+            assert (await harness.ask("r1")).status == 503
             assert recorder.results() == [api.AttemptResult.NOT_SENT]
             assert (
                 len(
@@ -94,8 +94,8 @@
     error_name: str, recorder: EventRecorder
 ) -> None:
     async def test() -> None:
-        async with balancer_with_failing_connects(error_name, 1) as (w, failing_connects):
-            assert (await w.ask("r1")).status == 503
+        async with balancer_with_failing_connects(error_name, 1) as (harness, failing_connects):
+            assert (await harness.ask("r1")).status == 503
             assert failing_connects.failure_count == 1 and recorder.results() == [
                 api.AttemptResult.CONNECT_FAILED
             ]
@@ -111,19 +111,19 @@
     error_name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            assert (await w.ask("r1")).status == 200
-            plain, remaining_failures = socket.socket.accept, [2]
+        async with running_balancer() as harness:
+            assert (await harness.ask("r1")).status == 200
+            original, remaining_failures = socket.socket.accept, [2]
 
             def accept(listener: socket.socket) -> Any:
-                if remaining_failures[0] and listener.getsockname()[1] == w.address[1]:
+                if remaining_failures[0] and listener.getsockname()[1] == harness.address[1]:
                     remaining_failures[0] -= 1
                     error_number = getattr(errno, error_name)
                     raise OSError(error_number, os.strerror(error_number))
-                return plain(listener)
+                return original(listener)
 
             monkeypatch.setattr(socket.socket, "accept", accept)
-            assert (await w.ask("r2")).status == 200
+            assert (await harness.ask("r2")).status == 200
             assert remaining_failures == [0]
 
     run(test())
