--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What comes back from an upstream, as the module hears it and as the client is answered."""
+"""Results of attempts, as reported to the policy and as answered to the client."""
 
 from __future__ import annotations
 
@@ -35,6 +35,8 @@
 
 
 def test_request_and_response_are_forwarded_unchanged(recorder: EventRecorder) -> None:
+    """Request and response are forwarded unchanged; the policy gets the values of their headers."""
+
     async def test() -> None:
         async with running_balancer(
             settings=replace(SETTINGS, report_columns=("inflight", "util"))
@@ -91,10 +93,10 @@
         (http_response(504, b"", "X-Not-Run: 1"), Result.REJECTED),
         (http_response(503), Result.ERROR),
         (None, Result.RESET),
-        (http_response(200, b"whole")[:-2], Result.TIMEOUT),  # begun, and silent from then on
-        (b"not HTTP at all\r\n\r\n", Result.ERROR),  # it has run, and no connection broke
-        (OK + b"\r\nbody", Result.ERROR),  # no length: whether it is whole can't be known
-        (OK + b"Connection: close\r\n\r\nbody", Result.TIMEOUT),  # and its end never comes
+        (http_response(200, b"whole")[:-2], Result.TIMEOUT),  # the response is never completed
+        (b"not HTTP at all\r\n\r\n", Result.ERROR),  # the request ran, and no connection broke
+        (OK + b"\r\nbody", Result.ERROR),  # no length, so a truncated body can't be detected
+        (OK + b"Connection: close\r\n\r\nbody", Result.TIMEOUT),  # the connection never closes
         (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", Result.ERROR),
         (
             OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
@@ -105,7 +107,7 @@
             OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nzz\r\nbody\r\n0\r\n\r\n",
             Result.ERROR,
         ),
-        (OK + b"X-Pad: p\r\n" * 10_000, Result.ERROR),  # a head without end
+        (OK + b"X-Pad: p\r\n" * 10_000, Result.ERROR),  # an endless head
         (OK + b"no colon here\r\nContent-Length: 4\r\n\r\nbody", Result.ERROR),
         (b"HTTP/1.1 102 Processing\r\n\r\n" * 100, Result.ERROR),
         (never_respond, Result.TIMEOUT),
@@ -115,6 +117,8 @@
 def test_attempt_result_and_client_status_for_reply(
     recorder: EventRecorder, reply: Any, result: api.AttemptResult, request_class: str
 ) -> None:
+    """Each kind of upstream reply has its attempt result and its status for the client."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             harness.upstreams[0].script = [reply]
@@ -133,7 +137,7 @@
                     response_message.status == 503
                     and 0 < float(response_message.headers["retry-after"]) <= 1
                 )
-            else:  # it may have run: no promise
+            else:  # the request may have run, so no Retry-After
                 assert response_message.status == (504 if result is Result.TIMEOUT else 502)
                 assert "retry-after" not in response_message.headers
 
@@ -144,6 +148,11 @@
 def test_bytes_after_response_are_not_used_for_next_request(
     recorder: EventRecorder, trailing_bytes: bytes
 ) -> None:
+    """Bytes that directly follow a response are not used for the next request.
+
+    The connection is closed, so the next request needs a new one.
+    """
+
     async def test() -> None:
         async with running_balancer() as harness:
             upstream = harness.upstreams[0]
@@ -156,13 +165,15 @@
             assert [m.connection_number for m in upstream.received_requests] == [
                 1,
                 2,
-            ]  # nothing more comes on the first connection
+            ]  # the first connection is not reused
             assert recorder.results() == [Result.OK, Result.OK]
 
     run(test())
 
 
 def test_late_bytes_after_response_close_connection() -> None:
+    """Bytes on an idle upstream connection close it."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             upstream = harness.upstreams[0]
@@ -175,6 +186,8 @@
 
 
 def test_interim_responses_are_skipped() -> None:
+    """Interim responses (1xx) are skipped until the final response."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
@@ -198,25 +211,30 @@
     ],
 )
 def test_load_report_keeps_valid_columns_only(text: bytes | None, report: Any) -> None:
+    """A load report keeps the known columns with valid values."""
     assert read_load_report(text, ("inflight", "queue")) == report
 
 
 def test_refused_connection_is_connect_failed(recorder: EventRecorder) -> None:
+    """A refused connect is reported as CONNECT_FAILED, and the request is rejected."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             harness.upstreams[0].port = free_port()
             await harness.update_endpoints(harness.upstreams[0].row())
             assert (
                 await harness.ask("r1", "pay", "POST")
-            ).status == 503  # never ran: it may be refused
+            ).status == 503  # it never ran, so it may be rejected
             assert recorder.results() == [Result.CONNECT_FAILED]
 
     run(test())
 
 
 def test_connect_timeout_is_connect_failed(recorder: EventRecorder) -> None:
+    """A connect that times out is reported as CONNECT_FAILED."""
+
     async def test() -> None:
-        # A listener whose backlog is full answers nothing to the next connection.
+        # A listener whose backlog is full does not answer the next connect.
         full_listener = socket.socket()
         full_listener.bind(("127.0.0.1", 0))
         full_listener.listen(0)
@@ -242,6 +260,11 @@
 def test_break_before_last_byte_was_written_is_connect_failed(
     size: int, result: api.AttemptResult
 ) -> None:
+    """A connection that breaks before the request's last byte was written is no RESET.
+
+    The upstream can't have run an incomplete request.
+    """
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         attempt_result: asyncio.Future[api.AttemptResult] = loop.create_future()
@@ -264,6 +287,8 @@
 def test_deadline_cancels_attempt_and_client_is_answered_in_time(
     recorder: EventRecorder,
 ) -> None:
+    """The deadline cancels the attempt, and the client is answered in time."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             harness.upstreams[0].script = [never_respond]
@@ -272,18 +297,23 @@
             assert int(harness.upstreams[0].received_requests[-1].headers["x-deadline-ms"]) < 300
             (outcome,) = recorder.of_type(api.AttemptFinished)
             assert outcome.result is Result.TIMEOUT and outcome.duration_ns < LATENCY_OBJECTIVE_NS
-            # Giving up an attempt closes its connection: the upstream knows, and a late answer hits
-            # nobody.
+            # A cancelled attempt closes its connection. So the upstream is notified, and a late
+            # response can't reach another request.
             await harness.upstreams[0].until(lambda: harness.upstreams[0].peer_closed_count == 1)
 
     run(test())
 
 
 def test_policy_still_rejects_request_after_event_loop_stall(recorder: EventRecorder) -> None:
+    """After an event-loop stall past every timer of a request, the policy still rejects it.
+
+    The timeout of the attempt must reach the policy before the balancer itself ends the request.
+    """
+
     async def test() -> None:
         async with running_balancer() as harness:
             client = await harness.client_awaiting_response("r1", X_Deadline_Ms=300)
-            time.sleep(0.4)  # the whole loop stands still, past every timer of the request
+            time.sleep(0.4)  # blocks the event loop past every timer of the request
             response_message = await read_message(client.reader)
             assert response_message.status == 503 and "retry-after" in response_message.headers
             assert recorder.results() == [Result.TIMEOUT] and not recorder.of_type(
@@ -294,6 +324,8 @@
 
 
 def test_client_disconnect_cancels_attempt(recorder: EventRecorder) -> None:
+    """A client's disconnect cancels its attempt and closes the upstream connection."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             client = await harness.client_awaiting_response("r1")
@@ -312,7 +344,7 @@
 
 
 class ScriptedPolicy(Balancer):
-    """A module that does what a test says."""
+    """A policy whose actions a test decides."""
 
     decide_actions: Callable[[api.Event], list[api.Action]]
 
@@ -325,8 +357,9 @@
     recorder: EventRecorder,
     decide_actions: Callable[[api.Event, int], list[api.Action]],
 ) -> None:
-    """Have `decide_actions` decide: it gets the event and the number of the first upstream
-    listed.
+    """Replace the policy by one whose actions are those that `decide_actions` returns.
+
+    `decide_actions` gets the event and the number of the first upstream in the endpoint list.
     """
     upstream_numbers: list[int] = []
 
@@ -340,12 +373,16 @@
 
 
 def test_attempt_that_cannot_start_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An attempt that must not start is reported as NOT_SENT.
+
+    Here a hedged request is not allowed, and an upstream number is not in the endpoint list.
+    """
     recorder = EventRecorder()
 
     def decide_actions(event: api.Event, upstream: int) -> list[api.Action]:
         if isinstance(
             event, api.RequestArrived
-        ):  # a second copy is not allowed, nor an upstream nobody listed
+        ):  # hedging is off, and upstream 99 is not in the list
             return [
                 api.StartAttempt("r1", upstream),
                 api.StartAttempt("r1", upstream),
@@ -373,9 +410,11 @@
 def test_policy_exception_fails_request_and_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """An exception in the policy fails its request with 502 and is logged."""
+
     def decide_actions(event: api.Event, upstream: int) -> list[api.Action]:
         if isinstance(event, api.RequestArrived) and event.request == "bad":
-            raise RuntimeError("out of its mind")
+            raise RuntimeError("policy failure")
         return (
             [api.StartAttempt(event.request, upstream)]
             if isinstance(event, api.RequestArrived)
@@ -397,6 +436,7 @@
 def test_request_without_decision_times_out_and_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """A request for which the policy decides nothing ends with 504 and is logged."""
     recorder = EventRecorder()
     use_scripted_policy(monkeypatch, recorder, lambda event, upstream: [])
 
@@ -410,6 +450,8 @@
 
 
 def test_each_probe_has_one_result(recorder: EventRecorder) -> None:
+    """Each load probe has exactly one result."""
+
     async def test() -> None:
         settings = replace(
             SETTINGS,
@@ -437,13 +479,14 @@
 def test_failure_to_serve_response_does_not_affect_other_requests(
     monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
+    """An exception while a response is served does not affect other requests."""
     from loadbalancer.proxy.client_connection import ClientConnection
 
     serve = ClientConnection.serve
 
     def serve_unless_bad(self: ClientConnection, response: Response) -> None:
         if response.body == b"bad":
-            raise RuntimeError("no")
+            raise RuntimeError("serve failure")
         serve(self, response)
 
     monkeypatch.setattr(ClientConnection, "serve", serve_unless_bad)
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -1,6 +1,4 @@
-"""The time that an attempt tells its upstream: at most what is left to the client when it is
-written.
-"""
+"""An attempt announces at most the time that its client has left when the attempt is written."""
 
 from __future__ import annotations
 
@@ -43,16 +41,16 @@
     upstream_with_full_accept_queue,
 )
 
-MAX_STALL_MS = 150  # a process may be held up for so long between reading its clock and writing
+MAX_STALL_MS = 150  # longest stall between reading the clock and writing
 LONG_CONNECT_SETTINGS = replace(
     SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=5 * SECOND)
 )
-STREAMED_BODY_BYTES = 200_000  # bytes of a body that passes through in pieces
+STREAMED_BODY_BYTES = 200_000  # large enough to be streamed
 
 
 @pytest.fixture
 def attempt_start_times_ns(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
-    """When the first byte of each attempt was written, ns."""
+    """Return the list of times at which the first byte of each attempt was written, in ns."""
     times: list[int] = []
     start = UpstreamConnection.start
 
@@ -67,13 +65,17 @@
 
 
 def announced_deadline_ms(message: Message) -> int:
+    """Return the time that a request announces to its upstream, in ms."""
     return int(message.headers["x-deadline-ms"])
 
 
 def test_late_connection_announces_time_remaining_at_write(
     attempt_start_times_ns: list[int], frontends: list[Frontend]
 ) -> None:
-    """Its upstream's accept queue is full: the SYN is sent again after a second."""
+    """A late connection announces the time that remains when the request is written.
+
+    The upstream's accept queue is full, so the kernel sends the SYN again after 1 s.
+    """
 
     async def test() -> None:
         with upstream_with_full_accept_queue() as (row, accept_next):
@@ -91,7 +93,7 @@
                     await connection_with_open_request(frontends[0])
                     while not frontends[0].driver.upstreams.pool.connecting:
                         await asyncio.sleep(0)
-                    await asyncio.sleep(0.2)  # its SYN finds the queue full meanwhile
+                    await asyncio.sleep(0.2)  # the SYN is dropped because the queue is full
                     upstream_socket = await asyncio.to_thread(accept_next)
                     upstream_socket.setblocking(False)
                     reader, writer = await asyncio.open_connection(sock=upstream_socket)
@@ -108,6 +110,7 @@
 
 
 def test_streamed_body_announces_at_most_deadline_of_client() -> None:
+    """The head of a streamed body announces at most the client's deadline."""
     deadline_ms = 400
 
     async def test() -> None:
@@ -129,8 +132,10 @@
 def test_last_body_byte_is_not_written_if_announced_deadline_is_too_late(
     recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its upstream reads slowly: the client's time runs on from its last byte, while that waits
-    here.
+    """The last byte of a body is not written if the announced time is too long by then.
+
+    The upstream reads slowly. The client's deadline counts from the last byte that the balancer has
+    received, and the upstream's from the last byte written, while that byte waits in the balancer.
     """
     started: list[tuple[UpstreamConnection, Body]] = []
     start = UpstreamConnection.start
@@ -156,22 +161,25 @@
             client.writer.write(b"x")
             monkeypatch.setattr(UpstreamConnection, "resume_writing", lambda connection: None)
             await recorder.until(lambda: recorder.of_type(api.BodyCompleted))
-            await asyncio.sleep(0.3)  # time that goes by is what is tested
+            await asyncio.sleep(0.3)  # the test needs real time to pass
             original_resume_writing(started[0][0])
             assert (await read_message(client.reader)).status in (502, 503, 504)
             await harness.upstreams[0].until(lambda: harness.upstreams[0].peer_closed_count)
-            assert not harness.upstreams[0].received_requests  # none whole
+            assert not harness.upstreams[0].received_requests  # the request never became complete
             client.close()
 
     run(test())
 
 
 async def wait_until_connected(harness: BalancerHarness) -> None:
+    """Wait until the first upstream has accepted a connection."""
     while not harness.upstreams[0].connections:
         await asyncio.sleep(0)
 
 
 def test_retry_announces_remaining_time(attempt_start_times_ns: list[int]) -> None:
+    """A retry announces the time that remains when the retry is written."""
+
     async def test() -> None:
         limits = replace(LONG_CONNECT_SETTINGS.limits, max_attempts=2)
         async with running_balancer(
@@ -190,7 +198,7 @@
             client.send("r1", X_Deadline_Ms=2000)
             while not attempt_start_times_ns:
                 await asyncio.sleep(0)
-            await asyncio.sleep(0.2)  # time that goes by is what is tested
+            await asyncio.sleep(0.2)  # the test needs real time to pass
             rejection_released.set()
             while len(attempt_start_times_ns) < 2:
                 await asyncio.sleep(0)
@@ -208,7 +216,7 @@
 
 
 class ConnectedClient:
-    """A client that waits."""
+    """A client that waits for its response."""
 
     gone = False
 
@@ -249,9 +257,21 @@
     event_loop_delay_ms: int,
     attempt_number: int,
 ) -> None:
-    """First tries, retries and second copies. `body_duration_ms`: from the head to the last byte of
-    a body that comes in pieces, `write_delay_ms`: from there to its write, `stall_ms`: from the
-    look at the clock to the write.
+    """No delay of an attempt makes it announce more time than its client has left.
+
+    Covers first attempts, retries and hedged requests.
+
+    Args:
+        wait_ms: The client's deadline.
+        timeout_ms: Timeout of the attempt; 0: 4000 ms.
+        is_streamed: Whether the body is streamed.
+        decision_delay_ms: Time from the request's arrival to the decision to start the attempt.
+        connect_delay_ms: Time from the decision to the write of the head.
+        body_duration_ms: Time from the head to the last byte of a streamed body.
+        write_delay_ms: Time from the arrival of that byte to its write.
+        stall_ms: Time from reading the clock to the write.
+        event_loop_delay_ms: Additional delay of that byte's write by the event loop.
+        attempt_number: Index of the attempt within its request.
     """
     start_ns = 10 * SECOND
     wait_ns, is_complete = wait_ms * MS, not is_streamed
@@ -294,7 +314,7 @@
             return
         received_ns = (
             clock_ns + body_duration_ms * MS
-        )  # its last byte: the client's time runs from there
+        )  # arrival of the last byte, from which the deadline counts
         clock_ns = received_ns + (event_loop_delay_ms + write_delay_ms) * MS
         request.arrival = arrival._replace(
             deadline_ns=received_ns + wait_ns, received_ns=received_ns, body_complete=True
--- a/tests/proxy/test_event_loop_waits.py
+++ b/tests/proxy/test_event_loop_waits.py
@@ -1,6 +1,4 @@
-"""Loops that could turn without a wait in between: `docs/design/races.md` lists what bounds
-them.
-"""
+"""Timers and listeners that could busy-loop; `docs/design/races.md` lists what bounds them."""
 
 from __future__ import annotations
 
@@ -19,9 +17,11 @@
 from loadbalancer.proxy.resource_limits import RESERVE
 from tests.fakes import SECOND, SETTINGS, never_respond, run, running_balancer
 
-# Parts of the loop's ticks, of which it makes nothing or one too few.
+# Intervals that are no multiple of the event loop's tick, which rounds them down: to zero ticks or
+# to one tick too few.
 INTERVALS_S = (0.0004, 0.0014, 0.0123)
-# calls for one timer: on time, and early by a tick of the loop's clock and one of the kernel's
+# Calls for one timer: on time, and early by a tick of the event loop's clock and by one of the
+# kernel's clock.
 MAX_CALLS_PER_TIMER = 4
 
 
@@ -29,14 +29,16 @@
 def test_early_policy_timer_does_not_busy_loop(
     interval_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The module set what was left anew, and was asked hundreds of times until the clock had moved
-    on.
+    """A policy timer that fires early does not cause a busy loop.
+
+    The policy set the remaining time as a new timer and was called hundreds of times, until the
+    clock had advanced.
     """
     all_timers_fired = asyncio.Event()
     calls_per_timer: list[int] = []
 
     class TimerPolicy:
-        """Has one timer after another, each until its time has come."""
+        """A policy with 20 consecutive timers, each set again until it is due."""
 
         def __init__(self, config: api.Settings, seed: int, now: int) -> None:
             self.due_ns, self.timers_left = 0, 20
@@ -71,7 +73,10 @@
 def test_early_sweep_timer_does_not_busy_loop(
     connection_side: str, interval_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The same at the two timers that serve whole tables of connections."""
+    """A sweep timer that fires early does not cause a busy loop.
+
+    Client connections and idle upstream connections each have one timer for a whole table.
+    """
     sweep_times_s: list[float] = []
     swept_class: Any = Frontend if connection_side == "a client's" else ConnectionPool
     method = "_sweep" if connection_side == "a client's" else "_close_expired_idle"
@@ -110,7 +115,10 @@
 def test_clients_over_connection_limit_do_not_cause_busy_loop(
     occupancy: str, monkeypatch: pytest.MonkeyPatch, frontends: list[Frontend]
 ) -> None:
-    """They lie in the queue, and the listener would be readable on every turn."""
+    """Clients in the accept queue do not cause a busy loop while the connection limit is reached.
+
+    The listener would be readable in every event-loop iteration.
+    """
     client_counts_at_accept: list[int] = []
     accept = Frontend._accept
 
--- a/tests/proxy/test_parse.py
+++ b/tests/proxy/test_parse.py
@@ -1,4 +1,4 @@
-"""What the reader of messages takes, and what it turns away: no sockets."""
+"""Messages that the parser accepts and rejects, tested without sockets."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 
 @pytest.mark.parametrize("piece_bytes", [1, 7, 1_000_000])
 def test_requests_are_parsed_identically_for_any_piece_size(piece_bytes: int) -> None:
+    """The parsed requests do not depend on how the input is split."""
     data = (
         HEAD
         + b"X-Odd:  a b\t\r\nContent-Length: 4\r\n\r\nbody"
@@ -79,16 +80,18 @@
     ],
 )
 def test_invalid_request_is_rejected_with_status(data: bytes, status: int) -> None:
+    """An invalid or too large request is rejected, and nothing after it is parsed."""
     for piece_bytes in (1000, 1_000_000_000):
         reader = RequestReader()
         for offset in range(0, len(data), piece_bytes):
             reader.feed(data[offset : offset + piece_bytes])
         assert reader.fault is not None and reader.fault.status == status
         reader.feed(HEAD + b"\r\n")
-        assert not reader.ready  # nothing is read behind it
+        assert not reader.ready  # nothing after the invalid request is parsed
 
 
 def test_upgrade_is_ignored_in_request_and_rejected_in_response() -> None:
+    """An Upgrade header is ignored in a request, and a 101 response is an error."""
     upgrade_headers = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader = RequestReader()
     reader.feed(HEAD + upgrade_headers)
@@ -101,6 +104,7 @@
 
 
 def test_expect_continue_is_set_until_body_arrives() -> None:
+    """`Expect: 100-continue` is reported until the body arrives."""
     reader = RequestReader()
     reader.feed(HEAD + b"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
     assert reader.expects_continue and not reader.ready
@@ -122,6 +126,7 @@
 def test_response_is_parsed_and_bytes_after_it_are_detected(
     data: bytes, body: bytes, is_only_message: bool
 ) -> None:
+    """A response is parsed, and bytes that follow it are detected."""
     reader = ResponseReader()
     reader.feed(data)
     assert reader.ready.popleft().body == body
@@ -129,6 +134,7 @@
 
 
 def test_response_size_limit_is_set_per_response() -> None:
+    """The size limit of a body is set for each response."""
     long_response = OK + b"Content-Length: 70000\r\n\r\n" + b"x" * 70_000
     reader = ResponseReader()
     reader.expect(4 * MAX_BODY)
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -1,5 +1,7 @@
-"""Where two events cross: at shutdown, at close, in retries, while a connection comes up. Each
-crossing is forced. `docs/design/races.md` lists them by state and event, with the test of each.
+"""Races between two events at shutdown, at close, in retries and during connects.
+
+Each test forces the order of the two events. `docs/design/races.md` lists the races by state and
+event, with the test of each.
 """
 
 from __future__ import annotations
@@ -59,12 +61,12 @@
 )
 
 POST = b"POST /pay HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nContent-Length: %d\r\n\r\n"
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: close() sends a reset
 REQUEST = message(b"GET /quote HTTP/1.1", [(b"Host", b"h"), (b"X-Request-Id", b"r1")])
 
 
 async def connect_raw_socket(harness: BalancerHarness) -> socket.socket:
-    """A client's bare socket: what it does is done at once, not on a turn of the loop."""
+    """Connect a non-blocking socket whose calls take effect at once, without the event loop."""
     sock = socket.socket()
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, harness.address)
@@ -72,7 +74,7 @@
 
 
 async def read_until_eof(sock: socket.socket) -> bytes:
-    """All that comes until the end; a reset raises."""
+    """Return everything received until EOF; a reset raises ConnectionResetError."""
     received = b""
     while data := await asyncio.get_running_loop().sock_recv(sock, 65536):
         received += data
@@ -80,6 +82,7 @@
 
 
 async def connection_with_open_request(front: Frontend) -> ClientConnection:
+    """Wait until a client connection has an open request, and return that connection."""
     while not front.clients or not any(c.open_request for c in front.clients):
         await asyncio.sleep(0)
     return next(c for c in front.clients if c.open_request)
@@ -88,36 +91,40 @@
 # ---- close ---------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("connection_state", ["behind the last answer", "at rest", "silent"])
+@pytest.mark.parametrize("connection_state", ["after final response", "idle", "silent"])
 def test_request_received_during_close_does_not_reset_connection(
     connection_state: str, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Bytes that come between the last look and the close turned it into a reset, which can take
-    along an answer that its client has not read yet. Nor is what comes then sent on.
+    """A request that arrives while the connection is being closed causes no reset.
+
+    Bytes that arrived between the last check for input and the close turned the close into a reset,
+    which can discard a response that the client has not read yet. The late request must also not be
+    forwarded.
     """
 
     async def test() -> None:
         async with running_balancer() as harness:
             with await connect_raw_socket(harness) as sock:
                 late_request = REQUEST.replace(b"r1", b"crossing")
-                if connection_state == "behind the last answer":
+                if connection_state == "after final response":
                     original_write = ClientConnection.write
 
                     def write_and_send_request(client: ClientConnection, data: bytes) -> None:
+                        """Send the late request directly after the response is written."""
                         original_write(client, data)
-                        if sock.fileno() >= 0:  # not for the last request
+                        if sock.fileno() >= 0:  # the socket is closed before the last request
                             sock.send(late_request)
 
                     sock.send(REQUEST.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
                     monkeypatch.setattr(ClientConnection, "write", write_and_send_request)
                 else:
-                    if connection_state == "at rest":
+                    if connection_state == "idle":
                         sock.send(REQUEST)
                         await asyncio.get_running_loop().sock_recv(sock, 4096)
                     while not frontends[0].clients:
                         await asyncio.sleep(0)
                     [client] = frontends[0].clients
-                    phase = Phase.IDLE if connection_state == "at rest" else Phase.NEW
+                    phase = Phase.IDLE if connection_state == "idle" else Phase.NEW
                     while client.phase is not phase:
                         await asyncio.sleep(0)
                     frontends[0].clients_by_phase[phase][client] -= 60.0
@@ -125,7 +132,7 @@
                     sock.send(late_request)
                 received = await asyncio.wait_for(read_until_eof(sock), 5.0)
                 assert received.startswith(b"HTTP/1.1 200 ") is (
-                    connection_state == "behind the last answer"
+                    connection_state == "after final response"
                 )
             assert (await harness.ask("last")).status == 200
             assert b"crossing" not in b" ".join(
@@ -138,6 +145,7 @@
 def test_lingering_connection_closes_although_client_keeps_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A client that keeps sending after the final response can't keep its connection open."""
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.LINGERING, 0.1)
 
     async def test() -> None:
@@ -156,6 +164,11 @@
 def test_pipelined_request_does_not_start_after_client_disconnects(
     recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
+    """A pipelined request does not start once the client has closed its connection.
+
+    The request is still unparsed when the EOF arrives.
+    """
+
     async def test() -> None:
         async with running_balancer() as harness:
             client = await harness.client_awaiting_response("r1")
@@ -164,7 +177,7 @@
             while not connection.has_data:
                 await asyncio.sleep(0)
             connection.eof_received()
-            connection._parse()  # as behind an answer, or once its buffer has room
+            connection._parse()  # as after a response, or when the buffer has space again
             assert (await harness.ask("last")).status == 200
             assert [e.request for e in recorder.of_type(api.RequestArrived)] == ["r1", "last"]
 
@@ -172,7 +185,10 @@
 
 
 def test_tcp_nodelay_is_set_on_both_sides(frontends: list[Frontend]) -> None:
-    """What the system holds back to fill a segment goes with a reset: so it holds back nothing."""
+    """Client and upstream connections set TCP_NODELAY.
+
+    Data that the kernel delays in order to fill a segment is lost if the connection is reset.
+    """
 
     async def test() -> None:
         async with running_balancer() as harness:
@@ -191,7 +207,7 @@
     run(test())
 
 
-# ---- a client that has gone ----------------------------------------------------------------------
+# ---- disconnected clients ------------------------------------------------------------------------
 
 RETRY_SETTINGS = replace(
     SETTINGS,
@@ -203,8 +219,10 @@
 
 @pytest.mark.parametrize("disconnect", ["closes", "resets"])
 def test_no_retry_if_close_of_client_is_unread(disconnect: str, frontends: list[Frontend]) -> None:
-    """It is not read from, as while a body waits for room or the loop is late: the end lies in the
-    kernel.
+    """A rejected attempt is not retried if the client's FIN or reset is still unread.
+
+    The balancer does not read from the client, as happens while a body waits for buffer space or
+    the event loop is late. So the FIN or reset is visible in the kernel only.
     """
 
     async def test() -> None:
@@ -242,8 +260,10 @@
 
 @contextmanager
 def upstream_with_full_accept_queue() -> Iterator[tuple[Json, Callable[[], socket.socket]]]:
-    """An upstream whose accept queue is full: connections to it come up only once it is emptied.
-    Gives its entry of the list, and a call that empties the queue and takes the next connection.
+    """Provide an upstream whose accept queue is full, so that connects wait until it is emptied.
+
+    Yields the upstream's entry in the endpoint list, and a function that empties the accept queue
+    and accepts the next connection.
     """
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
@@ -255,6 +275,7 @@
                 fillers.append(socket.create_connection(address, 0.2))
 
         def accept_next() -> socket.socket:
+            """Empty the accept queue, and return the next connection."""
             for sock in fillers:
                 server.accept()[0].close()
                 sock.close()
@@ -267,11 +288,11 @@
 @pytest.mark.parametrize(
     "obstacle",
     [
-        "its client goes",
-        "its client goes unread",
-        "it drains",
-        "it restarts",
-        "it may not be repeated any more",
+        "client closes",
+        "client closes, unread",
+        "upstream drains",
+        "upstream restarts",
+        "start limit passes",
     ],
 )
 def test_connection_established_too_late_carries_no_attempt(
@@ -280,15 +301,21 @@
     recorder: EventRecorder,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A connection carries no attempt if the attempt became invalid during the connect.
+
+    The connect waits in a full accept queue. Meanwhile the client disconnects, the upstream drains
+    or restarts, or the time within which the attempt must start runs out.
+    """
     start_attempt = Dispatcher.start_attempt
 
     def start_attempt_with_limit(module: Dispatcher, *args: Any) -> None:
+        """Start the attempt, but allow it to be written within 100 ms only."""
         start_attempt(module, *args)
         module.context.actions[-1] = cast(api.StartAttempt, module.context.actions[-1])._replace(
             start_by_ns=100 * MS
         )
 
-    if obstacle == "it may not be repeated any more":
+    if obstacle == "start limit passes":
         monkeypatch.setattr(Dispatcher, "start_attempt", start_attempt_with_limit)
 
     async def test() -> None:
@@ -308,16 +335,16 @@
                     upstreams = frontends[0].driver.upstreams
                     while not upstreams.pool.connecting:
                         await asyncio.sleep(0)
-                    if obstacle == "its client goes unread":
+                    if obstacle == "client closes, unread":
                         assert connection.transport is not None
                         connection.transport.pause_reading()
-                    if obstacle.startswith("its client"):
+                    if obstacle.startswith("client closes"):
                         client.close()
-                    elif obstacle == "it may not be repeated any more":
+                    elif obstacle == "start limit passes":
                         await recorder.until(
                             lambda: recorder.results()[:1] == [api.AttemptResult.NOT_SENT]
                         )
-                    elif obstacle == "it drains":
+                    elif obstacle == "upstream drains":
                         upstreams.learn(
                             [read_endpoint({**row, "state": "Terminating"})], full=False
                         )
@@ -334,13 +361,16 @@
     run(test())
 
 
-# ---- an idle connection to an upstream -----------------------------------------------------------
+# ---- idle upstream connections -------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("unread", ["a second answer", "the end", "a reset"])
+@pytest.mark.parametrize("unread", ["duplicate response", "FIN", "reset"])
 def test_idle_connection_with_unread_data_carries_no_request(unread: str) -> None:
-    """With the loop late, what came lies unread: a late second answer would be taken for the next
-    one's, and the upstream's close would break a request that may not be repeated.
+    """An idle connection with unread input is not reused.
+
+    When the event loop is late, input may have arrived that was not read yet. An unread duplicate
+    response would be taken for the response to the next request, and an unread FIN or reset would
+    break a request that may not be retried.
     """
 
     async def test() -> None:
@@ -355,15 +385,15 @@
             def on_done(result: api.AttemptResult, response: Any, report: Any) -> None:
                 results.put_nowait((result, response.body if response is not None else b""))
 
-            for body in (b"first", b"second"):  # each on a connection of its own
+            for body in (b"first", b"second"):  # each must use a new connection
                 upstreams.send(upstream_number("s-0"), REQUEST, on_done, Timing(5.0))
                 upstream_socket, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
                 assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
                 await loop.sock_sendall(upstream_socket, http_response(200, body))
                 assert await results.get() == (api.AttemptResult.OK, body)
-                if unread == "a second answer":
+                if unread == "duplicate response":
                     upstream_socket.send(http_response(200, b"stray"))
-                elif unread == "the end":
+                elif unread == "FIN":
                     upstream_socket.shutdown(socket.SHUT_WR)
                 else:
                     upstream_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -375,7 +405,11 @@
 
 
 def test_retry_must_start_within_window_of_key() -> None:
-    """Chosen inside the window of its key, it began behind it where its connection came up late."""
+    """A retry must start before the retry window of its key ends.
+
+    The policy started a retry within the window, but the retry was written after the window if its
+    connection was established late.
+    """
     policy_harness = PolicyHarness(settings(), servers=3)
     policy_harness.deliver(arrival(1, policy_harness.now, CELL_SCOPED, wait_ns=900 * MS))
     policy_harness.now += 150 * MS
@@ -396,6 +430,7 @@
 
 
 def shorten_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Set the deadline of open requests at shutdown and its margin to 0.1 s."""
     monkeypatch.setattr(frontend, "MAX_SHUTDOWN_DEADLINE_NS", SECOND // 10)
     monkeypatch.setattr(frontend, "SHUTDOWN_MARGIN_NS", SECOND // 10)
 
@@ -403,8 +438,10 @@
 def test_final_responses_are_sent_if_event_loop_is_late_at_shutdown(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the open requests and that of the process come due on one turn: the second must
-    not drop the answers of the first.
+    """Final responses are sent even if the event loop is late at shutdown.
+
+    The timers that end the open requests and the process then fire in the same event-loop
+    iteration. The second timer must not discard the responses that the first one wrote.
     """
     shorten_shutdown(monkeypatch)
 
@@ -415,7 +452,7 @@
             await asyncio.sleep(0)
             time.sleep(
                 0.2 + balancer_process.FINAL_ANSWERS_TIMEOUT_S + 0.2
-            )  # the loop stands still over both times
+            )  # blocks the event loop past both timers
             assert (await asyncio.wait_for(read_message(client.reader), 2.0)).status == 504
             await client.expect_eof()
 
@@ -429,6 +466,7 @@
 def test_partial_request_at_shutdown_receives_error_response(
     partial_request: bytes, status: int, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A client that has sent part of a request at shutdown receives an error response."""
     shorten_shutdown(monkeypatch)
 
     async def test() -> None:
@@ -447,6 +485,7 @@
 def test_request_after_shutdown_deadline_is_rejected_immediately(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A request that arrives after the open requests were ended is rejected immediately."""
     shorten_shutdown(monkeypatch)
     monkeypatch.setattr(balancer_process, "FINAL_ANSWERS_TIMEOUT_S", 5.0)
     open_requests_ended = asyncio.Event()
@@ -474,6 +513,8 @@
 def test_response_and_client_close_in_same_iteration_leave_no_open_request(
     frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
+    """A response and its client's close in one event-loop iteration leave no request open."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             harness.upstreams[0].script = [never_respond]
@@ -495,6 +536,10 @@
 def test_response_without_length_truncated_by_shutdown_is_reset(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A response without a length that shutdown truncates ends in a reset.
+
+    With a normal close, the client would take the truncated response for a complete one.
+    """
     shorten_shutdown(monkeypatch)
 
     async def test() -> None:
@@ -502,8 +547,8 @@
             harness.upstreams[0].script = [
                 b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 100_000
             ]
-            # To HTTP/1.0, which knows no chunks, an answer whose length was not told ends by its
-            # close.
+            # HTTP/1.0 has no chunked encoding, so a response without a length ends with the close
+            # of the connection.
             monkeypatch.setattr(
                 ClientConnection, "_begin_answer", without_length(ClientConnection._begin_answer)
             )
@@ -528,6 +573,7 @@
 def test_drain_before_start_prevents_listening(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A process that drains before it starts does not listen for clients."""
     listen_calls: list[object] = []
     monkeypatch.setattr(frontend, "listen", lambda *args: listen_calls.append(args))
     monkeypatch.setattr(frontend, "DRAIN_S", 0.0)
@@ -552,12 +598,13 @@
 def test_idle_clients_are_evicted_for_queued_clients_while_draining(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """During a drain, idle clients are evicted so that clients in the accept queue are served."""
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
     monkeypatch.setattr(client_connection, "CLOSE_REJECTED_FRACTION", 9.0)
     monkeypatch.setattr(client_connection, "CLOSE_FRACTION", 9.0)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # places for two clients
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # at most two clients
             idle_clients = [await harness.client(), await harness.client()]
             for number, client in enumerate(idle_clients):
                 assert (await client.ask(f"r{number}")).status == 200
@@ -575,14 +622,16 @@
 def test_queued_clients_at_shutdown_are_rejected_and_not_reset(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All places were taken by open requests until the end, and closing the listener reset those
-    that waited behind them.
+    """Clients in the accept queue at shutdown are rejected with 503, not reset.
+
+    Open requests used up the connection limit until shutdown. Closing the listener then reset the
+    clients that were still in the accept queue.
     """
     shorten_shutdown(monkeypatch)
     monkeypatch.setattr(frontend, "DRAIN_S", 0.05)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # places for two clients
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # at most two clients
             harness.upstreams[0].script = [never_respond] * 20
             accepted_clients = [await harness.client(), await harness.client()]
             for number, client in enumerate(accepted_clients):
@@ -605,8 +654,10 @@
 def test_process_with_file_not_locked_yet_is_not_considered_dead(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The other one looked in between, removed the file, and each thought itself alone from then
-    on.
+    """A process that has created its file but not locked it yet is not considered dead.
+
+    Another process checked between the two steps and removed the file. From then on, each process
+    found no others.
     """
     first_registry = ProcessRegistry(tmp_path)
     original_flock = fcntl.flock
@@ -627,17 +678,21 @@
     first_registry.close()
 
 
-# ---- lists ---------------------------------------------------------------------------------------
+# ---- endpoint lists ------------------------------------------------------------------------------
 
-FLEET_SETTINGS = replace(SETTINGS, instance_count=200)  # each call waits for 20 s there
+FLEET_SETTINGS = replace(SETTINGS, instance_count=200)  # polls have a hold of 20 s
 
 
 @pytest.mark.parametrize("push", [True, False])
-@pytest.mark.parametrize("failure", ["turned away", "broken", "given up"])
+@pytest.mark.parametrize("failure", ["rejected", "reset", "timed out"])
 def test_change_after_failed_poll_is_applied_whatever_the_next_hold(
     failure: str, push: bool, recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The call behind it waited for 20 s: fallen silent, it hid all changes meanwhile."""
+    """A change after a failed poll is delivered within 6 s, whatever the hold of the next poll.
+
+    The poll after a failed one had a hold of 20 s. If discovery stopped answering during that poll,
+    all changes meanwhile were missed.
+    """
     backoff_s = max(discovery_watch.MAX_BACKOFF_S, subscription.MAX_BACKOFF_NS / SECOND)
     assert (
         backoff_s
@@ -655,11 +710,11 @@
         ) as harness:
             fake_discovery = harness.discovery
             await harness.wait_for_endpoint_list()
-            fake_discovery.busy, fake_discovery.down = failure == "turned away", failure == "broken"
-            fake_discovery.silent = failure == "given up"
+            fake_discovery.busy, fake_discovery.down = failure == "rejected", failure == "reset"
+            fake_discovery.silent = failure == "timed out"
             poll_count = len(fake_discovery.received_requests)
-            if failure == "turned away":
-                fake_discovery.change(harness.upstreams[0].row())  # ends the call that waits
+            if failure == "rejected":
+                fake_discovery.change(harness.upstreams[0].row())  # ends the poll in flight
             else:
                 fake_discovery.abort_connections()
             await fake_discovery.until(
@@ -696,7 +751,11 @@
 def test_address_change_does_not_wait_for_backoff(
     frontends: list[Frontend], recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Told to go elsewhere (SIGHUP), discovery's word there counts 4 s later."""
+    """A change of discovery's address does not wait for the backoff after a failed poll.
+
+    After a switch to another address (SIGHUP), the list from the new address must be in force
+    within 4 s.
+    """
     monkeypatch.setattr(subscription, "MAX_BACKOFF_NS", 1000 * SECOND)
 
     async def test() -> None:
@@ -734,6 +793,7 @@
 
 
 def test_policy_subscribes_again_within_max_backoff() -> None:
+    """Without push, the policy subscribes again within its maximum backoff after each failure."""
     policy_harness = PolicyHarness(settings(discovery_push=False))
     for _ in range(12):
         policy_harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
@@ -745,14 +805,17 @@
 def test_fetched_list_does_not_wait_for_watch_poll(
     recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
-    """It waited for the one connection, and with it for the hold of the call that was out there."""
+    """A list fetched in addition to the watch does not wait for the watch's poll.
+
+    The fetch waited for the only connection, and so for the hold of the poll in flight.
+    """
 
     async def test() -> None:
         async with running_balancer(2, settings=FLEET_SETTINGS) as harness:
             await harness.wait_for_endpoint_list()
             discovery_client = frontends[0].driver.discovery
             assert discovery_client is not None
-            harness.discovery.rows.pop()  # nobody is told
+            harness.discovery.rows.pop()  # without a new version, so the watch reports nothing
             discovery_client.fetch()
             await asyncio.wait_for(
                 recorder.until(
@@ -766,7 +829,7 @@
             )
             await harness.update_endpoints(
                 harness.upstreams[0].row("Terminating")
-            )  # and it goes on being watched
+            )  # the watch is still in force
 
     run(test())
 
@@ -774,6 +837,8 @@
 def test_answer_of_old_address_after_address_change_is_ignored(
     frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
+    """An answer from the old discovery address that is read after an address change is ignored."""
+
     async def test() -> None:
         async with running_balancer(2) as harness:
             await harness.wait_for_endpoint_list()
@@ -781,7 +846,7 @@
             assert isinstance(discovery_client, discovery.Discovery)
             other_discovery = FakeDiscovery([harness.upstreams[1].row()])
             await other_discovery.start()
-            # The old one's answer is written, and lies unread, when the move comes.
+            # The old address's answer has been written but not read when the address changes.
             harness.discovery.change(harness.upstreams[0].row("Terminating"))
             while not discovery_client.connection or discovery_client.connection.reusable:
                 await asyncio.sleep(0)
@@ -801,6 +866,7 @@
 def test_invalid_entries_are_logged_in_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    """Invalid entries of a list are skipped and logged in one line, however many they are."""
     invalid_rows = [{"id": f"s-{n}", "addr": "a.host:80"} for n in range(1000)]
     valid_row = {"id": "s-0", "addr": "127.0.0.1:80"}
     version, full, endpoints = endpoint_list.read_list(
@@ -809,11 +875,11 @@
     assert (version, full, len(endpoints), len(caplog.records)) == (1, False, 1, 1)
 
 
-# ---- a second answer -----------------------------------------------------------------------------
+# ---- duplicate responses -------------------------------------------------------------------------
 
 
 class StubAttempt:
-    """A request that starts only where its upstream may be used."""
+    """An attempt that starts unless the upstream may not be used."""
 
     def begin(self, upstream_verdict: Verdict) -> bytes | Denied:
         return upstream_verdict if isinstance(upstream_verdict, Denied) else REQUEST
@@ -823,7 +889,11 @@
 
 
 class SingleUpstream:
-    """An upstream of bare sockets, and connections to it."""
+    """An upstream of raw sockets, and the connection pool to it.
+
+    Attributes:
+        response_bodies: The response bodies of finished attempts; empty if an attempt failed.
+    """
 
     def __init__(self, server: socket.socket) -> None:
         server.setblocking(False)
@@ -833,6 +903,7 @@
         self.response_bodies: asyncio.Queue[bytes] = asyncio.Queue()
 
     def learn(self, state: str) -> None:
+        """Replace the endpoint list by this upstream in the given state."""
         row = {"id": "s-0", "addr": "{}:{}".format(*self.server.getsockname()), "state": state}
         self.upstreams.learn([read_endpoint(row)], full=True)
 
@@ -840,6 +911,7 @@
         return self.upstreams.send(upstream_number("s-0"), StubAttempt(), on_done, Timing(5.0))
 
     def ask(self) -> None:
+        """Start an attempt whose response body is put into `response_bodies`."""
         self.send(
             lambda result, response, report: self.response_bodies.put_nowait(
                 response.body if response is not None else b""
@@ -847,7 +919,7 @@
         )
 
     async def accept_request(self) -> socket.socket:
-        """The next connection, with a request on it."""
+        """Accept the next connection, and read a request from it."""
         upstream_socket, _ = await asyncio.wait_for(
             asyncio.get_running_loop().sock_accept(self.server), 5.0
         )
@@ -856,8 +928,13 @@
 
 
 async def check_duplicate_response_is_not_reused(had_duplicate_before: bool) -> None:
-    """The next request is asked for at once, and a second copy of the first answer is on its
-    way.
+    """Check that a duplicate of the first response is not used for the next request.
+
+    The next request is started immediately after the first response, while the duplicate is in
+    flight.
+
+    Args:
+        had_duplicate_before: Whether any upstream has sent a duplicate response recently.
     """
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
@@ -867,7 +944,7 @@
         with await upstream.accept_request() as upstream_socket:
             await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
             assert await upstream.response_bodies.get() == b"first"
-            upstream.ask()  # at once
+            upstream.ask()  # before the connection has settled
             upstream_socket.send(http_response(200, b"first, once more"))
             with await upstream.accept_request() as other_socket:
                 await loop.sock_sendall(other_socket, http_response(200, b"second"))
@@ -876,17 +953,22 @@
 
 
 def test_late_duplicate_response_is_not_used_for_next_request() -> None:
-    """Seen in a soak: the next request was written 1 ms behind the first answer, and served with
-    the second one, which no upstream had made for it.
+    """A duplicate response that arrives milliseconds late is not used for the next request.
+
+    In a soak test, the next request was written 1 ms after the first response and was answered with
+    the duplicate, which no upstream had produced for that request.
     """
     run(check_duplicate_response_is_not_reused(had_duplicate_before=False))
 
 
 def test_repeated_duplicate_response_is_not_used_for_next_request() -> None:
+    """The same holds while settle times are longer because of an earlier duplicate response."""
     run(check_duplicate_response_is_not_reused(had_duplicate_before=True))
 
 
 def test_settle_time_is_longer_after_duplicate_response() -> None:
+    """A connection to an upstream that has sent a duplicate response settles for longer."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -898,16 +980,13 @@
                     http_response(200, b"first") + http_response(200, b"first, once more"),
                 )
                 assert await upstream.response_bodies.get() == b"first"
-                assert (
-                    await loop.sock_recv(upstream_socket, 10) == b""
-                )  # that connection is not used any more
+                assert await loop.sock_recv(upstream_socket, 10) == b""  # the connection is closed
             upstream.ask()
             with await upstream.accept_request() as upstream_socket:
                 await loop.sock_sendall(upstream_socket, http_response(200, b"second"))
                 assert await upstream.response_bodies.get() == b"second"
-                await asyncio.sleep(
-                    2 * connection_pool.SETTLE_S
-                )  # a connection that rests for so long is used else
+                # Without the duplicate, the connection would be reusable after this time.
+                await asyncio.sleep(2 * connection_pool.SETTLE_S)
                 upstream.ask()
                 with await upstream.accept_request() as other_socket:
                     await loop.sock_sendall(other_socket, http_response(200, b"third"))
@@ -918,13 +997,15 @@
 
 
 def test_connection_without_response_is_reused_without_settling() -> None:
+    """A connection that has carried no response is reused without a settle time."""
+
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             upstream = SingleUpstream(server)
             cancelled = upstream.send(lambda *_: None)
             assert cancelled is not None
             cancelled.finish(api.AttemptResult.NOT_SENT)
-            await asyncio.gather(*upstream.upstreams.pool.connecting)  # its connection came up idle
+            await asyncio.gather(*upstream.upstreams.pool.connecting)  # the connection becomes idle
             upstream.ask()
             assert upstream.upstreams.connections_open == 1
             (await upstream.accept_request()).close()
@@ -937,6 +1018,11 @@
 def test_attempt_waiting_for_settling_checks_upstream_state_again(
     state: str,
 ) -> None:
+    """An attempt that waited for a connection to settle checks the upstream's state again.
+
+    The upstream may have begun to drain during the wait.
+    """
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -945,7 +1031,7 @@
             with await upstream.accept_request() as upstream_socket:
                 await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
                 assert await upstream.response_bodies.get() == b"first"
-                upstream.ask()  # at once: it waits
+                upstream.ask()  # waits for the connection to settle
                 upstream.learn(state)
                 if state == "Ready":
                     assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
@@ -960,7 +1046,11 @@
 
 
 def test_frequent_settle_waits_open_another_connection() -> None:
-    """With many requests a second each would be late by up to the whole rest."""
+    """If settle waits are frequent, another connection is opened.
+
+    With many requests per second, each request would otherwise be delayed by up to the whole settle
+    time.
+    """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -971,7 +1061,7 @@
                 await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
                 for _ in range(connection_pool.MAX_SETTLE_WAITS):
                     assert await upstream.response_bodies.get() == b"first"
-                    upstream.ask()  # at once: it waits
+                    upstream.ask()  # waits for the connection to settle
                     assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
                     await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
                 assert await upstream.response_bodies.get() == b"first"
--- a/tests/proxy/test_system_call_errors.py
+++ b/tests/proxy/test_system_call_errors.py
@@ -1,4 +1,4 @@
-"""System calls fail in the ways that Linux documents: whose trouble each is, and what follows."""
+"""Errors of connect() and accept() that Linux documents: their cause and their consequence."""
 
 from __future__ import annotations
 
@@ -24,7 +24,12 @@
 
 
 class FailingConnects:
-    """Connections to one port fail, so many times."""
+    """Makes connects to one port fail, up to `max_failures` times.
+
+    Attributes:
+        failure_count: Number of connects that have failed.
+        original: The event loop's own `create_connection`.
+    """
 
     def __init__(self, port: int, error_name: str, max_failures: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -37,6 +42,7 @@
         self.original = self.loop.create_connection
 
     async def create_connection_or_fail(self, factory: Any, host: str, port: int) -> Any:
+        """Raise the error, or connect like the event loop."""
         if port == self.port and self.failure_count < self.max_failures:
             self.failure_count += 1
             raise OSError(self.error_number, os.strerror(self.error_number))
@@ -47,6 +53,7 @@
 async def balancer_with_failing_connects(
     error_name: str, max_failures: int
 ) -> AsyncIterator[tuple[BalancerHarness, FailingConnects]]:
+    """Run a balancer whose connects to its only upstream fail `max_failures` times."""
     async with running_balancer(settings=SHORT_CONNECT_SETTINGS) as harness:
         failing_connects = FailingConnects(harness.upstreams[0].port, error_name, max_failures)
         failing_connects.loop.create_connection = failing_connects.create_connection_or_fail  # type: ignore[method-assign, assignment]
@@ -57,6 +64,8 @@
 def test_local_connect_error_is_retried_and_not_reported(
     error_name: str, recorder: EventRecorder
 ) -> None:
+    """A connect that fails because of a local error is retried and not reported to the policy."""
+
     async def test() -> None:
         async with balancer_with_failing_connects(error_name, 2) as (harness, failing_connects):
             assert (await harness.ask("r1")).status == 200
@@ -71,6 +80,11 @@
 def test_lasting_local_connect_error_is_not_attributed_to_upstream(
     error_name: str, recorder: EventRecorder, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """A local connect error that persists is reported as NOT_SENT, not as CONNECT_FAILED.
+
+    It says nothing about the upstream. It is logged once, not for each retry.
+    """
+
     async def test() -> None:
         async with balancer_with_failing_connects(error_name, 1 << 30) as (harness, _):
             assert (await harness.ask("r1")).status == 503
@@ -93,6 +107,8 @@
 def test_upstream_connect_error_is_reported_without_retry(
     error_name: str, recorder: EventRecorder
 ) -> None:
+    """A connect error caused by the upstream is reported after the first connect."""
+
     async def test() -> None:
         async with balancer_with_failing_connects(error_name, 1) as (harness, failing_connects):
             assert (await harness.ask("r1")).status == 503
@@ -110,6 +126,8 @@
 def test_next_client_is_accepted_after_accept_error(
     error_name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The listener accepts the next client after any error of accept()."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             assert (await harness.ask("r1")).status == 200
