--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -308,12 +308,12 @@
     """
     start_attempt = Dispatcher.start_attempt
 
-    def start_attempt_with_limit(module: Dispatcher, *args: Any) -> None:
+    def start_attempt_with_limit(dispatcher: Dispatcher, *args: Any) -> None:
         """Start the attempt, but allow it to be written within 100 ms only."""
-        start_attempt(module, *args)
-        module.context.actions[-1] = cast(api.StartAttempt, module.context.actions[-1])._replace(
-            start_by_ns=100 * MS
-        )
+        start_attempt(dispatcher, *args)
+        dispatcher.context.actions[-1] = cast(
+            api.StartAttempt, dispatcher.context.actions[-1]
+        )._replace(start_by_ns=100 * MS)
 
     if obstacle == "start limit passes":
         monkeypatch.setattr(Dispatcher, "start_attempt", start_attempt_with_limit)
@@ -380,17 +380,17 @@
             upstreams = Upstreams(SETTINGS.limits, 4, (), BodyMemory(1024))
             row = {"id": "s-0", "addr": "{}:{}".format(*server.getsockname()), "state": "Ready"}
             upstreams.learn([read_endpoint(row)], full=True)
-            results: asyncio.Queue[tuple[api.AttemptResult, bytes]] = asyncio.Queue()
+            attempt_results: asyncio.Queue[tuple[api.AttemptResult, bytes]] = asyncio.Queue()
 
             def on_done(result: api.AttemptResult, response: Any, report: Any) -> None:
-                results.put_nowait((result, response.body if response is not None else b""))
+                attempt_results.put_nowait((result, response.body if response is not None else b""))
 
             for body in (b"first", b"second"):  # each must use a new connection
                 upstreams.send(upstream_number("s-0"), REQUEST, on_done, Timing(5.0))
                 upstream_socket, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
                 assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
                 await loop.sock_sendall(upstream_socket, http_response(200, body))
-                assert await results.get() == (api.AttemptResult.OK, body)
+                assert await attempt_results.get() == (api.AttemptResult.OK, body)
                 if unread == "duplicate response":
                     upstream_socket.send(http_response(200, b"stray"))
                 elif unread == "FIN":
@@ -938,18 +938,18 @@
     """
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
-        upstream = SingleUpstream(server)
-        upstream.upstreams.pool.cautious_until_s = loop.time() + 60.0 * had_duplicate_before
-        upstream.ask()
-        with await upstream.accept_request() as upstream_socket:
+        single_upstream = SingleUpstream(server)
+        single_upstream.upstreams.pool.cautious_until_s = loop.time() + 60.0 * had_duplicate_before
+        single_upstream.ask()
+        with await single_upstream.accept_request() as upstream_socket:
             await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
-            assert await upstream.response_bodies.get() == b"first"
-            upstream.ask()  # before the connection has settled
+            assert await single_upstream.response_bodies.get() == b"first"
+            single_upstream.ask()  # before the connection has settled
             upstream_socket.send(http_response(200, b"first, once more"))
-            with await upstream.accept_request() as other_socket:
+            with await single_upstream.accept_request() as other_socket:
                 await loop.sock_sendall(other_socket, http_response(200, b"second"))
-                assert await upstream.response_bodies.get() == b"second"
-        upstream.upstreams.close()
+                assert await single_upstream.response_bodies.get() == b"second"
+        single_upstream.upstreams.close()
 
 
 def test_late_duplicate_response_is_not_used_for_next_request() -> None:
@@ -972,26 +972,26 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            upstream = SingleUpstream(server)
-            upstream.ask()
-            with await upstream.accept_request() as upstream_socket:
+            single_upstream = SingleUpstream(server)
+            single_upstream.ask()
+            with await single_upstream.accept_request() as upstream_socket:
                 await loop.sock_sendall(
                     upstream_socket,
                     http_response(200, b"first") + http_response(200, b"first, once more"),
                 )
-                assert await upstream.response_bodies.get() == b"first"
+                assert await single_upstream.response_bodies.get() == b"first"
                 assert await loop.sock_recv(upstream_socket, 10) == b""  # the connection is closed
-            upstream.ask()
-            with await upstream.accept_request() as upstream_socket:
+            single_upstream.ask()
+            with await single_upstream.accept_request() as upstream_socket:
                 await loop.sock_sendall(upstream_socket, http_response(200, b"second"))
-                assert await upstream.response_bodies.get() == b"second"
+                assert await single_upstream.response_bodies.get() == b"second"
                 # Without the duplicate, the connection would be reusable after this time.
                 await asyncio.sleep(2 * connection_pool.SETTLE_S)
-                upstream.ask()
-                with await upstream.accept_request() as other_socket:
+                single_upstream.ask()
+                with await single_upstream.accept_request() as other_socket:
                     await loop.sock_sendall(other_socket, http_response(200, b"third"))
-                    assert await upstream.response_bodies.get() == b"third"
-            upstream.upstreams.close()
+                    assert await single_upstream.response_bodies.get() == b"third"
+            single_upstream.upstreams.close()
 
     run(test())
 
@@ -1001,15 +1001,16 @@
 
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            upstream = SingleUpstream(server)
-            cancelled = upstream.send(lambda *_: None)
+            single_upstream = SingleUpstream(server)
+            cancelled = single_upstream.send(lambda *_: None)
             assert cancelled is not None
             cancelled.finish(api.AttemptResult.NOT_SENT)
-            await asyncio.gather(*upstream.upstreams.pool.connecting)  # the connection becomes idle
-            upstream.ask()
-            assert upstream.upstreams.connections_open == 1
-            (await upstream.accept_request()).close()
-            upstream.upstreams.close()
+            # The connection becomes idle.
+            await asyncio.gather(*single_upstream.upstreams.pool.connecting)
+            single_upstream.ask()
+            assert single_upstream.upstreams.connections_open == 1
+            (await single_upstream.accept_request()).close()
+            single_upstream.upstreams.close()
 
     run(test())
 
@@ -1026,21 +1027,21 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            upstream = SingleUpstream(server)
-            upstream.ask()
-            with await upstream.accept_request() as upstream_socket:
+            single_upstream = SingleUpstream(server)
+            single_upstream.ask()
+            with await single_upstream.accept_request() as upstream_socket:
                 await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
-                assert await upstream.response_bodies.get() == b"first"
-                upstream.ask()  # waits for the connection to settle
-                upstream.learn(state)
+                assert await single_upstream.response_bodies.get() == b"first"
+                single_upstream.ask()  # waits for the connection to settle
+                single_upstream.learn(state)
                 if state == "Ready":
                     assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
                     await loop.sock_sendall(upstream_socket, http_response(200, b"second"))
-                    assert await upstream.response_bodies.get() == b"second"
+                    assert await single_upstream.response_bodies.get() == b"second"
                 else:
-                    assert await upstream.response_bodies.get() == b""
+                    assert await single_upstream.response_bodies.get() == b""
                     assert await loop.sock_recv(upstream_socket, 4096) == b""
-            upstream.upstreams.close()
+            single_upstream.upstreams.close()
 
     run(test())
 
@@ -1055,20 +1056,20 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            upstream = SingleUpstream(server)
-            upstream.ask()
-            with await upstream.accept_request() as upstream_socket:
+            single_upstream = SingleUpstream(server)
+            single_upstream.ask()
+            with await single_upstream.accept_request() as upstream_socket:
                 await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
                 for _ in range(connection_pool.MAX_SETTLE_WAITS):
-                    assert await upstream.response_bodies.get() == b"first"
-                    upstream.ask()  # waits for the connection to settle
+                    assert await single_upstream.response_bodies.get() == b"first"
+                    single_upstream.ask()  # waits for the connection to settle
                     assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
                     await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
-                assert await upstream.response_bodies.get() == b"first"
-                upstream.ask()
-                with await upstream.accept_request() as other_socket:
+                assert await single_upstream.response_bodies.get() == b"first"
+                single_upstream.ask()
+                with await single_upstream.accept_request() as other_socket:
                     await loop.sock_sendall(other_socket, http_response(200, b"other"))
-                    assert await upstream.response_bodies.get() == b"other"
-            upstream.upstreams.close()
+                    assert await single_upstream.response_bodies.get() == b"other"
+            single_upstream.upstreams.close()
 
     run(test())
