--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -1,5 +1,7 @@
-"""Where two events cross: at shutdown, at close, in retries, while a connection comes up. Each
-crossing is forced. `docs/design/races.md` lists them by state and event, with the test of each.
+"""Races between two events at shutdown, at close, in retries and during connects.
+
+Each test forces the order of the two events. `docs/design/races.md` lists the races by state and
+event, with the test of each.
 """
 
 from __future__ import annotations
@@ -59,27 +61,28 @@
 )
 
 POST = b"POST /pay HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nContent-Length: %d\r\n\r\n"
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: close() sends a reset
 REQUEST = message(b"GET /quote HTTP/1.1", [(b"Host", b"h"), (b"X-Request-Id", b"r1")])
 
 
-async def plain(w: BalancerHarness) -> socket.socket:
-    """A client's bare socket: what it does is done at once, not on a turn of the loop."""
+async def connect_raw_socket(harness: BalancerHarness) -> socket.socket:
+    """Connect a non-blocking socket whose calls take effect at once, without the event loop."""
     sock = socket.socket()
     sock.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(sock, w.address)
+    await asyncio.get_running_loop().sock_connect(sock, harness.address)
     return sock
 
 
-async def read_all(sock: socket.socket) -> bytes:
-    """All that comes until the end; a reset raises."""
-    got = b""
+async def read_until_eof(sock: socket.socket) -> bytes:
+    """Return everything received until EOF; a reset raises ConnectionResetError."""
+    received = b""
     while data := await asyncio.get_running_loop().sock_recv(sock, 65536):
-        got += data
-    return got
+        received += data
+    return received
 
 
-async def held_connection(front: Frontend) -> ClientConnection:
+async def connection_with_open_request(front: Frontend) -> ClientConnection:
+    """Wait until a client connection has an open request, and return that connection."""
     while not front.clients or not any(c.open_request for c in front.clients):
         await asyncio.sleep(0)
     return next(c for c in front.clients if c.open_request)
@@ -88,59 +91,66 @@
 # ---- close ---------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("when", ["behind the last answer", "at rest", "silent"])
-def test_what_crosses_the_close_of_a_connection_does_not_reset_it(
-    when: str, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("connection_state", ["after final response", "idle", "silent"])
+def test_request_received_during_close_does_not_reset_connection(
+    connection_state: str, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Bytes that come between the last look and the close turned it into a reset, which can take
-    along an answer that its client has not read yet. Nor is what comes then sent on.
+    """A request that arrives while the connection is being closed causes no reset.
+
+    Bytes that arrived between the last check for input and the close turned the close into a reset,
+    which can discard a response that the client has not read yet. The late request must also not be
+    forwarded.
     """
 
     async def test() -> None:
-        async with running_balancer() as w:
-            with await plain(w) as sock:
-                crossing = REQUEST.replace(b"r1", b"crossing")
-                if when == "behind the last answer":
-                    write = ClientConnection.write
-
-                    def cross(client: ClientConnection, data: bytes) -> None:
-                        write(client, data)
-                        if sock.fileno() >= 0:  # not for the last request
-                            sock.send(crossing)
+        async with running_balancer() as harness:
+            with await connect_raw_socket(harness) as sock:
+                late_request = REQUEST.replace(b"r1", b"crossing")
+                if connection_state == "after final response":
+                    original_write = ClientConnection.write
+
+                    def write_and_send_request(client: ClientConnection, data: bytes) -> None:
+                        """Send the late request directly after the response is written."""
+                        original_write(client, data)
+                        if sock.fileno() >= 0:  # the socket is closed before the last request
+                            sock.send(late_request)
 
                     sock.send(REQUEST.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-                    monkeypatch.setattr(ClientConnection, "write", cross)
+                    monkeypatch.setattr(ClientConnection, "write", write_and_send_request)
                 else:
-                    if when == "at rest":
+                    if connection_state == "idle":
                         sock.send(REQUEST)
                         await asyncio.get_running_loop().sock_recv(sock, 4096)
                     while not frontends[0].clients:
                         await asyncio.sleep(0)
                     [client] = frontends[0].clients
-                    phase = Phase.IDLE if when == "at rest" else Phase.NEW
+                    phase = Phase.IDLE if connection_state == "idle" else Phase.NEW
                     while client.phase is not phase:
                         await asyncio.sleep(0)
                     frontends[0].clients_by_phase[phase][client] -= 60.0
                     frontends[0]._sweep()
-                    sock.send(crossing)
-                got = await asyncio.wait_for(read_all(sock), 5.0)
-                assert got.startswith(b"HTTP/1.1 200 ") is (when == "behind the last answer")
-            assert (await w.ask("last")).status == 200
+                    sock.send(late_request)
+                received = await asyncio.wait_for(read_until_eof(sock), 5.0)
+                assert received.startswith(b"HTTP/1.1 200 ") is (
+                    connection_state == "after final response"
+                )
+            assert (await harness.ask("last")).status == 200
             assert b"crossing" not in b" ".join(
-                m.headers["x-request-id"].encode() for m in w.upstreams[0].received_requests
+                m.headers["x-request-id"].encode() for m in harness.upstreams[0].received_requests
             )
 
     run(test())
 
 
-def test_a_client_that_goes_on_sending_does_not_keep_a_connection_that_has_ended(
+def test_lingering_connection_closes_although_client_keeps_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A client that keeps sending after the final response can't keep its connection open."""
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.LINGERING, 0.1)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
+        async with running_balancer() as harness:
+            client = await harness.client()
             assert (await client.ask("r1", Connection="close")).status == 200
             with suppress(ConnectionError):
                 while True:
@@ -151,31 +161,39 @@
     run(test())
 
 
-def test_what_a_client_sent_ahead_is_not_begun_once_it_has_gone(
+def test_pipelined_request_does_not_start_after_client_disconnects(
     recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
+    """A pipelined request does not start once the client has closed its connection.
+
+    The request is still unparsed when the EOF arrives.
+    """
+
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1")
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1")
             client.send("ahead")
-            connection = await held_connection(frontends[0])
+            connection = await connection_with_open_request(frontends[0])
             while not connection.has_data:
                 await asyncio.sleep(0)
             connection.eof_received()
-            connection._parse()  # as behind an answer, or once its buffer has room
-            assert (await w.ask("last")).status == 200
+            connection._parse()  # as after a response, or when the buffer has space again
+            assert (await harness.ask("last")).status == 200
             assert [e.request for e in recorder.of_type(api.RequestArrived)] == ["r1", "last"]
 
     run(test())
 
 
-def test_small_writes_are_not_held_back(frontends: list[Frontend]) -> None:
-    """What the system holds back to fill a segment goes with a reset: so it holds back nothing."""
+def test_tcp_nodelay_is_set_on_both_sides(frontends: list[Frontend]) -> None:
+    """Client and upstream connections set TCP_NODELAY.
+
+    Data that the kernel delays in order to fill a segment is lost if the connection is reset.
+    """
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1")
-            connection = await held_connection(frontends[0])
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1")
+            connection = await connection_with_open_request(frontends[0])
             assert connection.transport is not None
             request = connection.open_request
             assert request is not None and request.attempts[0] is not None
@@ -189,9 +207,9 @@
     run(test())
 
 
-# ---- a client that has gone ----------------------------------------------------------------------
+# ---- disconnected clients ------------------------------------------------------------------------
 
-RETRIES = replace(
+RETRY_SETTINGS = replace(
     SETTINGS,
     limits=replace(
         SETTINGS.limits, max_attempts=3, may_cancel=False, connect_timeout_ns=20 * SECOND
@@ -199,124 +217,140 @@
 )
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
-def test_no_further_attempt_for_a_client_whose_close_lies_unread(
-    how: str, frontends: list[Frontend]
-) -> None:
-    """It is not read from, as while a body waits for room or the loop is late: the end lies in the
-    kernel.
+@pytest.mark.parametrize("disconnect", ["closes", "resets"])
+def test_no_retry_if_close_of_client_is_unread(disconnect: str, frontends: list[Frontend]) -> None:
+    """A rejected attempt is not retried if the client's FIN or reset is still unread.
+
+    The balancer does not read from the client, as happens while a body waits for buffer space or
+    the event loop is late. So the FIN or reset is visible in the kernel only.
     """
 
     async def test() -> None:
-        async with running_balancer(2, settings=RETRIES) as w:
-            turned_away = asyncio.Event()
+        async with running_balancer(2, settings=RETRY_SETTINGS) as harness:
+            rejection_released = asyncio.Event()
 
-            async def busy() -> bytes:
-                await turned_away.wait()
+            async def reject_when_released() -> bytes:
+                await rejection_released.wait()
                 return http_response(503, b"", "X-Not-Run: 1")
 
-            for upstream in w.upstreams:
-                upstream.script = [busy]
-            with await plain(w) as sock:
+            for upstream in harness.upstreams:
+                upstream.script = [reject_when_released]
+            with await connect_raw_socket(harness) as sock:
                 sock.send(REQUEST)
-                connection = await held_connection(frontends[0])
+                connection = await connection_with_open_request(frontends[0])
                 assert connection.transport is not None
-                while not any(u.received_requests for u in w.upstreams):
+                while not any(u.received_requests for u in harness.upstreams):
                     await asyncio.sleep(0)
                 connection.transport.pause_reading()
-                if how == "resets":
+                if disconnect == "resets":
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            turned_away.set()
+            rejection_released.set()
             while frontends[0].driver.open:
                 await asyncio.sleep(0)
             connection.transport.resume_reading()
-            for upstream in w.upstreams:
+            for upstream in harness.upstreams:
                 upstream.script = []
-            assert (await w.ask("last")).status == 200
+            assert (await harness.ask("last")).status == 200
             assert [
-                m.headers["x-request-id"] for u in w.upstreams for m in u.received_requests
+                m.headers["x-request-id"] for u in harness.upstreams for m in u.received_requests
             ].count("r1") == 1
 
     run(test())
 
 
 @contextmanager
-def blocked() -> Iterator[tuple[Json, Callable[[], socket.socket]]]:
-    """An upstream whose accept queue is full: connections to it come up only once it is emptied.
-    Gives its entry of the list, and a call that empties the queue and takes the next connection.
+def upstream_with_full_accept_queue() -> Iterator[tuple[Json, Callable[[], socket.socket]]]:
+    """Provide an upstream whose accept queue is full, so that connects wait until it is emptied.
+
+    Yields the upstream's entry in the endpoint list, and a function that empties the accept queue
+    and accepts the next connection.
     """
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
         server.listen(0)
         address = server.getsockname()
-        fill = [socket.create_connection(address)]
+        fillers = [socket.create_connection(address)]
         with suppress(TimeoutError):
             while True:
-                fill.append(socket.create_connection(address, 0.2))
+                fillers.append(socket.create_connection(address, 0.2))
 
-        def admit() -> socket.socket:
-            for sock in fill:
+        def accept_next() -> socket.socket:
+            """Empty the accept queue, and return the next connection."""
+            for sock in fillers:
                 server.accept()[0].close()
                 sock.close()
             server.settimeout(10.0)
             return server.accept()[0]
 
-        yield {"id": "blocked", "addr": "{}:{}".format(*address), "state": "Ready"}, admit
+        yield {"id": "blocked", "addr": "{}:{}".format(*address), "state": "Ready"}, accept_next
 
 
 @pytest.mark.parametrize(
-    "what",
+    "obstacle",
     [
-        "its client goes",
-        "its client goes unread",
-        "it drains",
-        "it restarts",
-        "it may not be repeated any more",
+        "client closes",
+        "client closes, unread",
+        "upstream drains",
+        "upstream restarts",
+        "start limit passes",
     ],
 )
-def test_a_connection_that_comes_up_too_late_carries_no_attempt(
-    what: str, frontends: list[Frontend], recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
+def test_connection_established_too_late_carries_no_attempt(
+    obstacle: str,
+    frontends: list[Frontend],
+    recorder: EventRecorder,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A connection carries no attempt if the attempt became invalid during the connect.
+
+    The connect waits in a full accept queue. Meanwhile the client disconnects, the upstream drains
+    or restarts, or the time within which the attempt must start runs out.
+    """
     start_attempt = Dispatcher.start_attempt
 
-    def hurried(module: Dispatcher, *args: Any) -> None:
-        start_attempt(module, *args)
-        module.context.actions[-1] = cast(api.StartAttempt, module.context.actions[-1])._replace(
-            start_by_ns=100 * MS
-        )
+    def start_attempt_with_limit(dispatcher: Dispatcher, *args: Any) -> None:
+        """Start the attempt, but allow it to be written within 100 ms only."""
+        start_attempt(dispatcher, *args)
+        dispatcher.context.actions[-1] = cast(
+            api.StartAttempt, dispatcher.context.actions[-1]
+        )._replace(start_by_ns=100 * MS)
 
-    if what == "it may not be repeated any more":
-        monkeypatch.setattr(Dispatcher, "start_attempt", hurried)
+    if obstacle == "start limit passes":
+        monkeypatch.setattr(Dispatcher, "start_attempt", start_attempt_with_limit)
 
     async def test() -> None:
-        with blocked() as (row, admit):
-            once = replace(RETRIES, limits=replace(RETRIES.limits, max_attempts=1))
+        with upstream_with_full_accept_queue() as (row, accept_next):
+            single_attempt_settings = replace(
+                RETRY_SETTINGS, limits=replace(RETRY_SETTINGS.limits, max_attempts=1)
+            )
             async with running_balancer(
-                0, settings=once, known={"version": 1, "full": True, "servers": [row]}
-            ) as w:
-                client = await plain(w)
+                0,
+                settings=single_attempt_settings,
+                known={"version": 1, "full": True, "servers": [row]},
+            ) as harness:
+                client = await connect_raw_socket(harness)
                 with closing(client):
                     client.send(REQUEST)
-                    connection = await held_connection(frontends[0])
+                    connection = await connection_with_open_request(frontends[0])
                     upstreams = frontends[0].driver.upstreams
                     while not upstreams.pool.connecting:
                         await asyncio.sleep(0)
-                    if what == "its client goes unread":
+                    if obstacle == "client closes, unread":
                         assert connection.transport is not None
                         connection.transport.pause_reading()
-                    if what.startswith("its client"):
+                    if obstacle.startswith("client closes"):
                         client.close()
-                    elif what == "it may not be repeated any more":
+                    elif obstacle == "start limit passes":
                         await recorder.until(
                             lambda: recorder.results()[:1] == [api.AttemptResult.NOT_SENT]
                         )
-                    elif what == "it drains":
+                    elif obstacle == "upstream drains":
                         upstreams.learn(
                             [read_endpoint({**row, "state": "Terminating"})], full=False
                         )
                     else:
                         upstreams.learn([read_endpoint({**row, "started_ms": 7})], full=False)
-                    accepted = await asyncio.to_thread(admit)
+                    accepted = await asyncio.to_thread(accept_next)
                     with accepted:
                         while upstreams.pool.connecting:
                             await asyncio.sleep(0)
@@ -327,13 +361,16 @@
     run(test())
 
 
-# ---- an idle connection to an upstream -----------------------------------------------------------
+# ---- idle upstream connections -------------------------------------------------------------------
+
 
+@pytest.mark.parametrize("unread", ["duplicate response", "FIN", "reset"])
+def test_idle_connection_with_unread_data_carries_no_request(unread: str) -> None:
+    """An idle connection with unread input is not reused.
 
-@pytest.mark.parametrize("what", ["a second answer", "the end", "a reset"])
-def test_an_idle_connection_with_something_unread_carries_no_request(what: str) -> None:
-    """With the loop late, what came lies unread: a late second answer would be taken for the next
-    one's, and the upstream's close would break a request that may not be repeated.
+    When the event loop is late, input may have arrived that was not read yet. An unread duplicate
+    response would be taken for the response to the next request, and an unread FIN or reset would
+    break a request that may not be retried.
     """
 
     async def test() -> None:
@@ -343,70 +380,79 @@
             upstreams = Upstreams(SETTINGS.limits, 4, (), BodyMemory(1024))
             row = {"id": "s-0", "addr": "{}:{}".format(*server.getsockname()), "state": "Ready"}
             upstreams.learn([read_endpoint(row)], full=True)
-            ended: asyncio.Queue[tuple[api.AttemptResult, bytes]] = asyncio.Queue()
-
-            def done(result: api.AttemptResult, response: Any, report: Any) -> None:
-                ended.put_nowait((result, response.body if response is not None else b""))
-
-            for body in (b"first", b"second"):  # each on a connection of its own
-                upstreams.send(upstream_number("s-0"), REQUEST, done, Timing(5.0))
-                link, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
-                assert await loop.sock_recv(link, 4096) == REQUEST
-                await loop.sock_sendall(link, http_response(200, body))
-                assert await ended.get() == (api.AttemptResult.OK, body)
-                if what == "a second answer":
-                    link.send(http_response(200, b"stray"))
-                elif what == "the end":
-                    link.shutdown(socket.SHUT_WR)
+            attempt_results: asyncio.Queue[tuple[api.AttemptResult, bytes]] = asyncio.Queue()
+
+            def on_done(result: api.AttemptResult, response: Any, report: Any) -> None:
+                attempt_results.put_nowait((result, response.body if response is not None else b""))
+
+            for body in (b"first", b"second"):  # each must use a new connection
+                upstreams.send(upstream_number("s-0"), REQUEST, on_done, Timing(5.0))
+                upstream_socket, _ = await asyncio.wait_for(loop.sock_accept(server), 5.0)
+                assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
+                await loop.sock_sendall(upstream_socket, http_response(200, body))
+                assert await attempt_results.get() == (api.AttemptResult.OK, body)
+                if unread == "duplicate response":
+                    upstream_socket.send(http_response(200, b"stray"))
+                elif unread == "FIN":
+                    upstream_socket.shutdown(socket.SHUT_WR)
                 else:
-                    link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-                    link.close()
+                    upstream_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    upstream_socket.close()
             upstreams.close()
-            link.close()
+            upstream_socket.close()
 
     run(test())
 
 
-def test_a_repeat_is_told_how_long_it_may_begin() -> None:
-    """Chosen inside the window of its key, it began behind it where its connection came up late."""
-    harness = PolicyHarness(settings(), servers=3)
-    harness.deliver(arrival(1, harness.now, CELL_SCOPED, wait_ns=900 * MS))
-    harness.now += 150 * MS
-    sends = of_type(api.StartAttempt, harness.finish("r1", api.AttemptResult.RESET)) or of_type(
-        api.StartAttempt, harness.advance(100 * MS)
+def test_retry_must_start_within_window_of_key() -> None:
+    """A retry must start before the retry window of its key ends.
+
+    The policy started a retry within the window, but the retry was written after the window if its
+    connection was established late.
+    """
+    policy_harness = PolicyHarness(settings(), servers=3)
+    policy_harness.deliver(arrival(1, policy_harness.now, CELL_SCOPED, wait_ns=900 * MS))
+    policy_harness.now += 150 * MS
+    retries = of_type(
+        api.StartAttempt, policy_harness.finish("r1", api.AttemptResult.RESET)
+    ) or of_type(api.StartAttempt, policy_harness.advance(100 * MS))
+    [retry] = retries
+    assert isinstance(retry, api.StartAttempt)
+    first_sent_ns, second_sent_ns = (sent for _, sent in policy_harness.sends["r1"])
+    assert retry.start_by_ns == first_sent_ns + CELL_SCOPED.window_ns - second_sent_ns
+    [first_attempt] = of_type(
+        api.StartAttempt, policy_harness.deliver(arrival(2, policy_harness.now))
     )
-    [again] = sends
-    assert isinstance(again, api.StartAttempt)
-    first, second = (sent for _, sent in harness.sends["r1"])
-    assert again.start_by_ns == first + CELL_SCOPED.window_ns - second
-    [other] = of_type(api.StartAttempt, harness.deliver(arrival(2, harness.now)))
-    assert isinstance(other, api.StartAttempt) and other.start_by_ns == 0
+    assert isinstance(first_attempt, api.StartAttempt) and first_attempt.start_by_ns == 0
 
 
 # ---- shutdown ------------------------------------------------------------------------------------
 
 
-def short_leave(monkeypatch: pytest.MonkeyPatch) -> None:
+def shorten_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Set the deadline of open requests at shutdown and its margin to 0.1 s."""
     monkeypatch.setattr(frontend, "MAX_SHUTDOWN_DEADLINE_NS", SECOND // 10)
     monkeypatch.setattr(frontend, "SHUTDOWN_MARGIN_NS", SECOND // 10)
 
 
-def test_the_last_answers_go_out_also_where_the_loop_is_late_at_the_end(
+def test_final_responses_are_sent_if_event_loop_is_late_at_shutdown(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the open requests and that of the process come due on one turn: the second must
-    not drop the answers of the first.
+    """Final responses are sent even if the event loop is late at shutdown.
+
+    The timers that end the open requests and the process then fire in the same event-loop
+    iteration. The second timer must not discard the responses that the first one wrote.
     """
-    short_leave(monkeypatch)
+    shorten_shutdown(monkeypatch)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1", X_Deadline_Ms=3000)
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1", X_Deadline_Ms=3000)
             frontends[0].drain()
             await asyncio.sleep(0)
             time.sleep(
                 0.2 + balancer_process.FINAL_ANSWERS_TIMEOUT_S + 0.2
-            )  # the loop stands still over both times
+            )  # blocks the event loop past both timers
             assert (await asyncio.wait_for(read_message(client.reader), 2.0)).status == 504
             await client.expect_eof()
 
@@ -414,18 +460,19 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "status"),
+    ("partial_request", "status"),
     [(REQUEST[:-2], 503), (POST % 9 + b"half", 503), (POST % 900_000 + b"x" * 99_000, 504)],
 )
-def test_who_has_sent_part_of_a_request_at_the_end_is_told_so(
-    part: bytes, status: int, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
+def test_partial_request_at_shutdown_receives_error_response(
+    partial_request: bytes, status: int, frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    short_leave(monkeypatch)
+    """A client that has sent part of a request at shutdown receives an error response."""
+    shorten_shutdown(monkeypatch)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
-            client.writer.write(part)
+        async with running_balancer() as harness:
+            client = await harness.client()
+            client.writer.write(partial_request)
             while not any(c.has_data for c in frontends[0].clients):
                 await asyncio.sleep(0)
             frontends[0].drain()
@@ -435,199 +482,220 @@
     run(test())
 
 
-def test_a_request_that_comes_behind_the_time_of_the_last_answer_is_refused_at_once(
+def test_request_after_shutdown_deadline_is_rejected_immediately(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    short_leave(monkeypatch)
+    """A request that arrives after the open requests were ended is rejected immediately."""
+    shorten_shutdown(monkeypatch)
     monkeypatch.setattr(balancer_process, "FINAL_ANSWERS_TIMEOUT_S", 5.0)
-    ended = asyncio.Event()
-    end_open = Frontend.end_open
+    open_requests_ended = asyncio.Event()
+    original_end_open = Frontend.end_open
 
-    def ends(front: Frontend) -> None:
-        end_open(front)
-        ended.set()
+    def end_open_and_notify(front: Frontend) -> None:
+        original_end_open(front)
+        open_requests_ended.set()
 
-    monkeypatch.setattr(Frontend, "end_open", ends)
+    monkeypatch.setattr(Frontend, "end_open", end_open_and_notify)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
+        async with running_balancer() as harness:
+            client = await harness.client()
             while not frontends[0].clients:
                 await asyncio.sleep(0)
             frontends[0].drain()
-            await ended.wait()
+            await open_requests_ended.wait()
             assert (await asyncio.wait_for(client.ask("r1"), 2.0)).status == 503
-            assert not w.upstreams[0].received_requests
+            assert not harness.upstreams[0].received_requests
 
     run(test())
 
 
-def test_an_answer_and_the_close_of_its_client_in_one_turn(
+def test_response_and_client_close_in_same_iteration_leave_no_open_request(
     frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
+    """A response and its client's close in one event-loop iteration leave no request open."""
+
     async def test() -> None:
-        async with running_balancer() as w:
-            w.upstreams[0].script = [never_respond]
-            with await plain(w) as sock:
+        async with running_balancer() as harness:
+            harness.upstreams[0].script = [never_respond]
+            with await connect_raw_socket(harness) as sock:
                 sock.send(REQUEST)
-                await w.upstreams[0].until(lambda: w.upstreams[0].received_requests)
+                await harness.upstreams[0].until(lambda: harness.upstreams[0].received_requests)
                 os.write(
-                    w.upstreams[0].connections[0].get_extra_info("socket").fileno(),
+                    harness.upstreams[0].connections[0].get_extra_info("socket").fileno(),
                     http_response(200, b"late"),
                 )
             await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
             driver = frontends[0].driver
-            assert (await w.ask("last")).status == 200
+            assert (await harness.ask("last")).status == 200
             assert not driver.requests and not driver.open and not driver.balancer.requests
 
     run(test())
 
 
-def test_an_answer_without_a_length_that_the_end_cuts_off_does_not_seem_whole(
+def test_response_without_length_truncated_by_shutdown_is_reset(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    short_leave(monkeypatch)
+    """A response without a length that shutdown truncates ends in a reset.
+
+    With a normal close, the client would take the truncated response for a complete one.
+    """
+    shorten_shutdown(monkeypatch)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            w.upstreams[0].script = [
+        async with running_balancer() as harness:
+            harness.upstreams[0].script = [
                 b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 100_000
             ]
-            # To HTTP/1.0, which knows no chunks, an answer whose length was not told ends by its
-            # close.
+            # HTTP/1.0 has no chunked encoding, so a response without a length ends with the close
+            # of the connection.
             monkeypatch.setattr(
                 ClientConnection, "_begin_answer", without_length(ClientConnection._begin_answer)
             )
-            with await plain(w) as sock:
+            with await connect_raw_socket(harness) as sock:
                 sock.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0"))
                 while not any(c.writer.body for c in frontends[0].clients):
                     await asyncio.sleep(0)
                 frontends[0].drain()
                 with pytest.raises(ConnectionResetError):
-                    await asyncio.wait_for(read_all(sock), 5.0)
+                    await asyncio.wait_for(read_until_eof(sock), 5.0)
 
-    def without_length(begin: Any) -> Any:
-        def begins(client: ClientConnection, rows: Any, body: Any) -> None:
+    def without_length(original_begin_answer: Any) -> Any:
+        def begin_without_length(client: ClientConnection, rows: Any, body: Any) -> None:
             body.length = None
-            begin(client, rows, body)
+            original_begin_answer(client, rows, body)
 
-        return begins
+        return begin_without_length
 
     run(test())
 
 
-def test_told_to_leave_before_it_takes_clients_it_takes_none(
+def test_drain_before_start_prevents_listening(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    listened: list[object] = []
-    monkeypatch.setattr(frontend, "listen", lambda *args: listened.append(args))
+    """A process that drains before it starts does not listen for clients."""
+    listen_calls: list[object] = []
+    monkeypatch.setattr(frontend, "listen", lambda *args: listen_calls.append(args))
     monkeypatch.setattr(frontend, "DRAIN_S", 0.0)
     start = Frontend.start
 
-    def drained_first(front: Frontend) -> None:
+    def drain_then_start(front: Frontend) -> None:
         front.drain()
         start(front)
 
-    monkeypatch.setattr(Frontend, "start", drained_first)
+    monkeypatch.setattr(Frontend, "start", drain_then_start)
 
     async def test() -> None:
         async with running_balancer():
             while not frontends:
                 await asyncio.sleep(0)
             await asyncio.wait_for(frontends[0].all_closed.wait(), 5.0)
-            assert not listened
+            assert not listen_calls
 
     run(test())
 
 
-def test_while_it_leaves_idle_clients_make_room_for_those_in_the_queue(
+def test_idle_clients_are_evicted_for_queued_clients_while_draining(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """During a drain, idle clients are evicted so that clients in the accept queue are served."""
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
     monkeypatch.setattr(client_connection, "CLOSE_REJECTED_FRACTION", 9.0)
     monkeypatch.setattr(client_connection, "CLOSE_FRACTION", 9.0)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # places for two clients
-            idle = [await w.client(), await w.client()]
-            for number, client in enumerate(idle):
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # at most two clients
+            idle_clients = [await harness.client(), await harness.client()]
+            for number, client in enumerate(idle_clients):
                 assert (await client.ask(f"r{number}")).status == 200
-            waiting = [await w.client(), await w.client()]
-            for number, client in enumerate(waiting):
+            queued_clients = [await harness.client(), await harness.client()]
+            for number, client in enumerate(queued_clients):
                 client.send(f"w{number}")
             frontends[0].drain()
-            for client in waiting:
+            for client in queued_clients:
                 assert (await asyncio.wait_for(read_message(client.reader), 5.0)).status == 200
             await asyncio.wait_for(frontends[0].all_closed.wait(), 5.0)
 
     run(test())
 
 
-def test_who_waits_in_the_queue_at_the_end_is_refused_and_not_reset(
+def test_queued_clients_at_shutdown_are_rejected_and_not_reset(
     frontends: list[Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All places were taken by open requests until the end, and closing the listener reset those
-    that waited behind them.
+    """Clients in the accept queue at shutdown are rejected with 503, not reset.
+
+    Open requests used up the connection limit until shutdown. Closing the listener then reset the
+    clients that were still in the accept queue.
     """
-    short_leave(monkeypatch)
+    shorten_shutdown(monkeypatch)
     monkeypatch.setattr(frontend, "DRAIN_S", 0.05)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as w:  # places for two clients
-            w.upstreams[0].script = [never_respond] * 20
-            held = [await w.client(), await w.client()]
-            for number, client in enumerate(held):
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:  # at most two clients
+            harness.upstreams[0].script = [never_respond] * 20
+            accepted_clients = [await harness.client(), await harness.client()]
+            for number, client in enumerate(accepted_clients):
                 client.send(f"r{number}", X_Deadline_Ms=3000)
-            await w.upstreams[0].until(lambda: len(w.upstreams[0].received_requests) >= len(held))
-            waiting = [await w.client(), await w.client()]
-            for number, client in enumerate(waiting):
+            await harness.upstreams[0].until(
+                lambda: len(harness.upstreams[0].received_requests) >= len(accepted_clients)
+            )
+            queued_clients = [await harness.client(), await harness.client()]
+            for number, client in enumerate(queued_clients):
                 client.send(f"w{number}", X_Deadline_Ms=3000)
             frontends[0].drain()
-            for client, status in [(c, 504) for c in held] + [(c, 503) for c in waiting]:
+            for client, status in [(c, 504) for c in accepted_clients] + [
+                (c, 503) for c in queued_clients
+            ]:
                 assert (await asyncio.wait_for(read_message(client.reader), 5.0)).status == status
 
     run(test())
 
 
-def test_a_process_whose_file_was_not_locked_yet_is_not_taken_for_a_dead_one(
+def test_process_with_file_not_locked_yet_is_not_considered_dead(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The other one looked in between, removed the file, and each thought itself alone from then
-    on.
+    """A process that has created its file but not locked it yet is not considered dead.
+
+    Another process checked between the two steps and removed the file. From then on, each process
+    found no others.
     """
-    first = ProcessRegistry(tmp_path)
-    lock = fcntl.flock
-    looks = [first.check]
+    first_registry = ProcessRegistry(tmp_path)
+    original_flock = fcntl.flock
+    pending_checks = [first_registry.check]
 
-    def cross(file: Any, how: int) -> None:
-        if how == fcntl.LOCK_EX and looks:
-            looks.pop()()
-        lock(file, how)
+    def check_and_lock(file: Any, operation: int) -> None:
+        if operation == fcntl.LOCK_EX and pending_checks:
+            pending_checks.pop()()
+        original_flock(file, operation)
 
-    monkeypatch.setattr(fcntl, "flock", cross)
-    second = ProcessRegistry(tmp_path)
-    first.check()
-    assert not looks and len(first.others) == len(second.others) == 1
-    second.close()
-    first.check()
-    assert first.is_alone
-    first.close()
+    monkeypatch.setattr(fcntl, "flock", check_and_lock)
+    second_registry = ProcessRegistry(tmp_path)
+    first_registry.check()
+    assert not pending_checks and len(first_registry.others) == len(second_registry.others) == 1
+    second_registry.close()
+    first_registry.check()
+    assert first_registry.is_alone
+    first_registry.close()
 
 
-# ---- lists ---------------------------------------------------------------------------------------
+# ---- endpoint lists ------------------------------------------------------------------------------
 
-FLEET = replace(SETTINGS, instance_count=200)  # each call waits for 20 s there
+FLEET_SETTINGS = replace(SETTINGS, instance_count=200)  # polls have a hold of 20 s
 
 
 @pytest.mark.parametrize("push", [True, False])
-@pytest.mark.parametrize("before", ["turned away", "broken", "given up"])
-def test_a_change_behind_a_failed_call_is_told_whatever_the_next_hold_is(
-    before: str, push: bool, recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("failure", ["rejected", "reset", "timed out"])
+def test_change_after_failed_poll_is_applied_whatever_the_next_hold(
+    failure: str, push: bool, recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The call behind it waited for 20 s: fallen silent, it hid all changes meanwhile."""
-    pause_s = max(discovery_watch.MAX_BACKOFF_S, subscription.MAX_BACKOFF_NS / SECOND)
+    """A change after a failed poll is delivered within 6 s, whatever the hold of the next poll.
+
+    The poll after a failed one had a hold of 20 s. If discovery stopped answering during that poll,
+    all changes meanwhile were missed.
+    """
+    backoff_s = max(discovery_watch.MAX_BACKOFF_S, subscription.MAX_BACKOFF_NS / SECOND)
     assert (
-        pause_s
+        backoff_s
         + max(
             2 * discovery_watch.POLL_TIMEOUT_S,
             discovery_watch.CATCH_UP_HOLD_MS / 1000 + discovery_watch.ANSWER_GRACE_S,
@@ -637,52 +705,65 @@
     monkeypatch.setattr(discovery, "POLL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with running_balancer(2, settings=replace(FLEET, discovery_push=push)) as w:
-            lists = w.discovery
-            await w.wait_for_endpoint_list()
-            lists.busy, lists.down = before == "turned away", before == "broken"
-            lists.silent = before == "given up"
-            asked = len(lists.received_requests)
-            if before == "turned away":
-                lists.change(w.upstreams[0].row())  # ends the call that waits
+        async with running_balancer(
+            2, settings=replace(FLEET_SETTINGS, discovery_push=push)
+        ) as harness:
+            fake_discovery = harness.discovery
+            await harness.wait_for_endpoint_list()
+            fake_discovery.busy, fake_discovery.down = failure == "rejected", failure == "reset"
+            fake_discovery.silent = failure == "timed out"
+            poll_count = len(fake_discovery.received_requests)
+            if failure == "rejected":
+                fake_discovery.change(harness.upstreams[0].row())  # ends the poll in flight
             else:
-                lists.abort_connections()
-            await lists.until(lambda: len(lists.received_requests) > asked + 1)
-            lists.max_answered_wait_ms, lists.busy, lists.down, lists.silent = (
+                fake_discovery.abort_connections()
+            await fake_discovery.until(
+                lambda: len(fake_discovery.received_requests) > poll_count + 1
+            )
+            (
+                fake_discovery.max_answered_wait_ms,
+                fake_discovery.busy,
+                fake_discovery.down,
+                fake_discovery.silent,
+            ) = (
                 discovery_watch.CATCH_UP_HOLD_MS,
                 False,
                 False,
                 False,
             )
-            lists.change(w.upstreams[1].row("Gone"))
-            gone = upstream_number(w.upstreams[1].name)
+            fake_discovery.change(harness.upstreams[1].row("Gone"))
+            removed_upstream = upstream_number(harness.upstreams[1].name)
 
-            def told() -> bool:
-                [last] = recorder.of_type(api.EndpointsUpdated)[-1:]
+            def is_removal_delivered() -> bool:
+                [last_update] = recorder.of_type(api.EndpointsUpdated)[-1:]
                 return (
-                    last.kind is api.EndpointListKind.FULL
-                    and gone not in [u.id for u in last.upstreams]
-                    or last.kind is api.EndpointListKind.DELTA
-                    and gone in [u.id for u in last.upstreams]
+                    last_update.kind is api.EndpointListKind.FULL
+                    and removed_upstream not in [u.id for u in last_update.upstreams]
+                    or last_update.kind is api.EndpointListKind.DELTA
+                    and removed_upstream in [u.id for u in last_update.upstreams]
                 )
 
-            await asyncio.wait_for(recorder.until(told), 6.0)
+            await asyncio.wait_for(recorder.until(is_removal_delivered), 6.0)
 
     run(test())
 
 
-def test_a_move_does_not_wait_for_the_pause_behind_a_failed_call(
+def test_address_change_does_not_wait_for_backoff(
     frontends: list[Frontend], recorder: EventRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Told to go elsewhere (SIGHUP), discovery's word there counts 4 s later."""
+    """A change of discovery's address does not wait for the backoff after a failed poll.
+
+    After a switch to another address (SIGHUP), the list from the new address must be in force
+    within 4 s.
+    """
     monkeypatch.setattr(subscription, "MAX_BACKOFF_NS", 1000 * SECOND)
 
     async def test() -> None:
-        rules = replace(FLEET.rules, list_expiry_ns=1000 * SECOND)
+        rules = replace(FLEET_SETTINGS.rules, list_expiry_ns=1000 * SECOND)
         async with running_balancer(
-            2, settings=replace(FLEET, discovery_push=False, rules=rules)
-        ) as w:
-            w.discovery.down = True
+            2, settings=replace(FLEET_SETTINGS, discovery_push=False, rules=rules)
+        ) as harness:
+            harness.discovery.down = True
             monkeypatch.setattr(subscription, "SPREAD_NS", 0)
             monkeypatch.setattr(subscription, "SPREAD_WITHOUT_UPSTREAMS_NS", 0)
             await recorder.until(
@@ -691,11 +772,11 @@
                     in [e.kind for e in recorder.of_type(api.EndpointsUpdated)]
                 )
             )
-            lists = frontends[0].driver.discovery
-            assert isinstance(lists, discovery.Discovery)
-            other = FakeDiscovery([w.upstreams[1].row()])
-            await other.start()
-            lists.change_address(other.address)
+            discovery_client = frontends[0].driver.discovery
+            assert isinstance(discovery_client, discovery.Discovery)
+            other_discovery = FakeDiscovery([harness.upstreams[1].row()])
+            await other_discovery.start()
+            discovery_client.change_address(other_discovery.address)
             await asyncio.wait_for(
                 recorder.until(
                     lambda: [
@@ -706,32 +787,36 @@
                 ),
                 4.0,
             )
-            other.stop()
+            other_discovery.stop()
 
     run(test())
 
 
-def test_where_discovery_is_asked_the_module_asks_again_in_time() -> None:
-    harness = PolicyHarness(settings(discovery_push=False))
+def test_policy_subscribes_again_within_max_backoff() -> None:
+    """Without push, the policy subscribes again within its maximum backoff after each failure."""
+    policy_harness = PolicyHarness(settings(discovery_push=False))
     for _ in range(12):
-        harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
-        before = harness.now
-        while not of_type(api.SubscribeEndpoints, harness.advance(10 * MS)):
-            assert harness.now - before <= subscription.MAX_BACKOFF_NS + 20 * MS
+        policy_harness.deliver(api.EndpointsUpdated(api.EndpointListKind.FAILED, []))
+        failed_at_ns = policy_harness.now
+        while not of_type(api.SubscribeEndpoints, policy_harness.advance(10 * MS)):
+            assert policy_harness.now - failed_at_ns <= subscription.MAX_BACKOFF_NS + 20 * MS
 
 
-def test_a_list_asked_for_on_the_side_does_not_wait_for_the_watch(
+def test_fetched_list_does_not_wait_for_watch_poll(
     recorder: EventRecorder, frontends: list[Frontend]
 ) -> None:
-    """It waited for the one connection, and with it for the hold of the call that was out there."""
+    """A list fetched in addition to the watch does not wait for the watch's poll.
+
+    The fetch waited for the only connection, and so for the hold of the poll in flight.
+    """
 
     async def test() -> None:
-        async with running_balancer(2, settings=FLEET) as w:
-            await w.wait_for_endpoint_list()
-            lists = frontends[0].driver.discovery
-            assert lists is not None
-            w.discovery.rows.pop()  # nobody is told
-            lists.fetch()
+        async with running_balancer(2, settings=FLEET_SETTINGS) as harness:
+            await harness.wait_for_endpoint_list()
+            discovery_client = frontends[0].driver.discovery
+            assert discovery_client is not None
+            harness.discovery.rows.pop()  # without a new version, so the watch reports nothing
+            discovery_client.fetch()
             await asyncio.wait_for(
                 recorder.until(
                     lambda: [
@@ -742,54 +827,59 @@
                 ),
                 6.0,
             )
-            await w.update_endpoints(
-                w.upstreams[0].row("Terminating")
-            )  # and it goes on being watched
+            await harness.update_endpoints(
+                harness.upstreams[0].row("Terminating")
+            )  # the watch is still in force
 
     run(test())
 
 
-def test_an_answer_of_the_old_address_behind_a_move_is_not_believed(
+def test_answer_of_old_address_after_address_change_is_ignored(
     frontends: list[Frontend], recorder: EventRecorder
 ) -> None:
+    """An answer from the old discovery address that is read after an address change is ignored."""
+
     async def test() -> None:
-        async with running_balancer(2) as w:
-            await w.wait_for_endpoint_list()
-            lists = frontends[0].driver.discovery
-            assert isinstance(lists, discovery.Discovery)
-            other = FakeDiscovery([w.upstreams[1].row()])
-            await other.start()
-            # The old one's answer is written, and lies unread, when the move comes.
-            w.discovery.change(w.upstreams[0].row("Terminating"))
-            while not lists.connection or lists.connection.reusable:
+        async with running_balancer(2) as harness:
+            await harness.wait_for_endpoint_list()
+            discovery_client = frontends[0].driver.discovery
+            assert isinstance(discovery_client, discovery.Discovery)
+            other_discovery = FakeDiscovery([harness.upstreams[1].row()])
+            await other_discovery.start()
+            # The old address's answer has been written but not read when the address changes.
+            harness.discovery.change(harness.upstreams[0].row("Terminating"))
+            while not discovery_client.connection or discovery_client.connection.reusable:
                 await asyncio.sleep(0)
-            lists.change_address(other.address)
-            await other.until(
-                lambda: any("from=1&" in m.start_line[1] for m in other.received_requests)
+            discovery_client.change_address(other_discovery.address)
+            await other_discovery.until(
+                lambda: any("from=1&" in m.start_line[1] for m in other_discovery.received_requests)
             )
             assert [e.kind for e in recorder.of_type(api.EndpointsUpdated)] == [
                 api.EndpointListKind.CACHED,
                 api.EndpointListKind.FULL,
             ]
-            other.stop()
+            other_discovery.stop()
 
     run(test())
 
 
-def test_entries_that_can_not_be_read_are_one_line_of_the_log(
+def test_invalid_entries_are_logged_in_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    bad = [{"id": f"s-{n}", "addr": "a.host:80"} for n in range(1000)]
-    good = {"id": "s-0", "addr": "127.0.0.1:80"}
-    version, full, endpoints = endpoint_list.read_list({"version": 1, "servers": [*bad, good]})
+    """Invalid entries of a list are skipped and logged in one line, however many they are."""
+    invalid_rows = [{"id": f"s-{n}", "addr": "a.host:80"} for n in range(1000)]
+    valid_row = {"id": "s-0", "addr": "127.0.0.1:80"}
+    version, full, endpoints = endpoint_list.read_list(
+        {"version": 1, "servers": [*invalid_rows, valid_row]}
+    )
     assert (version, full, len(endpoints), len(caplog.records)) == (1, False, 1, 1)
 
 
-# ---- a second answer -----------------------------------------------------------------------------
+# ---- duplicate responses -------------------------------------------------------------------------
 
 
-class Attempt:
-    """A request that starts only where its upstream may be used."""
+class StubAttempt:
+    """An attempt that starts unless the upstream may not be used."""
 
     def begin(self, upstream_verdict: Verdict) -> bytes | Denied:
         return upstream_verdict if isinstance(upstream_verdict, Denied) else REQUEST
@@ -798,158 +888,188 @@
         return True
 
 
-class OneUpstream:
-    """An upstream of bare sockets, and connections to it."""
+class SingleUpstream:
+    """An upstream of raw sockets, and the connection pool to it.
+
+    Attributes:
+        response_bodies: The response bodies of finished attempts; empty if an attempt failed.
+    """
 
     def __init__(self, server: socket.socket) -> None:
         server.setblocking(False)
         self.server = server
         self.upstreams = Upstreams(SETTINGS.limits, 8, (), BodyMemory(1024))
         self.learn("Ready")
-        self.ended: asyncio.Queue[bytes] = asyncio.Queue()
+        self.response_bodies: asyncio.Queue[bytes] = asyncio.Queue()
 
     def learn(self, state: str) -> None:
+        """Replace the endpoint list by this upstream in the given state."""
         row = {"id": "s-0", "addr": "{}:{}".format(*self.server.getsockname()), "state": state}
         self.upstreams.learn([read_endpoint(row)], full=True)
 
-    def send(self, done: AttemptCallback) -> Exchange | None:
-        return self.upstreams.send(upstream_number("s-0"), Attempt(), done, Timing(5.0))
+    def send(self, on_done: AttemptCallback) -> Exchange | None:
+        return self.upstreams.send(upstream_number("s-0"), StubAttempt(), on_done, Timing(5.0))
 
     def ask(self) -> None:
+        """Start an attempt whose response body is put into `response_bodies`."""
         self.send(
-            lambda result, response, report: self.ended.put_nowait(
+            lambda result, response, report: self.response_bodies.put_nowait(
                 response.body if response is not None else b""
             )
         )
 
-    async def link(self) -> socket.socket:
-        """The next connection, with a request on it."""
-        link, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.server), 5.0)
-        assert await asyncio.get_running_loop().sock_recv(link, 4096) == REQUEST
-        return link
+    async def accept_request(self) -> socket.socket:
+        """Accept the next connection, and read a request from it."""
+        upstream_socket, _ = await asyncio.wait_for(
+            asyncio.get_running_loop().sock_accept(self.server), 5.0
+        )
+        assert await asyncio.get_running_loop().sock_recv(upstream_socket, 4096) == REQUEST
+        return upstream_socket
+
+
+async def check_duplicate_response_is_not_reused(had_duplicate_before: bool) -> None:
+    """Check that a duplicate of the first response is not used for the next request.
 
+    The next request is started immediately after the first response, while the duplicate is in
+    flight.
 
-async def second_answer_crosses(seen_before: bool) -> None:
-    """The next request is asked for at once, and a second copy of the first answer is on its
-    way.
+    Args:
+        had_duplicate_before: Whether any upstream has sent a duplicate response recently.
     """
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
-        one = OneUpstream(server)
-        one.upstreams.pool.cautious_until_s = loop.time() + 60.0 * seen_before
-        one.ask()
-        with await one.link() as link:
-            await loop.sock_sendall(link, http_response(200, b"first"))
-            assert await one.ended.get() == b"first"
-            one.ask()  # at once
-            link.send(http_response(200, b"first, once more"))
-            with await one.link() as other:
-                await loop.sock_sendall(other, http_response(200, b"second"))
-                assert await one.ended.get() == b"second"
-        one.upstreams.close()
-
-
-def test_a_second_answer_that_comes_milliseconds_late_is_not_the_next_request_s() -> None:
-    """Seen in a soak: the next request was written 1 ms behind the first answer, and served with
-    the second one, which no upstream had made for it.
+        single_upstream = SingleUpstream(server)
+        single_upstream.upstreams.pool.cautious_until_s = loop.time() + 60.0 * had_duplicate_before
+        single_upstream.ask()
+        with await single_upstream.accept_request() as upstream_socket:
+            await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
+            assert await single_upstream.response_bodies.get() == b"first"
+            single_upstream.ask()  # before the connection has settled
+            upstream_socket.send(http_response(200, b"first, once more"))
+            with await single_upstream.accept_request() as other_socket:
+                await loop.sock_sendall(other_socket, http_response(200, b"second"))
+                assert await single_upstream.response_bodies.get() == b"second"
+        single_upstream.upstreams.close()
+
+
+def test_late_duplicate_response_is_not_used_for_next_request() -> None:
+    """A duplicate response that arrives milliseconds late is not used for the next request.
+
+    In a soak test, the next request was written 1 ms after the first response and was answered with
+    the duplicate, which no upstream had produced for that request.
     """
-    run(second_answer_crosses(seen_before=False))
+    run(check_duplicate_response_is_not_reused(had_duplicate_before=False))
+
 
+def test_repeated_duplicate_response_is_not_used_for_next_request() -> None:
+    """The same holds while settle times are longer because of an earlier duplicate response."""
+    run(check_duplicate_response_is_not_reused(had_duplicate_before=True))
 
-def test_once_a_second_answer_was_seen_the_next_one_is_not_taken_for_a_request_s() -> None:
-    run(second_answer_crosses(seen_before=True))
 
+def test_settle_time_is_longer_after_duplicate_response() -> None:
+    """A connection to an upstream that has sent a duplicate response settles for longer."""
 
-def test_an_upstream_that_answered_twice_is_waited_for_longer() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = OneUpstream(server)
-            one.ask()
-            with await one.link() as link:
+            single_upstream = SingleUpstream(server)
+            single_upstream.ask()
+            with await single_upstream.accept_request() as upstream_socket:
                 await loop.sock_sendall(
-                    link, http_response(200, b"first") + http_response(200, b"first, once more")
+                    upstream_socket,
+                    http_response(200, b"first") + http_response(200, b"first, once more"),
                 )
-                assert await one.ended.get() == b"first"
-                assert await loop.sock_recv(link, 10) == b""  # that connection is not used any more
-            one.ask()
-            with await one.link() as link:
-                await loop.sock_sendall(link, http_response(200, b"second"))
-                assert await one.ended.get() == b"second"
-                await asyncio.sleep(
-                    2 * connection_pool.SETTLE_S
-                )  # a connection that rests for so long is used else
-                one.ask()
-                with await one.link() as other:
-                    await loop.sock_sendall(other, http_response(200, b"third"))
-                    assert await one.ended.get() == b"third"
-            one.upstreams.close()
+                assert await single_upstream.response_bodies.get() == b"first"
+                assert await loop.sock_recv(upstream_socket, 10) == b""  # the connection is closed
+            single_upstream.ask()
+            with await single_upstream.accept_request() as upstream_socket:
+                await loop.sock_sendall(upstream_socket, http_response(200, b"second"))
+                assert await single_upstream.response_bodies.get() == b"second"
+                # Without the duplicate, the connection would be reusable after this time.
+                await asyncio.sleep(2 * connection_pool.SETTLE_S)
+                single_upstream.ask()
+                with await single_upstream.accept_request() as other_socket:
+                    await loop.sock_sendall(other_socket, http_response(200, b"third"))
+                    assert await single_upstream.response_bodies.get() == b"third"
+            single_upstream.upstreams.close()
 
     run(test())
 
 
-def test_a_connection_that_has_carried_no_response_needs_no_rest() -> None:
+def test_connection_without_response_is_reused_without_settling() -> None:
+    """A connection that has carried no response is reused without a settle time."""
+
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = OneUpstream(server)
-            given_up = one.send(lambda *_: None)
-            assert given_up is not None
-            given_up.finish(api.AttemptResult.NOT_SENT)
-            await asyncio.gather(*one.upstreams.pool.connecting)  # its connection came up idle
-            one.ask()
-            assert one.upstreams.connections_open == 1
-            (await one.link()).close()
-            one.upstreams.close()
+            single_upstream = SingleUpstream(server)
+            cancelled = single_upstream.send(lambda *_: None)
+            assert cancelled is not None
+            cancelled.finish(api.AttemptResult.NOT_SENT)
+            # The connection becomes idle.
+            await asyncio.gather(*single_upstream.upstreams.pool.connecting)
+            single_upstream.ask()
+            assert single_upstream.upstreams.connections_open == 1
+            (await single_upstream.accept_request()).close()
+            single_upstream.upstreams.close()
 
     run(test())
 
 
 @pytest.mark.parametrize("state", ["Ready", "Terminating"])
-def test_an_attempt_that_waits_for_a_connection_to_rest_asks_again_whether_it_may_start(
+def test_attempt_waiting_for_settling_checks_upstream_state_again(
     state: str,
 ) -> None:
+    """An attempt that waited for a connection to settle checks the upstream's state again.
+
+    The upstream may have begun to drain during the wait.
+    """
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = OneUpstream(server)
-            one.ask()
-            with await one.link() as link:
-                await loop.sock_sendall(link, http_response(200, b"first"))
-                assert await one.ended.get() == b"first"
-                one.ask()  # at once: it waits
-                one.learn(state)
+            single_upstream = SingleUpstream(server)
+            single_upstream.ask()
+            with await single_upstream.accept_request() as upstream_socket:
+                await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
+                assert await single_upstream.response_bodies.get() == b"first"
+                single_upstream.ask()  # waits for the connection to settle
+                single_upstream.learn(state)
                 if state == "Ready":
-                    assert await loop.sock_recv(link, 4096) == REQUEST
-                    await loop.sock_sendall(link, http_response(200, b"second"))
-                    assert await one.ended.get() == b"second"
+                    assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
+                    await loop.sock_sendall(upstream_socket, http_response(200, b"second"))
+                    assert await single_upstream.response_bodies.get() == b"second"
                 else:
-                    assert await one.ended.get() == b""
-                    assert await loop.sock_recv(link, 4096) == b""
-            one.upstreams.close()
+                    assert await single_upstream.response_bodies.get() == b""
+                    assert await loop.sock_recv(upstream_socket, 4096) == b""
+            single_upstream.upstreams.close()
 
     run(test())
 
 
-def test_where_many_wait_for_a_connection_to_rest_another_is_opened() -> None:
-    """With many requests a second each would be late by up to the whole rest."""
+def test_frequent_settle_waits_open_another_connection() -> None:
+    """If settle waits are frequent, another connection is opened.
+
+    With many requests per second, each request would otherwise be delayed by up to the whole settle
+    time.
+    """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
-            one = OneUpstream(server)
-            one.ask()
-            with await one.link() as link:
-                await loop.sock_sendall(link, http_response(200, b"first"))
+            single_upstream = SingleUpstream(server)
+            single_upstream.ask()
+            with await single_upstream.accept_request() as upstream_socket:
+                await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
                 for _ in range(connection_pool.MAX_SETTLE_WAITS):
-                    assert await one.ended.get() == b"first"
-                    one.ask()  # at once: it waits
-                    assert await loop.sock_recv(link, 4096) == REQUEST
-                    await loop.sock_sendall(link, http_response(200, b"first"))
-                assert await one.ended.get() == b"first"
-                one.ask()
-                with await one.link() as other:
-                    await loop.sock_sendall(other, http_response(200, b"other"))
-                    assert await one.ended.get() == b"other"
-            one.upstreams.close()
+                    assert await single_upstream.response_bodies.get() == b"first"
+                    single_upstream.ask()  # waits for the connection to settle
+                    assert await loop.sock_recv(upstream_socket, 4096) == REQUEST
+                    await loop.sock_sendall(upstream_socket, http_response(200, b"first"))
+                assert await single_upstream.response_bodies.get() == b"first"
+                single_upstream.ask()
+                with await single_upstream.accept_request() as other_socket:
+                    await loop.sock_sendall(other_socket, http_response(200, b"other"))
+                    assert await single_upstream.response_bodies.get() == b"other"
+            single_upstream.upstreams.close()
 
     run(test())
--- a/tests/proxy/test_system_call_errors.py
+++ b/tests/proxy/test_system_call_errors.py
@@ -1,4 +1,4 @@
-"""System calls fail in the ways that Linux documents: whose trouble each is, and what follows."""
+"""Errors of connect() and accept() that Linux documents: their cause and their consequence."""
 
 from __future__ import annotations
 
@@ -16,94 +16,132 @@
 from loadbalancer.policy import api
 from tests.fakes import SECOND, SETTINGS, BalancerHarness, EventRecorder, run, running_balancer
 
-LOCAL = ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "EMFILE", "ENFILE", "ENETUNREACH", "EAGAIN"]
-PEER = ["ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH"]
-ONCE = replace(SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=SECOND))
+LOCAL_ERRORS = ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "EMFILE", "ENFILE", "ENETUNREACH", "EAGAIN"]
+UPSTREAM_ERRORS = ["ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH"]
+SHORT_CONNECT_SETTINGS = replace(
+    SETTINGS, limits=replace(SETTINGS.limits, connect_timeout_ns=SECOND)
+)
 
 
-class Dials:
-    """Connections to one port fail, so many times."""
+class FailingConnects:
+    """Makes connects to one port fail, up to `max_failures` times.
 
-    def __init__(self, port: int, name: str, times: int) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.port, self.number, self.times = port, getattr(errno, name), times
-        self.failed = 0
-        self.plain = self.loop.create_connection
+    Attributes:
+        failure_count: Number of connects that have failed.
+        original: The event loop's own `create_connection`.
+    """
 
-    async def dial(self, factory: Any, host: str, port: int) -> Any:
-        if port == self.port and self.failed < self.times:
-            self.failed += 1
-            raise OSError(self.number, os.strerror(self.number))
-        return await self.plain(factory, host, port)
+    def __init__(self, port: int, error_name: str, max_failures: int) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.port, self.error_number, self.max_failures = (
+            port,
+            getattr(errno, error_name),
+            max_failures,
+        )
+        self.failure_count = 0
+        self.original = self.loop.create_connection
+
+    async def create_connection_or_fail(self, factory: Any, host: str, port: int) -> Any:
+        """Raise the error, or connect like the event loop."""
+        if port == self.port and self.failure_count < self.max_failures:
+            self.failure_count += 1
+            raise OSError(self.error_number, os.strerror(self.error_number))
+        return await self.original(factory, host, port)
 
 
 @asynccontextmanager
-async def failing_world(name: str, times: int) -> AsyncIterator[tuple[BalancerHarness, Dials]]:
-    async with running_balancer(settings=ONCE) as w:
-        dials = Dials(w.upstreams[0].port, name, times)
-        dials.loop.create_connection = dials.dial  # type: ignore[method-assign, assignment]
-        yield w, dials
-
-
-@pytest.mark.parametrize("name", LOCAL)
-def test_trouble_of_this_machine_is_waited_out_and_laid_to_nobody_s_charge(
-    name: str, recorder: EventRecorder
+async def balancer_with_failing_connects(
+    error_name: str, max_failures: int
+) -> AsyncIterator[tuple[BalancerHarness, FailingConnects]]:
+    """Run a balancer whose connects to its only upstream fail `max_failures` times."""
+    async with running_balancer(settings=SHORT_CONNECT_SETTINGS) as harness:
+        failing_connects = FailingConnects(harness.upstreams[0].port, error_name, max_failures)
+        failing_connects.loop.create_connection = failing_connects.create_connection_or_fail  # type: ignore[method-assign, assignment]
+        yield harness, failing_connects
+
+
+@pytest.mark.parametrize("error_name", LOCAL_ERRORS)
+def test_local_connect_error_is_retried_and_not_reported(
+    error_name: str, recorder: EventRecorder
 ) -> None:
+    """A connect that fails because of a local error is retried and not reported to the policy."""
+
     async def test() -> None:
-        async with failing_world(name, 2) as (w, dials):
-            assert (await w.ask("r1")).status == 200
-            assert dials.failed == 2 and recorder.results() == [api.AttemptResult.OK]
+        async with balancer_with_failing_connects(error_name, 2) as (harness, failing_connects):
+            assert (await harness.ask("r1")).status == 200
+            assert failing_connects.failure_count == 2 and recorder.results() == [
+                api.AttemptResult.OK
+            ]
 
     run(test())
 
 
-@pytest.mark.parametrize("name", LOCAL)
-def test_trouble_of_this_machine_that_lasts_is_no_word_on_the_upstream(
-    name: str, recorder: EventRecorder, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("error_name", LOCAL_ERRORS)
+def test_lasting_local_connect_error_is_not_attributed_to_upstream(
+    error_name: str, recorder: EventRecorder, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """A local connect error that persists is reported as NOT_SENT, not as CONNECT_FAILED.
+
+    It says nothing about the upstream. It is logged once, not for each retry.
+    """
+
     async def test() -> None:
-        async with failing_world(name, 1 << 30) as (w, _):
-            assert (await w.ask("r1")).status == 503
+        async with balancer_with_failing_connects(error_name, 1 << 30) as (harness, _):
+            assert (await harness.ask("r1")).status == 503
             assert recorder.results() == [api.AttemptResult.NOT_SENT]
             assert (
-                len([r for r in caplog.records if os.strerror(getattr(errno, name)) in r.message])
+                len(
+                    [
+                        r
+                        for r in caplog.records
+                        if os.strerror(getattr(errno, error_name)) in r.message
+                    ]
+                )
                 == 1
             )
 
     run(test())
 
 
-@pytest.mark.parametrize("name", PEER)
-def test_trouble_of_the_upstream_is_known_at_once(name: str, recorder: EventRecorder) -> None:
+@pytest.mark.parametrize("error_name", UPSTREAM_ERRORS)
+def test_upstream_connect_error_is_reported_without_retry(
+    error_name: str, recorder: EventRecorder
+) -> None:
+    """A connect error caused by the upstream is reported after the first connect."""
+
     async def test() -> None:
-        async with failing_world(name, 1) as (w, dials):
-            assert (await w.ask("r1")).status == 503
-            assert dials.failed == 1 and recorder.results() == [api.AttemptResult.CONNECT_FAILED]
+        async with balancer_with_failing_connects(error_name, 1) as (harness, failing_connects):
+            assert (await harness.ask("r1")).status == 503
+            assert failing_connects.failure_count == 1 and recorder.results() == [
+                api.AttemptResult.CONNECT_FAILED
+            ]
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    "name",
+    "error_name",
     ["ECONNABORTED", "EPROTO", "EHOSTUNREACH", "ENETDOWN", "EINTR", "ENFILE", "ENOBUFS", "ENOMEM"],
 )
-def test_whatever_accept_says_the_next_client_is_taken(
-    name: str, monkeypatch: pytest.MonkeyPatch
+def test_next_client_is_accepted_after_accept_error(
+    error_name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The listener accepts the next client after any error of accept()."""
+
     async def test() -> None:
-        async with running_balancer() as w:
-            assert (await w.ask("r1")).status == 200
-            plain, left = socket.socket.accept, [2]
+        async with running_balancer() as harness:
+            assert (await harness.ask("r1")).status == 200
+            original, remaining_failures = socket.socket.accept, [2]
 
             def accept(listener: socket.socket) -> Any:
-                if left[0] and listener.getsockname()[1] == w.address[1]:
-                    left[0] -= 1
-                    number = getattr(errno, name)
-                    raise OSError(number, os.strerror(number))
-                return plain(listener)
+                if remaining_failures[0] and listener.getsockname()[1] == harness.address[1]:
+                    remaining_failures[0] -= 1
+                    error_number = getattr(errno, error_name)
+                    raise OSError(error_number, os.strerror(error_number))
+                return original(listener)
 
             monkeypatch.setattr(socket.socket, "accept", accept)
-            assert (await w.ask("r2")).status == 200
-            assert left == [0]
+            assert (await harness.ask("r2")).status == 200
+            assert remaining_failures == [0]
 
     run(test())
