--- a/loadbalancer/daemon/__init__.py
+++ b/loadbalancer/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Assembles a running `serve` process: settings, store client, state sync and controllers."""
+"""Assembly of a `serve` process: settings, store client, state sync and leased controllers."""
--- a/loadbalancer/daemon/address_map.py
+++ b/loadbalancer/daemon/address_map.py
@@ -1,7 +1,7 @@
 """Address translation between the fleet's canonical addresses and those dialed from this host.
 
-The shared endpoint list holds canonical addresses; each balancer dials by its own
-`[store.reach]` table. Pure.
+The shared endpoint list has canonical addresses. Each balancer translates them to the addresses
+that it dials with its own `[store.reach]` table. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 class AddressMap:
-    """Translates endpoint addresses in both directions; an unlisted address stands for itself."""
+    """Translates endpoint addresses in both directions; an unlisted address stays unchanged."""
 
     def __init__(self, dialed_by_canonical: Mapping[str, str]) -> None:
         """Parses the table.
 
         Args:
-            dialed_by_canonical: Canonical HOST:PORT -> HOST:PORT to dial from this host.
+            dialed_by_canonical: Canonical HOST:PORT -> the HOST:PORT to dial from this host.
         """
         pairs = [
             (split_address(canonical), split_address(dialed))
@@ -32,7 +32,7 @@
         self._canonical = {dialed: canonical for canonical, dialed in pairs}
 
     def dialed_address(self, canonical: Address) -> Address:
-        """Returns the address to dial for a canonical one."""
+        """Returns the address to dial for a canonical address."""
         return self._dialed.get(canonical, canonical)
 
     def to_dialed(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
--- a/loadbalancer/daemon/balancer_reporter.py
+++ b/loadbalancer/daemon/balancer_reporter.py
@@ -1,4 +1,4 @@
-"""Reports of a balancer while a rolling restart is under way."""
+"""Reports that a balancer writes to the store during a rolling restart."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from loadbalancer.store.lease_client import LeaseClient
 from loadbalancer.store.wire.protocol import Row
 
-CHECK_INTERVAL_S = 0.5  # between checks for a changed report
+CHECK_INTERVAL_S = 0.5  # between checks whether the report has changed
 IDLE_INTERVAL_S = 2.0  # while there is no rolling restart
-# A report is repeated after this, the longer the more balancers there are; at most after half of
-# the age at which it is no longer evidence.
+# An unchanged report is repeated after an interval that grows with the number of balancers. The
+# maximum is half of the age at which a report is too old to base a step on.
 MIN_REPORT_INTERVAL_S = 2.0
 REPORT_INTERVAL_PER_BALANCER_S = 0.025
 MAX_REPORT_INTERVAL_S = 5.0
 
 
 class BalancerReporter:
-    """Writes a balancer's reports while a rolling restart is under way."""
+    """Writes a balancer's reports during a rolling restart."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self.disabled = disabled
         self.keys = RollingRestartKeys(identity.service)
         self.row = LeasedRow(name_lease, self.keys.reports + identity.balancer)
-        self.disabled_version = 0  # of the set in force on this balancer
+        self.disabled_version = 0  # of the disabled set that this balancer applies
         self.is_active = False
         self.sequence = 0
         self.changed = asyncio.Event()
@@ -53,7 +53,7 @@
         )
 
     def set_disabled_version(self, version: int) -> None:
-        """Notes which version of the disabled set is in force here."""
+        """Sets the version of the disabled set that this balancer applies."""
         self.disabled_version = version
         self.changed.set()
 
@@ -64,7 +64,7 @@
         self.changed.set()
 
     def busy_upstreams(self) -> tuple[str, ...]:
-        """Returns the disabled upstreams that still have attempts of this balancer."""
+        """Returns the disabled upstreams where this balancer still has attempts in flight."""
         names = {upstream_number(name): name for name in self.disabled.names}
         busy = {
             names[attempt.upstream.id]
@@ -75,7 +75,7 @@
         return tuple(sorted(busy))
 
     async def run(self) -> None:
-        """Reports each change, and again after each interval.
+        """Reports each change, and repeats the report after each interval.
 
         Raises:
             StoreError: The store did not serve a write.
--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -1,16 +1,16 @@
-"""Startup of a balancer whose settings name a store.
+"""Startup of a balancer whose settings file has a `[store]` table.
 
 [store]
 addresses = ["127.0.0.1:7101", "127.0.0.1:7102"]
 service = "orders"
 balancer = "accra-1"
-document = "balancer/orders"   # holds all other settings; without it they stand in this file
+document = "balancer/orders"   # has all other settings; without it, this file has them
 folder = "state"               # for the local copy of the document
-lease = "10s"                  # a leader that is silent for so long is replaced
-sites = true                   # take part in site failover; `zone` is needed
+lease = "10s"                  # a leader that does not renew its lease for this long is replaced
+sites = true                   # take part in site failover; requires `zone`
 rows = true                    # publish the endpoint list as rows of the changefeed
-# documents = true             # and as a document, too, while some balancers know no rows
-# reach = {"10.0.0.1:7101" = "127.0.0.1:9001"}   # behind address translation
+# documents = true             # also publish it as a document, for balancers without row support
+# reach = {"10.0.0.1:7101" = "127.0.0.1:9001"}   # with network address translation
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 MAX_LEASE_NS = 600_000_000_000
 RANK_LIMIT = 1000
 NS_PER_S = 1e9
-# How long a start waits for the store, with and without a local copy of its settings.
+# How long startup waits for the store: with a local copy of the settings, and without one.
 FETCH_TIMEOUT_S = 0.4
 FIRST_FETCH_TIMEOUT_S = 3.0
 
@@ -57,8 +57,8 @@
     document: str = ""
     folder: str = ""
     lease: Duration = Duration(int(LEASE_S * NS_PER_S))
-    rank: int = 0  # of the candidates for a lease, the lowest rank gets it first
-    # Canonical address of a node or an upstream -> the address dialed in its place.
+    rank: int = 0  # among the candidates for a lease, the lowest rank acquires it first
+    # Canonical address of a node or an upstream -> the address to dial instead.
     address_map: dict[str, str] = msgspec.field(name="reach", default_factory=dict)
     sites: bool = False
     rows: bool = False
@@ -67,10 +67,10 @@
 
 
 class Bootstrap:
-    """Reads the settings of a balancer with a store, and creates its state sync."""
+    """Reads the settings of a balancer that uses a store, and creates its state sync."""
 
     def __init__(self, path: Path, store: StoreSettings, other_settings: Json) -> None:
-        """Validates the settings and creates the folder of the local copy.
+        """Validates the settings and creates the folder for the local copy.
 
         Args:
             path: The settings file.
@@ -110,11 +110,12 @@
     def read(self) -> Config:
         """Returns the configuration.
 
-        A document is fetched from the store the first time, and later read from the local copy,
+        The first call fetches a settings document from the store. Later calls read the local copy,
         which the state sync keeps up to date.
 
         Raises:
-            MalformedError: The settings are not valid, or there is neither a store nor a copy.
+            MalformedError: The settings are not valid, or neither the store nor a local copy is
+                available.
         """
         if self.copy_path is None:
             raw = read_table(self.path)
@@ -133,10 +134,10 @@
         return documents.read_balancer(self.store.document, text)
 
     async def _fetch(self, copy_path: Path, timeout_s: float) -> None:
-        """Updates the local copy.
+        """Updates the local copy from the store.
 
-        The document is the committed one; failing that, the nearest node's, which is still newer
-        than the local copy.
+        A linearizable read is preferred. If it fails, the result of a stale read from the nearest
+        node is used, which is still newer than the local copy.
         """
         document = self.store.document
         clients = self.create_client(), self.create_client()
@@ -180,7 +181,7 @@
     """Reads a settings file.
 
     Returns:
-        None where the file names no store.
+        The bootstrap; None if the file has no `[store]` table.
 
     Raises:
         MalformedError: The settings are not valid.
@@ -197,14 +198,15 @@
 
 def _validate(path: Path, store: StoreSettings) -> None:
     if not store.addresses:
-        raise MalformedError(f"{path}: store.addresses: at least one is needed")
+        raise MalformedError(f"{path}: store.addresses: at least one address is required")
     for address in (*store.addresses, *store.address_map, *store.address_map.values()):
         split_address(address)
     for field, name in (("service", store.service), ("balancer", store.balancer)):
         if len(name) > MAX_NAME_LENGTH or not NAME.match(name):
             raise MalformedError(
-                f"{path}: store.{field}: {name[:MAX_SHOWN_NAME]!r} is no name: a letter or digit,"
-                f" then letters, digits and ._:@-, {MAX_NAME_LENGTH} characters at most"
+                f"{path}: store.{field}: {name[:MAX_SHOWN_NAME]!r} is not a valid name: it must be"
+                " a letter or digit, followed by letters, digits and ._:@-,"
+                f" {MAX_NAME_LENGTH} characters at most"
             )
     if not MIN_LEASE_NS <= store.lease <= MAX_LEASE_NS:
         raise MalformedError(f"{path}: store.lease: must be 500ms to 10m")
@@ -220,20 +222,22 @@
         )
     if store.rows and "server" in other_settings:
         raise MalformedError(
-            f"{path}: store.rows: the list of upstreams is written down in server: there are"
-            " no rows of it"
+            f"{path}: store.rows: requires discovery; the upstreams are listed in [[server]]"
         )
     if store.document and other_settings:
         raise MalformedError(
-            f"{path}: {min(other_settings)}: the rest of the settings stands in the document"
-            f" {store.document}"
+            f"{path}: {min(other_settings)}: must be set in the document {store.document}, not in"
+            " this file"
         )
     if store.document and not store.folder:
-        raise MalformedError(f"{path}: store.folder: is needed, for a copy of the document")
+        raise MalformedError(f"{path}: store.folder: is required for the copy of the document")
 
 
 def _write_copy(path: Path, value: bytes) -> None:
-    """A failure is only logged: the copy serves later starts, and this one can go on."""
+    """Writes the local copy.
+
+    A failure is only logged: the copy is for later starts, and this start can continue without it.
+    """
     try:
         replace_file(path, value)
     except OSError as error:
--- a/loadbalancer/daemon/disabled_sync.py
+++ b/loadbalancer/daemon/disabled_sync.py
@@ -1,6 +1,6 @@
-"""Keeps the set of disabled upstreams the same on all balancers of a service.
+"""Synchronization of the set of disabled upstreams across all balancers of a service.
 
-disabled/SERVICE           names, JSON
+disabled/SERVICE           the upstreams' names, a JSON array
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An operator's change on this balancer."""
+    """An operator's change of one upstream, made on this balancer."""
 
     name: str
     is_disabled: bool
 
 
 class DisabledSync:
-    """Merges this balancer's changes into the stored set, and puts that set in force here."""
+    """Merges this balancer's changes into the stored set, and applies the stored set locally."""
 
     def __init__(
         self,
@@ -45,13 +45,13 @@
             monitor: Client of the store.
             disabled: This balancer's set.
             service: The service's name.
-            on_version: Called with each version of the stored set that is in force.
+            on_version: Called with the version of each stored set after it is applied.
         """
         self.monitor = monitor
         self.disabled = disabled
         self.key = f"disabled/{service}"
         self.on_version = on_version
-        self.pending: list[Change] = []  # changes here that the store has not yet
+        self.pending: list[Change] = []  # local changes that are not yet stored
         self.has_pending = asyncio.Event()
         disabled.on_change(self._on_local_change)
 
@@ -65,7 +65,7 @@
         return names
 
     async def follow(self) -> None:
-        """Puts each stored set in force.
+        """Applies each stored set.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
@@ -77,12 +77,12 @@
             await self.disabled.adopt(self._with_pending(_decode_names(value)))
             self.on_version(version)
         elif self.disabled.names and not self.pending:
-            # The store never had a set: it begins with this one.
+            # The store never had a set: this balancer's set becomes the first one.
             self.pending = [Change(name, True) for name in sorted(self.disabled.names)]
             self.has_pending.set()
 
     async def publish(self) -> None:
-        """Merges each change made here into the stored set."""
+        """Merges each local change into the stored set."""
         while True:
             await self.has_pending.wait()
             self.has_pending.clear()
--- a/loadbalancer/daemon/documents.py
+++ b/loadbalancer/daemon/documents.py
@@ -1,4 +1,4 @@
-"""Configuration documents of the store, and the validation of each before it is proposed."""
+"""Parsing and validation of the configuration documents in the store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from loadbalancer.proxy.configuration import Config
 from loadbalancer.settings import Json, MalformedError
 
-BALANCER = "balancer"  # and `balancer/NAME`: the operators' settings of balancers
+BALANCER = "balancer"  # this document and each `balancer/NAME` have the settings of balancers
 
 
 def parse(name: str, text: str) -> Json:
@@ -48,7 +48,10 @@
 
 
 def find_error(name: str, text: str) -> str:
-    """Returns the first error of a document, in one line; empty if it is valid."""
+    """Returns the first error of a document in one line, or an empty string if it is valid.
+
+    It is called before a document is proposed to the store.
+    """
     try:
         if name == BALANCER or name.startswith(BALANCER + "/"):
             read_balancer(name, text)
--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -1,10 +1,10 @@
-"""A balancer's endpoint list as a follower of the list's leader.
+"""Follows the endpoint list that the list's leader publishes in the store.
 
-    list/SERVICE      the list as a document, with the leader's token and count of lists
+    list/SERVICE      the list as a document, with the leader's token and its list sequence number
     listed/SERVICE    the leader's confirmations that the list still matches discovery
 
-The list may also be rows of the changefeed, in place of the document or beside it. A balancer that
-knows rows goes by whichever of the two the later leader wrote.
+The list may also be published as rows of the changefeed, instead of the document or in addition to
+it. A balancer with row support uses the form that the later leader wrote.
 """
 
 from __future__ import annotations
@@ -43,14 +43,14 @@
 log = logging.getLogger(__name__)
 
 REJECTION_LOG_INTERVAL_S = 10.0
-MAX_CACHED_LIST_AGE_S = 24 * 3600.0  # an older list is not used to start with
+MAX_CACHED_LIST_AGE_S = 24 * 3600.0  # startup does not use an older list
 MIN_POLL_CHECK_S = 0.05
 MAX_POLL_CHECK_S = 1.0
 NS_PER_S = 1e9
 
 
 class ListKeys:
-    """Store keys of one service's endpoint list as a document."""
+    """Store keys of one service's endpoint list in document form."""
 
     def __init__(self, service: str) -> None:
         self.list = f"list/{service}"
@@ -59,18 +59,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListContext:
-    """What the leader's and the follower's half of the endpoint list work with."""
+    """Collaborators shared by the publisher and the follower of the endpoint list."""
 
     driver: Driver
     discovery: Discovery
     client: Client
-    lease: LeaseClient  # the lease of the list's leader
+    lease: LeaseClient  # its holder is the list's leader
     service: str
     address_map: AddressMap
 
 
 class EndpointFollower:
-    """Puts the leader's lists in force, and polls discovery while the leader is silent."""
+    """Applies the leader's lists, and polls discovery while the leader is silent."""
 
     def __init__(
         self,
@@ -81,9 +81,9 @@
         """Creates the follower.
 
         Args:
-            context: What it works with.
-            has_rows: Whether it follows rows, too.
-            on_document_while_leading: Called with each list document that is seen while this
+            context: The driver, discovery, store client, lease and address map to use.
+            has_rows: Whether to follow the list's rows in addition to its document.
+            on_document_while_leading: Called with each list document that is received while this
                 process is the leader.
         """
         self.driver = context.driver
@@ -97,14 +97,14 @@
         self.source = EndpointSource(
             self.driver.settings.instance_count, random.Random(os.urandom(8)), boot_clock_ns()
         )
-        # Whether the list in force is the table's, so that a delta of its rows is enough.
+        # Whether the driver's list equals the table, so that a delta of the rows updates it.
         self.mirrors_table = False
         self.rejection_logged_s = -REJECTION_LOG_INTERVAL_S
 
     # ---- the store -------------------------------------------------------------------------------
 
     async def follow_list(self) -> None:
-        """Takes the committed list first, then each change after it.
+        """Receives the committed list first, then each later change.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
@@ -124,12 +124,12 @@
         self._receive_document(found.rows[0])
         if self.table is not None:
             self.apply_table(None)
-        # With rows, only this service's key: the lists of all services are too much for each
-        # balancer.
+        # With rows, only this service's key is watched: the lists of all services are too much
+        # traffic for each balancer.
         await self._watch("list" if self.table is None else self.keys.list, found.revision)
 
     async def follow_confirmations(self) -> None:
-        """Watches the confirmations, which `follow_list` does not where there are rows.
+        """Watches the confirmations; `follow_list` does not watch them if the list has rows.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
@@ -153,9 +153,9 @@
             self.on_document_while_leading(row, saved)
             return
         if saved is None or not saved.token:
-            return  # written by a program without leases
+            return  # written by a version of the program without leases
         if self.table is not None and self.table.position.token >= saved.token:
-            return  # the rows are of this leader or a later one
+            return  # this leader or a later one wrote the rows
         if self._accepts(row.key, FencingPosition(saved.token, saved.sequence)):
             self.mirrors_table = False
             self._learn(api.EndpointListKind.FULL, load_endpoints(saved))
@@ -175,9 +175,9 @@
     # ---- the changefeed --------------------------------------------------------------------------
 
     def check_row(self, scope: str, row: FeedRow) -> str:
-        """Returns why this program can't use a row; empty if it can.
+        """Returns why this program can't use a row, or an empty string if it can.
 
-        The changefeed client reports the answer to the node.
+        The changefeed client reports the result to the store node.
         """
         error = row_codec.find_row_error(scope, row)
         now_s = time.monotonic()
@@ -193,23 +193,23 @@
         return error
 
     def apply_rows(self, update: Apply) -> None:
-        """Handles rows from the changefeed."""
+        """Updates the table with rows from the changefeed, and applies it."""
         if self.table is None or update.scope != self.table.keys.scope:
             return
         delta = self.table.update(update.is_snapshot, update.rows)
         self.apply_table(None if update.is_snapshot else delta)
 
     def apply_table(self, delta: list[Endpoint] | None) -> None:
-        """Puts the table in force.
+        """Applies the table to the driver's list.
 
         Args:
-            delta: What changed in it; None: anything.
+            delta: The endpoints that changed in the table; None: any of them may have changed.
         """
         table = self.table
         if table is None or self.lease.active_token:
             return
         if table.list_row is None or not table.endpoints:
-            # A list without any upstream is not believed; nor does the leader publish one.
+            # An empty list is ignored: the leader never publishes one.
             self.mirrors_table = False
             return
         if not self.source.receiver.is_initialized:
@@ -223,7 +223,7 @@
             self._learn(api.EndpointListKind.DELTA, delta)
 
     def _start_from(self, table: RowTable) -> None:
-        """Uses a table that may not be committed, where nothing else is known."""
+        """Uses the table as a cached list at startup, although it may not be committed."""
         if table.list_row is None:
             return
         endpoints = table.all()
@@ -243,7 +243,7 @@
     # ---- discovery -------------------------------------------------------------------------------
 
     async def poll_while_leader_is_silent(self) -> None:
-        """Polls discovery where the leader's messages are old or missing."""
+        """Polls discovery while the leader's messages are too old or missing."""
         was_polling = False
         while True:
             if self.source.take_due_poll(boot_clock_ns()):
@@ -251,16 +251,16 @@
             if self.source.is_polling is not was_polling:
                 was_polling = self.source.is_polling
                 log.info(
-                    "endpoint list leader silent, polling discovery"
+                    "endpoint list leader is silent, polling discovery"
                     if was_polling
-                    else "endpoint list leader active again"
+                    else "endpoint list leader is active again"
                 )
             wait_s = (self.source.wake_ns - boot_clock_ns()) / NS_PER_S
             await asyncio.sleep(min(MAX_POLL_CHECK_S, max(MIN_POLL_CHECK_S, wait_s)))
 
 
 def log_stale_message(key: str, position: FencingPosition, receiver: FencedReceiver) -> None:
-    """Logs that a message of an earlier leader was ignored."""
+    """Logs that a message from an earlier leader was ignored."""
     log.info(
         "stale message ignored: key=%s token=%s highest_token=%s",
         key,
@@ -270,15 +270,15 @@
 
 
 def start_from_cache(driver: Driver, saved_at_s: float, endpoints: list[Endpoint]) -> bool:
-    """Gives the driver a list from before its start, unless it has one or this one is too old.
+    """Starts the driver with a cached list, unless the driver has a list or this one is too old.
 
     Args:
         driver: The driver.
-        saved_at_s: Unix time of the list.
+        saved_at_s: Unix time at which the list was saved.
         endpoints: The list, with the addresses to dial.
 
     Returns:
-        Whether the driver was given the list.
+        Whether the driver uses the list.
     """
     age = age_s(saved_at_s)
     is_recent = age is None or age < MAX_CACHED_LIST_AGE_S
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -1,8 +1,8 @@
 """Publication of the endpoint list by its leader, which watches discovery for the fleet.
 
-The leader writes the list to the store under its token; the other balancers follow it
-(`endpoint_follower`). The list is a document, rows of the changefeed, or both: so rows may be
-switched on one balancer after the other.
+The leader writes the list to the store under its fencing token; the other balancers follow the
+list (`endpoint_follower`). The list is a document, rows of the changefeed, or both, so that rows
+can be enabled on one balancer after another.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 
 log = logging.getLogger(__name__)
 
-BATCHING_S = 0.1  # changes that come so close are published as one
-HEARTBEAT_INTERVAL_S = 3.5  # between two confirmations that the list stands
-# A stored list of a later version than discovery's is left in place for so long; then discovery
-# has restarted its versions.
+BATCHING_S = 0.1  # changes within this time are published together
+HEARTBEAT_INTERVAL_S = 3.5  # between confirmations that the list is still current
+# While the stored list has a later version than discovery, it is kept for this long. After that,
+# discovery is assumed to have restarted its version numbers.
 VERSION_RESET_S = 30.0
 RETRY_S = 0.5
-NO_VERSION = -1  # as `Discovery.version` before its first list
+NO_VERSION = -1  # equals `Discovery.version` before the first list
 
 
 class ListOrigin(NamedTuple):
-    """Where a stored list came from, ordered by the leader that wrote it."""
+    """Origin of a stored list; origins are ordered by the token of the leader that wrote it."""
 
     token: int = 0
     source: str = ""
@@ -56,15 +56,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Publication:
-    """What this process published last."""
+    """The list that this process published last."""
 
     token: int = 0
     discovery_version: int = NO_VERSION
-    endpoints: list[SavedEndpoint] = field(default_factory=list)  # of a document
+    endpoints: list[SavedEndpoint] = field(default_factory=list)  # only for a document
 
 
 class EndpointPublisher:
-    """Takes the place of discovery beside a driver, and publishes the list while it leads."""
+    """Replaces discovery as seen by a driver, and publishes the list while this process leads."""
 
     def __init__(
         self,
@@ -72,12 +72,12 @@
         writer: RowWriter | None = None,
         publishes_documents: bool = True,
     ) -> None:
-        """Creates the publisher and the follower of other leaders.
+        """Creates the publisher, and the follower for the time in which another process leads.
 
         Args:
-            context: What it works with.
-            writer: Writer of rows; None: the list is a document only.
-            publishes_documents: Whether the list is a document, beside rows or alone.
+            context: The driver, discovery, store client, lease and address map to use.
+            writer: Writer of rows; None: the list is published as a document only.
+            publishes_documents: Whether to publish the list as a document, with or without rows.
         """
         self.driver = context.driver
         self.discovery = context.discovery
@@ -90,16 +90,18 @@
             context, writer is not None, self._on_document_while_leading
         )
         self.keys = self.follower.keys
-        self.is_document_due = False  # beside rows: it is to be written, or deleted
-        self.last_error = ""  # why the list can't be published, as last logged
+        self.is_document_due = False  # with rows: the document must be written or deleted
+        self.last_error = ""  # the last logged reason why the list can't be published
         self.changed = asyncio.Event()
-        self.sequence = 0  # of this leader's lists
-        self.heartbeat = 0  # of its confirmations
+        self.sequence = 0  # number of this leader's last list
+        self.heartbeat = 0  # number of this leader's last confirmation
         self.published = Publication()
-        self.published_s = 0.0  # time of discovery's answer that was published or confirmed last
-        self.is_overwritten = False  # by a program without leases
-        self.last_answer_s = 0.0  # of discovery, on this process
-        self.min_version = NO_VERSION  # that the next list must reach
+        self.published_s = (
+            0.0  # time of the discovery response that was published or confirmed last
+        )
+        self.is_overwritten = False  # whether a program without leases replaced the document
+        self.last_answer_s = 0.0  # time of the last discovery response with a list or a delta
+        self.min_version = NO_VERSION  # lowest discovery version that may be published
         self.min_version_read_s = 0.0
         self.running: asyncio.Task[None] | None = None
         self.discovery.listener = self._on_discovery
@@ -110,10 +112,10 @@
         host, port = self.discovery.address
         return f"{host}:{port}"
 
-    # ---- in place of discovery -------------------------------------------------------------------
+    # ---- the driver's discovery interface --------------------------------------------------------
 
     def subscribe(self, on: bool) -> None:
-        """Subscribes at discovery if this process leads; a follower is notified by the leader."""
+        """Subscribes to discovery if this process leads; a follower receives the leader's lists."""
         if self.lease.active_token:
             self.discovery.subscribe(on)
 
@@ -124,7 +126,7 @@
     def _on_discovery(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         has_failed = kind is api.EndpointListKind.FAILED
         if has_failed and not self.lease.active_token:
-            return  # this process polled by itself and polls again: the policy need not
+            return  # a follower's own poll failed; it polls again without the policy's retry
         if not has_failed:
             self.last_answer_s = time.monotonic()
             if kind is api.EndpointListKind.FULL or endpoints:
@@ -143,18 +145,18 @@
         is_delta = kind is api.EndpointListKind.DELTA
         self.writer.touch([endpoint.entry.id for endpoint in endpoints] if is_delta else None)
 
-    # ---- a term as the leader --------------------------------------------------------------------
+    # ---- leadership terms ------------------------------------------------------------------------
 
     def on_lease_acquired(self, token: int) -> None:
         """Begins a term."""
         self.follower.source.set_leader(True, boot_clock_ns())
         self.discovery.watch.set_sole_poller(True)
-        if token != self.published.token:  # a lease that is lost and found again goes on counting
+        if token != self.published.token:  # a lease regained under the same token keeps counting
             self.sequence = 0
             self.heartbeat = 0
         if self.writer is not None:
             self.writer.begin_term()
-        # What was learned of the other leader does not count there.
+        # Versions in the previous leader's lists must not count as discovery's versions.
         self.discovery.watch.forget_list()
         self.running = asyncio.get_running_loop().create_task(self._run())
         self.discovery.subscribe(True)
@@ -163,9 +165,9 @@
         """Ends the term."""
         follower = self.follower
         follower.source.set_leader(False, boot_clock_ns())
-        follower.mirrors_table = False  # rows that arrived meanwhile were not put in force
+        follower.mirrors_table = False  # rows that arrived during the term were not applied
         if follower.table is not None and follower.table.position.token > self.published.token:
-            follower.apply_table(None)  # the next leader's rows are there already
+            follower.apply_table(None)  # the next leader's rows have already arrived
         self.discovery.watch.set_sole_poller(False)
         self.discovery.subscribe(False)
         self._stop()
@@ -176,7 +178,7 @@
             self.running = None
 
     async def _run(self) -> None:
-        """Publishes each list, and confirms now and then that it stands."""
+        """Publishes each list, and periodically confirms that it is still current."""
         await self._retry_until_done(self._read_min_version)
         while True:
             with suppress(TimeoutError):
@@ -189,7 +191,7 @@
             except NotLeaseHolderError:
                 return
             except MalformedError as error:
-                if str(error) != self.last_error:  # it stands until discovery reports otherwise
+                if str(error) != self.last_error:  # the error recurs until discovery's list changes
                     log.error("endpoint list not published: key=%s error=%s", self.keys.list, error)
                 self.last_error = str(error)
             except StoreError as error:
@@ -208,9 +210,10 @@
                 await asyncio.sleep(RETRY_S)
 
     async def _read_min_version(self) -> None:
-        """Reads what the previous leader knew of discovery.
+        """Reads the discovery version of the previous leader's last list.
 
-        It is read after the token was granted: nothing that leader still writes comes later.
+        The read follows the grant of this leader's token, so that the store rejects any later
+        write of the previous leader.
         """
         row = (await self.client.get(self.keys.list)).rows[0]
         saved = decode_row(row, SavedEndpointList)
@@ -230,7 +233,10 @@
             self.min_version_read_s = time.monotonic()
 
     def _is_outdated(self) -> bool:
-        """Whether discovery reports less than the previous leader knew, and not for long yet."""
+        """Returns whether discovery lags behind the previous leader's list within the grace period.
+
+        After `VERSION_RESET_S`, the lower version is taken for a restart of the version numbers.
+        """
         return (
             bool(self.lease.active_token)
             and self.discovery.version < self.min_version
@@ -242,9 +248,9 @@
     async def _publish_or_confirm(self) -> None:
         answer_s = self.last_answer_s
         if self.writer is not None:
-            # An answer without a change counts, too: without a confirmation the others take the
-            # leader for silent after 12 s of a quiet day, and each polls for a complete list.
-            # (Documents are confirmed only on changes.)
+            # A discovery response without a change counts, too. Without a confirmation, the
+            # followers treat the leader as silent after 12 s without changes, and each of them
+            # polls discovery for a complete list. (Documents are confirmed only on changes.)
             answer_s = max(answer_s, self.discovery.answered_s)
         is_current = answer_s <= self.published_s and not self.is_overwritten
         if self.discovery.version < 0 or is_current or self._is_outdated():
@@ -272,7 +278,7 @@
         await self.lease.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
 
     def _canonical_endpoints(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
-        """Returns the listed endpoints of these numbers, or all, with canonical addresses."""
+        """Returns the listed endpoints with these numbers, or all, with canonical addresses."""
         targets = self.driver.upstreams.targets
         if numbers is None:
             found = list(targets.values())
@@ -281,7 +287,7 @@
         return self.address_map.to_canonical(target.endpoint for target in found)
 
     async def _publish_document(self, token: int) -> bool:
-        """Writes the document if it differs from the last one; returns whether it did."""
+        """Writes the document if it differs from the last one; returns whether it was written."""
         endpoints = save_endpoints(self._canonical_endpoints())
         publication = Publication(token, self.discovery.version, endpoints)
         if not self.is_overwritten and self.published == publication:
@@ -300,10 +306,10 @@
         self.published = Publication(token, version, list(endpoints))
 
     async def _publish_rows(self, token: int) -> bool:
-        """Writes the rows that differ, and the document beside them where there is to be one.
+        """Writes the rows that differ, and writes or deletes the document if that is due.
 
         Returns:
-            Whether there was anything to write.
+            Whether anything was written.
         """
         if self.writer is None:
             return False
@@ -320,16 +326,16 @@
             await self._write_document(
                 token, self.sequence, save_endpoints(self._canonical_endpoints())
             )
-        else:  # a balancer that knows no rows would go by it, however old it is
+        else:  # a balancer without row support would use the document, however old it is
             await self.lease.write([Op(self.keys.list, None)])
         self.is_document_due = False
         self.is_overwritten = False
         return True
 
     def _on_document_while_leading(self, row: Row, saved: SavedEndpointList | None) -> None:
-        """Notes that a program without leases replaced this leader's list.
+        """Publishes the list again after a program without leases replaced the document.
 
-        A balancer that starts now would find no leader's list: it is published again.
+        Otherwise, a balancer that starts now would not find a leader's list.
         """
         is_foreign = saved is None or not saved.token
         if is_foreign and row.version and (self.publishes_documents or row.value is not None):
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -1,8 +1,9 @@
-"""The endpoint list as rows of the changefeed: written by its leader, followed by the others.
+"""The endpoint list as rows of the changefeed: the leader writes them, the followers copy them.
 
-The store rejects a write with an old token, and the changefeed never goes back: so of two rows
-the later one is from the later leader. What a deposed leader had not written yet is written by
-the next one, which compares with what is stored.
+The store rejects a write with an old fencing token, and the changefeed never delivers an older
+version after a newer one. So the later of two rows is from the later leader. If a leader is deposed
+before it has written all rows, the next leader compares the stored rows with its list and writes
+the missing ones.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 T = TypeVar("T")
 
-# Operations of a write beside the upstreams: the list's row, and the service's where it is missing.
+# Operations of a write in addition to upstreams: the list's row, and the service's if missing.
 OVERHEAD_OPERATIONS = 2
 
 EndpointLookup = Callable[[Iterable[int] | None], Iterable[Endpoint]]
@@ -34,22 +35,22 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryVersion:
-    """Version of an endpoint list, as counted by one discovery server."""
+    """Version of an endpoint list, which each discovery server numbers on its own."""
 
     version: int
     source: str
 
 
 class RowWriter:
-    """Writes rows as the leader.
+    """Writes the rows of the list as its leader.
 
-    It knows the stored rows from one read a term and from its own writes.
+    It tracks the stored rows from one read per term and from its own writes.
 
     Args:
         client: Client of the store.
         lease: The lease under which rows are written.
         service: The service's name.
-        max_operations: Operations of one write.
+        max_operations: Maximum number of operations in one write.
     """
 
     def __init__(
@@ -60,29 +61,29 @@
         self.service = service
         self.keys = RowKeys(service)
         self.max_upstreams = max_operations - OVERHEAD_OPERATIONS
-        self.stored: dict[str, tuple[int, bytes]] = {}  # upstreams: version and value by key
-        self.versions: dict[str, int] = {}  # of the service's row and the list's; 0: missing
+        self.stored: dict[str, tuple[int, bytes]] = {}  # version and value of upstream rows by key
+        self.versions: dict[str, int] = {}  # of the service's and the list's row; 0: missing
         self.last_position: ListRow | None = None
-        self.is_synchronized = False  # whether `stored` is what the store has
+        self.is_synchronized = False  # whether `stored` equals the rows in the store
         self.touched: set[int] | None = None  # upstreams that may differ; None: any
-        self.sequence = 0  # of this leader's writes
+        self.sequence = 0  # number of this leader's last write
 
     def begin_term(self) -> None:
-        """Starts counting writes anew."""
+        """Resets the sequence number of the writes for a new term."""
         self.sequence = 0
 
     def touch(self, numbers: Iterable[int] | None) -> None:
-        """Notes upstreams that may have changed; None: any."""
+        """Marks upstreams that may have changed; None: any."""
         if numbers is None:
             self.touched = None
         elif self.touched is not None:
             self.touched.update(numbers)
 
     async def read(self) -> ListRow | None:
-        """Reads all rows, once the lease is acquired: no earlier leader can change them any more.
+        """Reads all rows after the lease was acquired, when no earlier leader can change them.
 
         Returns:
-            The last leader's position.
+            The position of the last write of any leader; None if there is none.
 
         Raises:
             StoreError: The store did not serve a read.
@@ -105,25 +106,26 @@
         """Writes the rows that differ from the list.
 
         Args:
-            lookup: Returns the listed endpoints of some numbers, or all, with canonical addresses.
-            token: The lease's token.
+            lookup: Returns the listed endpoints with the given numbers, or all, with canonical
+                addresses.
+            token: The lease's fencing token.
             discovery: Version of the list.
 
         Returns:
-            Whether there was anything to write.
+            Whether anything was written.
 
         Raises:
             StoreError: The store did not serve a read or a write.
-            MalformedError: An endpoint can't be a row; nothing is written.
+            MalformedError: An endpoint can't be encoded as a row; nothing is written.
         """
         if not self.is_synchronized:
             await self.read()
         batches = self._plan(lookup)
         is_new_term = self.last_position is None or self.last_position.token != token
         if not batches and is_new_term:
-            batches = [()]  # the new leader's position, at least: its later ones build on it
+            batches = [()]  # a new leader writes at least its position; later writes update it
         self.touched = set()
-        self.is_synchronized = False  # until all is written
+        self.is_synchronized = False  # until all batches are written
         for batch in batches:
             position = ListRow(
                 token, self.sequence + 1, discovery.version, discovery.source, int(unix_s())
@@ -180,14 +182,14 @@
         return _position_of(self.list_row)
 
     def update(self, is_snapshot: bool, changed: Iterable[Row]) -> list[Endpoint]:
-        """Takes rows that `find_row_error` accepted.
+        """Applies rows that `find_row_error` accepted.
 
         Args:
-            is_snapshot: Whether the rows are all that exist.
+            is_snapshot: Whether `changed` has all existing rows.
             changed: The rows.
 
         Returns:
-            The endpoints that changed; those deleted in state REMOVED.
+            The endpoints that changed; deleted endpoints have the state REMOVED.
         """
         if is_snapshot:
             self.endpoints = {}
@@ -212,9 +214,9 @@
 
 
 class EndpointListReader:
-    """Reads the stored list now and then: rows or document, whichever the later leader wrote.
+    """Reads the stored list repeatedly, from the rows or the document of the later leader.
 
-    Rows are read again only if the leader has written since.
+    Rows are read again only if the leader has written since the previous read.
     """
 
     def __init__(self, client: Client, service: str) -> None:
@@ -226,12 +228,12 @@
     async def read(
         self, document_row: protocol.Row, list_row: protocol.Row, stale: bool = False
     ) -> SavedEndpointList | None:
-        """Returns the list.
+        """Returns the list, or None if there is none.
 
         Args:
             document_row: The row of `list/SERVICE`.
             list_row: The row of the leader's position.
-            stale: Whether any node's answer will do.
+            stale: Whether a stale read from any node is sufficient.
 
         Raises:
             StoreError: The store did not serve a read.
@@ -256,7 +258,7 @@
 
 
 def position_of(row: protocol.Row) -> FencingPosition:
-    """Returns the position of the leader's last write from the list's row in the store."""
+    """Returns the position of the leader's last write, read from the list's row in the store."""
     return _position_of(_read_list(row))
 
 
@@ -278,7 +280,7 @@
 
 
 def _read(row: protocol.Row, decode: Callable[[bytes], T]) -> T | None:
-    """Returns None where the row does not exist or can't be decoded."""
+    """Returns the decoded value; None if the row does not exist or can't be decoded."""
     try:
         return decode(row.value) if row.value is not None else None
     except ValueError:
--- a/loadbalancer/daemon/endpoint_source.py
+++ b/loadbalancer/daemon/endpoint_source.py
@@ -1,9 +1,9 @@
-"""Decides where a balancer takes the endpoint list from, and when it polls discovery. Pure.
+"""Decides from where a balancer gets the endpoint list, and when it polls discovery.
 
-One leader watches discovery and publishes the list to the store; the other balancers follow it.
-Where the leader is silent or unknown, each balancer polls discovery itself, at times drawn so
-that all of them together make at most `FLEET_POLLS_PER_S` calls: no balancer can count the others
-while the store is unavailable.
+One leader watches discovery and publishes the list to the store; the other balancers follow the
+list. While the leader is silent or unknown, each balancer polls discovery itself. No balancer can
+count the others while the store is unavailable, so each one draws its poll times from an interval
+that limits all of them together to `FLEET_POLLS_PER_S`. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,8 +14,9 @@
 
 SECOND = 1_000_000_000
 LEADER_TIMEOUT_NS = 12 * SECOND  # three times the longest silence of the leader's discovery watch
-# A balancer without any upstream waits less for the first message, and its first poll is spread
-# over half a second at most: a restart routes within two seconds, store or no store.
+# A balancer without any upstream waits less time for the first message, and its first poll is
+# spread over at most half a second. So a restarted balancer routes requests within two seconds,
+# with or without the store.
 INITIAL_TIMEOUT_NS = SECOND // 4
 INITIAL_SPREAD_NS = SECOND // 2
 FLEET_POLLS_PER_S = 10.0  # of all balancers together, while the leader is silent
@@ -24,33 +25,33 @@
 
 
 class EndpointSource:
-    """Follows the leader's messages, and plans own polls of discovery while there are none."""
+    """Tracks the leader's messages, and schedules polls of discovery while there are none."""
 
     def __init__(self, balancer_count: int, rng: random.Random, now: int) -> None:
         self.rng = rng
         self.receiver = FencedReceiver(FencingPosition())
-        self.heartbeat = 0  # the leader's last count of its confirmations
-        self.last_message_ns = now  # the leader's last new message
+        self.heartbeat = 0  # number of the leader's last confirmation
+        self.last_message_ns = now  # time of the leader's last new message
         self.is_leader = False
-        self.is_empty = True  # no list is known yet
+        self.is_empty = True  # whether no list has been received yet
         self.poll_interval_ns = max(
             MIN_POLL_INTERVAL_NS, int(balancer_count / FLEET_POLLS_PER_S * SECOND)
         )
         self.next_poll_ns: int | None = None
 
     def set_leader(self, is_leader: bool, now: int) -> None:
-        """Notes that this process became the leader, or no longer is."""
+        """Sets whether this process is the leader."""
         self.is_leader = is_leader
         self._reset_timeout(now)
 
     def learn_committed(self, position: FencingPosition, now: int) -> None:
-        """Takes the position that a majority holds, before any other message is accepted."""
+        """Sets the committed position, before any other message is accepted."""
         self.receiver.learn(position)
         if position.token:
             self._reset_timeout(now)
 
     def accept_list(self, position: FencingPosition, now: int) -> bool:
-        """Returns whether a list that was received may be used."""
+        """Returns whether a received list may be used."""
         if not self.receiver.accept(position):
             return False
         self.is_empty = False
@@ -68,11 +69,11 @@
         self.next_poll_ns = None
 
     def take_due_poll(self, now: int) -> bool:
-        """Returns whether to poll discovery now; if so, plans the next poll."""
+        """Returns whether to poll discovery now; if so, schedules the next poll."""
         if self.is_leader or now < self._timeout_ns:
             return False
         if self.next_poll_ns is None:
-            # All balancers notice the silence at once: the first round is spread like the others.
+            # All balancers detect the silence at the same time, so the first poll is spread, too.
             spread_ns = self.poll_interval_ns
             if self.is_empty:
                 spread_ns = min(spread_ns, INITIAL_SPREAD_NS)
@@ -84,15 +85,15 @@
 
     @property
     def is_polling(self) -> bool:
-        """Whether this balancer goes by its own polls for now."""
+        """Whether this balancer currently polls discovery itself."""
         return not self.is_leader and self.next_poll_ns is not None
 
     @property
     def wake_ns(self) -> int:
-        """When `take_due_poll` is to be called next."""
+        """Time at which `take_due_poll` must be called next."""
         return self._timeout_ns if self.next_poll_ns is None else self.next_poll_ns
 
     @property
     def _timeout_ns(self) -> int:
-        """When the leader counts as silent."""
+        """Time from which the leader counts as silent."""
         return self.last_message_ns + (INITIAL_TIMEOUT_NS if self.is_empty else LEADER_TIMEOUT_NS)
--- a/loadbalancer/daemon/identity.py
+++ b/loadbalancer/daemon/identity.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerIdentity:
-    """The service that a balancer serves, and its own name; both are parts of store keys."""
+    """A balancer's service and its own name; both are parts of store keys."""
 
     service: str
     balancer: str
--- a/loadbalancer/daemon/leased_row.py
+++ b/loadbalancer/daemon/leased_row.py
@@ -1,4 +1,4 @@
-"""A row of the store that has one writer: the process that holds a lease."""
+"""A row of the store whose only writer is the holder of a lease."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     def __init__(self, lease: LeaseClient, key: str) -> None:
         self.lease = lease
         self.key = key
-        self.exists = False  # whether a value of this process stands in the store
+        self.exists = False  # whether the store has a value that this process wrote
 
     @property
     def is_writable(self) -> bool:
-        """Whether the lease is held now."""
+        """Whether this process holds the lease now."""
         return bool(self.lease.token())
 
     async def write(self, value: bytes) -> bool:
         """Writes a value.
 
         Returns:
-            Whether it was written; else the lease was lost meanwhile.
+            Whether the value was written; False: the lease was lost.
 
         Raises:
             StoreError: The store did not serve the write.
@@ -50,4 +50,4 @@
         try:
             await self.lease.write([Op(self.key, None)], WriteOptions(timeout_s=REMOVE_TIMEOUT_S))
         except NotLeaseHolderError:
-            return  # the next holder writes its own
+            return  # the next holder overwrites the value
--- a/loadbalancer/daemon/leased_task.py
+++ b/loadbalancer/daemon/leased_task.py
@@ -1,4 +1,4 @@
-"""Base of a controller that runs on one process of the fleet at a time, under a lease."""
+"""Base class of the controllers that run on one process of the fleet at a time, under a lease."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 log = logging.getLogger(__name__)
 
 ERROR_RETRY_S = 0.5
-CONFLICT_RETRY_S = 0.02  # another process changed meanwhile what a step had read
+CONFLICT_RETRY_S = 0.02  # after another process changed a row that the step had read
 MIN_WAIT_S = 0.01
 
 
 class LeaseFactory(Protocol):
-    """Creates the client of one lease, with the callbacks for acquiring and losing it."""
+    """Creates the client of one lease, with callbacks for its acquisition and its loss."""
 
     def __call__(
         self, on_acquired: Callable[[int], None], on_lost: Callable[[], None]
@@ -29,10 +29,10 @@
 
 
 class LeasedTask(ABC):
-    """Runs `step` again and again for as long as the lease is held."""
+    """Runs `step` repeatedly while the lease is held."""
 
     def __init__(self, lease_factory: LeaseFactory, name: str) -> None:
-        """Creates the lease; it is started by its creator.
+        """Creates the lease's client; the caller starts it.
 
         Args:
             lease_factory: Creates the lease with this task's callbacks.
@@ -44,11 +44,11 @@
 
     @abstractmethod
     def reset(self) -> None:
-        """Drops all state of an earlier term: it is out of date."""
+        """Drops all state of an earlier term, because it is out of date."""
 
     @abstractmethod
     async def step(self) -> float:
-        """Observes once and makes at most one write.
+        """Reads the state once and makes at most one write.
 
         Returns:
             Seconds until the next step.
--- a/loadbalancer/daemon/observation.py
+++ b/loadbalancer/daemon/observation.py
@@ -1,4 +1,4 @@
-"""What a controller reads repeatedly from the store: ages of rows, names held, list freshness."""
+"""Helpers of controllers that read the store repeatedly: ages of rows and live balancers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class RowAges:
-    """How long each row has stood as it is, by this process's own clock: no other is trusted."""
+    """Time since each row last changed, by this process's clock.
+
+    The clocks of other processes are not trusted.
+    """
 
     def __init__(self) -> None:
         self.first_read: dict[str, tuple[int, float]] = {}
@@ -25,18 +28,18 @@
         return now_s - self.first_read[key][1]
 
     def retain(self, keys: set[str]) -> None:
-        """Forgets all other keys."""
+        """Drops all other keys."""
         for removed in self.first_read.keys() - keys:
             del self.first_read[removed]
 
 
 async def read_live_balancers(client: Client, prefix: str, stale: bool = False) -> set[str]:
-    """Returns the names of the balancers that hold their name's lease.
+    """Returns the names of the balancers whose name lease is held.
 
     Args:
         client: Client of the store.
         prefix: Key prefix of the name leases.
-        stale: Whether any node's answer will do.
+        stale: Whether a stale read from any node is sufficient.
 
     Raises:
         StoreError: The store did not serve the read.
--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -1,7 +1,7 @@
-"""Endpoint lists and learned state as they stand in the store.
+"""Stored form of endpoint lists and learned state.
 
-Stored times are wall-clock times, in place of the monotonic clock of one process. Field names in
-the store are those given by `msgspec.field(name=...)`.
+Stored times are wall-clock times, because a monotonic clock is valid in one process only. The
+field names in the store are those set by `msgspec.field(name=...)`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-SAME_START_S = 0.1  # an older program saved starts rounded to this
+SAME_START_S = 0.1  # an older version of the program rounded saved start times to this
 MS_PER_S = 1000
 NS_PER_S = 1e9
 
@@ -38,7 +38,7 @@
 
 
 class SavedEndpoint(UpstreamLocation, frozen=True):
-    """An entry of a stored list. `started_s`: Unix time; 0: long ago."""
+    """An entry of a stored list. `started_s` is a Unix time; 0 means long ago."""
 
     weight: float
     started_s: float = msgspec.field(name="started")
@@ -48,8 +48,9 @@
 class SavedEndpointList(msgspec.Struct, frozen=True):
     """A stored endpoint list.
 
-    `token` is that of the leader that published it, `sequence` its count of lists; both are 0
-    where a program without leases wrote it. `discovery_version` counts separately at each `source`.
+    `token` is the token of the leader that published the list, and `sequence` the number of the
+    list under that token. Both are 0 if a program without leases wrote the list. Each `source`
+    numbers its `discovery_version` independently.
     """
 
     saved_at_s: float = msgspec.field(name="at")
@@ -61,10 +62,10 @@
 
 
 class SavedLearnedState(msgspec.Struct, frozen=True):
-    """What the policy learned.
+    """The policy's learned state.
 
-    `relative_service_times`: by upstream, its service time relative to the others' and the Unix
-    time of the start that it was learned of.
+    `relative_service_times` has, for each upstream, its service time relative to the others' and
+    the Unix time of the upstream's start for which the value was learned.
     """
 
     saved_at_s: float = msgspec.field(name="at")
@@ -78,7 +79,7 @@
 
 
 class LeaderConfirmation(msgspec.Struct, frozen=True):
-    """A leader's confirmation that what it published as `sequence` still stands."""
+    """A leader's confirmation that its publication with number `sequence` is still current."""
 
     token: int
     sequence: int = msgspec.field(name="number")
@@ -86,7 +87,7 @@
 
 
 def save_endpoints(endpoints: Iterable[Endpoint]) -> list[SavedEndpoint]:
-    """Returns the endpoints in their stored form, ordered so that equal lists are equal bytes."""
+    """Returns the endpoints in stored form, sorted so that equal lists have equal encodings."""
     return sorted(map(_save_endpoint, endpoints), key=lambda saved: saved.id)
 
 
@@ -106,7 +107,7 @@
 
 
 def load_endpoints(saved: SavedEndpointList) -> list[Endpoint]:
-    """Returns the endpoints as they were listed."""
+    """Returns the endpoints of a stored list."""
     return [_load_endpoint(endpoint) for endpoint in saved.endpoints]
 
 
@@ -122,8 +123,8 @@
     """Returns learned state in its stored form.
 
     Args:
-        learned: The policy's state.
-        endpoints: The endpoints as listed now; what was learned of others is dropped.
+        learned: The policy's learned state.
+        endpoints: The endpoints in the current list; the state of other endpoints is dropped.
     """
     relative_service_times = {
         number: (round(ratio, 4), endpoints[number].started_ms / MS_PER_S)
@@ -149,10 +150,11 @@
 
     Args:
         saved: The stored form.
-        endpoints: The endpoints as listed now; what was learned of an earlier start is dropped.
+        endpoints: The endpoints in the current list; state learned for an earlier start of an
+            endpoint is dropped.
 
     Returns:
-        None where its age is unknown, as the wall clock was stepped.
+        The learned state; None if its age is unknown because the wall clock was stepped.
     """
     age = age_s(saved.saved_at_s)
     if age is None:
@@ -179,8 +181,8 @@
     """Decodes a row's JSON value.
 
     Returns:
-        None where the row does not exist or can't be decoded: another version of the program may
-        have written it.
+        The decoded value; None if the row does not exist or can't be decoded, because another
+        version of the program may have written it.
     """
     if row.value is None:
         return None
