--- a/loadbalancer/daemon/address_map.py
+++ b/loadbalancer/daemon/address_map.py
@@ -19,7 +19,7 @@
     """Translates endpoint addresses in both directions; an unlisted address stays unchanged."""
 
     def __init__(self, dialed_by_canonical: Mapping[str, str]) -> None:
-        """Parses the table.
+        """Parse the table.
 
         Args:
             dialed_by_canonical: Canonical HOST:PORT -> the HOST:PORT to dial from this host.
@@ -32,15 +32,15 @@
         self._canonical = {dialed: canonical for canonical, dialed in pairs}
 
     def dialed_address(self, canonical: Address) -> Address:
-        """Returns the address to dial for a canonical address."""
+        """Return the address to dial for a canonical address."""
         return self._dialed.get(canonical, canonical)
 
     def to_dialed(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Returns the endpoints with the addresses to dial."""
+        """Return the endpoints with the addresses to dial."""
         return [_translate(endpoint, self._dialed) for endpoint in endpoints]
 
     def to_canonical(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Returns the endpoints with canonical addresses, for the shared list."""
+        """Return the endpoints with canonical addresses, for the shared list."""
         return [_translate(endpoint, self._canonical) for endpoint in endpoints]
 
 
--- a/loadbalancer/daemon/balancer_reporter.py
+++ b/loadbalancer/daemon/balancer_reporter.py
@@ -53,18 +53,18 @@
         )
 
     def set_disabled_version(self, version: int) -> None:
-        """Sets the version of the disabled set that this balancer applies."""
+        """Set the version of the disabled set that this balancer applies."""
         self.disabled_version = version
         self.changed.set()
 
     async def on_restart_changed(self, value: bytes | None, version: int) -> None:
-        """Handles a change of the rolling restart's document."""
+        """Handle a change of the rolling restart's document."""
         restart = decode_row(Row(self.keys.restart, value, version, 0), RollingRestart)
         self.is_active = restart is not None and restart.state is not State.ENDED
         self.changed.set()
 
     def busy_upstreams(self) -> tuple[str, ...]:
-        """Returns the disabled upstreams where this balancer still has attempts in flight."""
+        """Return the disabled upstreams where this balancer still has attempts in flight."""
         names = {upstream_number(name): name for name in self.disabled.names}
         busy = {
             names[attempt.upstream.id]
@@ -75,7 +75,7 @@
         return tuple(sorted(busy))
 
     async def run(self) -> None:
-        """Reports each change, and repeats the report after each interval.
+        """Report each change, and repeat the report after each interval.
 
         Raises:
             StoreError: The store did not serve a write.
--- a/loadbalancer/daemon/bootstrap.py
+++ b/loadbalancer/daemon/bootstrap.py
@@ -70,7 +70,7 @@
     """Reads the settings of a balancer that uses a store, and creates its state sync."""
 
     def __init__(self, path: Path, store: StoreSettings, other_settings: Json) -> None:
-        """Validates the settings and creates the folder for the local copy.
+        """Validate the settings and create the folder for the local copy.
 
         Args:
             path: The settings file.
@@ -95,7 +95,7 @@
         self.is_fetched = False
 
     def create_client(self) -> Client:
-        """Returns a new client of the store."""
+        """Return a new client of the store."""
 
         def tls_context() -> ssl.SSLContext | None:
             return self.tls.context(False) if self.tls else None
@@ -108,7 +108,7 @@
         )
 
     def read(self) -> Config:
-        """Returns the configuration.
+        """Return the configuration.
 
         The first call fetches a settings document from the store. Later calls read the local copy,
         which the state sync keeps up to date.
@@ -134,7 +134,7 @@
         return documents.read_balancer(self.store.document, text)
 
     async def _fetch(self, copy_path: Path, timeout_s: float) -> None:
-        """Updates the local copy from the store.
+        """Update the local copy from the store.
 
         A linearizable read is preferred. If it fails, the result of a stale read from the nearest
         node is used, which is still newer than the local copy.
@@ -161,7 +161,7 @@
         )
 
     def create_state_sync(self, parts: Parts) -> StateSync:
-        """Returns the state sync of a balancer."""
+        """Return the state sync of a balancer."""
         options = StateSyncOptions(
             service=self.store.service,
             balancer=self.store.balancer,
@@ -178,7 +178,7 @@
 
 
 def read_bootstrap(path: Path) -> Bootstrap | None:
-    """Reads a settings file.
+    """Read a settings file.
 
     Returns:
         The bootstrap; None if the file has no `[store]` table.
@@ -222,19 +222,19 @@
         )
     if store.rows and "server" in other_settings:
         raise MalformedError(
-            f"{path}: store.rows: requires discovery; the upstreams are listed in [[server]]"
+            f"{path}: store.rows: the list of upstreams is in [[server]], and rows require"
+            " discovery"
         )
     if store.document and other_settings:
         raise MalformedError(
-            f"{path}: {min(other_settings)}: must be set in the document {store.document}, not in"
-            " this file"
+            f"{path}: {min(other_settings)}: must be set in the document {store.document}"
         )
     if store.document and not store.folder:
         raise MalformedError(f"{path}: store.folder: is required for the copy of the document")
 
 
 def _write_copy(path: Path, value: bytes) -> None:
-    """Writes the local copy.
+    """Write the local copy.
 
     A failure is only logged: the copy is for later starts, and this start can continue without it.
     """
--- a/loadbalancer/daemon/disabled_sync.py
+++ b/loadbalancer/daemon/disabled_sync.py
@@ -39,7 +39,7 @@
         service: str,
         on_version: Callable[[int], None],
     ) -> None:
-        """Subscribes to the operators' changes.
+        """Subscribe to the operators' changes.
 
         Args:
             monitor: Client of the store.
@@ -65,7 +65,7 @@
         return names
 
     async def follow(self) -> None:
-        """Applies each stored set.
+        """Apply each stored set.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
@@ -82,7 +82,7 @@
             self.has_pending.set()
 
     async def publish(self) -> None:
-        """Merges each local change into the stored set."""
+        """Merge each local change into the stored set."""
         while True:
             await self.has_pending.wait()
             self.has_pending.clear()
--- a/loadbalancer/daemon/documents.py
+++ b/loadbalancer/daemon/documents.py
@@ -14,7 +14,7 @@
 
 
 def parse(name: str, text: str) -> Json:
-    """Parses a document's TOML.
+    """Parse a document's TOML.
 
     Raises:
         MalformedError: The text is not TOML.
@@ -26,7 +26,7 @@
 
 
 def read_balancer(name: str, text: str) -> Config:
-    """Reads a document of balancer settings.
+    """Read a document of balancer settings.
 
     Raises:
         MalformedError: The document is not valid.
@@ -35,7 +35,7 @@
 
 
 def read_sites(name: str, text: str) -> dict[str, SiteCapacity]:
-    """Reads a document that describes the sites.
+    """Read a document that describes the sites.
 
     Raises:
         MalformedError: The document is not valid.
@@ -48,7 +48,7 @@
 
 
 def find_error(name: str, text: str) -> str:
-    """Returns the first error of a document in one line, or an empty string if it is valid.
+    """Return the first error of a document in one line, or an empty string if it is valid.
 
     It is called before a document is proposed to the store.
     """
--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -78,7 +78,7 @@
         has_rows: bool,
         on_document_while_leading: Callable[[Row, SavedEndpointList | None], None],
     ) -> None:
-        """Creates the follower.
+        """Create the follower.
 
         Args:
             context: The driver, discovery, store client, lease and address map to use.
@@ -104,7 +104,7 @@
     # ---- the store -------------------------------------------------------------------------------
 
     async def follow_list(self) -> None:
-        """Receives the committed list first, then each later change.
+        """Receive the committed list first, then each later change.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
@@ -129,7 +129,7 @@
         await self._watch("list" if self.table is None else self.keys.list, found.revision)
 
     async def follow_confirmations(self) -> None:
-        """Watches the confirmations; `follow_list` does not watch them if the list has rows.
+        """Watch the confirmations; `follow_list` does not watch them if the list has rows.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
@@ -175,7 +175,7 @@
     # ---- the changefeed --------------------------------------------------------------------------
 
     def check_row(self, scope: str, row: FeedRow) -> str:
-        """Returns why this program can't use a row, or an empty string if it can.
+        """Return why this program can't use a row, or an empty string if it can.
 
         The changefeed client reports the result to the store node.
         """
@@ -193,14 +193,14 @@
         return error
 
     def apply_rows(self, update: Apply) -> None:
-        """Updates the table with rows from the changefeed, and applies it."""
+        """Update the table with rows from the changefeed, and apply it."""
         if self.table is None or update.scope != self.table.keys.scope:
             return
         delta = self.table.update(update.is_snapshot, update.rows)
         self.apply_table(None if update.is_snapshot else delta)
 
     def apply_table(self, delta: list[Endpoint] | None) -> None:
-        """Applies the table to the driver's list.
+        """Apply the table to the driver's list.
 
         Args:
             delta: The endpoints that changed in the table; None: any of them may have changed.
@@ -223,7 +223,7 @@
             self._learn(api.EndpointListKind.DELTA, delta)
 
     def _start_from(self, table: RowTable) -> None:
-        """Uses the table as a cached list at startup, although it may not be committed."""
+        """Use the table as a cached list at startup, although it may not be committed."""
         if table.list_row is None:
             return
         endpoints = table.all()
@@ -243,7 +243,7 @@
     # ---- discovery -------------------------------------------------------------------------------
 
     async def poll_while_leader_is_silent(self) -> None:
-        """Polls discovery while the leader's messages are too old or missing."""
+        """Poll discovery while the leader's messages are too old or missing."""
         was_polling = False
         while True:
             if self.source.take_due_poll(boot_clock_ns()):
@@ -260,7 +260,7 @@
 
 
 def log_stale_message(key: str, position: FencingPosition, receiver: FencedReceiver) -> None:
-    """Logs that a message from an earlier leader was ignored."""
+    """Log that a message from an earlier leader was ignored."""
     log.info(
         "stale message ignored: key=%s token=%s highest_token=%s",
         key,
@@ -270,7 +270,7 @@
 
 
 def start_from_cache(driver: Driver, saved_at_s: float, endpoints: list[Endpoint]) -> bool:
-    """Starts the driver with a cached list, unless the driver has a list or this one is too old.
+    """Start the driver with a cached list, unless the driver has a list or this one is too old.
 
     Args:
         driver: The driver.
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -72,7 +72,7 @@
         writer: RowWriter | None = None,
         publishes_documents: bool = True,
     ) -> None:
-        """Creates the publisher, and the follower for the time in which another process leads.
+        """Create the publisher, and the follower for the time in which another process leads.
 
         Args:
             context: The driver, discovery, store client, lease and address map to use.
@@ -115,12 +115,12 @@
     # ---- the driver's discovery interface --------------------------------------------------------
 
     def subscribe(self, on: bool) -> None:
-        """Subscribes to discovery if this process leads; a follower receives the leader's lists."""
+        """Subscribe to discovery if this process leads; a follower receives the leader's lists."""
         if self.lease.active_token:
             self.discovery.subscribe(on)
 
     def fetch(self) -> None:
-        """Polls discovery once."""
+        """Poll discovery once."""
         self.discovery.fetch()
 
     def _on_discovery(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
@@ -148,7 +148,7 @@
     # ---- leadership terms ------------------------------------------------------------------------
 
     def on_lease_acquired(self, token: int) -> None:
-        """Begins a term."""
+        """Begin a term."""
         self.follower.source.set_leader(True, boot_clock_ns())
         self.discovery.watch.set_sole_poller(True)
         if token != self.published.token:  # a lease regained under the same token keeps counting
@@ -156,13 +156,13 @@
             self.heartbeat = 0
         if self.writer is not None:
             self.writer.begin_term()
-        # Versions in the previous leader's lists must not count as discovery's versions.
+        # The previous leader's list is not a discovery response: the watch polls for a full list.
         self.discovery.watch.forget_list()
         self.running = asyncio.get_running_loop().create_task(self._run())
         self.discovery.subscribe(True)
 
     def on_lease_lost(self) -> None:
-        """Ends the term."""
+        """End the term."""
         follower = self.follower
         follower.source.set_leader(False, boot_clock_ns())
         follower.mirrors_table = False  # rows that arrived during the term were not applied
@@ -178,7 +178,7 @@
             self.running = None
 
     async def _run(self) -> None:
-        """Publishes each list, and periodically confirms that it is still current."""
+        """Publish each list, and periodically confirm that it is still current."""
         await self._retry_until_done(self._read_min_version)
         while True:
             with suppress(TimeoutError):
@@ -210,7 +210,7 @@
                 await asyncio.sleep(RETRY_S)
 
     async def _read_min_version(self) -> None:
-        """Reads the discovery version of the previous leader's last list.
+        """Read the discovery version of the previous leader's last list.
 
         The read follows the grant of this leader's token, so that the store rejects any later
         write of the previous leader.
@@ -233,7 +233,7 @@
             self.min_version_read_s = time.monotonic()
 
     def _is_outdated(self) -> bool:
-        """Returns whether discovery lags behind the previous leader's list within the grace period.
+        """Return whether discovery lags behind the previous leader's list within the grace period.
 
         After `VERSION_RESET_S`, the lower version is taken for a restart of the version numbers.
         """
@@ -278,7 +278,7 @@
         await self.lease.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
 
     def _canonical_endpoints(self, numbers: Iterable[int] | None = None) -> list[Endpoint]:
-        """Returns the listed endpoints with these numbers, or all, with canonical addresses."""
+        """Return the listed endpoints with these numbers, or all, with canonical addresses."""
         targets = self.driver.upstreams.targets
         if numbers is None:
             found = list(targets.values())
@@ -287,7 +287,7 @@
         return self.address_map.to_canonical(target.endpoint for target in found)
 
     async def _publish_document(self, token: int) -> bool:
-        """Writes the document if it differs from the last one; returns whether it was written."""
+        """Write the document if it differs from the last one; return whether it was written."""
         endpoints = save_endpoints(self._canonical_endpoints())
         publication = Publication(token, self.discovery.version, endpoints)
         if not self.is_overwritten and self.published == publication:
@@ -306,7 +306,7 @@
         self.published = Publication(token, version, list(endpoints))
 
     async def _publish_rows(self, token: int) -> bool:
-        """Writes the rows that differ, and writes or deletes the document if that is due.
+        """Write the rows that differ, and write or delete the document if that is due.
 
         Returns:
             Whether anything was written.
@@ -333,7 +333,7 @@
         return True
 
     def _on_document_while_leading(self, row: Row, saved: SavedEndpointList | None) -> None:
-        """Publishes the list again after a program without leases replaced the document.
+        """Publish the list again after a program without leases replaced the document.
 
         Otherwise, a balancer that starts now would not find a leader's list.
         """
@@ -343,6 +343,6 @@
             self.changed.set()
 
     def close(self) -> None:
-        """Stops publishing."""
+        """Stop publishing."""
         if self.running is not None:
             self.running.cancel()
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -69,18 +69,18 @@
         self.sequence = 0  # number of this leader's last write
 
     def begin_term(self) -> None:
-        """Resets the sequence number of the writes for a new term."""
+        """Reset the sequence number of the writes for a new term."""
         self.sequence = 0
 
     def touch(self, numbers: Iterable[int] | None) -> None:
-        """Marks upstreams that may have changed; None: any."""
+        """Mark upstreams that may have changed; None: any."""
         if numbers is None:
             self.touched = None
         elif self.touched is not None:
             self.touched.update(numbers)
 
     async def read(self) -> ListRow | None:
-        """Reads all rows after the lease was acquired, when no earlier leader can change them.
+        """Read all rows after the lease was acquired, when no earlier leader can change them.
 
         Returns:
             The position of the last write of any leader; None if there is none.
@@ -103,7 +103,7 @@
         return position
 
     async def write(self, lookup: EndpointLookup, token: int, discovery: DiscoveryVersion) -> bool:
-        """Writes the rows that differ from the list.
+        """Write the rows that differ from the list.
 
         Args:
             lookup: Returns the listed endpoints with the given numbers, or all, with canonical
@@ -182,7 +182,7 @@
         return _position_of(self.list_row)
 
     def update(self, is_snapshot: bool, changed: Iterable[Row]) -> list[Endpoint]:
-        """Applies rows that `find_row_error` accepted.
+        """Apply rows that `find_row_error` accepted.
 
         Args:
             is_snapshot: Whether `changed` has all existing rows.
@@ -209,7 +209,7 @@
         return delta
 
     def all(self) -> list[Endpoint]:
-        """Returns all endpoints, ordered by key."""
+        """Return all endpoints, ordered by key."""
         return [self.endpoints[key] for key in sorted(self.endpoints)]
 
 
@@ -228,7 +228,7 @@
     async def read(
         self, document_row: protocol.Row, list_row: protocol.Row, stale: bool = False
     ) -> SavedEndpointList | None:
-        """Returns the list, or None if there is none.
+        """Return the list, or None if there is none.
 
         Args:
             document_row: The row of `list/SERVICE`.
@@ -258,7 +258,7 @@
 
 
 def position_of(row: protocol.Row) -> FencingPosition:
-    """Returns the position of the leader's last write, read from the list's row in the store."""
+    """Return the position of the leader's last write, read from the list's row in the store."""
     return _position_of(_read_list(row))
 
 
@@ -280,7 +280,7 @@
 
 
 def _read(row: protocol.Row, decode: Callable[[bytes], T]) -> T | None:
-    """Returns the decoded value; None if the row does not exist or can't be decoded."""
+    """Return the decoded value; None if the row does not exist or can't be decoded."""
     try:
         return decode(row.value) if row.value is not None else None
     except ValueError:
--- a/loadbalancer/daemon/endpoint_source.py
+++ b/loadbalancer/daemon/endpoint_source.py
@@ -40,18 +40,18 @@
         self.next_poll_ns: int | None = None
 
     def set_leader(self, is_leader: bool, now: int) -> None:
-        """Sets whether this process is the leader."""
+        """Set whether this process is the leader."""
         self.is_leader = is_leader
         self._reset_timeout(now)
 
     def learn_committed(self, position: FencingPosition, now: int) -> None:
-        """Sets the committed position, before any other message is accepted."""
+        """Set the committed position, before any other message is accepted."""
         self.receiver.learn(position)
         if position.token:
             self._reset_timeout(now)
 
     def accept_list(self, position: FencingPosition, now: int) -> bool:
-        """Returns whether a received list may be used."""
+        """Return whether a received list may be used."""
         if not self.receiver.accept(position):
             return False
         self.is_empty = False
@@ -59,7 +59,7 @@
         return True
 
     def confirm(self, position: FencingPosition, heartbeat: int, now: int) -> None:
-        """Handles the leader's confirmation that its list still matches discovery."""
+        """Handle the leader's confirmation that its list still matches discovery."""
         if position == self.receiver.highest and heartbeat > self.heartbeat:
             self._reset_timeout(now)
         self.heartbeat = heartbeat
@@ -69,7 +69,7 @@
         self.next_poll_ns = None
 
     def take_due_poll(self, now: int) -> bool:
-        """Returns whether to poll discovery now; if so, schedules the next poll."""
+        """Return whether to poll discovery now; if so, schedule the next poll."""
         if self.is_leader or now < self._timeout_ns:
             return False
         if self.next_poll_ns is None:
--- a/loadbalancer/daemon/leased_row.py
+++ b/loadbalancer/daemon/leased_row.py
@@ -24,7 +24,7 @@
         return bool(self.lease.token())
 
     async def write(self, value: bytes) -> bool:
-        """Writes a value.
+        """Write a value.
 
         Returns:
             Whether the value was written; False: the lease was lost.
@@ -40,7 +40,7 @@
         return True
 
     async def remove(self) -> None:
-        """Deletes this process's value, if the lease is still held.
+        """Delete this process's value, if the lease is still held.
 
         Raises:
             StoreError: The store did not serve the write.
--- a/loadbalancer/daemon/leased_task.py
+++ b/loadbalancer/daemon/leased_task.py
@@ -24,7 +24,7 @@
     def __call__(
         self, on_acquired: Callable[[int], None], on_lost: Callable[[], None]
     ) -> LeaseClient:
-        """Returns a new lease client."""
+        """Return a new lease client."""
         ...
 
 
@@ -32,7 +32,7 @@
     """Runs `step` repeatedly while the lease is held."""
 
     def __init__(self, lease_factory: LeaseFactory, name: str) -> None:
-        """Creates the lease's client; the caller starts it.
+        """Create the lease's client; the caller starts it.
 
         Args:
             lease_factory: Creates the lease with this task's callbacks.
@@ -44,11 +44,11 @@
 
     @abstractmethod
     def reset(self) -> None:
-        """Drops all state of an earlier term, because it is out of date."""
+        """Drop all state of an earlier term, because it is out of date."""
 
     @abstractmethod
     async def step(self) -> float:
-        """Reads the state once and makes at most one write.
+        """Read the state once and make at most one write.
 
         Returns:
             Seconds until the next step.
@@ -58,12 +58,12 @@
         """
 
     def on_lease_acquired(self, _token: int) -> None:
-        """Begins a term."""
+        """Begin a term."""
         self.reset()
         self.running = asyncio.get_running_loop().create_task(self._run())
 
     def on_lease_lost(self) -> None:
-        """Ends the term."""
+        """End the term."""
         if self.running is not None:
             self.running.cancel()
             self.running = None
--- a/loadbalancer/daemon/observation.py
+++ b/loadbalancer/daemon/observation.py
@@ -21,20 +21,20 @@
         self.first_read: dict[str, tuple[int, float]] = {}
 
     def age_s(self, key: str, version: int) -> float:
-        """Returns the time since the key was first read at this version."""
+        """Return the time since the key was first read at this version."""
         now_s = time.monotonic()
         if self.first_read.get(key, (-1, 0.0))[0] != version:
             self.first_read[key] = version, now_s
         return now_s - self.first_read[key][1]
 
     def retain(self, keys: set[str]) -> None:
-        """Drops all other keys."""
+        """Drop all other keys."""
         for removed in self.first_read.keys() - keys:
             del self.first_read[removed]
 
 
 async def read_live_balancers(client: Client, prefix: str, stale: bool = False) -> set[str]:
-    """Returns the names of the balancers whose name lease is held.
+    """Return the names of the balancers whose name lease is held.
 
     Args:
         client: Client of the store.
--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -87,7 +87,7 @@
 
 
 def save_endpoints(endpoints: Iterable[Endpoint]) -> list[SavedEndpoint]:
-    """Returns the endpoints in stored form, sorted so that equal lists have equal encodings."""
+    """Return the endpoints in stored form, sorted so that equal lists have equal encodings."""
     return sorted(map(_save_endpoint, endpoints), key=lambda saved: saved.id)
 
 
@@ -107,7 +107,7 @@
 
 
 def load_endpoints(saved: SavedEndpointList) -> list[Endpoint]:
-    """Returns the endpoints of a stored list."""
+    """Return the endpoints of a stored list."""
     return [_load_endpoint(endpoint) for endpoint in saved.endpoints]
 
 
@@ -120,7 +120,7 @@
 def save_learned_state(
     learned: api.LearnedState, endpoints: Mapping[int, Endpoint]
 ) -> SavedLearnedState:
-    """Returns learned state in its stored form.
+    """Return learned state in its stored form.
 
     Args:
         learned: The policy's learned state.
@@ -146,7 +146,7 @@
 def load_learned_state(
     saved: SavedLearnedState, endpoints: Mapping[int, Endpoint]
 ) -> api.LearnedState | None:
-    """Returns learned state for the policy.
+    """Return learned state for the policy.
 
     Args:
         saved: The stored form.
@@ -178,7 +178,7 @@
 
 
 def decode_row(row: Row, kind: type[T]) -> T | None:
-    """Decodes a row's JSON value.
+    """Decode a row's JSON value.
 
     Returns:
         The decoded value; None if the row does not exist or can't be decoded, because another
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -1,11 +1,11 @@
-"""Decides the next step of a rolling restart. Pure.
-
-From the state in the store and the observed fleet comes the next step, which is one write or
-nothing. The state consists of the rolling restart's document and of the set of disabled
-upstreams; both change in one write, under the leader's token and at the versions that were read.
-So a leader may fail before, during or after any step, and the next one continues from the stored
-state: no upstream is restarted twice, none is forgotten, and never more than `max_unavailable`
-are out of service.
+"""Decides the next step of a rolling restart.
+
+The next step follows from the state in the store and the observed fleet. It is one write, or
+nothing. The state consists of the rolling restart's document and the set of disabled upstreams.
+Both change in one write, under the leader's fencing token and conditional on the versions that were
+read. So a leader may fail before, during or after any step, and the next leader continues from the
+stored state: no upstream is restarted twice or skipped, and at most `max_unavailable` are out of
+service at a time. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -28,18 +28,20 @@
 )
 
 MAX_UPSTREAMS = 1000
-MAX_EVIDENCE_AGE_S = 10.0  # no step is taken on an older report or endpoint list
-PATIENCE_S = 60.0  # of waiting for evidence, for attempts to end or for an upstream to be listed
-MIN_SUCCESS_FRACTION = 0.9  # of the success ratio at the start; below it the restart pauses
-# Two starts of an upstream are further apart: clocks are only so exact.
+MAX_EVIDENCE_AGE_S = 10.0  # no step is based on an older report or endpoint list
+# The restart pauses after waiting this long for evidence, for attempts in flight to finish, or for
+# an enabled upstream to be listed.
+PATIENCE_S = 60.0
+MIN_SUCCESS_FRACTION = 0.9  # of the success ratio at the start; below this, the restart pauses
+# A start time that is later by less than this is the same start, because clocks are inexact.
 MIN_START_DISTANCE_S = 1.0
 RESTART_PATH = re.compile(r"/[A-Za-z0-9._~/-]{0,199}\Z")
-MIN_ATTEMPTS_PER_S = 5.0  # a success ratio of fewer attempts is not meaningful
+MIN_ATTEMPTS_PER_S = 5.0  # with fewer attempts, the success ratio is not meaningful
 
 
 @dataclass(slots=True)
 class _Draft:
-    """A step that is being put together."""
+    """Mutable state of a step while it is assembled."""
 
     restart: RollingRestart
     disabled: set[str]
@@ -48,12 +50,12 @@
     def enter_phase(
         self, upstream: UpstreamRestart, phase: Phase, now_ms: int, **changes: Any
     ) -> None:
-        """Moves an upstream into a phase."""
+        """Move an upstream into a phase."""
         changed = msgspec.structs.replace(upstream, phase=phase, since_ms=now_ms, **changes)
         self.replace(changed, f"{upstream.name} is {phase.value}")
 
     def replace(self, changed: UpstreamRestart, summary: str) -> None:
-        """Replaces the upstream of the same name."""
+        """Replace the upstream of the same name, and add the summary of the change."""
         upstreams = tuple(
             changed if upstream.name == changed.name else upstream
             for upstream in self.restart.upstreams
@@ -68,7 +70,7 @@
 
 
 def find_error(restart: RollingRestart) -> str:
-    """Returns why a rolling restart can't begin, in one line; empty if it can."""
+    """Return in one line why a rolling restart can't begin, or an empty string if it can."""
     names = [upstream.name for upstream in restart.upstreams]
     error = ""
     if not names or len(names) > MAX_UPSTREAMS:
@@ -88,7 +90,7 @@
 
 
 def success_ratio(view: FleetView) -> float | None:
-    """Returns the fraction of the fleet's attempts that succeed; None: too few attempts."""
+    """Return the fraction of the fleet's attempts that succeed, or None with too few attempts."""
     reports = [observed.report for observed in view.balancers.values() if observed.is_live]
     sent = sum(report.sent for report in reports)
     served = sum(report.served for report in reports)
@@ -96,7 +98,7 @@
 
 
 def find_missing_evidence(view: FleetView) -> str:
-    """Returns what is too old or unknown to take a step; empty if nothing is."""
+    """Return which evidence for a step is missing or too old, or an empty string if none is."""
     if not view.balancers:
         return "no balancer reports"
     if view.list_age_s > MAX_EVIDENCE_AGE_S:
@@ -110,7 +112,7 @@
 
 
 def is_drained(upstream: UpstreamRestart, view: FleetView) -> bool:
-    """Returns whether every balancer has it disabled and has no attempt there."""
+    """Return whether every balancer disabled the upstream and has no attempt in flight there."""
     return all(
         observed.report.disabled_version >= view.disabled_version
         and upstream.name not in observed.report.busy_upstreams
@@ -119,7 +121,10 @@
 
 
 def count_unavailable(view: FleetView, restart: RollingRestart) -> int:
-    """Counts upstreams out of use for any reason: disabled, draining, or warming up from this."""
+    """Count the upstreams that are out of use for any reason.
+
+    They are disabled, not ready, or warming up after their restart.
+    """
     warming_up = {
         upstream.number for upstream in restart.upstreams if upstream.phase is Phase.WARMING_UP
     }
@@ -133,12 +138,12 @@
 def next_step(
     restart: RollingRestart, view: FleetView, without_evidence_s: float = 0.0
 ) -> Step | None:
-    """Returns the next step, if there is one now.
+    """Return the next step, or None if no step is possible now.
 
     Args:
         restart: The stored state.
         view: The observed fleet.
-        without_evidence_s: For how long evidence has been missing by now.
+        without_evidence_s: How long evidence has been missing so far.
     """
     if restart.state is State.ENDED:
         return None
@@ -146,7 +151,7 @@
         return _abort(restart, view)
     missing = find_missing_evidence(view)
     if missing:
-        # Without evidence nothing is disabled or taken for drained; what is disabled stays so.
+        # Without evidence, no upstream is disabled, counts as drained, or is enabled again.
         is_overdue = restart.state is State.RUNNING and without_evidence_s > PATIENCE_S
         return _pause(restart, missing) if is_overdue else None
     draft = _advance(restart, view)
@@ -156,7 +161,7 @@
 
 
 def _continue(restart: RollingRestart, view: FleetView) -> Step | None:
-    """Returns the step where no upstream under way can advance."""
+    """Return the next step when no upstream under way can change its phase."""
     if restart.state is State.PAUSED:
         return None
     fault = _find_fault(restart, view)
@@ -175,7 +180,7 @@
 
 
 def _advance(restart: RollingRestart, view: FleetView) -> _Draft:
-    """Moves each upstream that is under way as far as the evidence permits."""
+    """Move each upstream under way into its next phase if the evidence permits it."""
     draft = _Draft(restart, set(view.disabled))
     for upstream in restart.upstreams:
         status = view.upstreams.get(upstream.number)
@@ -200,7 +205,7 @@
 
 
 def _find_fault(restart: RollingRestart, view: FleetView) -> str:
-    """Returns why it must pause; empty if it may go on."""
+    """Return why the rolling restart must pause, or an empty string if it may continue."""
     current = success_ratio(view)
     if (
         restart.success_ratio >= 0
@@ -238,7 +243,7 @@
 
 
 def _measure(restart: RollingRestart, view: FleetView) -> Step | None:
-    """Notes the success ratio, as soon as it is known, for later comparison."""
+    """Return the step that stores the initial success ratio, once it is known."""
     current = success_ratio(view)
     if restart.success_ratio >= 0 or current is None:
         return None
@@ -247,7 +252,7 @@
 
 
 def _take_next(restart: RollingRestart, view: FleetView) -> Step | None:
-    """Disables the next upstream, or ends the rolling restart after the last one."""
+    """Return the step that disables the next upstream, or ends the restart after the last one."""
     draft = _Draft(restart, set(view.disabled))
     upstream = _next_upstream(restart, view)
     if upstream is not None:
@@ -266,7 +271,7 @@
 
 
 def _next_upstream(restart: RollingRestart, view: FleetView) -> UpstreamRestart | None:
-    """Returns the next upstream to disable, where that leaves enough in use."""
+    """Return the next upstream to disable, or None if too few would remain in use."""
     under_way = [upstream for upstream in restart.upstreams if upstream.is_under_way]
     if len(under_way) >= restart.max_unavailable or _find_capacity_limit(restart, view):
         return None
@@ -285,7 +290,7 @@
 
 
 def _find_capacity_limit(restart: RollingRestart, view: FleetView) -> str:
-    """Returns which limit forbids disabling one more upstream; empty if none does."""
+    """Return which limit forbids disabling one more upstream, or an empty string if none does."""
     unavailable = count_unavailable(view, restart)
     total = len(view.upstreams)
     if unavailable >= restart.max_unavailable:
@@ -302,7 +307,7 @@
 
 
 def explain_wait(restart: RollingRestart, view: FleetView) -> str:
-    """Returns why no further upstream is disabled now, for people; empty if nothing prevents it."""
+    """Return for operators why no further upstream is disabled now; empty if one can be."""
     missing = find_missing_evidence(view)
     if missing or restart.state is not State.RUNNING:
         return missing or restart.pause_reason
@@ -317,16 +322,17 @@
 def announce_requests(
     restart: RollingRestart, token: int, held_s: float, lease_s: float
 ) -> Step | None:
-    """Returns the write that announces which upstreams are about to be asked to restart.
+    """Return the step that announces the upstreams to which restart requests will be sent.
 
-    It is stored before the request is sent, so that the next leader knows that one may be on its
-    way. An upstream that an earlier leader announced is asked again only after a lease's time:
-    what that leader still sends is late.
+    The announcement is stored before a request is sent, so that the next leader can see that a
+    request may be in flight. A new leader announces an upstream that an earlier leader announced
+    only after it has held the lease for one lease duration. By then, the earlier leader sends no
+    more requests.
 
     Args:
         restart: The stored state.
-        token: This leader's token.
-        held_s: For how long this leader has held the lease.
+        token: This leader's fencing token.
+        held_s: How long this leader has held the lease.
         lease_s: Duration of the lease.
     """
     if not restart.restart_path or restart.state is State.ABORTING:
@@ -343,9 +349,9 @@
 
 
 def pending_requests(restart: RollingRestart, token: int) -> list[UpstreamRestart]:
-    """Returns the upstreams that this leader announced and that have not restarted yet.
+    """Return the upstreams that this leader announced and that have not restarted yet.
 
-    All requests of a restart bear one name, so that an upstream restarts once.
+    All restart requests for an upstream have the same idempotency key, so that it restarts once.
     """
     if not restart.restart_path or restart.state in {State.ABORTING, State.ENDED}:
         return []
@@ -357,7 +363,7 @@
 
 
 def restart_name(restart: RollingRestart, upstream: UpstreamRestart) -> str:
-    """Returns the idempotency key of an upstream's restart, the same for every leader."""
+    """Return the idempotency key of an upstream's restart, the same for every leader."""
     return f"{restart.id}/{upstream.name}"
 
 
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -1,9 +1,12 @@
-"""Runs a rolling restart under a lease, and reports of the balancers while there is one.
+"""Runs a rolling restart under a lease.
 
-The leader reads, asks `rolling_restart` for the next step and writes it, one step at a time.
+The leader reads the state, gets the next step from `rolling_restart` and writes it, one step at a
+time.
 
-    roll/SERVICE               the document; operators start, pause and abort, the leader proceeds
-    report/SERVICE/BALANCER    a balancer's attempts in flight; deleted at a graceful shutdown
+    roll/SERVICE               the document; operators start, pause and abort it, and the leader
+                               writes the steps
+    report/SERVICE/BALANCER    a balancer's attempts in flight during a rolling restart; deleted
+                               at a graceful shutdown
 """
 
 from __future__ import annotations
@@ -43,7 +46,7 @@
 
 STEP_INTERVAL_S = 0.5
 IDLE_INTERVAL_S = 2.0  # while there is no rolling restart
-RESTART_REQUEST_INTERVAL_S = 5.0  # until an upstream that was asked is seen to restart
+RESTART_REQUEST_INTERVAL_S = 5.0  # between requests, until the upstream's restart is observed
 MAX_NOTE_LENGTH = 200
 
 
@@ -61,14 +64,14 @@
         self.reset()
 
     def reset(self) -> None:
-        """Drops all state of an earlier term."""
+        """Drop all state of an earlier term."""
         self.reader = RollingRestartReader(self.client, self.service)
         self.without_evidence_since_s: float | None = None
         self.acquired_s = time.monotonic()
-        self.requested_s: dict[str, float] = {}  # restart name -> when it was last requested
+        self.requested_s: dict[str, float] = {}  # idempotency key -> time of the last request
 
     async def step(self) -> float:
-        """Observes once and writes at most one step.
+        """Read the state once and write at most one step.
 
         Returns:
             Seconds until the next step.
@@ -105,10 +108,10 @@
     async def _request_restart(
         self, restart: RollingRestart, upstream: UpstreamRestart, view: FleetView
     ) -> None:
-        """Asks an upstream's admin API to restart it.
+        """Send a restart request to an upstream's admin API.
 
-        That API checks no token: so the lease is checked just before the request is sent, and the
-        request's name makes a second one have no effect.
+        The admin API checks no fencing token. So the lease is checked just before the request is
+        sent, and its idempotency key makes a second request have no effect.
         """
         name = restart_name(restart, upstream)
         status = view.upstreams.get(upstream.number)
--- a/loadbalancer/daemon/rolling_restart_reader.py
+++ b/loadbalancer/daemon/rolling_restart_reader.py
@@ -1,4 +1,4 @@
-"""Reads from the store what a rolling restart is decided on."""
+"""Reads the state of a rolling restart and of the fleet from the store."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """The rows read at one time, and what they say."""
+    """The rows of one read, and the state decoded from them."""
 
     restart_row: Row
     disabled_row: Row
@@ -55,7 +55,8 @@
     Args:
         client: Client of the store.
         service: The service's name.
-        linearizable: Whether reads must be; an observer that writes nothing needs none.
+        linearizable: Whether reads must be linearizable; an observer that writes nothing can use
+            stale reads.
     """
 
     def __init__(self, client: Client, service: str, linearizable: bool = True) -> None:
@@ -66,7 +67,7 @@
         self.list_reader = EndpointListReader(client, service)
 
     async def read(self) -> Observation:
-        """Reads all rows.
+        """Read all rows.
 
         Raises:
             StoreError: The store did not serve a read.
@@ -107,13 +108,13 @@
             if report is not None:
                 age_s = self.ages.age_s(row.key, row.version)
                 observed[name] = ObservedReport(report, age_s, name in live)
-        for name in live - observed.keys():  # it holds its name and has not reported yet
+        for name in live - observed.keys():  # holds its name lease, but has not reported yet
             age_s = self.ages.age_s(self.keys.reports + name, 0)
             observed[name] = ObservedReport(NO_REPORT, age_s, True)
         return observed
 
     def _list_age_s(self, saved: SavedEndpointList | None, version: int) -> float:
-        """A list is as old as its last confirmation; a fixed one needs none."""
+        """Return the time since the last write or confirmation of the list; 0 for a fixed list."""
         if saved is None:
             return NEVER_AGE_S
         age_s = self.ages.age_s(self.keys.confirmation, version)
--- a/loadbalancer/daemon/rolling_restart_state.py
+++ b/loadbalancer/daemon/rolling_restart_state.py
@@ -1,8 +1,9 @@
-"""State of a rolling restart as it stands in the store, and what its leader observes. Pure.
+"""Stored state of a rolling restart, and the view of the fleet that its leader observes.
 
-    waiting -> out -> quiet -> back -> done        (each upstream, by its stored phase)
+    waiting -> out -> quiet -> back -> done        (stored phases of each upstream)
 
-Stored field names and phases are those given by `msgspec.field(name=...)` and the enums' values.
+The stored names of fields and phases are those in `msgspec.field(name=...)` and the enums' values.
+This module does no I/O.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 
 import msgspec
 
-UNKNOWN_RATIO = -1.0  # stored form of a success ratio that is not known
+UNKNOWN_RATIO = -1.0  # stored form of an unknown success ratio
 
 
 class Phase(Enum):
-    """Progress of one upstream."""
+    """Phase of one upstream's restart."""
 
     WAITING = "waiting"
-    DRAINING = "out"  # disabled; balancers may still have attempts there
-    DRAINED = "quiet"  # no balancer has an attempt there: it may be restarted
-    WARMING_UP = "back"  # restarted and enabled again, in slow start
+    DRAINING = "out"  # disabled; balancers may still have attempts in flight there
+    DRAINED = "quiet"  # no balancer has attempts in flight there: the upstream may be restarted
+    WARMING_UP = "back"  # restarted and enabled again; in slow start
     DONE = "done"
 
 
@@ -30,17 +31,22 @@
     """State of the rolling restart."""
 
     RUNNING = "running"
-    PAUSED = "paused"  # by an operator or by itself, see `pause_reason`
-    ABORTING = "aborting"  # disabled upstreams are enabled again, no other is disabled
+    PAUSED = "paused"  # by an operator or by the leader, see `pause_reason`
+    ABORTING = "aborting"  # upstreams disabled by the restart are enabled; no others are disabled
     ENDED = "ended"
 
 
 class UpstreamRestart(msgspec.Struct, frozen=True):
     """Restart of one upstream.
 
-    `since_ms`: when it entered its phase, Unix time. `previous_start_s`: its start as listed when
-    it was disabled, Unix time. `is_confirmed`: an operator confirmed the restart. `request_token`:
-    the leader's token under which its restart was last announced, 0: never.
+    Attributes:
+        name: The upstream's name.
+        number: The upstream's number in the policy.
+        phase: Its phase.
+        since_ms: Unix time at which it entered its phase.
+        previous_start_s: Unix time of its start as listed when it was disabled.
+        is_confirmed: Whether an operator confirmed the restart.
+        request_token: The leader's token under which its restart was last announced; 0: never.
     """
 
     name: str
@@ -53,22 +59,22 @@
 
     @property
     def is_out_of_service(self) -> bool:
-        """Whether this rolling restart has it disabled."""
+        """Whether the rolling restart has disabled the upstream."""
         return self.phase in {Phase.DRAINING, Phase.DRAINED}
 
     @property
     def is_under_way(self) -> bool:
-        """Whether it counts against the limits of upstreams taken at a time."""
+        """Whether it counts towards the limits on upstreams restarted at the same time."""
         return self.is_out_of_service or self.phase is Phase.WARMING_UP
 
 
 class RollingRestart(msgspec.Struct, frozen=True):
     """The stored document.
 
-    `min_available`: fraction of the listed upstreams that stays in use. `success_ratio`: fraction
-    of attempts that succeeded when it began, `UNKNOWN_RATIO` until it is measured.
-    `restart_path`: admin API path at which an upstream is asked to restart; empty: operators
-    restart it.
+    `min_available` is the fraction of the listed upstreams that must stay in use. `success_ratio`
+    is the fraction of attempts that succeeded at the start, and `UNKNOWN_RATIO` until it is
+    measured. `restart_path` is the path of the upstreams' admin API to which restart requests are
+    sent; if it is empty, operators restart the upstreams.
     """
 
     id: str
@@ -90,9 +96,9 @@
 class BalancerReport(msgspec.Struct, frozen=True):
     """A balancer's stored report.
 
-    `disabled_version`: version of the set of disabled upstreams in force there.
-    `busy_upstreams`: those of the set that still have its attempts. `sent` and `served`: attempts
-    a second. `sequence` grows with each report.
+    `disabled_version` is the version of the disabled set that the balancer applies.
+    `busy_upstreams` are the upstreams of that set where it still has attempts in flight. `sent` and
+    `served` are attempts per second. `sequence` increases with each report.
     """
 
     disabled_version: int = msgspec.field(name="version")
@@ -107,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedReport:
-    """A report, its age by the reader's clock, and whether the balancer holds its name."""
+    """A report, its age by the reader's clock, and whether the balancer holds its name lease."""
 
     report: BalancerReport
     age_s: float
@@ -116,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamStatus:
-    """An upstream as it stands in the endpoint list. `started_s`: Unix time, 0: long ago."""
+    """An upstream's entry in the endpoint list. `started_s` is a Unix time; 0 means long ago."""
 
     site: str
     started_s: float
@@ -126,17 +132,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """All that the leader observes at one time.
+    """The fleet as the leader observes it at one time.
 
     Attributes:
-        now_ms: Unix time, noted for people.
+        now_ms: Unix time, stored for operators only.
         disabled: Names of all disabled upstreams.
-        disabled_version: Version of that set.
-        balancers: Reports by balancer.
-        upstreams: The endpoint list by number.
-        list_age_s: How long ago the list was confirmed.
-        phase_ages_s: By upstream name, how long it has been in its phase, by this leader's own
-            clock: a leader that took over counts from then on.
+        disabled_version: Version of the disabled set.
+        balancers: Reports by balancer name.
+        upstreams: The endpoint list by upstream number.
+        list_age_s: Time since the list was confirmed.
+        phase_ages_s: Time that each upstream has been in its phase, by upstream name. It is
+            measured with this leader's clock, so it starts at 0 when a leader takes over.
     """
 
     now_ms: int
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -1,11 +1,11 @@
-"""Encoding of an endpoint list as rows of the changefeed, and the planning of writes. Pure.
+"""Encoding of an endpoint list as rows of the changefeed, and the planning of their writes.
 
-    feed/service:SERVICE/service/SERVICE     the service; every other row of its scope refers to it
-    feed/service:SERVICE/list/SERVICE        the leader's last position: part of each of its writes
+    feed/service:SERVICE/service/SERVICE     the service; all other rows of its scope refer to it
+    feed/service:SERVICE/list/SERVICE        position of the leader's last write; in every write
     feed/service:SERVICE/upstream/ID         an upstream; ID is its number in 16 hex digits
 
-Values are msgpack arrays. Fields are only ever added at the end: a program that knows fewer of
-them reads those it knows.
+Values are msgpack arrays. New fields are only ever added at the end, so that an older version of
+the program can decode the fields it supports. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class UpstreamRow(UpstreamLocation, frozen=True, array_like=True):
-    """An upstream with its canonical address. `started_ms`: Unix time, 0: long ago."""
+    """An upstream with its canonical address. `started_ms` is a Unix time; 0 means long ago."""
 
     weight: int | float
     started_ms: int
@@ -41,7 +41,7 @@
 
 
 class ServiceRow(msgspec.Struct, frozen=True, array_like=True):
-    """Declares a service, so that references to it resolve."""
+    """Declares a service; the rows of its scope refer to this row."""
 
     name: str
 
@@ -49,8 +49,8 @@
 class ListRow(msgspec.Struct, frozen=True, array_like=True):
     """Position of the leader's last write.
 
-    `sequence` counts its writes under `token`; `discovery_version` is what discovery at `source`
-    reported; `written_at_s` is Unix time.
+    `sequence` counts the leader's writes under `token`. `discovery_version` is the version that
+    discovery at `source` reported. `written_at_s` is a Unix time.
     """
 
     token: int
@@ -77,7 +77,7 @@
         self.list = f"{self.prefix}list/{service}"
 
     def upstream(self, number: int) -> str:
-        """Returns the key of an upstream's row."""
+        """Return the key of an upstream's row."""
         return f"{self.upstreams}{number:016x}"
 
 
@@ -85,15 +85,15 @@
 
 
 def upstream_row(endpoint: Endpoint) -> UpstreamRow:
-    """Returns the row of an endpoint with its canonical address.
+    """Return the row of an endpoint with a canonical address.
 
-    Every process that knows the same of an endpoint makes an equal row.
+    Equal endpoints result in equal rows in every process.
 
     Raises:
-        MalformedError: No balancer would accept the row.
+        MalformedError: The row is not valid, so that balancers would reject it.
     """
     entry = endpoint.entry
-    # A whole number takes one byte in place of nine.
+    # A small integer is encoded in one byte, a float in nine.
     weight = int(entry.weight) if entry.weight == int(entry.weight) else entry.weight
     row = UpstreamRow(
         entry.id,
@@ -113,10 +113,10 @@
 
 
 def encode_upstream(endpoint: Endpoint) -> bytes:
-    """Returns the encoded row of an endpoint.
+    """Return the encoded row of an endpoint.
 
     Raises:
-        MalformedError: The endpoint can't be a row; the message is one line.
+        MalformedError: The endpoint can't be encoded as a row; the message is one line.
     """
     try:
         value = encode(upstream_row(endpoint))
@@ -131,32 +131,32 @@
 
 
 def decode_upstream(value: bytes) -> UpstreamRow:
-    """Decodes an upstream's row.
+    """Decode an upstream's row.
 
     Raises:
-        ValueError: The value is not such a row.
+        ValueError: The value is not an upstream's row.
     """
     return _upstream_decoder.decode(value)
 
 
 def decode_list(value: bytes) -> ListRow:
-    """Decodes the list's row.
+    """Decode the list's row.
 
     Raises:
-        ValueError: The value is not such a row.
+        ValueError: The value is not a list's row.
     """
     return _list_decoder.decode(value)
 
 
 def to_endpoint(row: UpstreamRow) -> Endpoint:
-    """Returns the endpoint that a row describes."""
+    """Return the endpoint that a row describes."""
     state = api.UpstreamState.DRAINING if row.is_draining else api.UpstreamState.READY
     entry = api.Upstream(row.id, state, row.zone, row.cell, float(row.weight), kind=row.kind)
     return Endpoint(entry, row.host, row.port, row.started_ms)
 
 
 def removed_endpoint(number: int) -> Endpoint:
-    """Returns the delta entry of an upstream whose row was deleted."""
+    """Return the delta entry for an upstream whose row was deleted."""
     return Endpoint(api.Upstream(number, api.UpstreamState.REMOVED), "", 0)
 
 
@@ -164,7 +164,7 @@
 
 
 def find_row_error(scope: str, row: Row) -> str:
-    """Returns why this program can't use a row, in one line; empty if it can."""
+    """Return in one line why this program can't use a row, or an empty string if it can."""
     if row.value is None:
         return ""
     kind, _, name = row.key.partition("/")
@@ -213,15 +213,15 @@
     desired: Mapping[str, bytes],
     max_operations: int = MAX_OPERATIONS,
 ) -> list[Batch]:
-    """Plans the writes that turn the stored rows into the desired ones.
+    """Plan the writes that turn the stored rows into the desired ones.
 
-    Only rows that differ are written, in the order of their keys, so that equal work makes equal
-    writes; deletions come after all else. Each operation is conditional on the stored version.
+    Only rows that differ are written, in key order, so that the plan is deterministic. Deletions
+    come last. Each operation is conditional on the stored version.
 
     Args:
         stored: Version and value by key.
         desired: Value by key.
-        max_operations: Operations of one write.
+        max_operations: Maximum number of operations in one write.
     """
     operations = [
         Op(key, value, stored[key][0] if key in stored else 0)
--- a/loadbalancer/daemon/settings.py
+++ b/loadbalancer/daemon/settings.py
@@ -1,7 +1,7 @@
-"""The operators' settings: a TOML file in place of the platform's JSON.
+"""The operators' settings, a TOML file that replaces the platform's JSON.
 
 Unknown keys, missing units and contradictions are one-line errors that name the file and the key.
-Where a field's name differs from its TOML key, `msgspec.field(name=...)` gives the key.
+If a field's name differs from its TOML key, `msgspec.field(name=...)` has the key.
 """
 
 from __future__ import annotations
@@ -104,24 +104,24 @@
 
 
 def find_contradiction(file: SettingsFile) -> str:
-    """Returns the first contradiction, as `key: why`; empty if there is none."""
+    """Return the first contradiction as `key: reason`, or an empty string if there is none."""
     return next(_contradictions(file), "")
 
 
 def _contradictions(file: SettingsFile) -> Iterator[str]:
     if bool(file.discovery) == bool(file.servers):
-        yield "discovery and [[server]]: exactly one of the two tells which upstreams there are"
+        yield "discovery and [[server]]: exactly one of the two must be set"
     if not file.classes:
-        yield "class: at least one is needed"
+        yield "class: at least one is required"
     yield from _duplicate_name("class", (entry.name for entry in file.classes))
     yield from _duplicate_name("tenant", (tenant.name for tenant in file.tenants))
     yield from _duplicate_name("server", (server.id for server in file.servers))
     for entry in file.classes:
         if not 0 < entry.latency_objective <= entry.deadline:
-            yield f"class {entry.name}: aim must be more than nothing and no longer than deadline"
+            yield f"class {entry.name}: aim must be more than 0 and at most the deadline"
     for tenant in file.tenants:
         if tenant.share <= 0:
-            yield f"tenant {tenant.name}: share must be more than nothing"
+            yield f"tenant {tenant.name}: share must be more than 0"
     yield from _limit_contradictions(file)
 
 
@@ -133,7 +133,7 @@
 
 def _limit_contradictions(file: SettingsFile) -> Iterator[str]:
     if not 0 <= file.instance_index < file.instance_count:
-        yield "number: must be below of"
+        yield "number: must be at least 0 and less than `of`"
     if file.limits.descriptors < 2 * RESERVE:
         yield f"limits.descriptors: must be {2 * RESERVE} at least"
     if file.limits.memory < MIN_MEMORY_BYTES:
@@ -147,7 +147,7 @@
 
 
 def read_file(path: Path) -> Config:
-    """Returns the configuration of a settings file.
+    """Return the configuration of a settings file.
 
     Raises:
         MalformedError: The file is not valid; the message is one line.
@@ -156,7 +156,7 @@
 
 
 def read_table(path: Path) -> Json:
-    """Returns a file as parsed TOML.
+    """Return a file as parsed TOML.
 
     Raises:
         MalformedError: The file can't be read or is not TOML; the message is one line.
@@ -168,11 +168,11 @@
 
 
 def read_raw(raw: Json, origin: str) -> Config:
-    """Returns the configuration of parsed settings.
+    """Return the configuration of parsed settings.
 
     Args:
         raw: Parsed TOML.
-        origin: File or document that errors name.
+        origin: Name of the file or document, for error messages.
 
     Raises:
         MalformedError: The settings are not valid; the message is one line.
@@ -188,7 +188,7 @@
 
 
 def to_config(file: SettingsFile) -> Config:
-    """Returns the configuration of a balancer.
+    """Return the configuration of a balancer.
 
     Raises:
         MalformedError: An address is not valid.
@@ -213,7 +213,7 @@
 
 
 def _fixed_list(servers: list[ServerSettings]) -> Json:
-    """Returns the upstreams as discovery would list them."""
+    """Return the upstreams in the form of a discovery response."""
     fixed: Json = {
         "version": 1,
         "full": True,
@@ -237,7 +237,7 @@
 
 
 def to_platform_settings(file: SettingsFile) -> Json:
-    """Returns the settings object in the platform's form."""
+    """Return the settings in the form of the platform's JSON settings object."""
     return {
         "me": file.instance_index,
         "replicas_of_me": file.instance_count,
--- a/loadbalancer/daemon/settings_sync.py
+++ b/loadbalancer/daemon/settings_sync.py
@@ -1,6 +1,6 @@
 """Follows the settings document in the store, and reloads the balancer after each change.
 
-config/DOCUMENT            the operators' settings, TOML
+config/DOCUMENT            the operators' settings in TOML
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     def __init__(
         self, monitor: StoreMonitor, document: str, copy_path: Path, reload: Callable[[], None]
     ) -> None:
-        """Creates the sync.
+        """Create the sync.
 
         Args:
             monitor: Client of the store.
             document: The document's name.
-            copy_path: Where the local copy stands.
-            reload: Called after the copy changed; it reads the copy.
+            copy_path: Path of the local copy.
+            reload: Called after the local copy changed; reads the local copy.
         """
         self.monitor = monitor
         self.document = document
@@ -40,7 +40,7 @@
         self.reload = reload
 
     async def follow(self) -> None:
-        """Takes each version of the document.
+        """Copy each version of the document to the local copy.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
@@ -56,7 +56,7 @@
 
 
 async def write_copy(path: Path, value: bytes) -> None:
-    """Writes the local copy, again and again until it is written: the reload reads it."""
+    """Write the local copy, and retry until that succeeds, because the reload reads it."""
     retry_s = WRITE_RETRY_S
     while True:
         try:
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -1,7 +1,7 @@
 """A balancer's part in site failover: it reports evidence and follows the leader's plan.
 
-The decisions are those of `loadbalancer.failover.observer`; this module connects them to the
-driver and to the store (`site_documents`).
+`loadbalancer.failover.observer` makes the decisions; this module connects it to the driver and to
+the store (`site_documents`).
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 
 STEP_INTERVAL_S = 0.25
 REPORT_JITTER = (0.5, 1.0)
-MAX_RENEWAL_FAILURES = 2  # in a row; from then on the store counts as unavailable
+MAX_RENEWAL_FAILURES = 2  # after this many failures in a row, the store counts as unavailable
 
 
 class SiteAgent:
-    """Runs beside a driver and never holds it up."""
+    """Runs concurrently with a driver and never blocks it."""
 
     def __init__(
         self,
@@ -69,7 +69,10 @@
     # ---- observation -----------------------------------------------------------------------------
 
     def _on_events(self, now: int, events: Sequence[api.Event]) -> None:  # noqa: ARG002 (Driver.tap)
-        """Sees the policy's events. Never raises: the balancer goes on without the agent."""
+        """Pass the policy's events to the observer.
+
+        It never raises an exception, so that the balancer continues to run without the agent.
+        """
         try:
             for event in events:
                 if type(event) is api.RequestArrived:
@@ -90,7 +93,7 @@
         )
 
     async def observe(self) -> None:
-        """Judges the evidence, probes unused sites and gives the policy its traffic plan."""
+        """Evaluate the evidence, health-check unused sites and post a traffic plan."""
         while True:
             self._step()
             await asyncio.sleep(STEP_INTERVAL_S)
@@ -117,9 +120,9 @@
             and self.observer.confirmed_ns is not None
         ):
             log.info(
-                "site plan of the leader followed"
+                "following the leader's site plan"
                 if is_following_plan
-                else "site plan of the leader old or for other sites, using local evidence"
+                else "leader's site plan is too old or for other sites, using local evidence"
             )
         self.is_following_plan = is_following_plan
 
@@ -138,7 +141,7 @@
         self.observer.on_health_check(number, result, boot_clock_ns())
 
     async def report(self) -> None:
-        """Writes each report that is due.
+        """Write each report that is due.
 
         Raises:
             StoreError: The store did not serve a write.
@@ -154,7 +157,7 @@
     # ---- the leader's plan -----------------------------------------------------------------------
 
     async def follow(self) -> None:
-        """Takes the committed plan first, then each change after it.
+        """Receive the committed plan first, then each later change.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
--- a/loadbalancer/daemon/site_config.py
+++ b/loadbalancer/daemon/site_config.py
@@ -1,10 +1,10 @@
-"""The operators' description of their sites, a store document at `config/sites/SERVICE`.
+"""The operators' description of their sites, the store document `config/sites/SERVICE`.
 
 [[site]]
 name = "tema"
-bears = "400/s"           # requests of the usual mix served in time by its warmed-up upstreams
-burst = 0.2               # fraction above the usual load that may arrive at a time
-prices = {kasoa = 0.03}   # fraction of its value that a request from there costs
+bears = "400/s"           # requests of the usual mix that its warmed-up upstreams serve in time
+burst = 0.2               # fraction above the usual load that may arrive in a burst
+prices = {kasoa = 0.03}   # cost of a request from that site, as a fraction of the request's value
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from loadbalancer.failover.fleet_model import SiteCapacity
 from loadbalancer.units import PerSecond, convert, first_duplicate
 
-DOCUMENT = "sites"  # followed by / and the service's name
+DOCUMENT = "sites"  # the document's name is `sites/SERVICE`
 MAX_SITES = 32
 MAX_BURST = 5
 
@@ -28,7 +28,7 @@
     capacity: PerSecond = msgspec.field(name="bears")
     burst: float = 0.2
     prices: dict[str, float] = {}
-    # Requests a second that the site's free connections allow; 0: enough.
+    # Requests per second that the site's free connections allow; 0: no limit.
     connections: PerSecond = PerSecond(0.0)
 
 
@@ -39,7 +39,7 @@
 
 
 def read(raw: Any) -> dict[str, SiteCapacity]:
-    """Reads a parsed document.
+    """Convert a parsed document.
 
     Returns:
         The sites by name.
@@ -64,7 +64,7 @@
 def _validate(document: SitesDocument) -> None:
     names = [site.name for site in document.sites]
     if not 1 <= len(names) <= MAX_SITES:
-        raise ValueError(f"site: 1 to {MAX_SITES} are told")
+        raise ValueError(f"site: 1 to {MAX_SITES} sites are required")
     duplicate = first_duplicate(names)
     if duplicate:
         raise ValueError(f"site: {duplicate} stands there twice")
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -1,7 +1,7 @@
 """Runs site failover for the fleet under a lease.
 
-The leader reads, asks `loadbalancer.failover.controller` for a plan and writes one step at a time
-under its token.
+The leader reads the state, gets a plan from `loadbalancer.failover.controller` and writes one step
+at a time under its fencing token.
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
 
 log = logging.getLogger(__name__)
 
-ACTIVE_INTERVAL_S = 0.3  # between two steps while a site is not as usual
-IDLE_INTERVAL_S = 0.6  # while all sites are
+ACTIVE_INTERVAL_S = 0.3  # between two steps while a site is not in normal service
+IDLE_INTERVAL_S = 0.6  # between two steps while all sites are in normal service
 HEARTBEAT_INTERVAL_S = 3.5  # between two confirmations of the plan
-SHARES_INTERVAL_S = 1.5  # shares that changed in figures only are written no more often
-# Loss tables are written again where the load changed by this fraction, and no more often.
+SHARES_INTERVAL_S = 1.5  # minimum interval between writes that change traffic shares only
+# Loss tables are written again after the load has changed by this fraction, and at most this often.
 TABLES_LOAD_CHANGE = 0.1
 TABLES_INTERVAL_S = 5.0
 NS_PER_S = 1e9
@@ -57,7 +57,7 @@
 
 
 class SiteController(LeasedTask):
-    """Plans for the fleet's sites while this process holds the lease."""
+    """Plans site failover for the fleet while this process holds the lease."""
 
     def __init__(
         self, client: Client, lease_factory: LeaseFactory, service: str, settings: api.Settings
@@ -71,7 +71,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Drops all state of an earlier term, but for the usual size of each site."""
+        """Drop all state of an earlier term, except for the usual size of each site."""
         rules = self.settings.rules
         self.reader = SiteReader(self.client, self.service, self.settings, self.usual_counts)
         self.failover = FailoverController(
@@ -80,17 +80,17 @@
             ),
             time.monotonic_ns(),
         )
-        self.sequence = 0  # of this leader's plans
-        self.heartbeat = 0  # of its confirmations
-        self.written_s = 0.0  # when the plan was written or confirmed last
-        self.idle_reason = ""  # as last logged
+        self.sequence = 0  # number of this leader's last plan
+        self.heartbeat = 0  # number of this leader's last confirmation
+        self.written_s = 0.0  # time of the plan's last write or confirmation
+        self.idle_reason = ""  # the last logged reason
         self.is_shedding = False
         self.tables_written_s = 0.0
         self.tables_load: float | None = None
         self.warned: set[frozenset[str]] = set()
 
     def _set_idle_reason(self, reason: str) -> None:
-        """Logs each reason once, until it changes."""
+        """Set the reason why no plan is made, and log it if it changed."""
         if reason and reason != self.idle_reason:
             log.warning("site controller idle: reason=%s", reason)
         self.idle_reason = reason
@@ -98,7 +98,7 @@
     # ---- one step --------------------------------------------------------------------------------
 
     async def step(self) -> float:
-        """Observes once and writes at most one plan.
+        """Read the state once and write at most one plan.
 
         Returns:
             Seconds until the next step.
@@ -115,7 +115,7 @@
         if observation.snapshot.blocked_reason:
             return IDLE_INTERVAL_S
         if not self.sequence and observation.plan.token == self.lease.token():
-            # Plans under this token may have been written before this task began.
+            # This process may have written plans under the same token before this task started.
             self.sequence = observation.plan.sequence
         current = tuple(map(observation.plan.state_of, observation.sites))
         decision = self.failover.decide(current, observation.snapshot, time.monotonic_ns())
@@ -128,7 +128,7 @@
     async def _write_plan(
         self, observation: SiteObservation, states: tuple[SiteState, ...], planned: TrafficShares
     ) -> None:
-        """Writes the plan at the version that was read, or confirms the one that stands."""
+        """Write the plan if its row still has the version that was read, or confirm the plan."""
         token = self.lease.token()
         now_s = time.monotonic()
         if not token:
@@ -173,14 +173,14 @@
     # ---- precomputed losses ----------------------------------------------------------------------
 
     async def _write_tables(self, observation: SiteObservation, fleet: Fleet) -> None:
-        """Computes what each loss would come to, while all sites are as usual."""
+        """Compute and write the plan for each loss, while all sites are in normal service."""
         now_s = time.monotonic()
         load = sum(entry.rate for entry in fleet.loads)
         is_usual = all(state.is_normal for state in observation.plan.site_states)
         is_due = self._has_load_changed(load) and now_s - self.tables_written_s >= TABLES_INTERVAL_S
         if not load or not is_due or not is_usual:
             return
-        # In a thread: it takes too long for the event loop.
+        # The computation runs in a thread, because it would block the event loop for too long.
         computed = await asyncio.to_thread(plans_for_losses, fleet)
         self._warn_of_losses_over_capacity(computed)
         reports = observation.snapshot.reports
@@ -208,7 +208,7 @@
     def _warn_of_losses_over_capacity(
         self, computed: Mapping[frozenset[str], FailoverPlan]
     ) -> None:
-        """Logs each loss that exceeds the other sites' capacity once, until it no longer does."""
+        """Log each loss that newly exceeds the capacity of the remaining sites."""
         over_capacity = set(losses_over_capacity(computed))
         for lost in sorted(over_capacity - self.warned, key=sorted):
             log.warning(
@@ -236,7 +236,7 @@
 def loss_table(
     fleet: Fleet, plan: FailoverPlan, reports: Mapping[str, ReceivedReport]
 ) -> LossTable:
-    """Returns the stored form of a plan, with the traffic shares that would follow from it."""
+    """Return the stored form of a plan, with the traffic shares that result from it."""
     states = [
         SiteState(site, stage=Stage.OUT, fraction=0.0) if site in plan.lost else SiteState(site)
         for site in sorted(fleet.sites)
--- a/loadbalancer/daemon/site_documents.py
+++ b/loadbalancer/daemon/site_documents.py
@@ -1,10 +1,10 @@
-"""Site failover as it stands in the store: keys, documents and their field names.
+"""Stored form of site failover: keys, documents and their field names.
 
-site/SERVICE/row/BALANCER    what a balancer observes, several times a minute
+site/SERVICE/row/BALANCER    a balancer's report, written several times a minute
 site/SERVICE/plan            site states and traffic shares; written by the leader, and by
-                             operators, who change states
+                             operators who change site states
 site/SERVICE/stands          the leader's confirmations of the plan
-site/SERVICE/tables          where the load goes after each loss of a site or two, precomputed
+site/SERVICE/tables          precomputed load distribution after each loss of one or two sites
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 class SitePlanDocument(msgspec.Struct, frozen=True):
-    """The plan.
+    """The leader's plan.
 
-    `sequence` counts the leader's plans under its token; `sites` are those that the plan is for.
-    An operator's change of `site_states` leaves both unchanged.
+    `sequence` counts the leader's plans under its token. `sites` are the sites that the plan
+    covers. An operator's change of `site_states` leaves both unchanged.
     """
 
     token: int = 0
@@ -43,11 +43,11 @@
     written_at_s: float = msgspec.field(name="at", default=0.0)
 
     def state_of(self, site: str) -> SiteState:
-        """Returns a site's state, the usual one where the plan has none."""
+        """Return a site's state, or the normal state if the plan has none."""
         return next((state for state in self.site_states if state.site == site), SiteState(site))
 
     def with_state(self, state: SiteState) -> SitePlanDocument:
-        """Returns the plan with this state in place of its site's."""
+        """Return the plan with the state of one site replaced."""
         states = tuple(
             state if current.site == state.site else current for current in self.site_states
         )
@@ -57,7 +57,7 @@
 
 
 class LossTable(msgspec.Struct, frozen=True):
-    """What would follow from one loss. `utilisation` is by site; values are a second."""
+    """Precomputed effect of one loss. `utilisation` is by site; values are per second."""
 
     lost: tuple[str, ...]
     shares: dict[str, dict[str, float]]
@@ -70,7 +70,7 @@
 
 
 class LossTablesDocument(msgspec.Struct, frozen=True):
-    """All precomputed losses. `quotas` are the same for each loss, so stored once."""
+    """All precomputed losses. `quotas` are the same for each loss, so they are stored once."""
 
     token: int
     sequence: int = msgspec.field(name="number")
--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -1,4 +1,4 @@
-"""Reads from the store what site failover is decided on."""
+"""Reads the inputs of site failover from the store."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteObservation:
-    """What was read at one time."""
+    """The state decoded from one read."""
 
     plan_row: Row
     plan: SitePlanDocument
@@ -38,20 +38,20 @@
 
     @property
     def fleet(self) -> Fleet:
-        """The fleet as it is now, not smoothed."""
+        """The fleet according to the current reports, without smoothing."""
         snapshot = self.snapshot
         fresh = {name: report for name, report in snapshot.reports.items() if report.is_fresh}
         return build_fleet(snapshot.sites.values(), snapshot.class_values, snapshot.quotas, fresh)
 
 
 class SiteReader:
-    """Reads again and again, and remembers what only a series of reads tells.
+    """Reads the store repeatedly, and keeps the state that results from a series of reads.
 
     Args:
         client: Client of the store.
         service: The service's name.
-        settings: A balancer's settings; None: an observer without any.
-        usual_counts: By site, the most upstreams that were listed; updated in place.
+        settings: A balancer's settings; None: the reader is an observer without settings.
+        usual_counts: Highest number of ready upstreams so far by site; updated in place.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.starts = StartTimes()
 
     async def read(self) -> SiteObservation:
-        """Reads all rows.
+        """Read all rows.
 
         Raises:
             StoreError: The store did not serve a read.
@@ -112,7 +112,7 @@
         return SiteObservation(plan_row, plan, snapshot, tuple(sorted(sites)))
 
     async def _read_reports(self) -> tuple[dict[str, ReceivedReport], set[str]]:
-        """Returns the reports by balancer, and the keys of all report rows."""
+        """Return the reports by balancer, and the keys of all report rows."""
         scanned = await self.client.scan(self.keys.rows)
         live = await read_live_balancers(self.client, self.keys.names)
         reports: dict[str, ReceivedReport] = {}
@@ -125,7 +125,7 @@
         return reports, {row.key for row in scanned.rows}
 
     def _list_age_s(self, saved: SavedEndpointList | None, version: int) -> float:
-        """A fixed list never ages."""
+        """Return the time since the last write or confirmation of the list; 0 for a fixed list."""
         if saved is not None and not saved.source:
             return 0.0
         return self.ages.age_s(LIST_AGE_KEY, version)
@@ -133,7 +133,7 @@
     def _count_upstreams(
         self, saved: SavedEndpointList | None, list_age_s: float
     ) -> tuple[dict[str, int], list[StartingUpstream]]:
-        """Returns the ready upstreams by site, and those whose start is known."""
+        """Return the number of ready upstreams by site, and those with a known start time."""
         ready_counts: dict[str, int] = {}
         starting: list[StartingUpstream] = []
         now_ns = time.monotonic_ns()
@@ -170,7 +170,10 @@
         return {load.class_name: 1.0 for report in reports.values() for load in report.report.loads}
 
     def _tenant_quotas(self, sites: Mapping[str, SiteCapacity]) -> dict[str, float]:
-        """Returns each tenant's requests a second over all: its quota, or its share of capacity."""
+        """Return each tenant's total requests per second.
+
+        It is the tenant's quota, or its share of the capacity if it has no quota.
+        """
         if self.settings is None or not self.settings.tenants:
             return {}
         tenants = self.settings.tenants
@@ -183,7 +186,7 @@
 
 
 def _success_ratio(reports: Iterable[ReceivedReport]) -> float | None:
-    """Returns the success ratio over the fresh reports, weighted by load; None: unknown."""
+    """Return the load-weighted success ratio of the fresh reports, or None if it is unknown."""
     ratios = [
         (report.report.served_fraction, sum(load.rate for load in report.report.loads))
         for report in reports
--- a/loadbalancer/daemon/snapshot_sync.py
+++ b/loadbalancer/daemon/snapshot_sync.py
@@ -1,7 +1,7 @@
-"""Saves what outlives a balancer's process, and restores it at its start.
+"""Saves state that outlives a balancer's process, and restores it at startup.
 
-list/SERVICE               the last endpoint list; written here only where it is a fixed one
-learnt/SERVICE/BALANCER    what the policy learned; the one process of that name writes it
+list/SERVICE               the last endpoint list; this module writes it only if it is a fixed list
+learnt/SERVICE/BALANCER    the policy's learned state; written by the one process of that name
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 log = logging.getLogger(__name__)
 
-START_TIMEOUT_S = 1.0  # a start waits no longer for the store
+START_TIMEOUT_S = 1.0  # for each wait for the store at startup
 
 
 class SnapshotSync:
@@ -58,14 +58,14 @@
         self.address_map = address_map
         self.list_key = f"list/{identity.service}"
         self.learned_key = f"learnt/{identity.service}/{identity.balancer}"
-        self.saved_endpoints: list[SavedEndpoint] = []  # as this process wrote a fixed list
+        self.saved_endpoints: list[SavedEndpoint] = []  # the fixed list this process last wrote
 
     # ---- at the start ----------------------------------------------------------------------------
 
     async def restore(self, table: RowTable | None) -> None:
-        """Restores the last list, where discovery has not answered yet, and the learned state.
+        """Restore the last list, if discovery has not responded yet, and the learned state.
 
-        Any node's answer will do.
+        A stale read from any node is sufficient.
 
         Args:
             table: The rows of the list; None: the list is a document.
@@ -74,7 +74,7 @@
             StoreError: The store did not serve the read.
         """
         if table is not None:
-            # The list comes first: the learned state is about its upstreams.
+            # The list is restored first, because the learned state refers to its upstreams.
             with suppress(TimeoutError):
                 async with asyncio.timeout(START_TIMEOUT_S):
                     await table.received.wait()
@@ -114,7 +114,7 @@
     # ---- saving ----------------------------------------------------------------------------------
 
     async def save_fixed_list(self, list_lease: LeaseClient, within_s: float = 0.0) -> None:
-        """Writes a list that no discovery reports, if this process leads and it changed.
+        """Write a fixed endpoint list if it changed and this process leads.
 
         Raises:
             StoreError: The store did not serve the write.
@@ -136,7 +136,7 @@
             self.saved_endpoints = endpoints
 
     async def save_learned_state(self, within_s: float = 0.0) -> None:
-        """Writes the learned state, if this process holds its name.
+        """Write the learned state if this process holds its name lease.
 
         Raises:
             StoreError: The store did not serve the write.
@@ -153,5 +153,5 @@
 
 
 def endpoints_of(driver: Driver) -> dict[int, Endpoint]:
-    """Returns the endpoints as they are listed now, by number."""
+    """Return the endpoints of the current list by number."""
     return {number: target.endpoint for number, target in driver.upstreams.targets.items()}
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -1,7 +1,7 @@
 """Connects a balancer to the store: assembles all synchronization and all leased controllers.
 
-Nothing here holds up the balancer. Each part documents its own store keys: `settings_sync`,
-`disabled_sync`, `snapshot_sync`, `endpoint_publisher`, `row_codec`, `rolling_restart_controller`
+Nothing here blocks the balancer. These modules document their store keys: `settings_sync`,
+`disabled_sync`, `snapshot_sync`, `endpoint_follower`, `row_codec`, `rolling_restart_controller`
 and `site_documents`.
 """
 
@@ -44,14 +44,14 @@
 LEASE_S = 10.0
 SAVE_INTERVAL_S = 5.0
 CLOSE_SAVE_TIMEOUT_S = 0.5
-MAX_RENEWAL_FAILURES = 2  # in a row; from then on the store counts as unavailable
+MAX_RENEWAL_FAILURES = 2  # after this many failures in a row, the store counts as unavailable
 
 Work = Callable[[], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class StateSyncOptions:
-    """What is synchronized.
+    """Options of a balancer's synchronization with the store.
 
     Attributes:
         service: The service's name.
@@ -59,11 +59,11 @@
         document: Name of the settings document; empty: the settings are a local file.
         settings_copy: Local copy of that document.
         lease_s: Duration of the leases.
-        rank: Of the candidates for a lease, the lowest rank gets it first.
+        rank: Among the candidates for a lease, the lowest rank acquires it first.
         address_map: Canonical address -> the address dialed from this host.
-        has_site_failover: Whether it takes part in site failover.
-        publishes_rows: Whether the endpoint list is rows of the changefeed.
-        publishes_documents: Whether it is a document beside the rows.
+        has_site_failover: Whether this balancer takes part in site failover.
+        publishes_rows: Whether to publish the endpoint list as rows of the changefeed.
+        publishes_documents: Whether to publish it as a document in addition to the rows.
     """
 
     service: str
@@ -84,7 +84,7 @@
 
 
 class StateSync:
-    """Everything of a balancer that needs the store."""
+    """All background work of a balancer that uses the store."""
 
     def __init__(self, client: Client, parts: Parts, options: StateSyncOptions) -> None:
         service = options.service
@@ -94,7 +94,7 @@
         self.address_map = AddressMap(options.address_map)
         self.monitor = StoreMonitor(client)
         self.tasks: list[asyncio.Task[None]] = []
-        # One process of a name writes its learned state; a name given to two is logged.
+        # Only one process per balancer name saves learned state; a name conflict is logged once.
         self.has_logged_name_conflict = False
         self.name_lease = LeaseClient(
             client,
@@ -129,7 +129,7 @@
     # ---- assembly --------------------------------------------------------------------------------
 
     def _lease_factory(self, work: str) -> LeaseFactory:
-        """Returns a factory of the lease of one of the fleet's controllers."""
+        """Return a factory for the lease client of a controller with this name."""
 
         def create(on_acquired: Callable[[int], None], on_lost: Callable[[], None]) -> LeaseClient:
             options = self.options
@@ -163,7 +163,7 @@
         )
 
     def _create_publisher(self) -> EndpointPublisher | None:
-        """Puts a publisher in discovery's place, where there is discovery."""
+        """Replace the driver's discovery by a publisher, if there is discovery."""
         options = self.options
         driver = self.parts.driver
         discovery = driver.discovery
@@ -221,7 +221,7 @@
             self.publisher.on_lease_lost()
 
     def _on_name_lease_changed(self, lease: Lease) -> None:
-        """Logs that another process has this name, unless one takes over from the other."""
+        """Log a name conflict with another process, except during a process handover."""
         is_own = lease.claim == self.name_lease.holder.claim
         if not lease.is_held or is_own or self.has_logged_name_conflict:
             return
@@ -237,7 +237,7 @@
     # ---- running ---------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Starts all background work."""
+        """Start all background work."""
         loop = asyncio.get_running_loop()
         if self.feed is not None:
             self.feed.start()
@@ -277,7 +277,7 @@
             await self.save()
 
     async def save(self, within_s: float = 0.0) -> None:
-        """Saves what this process is the one writer of.
+        """Save the fixed list and the learned state if this process is their writer.
 
         Raises:
             StoreError: The store did not serve a write.
@@ -292,7 +292,7 @@
             self.monitor.mark_available()
 
     async def close(self) -> None:
-        """Stops all work, saves once more and releases the leases."""
+        """Stop all work, save once more and release the leases."""
         for task in self.tasks:
             task.cancel()
         if self.publisher is not None:
--- a/loadbalancer/daemon/store_monitor.py
+++ b/loadbalancer/daemon/store_monitor.py
@@ -1,7 +1,7 @@
-"""Background work on the store that never holds up the balancer.
+"""Background work on the store that never blocks the balancer.
 
-Without a store, or with one that has no leader, the balancer goes on with its last known state; the
-log says since when.
+While the store is unavailable or has no leader, the balancer continues with its last known state.
+The log has the start and the duration of the outage.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
         self.unavailable_since_s: float | None = None
 
     def mark_unavailable(self, error: str) -> None:
-        """Notes that the store did not serve a request."""
+        """Mark the store as unavailable after a failed request; log the first failure."""
         if self.unavailable_since_s is None:
             self.unavailable_since_s = time.monotonic()
             log.warning("store unavailable, using last known state: error=%s", error)
 
     def mark_available(self) -> None:
-        """Notes that the store served a request."""
+        """Mark the store as available after a successful request; log the end of an outage."""
         if self.unavailable_since_s is not None:
             unavailable_s = time.monotonic() - self.unavailable_since_s
             log.info("store available again: unavailable_s=%.1f", unavailable_s)
             self.unavailable_since_s = None
 
     async def run(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Runs work until it returns; an error is logged, and the work begins again."""
+        """Run work until it returns; after an error, log the error and restart the work."""
         while True:
             try:
                 await work()
@@ -55,12 +55,12 @@
             await asyncio.sleep(RETRY_S)
 
     async def follow(self, key: str, on_value: OnValue) -> None:
-        """Passes on a key's value as the nearest node knows it, and each later one.
+        """Pass a key's value from a stale read of the nearest node, and each later value.
 
         Args:
             key: The key.
-            on_value: Called with value and version; the value is None where the key does not
-                exist, and the version 0 where it never changed while this followed.
+            on_value: Called with value and version; the value is None if the key does not exist,
+                and the version is 0 if the key was never written.
 
         Raises:
             StoreError: The store did not serve a read or the watch.
--- a/loadbalancer/daemon/upstream_admin.py
+++ b/loadbalancer/daemon/upstream_admin.py
@@ -1,7 +1,7 @@
 """Client of an upstream's own admin API, which restarts it on request.
 
-The request is `POST PATH` with an `Idempotency-Key` that names the restart; an upstream carries
-out a named restart once.
+The request is `POST PATH` with an `Idempotency-Key` that identifies the restart. An upstream
+restarts once per key.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 async def request_restart(
     address: tuple[str, int], path: str, restart_name: str, may_send: Callable[[], bool]
 ) -> str:
-    """Asks one upstream to restart.
+    """Send a restart request to one upstream.
 
     Args:
-        address: Where the upstream's admin API is dialed.
+        address: Address of the upstream's admin API to dial.
         path: Path of the restart endpoint.
         restart_name: Idempotency key.
-        may_send: Checked after all waiting, just before the first byte is written, so that a
-            leader deposed meanwhile sends nothing.
+        may_send: Checked after the connection is established, just before the first byte is
+            written, so that a leader that was deposed in the meantime sends nothing.
 
     Returns:
-        Why the request failed, in one line; empty if it was accepted.
+        Why the request failed, in one line; an empty string if it was accepted.
 
     Raises:
         OSError: The upstream could not be connected to.
@@ -51,7 +51,7 @@
 
 
 async def _exchange(connection: UpstreamConnection, request: bytes) -> str:
-    """Sends the request; returns why it failed, empty if it was accepted."""
+    """Send the request; return why it failed, or an empty string if it was accepted."""
     finished: asyncio.Future[tuple[AttemptResult, Response | None]] = (
         asyncio.get_running_loop().create_future()
     )
@@ -75,7 +75,10 @@
 
 
 def _ignore_connection(_connection: UpstreamConnection) -> None:
-    """The connection serves one exchange: it is neither pooled nor reported when lost."""
+    """Ignore a connection event.
+
+    The connection serves one exchange, so it is neither pooled nor reported when it is lost.
+    """
 
 
 def _restart_request(address: tuple[str, int], path: str, restart_name: str) -> bytes:
