--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -1,4 +1,4 @@
-"""The list of upstreams as rows of the feed: what a row is, which are written, who goes by them."""
+"""Tests of the endpoint list as changefeed rows: encoding, planning, publishing and following."""
 
 from __future__ import annotations
 
@@ -72,10 +72,11 @@
 
 
 def upstream(**change: object) -> Endpoint:
+    """Return the endpoint of `SERVER` with changed fields."""
     return read_endpoint({**SERVER, **change})
 
 
-# ---- what a row is -------------------------------------------------------------------------------
+# ---- encoding of rows ----------------------------------------------------------------------------
 
 
 def test_a_row_holds_what_discovery_reported_and_encodes_deterministically() -> None:
@@ -124,7 +125,7 @@
     assert find_row_error(SCOPE, Row("service/orders", 1, encode(ServiceRow("orders")))) == ""
     assert find_row_error(SCOPE, Row("list/orders", 1, encode(ListRow(1, 2, 3, "a", 4)))) == ""
     assert find_row_error(SCOPE, Row(key, 2, None)) == ""
-    # Of another kind it can't say that it is in force here.
+    # Rows of an unsupported kind or scope are rejected, as they can't take effect here.
     assert "knows no route" in find_row_error(SCOPE, Row("route/a", 1, b"\x90"))
     assert "knows no upstream" in find_row_error("global", Row(key, 1, value))
     assert "'carts'" in find_row_error(SCOPE, Row("service/orders", 1, encode(ServiceRow("carts"))))
@@ -143,7 +144,7 @@
         row_codec.encode_upstream(bad)
 
 
-# ---- which are written ---------------------------------------------------------------------------
+# ---- planning of writes --------------------------------------------------------------------------
 
 
 def test_only_differences_are_written_in_key_order_with_deletions_last() -> None:
@@ -162,9 +163,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_writer_that_continues_from_any_state_reaches_the_desired_one(seed: int) -> None:
-    """Owners die between any two of their writes, and the desired list changes from one to the
-    next.
-    """
+    """Leaders fail between any two writes, and the desired list differs for each leader."""
     rng = random.Random(seed)
     stored: dict[str, tuple[int, bytes]] = {}
     desired: dict[str, bytes] = {}
@@ -181,7 +180,7 @@
                     del stored[op.key]
                 else:
                     stored[op.key] = versions, op.value
-            assert unchanged <= stored.keys()  # none is missing on the way
+            assert unchanged <= stored.keys()  # no remaining row is missing between two writes
     for batch in plan_writes(stored, desired, max_operations=5):
         for op in batch:
             stored.pop(op.key, None)
@@ -191,17 +190,18 @@
     assert api.UpstreamState.REMOVED is row_codec.removed_endpoint(7).entry.state
 
 
-# ---- balancers over a store ----------------------------------------------------------------------
+# ---- balancers with a store ----------------------------------------------------------------------
 
 LEASE_S = 0.6
 
 
 def server(name: str, state: str = "Ready", port: int = 9001, **more: object) -> Json:
+    """Return an upstream in the form of a discovery response."""
     return {**SERVER, "id": name, "addr": f"127.0.0.1:{port}", "state": state, **more}
 
 
 class RowDriver(FakeDriver):
-    """Knows what a driver knows after each list."""
+    """A driver that keeps its targets up to date with lists and deltas."""
 
     def __init__(self, notify: Callable[[], None]) -> None:
         super().__init__()
@@ -222,7 +222,10 @@
 
 
 class RowBalancer(Observable):
-    """A balancer's state_sync and list. Without a discovery it knows only what the store says."""
+    """A balancer's state sync and endpoint list.
+
+    Without a discovery server, the list comes from the store only.
+    """
 
     def __init__(
         self,
@@ -251,7 +254,7 @@
         self.publisher = self.state_sync.publisher
         list_lease = self.state_sync.list_lease
         list_lease.on_tenure(self.began, self.ended)
-        if discovery is None:  # it does not ask for the list's lease
+        if discovery is None:  # this balancer must not acquire the list's lease
             list_lease.start = lambda: None  # type: ignore[method-assign]
         self.state_sync.start()
 
@@ -280,7 +283,7 @@
         await self.state_sync.close()
 
     async def die(self) -> None:
-        """As a process that is killed: nothing is given back."""
+        """Stop like a killed process, without releasing any lease."""
         self.discovery.close()
         self.publisher.close()
         owners = (
@@ -297,7 +300,7 @@
 
 
 def feed_update(position: ListRow, *upstreams: Json, is_snapshot: bool = False) -> Apply:
-    """Rows as the feed hands them over."""
+    """Return an update as the changefeed client delivers it."""
     endpoints = [read_endpoint(b) for b in upstreams]
     put = [
         Row(
@@ -336,7 +339,7 @@
         def position(token: int, number: int) -> ListRow:
             return ListRow(token, number, 1, "a", int(time.time()))
 
-        # Before the committed position is known rows are a cached list, and after it a list.
+        # Before the committed position is known, rows count as a cached list.
         follower.apply_rows(feed_update(position(3, 7), server("s-1"), is_snapshot=True))
         follower.apply_rows(feed_update(position(3, 8), server("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
@@ -348,15 +351,15 @@
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
         dialled = driver.upstreams.targets[upstream_number("s-1")].endpoint
         assert (dialled.host, dialled.port) == ("127.0.0.2", 19001)
-        # Of an owner of before, as from a node that lags, nothing is taken; nor is a list without
-        # any.
+        # Rows of an earlier leader, as a lagging node may send them, are ignored, and so is an
+        # empty list.
         follower.apply_rows(feed_update(position(2, 99), server("s-4"), is_snapshot=True))
         follower.apply_rows(feed_update(position(3, 11), is_snapshot=True))
         assert kinds() == []
         follower.apply_rows(feed_update(position(3, 12), server("s-1"), is_snapshot=True))
         assert kinds() == [(api.EndpointListKind.FULL, 1)]
-        # What comes while it leads the list itself, and is the next owner's, counts once it does
-        # not.
+        # Rows of the next leader that arrive during this process's own term are applied when the
+        # term ends.
         owner.active_token, publisher.published = 4, Publication(4, 1, [])
         follower.apply_rows(feed_update(position(4, 1), server("s-5")))
         follower.apply_rows(feed_update(position(5, 1), server("s-6")))
@@ -365,22 +368,20 @@
         publisher.on_lease_lost()
         assert kinds() == [(api.EndpointListKind.FULL, 3)] and follower.mirrors_table
         publisher.published = Publication(6, 1, [])
-        publisher.on_lease_lost()  # its own rows are no news
+        publisher.on_lease_lost()  # the process's own rows are not applied again
         assert kinds() == [] and not follower.mirrors_table
 
     run(test())
 
 
 class StoredRows:
-    """The upstreams' rows in the store, and which writes made them, as a watch of all changes tells
-    it.
-    """
+    """The upstreams' rows in the store and the writes that made them, from a watch."""
 
     def __init__(self, client: Client) -> None:
         self.client = client
         self.rows: dict[int, UpstreamRow] = {}
-        self.token = 0  # of the last owner's position
-        self.writes: dict[int, int] = {}  # revision -> rows that it changed
+        self.token = 0  # token in the last leader's position
+        self.writes: dict[int, int] = {}  # revision -> number of upstream rows it changed
         self.revision = 0
 
     async def until(self, holds: Callable[[], object]) -> None:
@@ -402,7 +403,7 @@
                 return
 
     async def are(self, *desired: Json) -> None:
-        """Wait until just these stand."""
+        """Wait until the store has exactly these rows."""
         now = {e.entry.id: row_codec.upstream_row(e) for e in map(read_endpoint, desired)}
         await self.until(lambda: self.rows == now)
 
@@ -452,7 +453,7 @@
                 upstream_number("s-8"): api.UpstreamState.REMOVED,
                 upstream_number("s-new"): api.UpstreamState.READY,
             }
-            # Whoever only looks sees the same; there is no document.
+            # An observer reads the same list, and there is no document.
             view = (await reader.read()).view
             assert {n: b.is_ready for n, b in view.upstreams.items()} == {
                 n: state is api.UpstreamState.READY for n, state in two.known.items()
@@ -504,9 +505,10 @@
 
 
 def stop_before_write(balancer: RowBalancer, write: int) -> tuple[asyncio.Event, asyncio.Event]:
-    """Stop the balancer's client just before its rows' write of this number.
+    """Suspend the balancer's client just before the row write with this number.
 
-    The first event is set when it does; the second is to be set for it to go on.
+    The first returned event is set when the client is suspended. Setting the second event resumes
+    the client.
     """
     stopped, on, count = asyncio.Event(), asyncio.Event(), 0
     client = balancer.state_sync.client
@@ -536,12 +538,12 @@
             await one.die()
             await two.leads()
             await stored.are(*upstreams)
-            assert list(stored.writes.values()) == [254, 254, 92]  # what stood is not written again
+            assert list(stored.writes.values()) == [254, 254, 92]  # stored rows are not rewritten
             three = RowBalancer(c, "three", discovery)
             await two.close()
             await three.leads()
             await stored.until(lambda: stored.token == three.state_sync.list_lease.active_token)
-            assert len(stored.writes) == 3  # nothing but its own position
+            assert len(stored.writes) == 3  # only the new leader's position was written
             await three.close()
 
     run(test())
@@ -554,12 +556,12 @@
             discovery.change(server("s-2"))
             await stored.are(*discovery.rows)
             await one.close()
-            discovery.version, discovery.rows = 1, [server("s-1")]  # as a replica of it that lags
+            discovery.version, discovery.rows = 1, [server("s-1")]  # like a lagging replica
             two = await RowBalancer(c, "two", discovery).leads()
             await until(lambda: two.discovery.version == 1 and two.publisher.min_version == 2)
             discovery.change(server("s-2"), server("s-3"))
             await stored.are(*discovery.rows)
-            assert sum(stored.writes.values()) == 3  # s-2 did not go meanwhile
+            assert sum(stored.writes.values()) == 3  # s-2 was not deleted in between
             await two.close()
 
     run(test())
@@ -574,10 +576,10 @@
             await stored.are(*discovery.rows)
             stopped, on = stop_before_write(one, 1)
             discovery.change(server("s-1", "Terminating"))
-            await stopped.wait()  # it looked at its clock, and its write is still to leave
+            await stopped.wait()  # the lease was checked, but the write is not sent yet
             owned = one.publisher.running
             assert owned is not None
-            one.publisher.running = None  # nobody stops it, as where the whole process stands still
+            one.publisher.running = None  # so the task is not cancelled, as in a suspended process
             two = RowBalancer(c, "two", discovery)
             await c.client().release(
                 Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
@@ -620,7 +622,7 @@
                 (api.EndpointListKind.DELTA, [read_endpoint(server("s-3", "Terminating"))])
             ]
             first.silent = False
-            one.discovery.fetch()  # as where the owner is silent
+            one.discovery.fetch()  # as while the leader is silent
             await one.knows(*first.rows)
             second.change(server("s-4"))
             await one.knows(*second.rows)
@@ -646,7 +648,7 @@
             await two.knows(server("s-1"), server("s-2", "Terminating"))
             async with asyncio.timeout(10):
                 while (feed := (await client.status())["feed"])["refusals"] < 2:
-                    await asyncio.sleep(0.01)  # the acknowledgement is on its way
+                    await asyncio.sleep(0.01)  # the acknowledgement is in flight
             refusals = [(r["name"], *r["refusal"][:2]) for r in feed["refused"]]
             assert sorted(refusals) == [(name, SCOPE, split_key(key)[1]) for name in ("one", "two")]
             for balancer in (one, two):
@@ -688,7 +690,7 @@
             await two.close()
             again = RowBalancer(c, "two", None)
             await again.knows(*discovery.rows)
-            # What was learnt comes behind the list, and is of the same start of each upstream.
+            # The learned state is restored after the list, for the same start of each upstream.
             await until(lambda: bool(again.driver.posted))
             (learnt,) = again.driver.posted
             assert isinstance(learnt, api.LearnedState) and learnt.relative_service_times[
@@ -723,7 +725,7 @@
             await c.begin(0)
             discovery.change(server("s-4"))
             await two.knows(*discovery.rows)
-            # The copy's rows are older than what was received: s-2 does not come back for a moment.
+            # The backup's rows are older than those received: s-2 must not reappear.
             assert all(
                 upstream_number("s-2") != e.entry.id or e.entry.state is api.UpstreamState.REMOVED
                 for _, endpoints in two.driver.lists[lists:]
@@ -774,7 +776,7 @@
             processes.append(await begin(store, "two", free_port(), port))
             connection = await answered(port)
             async with asyncio.timeout(10):
-                for number in itertools.count():  # it refuses until it knows of an upstream
+                for number in itertools.count():  # requests are rejected until there is an upstream
                     if (await connection.ask(f"r{number}")).body == b"s-0":
                         break
                     await asyncio.sleep(0.01)
@@ -797,7 +799,7 @@
     run(test())
 
 
-# ---- beside balancers that know no rows ----------------------------------------------------------
+# ---- fleets with balancers without row support ---------------------------------------------------
 
 
 async def document_is_deleted(c: Cluster) -> None:
@@ -811,7 +813,7 @@
         async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
             old = await RowBalancer(c, "old", discovery, rows=False).leads()
             new, plain = RowBalancer(c, "new", None), RowBalancer(c, "plain", None, rows=False)
-            await new.knows(server("s-1"))  # of the document
+            await new.knows(server("s-1"))  # from the document
             assert not stored.rows
             await old.close()
             await new.close()
@@ -824,7 +826,7 @@
             alone = await RowBalancer(c, "alone", discovery).leads()
             discovery.change(server("s-3"))
             await new.knows(*discovery.rows)
-            # A document that nobody keeps up would be the list of whoever starts and knows no rows.
+            # An outdated document would be used by a starting balancer without row support.
             await document_is_deleted(c)
             await alone.close()
             old = await RowBalancer(c, "old", discovery, rows=False).leads()
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -1,5 +1,6 @@
-"""On how many balancers a revision is in force, as operators see it: `loadbalancer feed status` and
-`wait`.
+"""Tests of `loadbalancer feed status` and `feed wait`.
+
+The commands report on how many balancers a revision of the changefeed is in force.
 """
 
 from __future__ import annotations
@@ -24,16 +25,17 @@
 
 
 async def feed(c: Cluster, *arguments: str) -> Result:
-    """In a thread: the nodes run in this one's loop."""
+    """Run a `feed` command in a thread, because the nodes run in this thread's event loop."""
     at = ",".join(
         c.settings[index].advertise for index in sorted(c.settings)[:2]
-    )  # they list the rest
+    )  # these nodes list the other members
     return await asyncio.to_thread(
         CliRunner().invoke, application(["feed"]), ["feed", *arguments, "--at", at]
     )
 
 
 def plain(result: Result) -> str:
+    """Return a command's output with all whitespace collapsed."""
     return " ".join(result.output.split())
 
 
@@ -167,6 +169,7 @@
 
 
 def status(node: str, revision: int, **feed: Any) -> dict[str, Any]:
+    """Return a node's status response in a cluster with the nodes a and b."""
     fields = {
         "epoch": "c",
         "revision": revision,
@@ -194,10 +197,10 @@
     b = status("b", 100, subscribers=400, reached=tuple((n, 1) for n in range(0, 100)))
     found = add_up([a, b, a], 90)
     assert (found.balancers, found.in_force) == (410, 8 + 310), (
-        "a member asked at two addresses counts once"
+        "a member queried at two addresses counts once"
     )
     assert add_up([a, b], 100).in_force == 0, (
-        "300 of b are past 99, and nobody says that they are at 100"
+        "300 balancers of b are past 99, but no report says that they have reached 100"
     )
     assert (
         add_up([a, b]).revision == 100
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""Decisions of a rolling restart, with leaders that fail anywhere; and who polls discovery."""
+"""Tests of rolling restarts with failing leaders, and of polling discovery without a leader."""
 
 from __future__ import annotations
 
@@ -37,6 +37,7 @@
 
 
 def rolling_restart(count: int, at_once: int = 1, **more: object) -> RollingRestart:
+    """Return a rolling restart of `count` upstreams that has not begun."""
     upstreams = tuple(UpstreamRestart(f"box-{i}", i) for i in range(count))
     return msgspec.structs.replace(
         RollingRestart("r", upstreams, at_once, slow_start_s=2.0, min_available=0.5), **more
@@ -49,6 +50,7 @@
     version: int = 1,
     **more: object,
 ) -> FleetView:
+    """Return a view of a healthy fleet of one balancer and eight upstreams, with changes."""
     upstreams = {i: UpstreamStatus("a" if i % 2 else "b", 100.0, True) for i in range(8)}
     observed = {"one": ObservedReport(BalancerReport(version, (), 50.0, 49.0, 1), 0.5, True)}
     phase_ages_s = {b.name: 1_000.0 - b.since_ms / 1000 for b in restart.upstreams}
@@ -57,9 +59,7 @@
 
 
 class Fleet:
-    """Balancers, upstreams, operators and the store's two rows, in virtual time, with owners that
-    die.
-    """
+    """A simulated fleet in virtual time: balancers, upstreams, operators and two store rows."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -73,7 +73,7 @@
         self.down: set[int] = set()
         self.versions = dict.fromkeys(
             ("one", "two", "three"), 1
-        )  # the set's version that each goes by
+        )  # version of the disabled set that each balancer applies
         self.known: dict[str, frozenset[str]] = dict.fromkeys(self.versions, frozenset())
         self.busy: dict[str, set[str]] = {name: set() for name in self.versions}
         self.reports = {name: BalancerReport(1, (), 50.0, 49.0, 1) for name in self.versions}
@@ -102,7 +102,7 @@
     def write(
         self, read: tuple[int, int], new: RollingRestart, disabled: frozenset[str] | None
     ) -> None:
-        """One write, at the versions that were read, or nothing."""
+        """Write both rows if they still have the versions that were read."""
         if read != (self.roll_version, self.version):
             return
         self.roll, self.roll_version = new, self.roll_version + 1
@@ -111,8 +111,9 @@
         self.check()
 
     def check(self) -> None:
+        """Check the invariants of the stored state."""
         out = {b.name for b in self.roll.upstreams if b.phase in (Phase.DRAINING, Phase.DRAINED)}
-        assert out == self.disabled, "the set and the document say the same"
+        assert out == self.disabled, "the disabled set differs from the document"
         assert len(out) <= self.roll.max_unavailable
         for b in self.roll.upstreams:
             order = list(Phase)
@@ -122,13 +123,17 @@
             )
             if b.phase is Phase.DRAINED and was is Phase.DRAINING:
                 assert not any(b.name in busy for busy in self.busy.values()), (
-                    f"{b.name} is not quiet"
+                    f"{b.name} still has attempts in flight"
                 )
             if b.phase is Phase.WARMING_UP and was is Phase.DRAINED:
-                assert self.restarts[b.name] == 1, f"{b.name} came back before it was restarted"
+                assert self.restarts[b.name] == 1, f"{b.name} was enabled before it was restarted"
 
     def advance(self) -> None:
-        """Balancers hear, send, finish and report; operators restart what is quiet."""
+        """Advance the time by 0.5 s.
+
+        Balancers receive the disabled set, start and finish attempts and write reports. Operators
+        restart drained upstreams.
+        """
         rng, self.now = self.rng, self.now + 0.5
         for name in self.versions:
             self.ages[name] += 0.5
@@ -167,7 +172,7 @@
         fleet.advance()
         for owner in range(
             fleet.rng.choice([1, 1, 1, 2])
-        ):  # two believe that they own it, now and then
+        ):  # sometimes two processes act as the leader
             read = fleet.roll_version, fleet.version
             step = next_step(fleet.roll, fleet.view())
             if step is None:
@@ -176,7 +181,7 @@
             if owner or chance < 0.15:
                 late.append(
                     (read, step.restart, step.disabled)
-                )  # it stops ahead of its write, and wakes late
+                )  # the leader is suspended before its write, and writes later
             elif chance < 0.9:
                 fleet.write(read, step.restart, step.disabled)
         if late and fleet.rng.random() < 0.2:
@@ -292,7 +297,7 @@
     assert why in find_error(restart)
 
 
-# ---- who asks discovery --------------------------------------------------------------------------
+# ---- polling of discovery ------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("count", [8, 40, 200])
@@ -308,11 +313,11 @@
         for follower in followers:
             calls[ms // 1000] += follower.take_due_poll(ms * SECOND // 1000)
     assert sum(calls[: LEADER_TIMEOUT_NS // SECOND]) == 0, (
-        "nobody asks while the owner's word is fresh"
+        "a balancer polls although the leader's last message is recent"
     )
     assert max(calls) <= 2.5 * max(FLEET_POLLS_PER_S, count / 10 if count < 10 else 0) + 3
-    assert sum(calls[30:]) / 30 <= 1.3 * FLEET_POLLS_PER_S, "in the long run"
-    assert sum(calls[30:]) > 0, "and they do ask"
+    assert sum(calls[30:]) / 30 <= 1.3 * FLEET_POLLS_PER_S, "the mean poll rate is too high"
+    assert sum(calls[30:]) > 0, "no balancer polls"
     for follower in followers:
         follower.confirm(FencingPosition(1, 1), 1, 60 * SECOND)
     assert not any(f.take_due_poll(61 * SECOND) for f in followers)
@@ -336,7 +341,7 @@
     assert first <= 760
 
 
-# ---- an upstream's admin API, which checks no token ---------------------------------------------
+# ---- an upstream's admin API, which checks no fencing token --------------------------------------
 
 
 def test_only_an_announced_restart_is_requested_and_by_the_next_leader_after_a_lease() -> None:
@@ -344,7 +349,7 @@
     restart = msgspec.structs.replace(
         rolling_restart(1), upstreams=(quiet,), restart_path="/restart"
     )
-    assert pending_requests(restart, 5) == []  # nothing is done that the store does not say first
+    assert pending_requests(restart, 5) == []  # no request before its announcement is stored
     step = announce_requests(restart, 5, 0.0, 10.0)
     assert (
         step is not None
@@ -363,7 +368,7 @@
     )
     assert restart_name(later.restart, later.restart.upstreams[0]) == restart_name(
         restart, quiet
-    )  # the same act, whoever asks
+    )  # the same idempotency key from every leader
     aborting = msgspec.structs.replace(later.restart, state=State.ABORTING)
     assert (
         pending_requests(aborting, 6) == [] and announce_requests(aborting, 7, 99.0, 10.0) is None
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -1,5 +1,6 @@
-"""`loadbalancer serve`: the operators' settings, a fixed list, and a platform's process that stays
-lean.
+"""Tests of `loadbalancer serve` with a settings file, and of the imports of the platform's process.
+
+The platform's process must stay small in memory.
 """
 
 from __future__ import annotations
@@ -135,7 +136,7 @@
 
 
 def test_the_platforms_process_loads_nothing_of_the_larger_program(tmp_path: Path) -> None:
-    """Memory there is short: what `run` does not need must not be in it."""
+    """Guard against imports that the platform's process does not need, as its memory is limited."""
     code = (
         "import sys, asyncio, loadbalancer.__main__ as m\n"
         "real = asyncio.Runner.run\n"
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -1,6 +1,4 @@
-"""What a balancer keeps, tells and follows of its sites on a real store; and the operators'
-commands.
-"""
+"""Tests of site failover and its operators' commands, with balancers on a real store."""
 
 from __future__ import annotations
 
@@ -49,7 +47,7 @@
 
 
 class SiteDriver(FakeDriver):
-    """Its clients send at a steady rate; `gone`: upstreams that do not answer."""
+    """A driver with a constant request rate. Upstreams in `gone` refuse connections."""
 
     def __init__(self, zone: str) -> None:
         super().__init__()
@@ -97,6 +95,8 @@
 
 
 class SiteBalancer:
+    """A balancer with site failover: a state sync and a driver that receives requests."""
+
     def __init__(self, c: Cluster, name: str, zone: str) -> None:
         self.driver = SiteDriver(zone)
         disabled = DisabledUpstreams(None, name, ProcessRegistry(None), self.driver)
@@ -118,6 +118,7 @@
 
 
 async def command(c: Cluster, *arguments: str) -> tuple[int, str]:
+    """Run a `site` command; return its exit status and its output or error."""
     at = ",".join(c.settings[place].advertise for place in c.nodes)
     result = await asyncio.to_thread(
         CliRunner().invoke,
@@ -129,6 +130,7 @@
 
 
 async def doc(client: Client) -> SitePlanDocument:
+    """Return the stored plan."""
     row = (await client.get(SiteKeys("orders").plan)).rows[0]
     return (
         msgspec.json.decode(row.value, type=SitePlanDocument)
@@ -162,7 +164,7 @@
                 )
             )
             async with asyncio.timeout(15):
-                while (await command(c, "plan"))[0] != 1:  # 80 a second come, and one site bears 40
+                while (await command(c, "plan"))[0] != 1:  # 80 requests/s; one site can serve 40
                     pass
             status, output = await command(c, "hold", "b")
             assert status == 1 and "do not bear it" in output
@@ -175,7 +177,7 @@
             )
             assert (
                 one.driver.plans[-1].excess_reject_fraction > 0
-            )  # and what is beyond shares is refused
+            )  # requests beyond the shares are rejected
             assert "out by" in (await command(c, "status"))[1]
             assert 'lanelift_site_part{site="b"} 0.0' in (await command(c, "metrics"))[1]
             assert "not in normal service" in (await command(c, "drill", "b", "--force"))[1]
@@ -191,7 +193,7 @@
             for beside in (one, two):
                 beside.driver.gone = set()
             owner, other = (one, two) if one.owns_sites else (two, one)
-            await owner.close()  # the next one goes on from what stands
+            await owner.close()  # the next leader continues from the stored plan
             async with asyncio.timeout(40):
                 while (now := await doc(client)).token == token or any(
                     not x.is_normal for x in now.site_states
@@ -202,7 +204,7 @@
             old = msgspec.structs.replace(now, token=token, traffic_shares=shut)
             await client.put(
                 SiteKeys("orders").plan, msgspec.json.encode(old)
-            )  # of an owner that wakes late
+            )  # a late write of the previous leader
             await until(lambda: "stale message ignored" in caplog.text)
             assert other.driver.plans[-1].zone_fractions.get("b") is None
             await other.close()
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -1,5 +1,7 @@
-"""A balancer with a store: settings that come from it, sets that all share, and what outlives a
-restart.
+"""Tests of a balancer with a store.
+
+They cover settings from the store, the shared set of disabled upstreams, and the state that is
+restored after a restart.
 """
 
 from __future__ import annotations
@@ -33,6 +35,7 @@
 
 
 def settings(port: int, upstream: FakeUpstream) -> str:
+    """Return a settings document with one upstream."""
     return (
         f"listen = '127.0.0.1:{port}'\n[[server]]\nid = '{upstream.name}'\n"
         f"address = '127.0.0.1:{upstream.port}'\n[[class]]\nname = 'quote'\neffect = 'safe'\n"
@@ -47,7 +50,7 @@
 
 
 async def answered(port: int) -> Client:
-    """A connection to the balancer as soon as it takes one."""
+    """Return a connection to the balancer, once it accepts connections."""
     async with asyncio.timeout(20):
         while True:
             try:
@@ -127,7 +130,7 @@
             )
             await wait_for_log(process, "configuration reloaded: upstreams=1")
             assert (await connection.ask("r2")).body == b"s-1"
-            # The store goes: the balancer goes on, says so, and even starts again.
+            # Without the store, the balancer logs the outage, continues and can be restarted.
             await client.close()
             await store.kill(store.members[0], signal.SIGKILL)
             await wait_for_log(process, "store unavailable, using last known state")
@@ -149,7 +152,7 @@
 
 
 class FakeDriver:
-    """What a state sync needs of a driver."""
+    """The part of a driver that a state sync uses."""
 
     def __init__(self) -> None:
         self.list_received = asyncio.Event()
@@ -182,7 +185,7 @@
 
 
 class SyncedBalancer:
-    """A state sync with a driver of its own."""
+    """A state sync with its own driver."""
 
     def __init__(self, c: Cluster, name: str) -> None:
         self.driver = FakeDriver()
@@ -321,7 +324,7 @@
 def test_state_learned_before_a_clock_step_has_an_unknown_age(
     step_s: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is left aside, or believed as little as what is an hour old."""
+    """The state is dropped after a step back, and counts as an hour old after a step forward."""
     saved = save_learned_state(api.LearnedState(0, 9.0, {}, {"q": 2.0}, 3.0, 0.1, 2.0, {}), {})
     now_s = time.time()
     monkeypatch.setattr(time, "time", lambda: now_s + step_s)
