--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -112,21 +112,21 @@
         keys = [self.keys.list, self.keys.confirmation]
         if self.table is not None:
             keys.append(self.table.keys.list)
-        found = await self.client.get(*keys)
+        response = await self.client.get(*keys)
         now = boot_clock_ns()
-        document = decode_row(found.rows[0], SavedEndpointList)
+        document = decode_row(response.rows[0], SavedEndpointList)
         position = (
             FencingPosition(document.token, document.sequence) if document else FencingPosition()
         )
         self.source.learn_committed(position, now)
         if self.table is not None:
-            self.source.learn_committed(position_of(found.rows[2]), now)
-        self._receive_document(found.rows[0])
+            self.source.learn_committed(position_of(response.rows[2]), now)
+        self._receive_document(response.rows[0])
         if self.table is not None:
             self.apply_table(None)
         # With rows, only this service's key is watched: the lists of all services are too much
         # traffic for each balancer.
-        await self._watch("list" if self.table is None else self.keys.list, found.revision)
+        await self._watch("list" if self.table is None else self.keys.list, response.revision)
 
     async def follow_confirmations(self) -> None:
         """Watch the confirmations; `follow_list` does not watch them if the list has rows.
@@ -134,9 +134,9 @@
         Raises:
             StoreError: The store did not serve a read or the watch.
         """
-        found = await self.client.get(self.keys.confirmation, stale=True)
-        self._receive_confirmation(found.rows[0])
-        await self._watch(self.keys.confirmation, found.revision)
+        response = await self.client.get(self.keys.confirmation, stale=True)
+        self._receive_confirmation(response.rows[0])
+        await self._watch(self.keys.confirmation, response.revision)
 
     async def _watch(self, prefix: str, revision: int) -> None:
         async for event in self.client.watch(prefix, revision):
--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -100,7 +100,7 @@
             0.0  # time of the discovery response that was published or confirmed last
         )
         self.is_overwritten = False  # whether a program without leases replaced the document
-        self.last_answer_s = 0.0  # time of the last discovery response with a list or a delta
+        self.last_response_s = 0.0  # time of the last discovery response with a list or a delta
         self.min_version = NO_VERSION  # lowest discovery version that may be published
         self.min_version_read_s = 0.0
         self.running: asyncio.Task[None] | None = None
@@ -128,7 +128,7 @@
         if has_failed and not self.lease.active_token:
             return  # a follower's own poll failed; it polls again without the policy's retry
         if not has_failed:
-            self.last_answer_s = time.monotonic()
+            self.last_response_s = time.monotonic()
             if kind is api.EndpointListKind.FULL or endpoints:
                 self.follower.source.is_empty = False
         if self._is_outdated():
@@ -246,13 +246,13 @@
     # ---- publication -----------------------------------------------------------------------------
 
     async def _publish_or_confirm(self) -> None:
-        answer_s = self.last_answer_s
+        response_s = self.last_response_s
         if self.writer is not None:
             # A discovery response without a change counts, too. Without a confirmation, the
             # followers treat the leader as silent after 12 s without changes, and each of them
             # polls discovery for a complete list. (Documents are confirmed only on changes.)
-            answer_s = max(answer_s, self.discovery.answered_s)
-        is_current = answer_s <= self.published_s and not self.is_overwritten
+            response_s = max(response_s, self.discovery.answered_s)
+        is_current = response_s <= self.published_s and not self.is_overwritten
         if self.discovery.version < 0 or is_current or self._is_outdated():
             return
         if self.discovery.version < self.min_version:
@@ -267,10 +267,10 @@
             return
         publish = self._publish_document if self.writer is None else self._publish_rows
         if await publish(token):
-            self.published_s = answer_s
+            self.published_s = response_s
         elif time.monotonic() - self.published_s >= HEARTBEAT_INTERVAL_S:
             await self._confirm(token)
-            self.published_s = answer_s
+            self.published_s = response_s
 
     async def _confirm(self, token: int) -> None:
         self.heartbeat += 1
@@ -281,10 +281,10 @@
         """Return the listed endpoints with these numbers, or all, with canonical addresses."""
         targets = self.driver.upstreams.targets
         if numbers is None:
-            found = list(targets.values())
+            selected = list(targets.values())
         else:
-            found = [targets[number] for number in numbers if number in targets]
-        return self.address_map.to_canonical(target.endpoint for target in found)
+            selected = [targets[number] for number in numbers if number in targets]
+        return self.address_map.to_canonical(target.endpoint for target in selected)
 
     async def _publish_document(self, token: int) -> bool:
         """Write the document if it differs from the last one; return whether it was written."""
@@ -314,14 +314,14 @@
         if self.writer is None:
             return False
         discovery = DiscoveryVersion(self.discovery.version, self.source)
-        has_written = await self.writer.write(self._canonical_endpoints, token, discovery)
+        is_written = await self.writer.write(self._canonical_endpoints, token, discovery)
         self.sequence = self.writer.sequence
         self.published = Publication(token, self.discovery.version)
         self.last_error = ""
-        if self.is_overwritten or (has_written and self.publishes_documents):
+        if self.is_overwritten or (is_written and self.publishes_documents):
             self.is_document_due = True
         if not self.is_document_due:
-            return has_written
+            return is_written
         if self.publishes_documents:
             await self._write_document(
                 token, self.sequence, save_endpoints(self._canonical_endpoints())
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -88,13 +88,15 @@
         Raises:
             StoreError: The store did not serve a read.
         """
-        found = await self.client.get(self.keys.service, self.keys.list)
+        response = await self.client.get(self.keys.service, self.keys.list)
         scanned = await self.client.scan(self.keys.upstreams)
-        self.versions = {row.key: row.version if row.value is not None else 0 for row in found.rows}
+        self.versions = {
+            row.key: row.version if row.value is not None else 0 for row in response.rows
+        }
         self.stored = {
             row.key: (row.version, row.value) for row in scanned.rows if row.value is not None
         }
-        position = _read_list(found.rows[1])
+        position = _read_list(response.rows[1])
         if position is not None and position.token == self.lease.active_token:
             self.sequence = max(self.sequence, position.sequence)
         self.last_position = position
@@ -223,7 +225,7 @@
         self.client = client
         self.keys = RowKeys(service)
         self.version = 0
-        self.from_rows: SavedEndpointList | None = None
+        self.cached_list: SavedEndpointList | None = None
 
     async def read(
         self, document_row: protocol.Row, list_row: protocol.Row, stale: bool = False
@@ -242,10 +244,10 @@
         position = _read_list(list_row)
         if position is None or (document is not None and document.token > position.token):
             return document
-        if self.from_rows is None or self.version != list_row.version:
-            found = await self.client.scan(self.keys.upstreams, stale=stale)
-            endpoints = filter(None, map(_read_endpoint, found.rows))
-            self.from_rows = SavedEndpointList(
+        if self.cached_list is None or self.version != list_row.version:
+            response = await self.client.scan(self.keys.upstreams, stale=stale)
+            endpoints = filter(None, map(_read_endpoint, response.rows))
+            self.cached_list = SavedEndpointList(
                 position.written_at_s,
                 save_endpoints(endpoints),
                 position.token,
@@ -254,7 +256,7 @@
                 position.source,
             )
             self.version = list_row.version
-        return self.from_rows
+        return self.cached_list
 
 
 def position_of(row: protocol.Row) -> FencingPosition:
--- a/loadbalancer/daemon/rolling_restart.py
+++ b/loadbalancer/daemon/rolling_restart.py
@@ -31,7 +31,7 @@
 MAX_EVIDENCE_AGE_S = 10.0  # no step is based on an older report or endpoint list
 # The restart pauses after waiting this long for evidence, for attempts in flight to finish, or for
 # an enabled upstream to be listed.
-PATIENCE_S = 60.0
+PROGRESS_TIMEOUT_S = 60.0
 MIN_SUCCESS_FRACTION = 0.9  # of the success ratio at the start; below this, the restart pauses
 # A start time that is later by less than this is the same start, because clocks are inexact.
 MIN_START_DISTANCE_S = 1.0
@@ -129,8 +129,8 @@
         upstream.number for upstream in restart.upstreams if upstream.phase is Phase.WARMING_UP
     }
     disabled = {upstream.number for upstream in restart.upstreams if upstream.name in view.disabled}
-    own_names = {upstream.name for upstream in restart.upstreams}
-    disabled_by_others = len(view.disabled) - len(own_names & view.disabled)
+    restart_names = {upstream.name for upstream in restart.upstreams}
+    disabled_by_others = len(view.disabled) - len(restart_names & view.disabled)
     not_ready = {number for number, status in view.upstreams.items() if not status.is_ready}
     return len(not_ready | disabled | warming_up) + disabled_by_others
 
@@ -152,7 +152,7 @@
     missing = find_missing_evidence(view)
     if missing:
         # Without evidence, no upstream is disabled, counts as drained, or is enabled again.
-        is_overdue = restart.state is State.RUNNING and without_evidence_s > PATIENCE_S
+        is_overdue = restart.state is State.RUNNING and without_evidence_s > PROGRESS_TIMEOUT_S
         return _pause(restart, missing) if is_overdue else None
     draft = _advance(restart, view)
     if draft.changes:
@@ -167,7 +167,7 @@
     fault = _find_fault(restart, view)
     if fault:
         return _pause(restart, fault)
-    return _measure(restart, view) or _take_next(restart, view)
+    return _record_success_ratio(restart, view) or _start_next_or_end(restart, view)
 
 
 def _abort(restart: RollingRestart, view: FleetView) -> Step:
@@ -226,7 +226,7 @@
     restart: RollingRestart, upstream: UpstreamRestart, view: FleetView
 ) -> str:
     age_s = view.phase_ages_s.get(upstream.name, 0.0)
-    if upstream.phase is Phase.DRAINING and age_s > PATIENCE_S:
+    if upstream.phase is Phase.DRAINING and age_s > PROGRESS_TIMEOUT_S:
         return f"{upstream.name} still has attempts in flight after {age_s:.0f} s"
     if upstream.phase is Phase.DRAINED and age_s > restart.restart_timeout_s:
         return f"{upstream.name} was not restarted in {restart.restart_timeout_s:.0f} s"
@@ -234,7 +234,7 @@
     if (
         upstream.phase is Phase.WARMING_UP
         and is_unlisted
-        and age_s > restart.slow_start_s + PATIENCE_S
+        and age_s > restart.slow_start_s + PROGRESS_TIMEOUT_S
     ):
         return f"{upstream.name} is no longer status, {age_s:.0f} s after it was enabled"
     if upstream.is_out_of_service and upstream.name not in view.disabled:
@@ -242,7 +242,7 @@
     return ""
 
 
-def _measure(restart: RollingRestart, view: FleetView) -> Step | None:
+def _record_success_ratio(restart: RollingRestart, view: FleetView) -> Step | None:
     """Return the step that stores the initial success ratio, once it is known."""
     current = success_ratio(view)
     if restart.success_ratio >= 0 or current is None:
@@ -251,7 +251,7 @@
     return Step(measured, None, f"{current:.1%} of attempts succeed")
 
 
-def _take_next(restart: RollingRestart, view: FleetView) -> Step | None:
+def _start_next_or_end(restart: RollingRestart, view: FleetView) -> Step | None:
     """Return the step that disables the next upstream, or ends the restart after the last one."""
     draft = _Draft(restart, set(view.disabled))
     upstream = _next_upstream(restart, view)
@@ -320,7 +320,7 @@
 
 
 def announce_requests(
-    restart: RollingRestart, token: int, held_s: float, lease_s: float
+    restart: RollingRestart, token: int, lease_held_s: float, lease_s: float
 ) -> Step | None:
     """Return the step that announces the upstreams to which restart requests will be sent.
 
@@ -332,7 +332,7 @@
     Args:
         restart: The stored state.
         token: This leader's fencing token.
-        held_s: How long this leader has held the lease.
+        lease_held_s: How long this leader has held the lease.
         lease_s: Duration of the lease.
     """
     if not restart.restart_path or restart.state is State.ABORTING:
@@ -340,7 +340,7 @@
     draft = _Draft(restart, set())
     for upstream in restart.upstreams:
         is_unannounced = upstream.phase is Phase.DRAINED and upstream.request_token != token
-        if is_unannounced and (not upstream.request_token or held_s >= lease_s):
+        if is_unannounced and (not upstream.request_token or lease_held_s >= lease_s):
             draft.replace(
                 msgspec.structs.replace(upstream, request_token=token),
                 f"{upstream.name} is to be asked to restart",
--- a/loadbalancer/daemon/rolling_restart_controller.py
+++ b/loadbalancer/daemon/rolling_restart_controller.py
@@ -86,8 +86,8 @@
         step = next_step(restart, observation.view, self._without_evidence_s(observation.view))
         token = self.lease.token()
         if step is None:
-            held_s = time.monotonic() - self.acquired_s
-            step = announce_requests(restart, token, held_s, self.lease.ttl_s)
+            lease_held_s = time.monotonic() - self.acquired_s
+            step = announce_requests(restart, token, lease_held_s, self.lease.ttl_s)
         if step is None:
             for upstream in pending_requests(restart, token):
                 await self._request_restart(restart, upstream, observation.view)
--- a/loadbalancer/daemon/rolling_restart_reader.py
+++ b/loadbalancer/daemon/rolling_restart_reader.py
@@ -73,7 +73,7 @@
             StoreError: The store did not serve a read.
         """
         keys = self.keys
-        found = await self.client.get(
+        response = await self.client.get(
             keys.restart,
             keys.disabled,
             keys.list,
@@ -81,7 +81,7 @@
             self.list_reader.keys.list,
             stale=self.stale,
         )
-        restart_row, disabled_row, list_row, confirmation_row, position_row = found.rows
+        restart_row, disabled_row, list_row, confirmation_row, position_row = response.rows
         restart = decode_row(restart_row, RollingRestart)
         reports = await self._read_reports()
         saved = await self.list_reader.read(list_row, position_row, self.stale)
--- a/loadbalancer/daemon/settings.py
+++ b/loadbalancer/daemon/settings.py
@@ -193,7 +193,7 @@
     Raises:
         MalformedError: An address is not valid.
     """
-    fixed = _fixed_list(file.servers) if file.servers else None
+    fixed_list = _fixed_list(file.servers) if file.servers else None
     return Config(
         split_address(file.listen),
         split_address(file.discovery) if file.discovery else ("", 0),
@@ -208,13 +208,13 @@
         file.name,
         file.limits.memory >> 20,
         Path(file.state_folder) if file.state_folder else None,
-        fixed,
+        fixed_list,
     )
 
 
 def _fixed_list(servers: list[ServerSettings]) -> Json:
     """Return the upstreams in the form of a discovery response."""
-    fixed: Json = {
+    fixed_list: Json = {
         "version": 1,
         "full": True,
         "servers": [
@@ -231,9 +231,9 @@
     }
     for server in servers:
         split_address(server.address)
-    if len(read_list(fixed).endpoints) != len(servers):
+    if len(read_list(fixed_list).endpoints) != len(servers):
         raise MalformedError("server: an address must be IP:PORT")
-    return fixed
+    return fixed_list
 
 
 def to_platform_settings(file: SettingsFile) -> Json:
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -162,15 +162,15 @@
         Raises:
             StoreError: The store did not serve a read or the watch.
         """
-        found = await self.client.get(self.keys.plan, self.keys.confirmation, self.keys.tables)
-        plan_row, _, tables_row = found.rows
+        response = await self.client.get(self.keys.plan, self.keys.confirmation, self.keys.tables)
+        plan_row, _, tables_row = response.rows
         plan = decode_row(plan_row, SitePlanDocument)
         self.receiver.learn(
             FencingPosition(plan.token, plan.sequence) if plan else FencingPosition()
         )
         self._receive_plan(plan_row)
         self._receive_tables(tables_row)
-        async for event in self.client.watch(self.keys.prefix, found.revision):
+        async for event in self.client.watch(self.keys.prefix, response.revision):
             for change in event.changes:
                 self._receive(Row(change.key, change.value, change.version, change.revision))
 
@@ -239,5 +239,5 @@
         if report is None or balancer == self.balancer or report.is_isolated:
             evidence.peer_reports.pop(balancer, None)
             return
-        statement = PeerReport(report.site, frozenset(report.answering), frozenset(report.silent))
-        evidence.add_peer_report(balancer, statement, 0, boot_clock_ns())
+        peer_report = PeerReport(report.site, frozenset(report.answering), frozenset(report.silent))
+        evidence.add_peer_report(balancer, peer_report, 0, boot_clock_ns())
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -87,7 +87,7 @@
         self.is_shedding = False
         self.tables_written_s = 0.0
         self.tables_load: float | None = None
-        self.warned: set[frozenset[str]] = set()
+        self.logged_losses: set[frozenset[str]] = set()
 
     def _set_idle_reason(self, reason: str) -> None:
         """Set the reason why no plan is made, and log it if it changed."""
@@ -122,11 +122,14 @@
         _log_transitions(current, decision.states)
         await self._write_plan(observation, decision.states, decision.shares)
         await self._write_tables(observation, decision.fleet)
-        is_usual = all(state.is_normal for state in decision.states)
-        return IDLE_INTERVAL_S if is_usual else ACTIVE_INTERVAL_S
+        all_sites_normal = all(state.is_normal for state in decision.states)
+        return IDLE_INTERVAL_S if all_sites_normal else ACTIVE_INTERVAL_S
 
     async def _write_plan(
-        self, observation: SiteObservation, states: tuple[SiteState, ...], planned: TrafficShares
+        self,
+        observation: SiteObservation,
+        states: tuple[SiteState, ...],
+        planned_shares: TrafficShares,
     ) -> None:
         """Write the plan if its row still has the version that was read, or confirm the plan."""
         token = self.lease.token()
@@ -139,36 +142,38 @@
             states != plan.site_states or observation.sites != plan.sites or token != plan.token
         )
         is_shares_write_due = (
-            now_s - self.written_s >= SHARES_INTERVAL_S or planned == NORMAL_SHARES
+            now_s - self.written_s >= SHARES_INTERVAL_S or planned_shares == NORMAL_SHARES
         )
-        if has_new_states or (planned != plan.traffic_shares and is_shares_write_due):
+        if has_new_states or (planned_shares != plan.traffic_shares and is_shares_write_due):
             self.sequence += 1
             document = SitePlanDocument(
-                token, self.sequence, observation.sites, states, planned, unix_s()
+                token, self.sequence, observation.sites, states, planned_shares, unix_s()
             )
             version = observation.plan_row.version
             await self.lease.write([Op(self.keys.plan, msgspec.json.encode(document), version)])
             self.written_s = now_s
-            self._log_load_shedding(planned)
+            self._log_load_shedding(planned_shares)
         elif now_s - self.written_s >= HEARTBEAT_INTERVAL_S:
             self.heartbeat += 1
             confirmation = LeaderConfirmation(token, self.sequence, self.heartbeat)
             await self.lease.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
             self.written_s = now_s
 
-    def _log_load_shedding(self, planned: TrafficShares) -> None:
-        if planned.excess:
+    def _log_load_shedding(self, planned_shares: TrafficShares) -> None:
+        if planned_shares.excess:
             log.info(
                 "site load shedding: over_quota=%.0f%% retries=%.0f%% hedging=%s classes=%s",
-                100 * planned.excess,
-                100 * planned.retries,
-                "on" if planned.allows_hedging else "off",
-                ",".join(f"{name}:{fraction:.0%}" for name, fraction in planned.classes.items())
+                100 * planned_shares.excess,
+                100 * planned_shares.retries,
+                "on" if planned_shares.allows_hedging else "off",
+                ",".join(
+                    f"{name}:{fraction:.0%}" for name, fraction in planned_shares.classes.items()
+                )
                 or "none",
             )
         elif self.is_shedding:
             log.info("site load shedding ended")
-        self.is_shedding = bool(planned.excess)
+        self.is_shedding = bool(planned_shares.excess)
 
     # ---- precomputed losses ----------------------------------------------------------------------
 
@@ -176,17 +181,17 @@
         """Compute and write the plan for each loss, while all sites are in normal service."""
         now_s = time.monotonic()
         load = sum(entry.rate for entry in fleet.loads)
-        is_usual = all(state.is_normal for state in observation.plan.site_states)
+        all_sites_normal = all(state.is_normal for state in observation.plan.site_states)
         is_due = self._has_load_changed(load) and now_s - self.tables_written_s >= TABLES_INTERVAL_S
-        if not load or not is_due or not is_usual:
+        if not load or not is_due or not all_sites_normal:
             return
         # The computation runs in a thread, because it would block the event loop for too long.
-        computed = await asyncio.to_thread(plans_for_losses, fleet)
-        self._warn_of_losses_over_capacity(computed)
+        loss_plans = await asyncio.to_thread(plans_for_losses, fleet)
+        self._warn_of_losses_over_capacity(loss_plans)
         reports = observation.snapshot.reports
         rows = await asyncio.to_thread(
             lambda: tuple(
-                loss_table(fleet, plan, reports) for plan in computed.values() if plan.lost
+                loss_table(fleet, plan, reports) for plan in loss_plans.values() if plan.lost
             )
         )
         document = LossTablesDocument(
@@ -206,17 +211,17 @@
         return abs(load - previous) > TABLES_LOAD_CHANGE * max(1.0, previous)
 
     def _warn_of_losses_over_capacity(
-        self, computed: Mapping[frozenset[str], FailoverPlan]
+        self, loss_plans: Mapping[frozenset[str], FailoverPlan]
     ) -> None:
         """Log each loss that newly exceeds the capacity of the remaining sites."""
-        over_capacity = set(losses_over_capacity(computed))
-        for lost in sorted(over_capacity - self.warned, key=sorted):
+        over_capacity = set(losses_over_capacity(loss_plans))
+        for lost in sorted(over_capacity - self.logged_losses, key=sorted):
             log.warning(
                 "site loss exceeds capacity: lost=%s value_left=%.0f%%",
                 ",".join(sorted(lost)),
-                100 * computed[lost].served.fraction,
+                100 * loss_plans[lost].served.fraction,
             )
-        self.warned = over_capacity
+        self.logged_losses = over_capacity
 
 
 def _log_transitions(before: tuple[SiteState, ...], after: tuple[SiteState, ...]) -> None:
@@ -247,7 +252,7 @@
         {origin: dict(targets) for origin, targets in plan.shares.items()},
         plan.shedding.level,
         round(plan.shedding.fraction, 4),
-        {site: round(one, 4) for site, one in plan.utilisation.items()},
+        {site: round(ratio, 4) for site, ratio in plan.utilisation.items()},
         round(plan.served.value, 3),
         round(plan.served.normal_value, 3),
         replace(shares, quotas={}),
--- a/loadbalancer/daemon/site_reader.py
+++ b/loadbalancer/daemon/site_reader.py
@@ -78,14 +78,14 @@
             StoreError: The store did not serve a read.
             MalformedError: The operators' description of the sites is not valid.
         """
-        found = await self.client.get(
+        response = await self.client.get(
             self.keys.plan,
             document_key(self.document),
             f"list/{self.service}",
             f"listed/{self.service}",
             self.list_reader.keys.list,
         )
-        plan_row, sites_row, list_row, confirmation_row, position_row = found.rows
+        plan_row, sites_row, list_row, confirmation_row, position_row = response.rows
         reports, report_keys = await self._read_reports()
         sites: dict[str, SiteCapacity] = {}
         if sites_row.value is not None:
--- a/loadbalancer/daemon/snapshot_sync.py
+++ b/loadbalancer/daemon/snapshot_sync.py
@@ -78,11 +78,11 @@
             with suppress(TimeoutError):
                 async with asyncio.timeout(START_TIMEOUT_S):
                     await table.received.wait()
-        found = await self.monitor.client.get(
+        response = await self.monitor.client.get(
             self.list_key, self.learned_key, stale=True, timeout_s=START_TIMEOUT_S
         )
         self.monitor.mark_available()
-        list_row, learned_row = found.rows
+        list_row, learned_row = response.rows
         self._restore_list(list_row)
         self._restore_learned_state(learned_row)
 
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -241,12 +241,12 @@
         loop = asyncio.get_running_loop()
         if self.feed is not None:
             self.feed.start()
-        self.tasks = [loop.create_task(self.monitor.run(work)) for work in self._works()]
+        self.tasks = [loop.create_task(self.monitor.run(work)) for work in self._work_items()]
         for lease in self._leases:
             lease.start()
 
-    def _works(self) -> list[Work]:
-        works: list[Work] = [
+    def _work_items(self) -> list[Work]:
+        work_items: list[Work] = [
             self._restore,
             self.disabled_sync.follow,
             self.disabled_sync.publish,
@@ -256,14 +256,14 @@
         ]
         if self.publisher is not None:
             follower = self.publisher.follower
-            works += [follower.follow_list, follower.poll_while_leader_is_silent]
+            work_items += [follower.follow_list, follower.poll_while_leader_is_silent]
             if self.feed is not None:
-                works.append(follower.follow_confirmations)
+                work_items.append(follower.follow_confirmations)
         if self.settings_sync is not None:
-            works.append(self.settings_sync.follow)
+            work_items.append(self.settings_sync.follow)
         if self.site_agent is not None:
-            works += [self.site_agent.observe, self.site_agent.report, self.site_agent.follow]
-        return works
+            work_items += [self.site_agent.observe, self.site_agent.report, self.site_agent.follow]
+        return work_items
 
     async def _restore(self) -> None:
         await self.snapshot_sync.restore(self._table)
--- a/loadbalancer/daemon/store_monitor.py
+++ b/loadbalancer/daemon/store_monitor.py
@@ -66,12 +66,12 @@
             StoreError: The store did not serve a read or the watch.
         """
         while True:
-            found = await self.client.get(key, stale=True)
+            response = await self.client.get(key, stale=True)
             self.mark_available()
-            row = found.rows[0]
+            row = response.rows[0]
             await on_value(row.value, row.version)
             with suppress(WatchCompactedError):
-                async for event in self.client.watch(key, found.revision):
+                async for event in self.client.watch(key, response.revision):
                     self.mark_available()
                     for change in event.changes:
                         if change.key == key:
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -53,7 +53,7 @@
 from loadbalancer.store.lease_client import boot_clock_ns
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.real import RealCluster
-from tests.daemon.test_state_sync import FakeDriver, answered, until
+from tests.daemon.test_state_sync import FakeDriver, connect_when_ready, until
 from tests.fakes import FakeDiscovery, FakeUpstream, Observable, free_port, run
 from tests.store.test_node import Cluster, cluster
 
@@ -79,7 +79,7 @@
 # ---- encoding of rows ----------------------------------------------------------------------------
 
 
-def test_a_row_holds_what_discovery_reported_and_encodes_deterministically() -> None:
+def test_a_row_round_trips_discoverys_entry_and_encodes_deterministically() -> None:
     endpoint = upstream(state="Terminating", weight=0.35)
     value = row_codec.encode_upstream(endpoint)
     assert row_codec.to_endpoint(row_codec.decode_upstream(value)) == endpoint
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, why",
+    "value, expected_error",
     [
         (b"\xc1", "MessagePack"),
         (encode(("x",)), "length"),
@@ -112,12 +112,12 @@
         (encode(UpstreamRow(8, "::1", 80, "", "", 0, 1, 0, False)), "its id is 0000000000000008"),
     ],
 )
-def test_a_row_that_can_not_be_decoded_is_rejected_in_one_line(value: bytes, why: str) -> None:
+def test_an_invalid_row_is_rejected_in_one_line(value: bytes, expected_error: str) -> None:
     error = find_row_error(SCOPE, Row(f"upstream/{7:016x}", 1, value))
-    assert why in error and "\n" not in error
+    assert expected_error in error and "\n" not in error
 
 
-def test_a_row_of_a_later_version_is_accepted_where_its_known_fields_decode() -> None:
+def test_a_row_with_additional_fields_is_accepted() -> None:
     value = encode((*msgspec.msgpack.decode(row_codec.encode_upstream(upstream())), "rack-9"))
     key = f"upstream/{upstream_number('box-7'):016x}"
     assert find_row_error(SCOPE, Row(key, 1, value)) == ""
@@ -139,7 +139,7 @@
         replace(upstream(), host="name.svc"),
     ],
 )
-def test_an_upstream_that_can_not_be_a_row_is_a_one_line_error(bad: Endpoint) -> None:
+def test_an_upstream_that_can_not_be_encoded_is_a_one_line_error(bad: Endpoint) -> None:
     with pytest.raises(MalformedError, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
         row_codec.encode_upstream(bad)
 
@@ -253,45 +253,48 @@
         assert self.state_sync.publisher is not None
         self.publisher = self.state_sync.publisher
         list_lease = self.state_sync.list_lease
-        list_lease.on_tenure(self.began, self.ended)
+        list_lease.on_tenure(self.on_term_began, self.on_term_ended)
         if discovery is None:  # this balancer must not acquire the list's lease
             list_lease.start = lambda: None  # type: ignore[method-assign]
         self.state_sync.start()
 
-    def began(self, token: int) -> None:
+    def on_term_began(self, token: int) -> None:
         self.publisher.on_lease_acquired(token)
         self.notify()
 
-    def ended(self) -> None:
+    def on_term_ended(self) -> None:
         self.publisher.on_lease_lost()
         self.notify()
 
     @property
-    def known(self) -> dict[int, api.UpstreamState]:
+    def listed_states(self) -> dict[int, api.UpstreamState]:
         return {n: t.endpoint.entry.state for n, t in self.driver.upstreams.targets.items()}
 
-    async def leads(self) -> RowBalancer:
+    async def wait_until_leader(self) -> RowBalancer:
         await self.until(lambda: self.state_sync.list_lease.active_token)
         return self
 
-    async def knows(self, *rows: Json) -> None:
+    async def wait_for_list(self, *rows: Json) -> None:
         desired = {e.entry.id: e.entry.state for e in map(read_endpoint, rows)}
-        await self.until(lambda: self.known == desired)
+        await self.until(lambda: self.listed_states == desired)
 
     async def close(self) -> None:
         self.discovery.close()
         await self.state_sync.close()
 
-    async def die(self) -> None:
+    async def crash(self) -> None:
         """Stop like a killed process, without releasing any lease."""
         self.discovery.close()
         self.publisher.close()
-        owners = (
+        held_leases = (
             self.state_sync.name_lease,
             self.state_sync.list_lease,
             self.state_sync.rolling_restart.lease,
         )
-        for task in (*self.state_sync.tasks, *(t for owner in owners for t in owner.tasks)):
+        for task in (
+            *self.state_sync.tasks,
+            *(t for held_lease in held_leases for t in held_lease.tasks),
+        ):
             task.cancel()
         if self.state_sync.feed is not None:
             await self.state_sync.feed.close()
@@ -317,14 +320,14 @@
 
 def test_a_follower_turns_rows_into_lists_and_deltas() -> None:
     async def test() -> None:
-        driver, owner = RowDriver(lambda: None), SimpleNamespace(active_token=0)
+        driver, held_lease = RowDriver(lambda: None), SimpleNamespace(active_token=0)
         discovery = Discovery(cast(Any, driver), ("127.0.0.1", 1), 1)
-        writer = RowWriter(cast(Any, None), cast(Any, owner), "orders")
+        writer = RowWriter(cast(Any, None), cast(Any, held_lease), "orders")
         context = EndpointListContext(
             cast(Any, driver),
             discovery,
             cast(Any, None),
-            cast(Any, owner),
+            cast(Any, held_lease),
             "orders",
             AddressMap({"127.0.0.1:9001": "127.0.0.2:19001"}),
         )
@@ -349,8 +352,8 @@
             feed_update(position(3, 10), server("s-3", "Gone"), server("never there", "Gone"))
         )
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
-        dialled = driver.upstreams.targets[upstream_number("s-1")].endpoint
-        assert (dialled.host, dialled.port) == ("127.0.0.2", 19001)
+        dialed = driver.upstreams.targets[upstream_number("s-1")].endpoint
+        assert (dialed.host, dialed.port) == ("127.0.0.2", 19001)
         # Rows of an earlier leader, as a lagging node may send them, are ignored, and so is an
         # empty list.
         follower.apply_rows(feed_update(position(2, 99), server("s-4"), is_snapshot=True))
@@ -360,11 +363,11 @@
         assert kinds() == [(api.EndpointListKind.FULL, 1)]
         # Rows of the next leader that arrive during this process's own term are applied when the
         # term ends.
-        owner.active_token, publisher.published = 4, Publication(4, 1, [])
+        held_lease.active_token, publisher.published = 4, Publication(4, 1, [])
         follower.apply_rows(feed_update(position(4, 1), server("s-5")))
         follower.apply_rows(feed_update(position(5, 1), server("s-6")))
         assert kinds() == []
-        owner.active_token = 0
+        held_lease.active_token = 0
         publisher.on_lease_lost()
         assert kinds() == [(api.EndpointListKind.FULL, 3)] and follower.mirrors_table
         publisher.published = Publication(6, 1, [])
@@ -384,8 +387,8 @@
         self.writes: dict[int, int] = {}  # revision -> number of upstream rows it changed
         self.revision = 0
 
-    async def until(self, holds: Callable[[], object]) -> None:
-        if holds():
+    async def until(self, condition: Callable[[], object]) -> None:
+        if condition():
             return
         async for event in self.client.watch(KEYS.prefix, self.revision):
             self.revision = event.revision
@@ -399,10 +402,10 @@
                         del self.rows[number]
                     else:
                         self.rows[number] = row_codec.decode_upstream(change.value)
-            if holds():
+            if condition():
                 return
 
-    async def are(self, *desired: Json) -> None:
+    async def wait_for_rows(self, *desired: Json) -> None:
         """Wait until the store has exactly these rows."""
         now = {e.entry.id: row_codec.upstream_row(e) for e in map(read_endpoint, desired)}
         await self.until(lambda: self.rows == now)
@@ -428,27 +431,27 @@
             discovery,
             stored,
         ):
-            one = await RowBalancer(c, "one", discovery).leads()
-            two = RowBalancer(c, "two", None)
-            await two.knows(*discovery.rows)
-            assert two.driver.lists[-1][0] is api.EndpointListKind.FULL
-            await stored.are(*discovery.rows)
-            lists, writes = len(two.driver.lists), len(stored.writes)
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(c, "two", None)
+            await balancer_b.wait_for_list(*discovery.rows)
+            assert balancer_b.driver.lists[-1][0] is api.EndpointListKind.FULL
+            await stored.wait_for_rows(*discovery.rows)
+            lists, writes = len(balancer_b.driver.lists), len(stored.writes)
             client, reader = c.client(), RollingRestartReader(c.client(), "orders")
             assert len((await reader.read()).view.upstreams) == 40
             discovery.change(server("s-7", "Terminating"))
-            await two.knows(*discovery.rows)
+            await balancer_b.wait_for_list(*discovery.rows)
             discovery.change(server("s-8", "Gone"), server("s-new"))
-            await two.knows(*discovery.rows)
-            await stored.are(*discovery.rows)
+            await balancer_b.wait_for_list(*discovery.rows)
+            await stored.wait_for_rows(*discovery.rows)
             assert list(stored.writes.values())[writes:] == [1, 2]
-            drained, went = two.driver.lists[lists:]
+            drained, removal = balancer_b.driver.lists[lists:]
             assert drained == (
                 api.EndpointListKind.DELTA,
                 [read_endpoint(server("s-7", "Terminating"))],
             )
-            assert went[0] is api.EndpointListKind.DELTA and {
-                e.entry.id: e.entry.state for e in went[1]
+            assert removal[0] is api.EndpointListKind.DELTA and {
+                e.entry.id: e.entry.state for e in removal[1]
             } == {
                 upstream_number("s-8"): api.UpstreamState.REMOVED,
                 upstream_number("s-new"): api.UpstreamState.READY,
@@ -456,12 +459,12 @@
             # An observer reads the same list, and there is no document.
             view = (await reader.read()).view
             assert {n: b.is_ready for n, b in view.upstreams.items()} == {
-                n: state is api.UpstreamState.READY for n, state in two.known.items()
+                n: state is api.UpstreamState.READY for n, state in balancer_b.listed_states.items()
             }
             assert (await client.get("list/orders")).rows[0].value is None
             with pytest.raises(RejectedError, match="names"):
                 await client.write_rows([Op(KEYS.service, None)])
-            for balancer in (one, two):
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
 
     run(test())
@@ -472,14 +475,16 @@
 ) -> None:
     async def test() -> None:
         async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            two = RowBalancer(c, "two", None)
-            await two.knows(*discovery.rows)
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(c, "two", None)
+            await balancer_b.wait_for_list(*discovery.rows)
             for _ in range(2):
-                last_message_ns = two.publisher.follower.source.last_message_ns
-                await until(lambda: two.publisher.follower.source.last_message_ns > last_message_ns)  # noqa: B023
-            assert len(stored.writes) <= 1 and not two.publisher.follower.source.is_polling
-            for balancer in (one, two):
+                last_message_ns = balancer_b.publisher.follower.source.last_message_ns
+                await until(
+                    lambda: balancer_b.publisher.follower.source.last_message_ns > last_message_ns  # noqa: B023
+                )
+            assert len(stored.writes) <= 1 and not balancer_b.publisher.follower.source.is_polling
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
 
     monkeypatch.setattr(endpoint_publisher, "HEARTBEAT_INTERVAL_S", 0.05)
@@ -493,24 +498,24 @@
     async def test() -> None:
         upstreams = [server(f"s-{n}", zone="gone" if n < 600 else "stays") for n in range(700)]
         async with fleet(tmp_path, *upstreams) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            await stored.are(*upstreams)
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+            await stored.wait_for_rows(*upstreams)
             assert len(stored.writes) == 3  # of at most 256 operations
             discovery.change(*({**b, "state": "Gone"} for b in upstreams[:600]))
-            await stored.are(*upstreams[600:])
+            await stored.wait_for_rows(*upstreams[600:])
             assert len(stored.writes) == 6 and sum(stored.writes.values()) == 1300
-            await one.close()
+            await balancer_a.close()
 
     run(test())
 
 
-def stop_before_write(balancer: RowBalancer, write: int) -> tuple[asyncio.Event, asyncio.Event]:
+def suspend_before_write(balancer: RowBalancer, write: int) -> tuple[asyncio.Event, asyncio.Event]:
     """Suspend the balancer's client just before the row write with this number.
 
     The first returned event is set when the client is suspended. Setting the second event resumes
     the client.
     """
-    stopped, on, count = asyncio.Event(), asyncio.Event(), 0
+    suspended, resume, count = asyncio.Event(), asyncio.Event(), 0
     client = balancer.state_sync.client
     write_rows = client.write_rows
 
@@ -518,33 +523,35 @@
         nonlocal count
         count += 1
         if count == write:
-            stopped.set()
-            await on.wait()
+            suspended.set()
+            await resume.wait()
         return await write_rows(*args, **more)
 
     client.write_rows = stop  # type: ignore[method-assign]
-    return stopped, on
+    return suspended, resume
 
 
 def test_the_next_leader_completes_an_interrupted_publication(tmp_path: Path) -> None:
     async def test() -> None:
         upstreams = [server(f"s-{n}") for n in range(600)]
         async with fleet(tmp_path, *upstreams) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            stopped, _ = stop_before_write(one, 2)
-            await stopped.wait()
-            two = RowBalancer(c, "two", discovery)
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+            suspended, _ = suspend_before_write(balancer_a, 2)
+            await suspended.wait()
+            balancer_b = RowBalancer(c, "two", discovery)
             await stored.until(lambda: len(stored.rows) == 254)
-            await one.die()
-            await two.leads()
-            await stored.are(*upstreams)
+            await balancer_a.crash()
+            await balancer_b.wait_until_leader()
+            await stored.wait_for_rows(*upstreams)
             assert list(stored.writes.values()) == [254, 254, 92]  # stored rows are not rewritten
-            three = RowBalancer(c, "three", discovery)
-            await two.close()
-            await three.leads()
-            await stored.until(lambda: stored.token == three.state_sync.list_lease.active_token)
+            balancer_c = RowBalancer(c, "three", discovery)
+            await balancer_b.close()
+            await balancer_c.wait_until_leader()
+            await stored.until(
+                lambda: stored.token == balancer_c.state_sync.list_lease.active_token
+            )
             assert len(stored.writes) == 3  # only the new leader's position was written
-            await three.close()
+            await balancer_c.close()
 
     run(test())
 
@@ -552,17 +559,19 @@
 def test_the_next_leader_does_not_publish_an_older_list(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
             discovery.change(server("s-2"))
-            await stored.are(*discovery.rows)
-            await one.close()
+            await stored.wait_for_rows(*discovery.rows)
+            await balancer_a.close()
             discovery.version, discovery.rows = 1, [server("s-1")]  # like a lagging replica
-            two = await RowBalancer(c, "two", discovery).leads()
-            await until(lambda: two.discovery.version == 1 and two.publisher.min_version == 2)
+            balancer_b = await RowBalancer(c, "two", discovery).wait_until_leader()
+            await until(
+                lambda: balancer_b.discovery.version == 1 and balancer_b.publisher.min_version == 2
+            )
             discovery.change(server("s-2"), server("s-3"))
-            await stored.are(*discovery.rows)
+            await stored.wait_for_rows(*discovery.rows)
             assert sum(stored.writes.values()) == 3  # s-2 was not deleted in between
-            await two.close()
+            await balancer_b.close()
 
     run(test())
 
@@ -572,29 +581,31 @@
 ) -> None:
     async def test() -> None:
         async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            await stored.are(*discovery.rows)
-            stopped, on = stop_before_write(one, 1)
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+            await stored.wait_for_rows(*discovery.rows)
+            suspended, resume = suspend_before_write(balancer_a, 1)
             discovery.change(server("s-1", "Terminating"))
-            await stopped.wait()  # the lease was checked, but the write is not sent yet
-            owned = one.publisher.running
-            assert owned is not None
-            one.publisher.running = None  # so the task is not cancelled, as in a suspended process
-            two = RowBalancer(c, "two", discovery)
+            await suspended.wait()  # the lease was checked, but the write is not sent yet
+            term_task = balancer_a.publisher.running
+            assert term_task is not None
+            balancer_a.publisher.running = (
+                None  # so the task is not cancelled, as in a suspended process
+            )
+            balancer_b = RowBalancer(c, "two", discovery)
             await c.client().release(
-                Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
+                Release("work/list/orders", balancer_a.state_sync.list_lease.holder.claim), 5.0
             )
-            await two.leads()
+            await balancer_b.wait_until_leader()
             discovery.change(server("s-1"), server("s-2", "Gone"))
-            await stored.are(server("s-1"))
+            await stored.wait_for_rows(server("s-1"))
             writes = len(stored.writes)
-            on.set()
-            await asyncio.wait((owned,))
-            assert one.state_sync.list_lease.fenced_writes == 1
-            await stored.are(server("s-1"))
+            resume.set()
+            await asyncio.wait((term_task,))
+            assert balancer_a.state_sync.list_lease.fenced_writes == 1
+            await stored.wait_for_rows(server("s-1"))
             assert len(stored.writes) == writes
-            await one.close()
-            await two.close()
+            await balancer_a.close()
+            await balancer_b.close()
 
     run(test())
     assert "fenced write rejected" in caplog.text
@@ -605,28 +616,28 @@
         async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, first, stored):
             second = FakeDiscovery([server("s-1"), server("s-3")])
             await second.start()
-            one = await RowBalancer(c, "one", first).leads()
-            await stored.are(*first.rows)
-            two = RowBalancer(c, "two", second)
-            await two.knows(*first.rows)
+            balancer_a = await RowBalancer(c, "one", first).wait_until_leader()
+            await stored.wait_for_rows(*first.rows)
+            balancer_b = RowBalancer(c, "two", second)
+            await balancer_b.wait_for_list(*first.rows)
             first.silent = True
             await c.client().release(
-                Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
+                Release("work/list/orders", balancer_a.state_sync.list_lease.holder.claim), 5.0
             )
-            await two.leads()
-            await one.knows(*second.rows)
-            lists = len(one.driver.lists)
+            await balancer_b.wait_until_leader()
+            await balancer_a.wait_for_list(*second.rows)
+            lists = len(balancer_a.driver.lists)
             second.change(server("s-3", "Terminating"))
-            await one.knows(*second.rows)
-            assert one.driver.lists[lists:] == [
+            await balancer_a.wait_for_list(*second.rows)
+            assert balancer_a.driver.lists[lists:] == [
                 (api.EndpointListKind.DELTA, [read_endpoint(server("s-3", "Terminating"))])
             ]
             first.silent = False
-            one.discovery.fetch()  # as while the leader is silent
-            await one.knows(*first.rows)
+            balancer_a.discovery.fetch()  # as while the leader is silent
+            await balancer_a.wait_for_list(*first.rows)
             second.change(server("s-4"))
-            await one.knows(*second.rows)
-            for balancer in (one, two):
+            await balancer_a.wait_for_list(*second.rows)
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
             second.stop()
 
@@ -638,20 +649,20 @@
 ) -> None:
     async def test() -> None:
         async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            two = RowBalancer(c, "two", None)
-            await two.knows(*discovery.rows)
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(c, "two", None)
+            await balancer_b.wait_for_list(*discovery.rows)
             client = c.client()
             key = KEYS.upstream(upstream_number("s-1"))
             await client.write_rows([Op(key, encode(("of", "another", "program")))], [()])
             discovery.change(server("s-2", "Terminating"))
-            await two.knows(server("s-1"), server("s-2", "Terminating"))
+            await balancer_b.wait_for_list(server("s-1"), server("s-2", "Terminating"))
             async with asyncio.timeout(10):
                 while (feed := (await client.status())["feed"])["refusals"] < 2:
                     await asyncio.sleep(0.01)  # the acknowledgement is in flight
             refusals = [(r["name"], *r["refusal"][:2]) for r in feed["refused"]]
             assert sorted(refusals) == [(name, SCOPE, split_key(key)[1]) for name in ("one", "two")]
-            for balancer in (one, two):
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
 
     run(test())
@@ -663,21 +674,21 @@
 ) -> None:
     async def test() -> None:
         async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            await stored.are(*discovery.rows)
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+            await stored.wait_for_rows(*discovery.rows)
             discovery.change(server("s-2"), server("s-3", zone="z" * MAX_ROW_BYTES))
-            await until(lambda: bool(one.publisher.last_error))
-            two = RowBalancer(c, "two", None)
-            await two.knows(server("s-1"))
+            await until(lambda: bool(balancer_a.publisher.last_error))
+            balancer_b = RowBalancer(c, "two", None)
+            await balancer_b.wait_for_list(server("s-1"))
             discovery.change(server("s-3"))
-            await two.knows(*discovery.rows)
-            module = two.driver.module
+            await balancer_b.wait_for_list(*discovery.rows)
+            module = balancer_b.driver.module
             module.handle(
                 time.monotonic_ns(),
                 [
                     api.EndpointsUpdated(
                         api.EndpointListKind.FULL,
-                        [t.endpoint.entry for t in two.driver.upstreams.targets.values()],
+                        [t.endpoint.entry for t in balancer_b.driver.upstreams.targets.values()],
                     )
                 ],
             )
@@ -685,21 +696,23 @@
                 module.concurrency.service_times["q"],
                 module.upstream_set.upstreams[upstream_number("s-2")].relative_service_time,
             ) = 5e6, 3.0
-            await until(lambda: bool(two.state_sync.name_lease.token()))
-            await one.close()
-            await two.close()
-            again = RowBalancer(c, "two", None)
-            await again.knows(*discovery.rows)
+            await until(lambda: bool(balancer_b.state_sync.name_lease.token()))
+            await balancer_a.close()
+            await balancer_b.close()
+            restarted = RowBalancer(c, "two", None)
+            await restarted.wait_for_list(*discovery.rows)
             # The learned state is restored after the list, for the same start of each upstream.
-            await until(lambda: bool(again.driver.posted))
-            (learnt,) = again.driver.posted
-            assert isinstance(learnt, api.LearnedState) and learnt.relative_service_times[
+            await until(lambda: bool(restarted.driver.posted))
+            (learned,) = restarted.driver.posted
+            assert isinstance(learned, api.LearnedState) and learned.relative_service_times[
                 upstream_number("s-2")
             ] == (
                 3.0,
-                again.driver.upstreams.targets[upstream_number("s-2")].endpoint.entry.started_ns,
+                restarted.driver.upstreams.targets[
+                    upstream_number("s-2")
+                ].endpoint.entry.started_ns,
             )
-            await again.close()
+            await restarted.close()
 
     run(test())
     assert caplog.text.count("endpoint list not published: key=list/orders error=upstream") == 1
@@ -708,15 +721,15 @@
 def test_a_restored_store_is_followed_from_its_new_leaders_first_write(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            two = RowBalancer(c, "two", None)
-            await two.knows(*discovery.rows)
+            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(c, "two", None)
+            await balancer_b.wait_for_list(*discovery.rows)
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
                 await c.client().read_backup(file.write)
             discovery.change(server("s-2", "Gone"), server("s-3"))
-            await two.knows(*discovery.rows)
-            lists = len(two.driver.lists)
+            await balancer_b.wait_for_list(*discovery.rows)
+            lists = len(balancer_b.driver.lists)
             await c.stop(0)
             path = tmp_path / "restored.toml"
             path.write_text((tmp_path / "0.toml").read_text().replace('"n0"', '"restored"'))
@@ -724,14 +737,14 @@
             running.restore(c.settings[0], copy)
             await c.begin(0)
             discovery.change(server("s-4"))
-            await two.knows(*discovery.rows)
+            await balancer_b.wait_for_list(*discovery.rows)
             # The backup's rows are older than those received: s-2 must not reappear.
             assert all(
                 upstream_number("s-2") != e.entry.id or e.entry.state is api.UpstreamState.REMOVED
-                for _, endpoints in two.driver.lists[lists:]
+                for _, endpoints in balancer_b.driver.lists[lists:]
                 for e in endpoints
             )
-            for balancer in (one, two):
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
 
     run(test())
@@ -771,17 +784,17 @@
             processes.append(await begin(store, "one", discovery.port, free_port()))
             client = store.client()
             stored = StoredRows(client)
-            await stored.are(first.row())
+            await stored.wait_for_rows(first.row())
             port = free_port()
             processes.append(await begin(store, "two", free_port(), port))
-            connection = await answered(port)
+            connection = await connect_when_ready(port)
             async with asyncio.timeout(10):
                 for number in itertools.count():  # requests are rejected until there is an upstream
                     if (await connection.ask(f"r{number}")).body == b"s-0":
                         break
                     await asyncio.sleep(0.01)
             discovery.change(first.row("Gone"), second.row())
-            await stored.are(second.row())
+            await stored.wait_for_rows(second.row())
             revision = max(stored.writes)
             async with asyncio.timeout(10):
                 while any(at < revision for at, _ in (await client.status())["feed"]["reached"]):
@@ -802,44 +815,49 @@
 # ---- fleets with balancers without row support ---------------------------------------------------
 
 
-async def document_is_deleted(c: Cluster) -> None:
+async def wait_for_document_deletion(c: Cluster) -> None:
     async for event in c.client().watch("list/orders", 0):
         if any(change.value is None for change in event.changes):
             return
 
 
-def test_of_rows_and_documents_those_of_the_later_leader_are_followed(tmp_path: Path) -> None:
+def test_followers_use_the_rows_or_the_document_of_the_later_leader(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            old = await RowBalancer(c, "old", discovery, rows=False).leads()
-            new, plain = RowBalancer(c, "new", None), RowBalancer(c, "plain", None, rows=False)
-            await new.knows(server("s-1"))  # from the document
+            document_leader = await RowBalancer(c, "old", discovery, rows=False).wait_until_leader()
+            rows_follower, document_follower = (
+                RowBalancer(c, "new", None),
+                RowBalancer(c, "plain", None, rows=False),
+            )
+            await rows_follower.wait_for_list(server("s-1"))  # from the document
             assert not stored.rows
-            await old.close()
-            await new.close()
-            both = await RowBalancer(c, "both", discovery, documents=True).leads()
-            new = RowBalancer(c, "new", None)
+            await document_leader.close()
+            await rows_follower.close()
+            dual_leader = await RowBalancer(
+                c, "both", discovery, documents=True
+            ).wait_until_leader()
+            rows_follower = RowBalancer(c, "new", None)
             discovery.change(server("s-2"))
-            await new.knows(*discovery.rows)
-            await plain.knows(*discovery.rows)
-            await both.close()
-            alone = await RowBalancer(c, "alone", discovery).leads()
+            await rows_follower.wait_for_list(*discovery.rows)
+            await document_follower.wait_for_list(*discovery.rows)
+            await dual_leader.close()
+            rows_leader = await RowBalancer(c, "alone", discovery).wait_until_leader()
             discovery.change(server("s-3"))
-            await new.knows(*discovery.rows)
+            await rows_follower.wait_for_list(*discovery.rows)
             # An outdated document would be used by a starting balancer without row support.
-            await document_is_deleted(c)
-            await alone.close()
-            old = await RowBalancer(c, "old", discovery, rows=False).leads()
+            await wait_for_document_deletion(c)
+            await rows_leader.close()
+            document_leader = await RowBalancer(c, "old", discovery, rows=False).wait_until_leader()
             discovery.change(server("s-1", "Gone"))
-            await new.knows(*discovery.rows)
-            for balancer in (old, new, plain):
+            await rows_follower.wait_for_list(*discovery.rows)
+            for balancer in (document_leader, rows_follower, document_follower):
                 await balancer.close()
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    "text, why",
+    "text, expected_error",
     [
         ("documents = true", "store.documents: goes with rows alone"),
         (
@@ -849,8 +867,10 @@
         ("rows = 1", "rows"),
     ],
 )
-def test_contradicting_settings_are_a_one_line_error(tmp_path: Path, text: str, why: str) -> None:
+def test_contradicting_settings_are_a_one_line_error(
+    tmp_path: Path, text: str, expected_error: str
+) -> None:
     path = tmp_path / "b.toml"
     path.write_text(f"[store]\naddresses = ['127.0.0.1:1']\nservice = 'orders'\n{text}\n")
-    with pytest.raises(MalformedError, match=rf"{why}[^\n]*\Z"):
+    with pytest.raises(MalformedError, match=rf"{expected_error}[^\n]*\Z"):
         read_bootstrap(path)
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -39,10 +39,10 @@
     return " ".join(result.output.split())
 
 
-def test_progress_adds_up_over_all_members(tmp_path: Path) -> None:
+def test_progress_is_summed_over_all_members(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
-            some = [
+            feed_balancers = [
                 Balancer([c.settings[p].advertise], [ORDERS], f"b{p}.{i}")
                 for p in c.settings
                 for i in range(p + 1)
@@ -53,7 +53,7 @@
                 0,
                 f"revision {revision} is in force on 6 balancers, after ",
             ), waited.output
-            assert all(one.value(ORDERS, "upstream/a") == b"1" for one in some)
+            assert all(balancer.value(ORDERS, "upstream/a") == b"1" for balancer in feed_balancers)
             shown = await feed(c, "status", "--revision", str(revision))
             assert f"revision {revision} is in force on 6 of 6 balancers" in plain(shown)
             shown_json = json.loads((await feed(c, "status", "--json")).output)
@@ -71,12 +71,12 @@
             early = await feed(c, "wait", str(revision + 1000), "--within", "200ms")
             assert early.exit_code == 1 and f"is itself at {revision}" in str(early.exception)
             assert "on 6 of 6 balancers" in str(early.exception)
-            await leave(*some)
+            await leave(*feed_balancers)
 
     run(test)
 
 
-def test_a_lagging_balancer_is_named_in_the_one_line_of_a_failed_wait(tmp_path: Path) -> None:
+def test_a_failed_wait_names_the_lagging_balancer_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 2) as c:
             client = c.client()
@@ -107,12 +107,12 @@
     run(test)
 
 
-def test_a_rejected_row_or_a_silent_member_is_a_failure(tmp_path: Path) -> None:
+def test_a_wait_fails_with_a_rejected_row_or_a_silent_member(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
             client = c.client()
             index = next(p for p in c.nodes if p != c.leader())
-            one = Balancer(
+            balancer = Balancer(
                 [c.settings[c.leader()].advertise],
                 [ORDERS],
                 "picky",
@@ -144,7 +144,7 @@
                     "1",
                 )
             ).exit_code == 0
-            few = await feed(
+            too_few = await feed(
                 c,
                 "wait",
                 str(revision),
@@ -154,8 +154,8 @@
                 "--balancers",
                 "2",
             )
-            assert "on 1, and 2 are wanted" in str(few.exception)
-            await leave(one)
+            assert "on 1, and 2 are wanted" in str(too_few.exception)
+            await leave(balancer)
 
     run(test)
 
@@ -190,7 +190,7 @@
     }
 
 
-def test_counts_never_exceed_what_is_known() -> None:
+def test_progress_counts_never_exceed_the_reports() -> None:
     a = status(
         "a", 90, subscribers=10, reached=((50, 2), (90, 8)), laggards=(Laggard("x", 50, 1500),)
     )
@@ -206,7 +206,7 @@
         add_up([a, b]).revision == 100
         and "node a at ha:1 is itself at 90" in add_up([a, b]).lagging_nodes
     )
-    assert [one.name for one in found.lagging] == ["x"] and found.unreachable == ()
+    assert [balancer.name for balancer in found.lagging] == ["x"] and found.unreachable == ()
     assert add_up([a], 50).incomplete_reason() == (
         "revision 50 is not in force as far as can be told: node b at hb:1"
         " does not answer: it was not asked"
@@ -220,8 +220,8 @@
         is None
         is not add_up([a, refused], 50).incomplete_reason()
     )
-    nobody = add_up([{"address": "h:1", "trouble": "no answer"}], 5)
-    assert (nobody.balancers, nobody.unreachable) == (
+    unreachable_only = add_up([{"address": "h:1", "trouble": "no answer"}], 5)
+    assert (unreachable_only.balancers, unreachable_only.unreachable) == (
         0,
         ("h:1 does not answer: no answer",),
-    ) and nobody.incomplete_reason()
+    ) and unreachable_only.incomplete_reason()
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -11,7 +11,7 @@
 from loadbalancer.daemon.address_map import AddressMap
 from loadbalancer.daemon.endpoint_source import FLEET_POLLS_PER_S, LEADER_TIMEOUT_NS, EndpointSource
 from loadbalancer.daemon.rolling_restart import (
-    PATIENCE_S,
+    PROGRESS_TIMEOUT_S,
     announce_requests,
     explain_wait,
     find_error,
@@ -36,11 +36,12 @@
 SECOND = 1_000_000_000
 
 
-def rolling_restart(count: int, at_once: int = 1, **more: object) -> RollingRestart:
+def rolling_restart(count: int, concurrency: int = 1, **overrides: object) -> RollingRestart:
     """Return a rolling restart of `count` upstreams that has not begun."""
     upstreams = tuple(UpstreamRestart(f"box-{i}", i) for i in range(count))
     return msgspec.structs.replace(
-        RollingRestart("r", upstreams, at_once, slow_start_s=2.0, min_available=0.5), **more
+        RollingRestart("r", upstreams, concurrency, slow_start_s=2.0, min_available=0.5),
+        **overrides,
     )
 
 
@@ -48,14 +49,14 @@
     restart: RollingRestart,
     disabled: frozenset[str] = frozenset(),
     version: int = 1,
-    **more: object,
+    **overrides: object,
 ) -> FleetView:
     """Return a view of a healthy fleet of one balancer and eight upstreams, with changes."""
     upstreams = {i: UpstreamStatus("a" if i % 2 else "b", 100.0, True) for i in range(8)}
     observed = {"one": ObservedReport(BalancerReport(version, (), 50.0, 49.0, 1), 0.5, True)}
     phase_ages_s = {b.name: 1_000.0 - b.since_ms / 1000 for b in restart.upstreams}
-    usual = FleetView(1_000_000, disabled, version, observed, upstreams, 1.0, phase_ages_s)
-    return replace(usual, **more)  # type: ignore[arg-type]
+    default_view = FleetView(1_000_000, disabled, version, observed, upstreams, 1.0, phase_ages_s)
+    return replace(default_view, **overrides)  # type: ignore[arg-type]
 
 
 class Fleet:
@@ -63,14 +64,14 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.roll = rolling_restart(
+        self.stored_restart = rolling_restart(
             self.rng.randint(1, 6), self.rng.randint(1, 3), max_per_site=self.rng.randint(0, 2)
         )
         self.disabled: frozenset[str] = frozenset()
-        self.roll_version = self.version = 1
+        self.restart_version = self.version = 1
         self.now = 1_000.0
         self.started = {i: 100.0 for i in range(8)}
-        self.down: set[int] = set()
+        self.unlisted: set[int] = set()
         self.versions = dict.fromkeys(
             ("one", "two", "three"), 1
         )  # version of the disabled set that each balancer applies
@@ -78,17 +79,17 @@
         self.busy: dict[str, set[str]] = {name: set() for name in self.versions}
         self.reports = {name: BalancerReport(1, (), 50.0, 49.0, 1) for name in self.versions}
         self.ages = dict.fromkeys(self.versions, 0.0)
-        self.restarts = {b.name: 0 for b in self.roll.upstreams}
-        self.was = {b.name: Phase.WAITING for b in self.roll.upstreams}
+        self.restarts = {b.name: 0 for b in self.stored_restart.upstreams}
+        self.previous_phase = {b.name: Phase.WAITING for b in self.stored_restart.upstreams}
 
     def view(self) -> FleetView:
         observed = {n: ObservedReport(self.reports[n], self.ages[n], True) for n in self.versions}
         upstreams = {
             i: UpstreamStatus("ab"[i % 2], s, True)
             for i, s in self.started.items()
-            if i not in self.down
+            if i not in self.unlisted
         }
-        phase_ages_s = {b.name: self.now - b.since_ms / 1000 for b in self.roll.upstreams}
+        phase_ages_s = {b.name: self.now - b.since_ms / 1000 for b in self.stored_restart.upstreams}
         return FleetView(
             int(self.now * 1000),
             self.disabled,
@@ -103,29 +104,33 @@
         self, read: tuple[int, int], new: RollingRestart, disabled: frozenset[str] | None
     ) -> None:
         """Write both rows if they still have the versions that were read."""
-        if read != (self.roll_version, self.version):
+        if read != (self.restart_version, self.version):
             return
-        self.roll, self.roll_version = new, self.roll_version + 1
+        self.stored_restart, self.restart_version = new, self.restart_version + 1
         if disabled is not None:
             self.disabled, self.version = disabled, self.version + 1
-        self.check()
+        self.check_invariants()
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         """Check the invariants of the stored state."""
-        out = {b.name for b in self.roll.upstreams if b.phase in (Phase.DRAINING, Phase.DRAINED)}
-        assert out == self.disabled, "the disabled set differs from the document"
-        assert len(out) <= self.roll.max_unavailable
-        for b in self.roll.upstreams:
+        out_of_service = {
+            b.name
+            for b in self.stored_restart.upstreams
+            if b.phase in (Phase.DRAINING, Phase.DRAINED)
+        }
+        assert out_of_service == self.disabled, "the disabled set differs from the document"
+        assert len(out_of_service) <= self.stored_restart.max_unavailable
+        for b in self.stored_restart.upstreams:
             order = list(Phase)
-            was, self.was[b.name] = self.was[b.name], b.phase
-            assert order.index(b.phase) - order.index(was) in (0, 1), (
-                f"{b.name}: {was} to {b.phase}"
+            previous_phase, self.previous_phase[b.name] = self.previous_phase[b.name], b.phase
+            assert order.index(b.phase) - order.index(previous_phase) in (0, 1), (
+                f"{b.name}: {previous_phase} to {b.phase}"
             )
-            if b.phase is Phase.DRAINED and was is Phase.DRAINING:
+            if b.phase is Phase.DRAINED and previous_phase is Phase.DRAINING:
                 assert not any(b.name in busy for busy in self.busy.values()), (
                     f"{b.name} still has attempts in flight"
                 )
-            if b.phase is Phase.WARMING_UP and was is Phase.DRAINED:
+            if b.phase is Phase.WARMING_UP and previous_phase is Phase.DRAINED:
                 assert self.restarts[b.name] == 1, f"{b.name} was enabled before it was restarted"
 
     def advance(self) -> None:
@@ -141,7 +146,7 @@
                 self.versions[name], self.known[name] = self.version, self.disabled
             if rng.random() < 0.6:
                 self.busy[name] = {b for b in self.busy[name] if rng.random() < 0.5}
-            for b in self.was:
+            for b in self.previous_phase:
                 if b not in self.known[name] and rng.random() < 0.2:
                     self.busy[name].add(b)
             if rng.random() < 0.7:
@@ -149,52 +154,52 @@
                 count = self.reports[name].sequence + 1
                 self.reports[name] = BalancerReport(self.versions[name], quiet, 50.0, 49.0, count)
                 self.ages[name] = 0.0
-        for upstream in self.roll.upstreams:
+        for upstream in self.stored_restart.upstreams:
             if (
                 upstream.phase is Phase.DRAINED
                 and not self.restarts[upstream.name]
                 and rng.random() < 0.3
             ):
-                self.down.add(upstream.number)
+                self.unlisted.add(upstream.number)
                 self.restarts[upstream.name] = 1
-            elif upstream.number in self.down and rng.random() < 0.5:
-                self.down.discard(upstream.number)
+            elif upstream.number in self.unlisted and rng.random() < 0.5:
+                self.unlisted.discard(upstream.number)
                 self.started[upstream.number] = self.now
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_whatever_fails_no_upstream_restarts_twice_none_is_forgotten_and_limits_hold(
+def test_leader_failures_neither_repeat_nor_skip_restarts_nor_exceed_limits(
     seed: int,
 ) -> None:
     fleet = Fleet(seed)
-    late: list[tuple[tuple[int, int], RollingRestart, frozenset[str] | None]] = []
+    delayed_writes: list[tuple[tuple[int, int], RollingRestart, frozenset[str] | None]] = []
     for _ in range(2000):
         fleet.advance()
-        for owner in range(
+        for leader in range(
             fleet.rng.choice([1, 1, 1, 2])
         ):  # sometimes two processes act as the leader
-            read = fleet.roll_version, fleet.version
-            step = next_step(fleet.roll, fleet.view())
+            read = fleet.restart_version, fleet.version
+            step = next_step(fleet.stored_restart, fleet.view())
             if step is None:
                 continue
-            chance = fleet.rng.random()
-            if owner or chance < 0.15:
-                late.append(
+            random_number = fleet.rng.random()
+            if leader or random_number < 0.15:
+                delayed_writes.append(
                     (read, step.restart, step.disabled)
                 )  # the leader is suspended before its write, and writes later
-            elif chance < 0.9:
+            elif random_number < 0.9:
                 fleet.write(read, step.restart, step.disabled)
-        if late and fleet.rng.random() < 0.2:
-            fleet.write(*late.pop(0))
-        if fleet.roll.state is State.ENDED:
+        if delayed_writes and fleet.rng.random() < 0.2:
+            fleet.write(*delayed_writes.pop(0))
+        if fleet.stored_restart.state is State.ENDED:
             break
-    assert fleet.roll.state is State.ENDED and not fleet.disabled, explain_wait(
-        fleet.roll, fleet.view()
+    assert fleet.stored_restart.state is State.ENDED and not fleet.disabled, explain_wait(
+        fleet.stored_restart, fleet.view()
     )
-    assert all(b.phase is Phase.DONE for b in fleet.roll.upstreams)
+    assert all(b.phase is Phase.DONE for b in fleet.stored_restart.upstreams)
 
 
-def test_a_silent_balancer_delays_and_finally_pauses_it() -> None:
+def test_a_silent_balancer_delays_and_finally_pauses_the_restart() -> None:
     restart = rolling_restart(2)
     silent = view(
         restart,
@@ -206,7 +211,7 @@
     assert next_step(restart, silent) is None and "balancer two is silent" in explain_wait(
         restart, silent
     )
-    step = next_step(restart, silent, PATIENCE_S + 1)
+    step = next_step(restart, silent, PROGRESS_TIMEOUT_S + 1)
     assert step is not None and step.restart.state is State.PAUSED and step.disabled is None
     old = view(
         restart, balancers={"one": ObservedReport(BalancerReport(1, (), 50.0, 49.0, 1), 11.0, True)}
@@ -215,7 +220,7 @@
     assert next_step(restart, view(restart, list_age_s=11.0)) is None
 
 
-def test_it_pauses_when_success_falls_and_continues_upstreams_under_way() -> None:
+def test_a_falling_success_ratio_pauses_but_upstreams_under_way_continue() -> None:
     restart = rolling_restart(3, success_ratio=0.98)
     fallen = view(
         restart, balancers={"one": ObservedReport(BalancerReport(1, (), 50.0, 40.0, 1), 0.5, True)}
@@ -241,7 +246,7 @@
     )
 
 
-def test_upstreams_unavailable_for_any_reason_count() -> None:
+def test_upstreams_unavailable_for_any_reason_count_towards_the_limits() -> None:
     restart = rolling_restart(3, success_ratio=0.98)
     drained = {**view(restart).upstreams, 7: UpstreamStatus("a", 100.0, False)}
     assert next_step(restart, view(restart, upstreams=drained)) is None
@@ -249,8 +254,10 @@
     assert "1 of 8 upstreams are out of use" in explain_wait(
         restart, view(restart, upstreams=drained)
     )
-    most = msgspec.structs.replace(restart, max_unavailable=8, min_available=0.95)
-    assert next_step(most, view(most)) is None and "95% must stay" in explain_wait(most, view(most))
+    relaxed_limit = msgspec.structs.replace(restart, max_unavailable=8, min_available=0.95)
+    assert next_step(
+        relaxed_limit, view(relaxed_limit)
+    ) is None and "95% must stay" in explain_wait(relaxed_limit, view(relaxed_limit))
 
 
 def test_an_abort_enables_only_what_the_restart_disabled() -> None:
@@ -265,7 +272,7 @@
     )
 
 
-def test_an_upstream_enabled_by_an_operator_meanwhile_pauses_it() -> None:
+def test_an_operator_enabling_an_upstream_under_way_pauses_the_restart() -> None:
     upstream = msgspec.structs.replace(
         rolling_restart(1).upstreams[0], phase=Phase.DRAINING, since_ms=999_500
     )
@@ -283,7 +290,7 @@
 
 
 @pytest.mark.parametrize(
-    ("restart", "why"),
+    ("restart", "expected_error"),
     [
         (rolling_restart(0), "1 to 1000 upstreams"),
         (rolling_restart(2, max_unavailable=0), "at least one"),
@@ -293,15 +300,17 @@
         ),
     ],
 )
-def test_an_invalid_restart_is_a_one_line_error(restart: RollingRestart, why: str) -> None:
-    assert why in find_error(restart)
+def test_an_invalid_restart_is_a_one_line_error(
+    restart: RollingRestart, expected_error: str
+) -> None:
+    assert expected_error in find_error(restart)
 
 
 # ---- polling of discovery ------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("count", [8, 40, 200])
-def test_while_the_leader_is_silent_all_balancers_together_keep_to_the_poll_rate(
+def test_the_fleet_stays_within_the_poll_rate_while_the_leader_is_silent(
     count: int,
 ) -> None:
     followers = [EndpointSource(count, random.Random(i), 0) for i in range(count)]
@@ -344,7 +353,7 @@
 # ---- an upstream's admin API, which checks no fencing token --------------------------------------
 
 
-def test_only_an_announced_restart_is_requested_and_by_the_next_leader_after_a_lease() -> None:
+def test_a_restart_is_requested_after_its_announcement_and_by_a_new_leader_after_a_lease() -> None:
     quiet = msgspec.structs.replace(UpstreamRestart("box-0", 0), phase=Phase.DRAINED)
     restart = msgspec.structs.replace(
         rolling_restart(1), upstreams=(quiet,), restart_path="/restart"
@@ -379,7 +388,7 @@
     assert "is no path" in find_error(msgspec.structs.replace(restart, restart_path="/a b\r\nX: y"))
 
 
-def test_translated_upstreams_are_shared_by_canonical_and_dialed_by_local_addresses() -> None:
+def test_upstreams_are_shared_with_canonical_and_dialed_with_translated_addresses() -> None:
     address_map = AddressMap({"10.0.0.1:80": "127.0.0.1:9001"})
     known = [Endpoint(api.Upstream(n), host, 80) for n, host in enumerate(("10.0.0.1", "10.0.0.2"))]
     here = address_map.to_dialed(known)
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "expected_error"),
     [
         (('aim = "200ms"', "aim = 200"), "a time is a number with a unit"),
         (('memory = "256MiB"', "memory = 256"), "a size is a number with a unit"),
@@ -41,19 +41,19 @@
     ],
 )
 def test_invalid_settings_are_a_one_line_error(
-    tmp_path: Path, change: tuple[str, str], why: str
+    tmp_path: Path, change: tuple[str, str], expected_error: str
 ) -> None:
     path = tmp_path / "bad.toml"
     assert change[0] in EXAMPLE
     path.write_text(EXAMPLE.replace(*change, 1))
     with pytest.raises(MalformedError) as error:
         read_file(path)
-    assert str(error.value).startswith(f"{path}: ") and why in str(error.value)
+    assert str(error.value).startswith(f"{path}: ") and expected_error in str(error.value)
     assert "\n" not in str(error.value)
 
 
 def test_the_command_fails_with_one_line_and_status_2(tmp_path: Path) -> None:
-    words = [
+    arguments = [
         sys.executable,
         "-m",
         "loadbalancer.cli.main",
@@ -61,8 +61,12 @@
         "--settings",
         str(tmp_path / "none.toml"),
     ]
-    done = subprocess.run(words, capture_output=True, text=True, timeout=60, check=False)
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and "none.toml" in done.stderr
+    completed = subprocess.run(arguments, capture_output=True, text=True, timeout=60, check=False)
+    assert (
+        completed.returncode == 2
+        and completed.stderr.count("\n") == 1
+        and "none.toml" in completed.stderr
+    )
 
 
 def test_a_daemon_with_a_fixed_list_serves_reloads_and_shuts_down(tmp_path: Path) -> None:
@@ -135,7 +139,7 @@
     run(test())
 
 
-def test_the_platforms_process_loads_nothing_of_the_larger_program(tmp_path: Path) -> None:
+def test_the_platforms_process_imports_only_the_modules_it_needs(tmp_path: Path) -> None:
     """Guard against imports that the platform's process does not need, as its memory is limited."""
     code = (
         "import sys, asyncio, loadbalancer.__main__ as m\n"
@@ -151,7 +155,7 @@
         "m.main()\n"
     )
     discovery = FakeDiscovery([])
-    told = {
+    platform_config = {
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": f"127.0.0.1:{free_port()}",
         "seed": "1",
@@ -159,8 +163,8 @@
         "known": discovery.full_list(),
     }
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
-    done = subprocess.run(
+    path.write_text(json.dumps(platform_config))
+    completed = subprocess.run(
         [sys.executable, "-c", code],
         capture_output=True,
         text=True,
@@ -168,12 +172,12 @@
         env={**os.environ, "BALANCER_CONFIG": str(path)},
         check=True,
     )
-    loaded = set(done.stdout.split())
+    loaded = set(completed.stdout.split())
     assert "loadbalancer.proxy.frontend" in loaded
-    mine = {name for name in loaded if name.startswith("loadbalancer.")}
+    own_modules = {name for name in loaded if name.startswith("loadbalancer.")}
     assert not [
         m
-        for m in mine
+        for m in own_modules
         if m.split(".")[1]
         in (
             "cli",
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -15,7 +15,7 @@
 from typer.testing import CliRunner
 
 from loadbalancer.cli.main import application
-from loadbalancer.daemon import documents as docs
+from loadbalancer.daemon import documents as document_validation
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
 from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.failover.traffic_shares import TrafficShares
@@ -47,7 +47,7 @@
 
 
 class SiteDriver(FakeDriver):
-    """A driver with a constant request rate. Upstreams in `gone` refuse connections."""
+    """A driver with a constant request rate. Upstreams in `unreachable` refuse connections."""
 
     def __init__(self, zone: str) -> None:
         super().__init__()
@@ -56,7 +56,7 @@
         )
         self.event_listener: Callable[[int, list[api.Event]], None] = lambda now, events: None
         self.requests: dict[str, Any] = {}
-        self.gone: set[int] = set()
+        self.unreachable: set[int] = set()
         self.upstreams = SimpleNamespace(
             targets={e.entry.id: SimpleNamespace(endpoint=e) for e in UPSTREAMS},
             check_health=self.check_health,
@@ -67,9 +67,14 @@
         if isinstance(event, api.TrafficPlan):
             self.plans.append(event)
 
-    def check_health(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
-        done(
-            api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK, None
+    def check_health(
+        self, number: int, on_finished: Callable[[api.AttemptResult, Any], None]
+    ) -> bool:
+        on_finished(
+            api.AttemptResult.CONNECT_FAILED
+            if number in self.unreachable
+            else api.AttemptResult.OK,
+            None,
         )
         return True
 
@@ -82,7 +87,9 @@
             self.requests = {arrival.request: SimpleNamespace(arrival=arrival)}
             number = count % len(UPSTREAMS)
             result = (
-                api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK
+                api.AttemptResult.CONNECT_FAILED
+                if number in self.unreachable
+                else api.AttemptResult.OK
             )
             self.event_listener(
                 now,
@@ -108,7 +115,7 @@
         self.sending = asyncio.create_task(self.driver.send_requests(40.0))
 
     @property
-    def owns_sites(self) -> bool:
+    def is_site_leader(self) -> bool:
         controller = self.state_sync.site_controller
         return controller is not None and bool(controller.lease.active_token)
 
@@ -129,7 +136,7 @@
     return result.exit_code, output
 
 
-async def doc(client: Client) -> SitePlanDocument:
+async def read_plan(client: Client) -> SitePlanDocument:
     """Return the stored plan."""
     row = (await client.get(SiteKeys("orders").plan)).rows[0]
     return (
@@ -139,27 +146,35 @@
     )
 
 
-def test_a_site_is_described_drained_returned_and_lost_by_evidence(
+def test_a_site_is_drained_returned_lost_and_recovered(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
             client = c.client()
             assert "no document" in (await command(c, "plan"))[1]
-            one, two = SiteBalancer(c, "one", "a"), SiteBalancer(c, "two", "b")
+            balancer_a, balancer_b = SiteBalancer(c, "one", "a"), SiteBalancer(c, "two", "b")
             await until(
                 lambda: (
                     "site controller idle: reason=there is no document sites/orders" in caplog.text
                 )
             )
             await documents.put(
-                client, "sites/orders", SITES, docs.find_error, DocumentChange(0, "test")
+                client,
+                "sites/orders",
+                SITES,
+                document_validation.find_error,
+                DocumentChange(0, "test"),
             )
             await until(
                 lambda: (
-                    bool(one.state_sync.site_agent and one.state_sync.site_agent.is_following_plan)
+                    bool(
+                        balancer_a.state_sync.site_agent
+                        and balancer_a.state_sync.site_agent.is_following_plan
+                    )
                     and bool(
-                        two.state_sync.site_agent and two.state_sync.site_agent.is_following_plan
+                        balancer_b.state_sync.site_agent
+                        and balancer_b.state_sync.site_agent.is_following_plan
                     )
                 )
             )
@@ -172,49 +187,52 @@
             assert (await command(c, "hold", "b", "--force"))[0] == 0
             await until(
                 lambda: (
-                    bool(one.driver.plans) and one.driver.plans[-1].zone_fractions.get("b") == 0.0
+                    bool(balancer_a.driver.plans)
+                    and balancer_a.driver.plans[-1].zone_fractions.get("b") == 0.0
                 )
             )
             assert (
-                one.driver.plans[-1].excess_reject_fraction > 0
+                balancer_a.driver.plans[-1].excess_reject_fraction > 0
             )  # requests beyond the shares are rejected
             assert "out by" in (await command(c, "status"))[1]
             assert 'lanelift_site_part{site="b"} 0.0' in (await command(c, "metrics"))[1]
             assert "not in normal service" in (await command(c, "drill", "b", "--force"))[1]
             assert (await command(c, "return", "b"))[0] == 0
-            await until(lambda: one.driver.plans[-1] == api.TrafficPlan(), 30.0)
-            for beside in (one, two):
-                beside.driver.gone = {e.entry.id for e in UPSTREAMS if e.entry.zone == "b"}
-            await until(lambda: one.driver.plans[-1].zone_fractions.get("b") == 0.0)
+            await until(lambda: balancer_a.driver.plans[-1] == api.TrafficPlan(), 30.0)
+            for balancer in (balancer_a, balancer_b):
+                balancer.driver.unreachable = {e.entry.id for e in UPSTREAMS if e.entry.zone == "b"}
+            await until(lambda: balancer_a.driver.plans[-1].zone_fractions.get("b") == 0.0)
             async with asyncio.timeout(15):
-                while all(x.fraction > 0 for x in (await doc(client)).site_states):
+                while all(x.fraction > 0 for x in (await read_plan(client)).site_states):
                     await asyncio.sleep(0.05)
-            token = (await doc(client)).token
-            for beside in (one, two):
-                beside.driver.gone = set()
-            owner, other = (one, two) if one.owns_sites else (two, one)
-            await owner.close()  # the next leader continues from the stored plan
+            token = (await read_plan(client)).token
+            for balancer in (balancer_a, balancer_b):
+                balancer.driver.unreachable = set()
+            leader, remaining = (
+                (balancer_a, balancer_b) if balancer_a.is_site_leader else (balancer_b, balancer_a)
+            )
+            await leader.close()  # the next leader continues from the stored plan
             async with asyncio.timeout(40):
-                while (now := await doc(client)).token == token or any(
+                while (now := await read_plan(client)).token == token or any(
                     not x.is_normal for x in now.site_states
                 ):
                     await asyncio.sleep(0.05)
-            await until(lambda: other.driver.plans[-1].zone_fractions.get("b") is None)
-            shut = TrafficShares({"a": {"b": 0.0}, "b": {"b": 0.0}})
-            old = msgspec.structs.replace(now, token=token, traffic_shares=shut)
+            await until(lambda: remaining.driver.plans[-1].zone_fractions.get("b") is None)
+            no_traffic = TrafficShares({"a": {"b": 0.0}, "b": {"b": 0.0}})
+            old = msgspec.structs.replace(now, token=token, traffic_shares=no_traffic)
             await client.put(
                 SiteKeys("orders").plan, msgspec.json.encode(old)
             )  # a late write of the previous leader
             await until(lambda: "stale message ignored" in caplog.text)
-            assert other.driver.plans[-1].zone_fractions.get("b") is None
-            await other.close()
+            assert remaining.driver.plans[-1].zone_fractions.get("b") is None
+            await remaining.close()
 
     with caplog.at_level(logging.INFO):
         run(test())
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "expected_error"),
     [
         ("[[site]]\nname = 'a'\nbears = '40'", "bears"),
         ("[[site]]\nname = 'a'\nbears = '0/s'", "bears over 0/s"),
@@ -226,6 +244,6 @@
         ("", "site"),
     ],
 )
-def test_an_invalid_sites_document_is_a_one_line_error(text: str, why: str) -> None:
-    output = docs.find_error("sites/orders", text)
-    assert why in output and "\n" not in output
+def test_an_invalid_sites_document_is_a_one_line_error(text: str, expected_error: str) -> None:
+    output = document_validation.find_error("sites/orders", text)
+    assert expected_error in output and "\n" not in output
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -43,13 +43,13 @@
     )
 
 
-async def until(done: Callable[[], bool], seconds: float = 15.0) -> None:
+async def until(condition: Callable[[], bool], seconds: float = 15.0) -> None:
     async with asyncio.timeout(seconds):
-        while not done():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
-async def answered(port: int) -> Client:
+async def connect_when_ready(port: int) -> Client:
     """Return a connection to the balancer, once it accepts connections."""
     async with asyncio.timeout(20):
         while True:
@@ -59,7 +59,7 @@
                 await asyncio.sleep(0.005)
 
 
-def test_settings_come_from_the_store_and_outlive_it(tmp_path: Path) -> None:
+def test_settings_are_read_from_the_store_and_then_from_the_local_copy(tmp_path: Path) -> None:
     async def begin(path: Path) -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
             sys.executable,
@@ -87,12 +87,12 @@
         try:
             await store.start()
             client = store.client()
-            boot = tmp_path / "boot.toml"
-            boot.write_text(
+            bootstrap_path = tmp_path / "boot.toml"
+            bootstrap_path.write_text(
                 f"[store]\naddresses = ['{store.addresses[0]}']\nservice = 'orders'\n"
                 "document = 'balancer/orders'\nfolder = 'copy'\n"
             )
-            process = await begin(boot)
+            process = await begin(bootstrap_path)
             await wait_for_log(process, "not available from the store, and no local copy exists")
             assert await process.wait() == 2
             await documents.put(
@@ -102,8 +102,8 @@
                 find_error,
                 DocumentChange(0, "me"),
             )
-            process = await begin(boot)
-            connection = await answered(port)
+            process = await begin(bootstrap_path)
+            connection = await connect_when_ready(port)
             assert (await connection.ask("r1")).body == b"s-0"
             with pytest.raises(RejectedError, match="missing required field"):
                 await documents.put(
@@ -137,8 +137,8 @@
             assert (await connection.ask("r3")).body == b"s-1"
             process.terminate()
             assert await process.wait() == 0
-            process = await begin(boot)
-            again = await answered(port)
+            process = await begin(bootstrap_path)
+            again = await connect_when_ready(port)
             assert (await again.ask("r4")).body == b"s-1"
         finally:
             if process is not None and process.returncode is None:
@@ -198,18 +198,20 @@
 def test_an_upstream_disabled_on_one_balancer_is_disabled_on_all(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as c:
-            one, two = SyncedBalancer(c, "one"), SyncedBalancer(c, "two")
-            await asyncio.gather(one.disabled.disable("box-1"), two.disabled.disable("box-2"))
+            balancer_a, balancer_b = SyncedBalancer(c, "one"), SyncedBalancer(c, "two")
+            await asyncio.gather(
+                balancer_a.disabled.disable("box-1"), balancer_b.disabled.disable("box-2")
+            )
             both = frozenset({"box-1", "box-2"})
-            await until(lambda: one.disabled.names == two.disabled.names == both)
+            await until(lambda: balancer_a.disabled.names == balancer_b.disabled.names == both)
             await c.stop(c.leader())
-            await one.disabled.enable("box-2")
-            await until(lambda: two.disabled.names == {"box-1"})
-            assert two.driver.disabled_calls == {"box-1": True, "box-2": False}
-            late = SyncedBalancer(c, "late")
-            await until(lambda: late.driver.disabled_calls == {"box-1": True})
-            for beside in (one, two, late):
-                await beside.state_sync.close()
+            await balancer_a.disabled.enable("box-2")
+            await until(lambda: balancer_b.disabled.names == {"box-1"})
+            assert balancer_b.driver.disabled_calls == {"box-1": True, "box-2": False}
+            late_balancer = SyncedBalancer(c, "late")
+            await until(lambda: late_balancer.driver.disabled_calls == {"box-1": True})
+            for synced_balancer in (balancer_a, balancer_b, late_balancer):
+                await synced_balancer.state_sync.close()
 
     run(test())
 
@@ -219,17 +221,17 @@
 ) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
-            one = SyncedBalancer(c, "one")
+            balancer_a = SyncedBalancer(c, "one")
             await c.stop(0)
-            await one.disabled.disable("box-1")
-            assert one.driver.disabled_calls == {"box-1": True}
+            await balancer_a.disabled.disable("box-1")
+            assert balancer_a.driver.disabled_calls == {"box-1": True}
             await until(lambda: "store unavailable, using last known state" in caplog.text)
             await c.begin(0)
-            two = SyncedBalancer(c, "two")
-            await until(lambda: two.driver.disabled_calls == {"box-1": True})
+            balancer_b = SyncedBalancer(c, "two")
+            await until(lambda: balancer_b.driver.disabled_calls == {"box-1": True})
             await until(lambda: "store available again" in caplog.text)
-            await one.state_sync.close()
-            await two.state_sync.close()
+            await balancer_a.state_sync.close()
+            await balancer_b.state_sync.close()
 
     with caplog.at_level(logging.INFO):
         run(test())
@@ -250,41 +252,46 @@
 
     async def test() -> None:
         async with cluster(tmp_path, 1) as c:
-            one = SyncedBalancer(c, "one")
-            one.driver.learn(api.EndpointListKind.FULL, old)
-            one.driver.module.handle(
+            balancer_a = SyncedBalancer(c, "one")
+            balancer_a.driver.learn(api.EndpointListKind.FULL, old)
+            balancer_a.driver.module.handle(
                 now, [api.EndpointsUpdated(api.EndpointListKind.FULL, [e.entry for e in old])]
             )
-            one.driver.module.concurrency.service_times["q"] = 5e6
-            one.driver.module.upstream_set.upstreams[2].relative_service_time = 3.0
+            balancer_a.driver.module.concurrency.service_times["q"] = 5e6
+            balancer_a.driver.module.upstream_set.upstreams[2].relative_service_time = 3.0
             await until(
                 lambda: bool(
-                    one.state_sync.list_lease.token() and one.state_sync.name_lease.token()
+                    balancer_a.state_sync.list_lease.token()
+                    and balancer_a.state_sync.name_lease.token()
                 )
             )
-            await one.state_sync.save()
-            await one.state_sync.close()
-            two = SyncedBalancer(c, "one")
-            await until(lambda: bool(two.driver.posted))
-            ((kind, listed),) = two.driver.lists
+            await balancer_a.state_sync.save()
+            await balancer_a.state_sync.close()
+            balancer_b = SyncedBalancer(c, "one")
+            await until(lambda: bool(balancer_b.driver.posted))
+            ((kind, listed),) = balancer_b.driver.lists
             assert kind is api.EndpointListKind.CACHED and [e.port for e in listed] == [9001, 9002]
             assert [e.started_ms for e in listed] == [e.started_ms for e in old]
-            (learnt,) = two.driver.posted
+            (learned,) = balancer_b.driver.posted
             assert (
-                isinstance(learnt, api.LearnedState)
-                and learnt.service_times == {"q": 5e6}
-                and learnt.age_ns < 5 * 10**9
+                isinstance(learned, api.LearnedState)
+                and learned.service_times == {"q": 5e6}
+                and learned.age_ns < 5 * 10**9
             )
             update = api.EndpointsUpdated(api.EndpointListKind.CACHED, [e.entry for e in listed])
-            two.driver.module.handle(now, [update, learnt])
-            assert 2.5 < two.driver.module.upstream_set.upstreams[2].relative_service_time <= 3.0
-            await two.state_sync.close()
+            balancer_b.driver.module.handle(now, [update, learned])
+            assert (
+                2.5
+                < balancer_b.driver.module.upstream_set.upstreams[2].relative_service_time
+                <= 3.0
+            )
+            await balancer_b.state_sync.close()
 
     run(test())
 
 
-def test_older_learned_state_counts_less_and_another_starts_not_at_all() -> None:
-    def paces(age_s: float, started: int) -> float:
+def test_learned_state_loses_weight_with_age_and_is_dropped_after_a_restart() -> None:
+    def loaded_service_time(age_s: float, started: int) -> float:
         now = 10**12
         module = Balancer(api.Settings(classes={"q": api.RequestClass("q")}), 1, now)
         module.handle(
@@ -305,19 +312,21 @@
         )
         return module.upstream_set.upstreams[1].relative_service_time
 
-    fresh, aged, stale = (paces(age, 7) for age in (0, 60, 3600))
+    fresh, aged, stale = (loaded_service_time(age, 7) for age in (0, 60, 3600))
     assert fresh == 3.0 and aged == pytest.approx(2.0) and stale == 1.0
-    assert paces(0, 8) == 1.0
+    assert loaded_service_time(0, 8) == 1.0
     old = {1: Endpoint(api.Upstream(1), "", 0), 2: Endpoint(api.Upstream(2), "", 0, 7_000)}
-    learnt = api.LearnedState(
+    learned = api.LearnedState(
         0, 9.0, {"a": 1.0}, {"q": 2.0}, 3.0, 0.1, 2.0, {1: (2.0, 0), 2: (2.0, 10**9)}
     )
-    saved = save_learned_state(learnt, old)
+    saved = save_learned_state(learned, old)
     again = {1: old[1], 2: Endpoint(api.Upstream(2), "", 0)}
-    back = load_learned_state(
+    loaded = load_learned_state(
         SavedLearnedState(**{f: getattr(saved, f) for f in saved.__struct_fields__}), again
     )
-    assert back is not None and back.relative_service_times == {1: (2.0, 0)} and back.rate == 9.0
+    assert (
+        loaded is not None and loaded.relative_service_times == {1: (2.0, 0)} and loaded.rate == 9.0
+    )
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
@@ -328,5 +337,5 @@
     saved = save_learned_state(api.LearnedState(0, 9.0, {}, {"q": 2.0}, 3.0, 0.1, 2.0, {}), {})
     now_s = time.time()
     monkeypatch.setattr(time, "time", lambda: now_s + step_s)
-    back = load_learned_state(saved, {})
-    assert back is None if step_s < 0 else back is not None and back.age_ns > 3000 * 10**9
+    loaded = load_learned_state(saved, {})
+    assert loaded is None if step_s < 0 else loaded is not None and loaded.age_ns > 3000 * 10**9
