--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -64,7 +64,7 @@
 
 
 class EndpointPublisher:
-    """Replaces discovery as seen by a driver, and publishes the list while this process leads."""
+    """Replaces a driver's discovery, and publishes the list while this process leads."""
 
     def __init__(
         self,
@@ -96,9 +96,7 @@
         self.sequence = 0  # number of this leader's last list
         self.heartbeat = 0  # number of this leader's last confirmation
         self.published = Publication()
-        self.published_s = (
-            0.0  # time of the discovery response that was published or confirmed last
-        )
+        self.published_s = 0.0  # time of the last published or confirmed discovery response
         self.is_overwritten = False  # whether a program without leases replaced the document
         self.last_response_s = 0.0  # time of the last discovery response with a list or a delta
         self.min_version = NO_VERSION  # lowest discovery version that may be published
--- a/loadbalancer/daemon/row_codec.py
+++ b/loadbalancer/daemon/row_codec.py
@@ -81,7 +81,7 @@
         return f"{self.upstreams}{number:016x}"
 
 
-# ---- an upstream's row ---------------------------------------------------------------------------
+# ---- encoding and decoding -----------------------------------------------------------------------
 
 
 def upstream_row(endpoint: Endpoint) -> UpstreamRow:
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -68,7 +68,7 @@
 
     # ---- observation -----------------------------------------------------------------------------
 
-    def _on_events(self, now: int, events: Sequence[api.Event]) -> None:  # noqa: ARG002 (Driver.tap)
+    def _on_events(self, now: int, events: Sequence[api.Event]) -> None:  # noqa: ARG002 (Driver.event_listener)
         """Pass the policy's events to the observer.
 
         It never raises an exception, so that the balancer continues to run without the agent.
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -95,7 +95,7 @@
             log.warning("site controller idle: reason=%s", reason)
         self.idle_reason = reason
 
-    # ---- one step --------------------------------------------------------------------------------
+    # ---- steps -----------------------------------------------------------------------------------
 
     async def step(self) -> float:
         """Read the state once and write at most one plan.
--- a/loadbalancer/daemon/snapshot_sync.py
+++ b/loadbalancer/daemon/snapshot_sync.py
@@ -60,7 +60,7 @@
         self.learned_key = f"learnt/{identity.service}/{identity.balancer}"
         self.saved_endpoints: list[SavedEndpoint] = []  # the fixed list this process last wrote
 
-    # ---- at the start ----------------------------------------------------------------------------
+    # ---- restoring at startup --------------------------------------------------------------------
 
     async def restore(self, table: RowTable | None) -> None:
         """Restore the last list, if discovery has not responded yet, and the learned state.
