--- a/loadbalancer/daemon/endpoint_publisher.py
+++ b/loadbalancer/daemon/endpoint_publisher.py
@@ -133,15 +133,17 @@
             return
         if not has_failed:
             self.follower.mirrors_table = False
-            self._touch_rows(kind, endpoints)
+            self._mark_changed_rows(kind, endpoints)
         self.driver.learn(kind, self.address_map.to_dialed(endpoints))
         self.changed.set()
 
-    def _touch_rows(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
+    def _mark_changed_rows(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         if self.writer is None:
             return
         is_delta = kind is api.EndpointListKind.DELTA
-        self.writer.touch([endpoint.entry.id for endpoint in endpoints] if is_delta else None)
+        self.writer.mark_changed(
+            [endpoint.entry.id for endpoint in endpoints] if is_delta else None
+        )
 
     # ---- leadership terms ------------------------------------------------------------------------
 
--- a/loadbalancer/daemon/endpoint_rows.py
+++ b/loadbalancer/daemon/endpoint_rows.py
@@ -65,19 +65,19 @@
         self.versions: dict[str, int] = {}  # of the service's and the list's row; 0: missing
         self.last_position: ListRow | None = None
         self.is_synchronized = False  # whether `stored` equals the rows in the store
-        self.touched: set[int] | None = None  # upstreams that may differ; None: any
+        self.changed_numbers: set[int] | None = None  # upstreams that may differ; None: any
         self.sequence = 0  # number of this leader's last write
 
     def begin_term(self) -> None:
         """Reset the sequence number of the writes for a new term."""
         self.sequence = 0
 
-    def touch(self, numbers: Iterable[int] | None) -> None:
+    def mark_changed(self, numbers: Iterable[int] | None) -> None:
         """Mark upstreams that may have changed; None: any."""
         if numbers is None:
-            self.touched = None
-        elif self.touched is not None:
-            self.touched.update(numbers)
+            self.changed_numbers = None
+        elif self.changed_numbers is not None:
+            self.changed_numbers.update(numbers)
 
     async def read(self) -> ListRow | None:
         """Read all rows after the lease was acquired, when no earlier leader can change them.
@@ -100,7 +100,7 @@
         if position is not None and position.token == self.lease.active_token:
             self.sequence = max(self.sequence, position.sequence)
         self.last_position = position
-        self.touched = None
+        self.changed_numbers = None
         self.is_synchronized = True
         return position
 
@@ -126,7 +126,7 @@
         is_new_term = self.last_position is None or self.last_position.token != token
         if not batches and is_new_term:
             batches = [()]  # a new leader writes at least its position; later writes update it
-        self.touched = set()
+        self.changed_numbers = set()
         self.is_synchronized = False  # until all batches are written
         for batch in batches:
             position = ListRow(
@@ -139,11 +139,11 @@
     def _plan(self, lookup: EndpointLookup) -> list[row_codec.Batch]:
         desired = {
             self.keys.upstream(endpoint.entry.id): row_codec.encode_upstream(endpoint)
-            for endpoint in lookup(self.touched)
+            for endpoint in lookup(self.changed_numbers)
         }
         stored: Mapping[str, tuple[int, bytes]] = self.stored
-        if self.touched is not None:
-            keys = map(self.keys.upstream, self.touched)
+        if self.changed_numbers is not None:
+            keys = map(self.keys.upstream, self.changed_numbers)
             stored = {key: self.stored[key] for key in keys if key in self.stored}
         return plan_writes(stored, desired, self.max_upstreams)
 
--- a/loadbalancer/daemon/persisted.py
+++ b/loadbalancer/daemon/persisted.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-SAME_START_S = 0.1  # an older version of the program rounded saved start times to this
+START_TIME_TOLERANCE_S = 0.1  # an older version of the program rounded saved start times to this
 MS_PER_S = 1000
 NS_PER_S = 1e9
 
@@ -163,7 +163,7 @@
         number: (ratio, endpoints[number].entry.started_ns)
         for number, (ratio, started_s) in saved.relative_service_times.items()
         if number in endpoints
-        and abs(endpoints[number].started_ms / MS_PER_S - started_s) < SAME_START_S
+        and abs(endpoints[number].started_ms / MS_PER_S - started_s) < START_TIME_TOLERANCE_S
     }
     return api.LearnedState(
         int(age * NS_PER_S),
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -229,7 +229,7 @@
 
     def __init__(
         self,
-        c: Cluster,
+        store_cluster: Cluster,
         name: str,
         discovery: FakeDiscovery | None,
         rows: bool = True,
@@ -249,7 +249,7 @@
             publishes_rows=rows,
             publishes_documents=documents,
         )
-        self.state_sync = StateSync(c.client(), parts, options)
+        self.state_sync = StateSync(store_cluster.client(), parts, options)
         assert self.state_sync.publisher is not None
         self.publisher = self.state_sync.publisher
         list_lease = self.state_sync.list_lease
@@ -335,9 +335,9 @@
         follower = publisher.follower
 
         def kinds() -> list[tuple[api.EndpointListKind, int]]:
-            found = [(kind, len(endpoints)) for kind, endpoints in driver.lists]
+            received = [(kind, len(endpoints)) for kind, endpoints in driver.lists]
             driver.lists.clear()
-            return found
+            return received
 
         def position(token: int, number: int) -> ListRow:
             return ListRow(token, number, 1, "a", int(time.time()))
@@ -418,8 +418,8 @@
     discovery = FakeDiscovery(upstreams)
     await discovery.start()
     try:
-        async with cluster(folder, 1) as c:
-            yield c, discovery, StoredRows(c.client())
+        async with cluster(folder, 1) as store_cluster:
+            yield store_cluster, discovery, StoredRows(store_cluster.client())
     finally:
         discovery.stop()
 
@@ -427,17 +427,20 @@
 def test_a_change_arrives_at_followers_as_one_row_and_one_delta(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, *(server(f"s-{n}") for n in range(40))) as (
-            c,
+            store_cluster,
             discovery,
             stored,
         ):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
-            balancer_b = RowBalancer(c, "two", None)
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(store_cluster, "two", None)
             await balancer_b.wait_for_list(*discovery.rows)
             assert balancer_b.driver.lists[-1][0] is api.EndpointListKind.FULL
             await stored.wait_for_rows(*discovery.rows)
             lists, writes = len(balancer_b.driver.lists), len(stored.writes)
-            client, reader = c.client(), RollingRestartReader(c.client(), "orders")
+            client, reader = (
+                store_cluster.client(),
+                RollingRestartReader(store_cluster.client(), "orders"),
+            )
             assert len((await reader.read()).view.upstreams) == 40
             discovery.change(server("s-7", "Terminating"))
             await balancer_b.wait_for_list(*discovery.rows)
@@ -474,9 +477,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
-            balancer_b = RowBalancer(c, "two", None)
+        async with fleet(tmp_path, server("s-1")) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(store_cluster, "two", None)
             await balancer_b.wait_for_list(*discovery.rows)
             for _ in range(2):
                 last_message_ns = balancer_b.publisher.follower.source.last_message_ns
@@ -497,8 +500,8 @@
 def test_removal_of_a_zone_is_a_few_writes_and_leaves_the_other_rows(tmp_path: Path) -> None:
     async def test() -> None:
         upstreams = [server(f"s-{n}", zone="gone" if n < 600 else "stays") for n in range(700)]
-        async with fleet(tmp_path, *upstreams) as (c, discovery, stored):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+        async with fleet(tmp_path, *upstreams) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
             await stored.wait_for_rows(*upstreams)
             assert len(stored.writes) == 3  # of at most 256 operations
             discovery.change(*({**b, "state": "Gone"} for b in upstreams[:600]))
@@ -534,17 +537,17 @@
 def test_the_next_leader_completes_an_interrupted_publication(tmp_path: Path) -> None:
     async def test() -> None:
         upstreams = [server(f"s-{n}") for n in range(600)]
-        async with fleet(tmp_path, *upstreams) as (c, discovery, stored):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+        async with fleet(tmp_path, *upstreams) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
             suspended, _ = suspend_before_write(balancer_a, 2)
             await suspended.wait()
-            balancer_b = RowBalancer(c, "two", discovery)
+            balancer_b = RowBalancer(store_cluster, "two", discovery)
             await stored.until(lambda: len(stored.rows) == 254)
             await balancer_a.crash()
             await balancer_b.wait_until_leader()
             await stored.wait_for_rows(*upstreams)
             assert list(stored.writes.values()) == [254, 254, 92]  # stored rows are not rewritten
-            balancer_c = RowBalancer(c, "three", discovery)
+            balancer_c = RowBalancer(store_cluster, "three", discovery)
             await balancer_b.close()
             await balancer_c.wait_until_leader()
             await stored.until(
@@ -558,13 +561,13 @@
 
 def test_the_next_leader_does_not_publish_an_older_list(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+        async with fleet(tmp_path, server("s-1")) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
             discovery.change(server("s-2"))
             await stored.wait_for_rows(*discovery.rows)
             await balancer_a.close()
             discovery.version, discovery.rows = 1, [server("s-1")]  # like a lagging replica
-            balancer_b = await RowBalancer(c, "two", discovery).wait_until_leader()
+            balancer_b = await RowBalancer(store_cluster, "two", discovery).wait_until_leader()
             await until(
                 lambda: balancer_b.discovery.version == 1 and balancer_b.publisher.min_version == 2
             )
@@ -580,8 +583,12 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (
+            store_cluster,
+            discovery,
+            stored,
+        ):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
             await stored.wait_for_rows(*discovery.rows)
             suspended, resume = suspend_before_write(balancer_a, 1)
             discovery.change(server("s-1", "Terminating"))
@@ -591,8 +598,8 @@
             balancer_a.publisher.running = (
                 None  # so the task is not cancelled, as in a suspended process
             )
-            balancer_b = RowBalancer(c, "two", discovery)
-            await c.client().release(
+            balancer_b = RowBalancer(store_cluster, "two", discovery)
+            await store_cluster.client().release(
                 Release("work/list/orders", balancer_a.state_sync.list_lease.holder.claim), 5.0
             )
             await balancer_b.wait_until_leader()
@@ -613,15 +620,15 @@
 
 def test_a_former_leader_follows_the_rows_of_the_next(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, first, stored):
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (store_cluster, first, stored):
             second = FakeDiscovery([server("s-1"), server("s-3")])
             await second.start()
-            balancer_a = await RowBalancer(c, "one", first).wait_until_leader()
+            balancer_a = await RowBalancer(store_cluster, "one", first).wait_until_leader()
             await stored.wait_for_rows(*first.rows)
-            balancer_b = RowBalancer(c, "two", second)
+            balancer_b = RowBalancer(store_cluster, "two", second)
             await balancer_b.wait_for_list(*first.rows)
             first.silent = True
-            await c.client().release(
+            await store_cluster.client().release(
                 Release("work/list/orders", balancer_a.state_sync.list_lease.holder.claim), 5.0
             )
             await balancer_b.wait_until_leader()
@@ -648,11 +655,15 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
-            balancer_b = RowBalancer(c, "two", None)
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (
+            store_cluster,
+            discovery,
+            stored,
+        ):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(store_cluster, "two", None)
             await balancer_b.wait_for_list(*discovery.rows)
-            client = c.client()
+            client = store_cluster.client()
             key = KEYS.upstream(upstream_number("s-1"))
             await client.write_rows([Op(key, encode(("of", "another", "program")))], [()])
             discovery.change(server("s-2", "Terminating"))
@@ -673,12 +684,12 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
+        async with fleet(tmp_path, server("s-1")) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
             await stored.wait_for_rows(*discovery.rows)
             discovery.change(server("s-2"), server("s-3", zone="z" * MAX_ROW_BYTES))
             await until(lambda: bool(balancer_a.publisher.last_error))
-            balancer_b = RowBalancer(c, "two", None)
+            balancer_b = RowBalancer(store_cluster, "two", None)
             await balancer_b.wait_for_list(server("s-1"))
             discovery.change(server("s-3"))
             await balancer_b.wait_for_list(*discovery.rows)
@@ -699,7 +710,7 @@
             await until(lambda: bool(balancer_b.state_sync.name_lease.token()))
             await balancer_a.close()
             await balancer_b.close()
-            restarted = RowBalancer(c, "two", None)
+            restarted = RowBalancer(store_cluster, "two", None)
             await restarted.wait_for_list(*discovery.rows)
             # The learned state is restored after the list, for the same start of each upstream.
             await until(lambda: bool(restarted.driver.posted))
@@ -720,22 +731,26 @@
 
 def test_a_restored_store_is_followed_from_its_new_leaders_first_write(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            balancer_a = await RowBalancer(c, "one", discovery).wait_until_leader()
-            balancer_b = RowBalancer(c, "two", None)
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (
+            store_cluster,
+            discovery,
+            stored,
+        ):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(store_cluster, "two", None)
             await balancer_b.wait_for_list(*discovery.rows)
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
-                await c.client().read_backup(file.write)
+                await store_cluster.client().read_backup(file.write)
             discovery.change(server("s-2", "Gone"), server("s-3"))
             await balancer_b.wait_for_list(*discovery.rows)
             lists = len(balancer_b.driver.lists)
-            await c.stop(0)
+            await store_cluster.stop(0)
             path = tmp_path / "restored.toml"
             path.write_text((tmp_path / "0.toml").read_text().replace('"n0"', '"restored"'))
-            c.settings[0] = read_store(path)
-            running.restore(c.settings[0], copy)
-            await c.begin(0)
+            store_cluster.settings[0] = read_store(path)
+            running.restore(store_cluster.settings[0], copy)
+            await store_cluster.begin(0)
             discovery.change(server("s-4"))
             await balancer_b.wait_for_list(*discovery.rows)
             # The backup's rows are older than those received: s-2 must not reappear.
@@ -815,39 +830,43 @@
 # ---- fleets with balancers without row support ---------------------------------------------------
 
 
-async def wait_for_document_deletion(c: Cluster) -> None:
-    async for event in c.client().watch("list/orders", 0):
+async def wait_for_document_deletion(store_cluster: Cluster) -> None:
+    async for event in store_cluster.client().watch("list/orders", 0):
         if any(change.value is None for change in event.changes):
             return
 
 
 def test_followers_use_the_rows_or_the_document_of_the_later_leader(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            document_leader = await RowBalancer(c, "old", discovery, rows=False).wait_until_leader()
+        async with fleet(tmp_path, server("s-1")) as (store_cluster, discovery, stored):
+            document_leader = await RowBalancer(
+                store_cluster, "old", discovery, rows=False
+            ).wait_until_leader()
             rows_follower, document_follower = (
-                RowBalancer(c, "new", None),
-                RowBalancer(c, "plain", None, rows=False),
+                RowBalancer(store_cluster, "new", None),
+                RowBalancer(store_cluster, "plain", None, rows=False),
             )
             await rows_follower.wait_for_list(server("s-1"))  # from the document
             assert not stored.rows
             await document_leader.close()
             await rows_follower.close()
             dual_leader = await RowBalancer(
-                c, "both", discovery, documents=True
+                store_cluster, "both", discovery, documents=True
             ).wait_until_leader()
-            rows_follower = RowBalancer(c, "new", None)
+            rows_follower = RowBalancer(store_cluster, "new", None)
             discovery.change(server("s-2"))
             await rows_follower.wait_for_list(*discovery.rows)
             await document_follower.wait_for_list(*discovery.rows)
             await dual_leader.close()
-            rows_leader = await RowBalancer(c, "alone", discovery).wait_until_leader()
+            rows_leader = await RowBalancer(store_cluster, "alone", discovery).wait_until_leader()
             discovery.change(server("s-3"))
             await rows_follower.wait_for_list(*discovery.rows)
             # An outdated document would be used by a starting balancer without row support.
-            await wait_for_document_deletion(c)
+            await wait_for_document_deletion(store_cluster)
             await rows_leader.close()
-            document_leader = await RowBalancer(c, "old", discovery, rows=False).wait_until_leader()
+            document_leader = await RowBalancer(
+                store_cluster, "old", discovery, rows=False
+            ).wait_until_leader()
             discovery.change(server("s-1", "Gone"))
             await rows_follower.wait_for_list(*discovery.rows)
             for balancer in (document_leader, rows_follower, document_follower):
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -54,7 +54,7 @@
     """Return a view of a healthy fleet of one balancer and eight upstreams, with changes."""
     upstreams = {i: UpstreamStatus("a" if i % 2 else "b", 100.0, True) for i in range(8)}
     observed = {"one": ObservedReport(BalancerReport(version, (), 50.0, 49.0, 1), 0.5, True)}
-    phase_ages_s = {b.name: 1_000.0 - b.since_ms / 1000 for b in restart.upstreams}
+    phase_ages_s = {entry.name: 1_000.0 - entry.since_ms / 1000 for entry in restart.upstreams}
     default_view = FleetView(1_000_000, disabled, version, observed, upstreams, 1.0, phase_ages_s)
     return replace(default_view, **overrides)  # type: ignore[arg-type]
 
@@ -79,8 +79,8 @@
         self.busy: dict[str, set[str]] = {name: set() for name in self.versions}
         self.reports = {name: BalancerReport(1, (), 50.0, 49.0, 1) for name in self.versions}
         self.ages = dict.fromkeys(self.versions, 0.0)
-        self.restarts = {b.name: 0 for b in self.stored_restart.upstreams}
-        self.previous_phase = {b.name: Phase.WAITING for b in self.stored_restart.upstreams}
+        self.restarts = {entry.name: 0 for entry in self.stored_restart.upstreams}
+        self.previous_phase = {entry.name: Phase.WAITING for entry in self.stored_restart.upstreams}
 
     def view(self) -> FleetView:
         observed = {n: ObservedReport(self.reports[n], self.ages[n], True) for n in self.versions}
@@ -89,7 +89,9 @@
             for i, s in self.started.items()
             if i not in self.unlisted
         }
-        phase_ages_s = {b.name: self.now - b.since_ms / 1000 for b in self.stored_restart.upstreams}
+        phase_ages_s = {
+            entry.name: self.now - entry.since_ms / 1000 for entry in self.stored_restart.upstreams
+        }
         return FleetView(
             int(self.now * 1000),
             self.disabled,
@@ -114,24 +116,29 @@
     def check_invariants(self) -> None:
         """Check the invariants of the stored state."""
         out_of_service = {
-            b.name
-            for b in self.stored_restart.upstreams
-            if b.phase in (Phase.DRAINING, Phase.DRAINED)
+            entry.name
+            for entry in self.stored_restart.upstreams
+            if entry.phase in (Phase.DRAINING, Phase.DRAINED)
         }
         assert out_of_service == self.disabled, "the disabled set differs from the document"
         assert len(out_of_service) <= self.stored_restart.max_unavailable
-        for b in self.stored_restart.upstreams:
+        for entry in self.stored_restart.upstreams:
             order = list(Phase)
-            previous_phase, self.previous_phase[b.name] = self.previous_phase[b.name], b.phase
-            assert order.index(b.phase) - order.index(previous_phase) in (0, 1), (
-                f"{b.name}: {previous_phase} to {b.phase}"
+            previous_phase, self.previous_phase[entry.name] = (
+                self.previous_phase[entry.name],
+                entry.phase,
+            )
+            assert order.index(entry.phase) - order.index(previous_phase) in (0, 1), (
+                f"{entry.name}: {previous_phase} to {entry.phase}"
             )
-            if b.phase is Phase.DRAINED and previous_phase is Phase.DRAINING:
-                assert not any(b.name in busy for busy in self.busy.values()), (
-                    f"{b.name} still has attempts in flight"
+            if entry.phase is Phase.DRAINED and previous_phase is Phase.DRAINING:
+                assert not any(entry.name in busy for busy in self.busy.values()), (
+                    f"{entry.name} still has attempts in flight"
+                )
+            if entry.phase is Phase.WARMING_UP and previous_phase is Phase.DRAINED:
+                assert self.restarts[entry.name] == 1, (
+                    f"{entry.name} was enabled before it was restarted"
                 )
-            if b.phase is Phase.WARMING_UP and previous_phase is Phase.DRAINED:
-                assert self.restarts[b.name] == 1, f"{b.name} was enabled before it was restarted"
 
     def advance(self) -> None:
         """Advance the time by 0.5 s.
@@ -145,10 +152,10 @@
             if rng.random() < 0.5:
                 self.versions[name], self.known[name] = self.version, self.disabled
             if rng.random() < 0.6:
-                self.busy[name] = {b for b in self.busy[name] if rng.random() < 0.5}
-            for b in self.previous_phase:
-                if b not in self.known[name] and rng.random() < 0.2:
-                    self.busy[name].add(b)
+                self.busy[name] = {entry for entry in self.busy[name] if rng.random() < 0.5}
+            for entry in self.previous_phase:
+                if entry not in self.known[name] and rng.random() < 0.2:
+                    self.busy[name].add(entry)
             if rng.random() < 0.7:
                 quiet = tuple(sorted(self.busy[name] & self.known[name]))
                 count = self.reports[name].sequence + 1
@@ -196,7 +203,7 @@
     assert fleet.stored_restart.state is State.ENDED and not fleet.disabled, explain_wait(
         fleet.stored_restart, fleet.view()
     )
-    assert all(b.phase is Phase.DONE for b in fleet.stored_restart.upstreams)
+    assert all(entry.phase is Phase.DONE for entry in fleet.stored_restart.upstreams)
 
 
 def test_a_silent_balancer_delays_and_finally_pauses_the_restart() -> None:
@@ -213,19 +220,19 @@
     )
     step = next_step(restart, silent, PROGRESS_TIMEOUT_S + 1)
     assert step is not None and step.restart.state is State.PAUSED and step.disabled is None
-    old = view(
+    old_report = view(
         restart, balancers={"one": ObservedReport(BalancerReport(1, (), 50.0, 49.0, 1), 11.0, True)}
     )
-    assert next_step(restart, old) is None
+    assert next_step(restart, old_report) is None
     assert next_step(restart, view(restart, list_age_s=11.0)) is None
 
 
 def test_a_falling_success_ratio_pauses_but_upstreams_under_way_continue() -> None:
     restart = rolling_restart(3, success_ratio=0.98)
-    fallen = view(
+    low_success = view(
         restart, balancers={"one": ObservedReport(BalancerReport(1, (), 50.0, 40.0, 1), 0.5, True)}
     )
-    step = next_step(restart, fallen)
+    step = next_step(restart, low_success)
     assert (
         step is not None
         and step.restart.state is State.PAUSED
@@ -237,8 +244,10 @@
     paused = msgspec.structs.replace(
         restart, state=State.PAUSED, upstreams=(upstream, *restart.upstreams[1:])
     )
-    upstreams = {**fallen.upstreams, 0: UpstreamStatus("b", 500.0, True)}
-    step = next_step(paused, replace(fallen, disabled=frozenset({"box-0"}), upstreams=upstreams))
+    upstreams = {**low_success.upstreams, 0: UpstreamStatus("b", 500.0, True)}
+    step = next_step(
+        paused, replace(low_success, disabled=frozenset({"box-0"}), upstreams=upstreams)
+    )
     assert (
         step is not None
         and step.disabled == frozenset()
@@ -365,9 +374,9 @@
         and step.disabled is None
         and announce_requests(step.restart, 5, 99.0, 10.0) is None
     )
-    assert [b.name for b in pending_requests(step.restart, 5)] == ["box-0"] and pending_requests(
-        step.restart, 6
-    ) == []
+    assert [entry.name for entry in pending_requests(step.restart, 5)] == [
+        "box-0"
+    ] and pending_requests(step.restart, 6) == []
     assert announce_requests(step.restart, 6, 9.9, 10.0) is None
     later = announce_requests(step.restart, 6, 10.0, 10.0)
     assert (
@@ -391,8 +400,8 @@
 def test_upstreams_are_shared_with_canonical_and_dialed_with_translated_addresses() -> None:
     address_map = AddressMap({"10.0.0.1:80": "127.0.0.1:9001"})
     known = [Endpoint(api.Upstream(n), host, 80) for n, host in enumerate(("10.0.0.1", "10.0.0.2"))]
-    here = address_map.to_dialed(known)
-    assert [(e.host, e.port) for e in here] == [("127.0.0.1", 9001), ("10.0.0.2", 80)]
-    assert address_map.to_canonical(here) == known and address_map.dialed_address(
+    dialed = address_map.to_dialed(known)
+    assert [(e.host, e.port) for e in dialed] == [("127.0.0.1", 9001), ("10.0.0.2", 80)]
+    assert address_map.to_canonical(dialed) == known and address_map.dialed_address(
         ("10.0.0.1", 80)
     ) == ("127.0.0.1", 9001)
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -104,12 +104,14 @@
 class SiteBalancer:
     """A balancer with site failover: a state sync and a driver that receives requests."""
 
-    def __init__(self, c: Cluster, name: str, zone: str) -> None:
+    def __init__(self, store_cluster: Cluster, name: str, zone: str) -> None:
         self.driver = SiteDriver(zone)
         disabled = DisabledUpstreams(None, name, ProcessRegistry(None), self.driver)
         parts = Parts(cast(Any, None), cast(Any, self.driver), disabled, lambda: None)
         self.state_sync = StateSync(
-            c.client(), parts, StateSyncOptions("orders", name, lease_s=0.6, has_site_failover=True)
+            store_cluster.client(),
+            parts,
+            StateSyncOptions("orders", name, lease_s=0.6, has_site_failover=True),
         )
         self.state_sync.start()
         self.sending = asyncio.create_task(self.driver.send_requests(40.0))
@@ -124,13 +126,13 @@
         await self.state_sync.close()
 
 
-async def command(c: Cluster, *arguments: str) -> tuple[int, str]:
+async def command(store_cluster: Cluster, *arguments: str) -> tuple[int, str]:
     """Run a `site` command; return its exit status and its output or error."""
-    at = ",".join(c.settings[place].advertise for place in c.nodes)
+    addresses = ",".join(store_cluster.settings[place].advertise for place in store_cluster.nodes)
     result = await asyncio.to_thread(
         CliRunner().invoke,
         application(arguments),
-        ["site", *arguments, "--service", "orders", "--at", at],
+        ["site", *arguments, "--service", "orders", "--at", addresses],
     )
     output = str(result.exception) if isinstance(result.exception, Exception) else result.output
     return result.exit_code, output
@@ -150,10 +152,13 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
-            assert "no document" in (await command(c, "plan"))[1]
-            balancer_a, balancer_b = SiteBalancer(c, "one", "a"), SiteBalancer(c, "two", "b")
+        async with cluster(tmp_path, 1) as store_cluster:
+            client = store_cluster.client()
+            assert "no document" in (await command(store_cluster, "plan"))[1]
+            balancer_a, balancer_b = (
+                SiteBalancer(store_cluster, "one", "a"),
+                SiteBalancer(store_cluster, "two", "b"),
+            )
             await until(
                 lambda: (
                     "site controller idle: reason=there is no document sites/orders" in caplog.text
@@ -179,12 +184,14 @@
                 )
             )
             async with asyncio.timeout(15):
-                while (await command(c, "plan"))[0] != 1:  # 80 requests/s; one site can serve 40
+                while (await command(store_cluster, "plan"))[
+                    0
+                ] != 1:  # 80 requests/s; one site can serve 40
                     pass
-            status, output = await command(c, "hold", "b")
+            status, output = await command(store_cluster, "hold", "b")
             assert status == 1 and "do not bear it" in output
-            assert "no such site" in (await command(c, "hold", "nowhere"))[1]
-            assert (await command(c, "hold", "b", "--force"))[0] == 0
+            assert "no such site" in (await command(store_cluster, "hold", "nowhere"))[1]
+            assert (await command(store_cluster, "hold", "b", "--force"))[0] == 0
             await until(
                 lambda: (
                     bool(balancer_a.driver.plans)
@@ -194,10 +201,15 @@
             assert (
                 balancer_a.driver.plans[-1].excess_reject_fraction > 0
             )  # requests beyond the shares are rejected
-            assert "out by" in (await command(c, "status"))[1]
-            assert 'lanelift_site_part{site="b"} 0.0' in (await command(c, "metrics"))[1]
-            assert "not in normal service" in (await command(c, "drill", "b", "--force"))[1]
-            assert (await command(c, "return", "b"))[0] == 0
+            assert "out by" in (await command(store_cluster, "status"))[1]
+            assert (
+                'lanelift_site_part{site="b"} 0.0' in (await command(store_cluster, "metrics"))[1]
+            )
+            assert (
+                "not in normal service"
+                in (await command(store_cluster, "drill", "b", "--force"))[1]
+            )
+            assert (await command(store_cluster, "return", "b"))[0] == 0
             await until(lambda: balancer_a.driver.plans[-1] == api.TrafficPlan(), 30.0)
             for balancer in (balancer_a, balancer_b):
                 balancer.driver.unreachable = {e.entry.id for e in UPSTREAMS if e.entry.zone == "b"}
--- a/tests/daemon/test_state_sync.py
+++ b/tests/daemon/test_state_sync.py
@@ -187,28 +187,31 @@
 class SyncedBalancer:
     """A state sync with its own driver."""
 
-    def __init__(self, c: Cluster, name: str) -> None:
+    def __init__(self, store_cluster: Cluster, name: str) -> None:
         self.driver = FakeDriver()
         self.disabled = DisabledUpstreams(None, name, ProcessRegistry(None), self.driver)
         parts = Parts(cast(Any, None), cast(Any, self.driver), self.disabled, lambda: None)
-        self.state_sync = StateSync(c.client(), parts, StateSyncOptions("orders", name))
+        self.state_sync = StateSync(store_cluster.client(), parts, StateSyncOptions("orders", name))
         self.state_sync.start()
 
 
 def test_an_upstream_disabled_on_one_balancer_is_disabled_on_all(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            balancer_a, balancer_b = SyncedBalancer(c, "one"), SyncedBalancer(c, "two")
+        async with cluster(tmp_path) as store_cluster:
+            balancer_a, balancer_b = (
+                SyncedBalancer(store_cluster, "one"),
+                SyncedBalancer(store_cluster, "two"),
+            )
             await asyncio.gather(
                 balancer_a.disabled.disable("box-1"), balancer_b.disabled.disable("box-2")
             )
             both = frozenset({"box-1", "box-2"})
             await until(lambda: balancer_a.disabled.names == balancer_b.disabled.names == both)
-            await c.stop(c.leader())
+            await store_cluster.stop(store_cluster.leader())
             await balancer_a.disabled.enable("box-2")
             await until(lambda: balancer_b.disabled.names == {"box-1"})
             assert balancer_b.driver.disabled_calls == {"box-1": True, "box-2": False}
-            late_balancer = SyncedBalancer(c, "late")
+            late_balancer = SyncedBalancer(store_cluster, "late")
             await until(lambda: late_balancer.driver.disabled_calls == {"box-1": True})
             for synced_balancer in (balancer_a, balancer_b, late_balancer):
                 await synced_balancer.state_sync.close()
@@ -220,14 +223,14 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            balancer_a = SyncedBalancer(c, "one")
-            await c.stop(0)
+        async with cluster(tmp_path, 1) as store_cluster:
+            balancer_a = SyncedBalancer(store_cluster, "one")
+            await store_cluster.stop(0)
             await balancer_a.disabled.disable("box-1")
             assert balancer_a.driver.disabled_calls == {"box-1": True}
             await until(lambda: "store unavailable, using last known state" in caplog.text)
-            await c.begin(0)
-            balancer_b = SyncedBalancer(c, "two")
+            await store_cluster.begin(0)
+            balancer_b = SyncedBalancer(store_cluster, "two")
             await until(lambda: balancer_b.driver.disabled_calls == {"box-1": True})
             await until(lambda: "store available again" in caplog.text)
             await balancer_a.state_sync.close()
@@ -251,8 +254,8 @@
     ]
 
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            balancer_a = SyncedBalancer(c, "one")
+        async with cluster(tmp_path, 1) as store_cluster:
+            balancer_a = SyncedBalancer(store_cluster, "one")
             balancer_a.driver.learn(api.EndpointListKind.FULL, old)
             balancer_a.driver.module.handle(
                 now, [api.EndpointsUpdated(api.EndpointListKind.FULL, [e.entry for e in old])]
@@ -267,7 +270,7 @@
             )
             await balancer_a.state_sync.save()
             await balancer_a.state_sync.close()
-            balancer_b = SyncedBalancer(c, "one")
+            balancer_b = SyncedBalancer(store_cluster, "one")
             await until(lambda: bool(balancer_b.driver.posted))
             ((kind, listed),) = balancer_b.driver.lists
             assert kind is api.EndpointListKind.CACHED and [e.port for e in listed] == [9001, 9002]
