--- a/loadbalancer/daemon/leased_task.py
+++ b/loadbalancer/daemon/leased_task.py
@@ -1,4 +1,4 @@
-"""Base of a controller that runs on one process of the fleet at a time, under a lease."""
+"""Base class of the controllers that run on one process of the fleet at a time, under a lease."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 log = logging.getLogger(__name__)
 
 ERROR_RETRY_S = 0.5
-CONFLICT_RETRY_S = 0.02  # another process changed meanwhile what a step had read
+CONFLICT_RETRY_S = 0.02  # after another process changed a row that the step had read
 MIN_WAIT_S = 0.01
 
 
 class LeaseFactory(Protocol):
-    """Creates the client of one lease, with the callbacks for acquiring and losing it."""
+    """Creates the client of one lease, with callbacks for its acquisition and its loss."""
 
     def __call__(
         self, on_acquired: Callable[[int], None], on_lost: Callable[[], None]
     ) -> LeaseClient:
-        """Returns a new lease client."""
+        """Return a new lease client."""
         ...
 
 
 class LeasedTask(ABC):
-    """Runs `step` again and again for as long as the lease is held."""
+    """Runs `step` repeatedly while the lease is held."""
 
     def __init__(self, lease_factory: LeaseFactory, name: str) -> None:
-        """Creates the lease; it is started by its creator.
+        """Create the lease's client; the caller starts it.
 
         Args:
             lease_factory: Creates the lease with this task's callbacks.
@@ -44,11 +44,11 @@
 
     @abstractmethod
     def reset(self) -> None:
-        """Drops all state of an earlier term: it is out of date."""
+        """Drop all state of an earlier term, because it is out of date."""
 
     @abstractmethod
     async def step(self) -> float:
-        """Observes once and makes at most one write.
+        """Read the state once and make at most one write.
 
         Returns:
             Seconds until the next step.
@@ -58,12 +58,12 @@
         """
 
     def on_lease_acquired(self, _token: int) -> None:
-        """Begins a term."""
+        """Begin a term."""
         self.reset()
         self.running = asyncio.get_running_loop().create_task(self._run())
 
     def on_lease_lost(self) -> None:
-        """Ends the term."""
+        """End the term."""
         if self.running is not None:
             self.running.cancel()
             self.running = None
--- a/loadbalancer/daemon/site_controller.py
+++ b/loadbalancer/daemon/site_controller.py
@@ -1,7 +1,7 @@
 """Runs site failover for the fleet under a lease.
 
-The leader reads, asks `loadbalancer.failover.controller` for a plan and writes one step at a time
-under its token.
+The leader reads the state, gets a plan from `loadbalancer.failover.controller` and writes one step
+at a time under its fencing token.
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
 
 log = logging.getLogger(__name__)
 
-ACTIVE_INTERVAL_S = 0.3  # between two steps while a site is not as usual
-IDLE_INTERVAL_S = 0.6  # while all sites are
+ACTIVE_INTERVAL_S = 0.3  # between two steps while a site is not in normal service
+IDLE_INTERVAL_S = 0.6  # between two steps while all sites are in normal service
 HEARTBEAT_INTERVAL_S = 3.5  # between two confirmations of the plan
-SHARES_INTERVAL_S = 1.5  # shares that changed in figures only are written no more often
-# Loss tables are written again where the load changed by this fraction, and no more often.
+SHARES_INTERVAL_S = 1.5  # minimum interval between writes that change traffic shares only
+# Loss tables are written again after the load has changed by this fraction, and at most this often.
 TABLES_LOAD_CHANGE = 0.1
 TABLES_INTERVAL_S = 5.0
 NS_PER_S = 1e9
@@ -57,7 +57,7 @@
 
 
 class SiteController(LeasedTask):
-    """Plans for the fleet's sites while this process holds the lease."""
+    """Plans site failover for the fleet while this process holds the lease."""
 
     def __init__(
         self, client: Client, lease_factory: LeaseFactory, service: str, settings: api.Settings
@@ -71,7 +71,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Drops all state of an earlier term, but for the usual size of each site."""
+        """Drop all state of an earlier term, except for the usual size of each site."""
         rules = self.settings.rules
         self.reader = SiteReader(self.client, self.service, self.settings, self.usual_counts)
         self.failover = FailoverController(
@@ -80,25 +80,25 @@
             ),
             time.monotonic_ns(),
         )
-        self.sequence = 0  # of this leader's plans
-        self.heartbeat = 0  # of its confirmations
-        self.written_s = 0.0  # when the plan was written or confirmed last
-        self.idle_reason = ""  # as last logged
+        self.sequence = 0  # number of this leader's last plan
+        self.heartbeat = 0  # number of this leader's last confirmation
+        self.written_s = 0.0  # time of the plan's last write or confirmation
+        self.idle_reason = ""  # the last logged reason
         self.is_shedding = False
         self.tables_written_s = 0.0
         self.tables_load: float | None = None
-        self.warned: set[frozenset[str]] = set()
+        self.logged_losses: set[frozenset[str]] = set()
 
     def _set_idle_reason(self, reason: str) -> None:
-        """Logs each reason once, until it changes."""
+        """Set the reason why no plan is made, and log it if it changed."""
         if reason and reason != self.idle_reason:
             log.warning("site controller idle: reason=%s", reason)
         self.idle_reason = reason
 
-    # ---- one step --------------------------------------------------------------------------------
+    # ---- steps -----------------------------------------------------------------------------------
 
     async def step(self) -> float:
-        """Observes once and writes at most one plan.
+        """Read the state once and write at most one plan.
 
         Returns:
             Seconds until the next step.
@@ -115,20 +115,23 @@
         if observation.snapshot.blocked_reason:
             return IDLE_INTERVAL_S
         if not self.sequence and observation.plan.token == self.lease.token():
-            # Plans under this token may have been written before this task began.
+            # This process may have written plans under the same token before this task started.
             self.sequence = observation.plan.sequence
         current = tuple(map(observation.plan.state_of, observation.sites))
         decision = self.failover.decide(current, observation.snapshot, time.monotonic_ns())
         _log_transitions(current, decision.states)
         await self._write_plan(observation, decision.states, decision.shares)
         await self._write_tables(observation, decision.fleet)
-        is_usual = all(state.is_normal for state in decision.states)
-        return IDLE_INTERVAL_S if is_usual else ACTIVE_INTERVAL_S
+        all_sites_normal = all(state.is_normal for state in decision.states)
+        return IDLE_INTERVAL_S if all_sites_normal else ACTIVE_INTERVAL_S
 
     async def _write_plan(
-        self, observation: SiteObservation, states: tuple[SiteState, ...], planned: TrafficShares
+        self,
+        observation: SiteObservation,
+        states: tuple[SiteState, ...],
+        planned_shares: TrafficShares,
     ) -> None:
-        """Writes the plan at the version that was read, or confirms the one that stands."""
+        """Write the plan if its row still has the version that was read, or confirm the plan."""
         token = self.lease.token()
         now_s = time.monotonic()
         if not token:
@@ -139,54 +142,56 @@
             states != plan.site_states or observation.sites != plan.sites or token != plan.token
         )
         is_shares_write_due = (
-            now_s - self.written_s >= SHARES_INTERVAL_S or planned == NORMAL_SHARES
+            now_s - self.written_s >= SHARES_INTERVAL_S or planned_shares == NORMAL_SHARES
         )
-        if has_new_states or (planned != plan.traffic_shares and is_shares_write_due):
+        if has_new_states or (planned_shares != plan.traffic_shares and is_shares_write_due):
             self.sequence += 1
             document = SitePlanDocument(
-                token, self.sequence, observation.sites, states, planned, unix_s()
+                token, self.sequence, observation.sites, states, planned_shares, unix_s()
             )
             version = observation.plan_row.version
             await self.lease.write([Op(self.keys.plan, msgspec.json.encode(document), version)])
             self.written_s = now_s
-            self._log_load_shedding(planned)
+            self._log_load_shedding(planned_shares)
         elif now_s - self.written_s >= HEARTBEAT_INTERVAL_S:
             self.heartbeat += 1
             confirmation = LeaderConfirmation(token, self.sequence, self.heartbeat)
             await self.lease.write([Op(self.keys.confirmation, msgspec.json.encode(confirmation))])
             self.written_s = now_s
 
-    def _log_load_shedding(self, planned: TrafficShares) -> None:
-        if planned.excess:
+    def _log_load_shedding(self, planned_shares: TrafficShares) -> None:
+        if planned_shares.excess:
             log.info(
                 "site load shedding: over_quota=%.0f%% retries=%.0f%% hedging=%s classes=%s",
-                100 * planned.excess,
-                100 * planned.retries,
-                "on" if planned.allows_hedging else "off",
-                ",".join(f"{name}:{fraction:.0%}" for name, fraction in planned.classes.items())
+                100 * planned_shares.excess,
+                100 * planned_shares.retries,
+                "on" if planned_shares.allows_hedging else "off",
+                ",".join(
+                    f"{name}:{fraction:.0%}" for name, fraction in planned_shares.classes.items()
+                )
                 or "none",
             )
         elif self.is_shedding:
             log.info("site load shedding ended")
-        self.is_shedding = bool(planned.excess)
+        self.is_shedding = bool(planned_shares.excess)
 
     # ---- precomputed losses ----------------------------------------------------------------------
 
     async def _write_tables(self, observation: SiteObservation, fleet: Fleet) -> None:
-        """Computes what each loss would come to, while all sites are as usual."""
+        """Compute and write the plan for each loss, while all sites are in normal service."""
         now_s = time.monotonic()
         load = sum(entry.rate for entry in fleet.loads)
-        is_usual = all(state.is_normal for state in observation.plan.site_states)
+        all_sites_normal = all(state.is_normal for state in observation.plan.site_states)
         is_due = self._has_load_changed(load) and now_s - self.tables_written_s >= TABLES_INTERVAL_S
-        if not load or not is_due or not is_usual:
+        if not load or not is_due or not all_sites_normal:
             return
-        # In a thread: it takes too long for the event loop.
-        computed = await asyncio.to_thread(plans_for_losses, fleet)
-        self._warn_of_losses_over_capacity(computed)
+        # The computation runs in a thread, because it would block the event loop for too long.
+        loss_plans = await asyncio.to_thread(plans_for_losses, fleet)
+        self._warn_of_losses_over_capacity(loss_plans)
         reports = observation.snapshot.reports
         rows = await asyncio.to_thread(
             lambda: tuple(
-                loss_table(fleet, plan, reports) for plan in computed.values() if plan.lost
+                loss_table(fleet, plan, reports) for plan in loss_plans.values() if plan.lost
             )
         )
         document = LossTablesDocument(
@@ -206,17 +211,17 @@
         return abs(load - previous) > TABLES_LOAD_CHANGE * max(1.0, previous)
 
     def _warn_of_losses_over_capacity(
-        self, computed: Mapping[frozenset[str], FailoverPlan]
+        self, loss_plans: Mapping[frozenset[str], FailoverPlan]
     ) -> None:
-        """Logs each loss that exceeds the other sites' capacity once, until it no longer does."""
-        over_capacity = set(losses_over_capacity(computed))
-        for lost in sorted(over_capacity - self.warned, key=sorted):
+        """Log each loss that newly exceeds the capacity of the remaining sites."""
+        over_capacity = set(losses_over_capacity(loss_plans))
+        for lost in sorted(over_capacity - self.logged_losses, key=sorted):
             log.warning(
                 "site loss exceeds capacity: lost=%s value_left=%.0f%%",
                 ",".join(sorted(lost)),
-                100 * computed[lost].served.fraction,
+                100 * loss_plans[lost].served.fraction,
             )
-        self.warned = over_capacity
+        self.logged_losses = over_capacity
 
 
 def _log_transitions(before: tuple[SiteState, ...], after: tuple[SiteState, ...]) -> None:
@@ -236,7 +241,7 @@
 def loss_table(
     fleet: Fleet, plan: FailoverPlan, reports: Mapping[str, ReceivedReport]
 ) -> LossTable:
-    """Returns the stored form of a plan, with the traffic shares that would follow from it."""
+    """Return the stored form of a plan, with the traffic shares that result from it."""
     states = [
         SiteState(site, stage=Stage.OUT, fraction=0.0) if site in plan.lost else SiteState(site)
         for site in sorted(fleet.sites)
@@ -247,7 +252,7 @@
         {origin: dict(targets) for origin, targets in plan.shares.items()},
         plan.shedding.level,
         round(plan.shedding.fraction, 4),
-        {site: round(one, 4) for site, one in plan.utilisation.items()},
+        {site: round(ratio, 4) for site, ratio in plan.utilisation.items()},
         round(plan.served.value, 3),
         round(plan.served.normal_value, 3),
         replace(shares, quotas={}),
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -1,4 +1,4 @@
-"""The list of upstreams as rows of the feed: what a row is, which are written, who goes by them."""
+"""Tests of the endpoint list as changefeed rows: encoding, planning, publishing and following."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 from loadbalancer.store.lease_client import boot_clock_ns
 from loadbalancer.store.settings import read_store
 from loadbalancer.testbed.cluster.real import RealCluster
-from tests.daemon.test_state_sync import FakeDriver, answered, until
+from tests.daemon.test_state_sync import FakeDriver, connect_when_ready, until
 from tests.fakes import FakeDiscovery, FakeUpstream, Observable, free_port, run
 from tests.store.test_node import Cluster, cluster
 
@@ -72,13 +72,14 @@
 
 
 def upstream(**change: object) -> Endpoint:
+    """Return the endpoint of `SERVER` with changed fields."""
     return read_endpoint({**SERVER, **change})
 
 
-# ---- what a row is -------------------------------------------------------------------------------
+# ---- encoding of rows ----------------------------------------------------------------------------
 
 
-def test_a_row_holds_what_discovery_reported_and_encodes_deterministically() -> None:
+def test_a_row_round_trips_discoverys_entry_and_encodes_deterministically() -> None:
     endpoint = upstream(state="Terminating", weight=0.35)
     value = row_codec.encode_upstream(endpoint)
     assert row_codec.to_endpoint(row_codec.decode_upstream(value)) == endpoint
@@ -101,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, why",
+    "value, expected_error",
     [
         (b"\xc1", "MessagePack"),
         (encode(("x",)), "length"),
@@ -111,12 +112,12 @@
         (encode(UpstreamRow(8, "::1", 80, "", "", 0, 1, 0, False)), "its id is 0000000000000008"),
     ],
 )
-def test_a_row_that_can_not_be_decoded_is_rejected_in_one_line(value: bytes, why: str) -> None:
+def test_an_invalid_row_is_rejected_in_one_line(value: bytes, expected_error: str) -> None:
     error = find_row_error(SCOPE, Row(f"upstream/{7:016x}", 1, value))
-    assert why in error and "\n" not in error
+    assert expected_error in error and "\n" not in error
 
 
-def test_a_row_of_a_later_version_is_accepted_where_its_known_fields_decode() -> None:
+def test_a_row_with_additional_fields_is_accepted() -> None:
     value = encode((*msgspec.msgpack.decode(row_codec.encode_upstream(upstream())), "rack-9"))
     key = f"upstream/{upstream_number('box-7'):016x}"
     assert find_row_error(SCOPE, Row(key, 1, value)) == ""
@@ -124,7 +125,7 @@
     assert find_row_error(SCOPE, Row("service/orders", 1, encode(ServiceRow("orders")))) == ""
     assert find_row_error(SCOPE, Row("list/orders", 1, encode(ListRow(1, 2, 3, "a", 4)))) == ""
     assert find_row_error(SCOPE, Row(key, 2, None)) == ""
-    # Of another kind it can't say that it is in force here.
+    # Rows of an unsupported kind or scope are rejected, as they can't take effect here.
     assert "knows no route" in find_row_error(SCOPE, Row("route/a", 1, b"\x90"))
     assert "knows no upstream" in find_row_error("global", Row(key, 1, value))
     assert "'carts'" in find_row_error(SCOPE, Row("service/orders", 1, encode(ServiceRow("carts"))))
@@ -138,12 +139,12 @@
         replace(upstream(), host="name.svc"),
     ],
 )
-def test_an_upstream_that_can_not_be_a_row_is_a_one_line_error(bad: Endpoint) -> None:
+def test_an_upstream_that_can_not_be_encoded_is_a_one_line_error(bad: Endpoint) -> None:
     with pytest.raises(MalformedError, match=r"upstream [0-9a-f]{16}: [^\n]+\Z"):
         row_codec.encode_upstream(bad)
 
 
-# ---- which are written ---------------------------------------------------------------------------
+# ---- planning of writes --------------------------------------------------------------------------
 
 
 def test_only_differences_are_written_in_key_order_with_deletions_last() -> None:
@@ -162,9 +163,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_writer_that_continues_from_any_state_reaches_the_desired_one(seed: int) -> None:
-    """Owners die between any two of their writes, and the desired list changes from one to the
-    next.
-    """
+    """Leaders fail between any two writes, and the desired list differs for each leader."""
     rng = random.Random(seed)
     stored: dict[str, tuple[int, bytes]] = {}
     desired: dict[str, bytes] = {}
@@ -181,7 +180,7 @@
                     del stored[op.key]
                 else:
                     stored[op.key] = versions, op.value
-            assert unchanged <= stored.keys()  # none is missing on the way
+            assert unchanged <= stored.keys()  # no remaining row is missing between two writes
     for batch in plan_writes(stored, desired, max_operations=5):
         for op in batch:
             stored.pop(op.key, None)
@@ -191,17 +190,18 @@
     assert api.UpstreamState.REMOVED is row_codec.removed_endpoint(7).entry.state
 
 
-# ---- balancers over a store ----------------------------------------------------------------------
+# ---- balancers with a store ----------------------------------------------------------------------
 
 LEASE_S = 0.6
 
 
 def server(name: str, state: str = "Ready", port: int = 9001, **more: object) -> Json:
+    """Return an upstream in the form of a discovery response."""
     return {**SERVER, "id": name, "addr": f"127.0.0.1:{port}", "state": state, **more}
 
 
 class RowDriver(FakeDriver):
-    """Knows what a driver knows after each list."""
+    """A driver that keeps its targets up to date with lists and deltas."""
 
     def __init__(self, notify: Callable[[], None]) -> None:
         super().__init__()
@@ -222,11 +222,14 @@
 
 
 class RowBalancer(Observable):
-    """A balancer's state_sync and list. Without a discovery it knows only what the store says."""
+    """A balancer's state sync and endpoint list.
+
+    Without a discovery server, the list comes from the store only.
+    """
 
     def __init__(
         self,
-        c: Cluster,
+        store_cluster: Cluster,
         name: str,
         discovery: FakeDiscovery | None,
         rows: bool = True,
@@ -246,49 +249,52 @@
             publishes_rows=rows,
             publishes_documents=documents,
         )
-        self.state_sync = StateSync(c.client(), parts, options)
+        self.state_sync = StateSync(store_cluster.client(), parts, options)
         assert self.state_sync.publisher is not None
         self.publisher = self.state_sync.publisher
         list_lease = self.state_sync.list_lease
-        list_lease.on_tenure(self.began, self.ended)
-        if discovery is None:  # it does not ask for the list's lease
+        list_lease.on_tenure(self.on_term_began, self.on_term_ended)
+        if discovery is None:  # this balancer must not acquire the list's lease
             list_lease.start = lambda: None  # type: ignore[method-assign]
         self.state_sync.start()
 
-    def began(self, token: int) -> None:
+    def on_term_began(self, token: int) -> None:
         self.publisher.on_lease_acquired(token)
         self.notify()
 
-    def ended(self) -> None:
+    def on_term_ended(self) -> None:
         self.publisher.on_lease_lost()
         self.notify()
 
     @property
-    def known(self) -> dict[int, api.UpstreamState]:
+    def listed_states(self) -> dict[int, api.UpstreamState]:
         return {n: t.endpoint.entry.state for n, t in self.driver.upstreams.targets.items()}
 
-    async def leads(self) -> RowBalancer:
+    async def wait_until_leader(self) -> RowBalancer:
         await self.until(lambda: self.state_sync.list_lease.active_token)
         return self
 
-    async def knows(self, *rows: Json) -> None:
+    async def wait_for_list(self, *rows: Json) -> None:
         desired = {e.entry.id: e.entry.state for e in map(read_endpoint, rows)}
-        await self.until(lambda: self.known == desired)
+        await self.until(lambda: self.listed_states == desired)
 
     async def close(self) -> None:
         self.discovery.close()
         await self.state_sync.close()
 
-    async def die(self) -> None:
-        """As a process that is killed: nothing is given back."""
+    async def crash(self) -> None:
+        """Stop like a killed process, without releasing any lease."""
         self.discovery.close()
         self.publisher.close()
-        owners = (
+        held_leases = (
             self.state_sync.name_lease,
             self.state_sync.list_lease,
             self.state_sync.rolling_restart.lease,
         )
-        for task in (*self.state_sync.tasks, *(t for owner in owners for t in owner.tasks)):
+        for task in (
+            *self.state_sync.tasks,
+            *(t for held_lease in held_leases for t in held_lease.tasks),
+        ):
             task.cancel()
         if self.state_sync.feed is not None:
             await self.state_sync.feed.close()
@@ -297,7 +303,7 @@
 
 
 def feed_update(position: ListRow, *upstreams: Json, is_snapshot: bool = False) -> Apply:
-    """Rows as the feed hands them over."""
+    """Return an update as the changefeed client delivers it."""
     endpoints = [read_endpoint(b) for b in upstreams]
     put = [
         Row(
@@ -314,14 +320,14 @@
 
 def test_a_follower_turns_rows_into_lists_and_deltas() -> None:
     async def test() -> None:
-        driver, owner = RowDriver(lambda: None), SimpleNamespace(active_token=0)
+        driver, held_lease = RowDriver(lambda: None), SimpleNamespace(active_token=0)
         discovery = Discovery(cast(Any, driver), ("127.0.0.1", 1), 1)
-        writer = RowWriter(cast(Any, None), cast(Any, owner), "orders")
+        writer = RowWriter(cast(Any, None), cast(Any, held_lease), "orders")
         context = EndpointListContext(
             cast(Any, driver),
             discovery,
             cast(Any, None),
-            cast(Any, owner),
+            cast(Any, held_lease),
             "orders",
             AddressMap({"127.0.0.1:9001": "127.0.0.2:19001"}),
         )
@@ -329,14 +335,14 @@
         follower = publisher.follower
 
         def kinds() -> list[tuple[api.EndpointListKind, int]]:
-            found = [(kind, len(endpoints)) for kind, endpoints in driver.lists]
+            received = [(kind, len(endpoints)) for kind, endpoints in driver.lists]
             driver.lists.clear()
-            return found
+            return received
 
         def position(token: int, number: int) -> ListRow:
             return ListRow(token, number, 1, "a", int(time.time()))
 
-        # Before the committed position is known rows are a cached list, and after it a list.
+        # Before the committed position is known, rows count as a cached list.
         follower.apply_rows(feed_update(position(3, 7), server("s-1"), is_snapshot=True))
         follower.apply_rows(feed_update(position(3, 8), server("s-2")))
         assert kinds() == [(api.EndpointListKind.CACHED, 1)]
@@ -346,45 +352,43 @@
             feed_update(position(3, 10), server("s-3", "Gone"), server("never there", "Gone"))
         )
         assert kinds() == [(api.EndpointListKind.FULL, 3), (api.EndpointListKind.DELTA, 1)]
-        dialled = driver.upstreams.targets[upstream_number("s-1")].endpoint
-        assert (dialled.host, dialled.port) == ("127.0.0.2", 19001)
-        # Of an owner of before, as from a node that lags, nothing is taken; nor is a list without
-        # any.
+        dialed = driver.upstreams.targets[upstream_number("s-1")].endpoint
+        assert (dialed.host, dialed.port) == ("127.0.0.2", 19001)
+        # Rows of an earlier leader, as a lagging node may send them, are ignored, and so is an
+        # empty list.
         follower.apply_rows(feed_update(position(2, 99), server("s-4"), is_snapshot=True))
         follower.apply_rows(feed_update(position(3, 11), is_snapshot=True))
         assert kinds() == []
         follower.apply_rows(feed_update(position(3, 12), server("s-1"), is_snapshot=True))
         assert kinds() == [(api.EndpointListKind.FULL, 1)]
-        # What comes while it leads the list itself, and is the next owner's, counts once it does
-        # not.
-        owner.active_token, publisher.published = 4, Publication(4, 1, [])
+        # Rows of the next leader that arrive during this process's own term are applied when the
+        # term ends.
+        held_lease.active_token, publisher.published = 4, Publication(4, 1, [])
         follower.apply_rows(feed_update(position(4, 1), server("s-5")))
         follower.apply_rows(feed_update(position(5, 1), server("s-6")))
         assert kinds() == []
-        owner.active_token = 0
+        held_lease.active_token = 0
         publisher.on_lease_lost()
         assert kinds() == [(api.EndpointListKind.FULL, 3)] and follower.mirrors_table
         publisher.published = Publication(6, 1, [])
-        publisher.on_lease_lost()  # its own rows are no news
+        publisher.on_lease_lost()  # the process's own rows are not applied again
         assert kinds() == [] and not follower.mirrors_table
 
     run(test())
 
 
 class StoredRows:
-    """The upstreams' rows in the store, and which writes made them, as a watch of all changes tells
-    it.
-    """
+    """The upstreams' rows in the store and the writes that made them, from a watch."""
 
     def __init__(self, client: Client) -> None:
         self.client = client
         self.rows: dict[int, UpstreamRow] = {}
-        self.token = 0  # of the last owner's position
-        self.writes: dict[int, int] = {}  # revision -> rows that it changed
+        self.token = 0  # token in the last leader's position
+        self.writes: dict[int, int] = {}  # revision -> number of upstream rows it changed
         self.revision = 0
 
-    async def until(self, holds: Callable[[], object]) -> None:
-        if holds():
+    async def until(self, condition: Callable[[], object]) -> None:
+        if condition():
             return
         async for event in self.client.watch(KEYS.prefix, self.revision):
             self.revision = event.revision
@@ -398,11 +402,11 @@
                         del self.rows[number]
                     else:
                         self.rows[number] = row_codec.decode_upstream(change.value)
-            if holds():
+            if condition():
                 return
 
-    async def are(self, *desired: Json) -> None:
-        """Wait until just these stand."""
+    async def wait_for_rows(self, *desired: Json) -> None:
+        """Wait until the store has exactly these rows."""
         now = {e.entry.id: row_codec.upstream_row(e) for e in map(read_endpoint, desired)}
         await self.until(lambda: self.rows == now)
 
@@ -414,8 +418,8 @@
     discovery = FakeDiscovery(upstreams)
     await discovery.start()
     try:
-        async with cluster(folder, 1) as c:
-            yield c, discovery, StoredRows(c.client())
+        async with cluster(folder, 1) as store_cluster:
+            yield store_cluster, discovery, StoredRows(store_cluster.client())
     finally:
         discovery.stop()
 
@@ -423,44 +427,47 @@
 def test_a_change_arrives_at_followers_as_one_row_and_one_delta(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path, *(server(f"s-{n}") for n in range(40))) as (
-            c,
+            store_cluster,
             discovery,
             stored,
         ):
-            one = await RowBalancer(c, "one", discovery).leads()
-            two = RowBalancer(c, "two", None)
-            await two.knows(*discovery.rows)
-            assert two.driver.lists[-1][0] is api.EndpointListKind.FULL
-            await stored.are(*discovery.rows)
-            lists, writes = len(two.driver.lists), len(stored.writes)
-            client, reader = c.client(), RollingRestartReader(c.client(), "orders")
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(store_cluster, "two", None)
+            await balancer_b.wait_for_list(*discovery.rows)
+            assert balancer_b.driver.lists[-1][0] is api.EndpointListKind.FULL
+            await stored.wait_for_rows(*discovery.rows)
+            lists, writes = len(balancer_b.driver.lists), len(stored.writes)
+            client, reader = (
+                store_cluster.client(),
+                RollingRestartReader(store_cluster.client(), "orders"),
+            )
             assert len((await reader.read()).view.upstreams) == 40
             discovery.change(server("s-7", "Terminating"))
-            await two.knows(*discovery.rows)
+            await balancer_b.wait_for_list(*discovery.rows)
             discovery.change(server("s-8", "Gone"), server("s-new"))
-            await two.knows(*discovery.rows)
-            await stored.are(*discovery.rows)
+            await balancer_b.wait_for_list(*discovery.rows)
+            await stored.wait_for_rows(*discovery.rows)
             assert list(stored.writes.values())[writes:] == [1, 2]
-            drained, went = two.driver.lists[lists:]
+            drained, removal = balancer_b.driver.lists[lists:]
             assert drained == (
                 api.EndpointListKind.DELTA,
                 [read_endpoint(server("s-7", "Terminating"))],
             )
-            assert went[0] is api.EndpointListKind.DELTA and {
-                e.entry.id: e.entry.state for e in went[1]
+            assert removal[0] is api.EndpointListKind.DELTA and {
+                e.entry.id: e.entry.state for e in removal[1]
             } == {
                 upstream_number("s-8"): api.UpstreamState.REMOVED,
                 upstream_number("s-new"): api.UpstreamState.READY,
             }
-            # Whoever only looks sees the same; there is no document.
+            # An observer reads the same list, and there is no document.
             view = (await reader.read()).view
             assert {n: b.is_ready for n, b in view.upstreams.items()} == {
-                n: state is api.UpstreamState.READY for n, state in two.known.items()
+                n: state is api.UpstreamState.READY for n, state in balancer_b.listed_states.items()
             }
             assert (await client.get("list/orders")).rows[0].value is None
             with pytest.raises(RejectedError, match="names"):
                 await client.write_rows([Op(KEYS.service, None)])
-            for balancer in (one, two):
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
 
     run(test())
@@ -470,15 +477,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            two = RowBalancer(c, "two", None)
-            await two.knows(*discovery.rows)
+        async with fleet(tmp_path, server("s-1")) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(store_cluster, "two", None)
+            await balancer_b.wait_for_list(*discovery.rows)
             for _ in range(2):
-                last_message_ns = two.publisher.follower.source.last_message_ns
-                await until(lambda: two.publisher.follower.source.last_message_ns > last_message_ns)  # noqa: B023
-            assert len(stored.writes) <= 1 and not two.publisher.follower.source.is_polling
-            for balancer in (one, two):
+                last_message_ns = balancer_b.publisher.follower.source.last_message_ns
+                await until(
+                    lambda: balancer_b.publisher.follower.source.last_message_ns > last_message_ns  # noqa: B023
+                )
+            assert len(stored.writes) <= 1 and not balancer_b.publisher.follower.source.is_polling
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
 
     monkeypatch.setattr(endpoint_publisher, "HEARTBEAT_INTERVAL_S", 0.05)
@@ -491,24 +500,25 @@
 def test_removal_of_a_zone_is_a_few_writes_and_leaves_the_other_rows(tmp_path: Path) -> None:
     async def test() -> None:
         upstreams = [server(f"s-{n}", zone="gone" if n < 600 else "stays") for n in range(700)]
-        async with fleet(tmp_path, *upstreams) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            await stored.are(*upstreams)
+        async with fleet(tmp_path, *upstreams) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            await stored.wait_for_rows(*upstreams)
             assert len(stored.writes) == 3  # of at most 256 operations
             discovery.change(*({**b, "state": "Gone"} for b in upstreams[:600]))
-            await stored.are(*upstreams[600:])
+            await stored.wait_for_rows(*upstreams[600:])
             assert len(stored.writes) == 6 and sum(stored.writes.values()) == 1300
-            await one.close()
+            await balancer_a.close()
 
     run(test())
 
 
-def stop_before_write(balancer: RowBalancer, write: int) -> tuple[asyncio.Event, asyncio.Event]:
-    """Stop the balancer's client just before its rows' write of this number.
+def suspend_before_write(balancer: RowBalancer, write: int) -> tuple[asyncio.Event, asyncio.Event]:
+    """Suspend the balancer's client just before the row write with this number.
 
-    The first event is set when it does; the second is to be set for it to go on.
+    The first returned event is set when the client is suspended. Setting the second event resumes
+    the client.
     """
-    stopped, on, count = asyncio.Event(), asyncio.Event(), 0
+    suspended, resume, count = asyncio.Event(), asyncio.Event(), 0
     client = balancer.state_sync.client
     write_rows = client.write_rows
 
@@ -516,51 +526,55 @@
         nonlocal count
         count += 1
         if count == write:
-            stopped.set()
-            await on.wait()
+            suspended.set()
+            await resume.wait()
         return await write_rows(*args, **more)
 
     client.write_rows = stop  # type: ignore[method-assign]
-    return stopped, on
+    return suspended, resume
 
 
 def test_the_next_leader_completes_an_interrupted_publication(tmp_path: Path) -> None:
     async def test() -> None:
         upstreams = [server(f"s-{n}") for n in range(600)]
-        async with fleet(tmp_path, *upstreams) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            stopped, _ = stop_before_write(one, 2)
-            await stopped.wait()
-            two = RowBalancer(c, "two", discovery)
+        async with fleet(tmp_path, *upstreams) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            suspended, _ = suspend_before_write(balancer_a, 2)
+            await suspended.wait()
+            balancer_b = RowBalancer(store_cluster, "two", discovery)
             await stored.until(lambda: len(stored.rows) == 254)
-            await one.die()
-            await two.leads()
-            await stored.are(*upstreams)
-            assert list(stored.writes.values()) == [254, 254, 92]  # what stood is not written again
-            three = RowBalancer(c, "three", discovery)
-            await two.close()
-            await three.leads()
-            await stored.until(lambda: stored.token == three.state_sync.list_lease.active_token)
-            assert len(stored.writes) == 3  # nothing but its own position
-            await three.close()
+            await balancer_a.crash()
+            await balancer_b.wait_until_leader()
+            await stored.wait_for_rows(*upstreams)
+            assert list(stored.writes.values()) == [254, 254, 92]  # stored rows are not rewritten
+            balancer_c = RowBalancer(store_cluster, "three", discovery)
+            await balancer_b.close()
+            await balancer_c.wait_until_leader()
+            await stored.until(
+                lambda: stored.token == balancer_c.state_sync.list_lease.active_token
+            )
+            assert len(stored.writes) == 3  # only the new leader's position was written
+            await balancer_c.close()
 
     run(test())
 
 
 def test_the_next_leader_does_not_publish_an_older_list(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
+        async with fleet(tmp_path, server("s-1")) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
             discovery.change(server("s-2"))
-            await stored.are(*discovery.rows)
-            await one.close()
-            discovery.version, discovery.rows = 1, [server("s-1")]  # as a replica of it that lags
-            two = await RowBalancer(c, "two", discovery).leads()
-            await until(lambda: two.discovery.version == 1 and two.publisher.min_version == 2)
+            await stored.wait_for_rows(*discovery.rows)
+            await balancer_a.close()
+            discovery.version, discovery.rows = 1, [server("s-1")]  # like a lagging replica
+            balancer_b = await RowBalancer(store_cluster, "two", discovery).wait_until_leader()
+            await until(
+                lambda: balancer_b.discovery.version == 1 and balancer_b.publisher.min_version == 2
+            )
             discovery.change(server("s-2"), server("s-3"))
-            await stored.are(*discovery.rows)
-            assert sum(stored.writes.values()) == 3  # s-2 did not go meanwhile
-            await two.close()
+            await stored.wait_for_rows(*discovery.rows)
+            assert sum(stored.writes.values()) == 3  # s-2 was not deleted in between
+            await balancer_b.close()
 
     run(test())
 
@@ -569,30 +583,36 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            await stored.are(*discovery.rows)
-            stopped, on = stop_before_write(one, 1)
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (
+            store_cluster,
+            discovery,
+            stored,
+        ):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            await stored.wait_for_rows(*discovery.rows)
+            suspended, resume = suspend_before_write(balancer_a, 1)
             discovery.change(server("s-1", "Terminating"))
-            await stopped.wait()  # it looked at its clock, and its write is still to leave
-            owned = one.publisher.running
-            assert owned is not None
-            one.publisher.running = None  # nobody stops it, as where the whole process stands still
-            two = RowBalancer(c, "two", discovery)
-            await c.client().release(
-                Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
+            await suspended.wait()  # the lease was checked, but the write is not sent yet
+            term_task = balancer_a.publisher.running
+            assert term_task is not None
+            balancer_a.publisher.running = (
+                None  # so the task is not cancelled, as in a suspended process
+            )
+            balancer_b = RowBalancer(store_cluster, "two", discovery)
+            await store_cluster.client().release(
+                Release("work/list/orders", balancer_a.state_sync.list_lease.holder.claim), 5.0
             )
-            await two.leads()
+            await balancer_b.wait_until_leader()
             discovery.change(server("s-1"), server("s-2", "Gone"))
-            await stored.are(server("s-1"))
+            await stored.wait_for_rows(server("s-1"))
             writes = len(stored.writes)
-            on.set()
-            await asyncio.wait((owned,))
-            assert one.state_sync.list_lease.fenced_writes == 1
-            await stored.are(server("s-1"))
+            resume.set()
+            await asyncio.wait((term_task,))
+            assert balancer_a.state_sync.list_lease.fenced_writes == 1
+            await stored.wait_for_rows(server("s-1"))
             assert len(stored.writes) == writes
-            await one.close()
-            await two.close()
+            await balancer_a.close()
+            await balancer_b.close()
 
     run(test())
     assert "fenced write rejected" in caplog.text
@@ -600,31 +620,31 @@
 
 def test_a_former_leader_follows_the_rows_of_the_next(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, first, stored):
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (store_cluster, first, stored):
             second = FakeDiscovery([server("s-1"), server("s-3")])
             await second.start()
-            one = await RowBalancer(c, "one", first).leads()
-            await stored.are(*first.rows)
-            two = RowBalancer(c, "two", second)
-            await two.knows(*first.rows)
+            balancer_a = await RowBalancer(store_cluster, "one", first).wait_until_leader()
+            await stored.wait_for_rows(*first.rows)
+            balancer_b = RowBalancer(store_cluster, "two", second)
+            await balancer_b.wait_for_list(*first.rows)
             first.silent = True
-            await c.client().release(
-                Release("work/list/orders", one.state_sync.list_lease.holder.claim), 5.0
+            await store_cluster.client().release(
+                Release("work/list/orders", balancer_a.state_sync.list_lease.holder.claim), 5.0
             )
-            await two.leads()
-            await one.knows(*second.rows)
-            lists = len(one.driver.lists)
+            await balancer_b.wait_until_leader()
+            await balancer_a.wait_for_list(*second.rows)
+            lists = len(balancer_a.driver.lists)
             second.change(server("s-3", "Terminating"))
-            await one.knows(*second.rows)
-            assert one.driver.lists[lists:] == [
+            await balancer_a.wait_for_list(*second.rows)
+            assert balancer_a.driver.lists[lists:] == [
                 (api.EndpointListKind.DELTA, [read_endpoint(server("s-3", "Terminating"))])
             ]
             first.silent = False
-            one.discovery.fetch()  # as where the owner is silent
-            await one.knows(*first.rows)
+            balancer_a.discovery.fetch()  # as while the leader is silent
+            await balancer_a.wait_for_list(*first.rows)
             second.change(server("s-4"))
-            await one.knows(*second.rows)
-            for balancer in (one, two):
+            await balancer_a.wait_for_list(*second.rows)
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
             second.stop()
 
@@ -635,21 +655,25 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            two = RowBalancer(c, "two", None)
-            await two.knows(*discovery.rows)
-            client = c.client()
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (
+            store_cluster,
+            discovery,
+            stored,
+        ):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(store_cluster, "two", None)
+            await balancer_b.wait_for_list(*discovery.rows)
+            client = store_cluster.client()
             key = KEYS.upstream(upstream_number("s-1"))
             await client.write_rows([Op(key, encode(("of", "another", "program")))], [()])
             discovery.change(server("s-2", "Terminating"))
-            await two.knows(server("s-1"), server("s-2", "Terminating"))
+            await balancer_b.wait_for_list(server("s-1"), server("s-2", "Terminating"))
             async with asyncio.timeout(10):
                 while (feed := (await client.status())["feed"])["refusals"] < 2:
-                    await asyncio.sleep(0.01)  # the acknowledgement is on its way
+                    await asyncio.sleep(0.01)  # the acknowledgement is in flight
             refusals = [(r["name"], *r["refusal"][:2]) for r in feed["refused"]]
             assert sorted(refusals) == [(name, SCOPE, split_key(key)[1]) for name in ("one", "two")]
-            for balancer in (one, two):
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
 
     run(test())
@@ -660,22 +684,22 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            await stored.are(*discovery.rows)
+        async with fleet(tmp_path, server("s-1")) as (store_cluster, discovery, stored):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            await stored.wait_for_rows(*discovery.rows)
             discovery.change(server("s-2"), server("s-3", zone="z" * MAX_ROW_BYTES))
-            await until(lambda: bool(one.publisher.last_error))
-            two = RowBalancer(c, "two", None)
-            await two.knows(server("s-1"))
+            await until(lambda: bool(balancer_a.publisher.last_error))
+            balancer_b = RowBalancer(store_cluster, "two", None)
+            await balancer_b.wait_for_list(server("s-1"))
             discovery.change(server("s-3"))
-            await two.knows(*discovery.rows)
-            module = two.driver.module
+            await balancer_b.wait_for_list(*discovery.rows)
+            module = balancer_b.driver.module
             module.handle(
                 time.monotonic_ns(),
                 [
                     api.EndpointsUpdated(
                         api.EndpointListKind.FULL,
-                        [t.endpoint.entry for t in two.driver.upstreams.targets.values()],
+                        [t.endpoint.entry for t in balancer_b.driver.upstreams.targets.values()],
                     )
                 ],
             )
@@ -683,21 +707,23 @@
                 module.concurrency.service_times["q"],
                 module.upstream_set.upstreams[upstream_number("s-2")].relative_service_time,
             ) = 5e6, 3.0
-            await until(lambda: bool(two.state_sync.name_lease.token()))
-            await one.close()
-            await two.close()
-            again = RowBalancer(c, "two", None)
-            await again.knows(*discovery.rows)
-            # What was learnt comes behind the list, and is of the same start of each upstream.
-            await until(lambda: bool(again.driver.posted))
-            (learnt,) = again.driver.posted
-            assert isinstance(learnt, api.LearnedState) and learnt.relative_service_times[
+            await until(lambda: bool(balancer_b.state_sync.name_lease.token()))
+            await balancer_a.close()
+            await balancer_b.close()
+            restarted = RowBalancer(store_cluster, "two", None)
+            await restarted.wait_for_list(*discovery.rows)
+            # The learned state is restored after the list, for the same start of each upstream.
+            await until(lambda: bool(restarted.driver.posted))
+            (learned,) = restarted.driver.posted
+            assert isinstance(learned, api.LearnedState) and learned.relative_service_times[
                 upstream_number("s-2")
             ] == (
                 3.0,
-                again.driver.upstreams.targets[upstream_number("s-2")].endpoint.entry.started_ns,
+                restarted.driver.upstreams.targets[
+                    upstream_number("s-2")
+                ].endpoint.entry.started_ns,
             )
-            await again.close()
+            await restarted.close()
 
     run(test())
     assert caplog.text.count("endpoint list not published: key=list/orders error=upstream") == 1
@@ -705,31 +731,35 @@
 
 def test_a_restored_store_is_followed_from_its_new_leaders_first_write(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1"), server("s-2")) as (c, discovery, stored):
-            one = await RowBalancer(c, "one", discovery).leads()
-            two = RowBalancer(c, "two", None)
-            await two.knows(*discovery.rows)
+        async with fleet(tmp_path, server("s-1"), server("s-2")) as (
+            store_cluster,
+            discovery,
+            stored,
+        ):
+            balancer_a = await RowBalancer(store_cluster, "one", discovery).wait_until_leader()
+            balancer_b = RowBalancer(store_cluster, "two", None)
+            await balancer_b.wait_for_list(*discovery.rows)
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
-                await c.client().read_backup(file.write)
+                await store_cluster.client().read_backup(file.write)
             discovery.change(server("s-2", "Gone"), server("s-3"))
-            await two.knows(*discovery.rows)
-            lists = len(two.driver.lists)
-            await c.stop(0)
+            await balancer_b.wait_for_list(*discovery.rows)
+            lists = len(balancer_b.driver.lists)
+            await store_cluster.stop(0)
             path = tmp_path / "restored.toml"
             path.write_text((tmp_path / "0.toml").read_text().replace('"n0"', '"restored"'))
-            c.settings[0] = read_store(path)
-            running.restore(c.settings[0], copy)
-            await c.begin(0)
+            store_cluster.settings[0] = read_store(path)
+            running.restore(store_cluster.settings[0], copy)
+            await store_cluster.begin(0)
             discovery.change(server("s-4"))
-            await two.knows(*discovery.rows)
-            # The copy's rows are older than what was received: s-2 does not come back for a moment.
+            await balancer_b.wait_for_list(*discovery.rows)
+            # The backup's rows are older than those received: s-2 must not reappear.
             assert all(
                 upstream_number("s-2") != e.entry.id or e.entry.state is api.UpstreamState.REMOVED
-                for _, endpoints in two.driver.lists[lists:]
+                for _, endpoints in balancer_b.driver.lists[lists:]
                 for e in endpoints
             )
-            for balancer in (one, two):
+            for balancer in (balancer_a, balancer_b):
                 await balancer.close()
 
     run(test())
@@ -769,17 +799,17 @@
             processes.append(await begin(store, "one", discovery.port, free_port()))
             client = store.client()
             stored = StoredRows(client)
-            await stored.are(first.row())
+            await stored.wait_for_rows(first.row())
             port = free_port()
             processes.append(await begin(store, "two", free_port(), port))
-            connection = await answered(port)
+            connection = await connect_when_ready(port)
             async with asyncio.timeout(10):
-                for number in itertools.count():  # it refuses until it knows of an upstream
+                for number in itertools.count():  # requests are rejected until there is an upstream
                     if (await connection.ask(f"r{number}")).body == b"s-0":
                         break
                     await asyncio.sleep(0.01)
             discovery.change(first.row("Gone"), second.row())
-            await stored.are(second.row())
+            await stored.wait_for_rows(second.row())
             revision = max(stored.writes)
             async with asyncio.timeout(10):
                 while any(at < revision for at, _ in (await client.status())["feed"]["reached"]):
@@ -797,47 +827,56 @@
     run(test())
 
 
-# ---- beside balancers that know no rows ----------------------------------------------------------
+# ---- fleets with balancers without row support ---------------------------------------------------
 
 
-async def document_is_deleted(c: Cluster) -> None:
-    async for event in c.client().watch("list/orders", 0):
+async def wait_for_document_deletion(store_cluster: Cluster) -> None:
+    async for event in store_cluster.client().watch("list/orders", 0):
         if any(change.value is None for change in event.changes):
             return
 
 
-def test_of_rows_and_documents_those_of_the_later_leader_are_followed(tmp_path: Path) -> None:
+def test_followers_use_the_rows_or_the_document_of_the_later_leader(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, server("s-1")) as (c, discovery, stored):
-            old = await RowBalancer(c, "old", discovery, rows=False).leads()
-            new, plain = RowBalancer(c, "new", None), RowBalancer(c, "plain", None, rows=False)
-            await new.knows(server("s-1"))  # of the document
+        async with fleet(tmp_path, server("s-1")) as (store_cluster, discovery, stored):
+            document_leader = await RowBalancer(
+                store_cluster, "old", discovery, rows=False
+            ).wait_until_leader()
+            rows_follower, document_follower = (
+                RowBalancer(store_cluster, "new", None),
+                RowBalancer(store_cluster, "plain", None, rows=False),
+            )
+            await rows_follower.wait_for_list(server("s-1"))  # from the document
             assert not stored.rows
-            await old.close()
-            await new.close()
-            both = await RowBalancer(c, "both", discovery, documents=True).leads()
-            new = RowBalancer(c, "new", None)
+            await document_leader.close()
+            await rows_follower.close()
+            dual_leader = await RowBalancer(
+                store_cluster, "both", discovery, documents=True
+            ).wait_until_leader()
+            rows_follower = RowBalancer(store_cluster, "new", None)
             discovery.change(server("s-2"))
-            await new.knows(*discovery.rows)
-            await plain.knows(*discovery.rows)
-            await both.close()
-            alone = await RowBalancer(c, "alone", discovery).leads()
+            await rows_follower.wait_for_list(*discovery.rows)
+            await document_follower.wait_for_list(*discovery.rows)
+            await dual_leader.close()
+            rows_leader = await RowBalancer(store_cluster, "alone", discovery).wait_until_leader()
             discovery.change(server("s-3"))
-            await new.knows(*discovery.rows)
-            # A document that nobody keeps up would be the list of whoever starts and knows no rows.
-            await document_is_deleted(c)
-            await alone.close()
-            old = await RowBalancer(c, "old", discovery, rows=False).leads()
+            await rows_follower.wait_for_list(*discovery.rows)
+            # An outdated document would be used by a starting balancer without row support.
+            await wait_for_document_deletion(store_cluster)
+            await rows_leader.close()
+            document_leader = await RowBalancer(
+                store_cluster, "old", discovery, rows=False
+            ).wait_until_leader()
             discovery.change(server("s-1", "Gone"))
-            await new.knows(*discovery.rows)
-            for balancer in (old, new, plain):
+            await rows_follower.wait_for_list(*discovery.rows)
+            for balancer in (document_leader, rows_follower, document_follower):
                 await balancer.close()
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    "text, why",
+    "text, expected_error",
     [
         ("documents = true", "store.documents: goes with rows alone"),
         (
@@ -847,8 +886,10 @@
         ("rows = 1", "rows"),
     ],
 )
-def test_contradicting_settings_are_a_one_line_error(tmp_path: Path, text: str, why: str) -> None:
+def test_contradicting_settings_are_a_one_line_error(
+    tmp_path: Path, text: str, expected_error: str
+) -> None:
     path = tmp_path / "b.toml"
     path.write_text(f"[store]\naddresses = ['127.0.0.1:1']\nservice = 'orders'\n{text}\n")
-    with pytest.raises(MalformedError, match=rf"{why}[^\n]*\Z"):
+    with pytest.raises(MalformedError, match=rf"{expected_error}[^\n]*\Z"):
         read_bootstrap(path)
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -1,5 +1,6 @@
-"""On how many balancers a revision is in force, as operators see it: `loadbalancer feed status` and
-`wait`.
+"""Tests of `loadbalancer feed status` and `feed wait`.
+
+The commands report on how many balancers a revision of the changefeed is in force.
 """
 
 from __future__ import annotations
@@ -23,42 +24,43 @@
 from tests.store.test_node import Cluster, cluster, run
 
 
-async def feed(c: Cluster, *arguments: str) -> Result:
-    """In a thread: the nodes run in this one's loop."""
-    at = ",".join(
-        c.settings[index].advertise for index in sorted(c.settings)[:2]
-    )  # they list the rest
+async def feed(store_cluster: Cluster, *arguments: str) -> Result:
+    """Run a `feed` command in a thread, because the nodes run in this thread's event loop."""
+    addresses = ",".join(
+        store_cluster.settings[index].advertise for index in sorted(store_cluster.settings)[:2]
+    )  # these nodes list the other members
     return await asyncio.to_thread(
-        CliRunner().invoke, application(["feed"]), ["feed", *arguments, "--at", at]
+        CliRunner().invoke, application(["feed"]), ["feed", *arguments, "--at", addresses]
     )
 
 
 def plain(result: Result) -> str:
+    """Return a command's output with all whitespace collapsed."""
     return " ".join(result.output.split())
 
 
-def test_progress_adds_up_over_all_members(tmp_path: Path) -> None:
+def test_progress_is_summed_over_all_members(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            some = [
-                Balancer([c.settings[p].advertise], [ORDERS], f"b{p}.{i}")
-                for p in c.settings
+        async with cluster(tmp_path) as store_cluster:
+            feed_balancers = [
+                Balancer([store_cluster.settings[p].advertise], [ORDERS], f"b{p}.{i}")
+                for p in store_cluster.settings
                 for i in range(p + 1)
             ]
-            revision = await put(c.client(), ORDERS, b"1", "a")
-            waited = await feed(c, "wait", str(revision), "--within", "20s")
+            revision = await put(store_cluster.client(), ORDERS, b"1", "a")
+            waited = await feed(store_cluster, "wait", str(revision), "--within", "20s")
             assert (waited.exit_code, plain(waited)[:-6]) == (
                 0,
                 f"revision {revision} is in force on 6 balancers, after ",
             ), waited.output
-            assert all(one.value(ORDERS, "upstream/a") == b"1" for one in some)
-            shown = await feed(c, "status", "--revision", str(revision))
+            assert all(balancer.value(ORDERS, "upstream/a") == b"1" for balancer in feed_balancers)
+            shown = await feed(store_cluster, "status", "--revision", str(revision))
             assert f"revision {revision} is in force on 6 of 6 balancers" in plain(shown)
-            shown_json = json.loads((await feed(c, "status", "--json")).output)
+            shown_json = json.loads((await feed(store_cluster, "status", "--json")).output)
             assert sorted(m["feed"]["subscribers"] for m in shown_json["members"]) == [1, 2, 3]
             gauges = {
                 m.name: m.samples[0].value
-                for m in Collector(c.nodes[2].node).collect()
+                for m in Collector(store_cluster.nodes[2].node).collect()
                 if m.samples
             }
             assert (
@@ -66,38 +68,43 @@
                 and gauges["lanelift_feed_sent_bytes"] > 100
             )
             assert shown_json["rollout"]["balancers"] == 6 and shown_json["rollout"]["silent"] == []
-            early = await feed(c, "wait", str(revision + 1000), "--within", "200ms")
-            assert early.exit_code == 1 and f"is itself at {revision}" in str(early.exception)
-            assert "on 6 of 6 balancers" in str(early.exception)
-            await leave(*some)
+            too_early = await feed(store_cluster, "wait", str(revision + 1000), "--within", "200ms")
+            assert too_early.exit_code == 1 and f"is itself at {revision}" in str(
+                too_early.exception
+            )
+            assert "on 6 of 6 balancers" in str(too_early.exception)
+            await leave(*feed_balancers)
 
     run(test)
 
 
-def test_a_lagging_balancer_is_named_in_the_one_line_of_a_failed_wait(tmp_path: Path) -> None:
+def test_a_failed_wait_names_the_lagging_balancer_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 2) as c:
-            client = c.client()
+        async with cluster(tmp_path, 2) as store_cluster:
+            client = store_cluster.client()
             quick, slow = (
-                Balancer([c.settings[1].advertise], [ORDERS], name) for name in ("quick", "slow")
+                Balancer([store_cluster.settings[1].advertise], [ORDERS], name)
+                for name in ("quick", "slow")
             )
             first = await put(client, ORDERS, b"1", "a")
-            assert (await feed(c, "wait", str(first), "--within", "20s")).exit_code == 0
+            assert (await feed(store_cluster, "wait", str(first), "--within", "20s")).exit_code == 0
             assert (
                 slow.client.connection is not None and slow.client.connection.transport is not None
             )
             slow.client.connection.transport.pause_reading()
             revision = await put(client, ORDERS, b"2", "a")
             await quick.has(ORDERS, "upstream/a", b"2")
-            late = await feed(c, "wait", str(revision), "--within", "0.5")
-            output = str(late.exception)
-            assert late.exit_code == 1 and "\n" not in output
+            timed_out = await feed(store_cluster, "wait", str(revision), "--within", "0.5")
+            output = str(timed_out.exception)
+            assert timed_out.exit_code == 1 and "\n" not in output
             assert output.startswith(
                 f"revision {revision} is not in force on 1 of 2 balancers: slow at"
-                f" {c.settings[1].advertise} is at {first}, "
+                f" {store_cluster.settings[1].advertise} is at {first}, "
             ), output
-            assert "slow at" in plain(await feed(c, "status"))
-            waiting = asyncio.create_task(feed(c, "wait", str(revision), "--within", "20s"))
+            assert "slow at" in plain(await feed(store_cluster, "status"))
+            waiting = asyncio.create_task(
+                feed(store_cluster, "wait", str(revision), "--within", "20s")
+            )
             slow.client.connection.transport.resume_reading()
             assert (await waiting).exit_code == 0 and slow.value(ORDERS, "upstream/a") == b"2"
             await leave(quick, slow)
@@ -105,34 +112,38 @@
     run(test)
 
 
-def test_a_rejected_row_or_a_silent_member_is_a_failure(tmp_path: Path) -> None:
+def test_a_wait_fails_with_a_rejected_row_or_a_silent_member(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            client = c.client()
-            index = next(p for p in c.nodes if p != c.leader())
-            one = Balancer(
-                [c.settings[c.leader()].advertise],
+        async with cluster(tmp_path) as store_cluster:
+            client = store_cluster.client()
+            index = next(p for p in store_cluster.nodes if p != store_cluster.leader())
+            balancer = Balancer(
+                [store_cluster.settings[store_cluster.leader()].advertise],
                 [ORDERS],
                 "picky",
                 check=lambda scope, row: "it is too new" if row.value == b"new" else "",
             )
             revision = (await client.write_rows([Op(key(ORDERS, "a"), b"new")])).revision
             async with asyncio.timeout(20):
-                while not feed_of(c, c.leader())["refusals"]:
+                while not feed_of(store_cluster, store_cluster.leader())["refusals"]:
                     await asyncio.sleep(0.005)
-            failed = await feed(c, "wait", str(revision), "--within", "300ms")
+            failed = await feed(store_cluster, "wait", str(revision), "--within", "300ms")
             assert failed.exit_code == 1 and str(failed.exception).startswith(
                 f"revision {revision} is not in force where 1 rows are refused: picky has "
                 f"{ORDERS} upstream/a"
                 " at version 1: it is too new"
             ), failed.exception
-            assert (await feed(c, "wait", str(revision), "--despite-refusals")).exit_code == 0
-            await c.stop(index)
-            silent = await feed(c, "wait", str(revision), "--within", "300ms", "--despite-refusals")
+            assert (
+                await feed(store_cluster, "wait", str(revision), "--despite-refusals")
+            ).exit_code == 0
+            await store_cluster.stop(index)
+            silent = await feed(
+                store_cluster, "wait", str(revision), "--within", "300ms", "--despite-refusals"
+            )
             assert silent.exit_code == 1 and "does not answer" in str(silent.exception)
             assert (
                 await feed(
-                    c,
+                    store_cluster,
                     "wait",
                     str(revision),
                     "--within",
@@ -142,8 +153,8 @@
                     "1",
                 )
             ).exit_code == 0
-            few = await feed(
-                c,
+            too_few = await feed(
+                store_cluster,
                 "wait",
                 str(revision),
                 "--within",
@@ -152,8 +163,8 @@
                 "--balancers",
                 "2",
             )
-            assert "on 1, and 2 are wanted" in str(few.exception)
-            await leave(one)
+            assert "on 1, and 2 are wanted" in str(too_few.exception)
+            await leave(balancer)
 
     run(test)
 
@@ -167,6 +178,7 @@
 
 
 def status(node: str, revision: int, **feed: Any) -> dict[str, Any]:
+    """Return a node's status response in a cluster with the nodes a and b."""
     fields = {
         "epoch": "c",
         "revision": revision,
@@ -187,38 +199,38 @@
     }
 
 
-def test_counts_never_exceed_what_is_known() -> None:
-    a = status(
+def test_progress_counts_never_exceed_the_reports() -> None:
+    status_a = status(
         "a", 90, subscribers=10, reached=((50, 2), (90, 8)), laggards=(Laggard("x", 50, 1500),)
     )
-    b = status("b", 100, subscribers=400, reached=tuple((n, 1) for n in range(0, 100)))
-    found = add_up([a, b, a], 90)
-    assert (found.balancers, found.in_force) == (410, 8 + 310), (
-        "a member asked at two addresses counts once"
+    status_b = status("b", 100, subscribers=400, reached=tuple((n, 1) for n in range(0, 100)))
+    progress = add_up([status_a, status_b, status_a], 90)
+    assert (progress.balancers, progress.in_force) == (410, 8 + 310), (
+        "a member queried at two addresses counts once"
     )
-    assert add_up([a, b], 100).in_force == 0, (
-        "300 of b are past 99, and nobody says that they are at 100"
+    assert add_up([status_a, status_b], 100).in_force == 0, (
+        "300 balancers of b are past 99, but no report says that they have reached 100"
     )
     assert (
-        add_up([a, b]).revision == 100
-        and "node a at ha:1 is itself at 90" in add_up([a, b]).lagging_nodes
+        add_up([status_a, status_b]).revision == 100
+        and "node a at ha:1 is itself at 90" in add_up([status_a, status_b]).lagging_nodes
     )
-    assert [one.name for one in found.lagging] == ["x"] and found.unreachable == ()
-    assert add_up([a], 50).incomplete_reason() == (
+    assert [balancer.name for balancer in progress.lagging] == ["x"] and progress.unreachable == ()
+    assert add_up([status_a], 50).incomplete_reason() == (
         "revision 50 is not in force as far as can be told: node b at hb:1"
         " does not answer: it was not asked"
     )
-    assert add_up([a], 50).incomplete_reason(10) is None
+    assert add_up([status_a], 50).incomplete_reason(10) is None
     refused = status(
         "b", 100, refusals=1, refused=(RefusedRow("x", Refusal(ORDERS, "u/a", 3, "why")),)
     )
     assert (
-        add_up([a, refused], 50).incomplete_reason(ignore_rejected=True)
+        add_up([status_a, refused], 50).incomplete_reason(ignore_rejected=True)
         is None
-        is not add_up([a, refused], 50).incomplete_reason()
+        is not add_up([status_a, refused], 50).incomplete_reason()
     )
-    nobody = add_up([{"address": "h:1", "trouble": "no answer"}], 5)
-    assert (nobody.balancers, nobody.unreachable) == (
+    unreachable_only = add_up([{"address": "h:1", "trouble": "no answer"}], 5)
+    assert (unreachable_only.balancers, unreachable_only.unreachable) == (
         0,
         ("h:1 does not answer: no answer",),
-    ) and nobody.incomplete_reason()
+    ) and unreachable_only.incomplete_reason()
--- a/tests/daemon/test_site_controller.py
+++ b/tests/daemon/test_site_controller.py
@@ -1,6 +1,4 @@
-"""What a balancer keeps, tells and follows of its sites on a real store; and the operators'
-commands.
-"""
+"""Tests of site failover and its operators' commands, with balancers on a real store."""
 
 from __future__ import annotations
 
@@ -17,7 +15,7 @@
 from typer.testing import CliRunner
 
 from loadbalancer.cli.main import application
-from loadbalancer.daemon import documents as docs
+from loadbalancer.daemon import documents as document_validation
 from loadbalancer.daemon.site_documents import SiteKeys, SitePlanDocument
 from loadbalancer.daemon.state_sync import StateSync, StateSyncOptions
 from loadbalancer.failover.traffic_shares import TrafficShares
@@ -49,7 +47,7 @@
 
 
 class SiteDriver(FakeDriver):
-    """Its clients send at a steady rate; `gone`: upstreams that do not answer."""
+    """A driver with a constant request rate. Upstreams in `unreachable` refuse connections."""
 
     def __init__(self, zone: str) -> None:
         super().__init__()
@@ -58,7 +56,7 @@
         )
         self.event_listener: Callable[[int, list[api.Event]], None] = lambda now, events: None
         self.requests: dict[str, Any] = {}
-        self.gone: set[int] = set()
+        self.unreachable: set[int] = set()
         self.upstreams = SimpleNamespace(
             targets={e.entry.id: SimpleNamespace(endpoint=e) for e in UPSTREAMS},
             check_health=self.check_health,
@@ -69,9 +67,14 @@
         if isinstance(event, api.TrafficPlan):
             self.plans.append(event)
 
-    def check_health(self, number: int, done: Callable[[api.AttemptResult, Any], None]) -> bool:
-        done(
-            api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK, None
+    def check_health(
+        self, number: int, on_finished: Callable[[api.AttemptResult, Any], None]
+    ) -> bool:
+        on_finished(
+            api.AttemptResult.CONNECT_FAILED
+            if number in self.unreachable
+            else api.AttemptResult.OK,
+            None,
         )
         return True
 
@@ -84,7 +87,9 @@
             self.requests = {arrival.request: SimpleNamespace(arrival=arrival)}
             number = count % len(UPSTREAMS)
             result = (
-                api.AttemptResult.CONNECT_FAILED if number in self.gone else api.AttemptResult.OK
+                api.AttemptResult.CONNECT_FAILED
+                if number in self.unreachable
+                else api.AttemptResult.OK
             )
             self.event_listener(
                 now,
@@ -97,18 +102,22 @@
 
 
 class SiteBalancer:
-    def __init__(self, c: Cluster, name: str, zone: str) -> None:
+    """A balancer with site failover: a state sync and a driver that receives requests."""
+
+    def __init__(self, store_cluster: Cluster, name: str, zone: str) -> None:
         self.driver = SiteDriver(zone)
         disabled = DisabledUpstreams(None, name, ProcessRegistry(None), self.driver)
         parts = Parts(cast(Any, None), cast(Any, self.driver), disabled, lambda: None)
         self.state_sync = StateSync(
-            c.client(), parts, StateSyncOptions("orders", name, lease_s=0.6, has_site_failover=True)
+            store_cluster.client(),
+            parts,
+            StateSyncOptions("orders", name, lease_s=0.6, has_site_failover=True),
         )
         self.state_sync.start()
         self.sending = asyncio.create_task(self.driver.send_requests(40.0))
 
     @property
-    def owns_sites(self) -> bool:
+    def is_site_leader(self) -> bool:
         controller = self.state_sync.site_controller
         return controller is not None and bool(controller.lease.active_token)
 
@@ -117,18 +126,20 @@
         await self.state_sync.close()
 
 
-async def command(c: Cluster, *arguments: str) -> tuple[int, str]:
-    at = ",".join(c.settings[place].advertise for place in c.nodes)
+async def command(store_cluster: Cluster, *arguments: str) -> tuple[int, str]:
+    """Run a `site` command; return its exit status and its output or error."""
+    addresses = ",".join(store_cluster.settings[place].advertise for place in store_cluster.nodes)
     result = await asyncio.to_thread(
         CliRunner().invoke,
         application(arguments),
-        ["site", *arguments, "--service", "orders", "--at", at],
+        ["site", *arguments, "--service", "orders", "--at", addresses],
     )
     output = str(result.exception) if isinstance(result.exception, Exception) else result.output
     return result.exit_code, output
 
 
-async def doc(client: Client) -> SitePlanDocument:
+async def read_plan(client: Client) -> SitePlanDocument:
+    """Return the stored plan."""
     row = (await client.get(SiteKeys("orders").plan)).rows[0]
     return (
         msgspec.json.decode(row.value, type=SitePlanDocument)
@@ -137,82 +148,103 @@
     )
 
 
-def test_a_site_is_described_drained_returned_and_lost_by_evidence(
+def test_a_site_is_drained_returned_lost_and_recovered(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
-            assert "no document" in (await command(c, "plan"))[1]
-            one, two = SiteBalancer(c, "one", "a"), SiteBalancer(c, "two", "b")
+        async with cluster(tmp_path, 1) as store_cluster:
+            client = store_cluster.client()
+            assert "no document" in (await command(store_cluster, "plan"))[1]
+            balancer_a, balancer_b = (
+                SiteBalancer(store_cluster, "one", "a"),
+                SiteBalancer(store_cluster, "two", "b"),
+            )
             await until(
                 lambda: (
                     "site controller idle: reason=there is no document sites/orders" in caplog.text
                 )
             )
             await documents.put(
-                client, "sites/orders", SITES, docs.find_error, DocumentChange(0, "test")
+                client,
+                "sites/orders",
+                SITES,
+                document_validation.find_error,
+                DocumentChange(0, "test"),
             )
             await until(
                 lambda: (
-                    bool(one.state_sync.site_agent and one.state_sync.site_agent.is_following_plan)
+                    bool(
+                        balancer_a.state_sync.site_agent
+                        and balancer_a.state_sync.site_agent.is_following_plan
+                    )
                     and bool(
-                        two.state_sync.site_agent and two.state_sync.site_agent.is_following_plan
+                        balancer_b.state_sync.site_agent
+                        and balancer_b.state_sync.site_agent.is_following_plan
                     )
                 )
             )
             async with asyncio.timeout(15):
-                while (await command(c, "plan"))[0] != 1:  # 80 a second come, and one site bears 40
+                while (await command(store_cluster, "plan"))[
+                    0
+                ] != 1:  # 80 requests/s; one site can serve 40
                     pass
-            status, output = await command(c, "hold", "b")
+            status, output = await command(store_cluster, "hold", "b")
             assert status == 1 and "do not bear it" in output
-            assert "no such site" in (await command(c, "hold", "nowhere"))[1]
-            assert (await command(c, "hold", "b", "--force"))[0] == 0
+            assert "no such site" in (await command(store_cluster, "hold", "nowhere"))[1]
+            assert (await command(store_cluster, "hold", "b", "--force"))[0] == 0
             await until(
                 lambda: (
-                    bool(one.driver.plans) and one.driver.plans[-1].zone_fractions.get("b") == 0.0
+                    bool(balancer_a.driver.plans)
+                    and balancer_a.driver.plans[-1].zone_fractions.get("b") == 0.0
                 )
             )
             assert (
-                one.driver.plans[-1].excess_reject_fraction > 0
-            )  # and what is beyond shares is refused
-            assert "out by" in (await command(c, "status"))[1]
-            assert 'lanelift_site_part{site="b"} 0.0' in (await command(c, "metrics"))[1]
-            assert "not in normal service" in (await command(c, "drill", "b", "--force"))[1]
-            assert (await command(c, "return", "b"))[0] == 0
-            await until(lambda: one.driver.plans[-1] == api.TrafficPlan(), 30.0)
-            for beside in (one, two):
-                beside.driver.gone = {e.entry.id for e in UPSTREAMS if e.entry.zone == "b"}
-            await until(lambda: one.driver.plans[-1].zone_fractions.get("b") == 0.0)
+                balancer_a.driver.plans[-1].excess_reject_fraction > 0
+            )  # requests beyond the shares are rejected
+            assert "out by" in (await command(store_cluster, "status"))[1]
+            assert (
+                'lanelift_site_part{site="b"} 0.0' in (await command(store_cluster, "metrics"))[1]
+            )
+            assert (
+                "not in normal service"
+                in (await command(store_cluster, "drill", "b", "--force"))[1]
+            )
+            assert (await command(store_cluster, "return", "b"))[0] == 0
+            await until(lambda: balancer_a.driver.plans[-1] == api.TrafficPlan(), 30.0)
+            for balancer in (balancer_a, balancer_b):
+                balancer.driver.unreachable = {e.entry.id for e in UPSTREAMS if e.entry.zone == "b"}
+            await until(lambda: balancer_a.driver.plans[-1].zone_fractions.get("b") == 0.0)
             async with asyncio.timeout(15):
-                while all(x.fraction > 0 for x in (await doc(client)).site_states):
+                while all(x.fraction > 0 for x in (await read_plan(client)).site_states):
                     await asyncio.sleep(0.05)
-            token = (await doc(client)).token
-            for beside in (one, two):
-                beside.driver.gone = set()
-            owner, other = (one, two) if one.owns_sites else (two, one)
-            await owner.close()  # the next one goes on from what stands
+            token = (await read_plan(client)).token
+            for balancer in (balancer_a, balancer_b):
+                balancer.driver.unreachable = set()
+            leader, remaining = (
+                (balancer_a, balancer_b) if balancer_a.is_site_leader else (balancer_b, balancer_a)
+            )
+            await leader.close()  # the next leader continues from the stored plan
             async with asyncio.timeout(40):
-                while (now := await doc(client)).token == token or any(
+                while (now := await read_plan(client)).token == token or any(
                     not x.is_normal for x in now.site_states
                 ):
                     await asyncio.sleep(0.05)
-            await until(lambda: other.driver.plans[-1].zone_fractions.get("b") is None)
-            shut = TrafficShares({"a": {"b": 0.0}, "b": {"b": 0.0}})
-            old = msgspec.structs.replace(now, token=token, traffic_shares=shut)
+            await until(lambda: remaining.driver.plans[-1].zone_fractions.get("b") is None)
+            no_traffic = TrafficShares({"a": {"b": 0.0}, "b": {"b": 0.0}})
+            old = msgspec.structs.replace(now, token=token, traffic_shares=no_traffic)
             await client.put(
                 SiteKeys("orders").plan, msgspec.json.encode(old)
-            )  # of an owner that wakes late
+            )  # a late write of the previous leader
             await until(lambda: "stale message ignored" in caplog.text)
-            assert other.driver.plans[-1].zone_fractions.get("b") is None
-            await other.close()
+            assert remaining.driver.plans[-1].zone_fractions.get("b") is None
+            await remaining.close()
 
     with caplog.at_level(logging.INFO):
         run(test())
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "expected_error"),
     [
         ("[[site]]\nname = 'a'\nbears = '40'", "bears"),
         ("[[site]]\nname = 'a'\nbears = '0/s'", "bears over 0/s"),
@@ -224,6 +256,6 @@
         ("", "site"),
     ],
 )
-def test_an_invalid_sites_document_is_a_one_line_error(text: str, why: str) -> None:
-    output = docs.find_error("sites/orders", text)
-    assert why in output and "\n" not in output
+def test_an_invalid_sites_document_is_a_one_line_error(text: str, expected_error: str) -> None:
+    output = document_validation.find_error("sites/orders", text)
+    assert expected_error in output and "\n" not in output
