--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -24,29 +24,31 @@
 
 
 @asynccontextmanager
-async def door_world(count: int = 2, **more: Any) -> AsyncIterator[tuple[BalancerHarness, Address]]:
+async def balancer_with_admin_api(
+    count: int = 2, **config: Any
+) -> AsyncIterator[tuple[BalancerHarness, Address]]:
     door = listening_socket(("127.0.0.1", 0))
     door.listen()  # callers wait for the balancer
     address = door.getsockname()
-    async with running_balancer(count, door=door, **more) as w:
-        yield w, address
+    async with running_balancer(count, door=door, **config) as harness:
+        yield harness, address
 
 
 async def call(address: Address, path: str, method: str = "POST") -> Message:
     client = await Client.connect(address)
-    got = await client.send_raw(
+    response = await client.send_raw(
         f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\nContent-Length: 0\r\n\r\n".encode()
     )
-    assert got.headers["connection"] == "close"
+    assert response.headers["connection"] == "close"
     await client.expect_eof()
     client.close()
-    return got
+    return response
 
 
-def test_calls_and_their_refusals() -> None:
+def test_valid_calls_succeed_and_invalid_ones_are_rejected() -> None:
     async def test() -> None:
-        async with door_world() as (w, door):
-            assert (await w.ask("r1")).status == 200
+        async with balancer_with_admin_api() as (harness, door):
+            assert (await harness.ask("r1")).status == 200
             assert (await call(door, "/-/ready", "GET")).status == 200
             assert (await call(door, "/-/ready")).status == 405
             assert (await call(door, "/-/upstreams/s-0/disable", "GET")).headers["allow"] == "POST"
@@ -69,132 +71,134 @@
                 client = await Client.connect(door)
                 assert (await client.send_raw(junk)).status == 400
                 await client.expect_eof()
-            half = await Client.connect(door)
-            half.writer.write(b"GET /-/re")
-            half.writer.write_eof()
-            assert b"400" in await half.reader.readline()
+            partial_client = await Client.connect(door)
+            partial_client.writer.write(b"GET /-/re")
+            partial_client.writer.write_eof()
+            assert b"400" in await partial_client.reader.readline()
 
     run(test())
 
 
 def test_not_ready_without_an_upstream() -> None:
     async def test() -> None:
-        async with door_world(1) as (w, door):
-            await w.update_endpoints(w.upstreams[0].row("Terminating"))
+        async with balancer_with_admin_api(1) as (harness, door):
+            await harness.update_endpoints(harness.upstreams[0].row("Terminating"))
             assert (await call(door, "/-/ready", "GET")).status == 503
 
     run(test())
 
 
-def test_silent_callers_hold_up_nobody_and_get_an_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_callers_time_out_without_blocking_others(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_api, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with door_world() as (_, door):
+        async with balancer_with_admin_api() as (_, door):
             silent = [await Client.connect(door) for _ in range(3 * MAX_CALLS)]
             assert (await call(door, "/-/ready", "GET")).status == 200
             for client in silent:
                 await client.expect_eof()
-            half = await Client.connect(door)
-            assert (await half.send_raw(b"GET /-/ready HTTP/1.1\r\n")).status == 408
+            partial_client = await Client.connect(door)
+            assert (await partial_client.send_raw(b"GET /-/ready HTTP/1.1\r\n")).status == 408
 
     run(test())
 
 
-def test_a_banned_upstream_gets_nothing_new_whatever_the_list_says(recorder: EventRecorder) -> None:
+def test_disabled_upstream_gets_no_attempts_whatever_the_list_says(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with door_world() as (w, door):
-            first, second = w.upstreams
+        async with balancer_with_admin_api() as (harness, door):
+            first, second = harness.upstreams
             for _ in range(2):  # a call may be repeated
                 assert (await call(door, "/-/upstreams/s-0/disable")).status == 200
             assert recorder.of_type(api.UpstreamDisabled) == [
                 api.UpstreamDisabled(recorder.of_type(api.UpstreamDisabled)[0].upstream, True)
             ]
-            await w.update_endpoints(first.row(started_ms=1))
-            await w.update_endpoints(first.row("Gone"))
-            await w.update_endpoints(first.row(started_ms=2))
+            await harness.update_endpoints(first.row(started_ms=1))
+            await harness.update_endpoints(first.row("Gone"))
+            await harness.update_endpoints(first.row(started_ms=2))
             for number in range(30):
-                assert (await w.ask(f"r{number}")).body == b"s-1"
+                assert (await harness.ask(f"r{number}")).body == b"s-1"
             assert not first.received_requests
             assert (await call(door, "/-/upstreams/s-0/enable")).status == 200
             assert (await call(door, "/-/upstreams/s-0/enable")).status == 200
-            await w.update_endpoints(second.row("Terminating"))
-            assert (await w.ask("r30")).body == b"s-0"
+            await harness.update_endpoints(second.row("Terminating"))
+            assert (await harness.ask("r30")).body == b"s-0"
 
     run(test())
 
 
-def test_a_ban_outlives_the_process(tmp_path: Path) -> None:
+def test_disabled_set_survives_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with door_world(folder=tmp_path) as (_, door):
+        async with balancer_with_admin_api(folder=tmp_path) as (_, door):
             assert (await call(door, "/-/upstreams/s-1/disable")).status == 200
         assert json.loads((tmp_path / FILE).read_text())["disabled"] == ["s-1"]
-        async with door_world(folder=tmp_path) as (w, _):
+        async with balancer_with_admin_api(folder=tmp_path) as (harness, _):
             for number in range(20):
-                assert (await w.ask(f"r{number}")).body == b"s-0"
-            assert not w.upstreams[1].received_requests
+                assert (await harness.ask(f"r{number}")).body == b"s-0"
+            assert not harness.upstreams[1].received_requests
         assert not list(tmp_path.glob("lanelift-process-*"))
 
     run(test())
 
 
-class Told:
+class DisableRecorder:
     """What an owner of the set tells the balancer."""
 
     def __init__(self) -> None:
-        self.bans: list[tuple[str, bool]] = []
+        self.changes: list[tuple[str, bool]] = []
 
     def was_listed(self, name: str) -> bool:
         return name.startswith("s-")
 
     def set_disabled(self, name: str, is_disabled: bool) -> None:
-        self.bans.append((name, is_disabled))
+        self.changes.append((name, is_disabled))
 
 
-def owner(folder: Path, name: str = "n3") -> tuple[DisabledUpstreams, Told, ProcessRegistry]:
-    told, siblings = Told(), ProcessRegistry(folder)
-    disabled = DisabledUpstreams(folder, name, siblings, told)
+def start_disabled_upstreams(
+    folder: Path, name: str = "n3"
+) -> tuple[DisabledUpstreams, DisableRecorder, ProcessRegistry]:
+    disable_recorder, siblings = DisableRecorder(), ProcessRegistry(folder)
+    disabled = DisabledUpstreams(folder, name, siblings, disable_recorder)
     disabled.start()
-    return disabled, told, siblings
+    return disabled, disable_recorder, siblings
 
 
-def test_two_processes_obey_one_set_whichever_was_told(tmp_path: Path) -> None:
+def test_two_processes_apply_the_same_set(tmp_path: Path) -> None:
     async def test() -> None:
-        old, old_told, old_note = owner(tmp_path)
-        new, new_told, new_note = owner(tmp_path)
-        old_note.watch()
-        new_note.watch()
+        old, old_recorder, old_registry = start_disabled_upstreams(tmp_path)
+        new, new_recorder, new_registry = start_disabled_upstreams(tmp_path)
+        old_registry.watch()
+        new_registry.watch()
         await asyncio.gather(old.disable("s-1"), new.disable("s-2"))
         assert old.names == new.names == {"s-1", "s-2"}
         await new.enable("s-1")
         # The yes is said when both obey.
         assert (
             old.names == {"s-2"}
-            and ("s-1", False) in old_told.bans
-            and ("s-1", False) in new_told.bans
+            and ("s-1", False) in old_recorder.changes
+            and ("s-1", False) in new_recorder.changes
         )
         with pytest.raises(CallDeclinedError):
             await new.disable("unheard-of")
-        old_note.close()
-        new_note.check()
-        assert new_note.is_alone
+        old_registry.close()
+        new_registry.check()
+        assert new_registry.is_alone
         await new.enable("s-2")
-        new_note.close()
+        new_registry.close()
 
     run(test())
 
 
-def test_a_process_that_does_not_confirm_is_no_yes(tmp_path: Path) -> None:
+def test_call_is_declined_until_other_process_confirms(tmp_path: Path) -> None:
     async def test() -> None:
-        asleep = ProcessRegistry(tmp_path)  # it never looks
-        disabled, told, note = owner(tmp_path)
+        idle_registry = ProcessRegistry(tmp_path)  # it never looks
+        disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         with pytest.raises(CallDeclinedError):
             await disabled.disable("s-1")
-        assert told.bans == [("s-1", True)]  # it holds here all the same
-        asleep.publish(ProcessNote(applied_version=disabled.version))
+        assert disable_recorder.changes == [("s-1", True)]  # it holds here all the same
+        idle_registry.publish(ProcessNote(applied_version=disabled.version))
         await disabled.disable("s-1")
-        asleep.close()
-        note.close()
+        idle_registry.close()
+        registry.close()
 
     run(test())
 
@@ -212,13 +216,13 @@
         json.dumps({"format": 1, "balancer": "n4", "version": 7, "disabled": ["s-1"]}),
     ],
 )
-def test_a_file_that_can_not_be_used_is_logged_and_left_aside(
+def test_invalid_set_file_is_logged_and_ignored(
     tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         (tmp_path / FILE).write_text(text)
-        disabled, told, note = owner(tmp_path)
-        assert not told.bans and "file of disabled upstreams ignored" in caplog.text
+        disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
+        assert not disable_recorder.changes and "file of disabled upstreams ignored" in caplog.text
         await disabled.disable("s-2")  # a call puts a good one in its place
         assert json.loads((tmp_path / FILE).read_text())["disabled"] == ["s-2"]
         # Whoever knows the set puts it back.
@@ -227,19 +231,19 @@
         os.replace(other, tmp_path / FILE)
         disabled.refresh()
         assert json.loads((tmp_path / FILE).read_text())["disabled"] == ["s-2"]
-        assert told.bans == [("s-2", True)]
-        note.close()
+        assert disable_recorder.changes == [("s-2", True)]
+        registry.close()
 
     run(test())
 
 
-def test_a_set_that_can_not_be_saved_is_no_yes(tmp_path: Path) -> None:
+def test_call_is_declined_when_set_cannot_be_saved(tmp_path: Path) -> None:
     async def test() -> None:
-        disabled, told, note = owner(tmp_path)
+        disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         (tmp_path / FILE).mkdir()
         with pytest.raises(CallDeclinedError):
             await disabled.disable("s-1")
-        assert told.bans == [("s-1", True)]
-        note.close()
+        assert disable_recorder.changes == [("s-1", True)]
+        registry.close()
 
     run(test())
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -33,21 +33,21 @@
 )
 
 
-def test_ready_once_the_module_can_serve() -> None:
+def test_ready_follows_availability_of_upstreams() -> None:
     async def test() -> None:
-        async with running_balancer(known=None) as w:
-            await w.wait_for_endpoint_list()
-            assert (await w.ask("r", path="/ready")).status == 200
-            await w.update_endpoints(w.upstreams[0].row("Terminating"))
-            assert (await w.ask("r", path="/ready")).status == 503
+        async with running_balancer(known=None) as harness:
+            await harness.wait_for_endpoint_list()
+            assert (await harness.ask("r", path="/ready")).status == 200
+            await harness.update_endpoints(harness.upstreams[0].row("Terminating"))
+            assert (await harness.ask("r", path="/ready")).status == 503
 
     run(test())
 
 
-def test_bad_input_gets_an_answer_and_harms_nobody() -> None:
+def test_bad_input_is_rejected_without_affecting_other_clients() -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            other = await w.client()
+        async with running_balancer() as harness:
+            other = await harness.client()
             other.send("r0")
             for junk, status in [
                 (b"\x00\x01\r\n\r\n", 400),
@@ -56,10 +56,10 @@
                 (b"GET /" + b"x" * 70_000, 431),
                 (raw_request("Content-Length: -4"), 400),
             ]:
-                bad = await w.client()
+                bad = await harness.client()
                 assert (await bad.send_raw(junk)).status == status, junk[:40]
                 await bad.expect_eof()
-            client = await w.client()
+            client = await harness.client()
             assert (await client.ask("r1", path="/nowhere")).status == 404
             assert (await client.ask("r2", "unheard-of")).status == 404
             assert (await client.ask("", X_Request_Id=None)).status == 400
@@ -74,42 +74,44 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_body_that_is_too_large(chunked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_large_body_is_rejected_with_413(
+    chunked: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(parse, "MAX_LENGTH", 69_000)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
+        async with running_balancer() as harness:
+            client = await harness.client()
             if chunked:
                 client.send("r1", "pay", "POST", Transfer_Encoding="chunked")
                 client.writer.write(b"11170\r\n" + b"x" * 0x11170)
             else:
                 client.send("r1", "pay", "POST", b"x" * 70_000)
             assert (await read_message(client.reader)).status == 413
-            assert not w.upstreams[0].received_requests
+            assert not harness.upstreams[0].received_requests
 
     run(test())
 
 
-def test_an_id_that_is_open_already() -> None:
+def test_duplicate_id_of_open_request_is_rejected_with_409() -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            first = await w.client_awaiting_response("r1")
-            assert (await w.ask("r1")).status == 409
+        async with running_balancer() as harness:
+            first = await harness.client_awaiting_response("r1")
+            assert (await harness.ask("r1")).status == 409
             first.close()
 
     run(test())
 
 
-def test_requests_follow_each_other_on_a_connection_also_when_sent_ahead() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
+        async with running_balancer() as harness:
+            client = await harness.client()
             client.send("r1")
             client.send("r2")
             for _ in range(2):
                 assert (await read_message(client.reader)).body == b"s-0"
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].received_requests] == [
+            assert [m.headers["x-request-id"] for m in harness.upstreams[0].received_requests] == [
                 "r1",
                 "r2",
             ]
@@ -117,29 +119,29 @@
     run(test())
 
 
-def test_a_flood_behind_an_open_request_is_cut_off() -> None:
+def test_excess_input_during_open_request_closes_connection() -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1")
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1")
             client.writer.write(b"x" * 1_000_000)
             await client.expect_eof()
-            assert (await w.ask("r2")).status == 200
+            assert (await harness.ask("r2")).status == 200
 
     run(test())
 
 
-def test_more_open_requests_than_allowed_are_refused() -> None:
+def test_requests_beyond_open_request_limit_are_rejected() -> None:
     async def test() -> None:
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, max_open=1))
-        async with running_balancer(settings=settings) as w:
-            client = await w.client_awaiting_response("r1")
-            assert (await w.ask("r2")).status == 503
+        async with running_balancer(settings=settings) as harness:
+            client = await harness.client_awaiting_response("r1")
+            assert (await harness.ask("r2")).status == 503
             client.close()
 
     run(test())
 
 
-def test_at_the_cap_idle_clients_make_room_and_busy_ones_are_kept(
+def test_at_connection_limit_idle_clients_are_evicted_and_busy_ones_kept(
     monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 0.0)
@@ -147,25 +149,27 @@
     async def test() -> None:
         async with running_balancer(
             sockets=RESERVE + 2 * 2
-        ) as w:  # two clients, two connections to upstreams
-            go_on = asyncio.Event()
-            upstream: FakeUpstream = w.upstreams[0]
+        ) as harness:  # two clients, two connections to upstreams
+            may_respond = asyncio.Event()
+            upstream: FakeUpstream = harness.upstreams[0]
 
             async def slow() -> bytes:
-                await go_on.wait()
+                await may_respond.wait()
                 return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
-            idle = await w.client()
+            idle = await harness.client()
             assert (await idle.ask("r0")).status == 200
             upstream.script = [slow, slow]
-            busy = [await w.client(), await w.client()]
+            busy = [await harness.client(), await harness.client()]
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
             await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 3)
             await idle.expect_eof()
-            late = await w.client()  # it waits in the backlog, and is answered once there is room
+            late = (
+                await harness.client()
+            )  # it waits in the backlog, and is answered once there is room
             late.send("r1")
-            go_on.set()
+            may_respond.set()
             for client in busy:
                 assert (await read_message(client.reader)).body == b"slow"
             assert (await read_message(late.reader)).status == 200
@@ -173,26 +177,26 @@
     run(test())
 
 
-def test_at_the_cap_silent_clients_make_room_for_one_that_asks() -> None:
+def test_at_connection_limit_silent_clients_are_evicted_for_active_client() -> None:
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as w:
-            silent = [await w.client() for _ in range(20)]
-            asking = await w.client()
-            assert (await asking.ask("r1")).status == 200
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:
+            silent = [await harness.client() for _ in range(20)]
+            active_client = await harness.client()
+            assert (await active_client.ask("r1")).status == 200
             for client in silent:
                 client.close()
 
     run(test())
 
 
-def test_at_the_cap_the_silent_make_room_and_a_slow_writer_is_left_its_time(
+def test_at_connection_limit_silent_clients_are_evicted_before_slow_writer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(frontend, "EVICT_SILENT_S", 0.2)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 4 * 2) as w:
-            slow = await w.client()
+        async with running_balancer(sockets=RESERVE + 4 * 2) as harness:
+            slow = await harness.client()
             slow.writer.write(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n")
             silent = []
             for (
@@ -200,7 +204,7 @@
             ) in b"X-Class: quote\r\n\r\n":  # it connected first, and is kept as long as it goes on
                 await asyncio.sleep(0.03)
                 slow.writer.write(bytes([letter]))
-                silent.append(await w.client())
+                silent.append(await harness.client())
             assert (await read_message(slow.reader)).status == 200
             for client in silent:
                 client.close()
@@ -208,7 +212,7 @@
     run(test())
 
 
-def test_at_the_cap_an_idle_client_is_left_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_at_connection_limit_recently_idle_client_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
     monkeypatch.setattr(frontend, "EVICT_SILENT_S", 0.0)
     monkeypatch.setitem(
@@ -216,10 +220,10 @@
     )  # the last newcomer is driven out by nobody
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as w:
-            idle = await w.client()
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:
+            idle = await harness.client()
             assert (await idle.ask("r0")).status == 200
-            newcomers = [await w.client() for _ in range(9)]
+            newcomers = [await harness.client() for _ in range(9)]
             for client in newcomers:
                 await client.expect_eof()
             assert (await idle.ask("r1")).status == 200
@@ -227,7 +231,7 @@
     run(test())
 
 
-def test_with_all_places_taken_an_answer_ends_its_connection(
+def test_at_connection_limit_connection_is_closed_after_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Idle connections are left their 2 s: with more clients than places, each newcomer waited for
@@ -236,8 +240,8 @@
         monkeypatch.setattr(frontend, limit, 1000.0)
 
     async def test() -> None:
-        async with running_balancer(sockets=RESERVE + 2 * 2) as w:
-            clients = [await w.client() for _ in range(20)]
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:
+            clients = [await harness.client() for _ in range(20)]
             for number, client in enumerate(clients):
                 client.send(f"r{number}")
             for client in clients:
@@ -247,29 +251,29 @@
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-def test_a_client_that_left_before_it_was_read_is_not_served(recorder: EventRecorder) -> None:
+def test_request_of_disconnected_client_is_not_served(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
+        async with running_balancer() as harness:
 
-            def asks(name: str) -> bytes:
+            def quote_request(name: str) -> bytes:
                 return f"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: {name}\r\n\r\n".encode()
 
             # No turn of the loop between a client's request and its leaving: the balancer finds
             # both at once, on a connection that is still in the backlog and on one that was used
             # before. Plain sockets: a loop's own write may wait for its next turn.
             loop = asyncio.get_running_loop()
-            used = socket.socket()
-            used.setblocking(False)
-            await loop.sock_connect(used, w.address)
-            used.send(asks("r0"))
-            assert (await loop.sock_recv(used, 4096)).startswith(b"HTTP/1.1 200 ")
-            with used:
-                used.send(asks("gone"))
-            with socket.create_connection(w.address) as early:
-                early.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: early\r\n\r\n")
-            assert (await w.ask("r1")).status == 200
+            reused = socket.socket()
+            reused.setblocking(False)
+            await loop.sock_connect(reused, harness.address)
+            reused.send(quote_request("r0"))
+            assert (await loop.sock_recv(reused, 4096)).startswith(b"HTTP/1.1 200 ")
+            with reused:
+                reused.send(quote_request("gone"))
+            with socket.create_connection(harness.address) as unaccepted:
+                unaccepted.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: early\r\n\r\n")
+            assert (await harness.ask("r1")).status == 200
             assert [e.request for e in recorder.of_type(api.RequestArrived)] == ["r0", "r1"]
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].received_requests] == [
+            assert [m.headers["x-request-id"] for m in harness.upstreams[0].received_requests] == [
                 "r0",
                 "r1",
             ]
@@ -278,17 +282,19 @@
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-def test_a_request_counts_from_when_it_came_not_from_when_it_was_read(
+def test_deadline_counts_from_receipt_by_kernel_not_from_read(
     recorder: EventRecorder,
 ) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
+        async with running_balancer() as harness:
             late = 0.2
-            used = await w.client()
-            assert (await used.ask("r0")).status == 200
-            used.send("r1")
-            with socket.create_connection(w.address) as new:
-                new.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n")
+            reused = await harness.client()
+            assert (await reused.ask("r0")).status == 200
+            reused.send("r1")
+            with socket.create_connection(harness.address) as new_connection:
+                new_connection.sendall(
+                    b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n"
+                )
                 sent_ns = time.monotonic_ns()
                 time.sleep(late)  # the loop stands still
                 await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 3)
@@ -302,7 +308,7 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "status"),
+    ("partial_request", "status"),
     [
         (b"", None),
         (b"GET /quote HTT", 408),
@@ -310,19 +316,19 @@
         (b"POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf", 408),
     ],
 )
-@pytest.mark.parametrize("used", [False, True])
-def test_a_request_that_does_not_come_in_time_ends_its_connection(
-    monkeypatch: pytest.MonkeyPatch, part: bytes, status: int | None, used: bool
+@pytest.mark.parametrize("reused", [False, True])
+def test_incomplete_request_times_out_and_closes_connection(
+    monkeypatch: pytest.MonkeyPatch, partial_request: bytes, status: int | None, reused: bool
 ) -> None:
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.NEW, 0.2)
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, 0.3)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
-            if used:
+        async with running_balancer() as harness:
+            client = await harness.client()
+            if reused:
                 assert (await client.ask("r1")).status == 200
-            client.writer.write(part)
+            client.writer.write(partial_request)
             if status is not None:
                 assert (await read_message(client.reader)).status == status
             await client.expect_eof()
@@ -331,8 +337,8 @@
 
 
 def raw_request(*headers: str, start: str = "POST /pay HTTP/1.1", body: bytes = b"") -> bytes:
-    rows = ["Host: h", "X-Request-Id: r1", "X-Class: pay", *headers]
-    return "\r\n".join([start, *rows, "", ""]).encode() + body
+    header_lines = ["Host: h", "X-Request-Id: r1", "X-Class: pay", *headers]
+    return "\r\n".join([start, *header_lines, "", ""]).encode() + body
 
 
 @pytest.mark.parametrize(
@@ -358,22 +364,24 @@
         (raw_request("X-Pad: " + "p" * 20_000), 431),
     ],
 )
-def test_a_request_that_could_be_read_in_two_ways_is_turned_away(data: bytes, status: int) -> None:
+def test_ambiguous_or_oversized_request_is_rejected(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
+        async with running_balancer() as harness:
+            client = await harness.client()
             assert (await client.send_raw(data)).status == status
             await client.expect_eof()
-            assert (await w.ask("r3")).status == 200
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].received_requests] == ["r3"]
+            assert (await harness.ask("r3")).status == 200
+            assert [m.headers["x-request-id"] for m in harness.upstreams[0].received_requests] == [
+                "r3"
+            ]
 
     run(test())
 
 
-def test_a_method_that_is_not_the_class_s_and_an_endless_id() -> None:
+def test_unsupported_method_unexpected_body_and_too_long_id_are_rejected() -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client()
+        async with running_balancer() as harness:
+            client = await harness.client()
             assert (await client.ask("r1", "pay", "GET")).status == 405
             assert (await client.ask("r1", "quote", "DELETE")).status == 405
             assert (await client.ask("r1", "quote", "GET", b"body")).status == 400
@@ -383,16 +391,16 @@
     run(test())
 
 
-def test_a_client_that_does_not_read_gets_no_more_answers_piled_up(
+def test_client_that_does_not_read_stops_its_pipelined_requests(
     monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
-        async with running_balancer() as w:
+        async with running_balancer() as harness:
             body = b"x" * 60_000
-            w.upstreams[0].script = [http_response(200, body) for _ in range(1000)]
-            reader, writer = await asyncio.open_connection(*w.address, limit=1)
+            harness.upstreams[0].script = [http_response(200, body) for _ in range(1000)]
+            reader, writer = await asyncio.open_connection(*harness.address, limit=1)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             client = Client(reader, writer)
             for number in range(1000):
@@ -406,73 +414,80 @@
                     if writer.transport.is_closing():
                         break
             assert len(recorder.of_type(api.RequestArrived)) < 900
-            assert (await w.ask("last")).status == 200
+            assert (await harness.ask("last")).status == 200
 
     run(test())
 
 
-def test_a_sweep_that_is_due_at_once_does_not_break_the_next() -> None:
+def test_sweep_can_be_rescheduled_after_one_without_delay() -> None:
     """uvloop gives a handle without a time where the delay rounds to nothing."""
 
     async def test() -> None:
-        front = frontend.Frontend.__new__(frontend.Frontend)
-        front.loop, front.timer, front.timer_at = asyncio.get_running_loop(), None, 0.0
-        now = front.loop.time()
-        front._sweep_at(now)
-        front._sweep_at(now - 1.0)
-        assert front.timer is not None
-        front.timer.cancel()
+        client_frontend = frontend.Frontend.__new__(frontend.Frontend)
+        client_frontend.loop, client_frontend.timer, client_frontend.timer_at = (
+            asyncio.get_running_loop(),
+            None,
+            0.0,
+        )
+        now = client_frontend.loop.time()
+        client_frontend._sweep_at(now)
+        client_frontend._sweep_at(now - 1.0)
+        assert client_frontend.timer is not None
+        client_frontend.timer.cancel()
 
     run(test())
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-@pytest.mark.parametrize("end", ["drained", "swept", "made room"])
-def test_a_connection_at_rest_is_not_closed_over_a_request_that_lies_unread(
-    end: str, frontends: list[frontend.Frontend]
+@pytest.mark.parametrize("close_cause", ["drained", "swept", "made room"])
+def test_idle_connection_with_unread_request_is_not_closed(
+    close_cause: str, frontends: list[frontend.Frontend]
 ) -> None:
     """A timer runs ahead of the sockets: with both due in one turn the request was lost,
     unanswered.
     """
 
     async def test() -> None:
-        async with running_balancer() as w:
+        async with running_balancer() as harness:
             loop = asyncio.get_running_loop()
-            used, silent = socket.socket(), socket.socket()
-            for sock in (used, silent):
+            reused, silent = socket.socket(), socket.socket()
+            for sock in (reused, silent):
                 sock.setblocking(False)
-                await loop.sock_connect(sock, w.address)
-            with used, silent:
-                used.send(raw_request(start="GET /quote HTTP/1.1").replace(b"pay", b"quote"))
-                assert (await loop.sock_recv(used, 4096)).startswith(b"HTTP/1.1 200 ")
-                [front] = frontends
-                table = front.clients_by_phase[Phase.IDLE]
-                [kept] = table
-                assert isinstance(kept, ClientConnection) and kept.transport is not None
-                sock = kept.transport.get_extra_info("socket")
+                await loop.sock_connect(sock, harness.address)
+            with reused, silent:
+                reused.send(raw_request(start="GET /quote HTTP/1.1").replace(b"pay", b"quote"))
+                assert (await loop.sock_recv(reused, 4096)).startswith(b"HTTP/1.1 200 ")
+                [client_frontend] = frontends
+                idle_since = client_frontend.clients_by_phase[Phase.IDLE]
+                [idle_connection] = idle_since
+                assert (
+                    isinstance(idle_connection, ClientConnection)
+                    and idle_connection.transport is not None
+                )
+                sock = idle_connection.transport.get_extra_info("socket")
                 while receive_state(sock)[1] < 30_000_000:  # the kernel counts in ticks
                     await asyncio.sleep(0)
-                for client in table:
-                    table[client] -= (
-                        2.0 if end == "made room" else connection_phase.LIMIT_S[Phase.IDLE]
+                for client in idle_since:
+                    idle_since[client] -= (
+                        2.0 if close_cause == "made room" else connection_phase.LIMIT_S[Phase.IDLE]
                     )
-                used.send(raw_request(start="GET /quote HTTP/1.1").replace(b"pay", b"quote"))
-                if end == "drained":
-                    front._stop()
-                elif end == "swept":
-                    front._sweep()
+                reused.send(raw_request(start="GET /quote HTTP/1.1").replace(b"pay", b"quote"))
+                if close_cause == "drained":
+                    client_frontend._stop()
+                elif close_cause == "swept":
+                    client_frontend._sweep()
                 else:
-                    front._evict()
-                assert (await loop.sock_recv(used, 4096)).startswith(b"HTTP/1.1 200 ")
-                for client in table:
-                    table[client] -= 60.0
-                front._sweep()
-                assert await loop.sock_recv(used, 4096) == b""  # with nothing unread it ends
+                    client_frontend._evict()
+                assert (await loop.sock_recv(reused, 4096)).startswith(b"HTTP/1.1 200 ")
+                for client in idle_since:
+                    idle_since[client] -= 60.0
+                client_frontend._sweep()
+                assert await loop.sock_recv(reused, 4096) == b""  # with nothing unread it ends
 
     run(test())
 
 
-def test_who_leaves_answers_a_request_that_has_more_time_than_it_has(
+def test_drain_fails_requests_whose_deadline_exceeds_shutdown(
     frontends: list[frontend.Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Taken before SIGTERM, with a deadline behind the process's own end: it ended over the open
@@ -482,8 +497,8 @@
     monkeypatch.setattr(frontend, "SHUTDOWN_MARGIN_NS", 100_000_000)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            client = await w.client_awaiting_response("r1", X_Deadline_Ms=3000)
+        async with running_balancer() as harness:
+            client = await harness.client_awaiting_response("r1", X_Deadline_Ms=3000)
             frontends[0].drain()
             assert (await asyncio.wait_for(read_message(client.reader), 2.0)).status == 504
             await client.expect_eof()
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -54,7 +54,7 @@
         json.dumps(config(limits={"sockets": 3})),
         json.dumps(config(mgmt="nowhere")),
         json.dumps(config(mgmt=7)),
-        json.dumps((told := config()) | {"mgmt": told["listen"]}),
+        json.dumps((configuration := config()) | {"mgmt": configuration["listen"]}),
         json.dumps(config(known={"version": 1})),
     ],
     ids=[
@@ -72,11 +72,13 @@
         "bad known list",
     ],
 )
-def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
+def test_invalid_configuration_prints_one_line_and_exits_with_2(
+    tmp_path: Path, text: str | None
+) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
         text=True,
@@ -84,15 +86,15 @@
         env={**os.environ, "BALANCER_CONFIG": str(path)},
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stderr.startswith("loadbalancer: ") and done.stderr.count("\n") == 1
+    assert completed.returncode == 2
+    assert completed.stderr.startswith("loadbalancer: ") and completed.stderr.count("\n") == 1
 
 
-def test_no_configuration() -> None:
+def test_unset_configuration_variable_exits_with_2() -> None:
     environ = {
         name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")
     }
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
         text=True,
@@ -100,22 +102,28 @@
         env=environ,
         check=False,
     )
-    assert (done.returncode, done.stderr) == (2, "loadbalancer: BALANCER_CONFIG is not set\n")
+    assert (completed.returncode, completed.stderr) == (
+        2,
+        "loadbalancer: BALANCER_CONFIG is not set\n",
+    )
 
 
 @asynccontextmanager
-async def program(
-    path: Path, told: dict[str, Any], prepare: Callable[[], None] | None = None, **environ: str
+async def running_program(
+    path: Path,
+    configuration: dict[str, Any],
+    preexec: Callable[[], None] | None = None,
+    **environ: str,
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    path.write_text(json.dumps(told))
-    given = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
+    path.write_text(json.dumps(configuration))
+    base_environ = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "loadbalancer",
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=prepare,
-        env={**given, "BALANCER_CONFIG": str(path), **environ},
+        preexec_fn=preexec,
+        env={**base_environ, "BALANCER_CONFIG": str(path), **environ},
     )
     try:
         yield process
@@ -125,41 +133,41 @@
             await process.wait()
 
 
-def listen_address(told: dict[str, Any]) -> tuple[str, int]:
-    return "127.0.0.1", int(told["listen"].rpartition(":")[2])
+def listen_address(configuration: dict[str, Any]) -> tuple[str, int]:
+    return "127.0.0.1", int(configuration["listen"].rpartition(":")[2])
 
 
-def test_sigterm_answers_what_is_open_and_what_still_comes(tmp_path: Path) -> None:
+def test_sigterm_drains_open_and_late_requests(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         await upstream.start()
         discovery = FakeDiscovery([upstream.row()])
         await discovery.start()
-        go_on = asyncio.Event()
+        may_respond = asyncio.Event()
 
         async def slow() -> bytes:
-            await go_on.wait()
+            await may_respond.wait()
             return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
         upstream.script = [slow]
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
-        async with program(tmp_path / "config.json", told) as process:
-            address = listen_address(told)
+        configuration = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
+        async with running_program(tmp_path / "config.json", configuration) as process:
+            address = listen_address(configuration)
             # It has seen discovery: so it listens, or is about to.
             await discovery.until(
                 lambda: any("from=" in m.start_line[1] for m in discovery.received_requests)
             )
-            open_one, kept = await connect(address), await connect(address)
-            assert (await kept.ask("r", path="/ready")).status == 200
-            open_one.send("r1")
+            waiting_client, idle_client = await connect(address), await connect(address)
+            assert (await idle_client.ask("r", path="/ready")).status == 200
+            waiting_client.send("r1")
             await upstream.until(lambda: len(upstream.received_requests) == 1)
             process.send_signal(signal.SIGTERM)
             late = await (await connect(address)).ask("r2")  # new connections go on coming
-            check_closing(late, b"s-0")
-            ready = await kept.ask("r", path="/ready")  # and old ones are used
+            assert_last_response(late, b"s-0")
+            ready = await idle_client.ask("r", path="/ready")  # and old ones are used
             assert (ready.status, ready.headers["connection"]) == (503, "close")
-            go_on.set()
-            check_closing(await read_message(open_one.reader), b"slow")
+            may_respond.set()
+            assert_last_response(await read_message(waiting_client.reader), b"slow")
             assert await process.wait() == 0
             assert process.stderr is not None and await process.stderr.read() == b""
         upstream.stop()
@@ -169,7 +177,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
-def test_a_signal_that_comes_as_the_process_ends_does_not_change_its_status(
+def test_signal_during_exit_does_not_change_exit_status(
     tmp_path: Path, number: signal.Signals
 ) -> None:
     """Behind the loop's end no handler was left: status -15, which looks like a crash."""
@@ -177,8 +185,8 @@
     async def test() -> None:
         discovery = FakeDiscovery([])
         await discovery.start()
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
-        async with program(tmp_path / "config.json", told) as process:
+        configuration = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
+        async with running_program(tmp_path / "config.json", configuration) as process:
             await discovery.until(
                 lambda: any("from=" in m.start_line[1] for m in discovery.received_requests)
             )
@@ -194,7 +202,7 @@
 
 
 @pytest.mark.parametrize("old", ["holds a watch", "holds its first call", "refuses"])
-def test_sighup_moves_to_another_discovery(tmp_path: Path, old: str) -> None:
+def test_sighup_switches_to_another_discovery(tmp_path: Path, old: str) -> None:
     async def test() -> None:
         first, second = FakeUpstream("s-0"), FakeUpstream("s-1")
         await first.start()
@@ -205,13 +213,13 @@
         if old != "refuses":
             await before.start()
         await after.start()
-        told = config(known=before.full_list())
+        configuration = config(known=before.full_list())
         if old != "refuses":
-            told["discovery"] = f"127.0.0.1:{before.port}"
+            configuration["discovery"] = f"127.0.0.1:{before.port}"
         path = tmp_path / "config.json"
-        async with program(path, told) as process:
+        async with running_program(path, configuration) as process:
             assert process.stderr is not None
-            address = listen_address(told)
+            address = listen_address(configuration)
             if old == "refuses":
                 assert b"no connection" in await process.stderr.readline()
             else:
@@ -226,7 +234,7 @@
             while b"not reloaded" not in (line := await process.stderr.readline()):
                 assert line
             assert (await (await connect(address)).ask("r2")).body == b"s-0"
-            path.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{after.port}"}))
+            path.write_text(json.dumps({**configuration, "discovery": f"127.0.0.1:{after.port}"}))
             process.send_signal(signal.SIGHUP)
             await asyncio.wait_for(
                 after.until(
@@ -238,7 +246,7 @@
             process.send_signal(signal.SIGTERM)
             late = await connect(address)
             process.send_signal(signal.SIGHUP)  # it neither ends the drain nor starts it over
-            check_closing(await late.ask("r4"), b"s-1")
+            assert_last_response(await late.ask("r4"), b"s-1")
             assert await process.wait() == 0
         for server in (first, second, before, after):
             server.stop()
@@ -246,14 +254,14 @@
     run(test())
 
 
-async def manage(address: str, path: str, method: str = "POST") -> int:
+async def call_admin_api(address: str, path: str, method: str = "POST") -> int:
     client = await connect(("127.0.0.1", int(address.rpartition(":")[2])))
-    got = await client.send_raw(f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n".encode())
+    response = await client.send_raw(f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n".encode())
     client.close()
-    return got.status
+    return response.status
 
 
-def test_a_process_is_replaced_under_load_and_nothing_is_lost(tmp_path: Path) -> None:
+def test_process_replacement_under_load_loses_no_request(tmp_path: Path) -> None:
     """Every request comes on a connection of its own; the bans hold in both processes and over the
     change.
     """
@@ -264,45 +272,45 @@
             await upstream.start()
         discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
         await discovery.start()
-        told = config(
+        configuration = config(
             discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list(), name="n3"
         )
-        address = listen_address(told)
+        address = listen_address(configuration)
         first, second = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
-        asked = 0
+        request_count = 0
         stop = asyncio.Event()
 
         async def load(number: int) -> None:
-            nonlocal asked
+            nonlocal request_count
             while not stop.is_set():
-                asked += 1
+                request_count += 1
                 client = await Client.connect(address)
-                got = await client.ask(f"r{number}-{asked}")
-                assert (got.status, got.body) == (200, b"s-0")
+                response = await client.ask(f"r{number}-{request_count}")
+                assert (response.status, response.body) == (200, b"s-0")
                 client.close()
 
-        async with program(
-            tmp_path / "1.json", told, TMPDIR=str(tmp_path), BALANCER_MGMT=first
+        async with running_program(
+            tmp_path / "1.json", configuration, TMPDIR=str(tmp_path), BALANCER_MGMT=first
         ) as old:
-            assert await manage(first, "/-/upstreams/s-1/disable") == 200
-            while await manage(first, "/-/ready", "GET") != 200:
+            assert await call_admin_api(first, "/-/upstreams/s-1/disable") == 200
+            while await call_admin_api(first, "/-/ready", "GET") != 200:
                 await asyncio.sleep(0.01)
             clients = [asyncio.create_task(load(n)) for n in range(4)]
-            async with program(
-                tmp_path / "2.json", told, TMPDIR=str(tmp_path), BALANCER_MGMT=second
+            async with running_program(
+                tmp_path / "2.json", configuration, TMPDIR=str(tmp_path), BALANCER_MGMT=second
             ) as new:
-                while await manage(second, "/-/ready", "GET") != 200:
+                while await call_admin_api(second, "/-/ready", "GET") != 200:
                     await asyncio.sleep(0.01)
-                assert await manage(second, "/-/upstreams/s-1/disable") == 200
+                assert await call_admin_api(second, "/-/upstreams/s-1/disable") == 200
                 old.send_signal(signal.SIGTERM)
                 assert await old.wait() == 0
-                before = asked
-                while asked < before + 50:
+                before = request_count
+                while request_count < before + 50:
                     await asyncio.sleep(0.01)
                 stop.set()
                 await asyncio.gather(*clients)
                 assert not upstreams[1].received_requests
-                assert await manage(second, "/-/upstreams/s-1/enable") == 200
+                assert await call_admin_api(second, "/-/upstreams/s-1/enable") == 200
                 new.send_signal(signal.SIGTERM)
                 assert await new.wait() == 0
         for server in (*upstreams, discovery):
@@ -311,19 +319,19 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["silent", "down", "busy"])
-def test_a_restarted_process_is_ready_by_the_list_it_had_whatever_discovery_does(
-    tmp_path: Path, how: str
+@pytest.mark.parametrize("discovery_fault", ["silent", "down", "busy"])
+def test_restarted_process_serves_from_cached_list_during_discovery_fault(
+    tmp_path: Path, discovery_fault: str
 ) -> None:
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         await upstream.start()
         discovery = FakeDiscovery([upstream.row()])
         await discovery.start()
-        setattr(discovery, how, True)
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
-        async with program(tmp_path / "config.json", told):
-            client = await connect(listen_address(told))
+        setattr(discovery, discovery_fault, True)
+        configuration = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
+        async with running_program(tmp_path / "config.json", configuration):
+            client = await connect(listen_address(configuration))
             assert (await client.ask("r", path="/ready")).status == 200
             assert (await client.ask("r1")).status == 200
         upstream.stop()
@@ -332,7 +340,7 @@
     run(test())
 
 
-def test_idle_clients_fill_their_places_alone_while_discovery_is_down(tmp_path: Path) -> None:
+def test_idle_clients_cannot_exhaust_file_descriptors(tmp_path: Path) -> None:
     """Attempts, the operators' door and discovery keep descriptors of their own, in the system's
     limit.
     """
@@ -346,33 +354,35 @@
         discovery.change(upstreams[0].row("Gone"), upstreams[1].row())
         discovery.port = free_port()  # nobody listens there yet
         known = {"version": 0, "full": True, "servers": [upstreams[0].row()]}
-        door = f"127.0.0.1:{free_port()}"
-        told = config(
+        admin_address = f"127.0.0.1:{free_port()}"
+        configuration = config(
             discovery=f"127.0.0.1:{discovery.port}", known=known, limits={"sockets": sockets}
         )
-        address = listen_address(told)
+        address = listen_address(configuration)
 
-        def prepare() -> None:
+        def preexec() -> None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
 
-        async with program(tmp_path / "config.json", told, prepare, BALANCER_MGMT=door) as process:
+        async with running_program(
+            tmp_path / "config.json", configuration, preexec, BALANCER_MGMT=admin_address
+        ) as process:
             first = await connect(address)
             assert (await first.ask("r0")).body == b"s-0"
-            with ExitStack() as held:
+            with ExitStack() as idle_sockets:
                 for _ in range(3 * sockets):
-                    idle = held.enter_context(socket.socket())
+                    idle = idle_sockets.enter_context(socket.socket())
                     idle.setblocking(False)
                     idle.connect_ex(address)  # at once, or it waits in the backlog
-                assert (await manage(door, "/-/ready", "GET")) == 200
-                asking = await connect(address)
-                assert (await asking.ask("r1")).body == b"s-0"
+                assert (await call_admin_api(admin_address, "/-/ready", "GET")) == 200
+                active_client = await connect(address)
+                assert (await active_client.ask("r1")).body == b"s-0"
                 await discovery.start()
                 await discovery.until(
                     lambda: len(discovery.received_requests) > 1
                 )  # the first has told what changed
-                asking = await connect(address)
-                assert (await asking.ask("r2")).body == b"s-1"
-                assert (await manage(door, "/-/ready", "GET")) == 200
+                active_client = await connect(address)
+                assert (await active_client.ask("r2")).body == b"s-1"
+                assert (await call_admin_api(admin_address, "/-/ready", "GET")) == 200
             process.kill()
             assert process.stderr is not None
             log = (await process.stderr.read()).decode()
@@ -383,7 +393,7 @@
     run(test())
 
 
-def check_closing(message: Message, body: bytes) -> None:
+def assert_last_response(message: Message, body: bytes) -> None:
     assert (message.status, message.body, message.headers["connection"]) == (200, body, "close")
 
 
--- a/tests/proxy/test_state_folder.py
+++ b/tests/proxy/test_state_folder.py
@@ -22,122 +22,125 @@
 from loadbalancer.proxy.disabled_upstreams import FILE
 from loadbalancer.proxy.process_handover import ProcessRegistry
 from tests.fakes import run
-from tests.proxy.test_admin_api import owner
+from tests.proxy.test_admin_api import start_disabled_upstreams
 
 ENOSPC = OSError(errno.ENOSPC, "No space left on device")
 EIO = OSError(errno.EIO, "Input/output error")
 
 
-def failing(error: OSError) -> Callable[..., Any]:
-    def fail(*args: Any, **more: Any) -> Any:
+def raising(error: OSError) -> Callable[..., Any]:
+    def fail(*args: Any, **kwargs: Any) -> Any:
         raise error
 
     return fail
 
 
-def saved(folder: Path) -> list[str]:
+def saved_names(folder: Path) -> list[str]:
     names: list[str] = json.loads((folder / FILE).read_text())["disabled"]
     return names
 
 
-def until(holds: Callable[[], object], turn: Callable[[], object]) -> None:
+def step_until(condition: Callable[[], object], step: Callable[[], object]) -> None:
     """Have it look again and again, as it does by its timer."""
-    by = time.monotonic() + 10.0
-    while not holds():
-        assert time.monotonic() < by
-        turn()
+    timeout_at = time.monotonic() + 10.0
+    while not condition():
+        assert time.monotonic() < timeout_at
+        step()
 
 
-def test_a_disable_that_was_not_saved_is_no_yes_at_the_second_asking(
+def test_repeated_disable_is_declined_until_saved(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        disabled, told, note = owner(tmp_path)
+        disabled, disable_recorder, note = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
-            patch.setattr(tempfile, "mkstemp", failing(ENOSPC))
+            patch.setattr(tempfile, "mkstemp", raising(ENOSPC))
             for _ in range(2):
                 with pytest.raises(CallDeclinedError):
                     await disabled.disable("s-1")
-        assert told.bans == [("s-0", True), ("s-1", True)]  # it holds here all the same
+        assert disable_recorder.changes == [
+            ("s-0", True),
+            ("s-1", True),
+        ]  # it holds here all the same
         await disabled.disable("s-1")
-        assert saved(tmp_path) == ["s-0", "s-1"]
+        assert saved_names(tmp_path) == ["s-0", "s-1"]
         note.close()
 
     run(test())
 
 
-def test_what_could_not_be_saved_is_saved_once_the_folder_takes_it(
+def test_unsaved_set_is_saved_once_folder_is_writable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It binds 1 s after the call whatever was answered, and over a replacement of the process."""
 
     async def test() -> None:
-        disabled, _, note = owner(tmp_path)
+        disabled, _, note = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
-            patch.setattr(tempfile, "mkstemp", failing(ENOSPC))
+            patch.setattr(tempfile, "mkstemp", raising(ENOSPC))
             with pytest.raises(CallDeclinedError):
                 await disabled.disable("s-1")
-            other, _, others = owner(tmp_path)
+            other, _, others = start_disabled_upstreams(tmp_path)
             others.close()
-        sibling, _, note_of_sibling = owner(tmp_path)
+        sibling, _, sibling_registry = start_disabled_upstreams(tmp_path)
         note.watch()
-        note_of_sibling.watch()
+        sibling_registry.watch()
         await sibling.disable("s-2")
-        until(lambda: saved(tmp_path) == ["s-0", "s-1", "s-2"], disabled.refresh)
+        step_until(lambda: saved_names(tmp_path) == ["s-0", "s-1", "s-2"], disabled.refresh)
         assert disabled.names == {"s-0", "s-1", "s-2"}
         note.close()
-        note_of_sibling.close()
+        sibling_registry.close()
 
     run(test())
 
 
-def test_a_process_that_starts_while_the_folder_refuses_is_seen_later(
+def test_process_started_during_write_failure_is_detected_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         first = ProcessRegistry(tmp_path)
         with monkeypatch.context() as patch:
-            patch.setattr(tempfile, "mkstemp", failing(ENOSPC))
+            patch.setattr(tempfile, "mkstemp", raising(ENOSPC))
             second = ProcessRegistry(tmp_path)
             assert len(second.others) == 1  # it sees who is there all the same
         second.watch()
 
-        def look() -> None:
+        def check_both() -> None:
             first.check()
             second.check()
 
-        until(lambda: len(first.others) == len(second.others) == 1, look)
+        step_until(lambda: len(first.others) == len(second.others) == 1, check_both)
         second.close()
         first.close()
 
     run(test())
 
 
-def test_a_set_that_could_not_be_read_is_read_again_and_not_written_over(
+def test_unreadable_set_is_reread_and_not_overwritten(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        old, _, old_note = owner(tmp_path)
-        new, _, new_note = owner(tmp_path)
-        new_note.watch()
+        old, _, old_registry = start_disabled_upstreams(tmp_path)
+        new, _, new_registry = start_disabled_upstreams(tmp_path)
+        new_registry.watch()
         await old.disable("s-0")
-        new_note.close()
+        new_registry.close()
         await old.disable("s-1")
-        plain = builtins.open
+        original = builtins.open
 
-        def broken(path: Any, *args: Any, **more: Any) -> Any:
+        def fail_for_set_file(path: Any, *args: Any, **kwargs: Any) -> Any:
             if str(path) == str(tmp_path / FILE):
                 raise EIO
-            return plain(path, *args, **more)
+            return original(path, *args, **kwargs)
 
         with monkeypatch.context() as patch:
-            patch.setattr(builtins, "open", broken)
+            patch.setattr(builtins, "open", fail_for_set_file)
             new.refresh()
-        assert saved(tmp_path) == ["s-0", "s-1"]
-        until(lambda: new.names == {"s-0", "s-1"}, new.refresh)
-        old_note.close()
+        assert saved_names(tmp_path) == ["s-0", "s-1"]
+        step_until(lambda: new.names == {"s-0", "s-1"}, new.refresh)
+        old_registry.close()
 
     run(test())
 
@@ -155,39 +158,42 @@
 
 @pytest.mark.parametrize("error", [ENOSPC, EIO], ids=["ENOSPC", "EIO"])
 @pytest.mark.parametrize("call", CALLS)
-def test_whichever_call_fails_no_is_said_and_it_is_saved_later(
+def test_failed_system_call_declines_change_and_set_is_saved_later(
     call: str, error: OSError, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        disabled, told, note = owner(tmp_path)
+        disabled, disable_recorder, note = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
-            patch.setattr(*CALLS[call], failing(error))
+            patch.setattr(*CALLS[call], raising(error))
             with pytest.raises(CallDeclinedError):
                 await disabled.disable("s-1")
             with pytest.raises(CallDeclinedError):  # an enable that can't be saved is none
                 await disabled.enable("s-0")
-        assert saved(tmp_path) == ["s-0"] and told.bans[:2] == [("s-0", True), ("s-1", True)]
+        assert saved_names(tmp_path) == ["s-0"] and disable_recorder.changes[:2] == [
+            ("s-0", True),
+            ("s-1", True),
+        ]
         await disabled.disable("s-1")
-        until(lambda: saved(tmp_path) == ["s-0", "s-1"], disabled.refresh)
+        step_until(lambda: saved_names(tmp_path) == ["s-0", "s-1"], disabled.refresh)
         await disabled.enable("s-0")
-        assert saved(tmp_path) == ["s-1"] == sorted(disabled.names)
+        assert saved_names(tmp_path) == ["s-1"] == sorted(disabled.names)
         note.close()
 
     run(test())
 
 
-def test_short_writes_are_gone_on_with(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = os.pwrite
+def test_short_writes_are_continued(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    original = os.pwrite
 
-    def short(number: int, data: Any, at: int) -> int:
-        return plain(number, bytes(data)[:3], at)
+    def short_pwrite(fd: int, data: Any, offset: int) -> int:
+        return original(fd, bytes(data)[:3], offset)
 
     async def test() -> None:
-        monkeypatch.setattr(os, "pwrite", short)
-        disabled, _, note = owner(tmp_path)
+        monkeypatch.setattr(os, "pwrite", short_pwrite)
+        disabled, _, note = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
-        assert saved(tmp_path) == ["s-0"]
+        assert saved_names(tmp_path) == ["s-0"]
         note.check()
         other = ProcessRegistry(tmp_path)
         assert other.others == [note.note]
@@ -202,39 +208,39 @@
 
 
 @pytest.mark.parametrize("call", ["pwrite", "replace"])
-def test_a_kill_in_the_middle_of_a_write_leaves_the_set_as_it_was(
+def test_kill_during_write_leaves_previous_set_intact(
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    plain = os.pwrite
+    original = os.pwrite
 
-    def kill(*args: Any) -> int:
+    def fail_as_killed(*args: Any) -> int:
         if call == "pwrite":
-            plain(args[0], bytes(args[1])[:5], args[2])
+            original(args[0], bytes(args[1])[:5], args[2])
         raise Killed
 
     async def test() -> None:
-        disabled, _, note = owner(tmp_path)
+        disabled, _, note = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
-            patch.setattr(os, call, kill)
+            patch.setattr(os, call, fail_as_killed)
             with pytest.raises(Killed):
                 await disabled.disable("s-1")
         note.close()
         assert len(list(tmp_path.glob(f"{FILE}.*"))) == 1
-        again, told, notes = owner(tmp_path)
-        assert told.bans == [("s-0", True)] and again.names == {"s-0"}
+        restarted, disable_recorder, restarted_registry = start_disabled_upstreams(tmp_path)
+        assert disable_recorder.changes == [("s-0", True)] and restarted.names == {"s-0"}
         assert not list(tmp_path.glob(f"{FILE}.*"))
-        notes.close()
+        restarted_registry.close()
 
     run(test())
 
 
-def test_a_process_out_of_descriptors_does_not_take_the_other_for_gone(
+def test_process_out_of_descriptors_does_not_report_itself_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     with monkeypatch.context() as patch:
-        patch.setattr(builtins, "open", failing(OSError(errno.EMFILE, "Too many open files")))
+        patch.setattr(builtins, "open", raising(OSError(errno.EMFILE, "Too many open files")))
         second.check()
         assert not second.is_alone
     first.close()
@@ -244,26 +250,26 @@
 
 
 @pytest.mark.parametrize("call", ["mkstemp", "pwrite", "replace"])
-def test_the_copy_of_the_settings_is_written_until_it_is(
+def test_settings_copy_is_retried_until_written(
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The reload behind it reads this file."""
     monkeypatch.setattr(settings_sync, "WRITE_RETRY_S", 0.01)
     module, name = CALLS[call]
-    plain, left = getattr(module, name), [2]
+    original, failures_left = getattr(module, name), [2]
 
-    def fail_twice(*args: Any, **more: Any) -> Any:
-        if left[0]:
-            left[0] -= 1
+    def fail_twice(*args: Any, **kwargs: Any) -> Any:
+        if failures_left[0]:
+            failures_left[0] -= 1
             raise ENOSPC
-        return plain(*args, **more)
+        return original(*args, **kwargs)
 
     async def test() -> None:
         path = tmp_path / "settings.toml"
         path.write_bytes(b"old")
         monkeypatch.setattr(module, name, fail_twice)
         await settings_sync.write_copy(path, b"new")
-        assert path.read_bytes() == b"new" and left == [0]
+        assert path.read_bytes() == b"new" and failures_left == [0]
         assert [entry.name for entry in tmp_path.iterdir()] == [path.name]
 
     run(test())
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -31,90 +31,90 @@
 )
 
 
-def test_connections_are_kept_and_a_stale_one_is_not_used(recorder: EventRecorder) -> None:
+def test_idle_connections_are_reused_unless_closed_by_upstream(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with running_balancer() as w:
-            upstream = w.upstreams[0]
+        async with running_balancer() as harness:
+            upstream = harness.upstreams[0]
             for name in ("r1", "r2"):
-                assert (await w.ask(name)).status == 200
+                assert (await harness.ask(name)).status == 200
             assert [m.connection_number for m in upstream.received_requests] == [1, 1]
             upstream.abort_connections()
             await upstream.until(lambda: upstream.peer_closed_count == 1)
-            assert (await w.ask("r3")).status == 200
+            assert (await harness.ask("r3")).status == 200
             assert upstream.received_requests[-1].connection_number == 2
             assert recorder.results() == [api.AttemptResult.OK] * 3
 
     run(test())
 
 
-def test_idle_connections_go_before_the_upstream_closes_them() -> None:
+def test_idle_connections_are_closed_after_idle_timeout() -> None:
     async def test() -> None:
         limits = replace(SETTINGS.limits, conn_idle_ns=SECOND // 5)
-        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as w:
-            assert (await w.ask("r1")).status == 200
-            await w.upstreams[0].until(lambda: w.upstreams[0].peer_closed_count == 1)
+        async with running_balancer(settings=replace(SETTINGS, limits=limits)) as harness:
+            assert (await harness.ask("r1")).status == 200
+            await harness.upstreams[0].until(lambda: harness.upstreams[0].peer_closed_count == 1)
 
     run(test())
 
 
 @pytest.mark.parametrize("change", ["drain", "restart", "gone"])
-def test_what_drains_restarts_or_goes_loses_its_idle_connections(change: str) -> None:
+def test_idle_connections_close_when_upstream_drains_restarts_or_is_removed(change: str) -> None:
     async def test() -> None:
-        async with running_balancer(2) as w:
-            upstream, other = w.upstreams
+        async with running_balancer(2) as harness:
+            upstream, other = harness.upstreams
             while not upstream.received_requests:  # the module picks at random
-                assert (await w.ask(f"r{len(other.received_requests)}")).status == 200
+                assert (await harness.ask(f"r{len(other.received_requests)}")).status == 200
             row = {
                 "drain": upstream.row("Terminating"),
                 "gone": upstream.row("Gone"),
                 "restart": upstream.row("Ready", int(time.time() * 1000)),
             }[change]
-            await w.update_endpoints(row)
+            await harness.update_endpoints(row)
             await upstream.until(lambda: upstream.peer_closed_count == len(upstream.connections))
             count = len(upstream.received_requests)
-            for number in range(8):
-                assert (await w.ask(f"n{number}")).status == 200
+            for request_number in range(8):
+                assert (await harness.ask(f"n{request_number}")).status == 200
             assert change == "restart" or len(upstream.received_requests) == count
 
     run(test())
 
 
-def test_an_outage_keeps_the_old_list_and_what_changed_comes_after_it(
+def test_cached_list_survives_discovery_outage_and_missed_changes_follow(
     recorder: EventRecorder,
 ) -> None:
     async def test() -> None:
-        async with running_balancer(2) as w:
-            await w.wait_for_endpoint_list()
-            w.discovery.down = True
-            w.discovery.abort_connections()
-            gone, stays = w.upstreams
-            assert (await w.ask("r1")).status == 200
-            w.discovery.change(gone.row("Gone"))
-            asked = len(w.discovery.received_requests)
-            await w.discovery.until(
-                lambda: len(w.discovery.received_requests) > asked + 1
+        async with running_balancer(2) as harness:
+            await harness.wait_for_endpoint_list()
+            harness.discovery.down = True
+            harness.discovery.abort_connections()
+            removed, remaining = harness.upstreams
+            assert (await harness.ask("r1")).status == 200
+            harness.discovery.change(removed.row("Gone"))
+            call_count = len(harness.discovery.received_requests)
+            await harness.discovery.until(
+                lambda: len(harness.discovery.received_requests) > call_count + 1
             )  # it tries again, and again
-            w.discovery.down = False
-            await w.wait_for_endpoint_list()
+            harness.discovery.down = False
+            await harness.wait_for_endpoint_list()
             first, last = recorder.of_type(api.EndpointsUpdated)
             assert (first.kind, last.kind) == (
                 api.EndpointListKind.CACHED,
                 api.EndpointListKind.DELTA,
             )
             assert [(u.id, u.state) for u in last.upstreams] == [
-                (upstream_number(gone.name), api.UpstreamState.REMOVED)
+                (upstream_number(removed.name), api.UpstreamState.REMOVED)
             ]
-            assert (await w.ask("r2")).body == stays.name.encode()
+            assert (await harness.ask("r2")).body == remaining.name.encode()
 
     run(test())
 
 
 @pytest.mark.parametrize("push", [True, False])
-def test_a_watch_that_fell_silent_is_given_up_before_its_changes_count_as_told(
+def test_silent_watch_times_out_and_missed_change_is_polled(
     push: bool, monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
-    most_ms = discovery_watch.PollSchedule.for_fleet(1).max_hold_ms
-    assert most_ms / 1000 + discovery_watch.ANSWER_GRACE_S < 6
+    longest_hold_ms = discovery_watch.PollSchedule.for_fleet(1).max_hold_ms
+    assert longest_hold_ms / 1000 + discovery_watch.ANSWER_GRACE_S < 6
     monkeypatch.setattr(discovery_watch, "MIN_MEAN_HOLD_MS", 100)
     monkeypatch.setattr(discovery_watch, "MIN_HOLD_MS", 100)
     monkeypatch.setattr(discovery_watch, "SPREAD_PER_BALANCER_MS", 0)
@@ -122,34 +122,36 @@
     monkeypatch.setattr(discovery_watch, "ANSWER_GRACE_S", 0.1)
 
     async def test() -> None:
-        async with running_balancer(2, settings=replace(SETTINGS, discovery_push=push)) as w:
-            w.discovery.max_answered_wait_ms = 60  # a held watch hears nothing, nor of what changes
-            await w.discovery.until(
+        async with running_balancer(2, settings=replace(SETTINGS, discovery_push=push)) as harness:
+            harness.discovery.max_answered_wait_ms = (
+                60  # a held watch hears nothing, nor of what changes
+            )
+            await harness.discovery.until(
                 lambda: any(
                     int(m.start_line[1].rpartition("=")[2]) > 60
-                    for m in w.discovery.received_requests
+                    for m in harness.discovery.received_requests
                 )
             )
-            gone, stays = w.upstreams
-            w.discovery.change(gone.row("Gone"))
+            removed, remaining = harness.upstreams
+            harness.discovery.change(removed.row("Gone"))
             await recorder.until(
                 lambda: any(
                     [(u.id, u.state) for u in e.upstreams]
-                    == [(upstream_number(gone.name), api.UpstreamState.REMOVED)]
+                    == [(upstream_number(removed.name), api.UpstreamState.REMOVED)]
                     for e in recorder.of_type(api.EndpointsUpdated)
                 )
             )
             assert api.EndpointListKind.FAILED not in [
                 e.kind for e in recorder.of_type(api.EndpointsUpdated)
             ]  # no pause before it
-            assert all("from=" in m.start_line[1] for m in w.discovery.received_requests)
-            assert (await w.ask("r1")).body == stays.name.encode()
+            assert all("from=" in m.start_line[1] for m in harness.discovery.received_requests)
+            assert (await harness.ask("r1")).body == remaining.name.encode()
 
     run(test())
 
 
 @pytest.mark.parametrize("push", [True, False])
-def test_by_a_list_that_is_older_than_its_term_nothing_is_sent(
+def test_no_attempts_start_once_endpoint_list_is_stale(
     push: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What a silent watch hid counts as told by then: one of the upstreams may drain, and none
@@ -170,28 +172,28 @@
         rules = replace(SETTINGS.rules, drain_grace_ns=SECOND // 2)
         async with running_balancer(
             settings=replace(SETTINGS, discovery_push=push, rules=rules)
-        ) as w:
-            await w.wait_for_endpoint_list()
-            w.discovery.silent = True
-            answers = []
-            for number in range(60):
-                answers.append((await w.ask(f"r{number}", X_Deadline_Ms=100)).status)
-                if answers[-1] != 200:
+        ) as harness:
+            await harness.wait_for_endpoint_list()
+            harness.discovery.silent = True
+            statuses = []
+            for request_number in range(60):
+                statuses.append((await harness.ask(f"r{request_number}", X_Deadline_Ms=100)).status)
+                if statuses[-1] != 200:
                     break
                 await asyncio.sleep(0.05)
-            assert answers[0] == 200 and answers[-1] == 503
-            sent = len(w.upstreams[0].received_requests)
-            assert (await w.ask("again", X_Deadline_Ms=100)).status == 503
-            assert len(w.upstreams[0].received_requests) == sent
-            w.discovery.silent = False
-            w.discovery.change(w.upstreams[0].row())
-            await w.wait_for_endpoint_list()
-            assert (await w.ask("last")).status == 200
+            assert statuses[0] == 200 and statuses[-1] == 503
+            forwarded_count = len(harness.upstreams[0].received_requests)
+            assert (await harness.ask("again", X_Deadline_Ms=100)).status == 503
+            assert len(harness.upstreams[0].received_requests) == forwarded_count
+            harness.discovery.silent = False
+            harness.discovery.change(harness.upstreams[0].row())
+            await harness.wait_for_endpoint_list()
+            assert (await harness.ask("last")).status == 200
 
     run(test())
 
 
-def test_a_known_endpoint_list_is_updated_by_its_changes_also_after_rejected_calls(
+def test_known_list_is_updated_by_changes_after_rejected_polls(
     recorder: EventRecorder,
 ) -> None:
     """Forty balancers that each ask for sixty lines at a start, and again after each 503, leave
@@ -199,64 +201,66 @@
     """
 
     async def test() -> None:
-        async with running_balancer(2) as w:
-            await w.wait_for_endpoint_list()
-            w.discovery.busy = True
-            gone, stays = w.upstreams
-            w.discovery.change(stays.row())  # ends the call that waits
-            asked = len(w.discovery.received_requests)
-            await w.discovery.until(lambda: len(w.discovery.received_requests) > asked + 1)
-            w.discovery.busy = False
-            await w.update_endpoints(gone.row("Gone"))
-            assert all("from=" in m.start_line[1] for m in w.discovery.received_requests)
+        async with running_balancer(2) as harness:
+            await harness.wait_for_endpoint_list()
+            harness.discovery.busy = True
+            removed, remaining = harness.upstreams
+            harness.discovery.change(remaining.row())  # ends the call that waits
+            call_count = len(harness.discovery.received_requests)
+            await harness.discovery.until(
+                lambda: len(harness.discovery.received_requests) > call_count + 1
+            )
+            harness.discovery.busy = False
+            await harness.update_endpoints(removed.row("Gone"))
+            assert all("from=" in m.start_line[1] for m in harness.discovery.received_requests)
             assert [
                 e.kind
                 for e in recorder.of_type(api.EndpointsUpdated)
                 if e.kind is api.EndpointListKind.FULL
             ] == []
-            assert (await w.ask("r1")).body == stays.name.encode()
+            assert (await harness.ask("r1")).body == remaining.name.encode()
 
     run(test())
 
 
-def test_the_calls_of_a_large_fleet_are_fewer(recorder: EventRecorder) -> None:
+def test_poll_rate_of_fleet_grows_slower_than_fleet(recorder: EventRecorder) -> None:
     async def test() -> None:
-        for balancers, calls_s in ((1, 0.3), (4, 1.1), (40, 4.1), (400, 21.0)):
+        for balancers, max_calls_per_s in ((1, 0.3), (4, 1.1), (40, 4.1), (400, 21.0)):
             driver = Driver(
                 replace(SETTINGS, instance_count=balancers),
                 1,
                 Upstreams(SETTINGS.limits, 4, (), BodyMemory(1)),
             )
             watch = discovery.Discovery(driver, ("127.0.0.1", 1), 1)
-            assert balancers / (watch.watch.mean_hold_ms / 1000) < calls_s
+            assert balancers / (watch.watch.mean_hold_ms / 1000) < max_calls_per_s
             assert watch.watch.schedule.pause_s < 0.2  # a watch that pauses longer has ended
 
     run(test())
 
 
-def test_where_discovery_is_asked_a_failed_call_is_told_and_the_module_asks_again(
+def test_failed_list_request_is_reported_and_policy_retries(
     recorder: EventRecorder,
 ) -> None:
     async def test() -> None:
         settings = replace(
             SETTINGS, discovery_push=False, rules=api.TrafficRules(list_expiry_ns=SECOND // 2)
         )
-        async with running_balancer(settings=settings) as w:
-            w.discovery.down = True
+        async with running_balancer(settings=settings) as harness:
+            harness.discovery.down = True
             await recorder.until(
                 lambda: (
                     api.EndpointListKind.FAILED
                     in [e.kind for e in recorder.of_type(api.EndpointsUpdated)]
                 )
             )
-            w.discovery.down = False
-            await w.wait_for_endpoint_list()
-            assert (await w.ask("r1")).status == 200
+            harness.discovery.down = False
+            await harness.wait_for_endpoint_list()
+            assert (await harness.ask("r1")).status == 200
 
     run(test())
 
 
-def test_a_list_entry() -> None:
+def test_endpoint_list_entry_is_parsed_and_malformed_ones_rejected() -> None:
     now_ms = time.time_ns() // 1_000_000
     row = {
         "id": "s-5be2a07c",
@@ -264,8 +268,8 @@
         "state": "Ready",
         "started_ms": now_ms - 5000,
     }
-    first, again = read_endpoint(row), read_endpoint(row)
-    assert first == again and (first.host, first.port) == ("127.0.0.9", 8000)
+    first, second = read_endpoint(row), read_endpoint(row)
+    assert first == second and (first.host, first.port) == ("127.0.0.9", 8000)
     # The module's clock is monotonic: five seconds ago by it, too.
     now = time.monotonic_ns()
     assert abs(now - StartTimes().started_ns(1, first.started_ms, now) - 5 * SECOND) < SECOND
@@ -278,7 +282,7 @@
         for value in (float("inf"), float("nan"))
     ]
     addresses = [{**row, "addr": text} for text in ("nowhere", "a.host:80", "127.0.0.1:99999")]
-    for bad in (
+    for malformed in (
         *odd,
         *addresses,
         {**row, "started_ms": -1},
@@ -287,22 +291,22 @@
         7,
     ):
         with pytest.raises(MalformedError):
-            read_endpoint(bad)
+            read_endpoint(malformed)
     assert split_address("[::1]:80") == ("::1", 80)
 
 
-def test_peers(recorder: EventRecorder) -> None:
+def test_gossip_from_strangers_and_oversized_gossip_is_ignored(recorder: EventRecorder) -> None:
     async def test() -> None:
         with (
             socket.socket(type=socket.SOCK_DGRAM) as peer,
             socket.socket(type=socket.SOCK_DGRAM) as odd,
-            socket.socket(type=socket.SOCK_DGRAM) as own,
+            socket.socket(type=socket.SOCK_DGRAM) as own_socket,
         ):
-            for sock in (peer, odd, own):
+            for sock in (peer, odd, own_socket):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
-            address = own.getsockname()
-            own.close()
+            address = own_socket.getsockname()
+            own_socket.close()
             async with running_balancer(
                 peer_listen=address,
                 peers=[address, peer.getsockname()],
@@ -318,73 +322,77 @@
     run(test())
 
 
-def test_a_message_is_told_to_one_peer_or_all(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Teller(Balancer):
+def test_gossip_is_sent_to_one_peer_or_broadcast(monkeypatch: pytest.MonkeyPatch) -> None:
+    class GossipingBalancer(Balancer):
         def handle(self, now: int, events: object) -> list[api.Action]:
             return [api.SendGossip(b"one", 0), api.SendGossip(b"all")]
 
-    monkeypatch.setattr(policy_driver, "Balancer", Teller)
+    monkeypatch.setattr(policy_driver, "Balancer", GossipingBalancer)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with (
             socket.socket(type=socket.SOCK_DGRAM) as peer,
-            socket.socket(type=socket.SOCK_DGRAM) as everyone,
+            socket.socket(type=socket.SOCK_DGRAM) as broadcast,
         ):
-            for sock in (peer, everyone):
+            for sock in (peer, broadcast):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
             async with running_balancer(
                 peer_listen=("127.0.0.1", 0),
                 peers=[peer.getsockname()],
-                peers_all=everyone.getsockname(),
+                peers_all=broadcast.getsockname(),
             ):
                 assert await loop.sock_recv(peer, 300) == b"one"
-                assert await loop.sock_recv(everyone, 300) == b"all"
+                assert await loop.sock_recv(broadcast, 300) == b"all"
 
     run(test())
 
 
-def test_an_answer_of_discovery_that_nobody_foresaw_does_not_end_the_watch(
+def test_watch_continues_after_unexpected_exception(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with running_balancer(2) as w:
-            await w.wait_for_endpoint_list()
+        async with running_balancer(2) as harness:
+            await harness.wait_for_endpoint_list()
 
-            def fails(*args: object) -> None:
+            def raise_once(*args: object) -> None:
                 monkeypatch.undo()
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(policy_driver.Driver, "learn", fails)
-            gone, stays = w.upstreams
-            w.discovery.change(gone.row("Gone"))
-            await w.wait_for_endpoint_list()  # it has come back, and begun with the whole list
-            assert (await w.ask("r1")).body == stays.name.encode()
+            monkeypatch.setattr(policy_driver.Driver, "learn", raise_once)
+            removed, remaining = harness.upstreams
+            harness.discovery.change(removed.row("Gone"))
+            await (
+                harness.wait_for_endpoint_list()
+            )  # it has come back, and begun with the whole list
+            assert (await harness.ask("r1")).body == remaining.name.encode()
         assert "ZeroDivisionError" in caplog.text
 
     run(test())
 
 
-def test_churn_leaves_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    built: list[Driver] = []
+def test_upstream_churn_leaks_no_state(monkeypatch: pytest.MonkeyPatch) -> None:
+    drivers: list[Driver] = []
 
-    def build(*args: Any) -> Driver:
-        built.append(Driver(*args))
-        return built[-1]
+    def record_driver(*args: Any) -> Driver:
+        drivers.append(Driver(*args))
+        return drivers[-1]
 
-    monkeypatch.setattr(process, "Driver", build)
+    monkeypatch.setattr(process, "Driver", record_driver)
 
     async def test() -> None:
-        async with running_balancer() as w:
-            upstream = w.upstreams[0]
-            for number in range(30):  # ever new ids at one address, each with its own connections
-                assert (await w.ask(f"r{number}", obj=number)).status == 200
-                before, upstream.name = upstream.row("Gone"), f"new-{number}"
-                await w.update_endpoints(before, upstream.row())
-            (balancer,) = built
+        async with running_balancer() as harness:
+            upstream = harness.upstreams[0]
+            for request_number in range(
+                30
+            ):  # ever new ids at one address, each with its own connections
+                assert (await harness.ask(f"r{request_number}", obj=request_number)).status == 200
+                old_row, upstream.name = upstream.row("Gone"), f"new-{request_number}"
+                await harness.update_endpoints(old_row, upstream.row())
+            (balancer,) = drivers
             await upstream.until(lambda: upstream.peer_closed_count >= 30)
-            assert (await w.ask("last")).status == 200
+            assert (await harness.ask("last")).status == 200
             assert (
                 len(balancer.upstreams.targets)
                 == len(balancer.balancer.upstream_set.upstreams)
@@ -398,23 +406,23 @@
     run(test())
 
 
-def test_with_no_connection_to_spare_no_upstream_is_blamed() -> None:
+def test_attempt_without_free_connection_is_reported_as_not_sent() -> None:
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         upstream.script = [never_respond]
         await upstream.start()
         upstreams = Upstreams(SETTINGS.limits, 1, (), BodyMemory(1024))
         upstreams.learn([read_endpoint(upstream.row())], full=True)
-        ended: asyncio.Queue[api.AttemptResult] = asyncio.Queue()
+        outcomes: asyncio.Queue[api.AttemptResult] = asyncio.Queue()
         request = message(b"GET /quote HTTP/1.1", [(b"Host", b"h")])
-        for seconds in (0.3, 5.0):
+        for timeout_s in (0.3, 5.0):
             upstreams.send(
                 upstream_number("s-0"),
                 request,
-                lambda result, *rest: ended.put_nowait(result),
-                Timing(seconds),
+                lambda result, *details: outcomes.put_nowait(result),
+                Timing(timeout_s),
             )
-        assert [await ended.get(), await ended.get()] == [
+        assert [await outcomes.get(), await outcomes.get()] == [
             api.AttemptResult.NOT_SENT,
             api.AttemptResult.TIMEOUT,
         ]
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -23,7 +23,7 @@
 from loadbalancer.testbed import results
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.fakes import run
-from tests.proxy.test_admin_api import owner
+from tests.proxy.test_admin_api import start_disabled_upstreams
 from tests.recordings import policy_runs, simulations
 
 ROOT = Path(__file__).parent.parent
@@ -126,7 +126,7 @@
 
 def test_balancer_reads_the_recorded_state_directory(stored_data: Path) -> None:
     async def read() -> None:
-        disabled, _, siblings = owner(stored_data / "balancer", "accra-1")
+        disabled, _, siblings = start_disabled_upstreams(stored_data / "balancer", "accra-1")
         assert disabled.names == {"s-1", "s-3"}
         assert disabled.version == 4
         assert siblings.note.pack() == b"4 0\n".ljust(64)
