--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -27,10 +27,10 @@
 async def balancer_with_admin_api(
     count: int = 2, **config: Any
 ) -> AsyncIterator[tuple[BalancerHarness, Address]]:
-    door = listening_socket(("127.0.0.1", 0))
-    door.listen()  # callers wait for the balancer
-    address = door.getsockname()
-    async with running_balancer(count, door=door, **config) as harness:
+    listener = listening_socket(("127.0.0.1", 0))
+    listener.listen()  # callers wait for the balancer
+    address = listener.getsockname()
+    async with running_balancer(count, door=listener, **config) as harness:
         yield harness, address
 
 
@@ -47,13 +47,15 @@
 
 def test_valid_calls_succeed_and_invalid_ones_are_rejected() -> None:
     async def test() -> None:
-        async with balancer_with_admin_api() as (harness, door):
+        async with balancer_with_admin_api() as (harness, admin_address):
             assert (await harness.ask("r1")).status == 200
-            assert (await call(door, "/-/ready", "GET")).status == 200
-            assert (await call(door, "/-/ready")).status == 405
-            assert (await call(door, "/-/upstreams/s-0/disable", "GET")).headers["allow"] == "POST"
-            assert (await call(door, "/-/upstreams/s-9/disable")).status == 404
-            assert (await call(door, "/-/upstreams/s-9/enable")).status == 404
+            assert (await call(admin_address, "/-/ready", "GET")).status == 200
+            assert (await call(admin_address, "/-/ready")).status == 405
+            assert (await call(admin_address, "/-/upstreams/s-0/disable", "GET")).headers[
+                "allow"
+            ] == "POST"
+            assert (await call(admin_address, "/-/upstreams/s-9/disable")).status == 404
+            assert (await call(admin_address, "/-/upstreams/s-9/enable")).status == 404
             for path in (
                 "/",
                 "/ready",
@@ -61,17 +63,17 @@
                 "/-/upstreams/s-0/restart",
                 "/-/drain",
             ):
-                assert (await call(door, path)).status == 404, path
+                assert (await call(admin_address, path)).status == 404, path
             for junk in (
                 b"\x00\x01\r\n\r\n",
                 b"GET /-/ready HTTP/1.1\r\n\r\n",
                 b"POST /-/ready HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n",
             ):
-                client = await Client.connect(door)
+                client = await Client.connect(admin_address)
                 assert (await client.send_raw(junk)).status == 400
                 await client.expect_eof()
-            partial_client = await Client.connect(door)
+            partial_client = await Client.connect(admin_address)
             partial_client.writer.write(b"GET /-/re")
             partial_client.writer.write_eof()
             assert b"400" in await partial_client.reader.readline()
@@ -81,9 +83,9 @@
 
 def test_not_ready_without_an_upstream() -> None:
     async def test() -> None:
-        async with balancer_with_admin_api(1) as (harness, door):
+        async with balancer_with_admin_api(1) as (harness, admin_address):
             await harness.update_endpoints(harness.upstreams[0].row("Terminating"))
-            assert (await call(door, "/-/ready", "GET")).status == 503
+            assert (await call(admin_address, "/-/ready", "GET")).status == 503
 
     run(test())
 
@@ -92,12 +94,12 @@
     monkeypatch.setattr(admin_api, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with balancer_with_admin_api() as (_, door):
-            silent = [await Client.connect(door) for _ in range(3 * MAX_CALLS)]
-            assert (await call(door, "/-/ready", "GET")).status == 200
+        async with balancer_with_admin_api() as (_, admin_address):
+            silent = [await Client.connect(admin_address) for _ in range(3 * MAX_CALLS)]
+            assert (await call(admin_address, "/-/ready", "GET")).status == 200
             for client in silent:
                 await client.expect_eof()
-            partial_client = await Client.connect(door)
+            partial_client = await Client.connect(admin_address)
             assert (await partial_client.send_raw(b"GET /-/ready HTTP/1.1\r\n")).status == 408
 
     run(test())
@@ -105,10 +107,10 @@
 
 def test_disabled_upstream_gets_no_attempts_whatever_the_list_says(recorder: EventRecorder) -> None:
     async def test() -> None:
-        async with balancer_with_admin_api() as (harness, door):
+        async with balancer_with_admin_api() as (harness, admin_address):
             first, second = harness.upstreams
             for _ in range(2):  # a call may be repeated
-                assert (await call(door, "/-/upstreams/s-0/disable")).status == 200
+                assert (await call(admin_address, "/-/upstreams/s-0/disable")).status == 200
             assert recorder.of_type(api.UpstreamDisabled) == [
                 api.UpstreamDisabled(recorder.of_type(api.UpstreamDisabled)[0].upstream, True)
             ]
@@ -118,8 +120,8 @@
             for number in range(30):
                 assert (await harness.ask(f"r{number}")).body == b"s-1"
             assert not first.received_requests
-            assert (await call(door, "/-/upstreams/s-0/enable")).status == 200
-            assert (await call(door, "/-/upstreams/s-0/enable")).status == 200
+            assert (await call(admin_address, "/-/upstreams/s-0/enable")).status == 200
+            assert (await call(admin_address, "/-/upstreams/s-0/enable")).status == 200
             await harness.update_endpoints(second.row("Terminating"))
             assert (await harness.ask("r30")).body == b"s-0"
 
@@ -128,8 +130,8 @@
 
 def test_disabled_set_survives_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with balancer_with_admin_api(folder=tmp_path) as (_, door):
-            assert (await call(door, "/-/upstreams/s-1/disable")).status == 200
+        async with balancer_with_admin_api(folder=tmp_path) as (_, admin_address):
+            assert (await call(admin_address, "/-/upstreams/s-1/disable")).status == 200
         assert json.loads((tmp_path / FILE).read_text())["disabled"] == ["s-1"]
         async with balancer_with_admin_api(folder=tmp_path) as (harness, _):
             for number in range(20):
--- a/tests/proxy/test_body_stream.py
+++ b/tests/proxy/test_body_stream.py
@@ -90,8 +90,8 @@
                 await read_head(reader)
                 if chunked:
                     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                    for at in range(0, len(LARGE_BODY), 10_000):
-                        piece = LARGE_BODY[at : at + 10_000]
+                    for offset in range(0, len(LARGE_BODY), 10_000):
+                        piece = LARGE_BODY[offset : offset + 10_000]
                         writer.write(b"%x;note=1\r\n%b\r\n" % (len(piece), piece))
                     writer.write(b"0\r\nX-Sum: 9\r\n\r\n")
                 else:
@@ -384,9 +384,11 @@
                 client.writer.write(
                     post_head(name, f"Content-Length: {len(LARGE_BODY)}") + LARGE_BODY[:100_000]
                 )
-            for at in range(100_000, len(LARGE_BODY), 20_000):  # longer in all than either limit
+            for offset in range(
+                100_000, len(LARGE_BODY), 20_000
+            ):  # longer in all than either limit
                 await asyncio.sleep(0.1)
-                slow_client.writer.write(LARGE_BODY[at : at + 20_000])
+                slow_client.writer.write(LARGE_BODY[offset : offset + 20_000])
             assert (await read_message(slow_client.reader)).status == 200
             assert (await read_message(stalled_client.reader)).status == 408
             await stalled_client.expect_eof()
@@ -471,8 +473,8 @@
 
 
 def split_at(data: bytes, split_points: list[int]) -> list[bytes]:
-    at = sorted({0, len(data), *(c % (len(data) + 1) for c in split_points)})
-    return [data[a:b] for a, b in zip(at, at[1:], strict=False)]
+    offsets = sorted({0, len(data), *(c % (len(data) + 1) for c in split_points)})
+    return [data[a:b] for a, b in zip(offsets, offsets[1:], strict=False)]
 
 
 def framed_body(body: bytes, sizes: list[int] | None) -> bytes:
@@ -481,12 +483,12 @@
     """
     if sizes is None:
         return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
-    framed, at = b"Transfer-Encoding: chunked\r\n\r\n", 0
+    framed, offset = b"Transfer-Encoding: chunked\r\n\r\n", 0
     for size in [*sizes, len(body)]:
-        piece = body[at : at + size]
+        piece = body[offset : offset + size]
         if piece:
             framed += b'%X;name="a value"\r\n%b\r\n' % (len(piece), piece)
-        at += size
+        offset += size
     return framed + b"0;last\r\nX-Trailer: t\r\n\r\n"
 
 
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -274,9 +274,11 @@
     assert watch.next_kind is expected_kind
     # Only a watch that fell silent is followed at once: behind other ends calls must not come at
     # once.
-    watched = previous_kind in (PollKind.WATCH, PollKind.CATCH_UP)
+    previous_was_watch = previous_kind in (PollKind.WATCH, PollKind.CATCH_UP)
     assert (pause_s is not None) == (
-        poll_outcome is PollOutcome.ANSWERED or watched and poll_outcome is PollOutcome.TIMED_OUT
+        poll_outcome is PollOutcome.ANSWERED
+        or previous_was_watch
+        and poll_outcome is PollOutcome.TIMED_OUT
     )
 
 
@@ -291,17 +293,17 @@
 }
 
 
-@pytest.mark.parametrize("watched", [PollKind.WATCH, PollKind.CATCH_UP])
+@pytest.mark.parametrize("watch_kind", [PollKind.WATCH, PollKind.CATCH_UP])
 @pytest.mark.parametrize("balancers", FLEET_SIZES)
 def test_recovery_continues_after_any_sequence_of_outcomes(
-    balancers: int, watched: PollKind
+    balancers: int, watch_kind: PollKind
 ) -> None:
     """All orders of five ends. Its term is reckoned from the call, stands until an answer comes,
     and no pause is longer than that between two checks until the recovery is given up.
     """
     for sequence in itertools.product(POLL_OUTCOMES, repeat=5):
         watch = DiscoveryWatch(balancers, balancers - 1, random.Random(1))
-        watch.next_kind, watch.has_list = watched, True
+        watch.next_kind, watch.has_list = watch_kind, True
         poll = watch.next_poll(0.0)
         assert poll.timeout_s is not None
         change_deadline_s = max(
@@ -344,9 +346,9 @@
 @pytest.mark.parametrize("balancers", FLEET_SIZES)
 def test_poll_timeout_leaves_one_second_before_deadline(balancers: int) -> None:
     watch = DiscoveryWatch(balancers, balancers - 1, random.Random(1))
-    for start_poll in (PollKind.WATCH, PollKind.CATCH_UP):
+    for poll_kind in (PollKind.WATCH, PollKind.CATCH_UP):
         for _ in range(1000):
-            watch.next_kind = start_poll
+            watch.next_kind = poll_kind
             poll = watch.next_poll(0.0)
             assert poll.timeout_s is not None
             change_deadline_s = max(
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -165,14 +165,14 @@
                 client.send(f"b{number}")
             await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 3)
             await idle.expect_eof()
-            late = (
+            late_client = (
                 await harness.client()
             )  # it waits in the backlog, and is answered once there is room
-            late.send("r1")
+            late_client.send("r1")
             may_respond.set()
             for client in busy:
                 assert (await read_message(client.reader)).body == b"slow"
-            assert (await read_message(late.reader)).status == 200
+            assert (await read_message(late_client.reader)).status == 200
 
     run(test())
 
@@ -287,7 +287,7 @@
 ) -> None:
     async def test() -> None:
         async with running_balancer() as harness:
-            late = 0.2
+            read_delay_s = 0.2
             reused = await harness.client()
             assert (await reused.ask("r0")).status == 200
             reused.send("r1")
@@ -296,12 +296,13 @@
                     b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n"
                 )
                 sent_ns = time.monotonic_ns()
-                time.sleep(late)  # the loop stands still
+                time.sleep(read_delay_s)  # the loop stands still
                 await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 3)
             for arrival in recorder.of_type(api.RequestArrived)[1:]:
-                assert arrival.received_ns < sent_ns + late / 2 * SECOND
+                assert arrival.received_ns < sent_ns + read_delay_s / 2 * SECOND
                 assert (
-                    arrival.deadline_ns < sent_ns + CLASSES["quote"].deadline_ns + late / 2 * SECOND
+                    arrival.deadline_ns
+                    < sent_ns + CLASSES["quote"].deadline_ns + read_delay_s / 2 * SECOND
                 )
 
     run(test())
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -162,8 +162,8 @@
             waiting_client.send("r1")
             await upstream.until(lambda: len(upstream.received_requests) == 1)
             process.send_signal(signal.SIGTERM)
-            late = await (await connect(address)).ask("r2")  # new connections go on coming
-            assert_last_response(late, b"s-0")
+            late_response = await (await connect(address)).ask("r2")  # new connections go on coming
+            assert_last_response(late_response, b"s-0")
             ready = await idle_client.ask("r", path="/ready")  # and old ones are used
             assert (ready.status, ready.headers["connection"]) == (503, "close")
             may_respond.set()
@@ -176,9 +176,9 @@
     run(test())
 
 
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
+@pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGHUP])
 def test_signal_during_exit_does_not_change_exit_status(
-    tmp_path: Path, number: signal.Signals
+    tmp_path: Path, signal_number: signal.Signals
 ) -> None:
     """Behind the loop's end no handler was left: status -15, which looks like a crash."""
 
@@ -193,7 +193,7 @@
             process.send_signal(signal.SIGTERM)
             while process.returncode is None:
                 with suppress(ProcessLookupError):
-                    process.send_signal(number)
+                    process.send_signal(signal_number)
                 await asyncio.sleep(0.001)
             assert process.returncode == 0
         discovery.stop()
@@ -201,31 +201,31 @@
     run(test())
 
 
-@pytest.mark.parametrize("old", ["holds a watch", "holds its first call", "refuses"])
-def test_sighup_switches_to_another_discovery(tmp_path: Path, old: str) -> None:
+@pytest.mark.parametrize("old_behavior", ["holds a watch", "holds its first call", "refuses"])
+def test_sighup_switches_to_another_discovery(tmp_path: Path, old_behavior: str) -> None:
     async def test() -> None:
         first, second = FakeUpstream("s-0"), FakeUpstream("s-1")
         await first.start()
         await second.start()
-        before, after = FakeDiscovery([first.row()]), FakeDiscovery([second.row()])
-        before.version = 41  # the new one counts from lower
-        before.silent = old == "holds its first call"
-        if old != "refuses":
-            await before.start()
-        await after.start()
-        configuration = config(known=before.full_list())
-        if old != "refuses":
-            configuration["discovery"] = f"127.0.0.1:{before.port}"
+        old_discovery, new_discovery = FakeDiscovery([first.row()]), FakeDiscovery([second.row()])
+        old_discovery.version = 41  # the new one counts from lower
+        old_discovery.silent = old_behavior == "holds its first call"
+        if old_behavior != "refuses":
+            await old_discovery.start()
+        await new_discovery.start()
+        configuration = config(known=old_discovery.full_list())
+        if old_behavior != "refuses":
+            configuration["discovery"] = f"127.0.0.1:{old_discovery.port}"
         path = tmp_path / "config.json"
         async with running_program(path, configuration) as process:
             assert process.stderr is not None
             address = listen_address(configuration)
-            if old == "refuses":
+            if old_behavior == "refuses":
                 assert b"no connection" in await process.stderr.readline()
             else:
-                target = "from=41&" if old == "holds a watch" else "/v1/endpoints"
-                await before.until(
-                    lambda: any(target in m.start_line[1] for m in before.received_requests)
+                target = "from=41&" if old_behavior == "holds a watch" else "/v1/endpoints"
+                await old_discovery.until(
+                    lambda: any(target in m.start_line[1] for m in old_discovery.received_requests)
                 )
             assert (await (await connect(address)).ask("r1")).body == b"s-0"
             # A file that can't be used changes nothing, and costs a line.
@@ -234,21 +234,25 @@
             while b"not reloaded" not in (line := await process.stderr.readline()):
                 assert line
             assert (await (await connect(address)).ask("r2")).body == b"s-0"
-            path.write_text(json.dumps({**configuration, "discovery": f"127.0.0.1:{after.port}"}))
+            path.write_text(
+                json.dumps({**configuration, "discovery": f"127.0.0.1:{new_discovery.port}"})
+            )
             process.send_signal(signal.SIGHUP)
             await asyncio.wait_for(
-                after.until(
-                    lambda: any("from=1&" in m.start_line[1] for m in after.received_requests)
+                new_discovery.until(
+                    lambda: any(
+                        "from=1&" in m.start_line[1] for m in new_discovery.received_requests
+                    )
                 ),
                 4,
             )
             assert (await (await connect(address)).ask("r3")).body == b"s-1"
             process.send_signal(signal.SIGTERM)
-            late = await connect(address)
+            late_client = await connect(address)
             process.send_signal(signal.SIGHUP)  # it neither ends the drain nor starts it over
-            assert_last_response(await late.ask("r4"), b"s-1")
+            assert_last_response(await late_client.ask("r4"), b"s-1")
             assert await process.wait() == 0
-        for server in (first, second, before, after):
+        for server in (first, second, old_discovery, new_discovery):
             server.stop()
 
     run(test())
@@ -276,7 +280,10 @@
             discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list(), name="n3"
         )
         address = listen_address(configuration)
-        first, second = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
+        first_admin_address, second_admin_address = (
+            f"127.0.0.1:{free_port()}",
+            f"127.0.0.1:{free_port()}",
+        )
         request_count = 0
         stop = asyncio.Event()
 
@@ -290,27 +297,33 @@
                 client.close()
 
         async with running_program(
-            tmp_path / "1.json", configuration, TMPDIR=str(tmp_path), BALANCER_MGMT=first
+            tmp_path / "1.json",
+            configuration,
+            TMPDIR=str(tmp_path),
+            BALANCER_MGMT=first_admin_address,
         ) as old:
-            assert await call_admin_api(first, "/-/upstreams/s-1/disable") == 200
-            while await call_admin_api(first, "/-/ready", "GET") != 200:
+            assert await call_admin_api(first_admin_address, "/-/upstreams/s-1/disable") == 200
+            while await call_admin_api(first_admin_address, "/-/ready", "GET") != 200:
                 await asyncio.sleep(0.01)
             clients = [asyncio.create_task(load(n)) for n in range(4)]
             async with running_program(
-                tmp_path / "2.json", configuration, TMPDIR=str(tmp_path), BALANCER_MGMT=second
+                tmp_path / "2.json",
+                configuration,
+                TMPDIR=str(tmp_path),
+                BALANCER_MGMT=second_admin_address,
             ) as new:
-                while await call_admin_api(second, "/-/ready", "GET") != 200:
+                while await call_admin_api(second_admin_address, "/-/ready", "GET") != 200:
                     await asyncio.sleep(0.01)
-                assert await call_admin_api(second, "/-/upstreams/s-1/disable") == 200
+                assert await call_admin_api(second_admin_address, "/-/upstreams/s-1/disable") == 200
                 old.send_signal(signal.SIGTERM)
                 assert await old.wait() == 0
-                before = request_count
-                while request_count < before + 50:
+                requests_before = request_count
+                while request_count < requests_before + 50:
                     await asyncio.sleep(0.01)
                 stop.set()
                 await asyncio.gather(*clients)
                 assert not upstreams[1].received_requests
-                assert await call_admin_api(second, "/-/upstreams/s-1/enable") == 200
+                assert await call_admin_api(second_admin_address, "/-/upstreams/s-1/enable") == 200
                 new.send_signal(signal.SIGTERM)
                 assert await new.wait() == 0
         for server in (*upstreams, discovery):
--- a/tests/proxy/test_state_folder.py
+++ b/tests/proxy/test_state_folder.py
@@ -52,7 +52,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        disabled, disable_recorder, note = start_disabled_upstreams(tmp_path)
+        disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
             patch.setattr(tempfile, "mkstemp", raising(ENOSPC))
@@ -65,7 +65,7 @@
         ]  # it holds here all the same
         await disabled.disable("s-1")
         assert saved_names(tmp_path) == ["s-0", "s-1"]
-        note.close()
+        registry.close()
 
     run(test())
 
@@ -76,21 +76,21 @@
     """It binds 1 s after the call whatever was answered, and over a replacement of the process."""
 
     async def test() -> None:
-        disabled, _, note = start_disabled_upstreams(tmp_path)
+        disabled, _, registry = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
             patch.setattr(tempfile, "mkstemp", raising(ENOSPC))
             with pytest.raises(CallDeclinedError):
                 await disabled.disable("s-1")
-            other, _, others = start_disabled_upstreams(tmp_path)
-            others.close()
+            other, _, other_registry = start_disabled_upstreams(tmp_path)
+            other_registry.close()
         sibling, _, sibling_registry = start_disabled_upstreams(tmp_path)
-        note.watch()
+        registry.watch()
         sibling_registry.watch()
         await sibling.disable("s-2")
         step_until(lambda: saved_names(tmp_path) == ["s-0", "s-1", "s-2"], disabled.refresh)
         assert disabled.names == {"s-0", "s-1", "s-2"}
-        note.close()
+        registry.close()
         sibling_registry.close()
 
     run(test())
@@ -162,7 +162,7 @@
     call: str, error: OSError, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        disabled, disable_recorder, note = start_disabled_upstreams(tmp_path)
+        disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
             patch.setattr(*CALLS[call], raising(error))
@@ -178,7 +178,7 @@
         step_until(lambda: saved_names(tmp_path) == ["s-0", "s-1"], disabled.refresh)
         await disabled.enable("s-0")
         assert saved_names(tmp_path) == ["s-1"] == sorted(disabled.names)
-        note.close()
+        registry.close()
 
     run(test())
 
@@ -191,14 +191,14 @@
 
     async def test() -> None:
         monkeypatch.setattr(os, "pwrite", short_pwrite)
-        disabled, _, note = start_disabled_upstreams(tmp_path)
+        disabled, _, registry = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         assert saved_names(tmp_path) == ["s-0"]
-        note.check()
+        registry.check()
         other = ProcessRegistry(tmp_path)
-        assert other.others == [note.note]
+        assert other.others == [registry.note]
         other.close()
-        note.close()
+        registry.close()
 
     run(test())
 
@@ -219,13 +219,13 @@
         raise Killed
 
     async def test() -> None:
-        disabled, _, note = start_disabled_upstreams(tmp_path)
+        disabled, _, registry = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
         with monkeypatch.context() as patch:
             patch.setattr(os, call, fail_as_killed)
             with pytest.raises(Killed):
                 await disabled.disable("s-1")
-        note.close()
+        registry.close()
         assert len(list(tmp_path.glob(f"{FILE}.*"))) == 1
         restarted, disable_recorder, restarted_registry = start_disabled_upstreams(tmp_path)
         assert disable_recorder.changes == [("s-0", True)] and restarted.names == {"s-0"}
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -231,9 +231,11 @@
                 1,
                 Upstreams(SETTINGS.limits, 4, (), BodyMemory(1)),
             )
-            watch = discovery.Discovery(driver, ("127.0.0.1", 1), 1)
-            assert balancers / (watch.watch.mean_hold_ms / 1000) < max_calls_per_s
-            assert watch.watch.schedule.pause_s < 0.2  # a watch that pauses longer has ended
+            discovery_client = discovery.Discovery(driver, ("127.0.0.1", 1), 1)
+            assert balancers / (discovery_client.watch.mean_hold_ms / 1000) < max_calls_per_s
+            assert (
+                discovery_client.watch.schedule.pause_s < 0.2
+            )  # a watch that pauses longer has ended
 
     run(test())
 
@@ -276,14 +278,14 @@
     assert StartTimes().started_ns(1, read_endpoint({**row, "started_ms": 0}).started_ms, now) == 0
     # Balancers must compute the same number, now and in any later version.
     assert upstream_number("s-5be2a07c") == first.entry.id == 9587356208999800076
-    odd = [
+    non_finite = [
         {**row, key: value}
         for key in ("started_ms", "weight")
         for value in (float("inf"), float("nan"))
     ]
     addresses = [{**row, "addr": text} for text in ("nowhere", "a.host:80", "127.0.0.1:99999")]
     for malformed in (
-        *odd,
+        *non_finite,
         *addresses,
         {**row, "started_ms": -1},
         {**row, "state": "Odd"},
@@ -299,10 +301,10 @@
     async def test() -> None:
         with (
             socket.socket(type=socket.SOCK_DGRAM) as peer,
-            socket.socket(type=socket.SOCK_DGRAM) as odd,
+            socket.socket(type=socket.SOCK_DGRAM) as stranger,
             socket.socket(type=socket.SOCK_DGRAM) as own_socket,
         ):
-            for sock in (peer, odd, own_socket):
+            for sock in (peer, stranger, own_socket):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
             address = own_socket.getsockname()
@@ -313,7 +315,7 @@
                 peers_all=peer.getsockname(),
             ):
                 await recorder.until(lambda: recorder.of_type(api.EndpointsUpdated))
-                odd.sendto(b"from nobody", address)
+                stranger.sendto(b"from nobody", address)
                 peer.sendto(b"x" * 300, address)
                 peer.sendto(b"hello", address)
                 await recorder.until(lambda: recorder.of_type(api.GossipReceived))
@@ -390,18 +392,12 @@
                 assert (await harness.ask(f"r{request_number}", obj=request_number)).status == 200
                 old_row, upstream.name = upstream.row("Gone"), f"new-{request_number}"
                 await harness.update_endpoints(old_row, upstream.row())
-            (balancer,) = drivers
+            (driver,) = drivers
             await upstream.until(lambda: upstream.peer_closed_count >= 30)
             assert (await harness.ask("last")).status == 200
-            assert (
-                len(balancer.upstreams.targets)
-                == len(balancer.balancer.upstream_set.upstreams)
-                == 1
-            )
-            assert (
-                balancer.upstreams.connections_open <= 2 and not balancer.upstreams.pool.connecting
-            )
-            assert not balancer.requests and not balancer.open and not balancer.balancer.requests
+            assert len(driver.upstreams.targets) == len(driver.balancer.upstream_set.upstreams) == 1
+            assert driver.upstreams.connections_open <= 2 and not driver.upstreams.pool.connecting
+            assert not driver.requests and not driver.open and not driver.balancer.requests
 
     run(test())
 
