--- a/tests/proxy/test_admin_api.py
+++ b/tests/proxy/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' door, and the upstreams that they take out."""
+"""Tests of the admin API, and of the upstreams that operators disable with it."""
 
 from __future__ import annotations
 
@@ -27,14 +27,16 @@
 async def balancer_with_admin_api(
     count: int = 2, **config: Any
 ) -> AsyncIterator[tuple[BalancerHarness, Address]]:
+    """Run a balancer with an admin API, and yield its harness and the address of the API."""
     listener = listening_socket(("127.0.0.1", 0))
-    listener.listen()  # callers wait for the balancer
+    listener.listen()  # calls wait in the accept queue until the balancer runs
     address = listener.getsockname()
     async with running_balancer(count, door=listener, **config) as harness:
         yield harness, address
 
 
 async def call(address: Address, path: str, method: str = "POST") -> Message:
+    """Call the admin API on a new connection, which must be closed after the response."""
     client = await Client.connect(address)
     response = await client.send_raw(
         f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\nContent-Length: 0\r\n\r\n".encode()
@@ -46,6 +48,8 @@
 
 
 def test_valid_calls_succeed_and_invalid_ones_are_rejected() -> None:
+    """Guards against wrong methods, paths, names and malformed requests that have an effect."""
+
     async def test() -> None:
         async with balancer_with_admin_api() as (harness, admin_address):
             assert (await harness.ask("r1")).status == 200
@@ -82,6 +86,8 @@
 
 
 def test_not_ready_without_an_upstream() -> None:
+    """Guards against traffic to a balancer that can only respond with errors."""
+
     async def test() -> None:
         async with balancer_with_admin_api(1) as (harness, admin_address):
             await harness.update_endpoints(harness.upstreams[0].row("Terminating"))
@@ -91,6 +97,7 @@
 
 
 def test_silent_callers_time_out_without_blocking_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against connections without a call that block the API for operators."""
     monkeypatch.setattr(admin_api, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
@@ -106,10 +113,12 @@
 
 
 def test_disabled_upstream_gets_no_attempts_whatever_the_list_says(recorder: EventRecorder) -> None:
+    """Guards against an upstream that is enabled by a restart, or by a return to the list."""
+
     async def test() -> None:
         async with balancer_with_admin_api() as (harness, admin_address):
             first, second = harness.upstreams
-            for _ in range(2):  # a call may be repeated
+            for _ in range(2):  # the call is idempotent
                 assert (await call(admin_address, "/-/upstreams/s-0/disable")).status == 200
             assert recorder.of_type(api.UpstreamDisabled) == [
                 api.UpstreamDisabled(recorder.of_type(api.UpstreamDisabled)[0].upstream, True)
@@ -129,6 +138,8 @@
 
 
 def test_disabled_set_survives_restart(tmp_path: Path) -> None:
+    """Guards against attempts to a disabled upstream after the process restarts."""
+
     async def test() -> None:
         async with balancer_with_admin_api(folder=tmp_path) as (_, admin_address):
             assert (await call(admin_address, "/-/upstreams/s-1/disable")).status == 200
@@ -143,7 +154,7 @@
 
 
 class DisableRecorder:
-    """What an owner of the set tells the balancer."""
+    """Records the changes that a `DisabledUpstreams` applies to the balancer."""
 
     def __init__(self) -> None:
         self.changes: list[tuple[str, bool]] = []
@@ -158,6 +169,7 @@
 def start_disabled_upstreams(
     folder: Path, name: str = "n3"
 ) -> tuple[DisabledUpstreams, DisableRecorder, ProcessRegistry]:
+    """Start the disabled set of one process, with a recorder in place of the balancer."""
     disable_recorder, siblings = DisableRecorder(), ProcessRegistry(folder)
     disabled = DisabledUpstreams(folder, name, siblings, disable_recorder)
     disabled.start()
@@ -165,6 +177,11 @@
 
 
 def test_two_processes_apply_the_same_set(tmp_path: Path) -> None:
+    """Guards against processes with different sets during a replacement.
+
+    A call to either of them is applied by both before it succeeds.
+    """
+
     async def test() -> None:
         old, old_recorder, old_registry = start_disabled_upstreams(tmp_path)
         new, new_recorder, new_registry = start_disabled_upstreams(tmp_path)
@@ -173,7 +190,7 @@
         await asyncio.gather(old.disable("s-1"), new.disable("s-2"))
         assert old.names == new.names == {"s-1", "s-2"}
         await new.enable("s-1")
-        # The yes is said when both obey.
+        # The call succeeds only after both processes have applied the change.
         assert (
             old.names == {"s-2"}
             and ("s-1", False) in old_recorder.changes
@@ -191,12 +208,14 @@
 
 
 def test_call_is_declined_until_other_process_confirms(tmp_path: Path) -> None:
+    """Guards against success for a change that another process has not applied."""
+
     async def test() -> None:
-        idle_registry = ProcessRegistry(tmp_path)  # it never looks
+        idle_registry = ProcessRegistry(tmp_path)  # never confirms a change
         disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         with pytest.raises(CallDeclinedError):
             await disabled.disable("s-1")
-        assert disable_recorder.changes == [("s-1", True)]  # it holds here all the same
+        assert disable_recorder.changes == [("s-1", True)]  # applied in this process nevertheless
         idle_registry.publish(ProcessNote(applied_version=disabled.version))
         await disabled.disable("s-1")
         idle_registry.close()
@@ -221,13 +240,15 @@
 def test_invalid_set_file_is_logged_and_ignored(
     tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """Guards against a failed start, and against a file that stays invalid."""
+
     async def test() -> None:
         (tmp_path / FILE).write_text(text)
         disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         assert not disable_recorder.changes and "file of disabled upstreams ignored" in caplog.text
-        await disabled.disable("s-2")  # a call puts a good one in its place
+        await disabled.disable("s-2")  # the call replaces the invalid file
         assert json.loads((tmp_path / FILE).read_text())["disabled"] == ["s-2"]
-        # Whoever knows the set puts it back.
+        # A process that has the set in memory restores the file.
         other = tmp_path / "other"
         other.write_text(text)
         os.replace(other, tmp_path / FILE)
@@ -240,6 +261,8 @@
 
 
 def test_call_is_declined_when_set_cannot_be_saved(tmp_path: Path) -> None:
+    """Guards against success for a change that a restart would lose."""
+
     async def test() -> None:
         disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         (tmp_path / FILE).mkdir()
--- a/tests/proxy/test_body_stream.py
+++ b/tests/proxy/test_body_stream.py
@@ -1,6 +1,4 @@
-"""Bodies that pass through in pieces: both ways, held back, cut short, repeated, framed in any
-way.
-"""
+"""Tests of streamed bodies: backpressure, truncation, retries and framing."""
 
 from __future__ import annotations
 
@@ -32,15 +30,14 @@
 )
 
 LARGE_BODY = bytes(range(256)) * 1200  # 300 KiB
-HUGE_BODY_SIZE = (
-    30 * 1024 * 1024
-)  # more than the buffers of all sockets on the way hold between them
+# More than all socket buffers between the client and the upstream can hold.
+HUGE_BODY_SIZE = 30 * 1024 * 1024
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 @asynccontextmanager
 async def balancer_with_raw_upstream(handle: ConnectionHandler, **config: Any) -> Any:
-    """A balancer whose one upstream is this handler: it reads and writes as it likes."""
+    """Run a balancer with one upstream, whose connections `handle` serves."""
     server = await asyncio.start_server(handle, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     row = {"id": "raw", "addr": f"127.0.0.1:{port}", "state": "Ready"}
@@ -54,10 +51,12 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> str:
+    """Read the head of a message, and return it in lower case."""
     return (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
 
 
 async def read_chunks(reader: asyncio.StreamReader) -> bytes:
+    """Read a chunked body without trailers, and return its data."""
     body = b""
     while True:
         size = int((await reader.readline()).split(b";")[0], 16)
@@ -68,6 +67,7 @@
 
 
 def post_head(name: str, *headers: str) -> bytes:
+    """Return the head of a POST request with these additional header lines."""
     rows = [
         "POST /pay HTTP/1.1",
         "Host: h",
@@ -84,6 +84,11 @@
 def test_large_response_is_forwarded_whole_and_connection_is_kept(
     recorder: EventRecorder, chunked: bool
 ) -> None:
+    """Responses above the buffer limit are streamed completely, and the connection is reused.
+
+    Chunk extensions and trailers of the upstream must not corrupt the body.
+    """
+
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError):
             while True:
@@ -120,6 +125,11 @@
 def test_large_response_is_streamed_with_backpressure_from_client(
     recorder: EventRecorder,
 ) -> None:
+    """A client that does not read stops the upstream from writing.
+
+    Guards against buffering a whole response in the balancer, and against failing an attempt
+    because its client reads slowly.
+    """
     sent = 0
     send_blocked = asyncio.Event()
 
@@ -144,7 +154,7 @@
             await asyncio.get_running_loop().sock_connect(sock, harness.address)
             client = Client(*await asyncio.open_connection(sock=sock, limit=8 * 1024))
             client.send("r1")
-            await send_blocked.wait()  # its upstream can write no more, as nobody reads
+            await send_blocked.wait()  # no more can be written: the client does not read
             assert sent < HUGE_BODY_SIZE
             await recorder.until(lambda: recorder.of_type(api.AttemptFinished))
             assert recorder.results() == [api.AttemptResult.OK]
@@ -160,6 +170,11 @@
 def test_response_delimited_by_close_succeeds_on_eof_and_fails_on_reset(
     size: int, reset: bool
 ) -> None:
+    """A response without length ends with EOF; a reset means that it is truncated.
+
+    Guards against presenting a truncated response as complete. A reset before the response is
+    forwarded results in a 502, and a later reset in a reset of the client's connection.
+    """
     client_received_data = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -199,6 +214,8 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_truncated_response_resets_client_connection(chunked: bool) -> None:
+    """Guards against a truncated response that looks complete to the client."""
+
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_head(reader)
         framing = (
@@ -221,6 +238,7 @@
 
 
 def test_client_disconnect_closes_upstream_connection() -> None:
+    """Guards against an upstream that keeps sending a response that no client reads."""
     connection_closed = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -245,6 +263,10 @@
 def test_large_request_is_forwarded_before_its_body_is_complete(
     recorder: EventRecorder, chunked: bool
 ) -> None:
+    """Guards against buffering a whole request body before the first attempt.
+
+    The policy gets the request while its body is incomplete, and a `BodyCompleted` event later.
+    """
     request_started = asyncio.Event()
     bodies: list[bytes] = []
 
@@ -273,7 +295,7 @@
                 client.writer.write(
                     post_head("r1", f"Content-Length: {len(LARGE_BODY)}") + LARGE_BODY[:half]
                 )
-            await request_started.wait()  # it is under way, and half of it has not been sent yet
+            await request_started.wait()  # the client still has half of the body to send
             (arrival,) = recorder.of_type(api.RequestArrived)
             assert not arrival.body_complete and not recorder.of_type(api.BodyCompleted)
             if chunked:
@@ -290,7 +312,7 @@
                 not body_completed.is_replayable
                 and body_completed.deadline_ns < arrival.deadline_ns
             )
-            # The connection goes on.
+            # The connection is kept alive.
             client.writer.write(post_head("r2", "Content-Length: 2") + b"ab")
             await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 2)
 
@@ -298,6 +320,7 @@
 
 
 def test_large_request_gets_backpressure_from_upstream() -> None:
+    """Guards against buffering a request body that the upstream does not read."""
     start_reading = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -324,8 +347,10 @@
 
 @pytest.mark.parametrize("breaks_mid_body", [False, True])
 def test_large_request_is_retried_only_while_its_body_is_replayable(breaks_mid_body: bool) -> None:
-    """Its first upstream is not there, or breaks off before the end: what has not run may run
-    elsewhere, but only if it can still be sent from its start.
+    """A request that no upstream has executed is retried only if its body can be resent.
+
+    The first attempts find no listener, so the body is still complete; or the upstream resets the
+    connection mid-body, after the balancer has discarded the start of the body.
     """
     bodies: list[bytes] = []
 
@@ -368,6 +393,11 @@
 def test_stalled_body_times_out_and_slow_body_does_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The body timeout applies to a lack of progress, not to the whole body.
+
+    Guards against failing slow clients, and against clients that stall and hold their connection.
+    """
+
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError):
             await read_head(reader)
@@ -386,7 +416,7 @@
                 )
             for offset in range(
                 100_000, len(LARGE_BODY), 20_000
-            ):  # longer in all than either limit
+            ):  # in total longer than either limit
                 await asyncio.sleep(0.1)
                 slow_client.writer.write(LARGE_BODY[offset : offset + 20_000])
             assert (await read_message(slow_client.reader)).status == 200
@@ -397,6 +427,8 @@
 
 
 def test_head_response_has_no_body() -> None:
+    """Guards against waiting for the body that a HEAD response announces in Content-Length."""
+
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError):
             while True:
@@ -417,10 +449,12 @@
     run(test())
 
 
-# ---- the queue itself ----------------------------------------------------------------------------
+# ---- Body and BodyMemory -------------------------------------------------------------------------
 
 
 class FakeSource:
+    """Records the calls with which a body controls its source."""
+
     def __init__(self) -> None:
         self.calls: list[str] = []
 
@@ -435,6 +469,7 @@
 
 
 def test_full_body_pauses_its_source_and_counts_towards_total_memory() -> None:
+    """Guards against unbounded buffering, in one body and in all bodies together."""
     body_memory, fake_source = BodyMemory(1 << 20), FakeSource()
     body = Body(None, body_memory)
     body.source = fake_source
@@ -445,7 +480,7 @@
     body.put(b"a")
     body.drop()
     assert fake_source.calls[-1] == "abort" and body_memory.buffered == 0
-    # Where all of them hold much, each may hold little, but something.
+    # Once all bodies together use up the memory, each may still buffer a small amount.
     exhausted_memory = BodyMemory(0)
     small_body = Body(None, exhausted_memory)
     small_body.source = fake_source = FakeSource()
@@ -456,6 +491,7 @@
 
 
 def test_kept_body_can_be_rewound_until_it_overflows() -> None:
+    """Guards against a retry that sends a body without its start."""
     body = Body(None, BodyMemory(1 << 20), keep=True)
     body.put(b"ab")
     body.put(b"cd")
@@ -467,19 +503,22 @@
     assert not body.is_replayable
 
 
-# ---- cut anywhere --------------------------------------------------------------------------------
+# ---- input split anywhere ------------------------------------------------------------------------
 
 BODIES = st.binary(min_size=0, max_size=400).map(lambda block: block * 300)
 
 
 def split_at(data: bytes, split_points: list[int]) -> list[bytes]:
+    """Split data at these positions, which are taken modulo its length."""
     offsets = sorted({0, len(data), *(c % (len(data) + 1) for c in split_points)})
     return [data[a:b] for a, b in zip(offsets, offsets[1:], strict=False)]
 
 
 def framed_body(body: bytes, sizes: list[int] | None) -> bytes:
-    """The framing and the body: with a length, or in chunks of these sizes, with extensions and
-    trailers.
+    """Return the framing headers and the encoded body.
+
+    If `sizes` is None, the body has a Content-Length. Otherwise it is sent in chunks of these
+    sizes, with chunk extensions and a trailer.
     """
     if sizes is None:
         return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
@@ -493,7 +532,7 @@
 
 
 def read_bodies(reader: RequestReader | ResponseReader, pieces: list[bytes]) -> list[bytes]:
-    """The bodies of what comes out, wherever it was cut."""
+    """Feed the pieces to a reader, and return the bodies of the messages that it reads."""
     messages: list[Any] = []
     streamed: dict[int, bytes] = {}
     for part in pieces:
@@ -518,6 +557,7 @@
 def test_bodies_are_the_same_wherever_input_is_split(
     bodies: list[bytes], sizes: list[int] | None, split_points: list[int]
 ) -> None:
+    """Guards against parsers that depend on where the received data is split into segments."""
     memory = BodyMemory(1 << 30)
     request_bytes = b"".join(
         post_head(f"r{i}")[:-2] + framed_body(body, sizes) for i, body in enumerate(bodies)
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/test_discovery_watch.py
@@ -1,5 +1,7 @@
-"""By when a change is known: each way in which a call to discovery can end, for fleets that share
-it, in virtual time. Discovery handles calls in turn. `docs/design/discovery.md` has the table.
+"""Tests that each balancer of a fleet learns of a change before the change is in force.
+
+They simulate each outcome of a poll in virtual time, for fleets of several sizes that share one
+discovery, which handles polls sequentially. `docs/design/discovery.md` has the table.
 """
 
 from __future__ import annotations
@@ -19,35 +21,36 @@
 from tests.fakes import SECOND
 
 FLEET_SIZES = 1, 6, 30, 200
-CHANGES_COST_S, FULL_LIST_COST_S = (
-    0.015,
-    0.435,
-)  # what an answer costs the service, as seen on a day with 15 upstreams
-# A call that comes later than `WATCH_GAP_S` behind the last answer begins a new watch, and cost as
-# much as a whole list on another day with 15 upstreams, seed 218648781889.
+# Time that discovery needs for one answer, with 15 upstreams.
+CHANGES_COST_S, FULL_LIST_COST_S = 0.015, 0.435
+# A poll later than `WATCH_GAP_S` after the last answer begins a new watch. In another run with 15
+# upstreams, seed 218648781889, its first answer took as long as a full list.
 NEW_WATCH_COST_S, WATCH_GAP_S = 0.375, 0.2
-MAX_QUEUE_WAIT_S = 0.5  # it turns away what would wait for longer
+MAX_QUEUE_WAIT_S = 0.5  # discovery rejects polls that would wait longer
 TOLERANCE_S = 0.05
-MOVE_DEADLINE_S = 4.0  # what another discovery has counts so long behind SIGHUP
-# Not held, and so much late: all answers to two hundred balancers that ask are spoilt for seconds
-# on end, and a part of them returns for whole lists.
-EXPECTED_DELAY_S = {(200, False, "unread"): 1.0}
+MOVE_DEADLINE_S = 4.0  # after SIGHUP, until the list of the new discovery is in force
+# Exceptions that miss the deadline, with the delay that is tolerated. If all answers to 200
+# balancers without push are malformed for seconds, some of the balancers request full lists.
+EXPECTED_DELAY_S = {(200, False, "malformed"): 1.0}
 
 
 @dataclass(eq=False)
 class FleetMember:
+    """A simulated balancer of a fleet."""
+
     watch: DiscoveryWatch
     rng: random.Random
     push: bool
-    updated_s: float | None = None  # when it knew of the change
-    last_answered_s: float = -1.0  # the last answer
+    updated_s: float | None = None  # when the balancer learned of the change
+    last_answered_s: float = -1.0  # time of the last answer
     failures: int = 0
     started_s: float = 0.0
     change_deadline_s: float = 0.0
 
     def pause_s(self, poll_outcome: PollOutcome, now: float) -> float:
-        """Before its next call; where lists are asked for, the module's pause behind one that
-        failed.
+        """Return the pause before the next poll, in seconds.
+
+        Without push, the pause after a failed poll is the backoff of the policy.
         """
         pause_s = self.watch.on_outcome(poll_outcome, now)
         if pause_s is not None:
@@ -62,8 +65,9 @@
 
 @dataclass
 class Fleet:
-    """Its balancers, one service, and a queue of what happens when. `failure_kind` ends calls, up
-    to `recovered_s`.
+    """Event simulation of a fleet and of the discovery that its balancers share.
+
+    Polls before `recovered_s` fail with `failure_kind`.
     """
 
     balancers: int
@@ -71,14 +75,10 @@
     seed: int
     failure_kind: str = ""
     recovered_s: float = 0.0
-    new_watch_cost_s: float = (
-        CHANGES_COST_S  # what the first answer of a new watch costs the service
-    )
-    busy_until_s: float = 0.0  # when the service has done what is in its line
+    new_watch_cost_s: float = CHANGES_COST_S  # time for the first answer of a new watch
+    busy_until_s: float = 0.0  # when discovery has handled all queued polls
     queue: list[tuple[float, int, Callable[[float], None]]] = field(default_factory=list)
-    sequence: Iterator[int] = field(
-        default_factory=itertools.count
-    )  # of what happens in one moment
+    sequence: Iterator[int] = field(default_factory=itertools.count)  # of simultaneous events
     full_list_count: int = 0
 
     def __post_init__(self) -> None:
@@ -92,12 +92,14 @@
             for position in range(self.balancers)
         ]
         for member in self.members:
-            member.watch.on_outcome(PollOutcome.ANSWERED, 0.0)  # its list is known
+            member.watch.on_outcome(PollOutcome.ANSWERED, 0.0)  # the list is known
 
     def schedule_event(self, time_s: float, action: Callable[[float], None]) -> None:
+        """Schedule an action, which is called with its time."""
         heapq.heappush(self.queue, (time_s, next(self.sequence), action))
 
     def start_poll(self, member: FleetMember, now: float) -> None:
+        """Send the next poll of a balancer, and schedule its outcome."""
         poll = member.watch.next_poll(now)
         cost_s = FULL_LIST_COST_S if poll.kind is PollKind.FULL_LIST else CHANGES_COST_S
         if poll.kind is not PollKind.FULL_LIST and now > member.last_answered_s + WATCH_GAP_S:
@@ -105,8 +107,8 @@
         self.full_list_count += poll.kind is PollKind.FULL_LIST
         if now < self.recovered_s:
             end_s, poll_outcome = {
-                "turned away": (now + 0.004, PollOutcome.REFUSED),
-                "broken": (now + 0.004, PollOutcome.REFUSED),
+                "rejected": (now + 0.004, PollOutcome.REFUSED),
+                "reset": (now + 0.004, PollOutcome.REFUSED),
                 "never connected": (now + discovery_watch.POLL_TIMEOUT_S, PollOutcome.REFUSED),
                 "silent": (
                     now
@@ -115,7 +117,7 @@
                     ),
                     PollOutcome.TIMED_OUT,
                 ),
-                "unread": (now + 0.02, PollOutcome.MALFORMED),
+                "malformed": (now + 0.02, PollOutcome.MALFORMED),
             }[self.failure_kind]
         elif self.busy_until_s - now > MAX_QUEUE_WAIT_S:
             end_s, poll_outcome = now + 0.004, PollOutcome.REFUSED
@@ -125,6 +127,7 @@
         self.schedule_event(end_s, partial(self.on_poll_ended, member, poll_outcome))
 
     def on_poll_ended(self, member: FleetMember, poll_outcome: PollOutcome, now: float) -> None:
+        """Handle the outcome of a poll; after a failure, schedule the next poll."""
         pause_s = member.pause_s(poll_outcome, now)
         if poll_outcome is PollOutcome.ANSWERED:
             member.updated_s = member.last_answered_s = now
@@ -132,15 +135,20 @@
             self.schedule_event(now + pause_s, partial(self.start_poll, member))
 
     def max_delay_s(self) -> float:
-        """How long after its term the last balancer knew, in seconds; negative: before it."""
+        """Run all events, and return the largest delay after a deadline, in seconds.
+
+        If the result is negative, each balancer learned of the change before its deadline.
+        """
         while self.queue:
             now, _, action = heapq.heappop(self.queue)
             action(now)
         return max((c.updated_s or 1e9) - c.change_deadline_s for c in self.members)
 
     def simulate_silence(self) -> float:
-        """Watches that began as the last change was told, in turn, all fall silent in one moment,
-        and in that moment something changes. Discovery is there again for whoever comes anew.
+        """Simulate watches that all fall silent at the moment of a change.
+
+        The watches began one after the other, as the previous change was delivered. Discovery
+        answers new polls again.
         """
         watch_starts = [
             (0.01 + CHANGES_COST_S * i, member) for i, member in enumerate(self.members)
@@ -160,7 +168,7 @@
         return self.max_delay_s()
 
     def simulate_staggered_silence(self) -> float:
-        """The same, of watches that began each at its own time."""
+        """Simulate silence as `simulate_silence` does, of watches that began at random times."""
         silence_start_s = 100.0
         for member in self.members:
             poll_schedule = member.watch.schedule
@@ -181,7 +189,10 @@
         return self.max_delay_s()
 
     def simulate_move(self) -> float:
-        """Told to go elsewhere: versions count anew there, so each asks for a whole list."""
+        """Simulate the move to another discovery.
+
+        Versions of the two are unrelated, so each balancer requests a full list.
+        """
         for member in self.members:
             member.watch.forget_list()
             member.change_deadline_s = MOVE_DEADLINE_S
@@ -189,9 +200,7 @@
         return self.max_delay_s()
 
     def simulate_outage(self) -> float:
-        """DiscoveryWatch end in `failure_kind`; when discovery is there again, something changes in
-        that moment.
-        """
+        """Simulate polls that fail with `failure_kind`, and a change at the moment of recovery."""
         for member in self.members:
             member.change_deadline_s = self.recovered_s + discovery_watch.CHANGE_DEADLINE_S
             self.schedule_event(0.2 * member.rng.random(), partial(self.start_poll, member))
@@ -203,7 +212,10 @@
 def test_change_missed_by_silent_watch_is_learned_before_deadline(
     balancers: int, push: bool
 ) -> None:
-    """A late answer is the same: the call was given up."""
+    """Guards against a recovery from a silent watch that takes too long or requests full lists.
+
+    A late answer has the same effect as none, because the poll has timed out by then.
+    """
     for seed in range(20):
         fleet = Fleet(balancers, push, seed)
         assert fleet.simulate_silence() <= TOLERANCE_S
@@ -211,8 +223,10 @@
 
 
 def test_six_balancers_meet_deadline_with_expensive_new_watches() -> None:
-    """Six that give up together are 2.25 s of the service's time; it turns away who would wait for
-    0.5 s.
+    """Guards against polls that time out together and overload discovery.
+
+    The polls of six balancers take discovery 2.25 s, and it rejects those that would wait for more
+    than 0.5 s.
     """
     for push in (True, False):
         for seed in range(200):
@@ -224,12 +238,13 @@
             )
 
 
-@pytest.mark.parametrize("failure_kind", ["turned away", "broken", "never connected", "unread"])
+@pytest.mark.parametrize("failure_kind", ["rejected", "reset", "never connected", "malformed"])
 @pytest.mark.parametrize("push", [True, False])
 @pytest.mark.parametrize("balancers", FLEET_SIZES)
 def test_change_at_end_of_outage_is_learned_before_deadline(
     balancers: int, push: bool, failure_kind: str
 ) -> None:
+    """Guards against a backoff that delays the poll after an outage beyond the deadline."""
     for seed in range(10):
         for recovered_s in (0.3, 3.0, 8.0):
             delay_s = Fleet(balancers, push, seed, failure_kind, recovered_s).simulate_outage()
@@ -241,7 +256,11 @@
 def test_small_fleet_loads_list_of_new_discovery_before_deadline(
     balancers: int, push: bool
 ) -> None:
-    """A large fleet that asks one service for whole lists in one moment does not: see the table."""
+    """Guards against a late list after a move to another discovery.
+
+    A large fleet misses the deadline, because all of its balancers request full lists at the same
+    time: see the table in `docs/design/discovery.md`.
+    """
     for seed in range(10):
         assert Fleet(balancers, push, seed).simulate_move() <= 0
 
@@ -267,13 +286,14 @@
 def test_next_poll_after_each_outcome(
     previous_kind: PollKind, list_known: bool, poll_outcome: PollOutcome, expected_kind: PollKind
 ) -> None:
+    """Guards against full-list requests where changes suffice, and against the reverse."""
     watch = DiscoveryWatch(6, 0, random.Random(1))
     watch.next_kind, watch.has_list = previous_kind, list_known
     watch.next_poll(0.0)
     pause_s = watch.on_outcome(poll_outcome, 0.0)
     assert watch.next_kind is expected_kind
-    # Only a watch that fell silent is followed at once: behind other ends calls must not come at
-    # once.
+    # Of the failures, only a silent watch is followed by a poll without a backoff. After the others
+    # a backoff prevents a burst of polls.
     previous_was_watch = previous_kind in (PollKind.WATCH, PollKind.CATCH_UP)
     assert (pause_s is not None) == (
         poll_outcome is PollOutcome.ANSWERED
@@ -282,14 +302,14 @@
     )
 
 
-# How a call behind a silence may end, and how long that takes at the most.
+# Outcomes of a poll that follows a silent watch, each with its longest duration.
 POLL_OUTCOMES = {
     "answered": (PollOutcome.ANSWERED, 0.9),
-    "turned away": (PollOutcome.REFUSED, 0.004),
+    "rejected": (PollOutcome.REFUSED, 0.004),
     "never connected": (PollOutcome.REFUSED, discovery_watch.POLL_TIMEOUT_S),
-    "silent again": (PollOutcome.TIMED_OUT, discovery_watch.CHECK_TIMEOUT_S),
-    "unread": (PollOutcome.MALFORMED, 0.9),
-    "lost": (PollOutcome.FAILED, 0.01),
+    "timed out again": (PollOutcome.TIMED_OUT, discovery_watch.CHECK_TIMEOUT_S),
+    "malformed": (PollOutcome.MALFORMED, 0.9),
+    "failed": (PollOutcome.FAILED, 0.01),
 }
 
 
@@ -298,8 +318,10 @@
 def test_recovery_continues_after_any_sequence_of_outcomes(
     balancers: int, watch_kind: PollKind
 ) -> None:
-    """All orders of five ends. Its term is reckoned from the call, stands until an answer comes,
-    and no pause is longer than that between two checks until the recovery is given up.
+    """Covers all sequences of five outcomes after a silent watch.
+
+    The deadline counts from the start of the silent poll and stays the same until an answer. Until
+    `MAX_RECOVERY_S` after the deadline, no pause is longer than that between two checks.
     """
     for sequence in itertools.product(POLL_OUTCOMES, repeat=5):
         watch = DiscoveryWatch(balancers, balancers - 1, random.Random(1))
@@ -322,7 +344,7 @@
             )
             now += pause_s
             poll = watch.next_poll(now)
-            assert poll.hold_ms == 0  # a hold would keep what was missed, if nothing was
+            assert poll.hold_ms == 0  # a hold would delay the answer if no change was missed
             now += duration_s
             pause_s = watch.on_outcome(poll_outcome, now)
             if poll_outcome is PollOutcome.ANSWERED:
@@ -331,6 +353,7 @@
 
 
 def test_second_silence_does_not_extend_deadline_of_first() -> None:
+    """Guards against a stale list that is used for longer because a second poll fell silent."""
     watch = DiscoveryWatch(6, 0, random.Random(1))
     watch.next_kind, watch.has_list = PollKind.CATCH_UP, True
     poll = watch.next_poll(0.0)
@@ -345,6 +368,7 @@
 
 @pytest.mark.parametrize("balancers", FLEET_SIZES)
 def test_poll_timeout_leaves_one_second_before_deadline(balancers: int) -> None:
+    """Guards against a timeout so late that no time remains to poll for the missed changes."""
     watch = DiscoveryWatch(balancers, balancers - 1, random.Random(1))
     for poll_kind in (PollKind.WATCH, PollKind.CATCH_UP):
         for _ in range(1000):
@@ -360,16 +384,16 @@
 
 @dataclass
 class SlowDiscovery:
-    """A discovery that answers each poll late, in virtual time, for one balancer of a fleet."""
+    """Discovery that answers each poll of one balancer late, in virtual time."""
 
     delay_s: float
     watch: DiscoveryWatch
     now_s: float = 0.0
     last_answer_s: float = 0.0
-    stale_s: float = 0.0  # how long what a silent watch hid was in force, and no answer came
+    stale_s: float = 0.0  # total time without an answer after a deadline
 
     def poll_for(self, seconds: float) -> None:
-        """Poll for so long."""
+        """Poll for this number of seconds."""
         end_s = self.now_s + seconds
         while self.now_s < end_s:
             poll = self.watch.next_poll(self.now_s)
@@ -386,18 +410,21 @@
             self.now_s += self.watch.backoff_pause_s() if pause_s is None else pause_s
 
 
-SEND_GRACE_S = 0.3  # so long behind its deadline nothing is sent by a list that may hide a change
+SEND_GRACE_S = 0.3  # a list that may hide a change is used until this long after its deadline
 
 
 @pytest.mark.parametrize("delay_s", [0.5, 0.9, 1.3, 1.6, 1.8])
 @pytest.mark.parametrize("balancers", FLEET_SIZES)
 def test_slow_discovery_makes_list_stale_only_once(balancers: int, delay_s: float) -> None:
-    """Each poll was cut off ahead of its answer: the list stood still, and nothing was sent."""
+    """Guards against polls that always time out shortly before their answer.
+
+    The list was then no longer updated, and no attempts were sent.
+    """
     rng = random.Random(balancers)
     slow_discovery = SlowDiscovery(delay_s, DiscoveryWatch(balancers, balancers // 2, rng))
     slow_discovery.poll_for(120.0)
     stale_s = slow_discovery.stale_s
-    # Once: the check that fails ends about with the deadline, and one more is answered.
+    # Only once: the failed check times out near the deadline, and the next one is answered.
     assert stale_s <= slow_discovery.watch.schedule.recheck_pause_s + delay_s
     slow_discovery.poll_for(600.0)
     assert slow_discovery.stale_s == stale_s
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -1,6 +1,4 @@
-"""Clients' connections: bad input, limits, keep-alive and the answers that the balancer gives by
-itself.
-"""
+"""Tests of clients' connections: bad input, limits, keep-alive and the balancer's own responses."""
 
 from __future__ import annotations
 
@@ -34,6 +32,8 @@
 
 
 def test_ready_follows_availability_of_upstreams() -> None:
+    """Ready only while the endpoint list has an upstream that accepts requests."""
+
     async def test() -> None:
         async with running_balancer(known=None) as harness:
             await harness.wait_for_endpoint_list()
@@ -45,6 +45,8 @@
 
 
 def test_bad_input_is_rejected_without_affecting_other_clients() -> None:
+    """Malformed requests close their connection; invalid headers only fail the request."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             other = await harness.client()
@@ -77,6 +79,7 @@
 def test_too_large_body_is_rejected_with_413(
     chunked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against forwarding a body above the limit, whether or not its length is announced."""
     monkeypatch.setattr(parse, "MAX_LENGTH", 69_000)
 
     async def test() -> None:
@@ -94,6 +97,8 @@
 
 
 def test_duplicate_id_of_open_request_is_rejected_with_409() -> None:
+    """Guards against two open requests with one id, which the policy could not distinguish."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             first = await harness.client_awaiting_response("r1")
@@ -104,6 +109,8 @@
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
+    """Guards against losing or reordering requests that arrive before the previous response."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             client = await harness.client()
@@ -120,6 +127,8 @@
 
 
 def test_excess_input_during_open_request_closes_connection() -> None:
+    """Guards against buffering unlimited pipelined input while a request is open."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             client = await harness.client_awaiting_response("r1")
@@ -131,6 +140,8 @@
 
 
 def test_requests_beyond_open_request_limit_are_rejected() -> None:
+    """Requests above `max_open` get a 503 immediately."""
+
     async def test() -> None:
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, max_open=1))
         async with running_balancer(settings=settings) as harness:
@@ -144,12 +155,15 @@
 def test_at_connection_limit_idle_clients_are_evicted_and_busy_ones_kept(
     monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
+    """An idle connection is closed to accept another; one with an open request is not.
+
+    A client above the limit waits in the accept queue until a connection slot is free.
+    """
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 0.0)
 
     async def test() -> None:
-        async with running_balancer(
-            sockets=RESERVE + 2 * 2
-        ) as harness:  # two clients, two connections to upstreams
+        # Room for two clients and two connections to upstreams.
+        async with running_balancer(sockets=RESERVE + 2 * 2) as harness:
             may_respond = asyncio.Event()
             upstream: FakeUpstream = harness.upstreams[0]
 
@@ -165,9 +179,8 @@
                 client.send(f"b{number}")
             await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 3)
             await idle.expect_eof()
-            late_client = (
-                await harness.client()
-            )  # it waits in the backlog, and is answered once there is room
+            # Waits in the accept queue until a connection slot is free.
+            late_client = await harness.client()
             late_client.send("r1")
             may_respond.set()
             for client in busy:
@@ -178,6 +191,8 @@
 
 
 def test_at_connection_limit_silent_clients_are_evicted_for_active_client() -> None:
+    """Guards against clients that connect without a request and so block all others."""
+
     async def test() -> None:
         async with running_balancer(sockets=RESERVE + 2 * 2) as harness:
             silent = [await harness.client() for _ in range(20)]
@@ -192,6 +207,10 @@
 def test_at_connection_limit_silent_clients_are_evicted_before_slow_writer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Eviction depends on the time since the last data, not on the age of the connection.
+
+    Guards against evicting a client that sends its request slowly.
+    """
     monkeypatch.setattr(frontend, "EVICT_SILENT_S", 0.2)
 
     async def test() -> None:
@@ -199,9 +218,8 @@
             slow = await harness.client()
             slow.writer.write(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n")
             silent = []
-            for (
-                letter
-            ) in b"X-Class: quote\r\n\r\n":  # it connected first, and is kept as long as it goes on
+            # The slow client has the oldest connection, and is kept while it makes progress.
+            for letter in b"X-Class: quote\r\n\r\n":
                 await asyncio.sleep(0.03)
                 slow.writer.write(bytes([letter]))
                 silent.append(await harness.client())
@@ -213,11 +231,11 @@
 
 
 def test_at_connection_limit_recently_idle_client_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against evicting a client that is idle for less than `EVICT_IDLE_S`."""
     monkeypatch.setattr(frontend, "EVICT_IDLE_S", 1000.0)
     monkeypatch.setattr(frontend, "EVICT_SILENT_S", 0.0)
-    monkeypatch.setitem(
-        connection_phase.LIMIT_S, Phase.NEW, 0.1
-    )  # the last newcomer is driven out by nobody
+    # No later connection evicts the last newcomer, so it has to time out.
+    monkeypatch.setitem(connection_phase.LIMIT_S, Phase.NEW, 0.1)
 
     async def test() -> None:
         async with running_balancer(sockets=RESERVE + 2 * 2) as harness:
@@ -234,8 +252,9 @@
 def test_at_connection_limit_connection_is_closed_after_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Idle connections are left their 2 s: with more clients than places, each newcomer waited for
-    # that.
+    """Guards against a newcomer that waits for an idle connection's eviction."""
+    # By default an idle connection is evicted after 2 s. With more clients than connection slots,
+    # each newcomer had to wait for that.
     for limit in ("EVICT_IDLE_S", "EVICT_SILENT_S", "EVICT_NEW_S"):
         monkeypatch.setattr(frontend, limit, 1000.0)
 
@@ -250,17 +269,19 @@
     run(test())
 
 
-@pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
+@pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not report the receive state")
 def test_request_of_disconnected_client_is_not_served(recorder: EventRecorder) -> None:
+    """Guards against attempts for a client that disconnected before its request was read."""
+
     async def test() -> None:
         async with running_balancer() as harness:
 
             def quote_request(name: str) -> bytes:
                 return f"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: {name}\r\n\r\n".encode()
 
-            # No turn of the loop between a client's request and its leaving: the balancer finds
-            # both at once, on a connection that is still in the backlog and on one that was used
-            # before. Plain sockets: a loop's own write may wait for its next turn.
+            # No event-loop iteration runs between a client's request and its disconnect. The
+            # balancer finds both at once, on a reused connection and on one in the accept queue.
+            # The clients are plain sockets because asyncio may delay a write to the next iteration.
             loop = asyncio.get_running_loop()
             reused = socket.socket()
             reused.setblocking(False)
@@ -281,10 +302,15 @@
     run(test())
 
 
-@pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
+@pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not report the receive state")
 def test_deadline_counts_from_receipt_by_kernel_not_from_read(
     recorder: EventRecorder,
 ) -> None:
+    """Guards against deadlines that are extended by a blocked event loop.
+
+    The loop then reads a request long after the kernel received it.
+    """
+
     async def test() -> None:
         async with running_balancer() as harness:
             read_delay_s = 0.2
@@ -296,7 +322,7 @@
                     b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n"
                 )
                 sent_ns = time.monotonic_ns()
-                time.sleep(read_delay_s)  # the loop stands still
+                time.sleep(read_delay_s)  # blocks the event loop
                 await recorder.until(lambda: len(recorder.of_type(api.RequestArrived)) == 3)
             for arrival in recorder.of_type(api.RequestArrived)[1:]:
                 assert arrival.received_ns < sent_ns + read_delay_s / 2 * SECOND
@@ -321,6 +347,10 @@
 def test_incomplete_request_times_out_and_closes_connection(
     monkeypatch: pytest.MonkeyPatch, partial_request: bytes, status: int | None, reused: bool
 ) -> None:
+    """Guards against incomplete requests that hold a connection open.
+
+    A connection without any data is closed without a response, and others get a 408.
+    """
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.NEW, 0.2)
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, 0.3)
 
@@ -338,6 +368,7 @@
 
 
 def raw_request(*headers: str, start: str = "POST /pay HTTP/1.1", body: bytes = b"") -> bytes:
+    """Return a request with these additional header lines and this body, both unchecked."""
     header_lines = ["Host: h", "X-Request-Id: r1", "X-Class: pay", *headers]
     return "\r\n".join([start, *header_lines, "", ""]).encode() + body
 
@@ -345,8 +376,8 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        # What stands behind the chunk without length would be read as a request by whoever goes by
-        # the coding.
+        # Request smuggling: a parser that prefers Transfer-Encoding would read the bytes after the
+        # empty chunk as a second request.
         (
             raw_request(
                 "Content-Length: 60",
@@ -366,6 +397,12 @@
     ],
 )
 def test_ambiguous_or_oversized_request_is_rejected(data: bytes, status: int) -> None:
+    """Guards against request smuggling.
+
+    A request that two parsers can read differently is rejected, as is one that is too large, and
+    its connection is closed.
+    """
+
     async def test() -> None:
         async with running_balancer() as harness:
             client = await harness.client()
@@ -380,6 +417,8 @@
 
 
 def test_unsupported_method_unexpected_body_and_too_long_id_are_rejected() -> None:
+    """Each request is rejected, and its connection stays usable."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             client = await harness.client()
@@ -395,6 +434,7 @@
 def test_client_that_does_not_read_stops_its_pipelined_requests(
     monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
+    """Guards against buffering responses without limit for a client that does not read."""
     monkeypatch.setitem(connection_phase.LIMIT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
@@ -406,8 +446,8 @@
             client = Client(reader, writer)
             for number in range(1000):
                 client.send(f"r{number}")
-            # Answers stop going out, and with them the requests behind them; then the connection
-            # ends.
+            # The balancer stops sending responses and reading the pipelined requests. Then it
+            # closes the connection.
             with suppress(ConnectionError):
                 while True:
                     writer.write(b"\r\n")
@@ -421,7 +461,10 @@
 
 
 def test_sweep_can_be_rescheduled_after_one_without_delay() -> None:
-    """uvloop gives a handle without a time where the delay rounds to nothing."""
+    """Guards against a timer handle without a scheduled time.
+
+    uvloop returns such a handle if the delay rounds to zero.
+    """
 
     async def test() -> None:
         client_frontend = frontend.Frontend.__new__(frontend.Frontend)
@@ -439,13 +482,15 @@
     run(test())
 
 
-@pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-@pytest.mark.parametrize("close_cause", ["drained", "swept", "made room"])
+@pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not report the receive state")
+@pytest.mark.parametrize("close_cause", ["drain", "sweep", "eviction"])
 def test_idle_connection_with_unread_request_is_not_closed(
     close_cause: str, frontends: list[frontend.Frontend]
 ) -> None:
-    """A timer runs ahead of the sockets: with both due in one turn the request was lost,
-    unanswered.
+    """Guards against closing an idle connection over a request that is received but not yet read.
+
+    If a timer and a socket are ready in the same event-loop iteration, the timer runs first: the
+    connection was closed, and the request got no response.
     """
 
     async def test() -> None:
@@ -466,16 +511,16 @@
                     and idle_connection.transport is not None
                 )
                 sock = idle_connection.transport.get_extra_info("socket")
-                while receive_state(sock)[1] < 30_000_000:  # the kernel counts in ticks
+                while receive_state(sock)[1] < 30_000_000:  # its resolution is one kernel tick
                     await asyncio.sleep(0)
                 for client in idle_since:
                     idle_since[client] -= (
-                        2.0 if close_cause == "made room" else connection_phase.LIMIT_S[Phase.IDLE]
+                        2.0 if close_cause == "eviction" else connection_phase.LIMIT_S[Phase.IDLE]
                     )
                 reused.send(raw_request(start="GET /quote HTTP/1.1").replace(b"pay", b"quote"))
-                if close_cause == "drained":
+                if close_cause == "drain":
                     client_frontend._stop()
-                elif close_cause == "swept":
+                elif close_cause == "sweep":
                     client_frontend._sweep()
                 else:
                     client_frontend._evict()
@@ -483,7 +528,9 @@
                 for client in idle_since:
                     idle_since[client] -= 60.0
                 client_frontend._sweep()
-                assert await loop.sock_recv(reused, 4096) == b""  # with nothing unread it ends
+                assert (
+                    await loop.sock_recv(reused, 4096) == b""
+                )  # no request is unread: it is closed
 
     run(test())
 
@@ -491,8 +538,9 @@
 def test_drain_fails_requests_whose_deadline_exceeds_shutdown(
     frontends: list[frontend.Frontend], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Taken before SIGTERM, with a deadline behind the process's own end: it ended over the open
-    request.
+    """Guards against an exit with an open request, which then gets no response.
+
+    A request received before SIGTERM can have a deadline after the end of the process.
     """
     monkeypatch.setattr(frontend, "MAX_SHUTDOWN_DEADLINE_NS", 100_000_000)
     monkeypatch.setattr(frontend, "SHUTDOWN_MARGIN_NS", 100_000_000)
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, SIGTERM, exit codes."""
+"""Tests of the program as the platform starts it: configuration, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
 
 
 def config(**changes: Any) -> dict[str, Any]:
+    """Return a valid configuration with these changes."""
     return {
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": f"127.0.0.1:{free_port()}",
@@ -68,13 +69,14 @@
         "too few sockets",
         "bad admin address",
         "admin address of a wrong type",
-        "one address twice",
+        "duplicate address",
         "bad known list",
     ],
 )
 def test_invalid_configuration_prints_one_line_and_exits_with_2(
     tmp_path: Path, text: str | None
 ) -> None:
+    """Guards against tracebacks, and against a start with an invalid configuration."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -91,6 +93,7 @@
 
 
 def test_unset_configuration_variable_exits_with_2() -> None:
+    """Guards against a traceback if BALANCER_CONFIG is not set."""
     environ = {
         name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")
     }
@@ -115,6 +118,7 @@
     preexec: Callable[[], None] | None = None,
     **environ: str,
 ) -> AsyncIterator[asyncio.subprocess.Process]:
+    """Run the program with this configuration and environment; `preexec` runs in the child."""
     path.write_text(json.dumps(configuration))
     base_environ = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
     process = await asyncio.create_subprocess_exec(
@@ -134,10 +138,17 @@
 
 
 def listen_address(configuration: dict[str, Any]) -> tuple[str, int]:
+    """Return the address for clients in a configuration."""
     return "127.0.0.1", int(configuration["listen"].rpartition(":")[2])
 
 
 def test_sigterm_drains_open_and_late_requests(tmp_path: Path) -> None:
+    """Guards against losing requests at shutdown.
+
+    Open requests are completed, and requests that arrive during the drain are served, on new and on
+    idle connections. Each response closes its connection.
+    """
+
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         await upstream.start()
@@ -153,7 +164,7 @@
         configuration = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
         async with running_program(tmp_path / "config.json", configuration) as process:
             address = listen_address(configuration)
-            # It has seen discovery: so it listens, or is about to.
+            # After its first poll for changes, the program listens or is about to.
             await discovery.until(
                 lambda: any("from=" in m.start_line[1] for m in discovery.received_requests)
             )
@@ -162,9 +173,9 @@
             waiting_client.send("r1")
             await upstream.until(lambda: len(upstream.received_requests) == 1)
             process.send_signal(signal.SIGTERM)
-            late_response = await (await connect(address)).ask("r2")  # new connections go on coming
+            late_response = await (await connect(address)).ask("r2")  # still accepted
             assert_last_response(late_response, b"s-0")
-            ready = await idle_client.ask("r", path="/ready")  # and old ones are used
+            ready = await idle_client.ask("r", path="/ready")  # idle connections stay usable
             assert (ready.status, ready.headers["connection"]) == (503, "close")
             may_respond.set()
             assert_last_response(await read_message(waiting_client.reader), b"slow")
@@ -180,7 +191,10 @@
 def test_signal_during_exit_does_not_change_exit_status(
     tmp_path: Path, signal_number: signal.Signals
 ) -> None:
-    """Behind the loop's end no handler was left: status -15, which looks like a crash."""
+    """Guards against exit status -15, which looks like a crash.
+
+    After the event loop was closed, no handler for the signal was installed any more.
+    """
 
     async def test() -> None:
         discovery = FakeDiscovery([])
@@ -201,26 +215,33 @@
     run(test())
 
 
-@pytest.mark.parametrize("old_behavior", ["holds a watch", "holds its first call", "refuses"])
+@pytest.mark.parametrize(
+    "old_behavior", ["holds a watch", "holds the first poll", "refuses connections"]
+)
 def test_sighup_switches_to_another_discovery(tmp_path: Path, old_behavior: str) -> None:
+    """The list of the new discovery replaces the old one, whatever the old discovery does.
+
+    An invalid configuration file is ignored, and a SIGHUP during the drain has no effect on it.
+    """
+
     async def test() -> None:
         first, second = FakeUpstream("s-0"), FakeUpstream("s-1")
         await first.start()
         await second.start()
         old_discovery, new_discovery = FakeDiscovery([first.row()]), FakeDiscovery([second.row()])
-        old_discovery.version = 41  # the new one counts from lower
-        old_discovery.silent = old_behavior == "holds its first call"
-        if old_behavior != "refuses":
+        old_discovery.version = 41  # the versions of the new discovery are lower
+        old_discovery.silent = old_behavior == "holds the first poll"
+        if old_behavior != "refuses connections":
             await old_discovery.start()
         await new_discovery.start()
         configuration = config(known=old_discovery.full_list())
-        if old_behavior != "refuses":
+        if old_behavior != "refuses connections":
             configuration["discovery"] = f"127.0.0.1:{old_discovery.port}"
         path = tmp_path / "config.json"
         async with running_program(path, configuration) as process:
             assert process.stderr is not None
             address = listen_address(configuration)
-            if old_behavior == "refuses":
+            if old_behavior == "refuses connections":
                 assert b"no connection" in await process.stderr.readline()
             else:
                 target = "from=41&" if old_behavior == "holds a watch" else "/v1/endpoints"
@@ -228,7 +249,7 @@
                     lambda: any(target in m.start_line[1] for m in old_discovery.received_requests)
                 )
             assert (await (await connect(address)).ask("r1")).body == b"s-0"
-            # A file that can't be used changes nothing, and costs a line.
+            # An invalid file changes nothing, and one line is logged.
             path.write_text("{not json")
             process.send_signal(signal.SIGHUP)
             while b"not reloaded" not in (line := await process.stderr.readline()):
@@ -249,7 +270,7 @@
             assert (await (await connect(address)).ask("r3")).body == b"s-1"
             process.send_signal(signal.SIGTERM)
             late_client = await connect(address)
-            process.send_signal(signal.SIGHUP)  # it neither ends the drain nor starts it over
+            process.send_signal(signal.SIGHUP)  # neither aborts nor restarts the drain
             assert_last_response(await late_client.ask("r4"), b"s-1")
             assert await process.wait() == 0
         for server in (first, second, old_discovery, new_discovery):
@@ -259,6 +280,7 @@
 
 
 async def call_admin_api(address: str, path: str, method: str = "POST") -> int:
+    """Call the admin API on a new connection, and return the status."""
     client = await connect(("127.0.0.1", int(address.rpartition(":")[2])))
     response = await client.send_raw(f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n".encode())
     client.close()
@@ -266,8 +288,10 @@
 
 
 def test_process_replacement_under_load_loses_no_request(tmp_path: Path) -> None:
-    """Every request comes on a connection of its own; the bans hold in both processes and over the
-    change.
+    """Guards against lost requests and lost disabled upstreams when a process replaces another.
+
+    Each request uses a new connection. Both processes apply the disabled set, which must survive
+    the replacement.
     """
 
     async def test() -> None:
@@ -336,6 +360,8 @@
 def test_restarted_process_serves_from_cached_list_during_discovery_fault(
     tmp_path: Path, discovery_fault: str
 ) -> None:
+    """Guards against a start that waits for discovery although a list is cached."""
+
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         await upstream.start()
@@ -354,8 +380,9 @@
 
 
 def test_idle_clients_cannot_exhaust_file_descriptors(tmp_path: Path) -> None:
-    """Attempts, the operators' door and discovery keep descriptors of their own, in the system's
-    limit.
+    """Guards against idle clients that use up all descriptors.
+
+    Attempts, the admin API and discovery have reserved descriptors within RLIMIT_NOFILE.
     """
     sockets = 96
 
@@ -365,7 +392,7 @@
             await upstream.start()
         discovery = FakeDiscovery([upstreams[0].row()])
         discovery.change(upstreams[0].row("Gone"), upstreams[1].row())
-        discovery.port = free_port()  # nobody listens there yet
+        discovery.port = free_port()  # no server listens on it yet
         known = {"version": 0, "full": True, "servers": [upstreams[0].row()]}
         admin_address = f"127.0.0.1:{free_port()}"
         configuration = config(
@@ -385,14 +412,14 @@
                 for _ in range(3 * sockets):
                     idle = idle_sockets.enter_context(socket.socket())
                     idle.setblocking(False)
-                    idle.connect_ex(address)  # at once, or it waits in the backlog
+                    idle.connect_ex(address)  # accepted, or waits in the accept queue
                 assert (await call_admin_api(admin_address, "/-/ready", "GET")) == 200
                 active_client = await connect(address)
                 assert (await active_client.ask("r1")).body == b"s-0"
                 await discovery.start()
                 await discovery.until(
                     lambda: len(discovery.received_requests) > 1
-                )  # the first has told what changed
+                )  # the first answer contained the change
                 active_client = await connect(address)
                 assert (await active_client.ask("r2")).body == b"s-1"
                 assert (await call_admin_api(admin_address, "/-/ready", "GET")) == 200
@@ -407,10 +434,12 @@
 
 
 def assert_last_response(message: Message, body: bytes) -> None:
+    """Assert that a response succeeded and closes its connection."""
     assert (message.status, message.body, message.headers["connection"]) == (200, body, "close")
 
 
 async def connect(address: tuple[str, int]) -> Client:
+    """Connect to the program, retrying until it listens."""
     while True:
         try:
             return await Client.connect(address)
--- a/tests/proxy/test_state_folder.py
+++ b/tests/proxy/test_state_folder.py
@@ -1,5 +1,6 @@
-"""The state folder refuses for a while: writes fail or are short, reads fail, a process is killed
-in between. What was taken on is still owed, and yes is said only of what is saved.
+"""Tests of faults of the state folder: failed or short writes, failed reads, killed processes.
+
+A change that could not be saved is declined. It is applied nevertheless, and saved later.
 """
 
 from __future__ import annotations
@@ -29,6 +30,8 @@
 
 
 def raising(error: OSError) -> Callable[..., Any]:
+    """Return a function that raises this error."""
+
     def fail(*args: Any, **kwargs: Any) -> Any:
         raise error
 
@@ -36,12 +39,13 @@
 
 
 def saved_names(folder: Path) -> list[str]:
+    """Return the names of the disabled upstreams in the file."""
     names: list[str] = json.loads((folder / FILE).read_text())["disabled"]
     return names
 
 
 def step_until(condition: Callable[[], object], step: Callable[[], object]) -> None:
-    """Have it look again and again, as it does by its timer."""
+    """Repeat a step, as a timer does, until the condition holds; fail after 10 s."""
     timeout_at = time.monotonic() + 10.0
     while not condition():
         assert time.monotonic() < timeout_at
@@ -51,6 +55,8 @@
 def test_repeated_disable_is_declined_until_saved(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against success for a repeated disable that is applied but still not saved."""
+
     async def test() -> None:
         disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
@@ -62,7 +68,7 @@
         assert disable_recorder.changes == [
             ("s-0", True),
             ("s-1", True),
-        ]  # it holds here all the same
+        ]  # applied in this process nevertheless
         await disabled.disable("s-1")
         assert saved_names(tmp_path) == ["s-0", "s-1"]
         registry.close()
@@ -73,7 +79,11 @@
 def test_unsaved_set_is_saved_once_folder_is_writable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It binds 1 s after the call whatever was answered, and over a replacement of the process."""
+    """Guards against losing a disable that was declined because it could not be saved.
+
+    It takes effect 1 s after the call, whatever the response, and survives a replacement of the
+    process.
+    """
 
     async def test() -> None:
         disabled, _, registry = start_disabled_upstreams(tmp_path)
@@ -99,12 +109,14 @@
 def test_process_started_during_write_failure_is_detected_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against a process that stays unregistered after a failed write at its start."""
+
     async def test() -> None:
         first = ProcessRegistry(tmp_path)
         with monkeypatch.context() as patch:
             patch.setattr(tempfile, "mkstemp", raising(ENOSPC))
             second = ProcessRegistry(tmp_path)
-            assert len(second.others) == 1  # it sees who is there all the same
+            assert len(second.others) == 1  # it detects the first one nevertheless
         second.watch()
 
         def check_both() -> None:
@@ -121,6 +133,8 @@
 def test_unreadable_set_is_reread_and_not_overwritten(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against replacing a file that could not be read by an outdated set."""
+
     async def test() -> None:
         old, _, old_registry = start_disabled_upstreams(tmp_path)
         new, _, new_registry = start_disabled_upstreams(tmp_path)
@@ -145,8 +159,7 @@
     run(test())
 
 
-# Each call that a change makes on the folder, and how it may fail: an error, or less than was asked
-# for.
+# The calls that each change makes on the folder. They may fail, or write less than requested.
 CALLS = {
     "mkstemp": (tempfile, "mkstemp"),
     "pwrite": (os, "pwrite"),
@@ -161,6 +174,8 @@
 def test_failed_system_call_declines_change_and_set_is_saved_later(
     call: str, error: OSError, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against success for a change that is not on disk, whichever call fails."""
+
     async def test() -> None:
         disabled, disable_recorder, registry = start_disabled_upstreams(tmp_path)
         await disabled.disable("s-0")
@@ -168,7 +183,7 @@
             patch.setattr(*CALLS[call], raising(error))
             with pytest.raises(CallDeclinedError):
                 await disabled.disable("s-1")
-            with pytest.raises(CallDeclinedError):  # an enable that can't be saved is none
+            with pytest.raises(CallDeclinedError):  # must be saved as well
                 await disabled.enable("s-0")
         assert saved_names(tmp_path) == ["s-0"] and disable_recorder.changes[:2] == [
             ("s-0", True),
@@ -184,6 +199,7 @@
 
 
 def test_short_writes_are_continued(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a truncated file after a write of fewer bytes than requested."""
     original = os.pwrite
 
     def short_pwrite(fd: int, data: Any, offset: int) -> int:
@@ -204,13 +220,14 @@
 
 
 class Killed(BaseException):
-    """The process ends here."""
+    """Simulates that the process is killed."""
 
 
 @pytest.mark.parametrize("call", ["pwrite", "replace"])
 def test_kill_during_write_leaves_previous_set_intact(
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against a corrupt file, and against temporary files that are never removed."""
     original = os.pwrite
 
     def fail_as_killed(*args: Any) -> int:
@@ -238,6 +255,7 @@
 def test_process_out_of_descriptors_does_not_report_itself_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against treating a process as gone because its file cannot be opened."""
     first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     with monkeypatch.context() as patch:
         patch.setattr(builtins, "open", raising(OSError(errno.EMFILE, "Too many open files")))
@@ -253,7 +271,10 @@
 def test_settings_copy_is_retried_until_written(
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The reload behind it reads this file."""
+    """Guards against a reload of outdated settings.
+
+    The reload that follows the write reads this file.
+    """
     monkeypatch.setattr(settings_sync, "WRITE_RETRY_S", 0.01)
     module, name = CALLS[call]
     original, failures_left = getattr(module, name), [2]
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, and what discovery and other balancers tell."""
+"""Tests of connections to upstreams, of discovery and of gossip between balancers."""
 
 from __future__ import annotations
 
@@ -32,6 +32,8 @@
 
 
 def test_idle_connections_are_reused_unless_closed_by_upstream(recorder: EventRecorder) -> None:
+    """Guards against attempts that fail because they use a connection closed by the upstream."""
+
     async def test() -> None:
         async with running_balancer() as harness:
             upstream = harness.upstreams[0]
@@ -48,6 +50,8 @@
 
 
 def test_idle_connections_are_closed_after_idle_timeout() -> None:
+    """Guards against a race with the upstream, which closes connections after `conn_idle_ns`."""
+
     async def test() -> None:
         limits = replace(SETTINGS.limits, conn_idle_ns=SECOND // 5)
         async with running_balancer(settings=replace(SETTINGS, limits=limits)) as harness:
@@ -59,10 +63,12 @@
 
 @pytest.mark.parametrize("change", ["drain", "restart", "gone"])
 def test_idle_connections_close_when_upstream_drains_restarts_or_is_removed(change: str) -> None:
+    """Guards against requests on connections to an upstream that drains, restarted or is gone."""
+
     async def test() -> None:
         async with running_balancer(2) as harness:
             upstream, other = harness.upstreams
-            while not upstream.received_requests:  # the module picks at random
+            while not upstream.received_requests:  # the policy picks at random
                 assert (await harness.ask(f"r{len(other.received_requests)}")).status == 200
             row = {
                 "drain": upstream.row("Terminating"),
@@ -82,6 +88,11 @@
 def test_cached_list_survives_discovery_outage_and_missed_changes_follow(
     recorder: EventRecorder,
 ) -> None:
+    """Requests are served from the cached list while discovery is down.
+
+    When discovery returns, only the changes since that list are loaded, not the full list.
+    """
+
     async def test() -> None:
         async with running_balancer(2) as harness:
             await harness.wait_for_endpoint_list()
@@ -91,9 +102,10 @@
             assert (await harness.ask("r1")).status == 200
             harness.discovery.change(removed.row("Gone"))
             call_count = len(harness.discovery.received_requests)
+            # Wait for two retries.
             await harness.discovery.until(
                 lambda: len(harness.discovery.received_requests) > call_count + 1
-            )  # it tries again, and again
+            )
             harness.discovery.down = False
             await harness.wait_for_endpoint_list()
             first, last = recorder.of_type(api.EndpointsUpdated)
@@ -113,6 +125,10 @@
 def test_silent_watch_times_out_and_missed_change_is_polled(
     push: bool, monkeypatch: pytest.MonkeyPatch, recorder: EventRecorder
 ) -> None:
+    """Guards against waiting on a silent watch until a change that it hides is in force.
+
+    The poll times out first, and the next one requests the missed changes without a backoff.
+    """
     longest_hold_ms = discovery_watch.PollSchedule.for_fleet(1).max_hold_ms
     assert longest_hold_ms / 1000 + discovery_watch.ANSWER_GRACE_S < 6
     monkeypatch.setattr(discovery_watch, "MIN_MEAN_HOLD_MS", 100)
@@ -123,9 +139,8 @@
 
     async def test() -> None:
         async with running_balancer(2, settings=replace(SETTINGS, discovery_push=push)) as harness:
-            harness.discovery.max_answered_wait_ms = (
-                60  # a held watch hears nothing, nor of what changes
-            )
+            # Polls with a longer hold are never answered, not even after a change.
+            harness.discovery.max_answered_wait_ms = 60
             await harness.discovery.until(
                 lambda: any(
                     int(m.start_line[1].rpartition("=")[2]) > 60
@@ -143,7 +158,7 @@
             )
             assert api.EndpointListKind.FAILED not in [
                 e.kind for e in recorder.of_type(api.EndpointsUpdated)
-            ]  # no pause before it
+            ]  # the change is polled without a backoff
             assert all("from=" in m.start_line[1] for m in harness.discovery.received_requests)
             assert (await harness.ask("r1")).body == remaining.name.encode()
 
@@ -154,8 +169,10 @@
 def test_no_attempts_start_once_endpoint_list_is_stale(
     push: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What a silent watch hid counts as told by then: one of the upstreams may drain, and none
-    tells.
+    """Guards against attempts that are based on a stale endpoint list.
+
+    A change hidden by a silent watch is in force after its deadline: an upstream may then be
+    draining without the balancer having been informed.
     """
     for name, value in (
         ("MIN_MEAN_HOLD_MS", 100),
@@ -196,8 +213,10 @@
 def test_known_list_is_updated_by_changes_after_rejected_polls(
     recorder: EventRecorder,
 ) -> None:
-    """Forty balancers that each ask for sixty lines at a start, and again after each 503, leave
-    discovery no time: seen in a release, where none of them heard of a change for ten seconds.
+    """Guards against requests for the full list after rejected polls.
+
+    Forty balancers that each request sixty rows at startup, and again after each 503, overload
+    discovery: in one release, none of them received a change for ten seconds.
     """
 
     async def test() -> None:
@@ -205,7 +224,7 @@
             await harness.wait_for_endpoint_list()
             harness.discovery.busy = True
             removed, remaining = harness.upstreams
-            harness.discovery.change(remaining.row())  # ends the call that waits
+            harness.discovery.change(remaining.row())  # completes the poll in flight
             call_count = len(harness.discovery.received_requests)
             await harness.discovery.until(
                 lambda: len(harness.discovery.received_requests) > call_count + 1
@@ -224,6 +243,8 @@
 
 
 def test_poll_rate_of_fleet_grows_slower_than_fleet(recorder: EventRecorder) -> None:
+    """Guards against a poll rate that overloads discovery in a large fleet."""
+
     async def test() -> None:
         for balancers, max_calls_per_s in ((1, 0.3), (4, 1.1), (40, 4.1), (400, 21.0)):
             driver = Driver(
@@ -235,7 +256,7 @@
             assert balancers / (discovery_client.watch.mean_hold_ms / 1000) < max_calls_per_s
             assert (
                 discovery_client.watch.schedule.pause_s < 0.2
-            )  # a watch that pauses longer has ended
+            )  # a longer pause begins a new watch
 
     run(test())
 
@@ -243,6 +264,8 @@
 def test_failed_list_request_is_reported_and_policy_retries(
     recorder: EventRecorder,
 ) -> None:
+    """Without push, the policy requests lists: it is notified of a failure, and retries."""
+
     async def test() -> None:
         settings = replace(
             SETTINGS, discovery_push=False, rules=api.TrafficRules(list_expiry_ns=SECOND // 2)
@@ -263,6 +286,7 @@
 
 
 def test_endpoint_list_entry_is_parsed_and_malformed_ones_rejected() -> None:
+    """Guards against invalid numbers, addresses and states from discovery."""
     now_ms = time.time_ns() // 1_000_000
     row = {
         "id": "s-5be2a07c",
@@ -272,11 +296,11 @@
     }
     first, second = read_endpoint(row), read_endpoint(row)
     assert first == second and (first.host, first.port) == ("127.0.0.9", 8000)
-    # The module's clock is monotonic: five seconds ago by it, too.
+    # The start time is converted to the monotonic clock: it is five seconds ago there, too.
     now = time.monotonic_ns()
     assert abs(now - StartTimes().started_ns(1, first.started_ms, now) - 5 * SECOND) < SECOND
     assert StartTimes().started_ns(1, read_endpoint({**row, "started_ms": 0}).started_ms, now) == 0
-    # Balancers must compute the same number, now and in any later version.
+    # All balancers, of this and any later version, must derive the same number from an id.
     assert upstream_number("s-5be2a07c") == first.entry.id == 9587356208999800076
     non_finite = [
         {**row, key: value}
@@ -298,6 +322,8 @@
 
 
 def test_gossip_from_strangers_and_oversized_gossip_is_ignored(recorder: EventRecorder) -> None:
+    """Only datagrams of limited size from configured peers reach the policy."""
+
     async def test() -> None:
         with (
             socket.socket(type=socket.SOCK_DGRAM) as peer,
@@ -325,6 +351,8 @@
 
 
 def test_gossip_is_sent_to_one_peer_or_broadcast(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A `SendGossip` action without a peer index goes to the broadcast address."""
+
     class GossipingBalancer(Balancer):
         def handle(self, now: int, events: object) -> list[api.Action]:
             return [api.SendGossip(b"one", 0), api.SendGossip(b"all")]
@@ -354,6 +382,8 @@
 def test_watch_continues_after_unexpected_exception(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """Guards against an exception that ends the discovery task, and with it all updates."""
+
     async def test() -> None:
         async with running_balancer(2) as harness:
             await harness.wait_for_endpoint_list()
@@ -367,7 +397,7 @@
             harness.discovery.change(removed.row("Gone"))
             await (
                 harness.wait_for_endpoint_list()
-            )  # it has come back, and begun with the whole list
+            )  # the watch has recovered, starting with the full list
             assert (await harness.ask("r1")).body == remaining.name.encode()
         assert "ZeroDivisionError" in caplog.text
 
@@ -375,6 +405,7 @@
 
 
 def test_upstream_churn_leaks_no_state(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against per-upstream state and connections that outlive the upstream."""
     drivers: list[Driver] = []
 
     def record_driver(*args: Any) -> Driver:
@@ -386,9 +417,8 @@
     async def test() -> None:
         async with running_balancer() as harness:
             upstream = harness.upstreams[0]
-            for request_number in range(
-                30
-            ):  # ever new ids at one address, each with its own connections
+            # A new id at the same address each time, with connections of its own.
+            for request_number in range(30):
                 assert (await harness.ask(f"r{request_number}", obj=request_number)).status == 200
                 old_row, upstream.name = upstream.row("Gone"), f"new-{request_number}"
                 await harness.update_endpoints(old_row, upstream.row())
@@ -403,6 +433,8 @@
 
 
 def test_attempt_without_free_connection_is_reported_as_not_sent() -> None:
+    """Guards against penalizing an upstream because the balancer is out of connections."""
+
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         upstream.script = [never_respond]
