--- a/tests/proxy/test_body_stream.py
+++ b/tests/proxy/test_body_stream.py
@@ -414,9 +414,8 @@
                 client.writer.write(
                     post_head(name, f"Content-Length: {len(LARGE_BODY)}") + LARGE_BODY[:100_000]
                 )
-            for offset in range(
-                100_000, len(LARGE_BODY), 20_000
-            ):  # in total longer than either limit
+            # Takes longer in total than either limit.
+            for offset in range(100_000, len(LARGE_BODY), 20_000):
                 await asyncio.sleep(0.1)
                 slow_client.writer.write(LARGE_BODY[offset : offset + 20_000])
             assert (await read_message(slow_client.reader)).status == 200
--- a/tests/proxy/test_frontend.py
+++ b/tests/proxy/test_frontend.py
@@ -528,9 +528,8 @@
                 for client in idle_since:
                     idle_since[client] -= 60.0
                 client_frontend._sweep()
-                assert (
-                    await loop.sock_recv(reused, 4096) == b""
-                )  # no request is unread: it is closed
+                # No request is unread, so the connection is closed.
+                assert await loop.sock_recv(reused, 4096) == b""
 
     run(test())
 
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -417,9 +417,8 @@
                 active_client = await connect(address)
                 assert (await active_client.ask("r1")).body == b"s-0"
                 await discovery.start()
-                await discovery.until(
-                    lambda: len(discovery.received_requests) > 1
-                )  # the first answer contained the change
+                # The first answer contains the change.
+                await discovery.until(lambda: len(discovery.received_requests) > 1)
                 active_client = await connect(address)
                 assert (await active_client.ask("r2")).body == b"s-1"
                 assert (await call_admin_api(admin_address, "/-/ready", "GET")) == 200
--- a/tests/proxy/test_state_folder.py
+++ b/tests/proxy/test_state_folder.py
@@ -65,10 +65,11 @@
             for _ in range(2):
                 with pytest.raises(CallDeclinedError):
                     await disabled.disable("s-1")
+        # Applied in this process nevertheless.
         assert disable_recorder.changes == [
             ("s-0", True),
             ("s-1", True),
-        ]  # applied in this process nevertheless
+        ]
         await disabled.disable("s-1")
         assert saved_names(tmp_path) == ["s-0", "s-1"]
         registry.close()
--- a/tests/proxy/test_upstreams.py
+++ b/tests/proxy/test_upstreams.py
@@ -156,9 +156,10 @@
                     for e in recorder.of_type(api.EndpointsUpdated)
                 )
             )
+            # The change is polled for without a backoff.
             assert api.EndpointListKind.FAILED not in [
                 e.kind for e in recorder.of_type(api.EndpointsUpdated)
-            ]  # the change is polled without a backoff
+            ]
             assert all("from=" in m.start_line[1] for m in harness.discovery.received_requests)
             assert (await harness.ask("r1")).body == remaining.name.encode()
 
@@ -254,9 +255,8 @@
             )
             discovery_client = discovery.Discovery(driver, ("127.0.0.1", 1), 1)
             assert balancers / (discovery_client.watch.mean_hold_ms / 1000) < max_calls_per_s
-            assert (
-                discovery_client.watch.schedule.pause_s < 0.2
-            )  # a longer pause begins a new watch
+            # A longer pause begins a new watch.
+            assert discovery_client.watch.schedule.pause_s < 0.2
 
     run(test())
 
@@ -395,9 +395,8 @@
             monkeypatch.setattr(policy_driver.Driver, "learn", raise_once)
             removed, remaining = harness.upstreams
             harness.discovery.change(removed.row("Gone"))
-            await (
-                harness.wait_for_endpoint_list()
-            )  # the watch has recovered, starting with the full list
+            # The watch has recovered, starting with the full list.
+            await harness.wait_for_endpoint_list()
             assert (await harness.ask("r1")).body == remaining.name.encode()
         assert "ZeroDivisionError" in caplog.text
 
