--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, SIGTERM, exit codes."""
+"""Tests of the program as the platform starts it: configuration, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
 
 
 def config(**changes: Any) -> dict[str, Any]:
+    """Return a valid configuration with these changes."""
     return {
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": f"127.0.0.1:{free_port()}",
@@ -54,7 +55,7 @@
         json.dumps(config(limits={"sockets": 3})),
         json.dumps(config(mgmt="nowhere")),
         json.dumps(config(mgmt=7)),
-        json.dumps((told := config()) | {"mgmt": told["listen"]}),
+        json.dumps((configuration := config()) | {"mgmt": configuration["listen"]}),
         json.dumps(config(known={"version": 1})),
     ],
     ids=[
@@ -68,15 +69,18 @@
         "too few sockets",
         "bad admin address",
         "admin address of a wrong type",
-        "one address twice",
+        "duplicate address",
         "bad known list",
     ],
 )
-def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
+def test_invalid_configuration_prints_one_line_and_exits_with_2(
+    tmp_path: Path, text: str | None
+) -> None:
+    """Guards against tracebacks, and against a start with an invalid configuration."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
         text=True,
@@ -84,15 +88,16 @@
         env={**os.environ, "BALANCER_CONFIG": str(path)},
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stderr.startswith("loadbalancer: ") and done.stderr.count("\n") == 1
+    assert completed.returncode == 2
+    assert completed.stderr.startswith("loadbalancer: ") and completed.stderr.count("\n") == 1
 
 
-def test_no_configuration() -> None:
+def test_unset_configuration_variable_exits_with_2() -> None:
+    """Guards against a traceback if BALANCER_CONFIG is not set."""
     environ = {
         name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")
     }
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "loadbalancer"],
         capture_output=True,
         text=True,
@@ -100,22 +105,29 @@
         env=environ,
         check=False,
     )
-    assert (done.returncode, done.stderr) == (2, "loadbalancer: BALANCER_CONFIG is not set\n")
+    assert (completed.returncode, completed.stderr) == (
+        2,
+        "loadbalancer: BALANCER_CONFIG is not set\n",
+    )
 
 
 @asynccontextmanager
-async def program(
-    path: Path, told: dict[str, Any], prepare: Callable[[], None] | None = None, **environ: str
+async def running_program(
+    path: Path,
+    configuration: dict[str, Any],
+    preexec: Callable[[], None] | None = None,
+    **environ: str,
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    path.write_text(json.dumps(told))
-    given = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
+    """Run the program with this configuration and environment; `preexec` runs in the child."""
+    path.write_text(json.dumps(configuration))
+    base_environ = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "loadbalancer",
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=prepare,
-        env={**given, "BALANCER_CONFIG": str(path), **environ},
+        preexec_fn=preexec,
+        env={**base_environ, "BALANCER_CONFIG": str(path), **environ},
     )
     try:
         yield process
@@ -125,41 +137,48 @@
             await process.wait()
 
 
-def listen_address(told: dict[str, Any]) -> tuple[str, int]:
-    return "127.0.0.1", int(told["listen"].rpartition(":")[2])
+def listen_address(configuration: dict[str, Any]) -> tuple[str, int]:
+    """Return the address for clients in a configuration."""
+    return "127.0.0.1", int(configuration["listen"].rpartition(":")[2])
+
 
+def test_sigterm_drains_open_and_late_requests(tmp_path: Path) -> None:
+    """Guards against losing requests at shutdown.
+
+    Open requests are completed, and requests that arrive during the drain are served, on new and on
+    idle connections. Each response closes its connection.
+    """
 
-def test_sigterm_answers_what_is_open_and_what_still_comes(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         await upstream.start()
         discovery = FakeDiscovery([upstream.row()])
         await discovery.start()
-        go_on = asyncio.Event()
+        may_respond = asyncio.Event()
 
         async def slow() -> bytes:
-            await go_on.wait()
+            await may_respond.wait()
             return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
         upstream.script = [slow]
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
-        async with program(tmp_path / "config.json", told) as process:
-            address = listen_address(told)
-            # It has seen discovery: so it listens, or is about to.
+        configuration = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
+        async with running_program(tmp_path / "config.json", configuration) as process:
+            address = listen_address(configuration)
+            # After its first poll for changes, the program listens or is about to.
             await discovery.until(
                 lambda: any("from=" in m.start_line[1] for m in discovery.received_requests)
             )
-            open_one, kept = await connect(address), await connect(address)
-            assert (await kept.ask("r", path="/ready")).status == 200
-            open_one.send("r1")
+            waiting_client, idle_client = await connect(address), await connect(address)
+            assert (await idle_client.ask("r", path="/ready")).status == 200
+            waiting_client.send("r1")
             await upstream.until(lambda: len(upstream.received_requests) == 1)
             process.send_signal(signal.SIGTERM)
-            late = await (await connect(address)).ask("r2")  # new connections go on coming
-            check_closing(late, b"s-0")
-            ready = await kept.ask("r", path="/ready")  # and old ones are used
+            late_response = await (await connect(address)).ask("r2")  # still accepted
+            assert_last_response(late_response, b"s-0")
+            ready = await idle_client.ask("r", path="/ready")  # idle connections stay usable
             assert (ready.status, ready.headers["connection"]) == (503, "close")
-            go_on.set()
-            check_closing(await read_message(open_one.reader), b"slow")
+            may_respond.set()
+            assert_last_response(await read_message(waiting_client.reader), b"slow")
             assert await process.wait() == 0
             assert process.stderr is not None and await process.stderr.read() == b""
         upstream.stop()
@@ -168,24 +187,27 @@
     run(test())
 
 
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
-def test_a_signal_that_comes_as_the_process_ends_does_not_change_its_status(
-    tmp_path: Path, number: signal.Signals
+@pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGHUP])
+def test_signal_during_exit_does_not_change_exit_status(
+    tmp_path: Path, signal_number: signal.Signals
 ) -> None:
-    """Behind the loop's end no handler was left: status -15, which looks like a crash."""
+    """Guards against exit status -15, which looks like a crash.
+
+    After the event loop was closed, no handler for the signal was installed any more.
+    """
 
     async def test() -> None:
         discovery = FakeDiscovery([])
         await discovery.start()
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
-        async with program(tmp_path / "config.json", told) as process:
+        configuration = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
+        async with running_program(tmp_path / "config.json", configuration) as process:
             await discovery.until(
                 lambda: any("from=" in m.start_line[1] for m in discovery.received_requests)
             )
             process.send_signal(signal.SIGTERM)
             while process.returncode is None:
                 with suppress(ProcessLookupError):
-                    process.send_signal(number)
+                    process.send_signal(signal_number)
                 await asyncio.sleep(0.001)
             assert process.returncode == 0
         discovery.stop()
@@ -193,69 +215,83 @@
     run(test())
 
 
-@pytest.mark.parametrize("old", ["holds a watch", "holds its first call", "refuses"])
-def test_sighup_moves_to_another_discovery(tmp_path: Path, old: str) -> None:
+@pytest.mark.parametrize(
+    "old_behavior", ["holds a watch", "holds the first poll", "refuses connections"]
+)
+def test_sighup_switches_to_another_discovery(tmp_path: Path, old_behavior: str) -> None:
+    """The list of the new discovery replaces the old one, whatever the old discovery does.
+
+    An invalid configuration file is ignored, and a SIGHUP during the drain has no effect on it.
+    """
+
     async def test() -> None:
         first, second = FakeUpstream("s-0"), FakeUpstream("s-1")
         await first.start()
         await second.start()
-        before, after = FakeDiscovery([first.row()]), FakeDiscovery([second.row()])
-        before.version = 41  # the new one counts from lower
-        before.silent = old == "holds its first call"
-        if old != "refuses":
-            await before.start()
-        await after.start()
-        told = config(known=before.full_list())
-        if old != "refuses":
-            told["discovery"] = f"127.0.0.1:{before.port}"
+        old_discovery, new_discovery = FakeDiscovery([first.row()]), FakeDiscovery([second.row()])
+        old_discovery.version = 41  # the versions of the new discovery are lower
+        old_discovery.silent = old_behavior == "holds the first poll"
+        if old_behavior != "refuses connections":
+            await old_discovery.start()
+        await new_discovery.start()
+        configuration = config(known=old_discovery.full_list())
+        if old_behavior != "refuses connections":
+            configuration["discovery"] = f"127.0.0.1:{old_discovery.port}"
         path = tmp_path / "config.json"
-        async with program(path, told) as process:
+        async with running_program(path, configuration) as process:
             assert process.stderr is not None
-            address = listen_address(told)
-            if old == "refuses":
+            address = listen_address(configuration)
+            if old_behavior == "refuses connections":
                 assert b"no connection" in await process.stderr.readline()
             else:
-                target = "from=41&" if old == "holds a watch" else "/v1/endpoints"
-                await before.until(
-                    lambda: any(target in m.start_line[1] for m in before.received_requests)
+                target = "from=41&" if old_behavior == "holds a watch" else "/v1/endpoints"
+                await old_discovery.until(
+                    lambda: any(target in m.start_line[1] for m in old_discovery.received_requests)
                 )
             assert (await (await connect(address)).ask("r1")).body == b"s-0"
-            # A file that can't be used changes nothing, and costs a line.
+            # An invalid file changes nothing, and one line is logged.
             path.write_text("{not json")
             process.send_signal(signal.SIGHUP)
             while b"not reloaded" not in (line := await process.stderr.readline()):
                 assert line
             assert (await (await connect(address)).ask("r2")).body == b"s-0"
-            path.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{after.port}"}))
+            path.write_text(
+                json.dumps({**configuration, "discovery": f"127.0.0.1:{new_discovery.port}"})
+            )
             process.send_signal(signal.SIGHUP)
             await asyncio.wait_for(
-                after.until(
-                    lambda: any("from=1&" in m.start_line[1] for m in after.received_requests)
+                new_discovery.until(
+                    lambda: any(
+                        "from=1&" in m.start_line[1] for m in new_discovery.received_requests
+                    )
                 ),
                 4,
             )
             assert (await (await connect(address)).ask("r3")).body == b"s-1"
             process.send_signal(signal.SIGTERM)
-            late = await connect(address)
-            process.send_signal(signal.SIGHUP)  # it neither ends the drain nor starts it over
-            check_closing(await late.ask("r4"), b"s-1")
+            late_client = await connect(address)
+            process.send_signal(signal.SIGHUP)  # neither aborts nor restarts the drain
+            assert_last_response(await late_client.ask("r4"), b"s-1")
             assert await process.wait() == 0
-        for server in (first, second, before, after):
+        for server in (first, second, old_discovery, new_discovery):
             server.stop()
 
     run(test())
 
 
-async def manage(address: str, path: str, method: str = "POST") -> int:
+async def call_admin_api(address: str, path: str, method: str = "POST") -> int:
+    """Call the admin API on a new connection, and return the status."""
     client = await connect(("127.0.0.1", int(address.rpartition(":")[2])))
-    got = await client.send_raw(f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n".encode())
+    response = await client.send_raw(f"{method} {path} HTTP/1.1\r\nHost: mgmt\r\n\r\n".encode())
     client.close()
-    return got.status
+    return response.status
 
 
-def test_a_process_is_replaced_under_load_and_nothing_is_lost(tmp_path: Path) -> None:
-    """Every request comes on a connection of its own; the bans hold in both processes and over the
-    change.
+def test_process_replacement_under_load_loses_no_request(tmp_path: Path) -> None:
+    """Guards against lost requests and lost disabled upstreams when a process replaces another.
+
+    Each request uses a new connection. Both processes apply the disabled set, which must survive
+    the replacement.
     """
 
     async def test() -> None:
@@ -264,45 +300,54 @@
             await upstream.start()
         discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
         await discovery.start()
-        told = config(
+        configuration = config(
             discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list(), name="n3"
         )
-        address = listen_address(told)
-        first, second = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
-        asked = 0
+        address = listen_address(configuration)
+        first_admin_address, second_admin_address = (
+            f"127.0.0.1:{free_port()}",
+            f"127.0.0.1:{free_port()}",
+        )
+        request_count = 0
         stop = asyncio.Event()
 
         async def load(number: int) -> None:
-            nonlocal asked
+            nonlocal request_count
             while not stop.is_set():
-                asked += 1
+                request_count += 1
                 client = await Client.connect(address)
-                got = await client.ask(f"r{number}-{asked}")
-                assert (got.status, got.body) == (200, b"s-0")
+                response = await client.ask(f"r{number}-{request_count}")
+                assert (response.status, response.body) == (200, b"s-0")
                 client.close()
 
-        async with program(
-            tmp_path / "1.json", told, TMPDIR=str(tmp_path), BALANCER_MGMT=first
+        async with running_program(
+            tmp_path / "1.json",
+            configuration,
+            TMPDIR=str(tmp_path),
+            BALANCER_MGMT=first_admin_address,
         ) as old:
-            assert await manage(first, "/-/upstreams/s-1/disable") == 200
-            while await manage(first, "/-/ready", "GET") != 200:
+            assert await call_admin_api(first_admin_address, "/-/upstreams/s-1/disable") == 200
+            while await call_admin_api(first_admin_address, "/-/ready", "GET") != 200:
                 await asyncio.sleep(0.01)
             clients = [asyncio.create_task(load(n)) for n in range(4)]
-            async with program(
-                tmp_path / "2.json", told, TMPDIR=str(tmp_path), BALANCER_MGMT=second
+            async with running_program(
+                tmp_path / "2.json",
+                configuration,
+                TMPDIR=str(tmp_path),
+                BALANCER_MGMT=second_admin_address,
             ) as new:
-                while await manage(second, "/-/ready", "GET") != 200:
+                while await call_admin_api(second_admin_address, "/-/ready", "GET") != 200:
                     await asyncio.sleep(0.01)
-                assert await manage(second, "/-/upstreams/s-1/disable") == 200
+                assert await call_admin_api(second_admin_address, "/-/upstreams/s-1/disable") == 200
                 old.send_signal(signal.SIGTERM)
                 assert await old.wait() == 0
-                before = asked
-                while asked < before + 50:
+                requests_before = request_count
+                while request_count < requests_before + 50:
                     await asyncio.sleep(0.01)
                 stop.set()
                 await asyncio.gather(*clients)
                 assert not upstreams[1].received_requests
-                assert await manage(second, "/-/upstreams/s-1/enable") == 200
+                assert await call_admin_api(second_admin_address, "/-/upstreams/s-1/enable") == 200
                 new.send_signal(signal.SIGTERM)
                 assert await new.wait() == 0
         for server in (*upstreams, discovery):
@@ -311,19 +356,21 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["silent", "down", "busy"])
-def test_a_restarted_process_is_ready_by_the_list_it_had_whatever_discovery_does(
-    tmp_path: Path, how: str
+@pytest.mark.parametrize("discovery_fault", ["silent", "down", "busy"])
+def test_restarted_process_serves_from_cached_list_during_discovery_fault(
+    tmp_path: Path, discovery_fault: str
 ) -> None:
+    """Guards against a start that waits for discovery although a list is cached."""
+
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         await upstream.start()
         discovery = FakeDiscovery([upstream.row()])
         await discovery.start()
-        setattr(discovery, how, True)
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
-        async with program(tmp_path / "config.json", told):
-            client = await connect(listen_address(told))
+        setattr(discovery, discovery_fault, True)
+        configuration = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.full_list())
+        async with running_program(tmp_path / "config.json", configuration):
+            client = await connect(listen_address(configuration))
             assert (await client.ask("r", path="/ready")).status == 200
             assert (await client.ask("r1")).status == 200
         upstream.stop()
@@ -332,9 +379,10 @@
     run(test())
 
 
-def test_idle_clients_fill_their_places_alone_while_discovery_is_down(tmp_path: Path) -> None:
-    """Attempts, the operators' door and discovery keep descriptors of their own, in the system's
-    limit.
+def test_idle_clients_cannot_exhaust_file_descriptors(tmp_path: Path) -> None:
+    """Guards against idle clients that use up all descriptors.
+
+    Attempts, the admin API and discovery have reserved descriptors within RLIMIT_NOFILE.
     """
     sockets = 96
 
@@ -344,35 +392,36 @@
             await upstream.start()
         discovery = FakeDiscovery([upstreams[0].row()])
         discovery.change(upstreams[0].row("Gone"), upstreams[1].row())
-        discovery.port = free_port()  # nobody listens there yet
+        discovery.port = free_port()  # no server listens on it yet
         known = {"version": 0, "full": True, "servers": [upstreams[0].row()]}
-        door = f"127.0.0.1:{free_port()}"
-        told = config(
+        admin_address = f"127.0.0.1:{free_port()}"
+        configuration = config(
             discovery=f"127.0.0.1:{discovery.port}", known=known, limits={"sockets": sockets}
         )
-        address = listen_address(told)
+        address = listen_address(configuration)
 
-        def prepare() -> None:
+        def preexec() -> None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
 
-        async with program(tmp_path / "config.json", told, prepare, BALANCER_MGMT=door) as process:
+        async with running_program(
+            tmp_path / "config.json", configuration, preexec, BALANCER_MGMT=admin_address
+        ) as process:
             first = await connect(address)
             assert (await first.ask("r0")).body == b"s-0"
-            with ExitStack() as held:
+            with ExitStack() as idle_sockets:
                 for _ in range(3 * sockets):
-                    idle = held.enter_context(socket.socket())
+                    idle = idle_sockets.enter_context(socket.socket())
                     idle.setblocking(False)
-                    idle.connect_ex(address)  # at once, or it waits in the backlog
-                assert (await manage(door, "/-/ready", "GET")) == 200
-                asking = await connect(address)
-                assert (await asking.ask("r1")).body == b"s-0"
+                    idle.connect_ex(address)  # accepted, or waits in the accept queue
+                assert (await call_admin_api(admin_address, "/-/ready", "GET")) == 200
+                active_client = await connect(address)
+                assert (await active_client.ask("r1")).body == b"s-0"
                 await discovery.start()
-                await discovery.until(
-                    lambda: len(discovery.received_requests) > 1
-                )  # the first has told what changed
-                asking = await connect(address)
-                assert (await asking.ask("r2")).body == b"s-1"
-                assert (await manage(door, "/-/ready", "GET")) == 200
+                # The first answer contains the change.
+                await discovery.until(lambda: len(discovery.received_requests) > 1)
+                active_client = await connect(address)
+                assert (await active_client.ask("r2")).body == b"s-1"
+                assert (await call_admin_api(admin_address, "/-/ready", "GET")) == 200
             process.kill()
             assert process.stderr is not None
             log = (await process.stderr.read()).decode()
@@ -383,11 +432,13 @@
     run(test())
 
 
-def check_closing(message: Message, body: bytes) -> None:
+def assert_last_response(message: Message, body: bytes) -> None:
+    """Assert that a response succeeded and closes its connection."""
     assert (message.status, message.body, message.headers["connection"]) == (200, body, "close")
 
 
 async def connect(address: tuple[str, int]) -> Client:
+    """Connect to the program, retrying until it listens."""
     while True:
         try:
             return await Client.connect(address)
