--- a/loadbalancer/daemon/endpoint_follower.py
+++ b/loadbalancer/daemon/endpoint_follower.py
@@ -251,9 +251,9 @@
             if self.source.is_polling is not was_polling:
                 was_polling = self.source.is_polling
                 log.info(
-                    "endpoint list leader is silent, polling discovery"
+                    "endpoint list leader silent, polling discovery"
                     if was_polling
-                    else "endpoint list leader is active again"
+                    else "endpoint list leader active again"
                 )
             wait_s = (self.source.wake_ns - boot_clock_ns()) / NS_PER_S
             await asyncio.sleep(min(MAX_POLL_CHECK_S, max(MIN_POLL_CHECK_S, wait_s)))
--- a/loadbalancer/daemon/site_agent.py
+++ b/loadbalancer/daemon/site_agent.py
@@ -120,9 +120,9 @@
             and self.observer.confirmed_ns is not None
         ):
             log.info(
-                "following the leader's site plan"
+                "site plan of the leader followed"
                 if is_following_plan
-                else "leader's site plan is too old or for other sites, using local evidence"
+                else "site plan of the leader old or for other sites, using local evidence"
             )
         self.is_following_plan = is_following_plan
 
