--- a/loadbalancer/store/__init__.py
+++ b/loadbalancer/store/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated store: consensus (pure), log, state, nodes, client."""
+"""The replicated store: consensus (without I/O), log, state, nodes and client."""
--- a/loadbalancer/store/administration.py
+++ b/loadbalancer/store/administration.py
@@ -1,4 +1,4 @@
-"""Changes of membership and leadership, and snapshots on request."""
+"""Administrative requests: membership changes, leadership transfers and snapshots."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class Administration:
-    """Carries out `Administer` requests.
+    """Executes `Administer` requests.
 
     Args:
         runtime: The node's threads and tasks.
         state_worker: Syncs the state after a snapshot.
-        members_changed: Called after a change was proposed.
+        members_changed: Called after a membership change was proposed.
     """
 
     def __init__(
@@ -38,15 +38,16 @@
         self._members_changed = members_changed
 
     async def execute(self, request: Administer) -> str:
-        """Carries out a request; returns what was done.
+        """Execute a request and return a one-line description of the result.
 
         Raises:
-            BusyError: Another change is under way, or the new leader did not take over.
-            DeadlineExceededError: The time limit passed.
-            Full: The disk is full.
-            NotLeaderError: This node does not lead.
-            OutcomeUnknownError: Leadership was lost meanwhile.
-            MembershipError: The change is not valid.
+            BusyError: Another membership change is in progress, or the target node did not become
+                the leader.
+            DeadlineExceededError: The request's deadline passed.
+            DiskFullError: The disk is full.
+            NotLeaderError: This node is not the leader.
+            OutcomeUnknownError: This node lost leadership before the change was applied.
+            MembershipError: The membership change is not valid.
         """
         if request.action == AdminAction.SNAPSHOT:
             return await self._export_snapshot()
--- a/loadbalancer/store/backoff.py
+++ b/loadbalancer/store/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with jitter between two attempts."""
+"""Exponential backoff with jitter between two attempts of an operation."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from collections.abc import Callable
 from typing import Final
 
-MIN_JITTER: Final = 0.5  # of the delay; the rest is random
+MIN_JITTER: Final = 0.5  # smallest random factor that a delay is multiplied by
 
 
 class Backoff:
-    """Delays that double up to a limit.
+    """A series of delays that double up to a limit.
 
     Args:
         minimum_s: The first delay.
         maximum_s: The longest delay.
-        uniform: Draws a number between two bounds.
+        uniform: Returns a random number between two bounds.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         self._delay_s = minimum_s
 
     def reset(self) -> None:
-        """Starts over with the first delay."""
+        """Reset the delay to the minimum."""
         self._delay_s = self.minimum_s
 
     def next_delay_s(self) -> float:
-        """Returns the next delay, with jitter."""
+        """Return the next delay, with jitter."""
         delay_s = self._delay_s * self._uniform(MIN_JITTER, 1.0)
         self._delay_s = min(2 * self._delay_s, self.maximum_s)
         return delay_s
--- a/loadbalancer/store/change_notifier.py
+++ b/loadbalancer/store/change_notifier.py
@@ -1,4 +1,4 @@
-"""Notifies watches of changed keys."""
+"""Notifies watches when keys with their prefix change."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class ChangeNotifier:
-    """Callbacks by prefix of the keys that they are interested in."""
+    """Callbacks of watches, each registered for a key prefix."""
 
     def __init__(self) -> None:
         self._callbacks: dict[object, tuple[str, Callable[[], None]]] = {}
 
     def add(self, watch: object, prefix: str, callback: Callable[[], None]) -> None:
-        """Registers a watch's callback."""
+        """Register a watch's callback."""
         self._callbacks[watch] = (prefix, callback)
 
     def remove(self, watch: object) -> None:
-        """Removes a watch's callback, if it is registered."""
+        """Remove a watch's callback, if it is registered."""
         self._callbacks.pop(watch, None)
 
     def notify(self, keys: Collection[str]) -> None:
-        """Calls whoever watches one of the keys."""
-        if not keys:  # the renewal of a lease changes none
+        """Call each watch whose prefix matches one of the keys."""
+        if not keys:  # for example, a lease renewal changes no key
             return
         for prefix, callback in list(self._callbacks.values()):
             if any(key.startswith(prefix) for key in keys):
                 callback()
 
     def notify_all(self) -> None:
-        """Calls all: any key may have changed."""
+        """Call all watches, because any key may have changed."""
         for _, callback in list(self._callbacks.values()):
             callback()
--- a/loadbalancer/store/changefeed_client.py
+++ b/loadbalancer/store/changefeed_client.py
@@ -1,4 +1,7 @@
-"""A balancer's subscription over real connections: one node at a time, the next after a failure."""
+"""A balancer's change feed subscription over TCP, connected to one node at a time.
+
+After a failure it connects to the next node.
+"""
 
 from __future__ import annotations
 
@@ -37,8 +40,8 @@
 
 log = logging.getLogger(__name__)
 
-SUBSCRIPTION_ID: Final = 1  # on each connection
-MAX_UNREAD_BYTES: Final = 1 << 20  # of messages that a node has not read: then it is left
+SUBSCRIPTION_ID: Final = 1  # a connection has one subscription
+MAX_UNREAD_BYTES: Final = 1 << 20  # send buffer size above which the connection is closed
 
 
 class ChangefeedConnection(handshake.DialedConnection):
@@ -49,7 +52,7 @@
         self.client = client
 
     def payload_received(self, payload: bytes) -> None:
-        """Passes a message on; ends the connection if the node ended the subscription."""
+        """Deliver a message; fail the connection if the node ended the subscription."""
         reply = protocol.unpack_reply(payload)
         if isinstance(reply, ChangefeedMessage):
             self.client.message_received(self, reply)
@@ -57,22 +60,22 @@
             raise ProtocolError(reply.text)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Reports the end of the connection."""
+        """Report to the client that the connection was closed."""
         super().connection_lost(error)
         self.client.connection_ended(self)
 
 
 @dataclass(frozen=True, slots=True)
 class ChangefeedTarget:
-    """Where a subscription connects, and as whom.
+    """The nodes that a subscription connects to, and its identity.
 
     Attributes:
-        addresses: Nodes, HOST:PORT.
+        addresses: Addresses of nodes, HOST:PORT.
         tls: Returns the TLS context for a new connection.
         name: The balancer's name.
-        nearby_count: The first so many addresses are tried before the others.
-        address_map: For advertised addresses, where they are reached from here.
-        rng: For the order of the addresses and the jitter of the subscription.
+        nearby_count: How many addresses, from the first on, are tried before the others.
+        address_map: The address to connect to for an advertised address, where they differ.
+        rng: Random numbers for the order of the addresses and the jitter of the subscription.
     """
 
     addresses: Sequence[str]
@@ -84,19 +87,19 @@
 
 
 class ChangefeedClient:
-    """Carries out a subscription's actions.
+    """Executes the actions of a subscription.
 
     Args:
-        target: Where it connects; within near and far nodes in a random order.
-        scopes: The scopes that it subscribes to.
-        check: Returns what is wrong with a row. Called in the loop, takes no time.
-        apply: Puts rows in force. Called in the loop, takes no time.
+        target: The nodes to connect to. Nearby nodes and the other nodes are each shuffled.
+        scopes: The scopes to subscribe to.
+        check: Returns why a row is not valid. Called in the event loop; must not block.
+        apply: Applies rows. Called in the event loop; must not block.
         limits: The subscription's limits.
 
     Attributes:
-        subscription: What is known of the rows, and how old it is.
+        subscription: The protocol state: the received rows and their age.
         connection: The open connection.
-        address: The node that it is connected or connecting to.
+        address: The address of the node that the client is connected or connecting to.
 
     Raises:
         MalformedError: An address is not HOST:PORT.
@@ -131,13 +134,13 @@
         return self.target.rng.sample(addresses, len(addresses))
 
     def start(self) -> None:
-        """Begins to connect; within a running loop."""
+        """Start connecting; must be called within a running event loop."""
         self._loop = asyncio.get_running_loop()
         self._is_closed = False
         self._wake()
 
     def change_scopes(self, add: Collection[str], drop: Collection[str]) -> None:
-        """Subscribes to other scopes.
+        """Change the subscribed scopes.
 
         Raises:
             ValueError: A scope is not valid.
@@ -147,7 +150,7 @@
             self._wake()
 
     async def close(self) -> None:
-        """Closes the connection; nothing is applied from here on."""
+        """Close the connection; no more rows are applied."""
         self._is_closed = True
         self._timer.cancel()
         dialing = self._dialing
@@ -158,7 +161,7 @@
     # ---- actions of the subscription -------------------------------------------------------------
 
     def _wake(self) -> None:
-        """Carries out what is due at the end of this iteration of the event loop."""
+        """Schedule the due actions for the next iteration of the event loop."""
         if not self._is_woken and not self._is_closed:
             self._is_woken = True
             self._loop.call_soon(self._run)
@@ -176,7 +179,7 @@
         self._timer.schedule(self.subscription.wake_ns, now_ns)
 
     def _carry_out(self) -> list[bytes]:
-        """Carries out the due actions; returns the messages to send."""
+        """Execute the pending actions and return the messages to send."""
         messages: list[bytes] = []
         for action in self.subscription.take_actions():
             match action:
@@ -214,7 +217,7 @@
     # ---- connections -----------------------------------------------------------------------------
 
     async def _dial(self, attempt: int) -> None:
-        """Connects to the attempt's node; the subscription limits how long that may take."""
+        """Connect to the node for this attempt; the subscription enforces the connect timeout."""
         self.address = self._addresses[attempt % len(self._addresses)]
         connection = ChangefeedConnection(
             Hello(protocol.PROTOCOL_VERSION, "", 0, "", self.target.name), self
@@ -249,7 +252,7 @@
     def message_received(
         self, connection: ChangefeedConnection, message: ChangefeedMessage
     ) -> None:
-        """Handles a message of the node, unless its connection was left."""
+        """Handle a message from the node, unless its connection has been replaced."""
         if connection is self.connection:
             self.subscription.receive(
                 message.generation, message.sequence, message.message, time.monotonic_ns()
@@ -257,7 +260,7 @@
             self._wake()
 
     def connection_ended(self, connection: ChangefeedConnection) -> None:
-        """Handles the end of a connection, unless it was left."""
+        """Handle the loss of a connection, unless the connection has been replaced."""
         if connection is self.connection:
             self.connection = None
             self._connection_failed(f"{self.address}: {connection.close_reason}")
--- a/loadbalancer/store/changefeed_server.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -1,8 +1,9 @@
-"""A node's change feed: carries the fan-out's messages to subscribers, and changes to the fan-out.
+"""A node's change feed: passes applied changes to the fan-out and its messages to subscribers.
 
-Rows are read from the state once, off the event loop; from then on only what was applied is passed
-on. What arrives meanwhile is queued and carried out in order once the rows are loaded. After that a
-change costs one encoding per scope and one write per subscriber; the state is not read for it.
+The rows are read from the state once, outside the event loop. Operations that arrive during the
+load are queued and executed in order when the load is complete. After that the fan-out receives
+each applied change directly: a change costs one encoding per scope and one write per subscriber,
+and no read of the state.
 """
 
 from __future__ import annotations
@@ -35,13 +36,13 @@
 
 T = TypeVar("T")
 
-MIN_TIMER_NS: Final = 1_000_000  # between two runs that a timer begins
-MAX_LEADERLESS_MS: Final = 5_000  # after that this node's rows may be out of date
+MIN_TIMER_NS: Final = 1_000_000  # shortest delay of the timer, 1 ms
+MAX_LEADERLESS_MS: Final = 5_000  # without a leader for longer, this node's rows may be stale
 Operation = Callable[[Fanout, int], None]
 
 
 class ChangefeedHost(Protocol):
-    """What the change feed needs of its node."""
+    """The interface of a node that the change feed uses."""
 
     @property
     def replica(self) -> Replica:
@@ -52,36 +53,36 @@
         """Whether the node has stopped."""
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        """Starts a task."""
+        """Start a task."""
 
     async def query(self, read: Callable[[State], T]) -> T:
-        """Reads from the state as applied here."""
+        """Read from the state as applied here."""
 
 
 class Subscriber(Protocol):
     """A subscriber's connection."""
 
     def send_messages(self, sends: Sequence[Send]) -> None:
-        """Sends messages in one write."""
+        """Send messages in one write."""
 
     def end_subscription(self, reason: str) -> None:
-        """Ends the subscription and its connection."""
+        """End the subscription and its connection."""
 
 
 class ChangefeedServer:
     """The change feed of one node.
 
-    There is no fan-out until somebody subscribes or a row exists.
+    The fan-out is created when the first subscriber connects or the first row exists.
 
     Args:
-        cluster: The cluster's name, part of the cursors.
+        cluster: The cluster's name, which is part of the cursors.
         host: The node.
         limits: Limits of the fan-out.
 
     Attributes:
-        fanout: The rows and subscriptions, once they are loaded.
-        subscribers: Connections by their number.
-        failures: How often the feed started over after an unexpected error.
+        fanout: The rows and subscriptions; None until the rows are loaded.
+        subscribers: Connections by subscriber number.
+        failures: How often the feed was restarted after an unexpected error.
     """
 
     def __init__(self, cluster: str, host: ChangefeedHost, limits: FanoutLimits) -> None:
@@ -92,8 +93,9 @@
         self._host = host
         self._limits = limits
         self._last_number = 0
-        self._queued: list[Operation] | None = None  # while rows are loaded
-        self._is_isolated = False  # no leader has been known for long
+        # Operations that arrived while rows are loaded; None if no load is running.
+        self._queued: list[Operation] | None = None
+        self._is_isolated = False  # no leader has been known for `MAX_LEADERLESS_MS`
         self._must_reload = False  # a snapshot was installed while rows were loaded
         self._is_woken = False
         self._timer = WakeTimer(self._wake)
@@ -107,16 +109,16 @@
     # ---- the store -------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Loads the rows, if there are any; before anything is applied."""
+        """Start loading the rows, if any exist; must be called before entries are applied."""
         if self._host.replica.state.scan(PREFIX, "", 1):
             self._start_loading()
 
     def entries_applied(self, revision: int, events: Sequence[WatchEvent]) -> None:
-        """Passes on changes, in the iteration of the event loop in which they were applied."""
+        """Pass changes to the fan-out in the event-loop iteration in which they were applied."""
         if self.fanout is None and self._queued is None:
             if events:
                 self._start_loading()
-            return  # the changes are part of what is loaded
+            return  # the load that was just started includes these changes
         changes = _feed_changes(events)
 
         def apply(fanout: Fanout, now_ns: int) -> None:
@@ -126,17 +128,18 @@
         self._do(apply)
 
     def snapshot_installed(self) -> None:
-        """Loads the rows again: a snapshot replaced the state."""
+        """Reload the rows, because a snapshot replaced the state."""
         if self._queued is not None:
             self._must_reload = True
         elif self.fanout is not None:
             self._start_loading()
 
     def leader_checked(self, leaderless_ms: int) -> None:
-        """Ends all subscriptions, once, when no leader has been known for long.
+        """End all subscriptions once when no leader has been known for `MAX_LEADERLESS_MS`.
 
-        A node that is cut off would claim that there are no newer rows. Balancers that come back,
-        because they reach no other node, receive its rows but no bookmark.
+        Bookmarks from a node that is cut off from the cluster would falsely confirm that its rows
+        are current. Balancers that reconnect because they reach no other node receive the node's
+        rows but no bookmarks.
         """
         was_isolated = self._is_isolated
         self._is_isolated = leaderless_ms > MAX_LEADERLESS_MS
@@ -170,8 +173,8 @@
         fanout = self.fanout or Fanout(self._cluster, self._limits, time.monotonic_ns())
         while True:
             self._must_reload = False
-            # What is applied before the state is read is both among the rows and in the queue; the
-            # rest is in the queue only.
+            # Changes that are applied before the state is read are both in the rows and in the
+            # queue; later changes are only in the queue.
             loaded = await self._host.query(State.rows)
             await asyncio.get_running_loop().run_in_executor(None, _fill, fanout, loaded)
             if not self._must_reload:
@@ -192,7 +195,7 @@
     # ---- subscribers -----------------------------------------------------------------------------
 
     def add_subscriber(self, subscriber: Subscriber) -> int:
-        """Returns the number of a new subscriber, from 1 on."""
+        """Register a subscriber and return its number, starting at 1."""
         self._last_number += 1
         self.subscribers[self._last_number] = subscriber
         if self.fanout is None and self._queued is None:
@@ -200,7 +203,7 @@
         return self._last_number
 
     def message_received(self, number: int, message: bytes) -> None:
-        """Handles a subscriber's message."""
+        """Handle a subscriber's message."""
 
         def receive(fanout: Fanout, now_ns: int) -> None:
             try:
@@ -212,18 +215,18 @@
         self._do(receive)
 
     def set_writable(self, number: int, is_writable: bool) -> None:
-        """A subscriber reads what was sent, or does not."""
+        """Record whether a subscriber's connection accepts more data."""
         self._do(lambda fanout, now_ns: fanout.set_writable(number, is_writable, now_ns))
 
     def remove_subscriber(self, number: int) -> None:
-        """A subscriber's connection ended."""
+        """Remove a subscriber whose connection was closed."""
         if self.subscribers.pop(number, None) is not None:
             self._do(lambda fanout, now_ns: fanout.remove(number, now_ns))
 
     # ---- one iteration ---------------------------------------------------------------------------
 
     def _do(self, operation: Operation) -> None:
-        """Carries out an operation at once, or when the rows are loaded."""
+        """Execute an operation immediately, or queue it until the rows are loaded."""
         if self._queued is not None:
             self._queued.append(operation)
         elif self.fanout is not None:
@@ -264,14 +267,14 @@
             self._timer.schedule(max(fanout.wake_ns, now_ns + MIN_TIMER_NS), now_ns)
 
     def _fail(self, error: Exception) -> None:
-        """Starts over after an unexpected error; the store goes on."""
+        """Discard the fan-out after an unexpected error; the store keeps running."""
         log.error("change feed failed and starts over", exc_info=error)
         self.failures += 1
         self.fanout = None
         self._end_subscriptions(f"the node's feed begins anew: {type(error).__name__}")
 
     def status(self) -> dict[str, Any] | None:
-        """Returns the feed's status; None if it is not used yet."""
+        """Return the feed's status; None if the feed is not in use yet."""
         if self.fanout is not None and self._queued is None:
             self.fanout.tick(time.monotonic_ns())
             self._wake()
@@ -281,7 +284,7 @@
         return self._last_status
 
     def _loading_status(self) -> FeedStatus:
-        """Returns the status while rows are loaded first: no subscriber has any."""
+        """Return the status during the first load, when no subscriber has received rows."""
         count = len(self.subscribers)
         return structs.replace(
             Fanout(self._cluster, self._limits, 0).status(),
@@ -293,7 +296,7 @@
         return {**msgspec.to_builtins(status), "failures": self.failures}
 
     def close(self) -> None:
-        """Cancels the timer."""
+        """Cancel the timer."""
         self._timer.cancel()
 
 
--- a/loadbalancer/store/client.py
+++ b/loadbalancer/store/client.py
@@ -1,8 +1,8 @@
 """A client of the store; each call has a deadline and is retried at other nodes until then.
 
-Writes belong to a session, so that one whose reply was lost is made once however often it is sent.
-`get` and `scan` are linearizable, or with `stale=True` what one node has applied. A watch returns
-every change in order or raises `WatchCompactedError`.
+Writes belong to a session, so that a write is applied once even if its reply is lost and it is
+retried. `get` and `scan` are linearizable by default; with `stale=True` they return what one node
+has applied. A watch returns every change in order or raises `WatchCompactedError`.
 """
 
 from __future__ import annotations
@@ -62,14 +62,14 @@
 
 DEFAULT_DEADLINE_S: Final = 5.0
 BACKUP_TIMEOUT_S: Final = 60.0
-MAX_SCAN_ROWS: Final = 1000  # of one page
+MAX_SCAN_ROWS: Final = 1000  # per page
 DEFAULT_HISTORY_LIMIT: Final = 100
 DEFAULT_OPTIONS: Final = WriteOptions()
 NO_BACKUP: Final = (0, 0, 0, 0)
 
 
 class BackupMeta(NamedTuple):
-    """Describes a backup: the last entry that it holds, its size in bytes and its CRC-32C."""
+    """Describes a backup: the last log entry it contains, its size in bytes and its CRC-32C."""
 
     last_index: int
     term: int
@@ -86,13 +86,13 @@
     """A client of one cluster.
 
     Attributes:
-        addresses: Members, HOST:PORT; leaders at other addresses are tried as well.
+        addresses: Addresses of members, HOST:PORT; a leader at another address is used as well.
         tls: Returns the TLS context for a new connection.
-        name: A name for the logs of the nodes.
+        name: The client's name in the logs of the nodes.
         cluster: The cluster's name; empty for any.
-        deadline_s: Time limit of calls that have none of their own.
-        address_map: For advertised addresses, where they are reached from here.
-        rng: For session numbers and the jitter of the backoff.
+        deadline_s: Timeout of calls that specify none.
+        address_map: The address to connect to for an advertised address, where they differ.
+        rng: Random numbers for session ids and the jitter of the backoff.
     """
 
     addresses: Sequence[str]
@@ -128,7 +128,7 @@
     async def get(
         self, *keys: str, stale: bool = False, timeout_s: float | None = None
     ) -> ReadResult:
-        """Returns a row for each key; its value is None if the key does not exist.
+        """Return a row for each key; its value is None if the key does not exist.
 
         Raises:
             UnavailableError: No node replied in time.
@@ -143,7 +143,7 @@
     async def scan(
         self, prefix: str, stale: bool = False, timeout_s: float | None = None
     ) -> ReadResult:
-        """Returns all keys with a prefix, as of the first page's revision or later.
+        """Return all keys with a prefix, each as of the first page's revision or a later one.
 
         Raises:
             UnavailableError: No node replied in time.
@@ -175,7 +175,7 @@
     async def history(
         self, key: str, limit: int = DEFAULT_HISTORY_LIMIT, timeout_s: float | None = None
     ) -> ReadResult:
-        """Returns the retained versions of a key, newest first.
+        """Return the retained versions of a key, newest first.
 
         Raises:
             UnavailableError: No node replied in time.
@@ -188,7 +188,7 @@
         return _read_result(reply)
 
     def watch(self, prefix: str, after: int) -> AsyncIterator[Changes]:
-        """Yields every change after a revision; one without changes reports progress. Never ends.
+        """Yield every change after a revision; an empty `Changes` reports progress. Never ends.
 
         Raises:
             RejectedError: The store rejects the watch.
@@ -205,13 +205,13 @@
         version: int = ANY_VERSION,
         options: WriteOptions = DEFAULT_OPTIONS,
     ) -> int:
-        """Writes one key; raises as `write` does.
+        """Write one key; raise as `write` does.
 
         Args:
             key: The key.
             value: Its new value.
-            version: The version that it must be at; 0 if it must not exist.
-            options: What goes with the write.
+            version: The version that the key must have; 0 if the key must not exist.
+            options: Further options of the write.
 
         Returns:
             The new version.
@@ -221,18 +221,18 @@
     async def delete(
         self, key: str, version: int = ANY_VERSION, options: WriteOptions = DEFAULT_OPTIONS
     ) -> None:
-        """Deletes one key; raises as `write` does."""
+        """Delete one key; raise as `write` does."""
         await self.write([Op(key, None, version)], options)
 
     async def write(self, ops: Sequence[Op], options: WriteOptions = DEFAULT_OPTIONS) -> Result:
-        """Applies all operations or none, once.
+        """Apply all operations or none, exactly once.
 
         Raises:
             ConflictError: A key is at another version.
             FencedError: A fencing token is not current.
-            RejectedError: The write breaks a limit.
-            UnavailableError: The write was not made.
-            UndecidedError: The write may have been made.
+            RejectedError: The write exceeds a limit.
+            UnavailableError: The write was not applied.
+            UndecidedError: The write may have been applied.
         """
         deadline_s = self._deadline(options.timeout_s)
         return await self._session.write(ops, None, options, deadline_s)
@@ -243,37 +243,37 @@
         refs: Sequence[Sequence[str]] = (),
         options: WriteOptions = DEFAULT_OPTIONS,
     ) -> Result:
-        """As `write`, with rows of the change feed among the keys.
+        """Apply all operations as `write` does; keys may be rows of the change feed.
 
         Args:
             ops: The operations.
             refs: For each operation, the keys of the rows that its row refers to, which must exist
                 after the write; empty if no row refers to others.
-            options: What goes with the write.
+            options: Further options of the write.
         """
         deadline_s = self._deadline(options.timeout_s)
         return await self._session.write(ops, refs, options, deadline_s)
 
     async def claim(self, claim: Claim, timeout_s: float) -> Result:
-        """Requests or renews a lease.
+        """Request or renew a lease.
 
         Returns:
-            A result whose versions are the token, 0 for a candidate, and the position among the
-            candidates.
+            A result whose versions are the fencing token (0 for a candidate) and the position among
+            the candidates.
 
         Raises:
-            RejectedError: The claim breaks a limit.
-            UnavailableError: The claim was not made.
-            UndecidedError: The claim may have been made.
+            RejectedError: The claim exceeds a limit.
+            UnavailableError: The claim was not applied.
+            UndecidedError: The claim may have been applied.
         """
         return await self._propose(claim, timeout_s)
 
     async def release(self, release: Release, timeout_s: float) -> Result:
-        """Releases a lease; raises as `claim` does."""
+        """Release a lease; raise as `claim` does."""
         return await self._propose(release, timeout_s)
 
     async def _propose(self, command: AnyCommand, timeout_s: float) -> Result:
-        """Proposes an idempotent command."""
+        """Propose an idempotent command, which needs no session."""
         packed = commands.pack(command)
         reply = await self._call(
             lambda request_id, timeout_ms: Propose(request_id, timeout_ms, packed),
@@ -288,7 +288,7 @@
     # ---- administration --------------------------------------------------------------------------
 
     async def status(self, timeout_s: float | None = None) -> NodeStatus:
-        """Returns the status of the node that replies first.
+        """Return the status of the node that replies first.
 
         Raises:
             UnavailableError: No node replied in time.
@@ -299,21 +299,21 @@
     async def administer(
         self, action: str, node: int = 0, address: str = "", timeout_s: float | None = None
     ) -> str:
-        """Changes the membership or requests a snapshot.
+        """Change the membership, transfer leadership or request a snapshot.
 
         Args:
             action: One of `AdminAction`.
-            node: The member that it is about.
-            address: The address of a member that is added.
-            timeout_s: The time limit; None for the client's.
+            node: The member that the action applies to.
+            address: The address of a new member.
+            timeout_s: The timeout; None for the client's default.
 
         Returns:
-            What was done, in one line.
+            A one-line description of the result.
 
         Raises:
-            RejectedError: The store rejects it.
-            UnavailableError: It was not done.
-            UndecidedError: It may have been done.
+            RejectedError: The store rejects the request.
+            UnavailableError: The request was not executed.
+            UndecidedError: The request may have been executed.
         """
         reply = await self._call(
             lambda request_id, timeout_ms: Administer(
@@ -327,18 +327,18 @@
     async def read_backup(
         self, take: Callable[[bytes], object], timeout_s: float = BACKUP_TIMEOUT_S
     ) -> BackupMeta:
-        """Reads a backup of the state chunk by chunk.
+        """Read a backup of the state chunk by chunk.
 
         Args:
             take: Called with each chunk.
-            timeout_s: Time limit of the complete backup.
+            timeout_s: Timeout of the complete backup.
 
         Returns:
-            What the backup holds, to verify it.
+            The backup's metadata, which serves to verify it.
 
         Raises:
             UnavailableError: No node replied in time.
-            UndecidedError: The node made another backup meanwhile.
+            UndecidedError: The node replaced the backup by a newer one before it was read.
         """
         deadline_s = deadline_after(timeout_s)
         offset = 0
@@ -364,7 +364,7 @@
         return chunk
 
     async def close(self) -> None:
-        """Closes session and connection; waits for the former only briefly."""
+        """Close the session, with a short timeout, and then the connection."""
         with suppress(OSError, TimeoutError):
             await self._session.close()
         self._channel.close()
--- a/loadbalancer/store/client_connection.py
+++ b/loadbalancer/store/client_connection.py
@@ -16,7 +16,7 @@
     Row,
 )
 
-WatchReply = Changes | RequestFailed | None  # None: the connection ended
+WatchReply = Changes | RequestFailed | None  # None: the connection was closed
 
 
 @dataclass(slots=True)
@@ -25,8 +25,8 @@
 
     Attributes:
         rows: The rows.
-        revision: The log index as of which they are.
-        behind_ms: For a stale read, how long its node had known no leader.
+        revision: The log index that the rows reflect.
+        behind_ms: For a stale read, how long the node had been without a known leader.
     """
 
     rows: list[Row]
@@ -35,7 +35,7 @@
 
 
 class ClientConnection(DialedConnection):
-    """Matches replies to requests and watches."""
+    """A connection that matches replies to requests and watches."""
 
     def __init__(self, hello: Hello) -> None:
         super().__init__(hello)
@@ -43,7 +43,7 @@
         self.watches: dict[int, asyncio.Queue[WatchReply]] = {}
 
     def payload_received(self, payload: bytes) -> None:
-        """Delivers a reply to its request or watch."""
+        """Deliver a reply to its request or watch."""
         reply = protocol.unpack_reply(payload)
         queue = self.watches.get(reply.id)
         if queue is not None and isinstance(reply, Changes | RequestFailed):
@@ -54,18 +54,18 @@
             future.set_result(reply)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fails all pending requests and ends all watches."""
+        """Fail all pending requests and end all watches."""
         super().connection_lost(error)
         for future in self.pending.values():
             if not future.done():
                 future.set_exception(ConnectionError(self.close_reason))
-                future.exception()  # marks it as retrieved: its caller may have given up
+                future.exception()  # marks it as retrieved: the caller may have timed out
         self.pending.clear()
         for queue in self.watches.values():
             queue.put_nowait(None)
 
     def request(self, request: AnyRequest) -> asyncio.Future[AnyReply]:
-        """Sends a request; the future is its reply.
+        """Send a request and return a future for its reply.
 
         Raises:
             ConnectionError: The connection is closed.
@@ -78,6 +78,6 @@
         return future
 
     def send(self, request: AnyRequest) -> None:
-        """Sends a request without waiting for a reply; drops it if the connection is closed."""
+        """Send a request without waiting for a reply; drop it if the connection is closed."""
         if not self.closed and self.transport is not None:
             self.transport.write(self.encoder.frame(protocol.pack(request)))
--- a/loadbalancer/store/client_watch.py
+++ b/loadbalancer/store/client_watch.py
@@ -1,4 +1,4 @@
-"""A client's watch: an unbroken series of changes over lost connections and changes of leader."""
+"""A client's watch: a gapless stream of changes across reconnects and leader changes."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
     Watch,
 )
 
-IDLE_TIMEOUT_S: Final = 15.0  # nodes send progress more often: after that the connection is dead
+# Nodes report progress more often, so a longer silence means a dead connection.
+IDLE_TIMEOUT_S: Final = 15.0
 
 
 class WatchStream:
-    """Changes of the keys with a prefix after a revision."""
+    """The stream of changes to the keys with a prefix after a revision."""
 
     def __init__(self, channel: RequestChannel, prefix: str, after: int) -> None:
         self._channel = channel
@@ -31,7 +32,7 @@
         self._after = after
 
     async def changes(self, connect_timeout_s: float) -> AsyncIterator[Changes]:
-        """Yields every change in order; one without changes reports progress. Never ends.
+        """Yield every change in order; an empty `Changes` reports progress. Never ends.
 
         Raises:
             RejectedError: The store rejects the watch.
@@ -59,11 +60,11 @@
     async def _next(
         self, connection: ClientConnection, queue: asyncio.Queue[WatchReply], backoff: Backoff
     ) -> Changes | None:
-        """Returns the next changes; None if the watch has to be set up again."""
+        """Return the next changes; None if the watch must be re-created."""
         try:
-            # Not `wait_for`: where its future is done in the iteration of the event loop in which
-            # its task is cancelled, as by a connection that is closed at shutdown, it swallows the
-            # cancellation (Python 3.11, gh-86296).
+            # Not `asyncio.wait_for`: if its future completes in the same event-loop iteration in
+            # which its task is cancelled, as when a connection is closed at shutdown, it swallows
+            # the cancellation (Python 3.11, gh-86296).
             async with asyncio.timeout(IDLE_TIMEOUT_S):
                 reply = await queue.get()
         except TimeoutError:
--- a/loadbalancer/store/connection.py
+++ b/loadbalancer/store/connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection: handshake, then messages of a member or requests of a client."""
+"""One accepted connection: the handshake, then messages of a member or requests of a client."""
 
 from __future__ import annotations
 
@@ -33,13 +33,16 @@
 log = logging.getLogger(__name__)
 
 GREETING_TIMEOUT_S: Final = 5.0
-MAX_UNREAD_BYTES: Final = 8 << 20  # of replies: beyond it nothing more is read from the client
-MAX_UNREAD_CHANGEFEED_BYTES: Final = 64 << 10  # beyond it scopes are only marked as changed
-ACK_TIMEOUT_MS: Final = 30_000  # a subscriber's host acknowledges nothing: the connection is dead
+# Size of the send buffer above which reading from the client pauses.
+MAX_UNREAD_BYTES: Final = 8 << 20
+# Send buffer size above which the fan-out only marks scopes as changed.
+MAX_UNREAD_CHANGEFEED_BYTES: Final = 64 << 10
+# TCP closes a subscriber's connection if sent data is not acknowledged for this long.
+ACK_TIMEOUT_MS: Final = 30_000
 
 
 class ConnectionHost(Protocol):
-    """What a connection needs of its server."""
+    """The interface of the server that a connection uses."""
 
     @property
     def node(self) -> Node:
@@ -47,20 +50,20 @@
 
     @property
     def uses_tls(self) -> bool:
-        """Whether peers have certificates."""
+        """Whether peers authenticate with certificates."""
 
     def connection_opened(self, connection: Connection) -> bool:
-        """Registers a connection; returns whether there is capacity for it."""
+        """Register a connection; return whether there is capacity for it."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """Removes a connection."""
+        """Remove a connection."""
 
 
 class Connection(asyncio.Protocol):
     """A connection of a member or client.
 
     Attributes:
-        node: The node that it belongs to.
+        node: The node that accepted the connection.
         peer: The peer's address, for logs.
         transport: Its transport.
     """
@@ -72,10 +75,10 @@
         self._decoder = FrameDecoder()
         self._encoder = FrameEncoder()
         self.transport: asyncio.Transport | None = None
-        self._member: int | None = None  # the number of the member that connected
-        self._handler: RequestHandler | None = None  # of the client that connected
-        self._subscriber: int | None = None  # its number, if it subscribed to the change feed
-        self._subscription_id = 0  # the request that began it
+        self._member: int | None = None  # the number of the connected member
+        self._handler: RequestHandler | None = None  # for the connected client
+        self._subscriber: int | None = None  # the number of the change feed subscriber
+        self._subscription_id = 0  # the id of the request that started the subscription
         self._greeting_timer: asyncio.TimerHandle | None = None
 
     @property
@@ -89,7 +92,7 @@
     # ---- transport -------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Waits for the greeting."""
+        """Register the connection and start the handshake timeout."""
         self.transport = cast(asyncio.Transport, transport)
         address = transport.get_extra_info("peername")
         self.peer = f"{address[0]}:{address[1]}" if address else "?"
@@ -105,7 +108,7 @@
             self._decline("no greeting came in time")
 
     def data_received(self, data: bytes) -> None:
-        """Handles each complete frame; closes the connection on an invalid one."""
+        """Handle each complete frame; close the connection on an invalid one."""
         self._decoder.feed(data)
         try:
             for payload in self._decoder.payloads():
@@ -124,7 +127,7 @@
             self._greeting_received(payload)
 
     def pause_writing(self) -> None:
-        """The peer does not read: nothing more is read from it, and watches wait."""
+        """Stop reading from a peer whose send buffer is full, and pause its watches."""
         if self.transport is not None:
             self.transport.pause_reading()
         if self._handler is not None:
@@ -133,7 +136,7 @@
             self.node.changefeed.set_writable(self._subscriber, False)
 
     def resume_writing(self) -> None:
-        """The peer reads again."""
+        """Resume reading and watches when the send buffer has drained."""
         if self.transport is not None:
             self.transport.resume_reading()
         if self._handler is not None:
@@ -142,12 +145,12 @@
             self.node.changefeed.set_writable(self._subscriber, True)
 
     def abort(self) -> None:
-        """Closes the connection without sending what is buffered."""
+        """Close the connection and discard buffered data."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (asyncio's)
-        """Ends the subscription, watches and requests."""
+        """End the connection's subscription, watches and requests."""
         self._host.connection_closed(self)
         if self._greeting_timer is not None:
             self._greeting_timer.cancel()
@@ -203,7 +206,8 @@
         else:
             self._decoder.max_payload_bytes = protocol.MAX_REQUEST_BYTES
         if not hello.node and role is not None:
-            # A client without a role stays in the handshake: its first request ends the connection.
+            # A client without a role gets no request handler. Its next frame is decoded as another
+            # greeting, so that a request closes the connection.
             self._handler = RequestHandler(self.node, self, role)
 
     def _decline(self, reason: str) -> None:
@@ -220,14 +224,14 @@
         self.transport.write(self._encoder.frame(protocol.pack(message)))
 
     def send(self, reply: Reply) -> None:
-        """Sends a reply, unless the connection is closed."""
+        """Send a reply, unless the connection is closed."""
         if self._is_open:
             self._send(reply)
 
     # ---- change feed -----------------------------------------------------------------------------
 
     def changefeed_message_received(self, request: SendToChangefeed) -> None:
-        """Handles a client's message to the change feed; the first one begins a subscription."""
+        """Handle a client's change feed message; the first message starts a subscription."""
         if self._subscriber is None:
             self._begin_subscription(request.id)
         assert self._subscriber is not None
@@ -244,7 +248,7 @@
         self._subscriber = self.node.changefeed.add_subscriber(self)
 
     def send_messages(self, sends: Sequence[Send]) -> None:
-        """Sends messages of the change feed in one write."""
+        """Send messages of the change feed in one write."""
         if self.transport is None or not self._is_open:
             return
         frames = [
@@ -260,7 +264,7 @@
         self.transport.write(b"".join(frames))
 
     def end_subscription(self, reason: str) -> None:
-        """Ends the subscription and the connection."""
+        """End the subscription and close the connection."""
         assert self._handler is not None
         self._handler.fail(self._subscription_id, FailureCode.REJECTED, reason)
         self._decline(reason)
--- a/loadbalancer/store/directory_lock.py
+++ b/loadbalancer/store/directory_lock.py
@@ -1,4 +1,4 @@
-"""Keeps other processes out of a node's folder."""
+"""A file lock that prevents two processes from using the same node folder."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def lock_directory(folder: Path) -> int:
-    """Locks a folder until the returned file descriptor is closed.
+    """Lock a folder until the returned file descriptor is closed.
 
     Raises:
-        MalformedError: Another process uses the folder, or it can't be used.
+        MalformedError: Another process uses the folder, or the folder can't be accessed.
     """
     try:
         descriptor = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
--- a/loadbalancer/store/documents.py
+++ b/loadbalancer/store/documents.py
@@ -1,7 +1,7 @@
 """Versioned configuration documents in the store.
 
-They are checked before they are proposed, replaced as a whole with compare-and-set, and have a
-history that can be restored.
+A document is validated before it is proposed and replaced as a whole with compare-and-set. Older
+versions can be restored from its history.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from loadbalancer.store.write_session import WriteOptions
 
 PREFIX: Final = "config/"
-DocumentCheck = Callable[
-    [str, str], str
-]  # name and text to the first fault, empty if there is none
+# Takes a document's name and text; returns the first error, or an empty string if it is valid.
+DocumentCheck = Callable[[str, str], str]
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentChange:
-    """Who changes a document, and why.
+    """The expected version of a changed document, and the author and reason of the change.
 
     Attributes:
-        version: The version that it must be at: 0 for a new one, `ANY_VERSION` for whichever.
-        author: Who changes it.
-        note: Why.
+        version: The version that the document must have: 0 for a new document, `ANY_VERSION` for
+            any version.
+        author: The author of the change.
+        note: The reason for the change.
     """
 
     version: int
@@ -39,7 +39,7 @@
 
 
 def key(name: str) -> str:
-    """Returns the store's key of a document.
+    """Return the store key of a document.
 
     Raises:
         RejectedError: The name is not valid.
@@ -52,10 +52,10 @@
 
 
 async def get(client: Client, name: str, version: int | None = None) -> Row:
-    """Returns a document at a version; None for the newest.
+    """Return a version of a document; `None` selects the newest.
 
     Raises:
-        RejectedError: There is no such document or version.
+        RejectedError: The document or version does not exist.
         UnavailableError: No node replied in time.
     """
     if version is not None:
@@ -76,13 +76,13 @@
 async def put(
     client: Client, name: str, text: str, check: DocumentCheck, change: DocumentChange
 ) -> int:
-    """Replaces a document; returns its new version.
+    """Replace a document; return its new version.
 
     Raises:
-        ConflictError: It is at another version.
-        RejectedError: The check found a fault.
-        UnavailableError: It was not replaced.
-        UndecidedError: It may have been replaced.
+        ConflictError: The document is at another version.
+        RejectedError: The document is not valid.
+        UnavailableError: The document was not replaced.
+        UndecidedError: The document may have been replaced.
     """
     value = text.encode()
     if len(value) > MAX_VALUE_BYTES:
@@ -97,7 +97,7 @@
 async def rollback(
     client: Client, name: str, version: int, check: DocumentCheck, author: str
 ) -> int:
-    """Puts an older text again as a new version; checked again, as the rules may have changed."""
+    """Restore an older text as a new version, after validating it against the current rules."""
     current = await get(client, name)
     older = await get(client, name, version)
     assert older.value is not None
@@ -106,7 +106,7 @@
 
 
 def diff(name: str, old: Row, new: Row) -> str:
-    """Returns the unified diff of two versions; empty if they are the same."""
+    """Return the unified diff of two versions; empty if they are equal."""
     old_lines, new_lines = ((row.value or b"").decode().splitlines(True) for row in (old, new))
     old_name = f"{name} {old.version}"
     new_name = f"{name} {new.version}"
--- a/loadbalancer/store/errors.py
+++ b/loadbalancer/store/errors.py
@@ -1,18 +1,18 @@
-"""Errors of the replicated store, for its clients and its nodes."""
+"""Errors that clients and nodes of the replicated store raise."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Base class; the message is one line."""
+    """Base class of store errors; messages have one line."""
 
 
 class UnavailableError(StoreError):
-    """No node replied within the deadline. No write was made."""
+    """No node replied before the deadline, and no write was applied."""
 
 
 class UndecidedError(UnavailableError):
-    """No reply within the deadline, and the write may have been made or may yet be made."""
+    """No reply arrived before the deadline; the write may have been or may still be applied."""
 
 
 class ConflictError(StoreError):
@@ -20,7 +20,7 @@
 
     Attributes:
         key: The key.
-        version: The version that it is at; 0 if it does not exist.
+        version: The key's current version; 0 if the key does not exist.
     """
 
     def __init__(self, key: str, version: int) -> None:
@@ -30,7 +30,7 @@
 
 
 class RejectedError(StoreError):
-    """The store rejects the request for good; a retry gives the same result."""
+    """The store rejects the request permanently; a retry has the same result."""
 
 
 class FencedError(RejectedError):
@@ -38,7 +38,10 @@
 
 
 class WatchCompactedError(StoreError):
-    """Changes after the requested revision are no longer retained; read again, then watch."""
+    """Changes after the requested revision are no longer retained.
+
+    The caller has to read the keys again and start a new watch from there.
+    """
 
 
 class NotLeaseHolderError(StoreError):
@@ -46,11 +49,11 @@
 
 
 class NotInForceError(StoreError):
-    """A revision did not reach all balancers within the time limit."""
+    """A revision was not in force on all balancers before the timeout."""
 
 
 class ProtocolError(StoreError):
-    """The peer sent something that is not valid on this connection."""
+    """The peer violated the protocol."""
 
 
 class OutcomeUnknownError(StoreError):
@@ -58,4 +61,4 @@
 
 
 class DeadlineExceededError(StoreError):
-    """A request's time limit passed on the node."""
+    """A request's deadline passed on the node."""
--- a/loadbalancer/store/feed_progress.py
+++ b/loadbalancer/store/feed_progress.py
@@ -1,4 +1,4 @@
-"""How far balancers follow the change feed: the status of all members of the store, added up."""
+"""Progress of balancers on the change feed, aggregated over the status of all store members."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from loadbalancer.store.client import Client
 from loadbalancer.store.errors import NotInForceError, StoreError
 
-STATUS_TIMEOUT_S: Final = 2.0  # a member that has not replied by then counts as unreachable
+STATUS_TIMEOUT_S: Final = 2.0  # after which a member counts as unreachable
 POLL_INTERVAL_S: Final = 0.05
-MAX_NAMED: Final = 5  # balancers that one line names
+MAX_NAMED: Final = 5  # balancers or nodes that a message lists by name
 
-# A `NodeStatus`, or `address` and `trouble` of a member that did not reply.
+# A `NodeStatus`, or just `address` and `trouble` for a member that did not reply.
 MemberReport = Mapping[str, Any]
 
 
 class MemberStatusReader:
-    """Reads the status of every member, also of those that only other members know.
+    """Reads the status of every member, including members that only other members list.
 
     Args:
-        addresses: Members, HOST:PORT.
-        make_client: Makes a client of one address.
+        addresses: Addresses of members, HOST:PORT.
+        make_client: Creates a client for one address.
     """
 
     def __init__(self, addresses: Iterable[str], make_client: Callable[[str], Client]) -> None:
@@ -36,7 +36,7 @@
         self.clients = {address: make_client(address) for address in addresses}
 
     async def statuses(self, timeout_s: float = STATUS_TIMEOUT_S) -> list[MemberReport]:
-        """Returns the report of every member."""
+        """Return the report of every member."""
         given = list(self.clients)
         reports = await self._read_all(given, timeout_s)
         known = {address for report in reports for address in member_addresses(report)}
@@ -47,7 +47,7 @@
         return await asyncio.gather(*reads)
 
     async def status(self, address: str, timeout_s: float = STATUS_TIMEOUT_S) -> MemberReport:
-        """Returns the report of one member."""
+        """Return the report of one member."""
         if address not in self.clients:
             self.clients[address] = self._make_client(address)
         try:
@@ -56,13 +56,13 @@
             return {"address": address, "trouble": str(error)}
 
     async def close(self) -> None:
-        """Closes all clients."""
+        """Close all clients."""
         for client in self.clients.values():
             await client.close()
 
 
 def member_addresses(report: MemberReport) -> set[str]:
-    """Returns the addresses of the members that a report names."""
+    """Return the addresses of the members that a report lists."""
     return {member["address"] for member in report.get("members", ()) if member["address"]}
 
 
@@ -72,8 +72,8 @@
     Attributes:
         name: The balancer's name.
         node: The address of its node.
-        revision: The last one that is in force there.
-        since_ms: How long it has been behind its node.
+        revision: The last revision that is in force on the balancer.
+        since_ms: How long the balancer has been behind its node.
     """
 
     name: str
@@ -94,17 +94,18 @@
         "unreachable": "silent",
     },
 ):
-    """How far a revision is in force.
+    """The progress of a revision on all balancers.
 
     Attributes:
         revision: The revision.
-        balancers: All balancers that are known.
-        in_force: Those on which it is in force, but for rejected rows.
-        lagging: Balancers that are furthest behind, as far as nodes name them.
-        rejected_count: Rows that balancers rejected.
-        rejected: Some of them.
+        balancers: The number of connected balancers.
+        in_force: The number of balancers on which the revision is in force, except for rejected
+            rows.
+        lagging: The balancers that are furthest behind, among those that nodes report.
+        rejected_count: The number of rows that balancers rejected.
+        rejected: Some of the rejected rows.
         lagging_nodes: Nodes that have not applied the revision themselves.
-        unreachable: Members that do not reply, so that their balancers are not known.
+        unreachable: Members that do not reply, so that their balancers are unknown.
     """
 
     revision: int
@@ -119,12 +120,13 @@
     def incomplete_reason(
         self, required_balancers: int = 0, ignore_rejected: bool = False
     ) -> str | None:
-        """Returns why the revision is not in force everywhere, in one line; None if it is.
+        """Return why the revision is not in force everywhere, in one line; None if it is.
 
         Args:
-            required_balancers: On so many it must be in force; unreachable members are then
-                ignored. 0: on all that are known.
-            ignore_rejected: Rejected rows are no reason.
+            required_balancers: The number of balancers on which the revision must be in force;
+                unreachable members are then ignored. 0 requires all connected balancers and a reply
+                from every member.
+            ignore_rejected: Whether to ignore rejected rows.
         """
         reasons = [
             self._lagging_reason(),
@@ -179,7 +181,7 @@
     lagging_nodes: list[str] = field(default_factory=list)
 
     def add(self, number: str, address: str, feed: FeedStatus) -> None:
-        """Adds the feed of one node."""
+        """Add the feed of one node."""
         self.balancers += feed.subscribers
         self.in_force += feed.subscribers - _count_behind(feed, self.revision)
         self.lagging += [
@@ -194,8 +196,8 @@
 
 
 def add_up(reports: Sequence[MemberReport], revision: int | None = None) -> Rollout:
-    """Returns how far a revision is in force; None for the newest that a member has applied."""
-    # A node may have several addresses, and several reports.
+    """Return the progress of a revision; `None` selects the newest that a member has applied."""
+    # A node with several addresses has several reports.
     by_node = {report["node"]: report for report in reports if "trouble" not in report}
     if revision is None:
         revision = max((report["applied"] for report in by_node.values()), default=0)
@@ -235,10 +237,11 @@
 
 
 def _count_behind(feed: FeedStatus, revision: int) -> int:
-    """Returns how many subscribers have not reached a revision.
+    """Return how many subscribers have not reached a revision.
 
-    A status lists a limited number of revisions. Subscribers that are not listed are beyond the
-    last listed one; they count as behind until that has reached the revision.
+    A status lists the lowest acknowledged revisions, up to a limit. Subscribers that are not listed
+    have acknowledged a later revision than the last listed one. They count as behind unless the
+    last listed revision is the given one or a later one.
     """
     behind = sum(count for reached, count in feed.acknowledged if reached < revision)
     unlisted = feed.subscribers - sum(count for _, count in feed.acknowledged)
@@ -249,13 +252,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutGoal:
-    """What `wait` waits for.
+    """The condition that `wait` waits for.
 
     Attributes:
         revision: The revision.
-        timeout_s: The time limit.
-        required_balancers: On so many it must be in force; 0: on all that are known.
-        ignore_rejected: Rejected rows are ignored.
+        timeout_s: The timeout.
+        required_balancers: The number of balancers on which the revision must be in force; 0 for
+            all connected balancers.
+        ignore_rejected: Whether to ignore rejected rows.
     """
 
     revision: int
@@ -265,14 +269,14 @@
 
 
 class CompletedRollout(NamedTuple):
-    """A rollout that reached its goal, and how long that took."""
+    """A rollout that reached its goal, and the time this took."""
 
     rollout: Rollout
     elapsed_s: float
 
 
 class _Poller:
-    """Polls each member by itself, so that one that does not reply delays no other."""
+    """Polls each member in a separate task, so that an unresponsive member delays no other."""
 
     def __init__(self, members: MemberStatusReader) -> None:
         self._members = members
@@ -281,7 +285,7 @@
         self._reported = asyncio.Event()
 
     def start(self) -> None:
-        """Begins to poll the given members."""
+        """Start polling the configured members."""
         for address in self._members.clients:
             self._start_task(address)
 
@@ -309,24 +313,24 @@
         return list(self._latest.values())
 
     async def wait(self, timeout_s: float | None) -> None:
-        """Waits for the next report."""
+        """Wait for the next report."""
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._reported.wait()
         self._reported.clear()
 
     async def close(self) -> None:
-        """Stops all polls."""
+        """Stop all polling tasks."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
 
 async def wait(members: MemberStatusReader, goal: RolloutGoal) -> CompletedRollout:
-    """Waits until a revision is in force.
+    """Wait until a revision is in force.
 
     Raises:
-        NotInForceError: It was not within the time limit.
+        NotInForceError: The revision was not in force before the timeout.
     """
     start_s = time.monotonic()
     reason: str | None = ""
@@ -337,7 +341,7 @@
             remaining_s = start_s + goal.timeout_s - time.monotonic()
             if remaining_s <= 0 and poller.is_complete:
                 raise NotInForceError(f"{reason} (after {goal.timeout_s:g} s)")
-            # Every member is polled at least once, also after the time limit.
+            # Wait for one report of every member even after the timeout.
             await poller.wait(remaining_s if remaining_s > 0 else None)
             if not poller.is_complete:
                 continue
--- a/loadbalancer/store/handshake.py
+++ b/loadbalancer/store/handshake.py
@@ -1,4 +1,4 @@
-"""The side of a connection that connects, a member's or a client's, with its handshake."""
+"""The initiating side of a connection, with its handshake; used by members and clients."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class DialedConnection(asyncio.Protocol):
-    """One connection, from the greeting to its end.
+    """One outgoing connection.
 
     Attributes:
-        welcomed: The node's greeting; ConnectionError with the reason if there is none.
-        ended: Done when the connection is closed.
-        close_reason: Why it was closed, in one line.
+        welcomed: The node's greeting; fails with ConnectionError if the handshake fails.
+        ended: Completes when the connection is closed.
+        close_reason: Why the connection was closed, in one line.
     """
 
     def __init__(self, hello: Hello) -> None:
@@ -32,29 +32,29 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nothing can be sent."""
+        """Whether the connection is closed, closing or not established yet."""
         return self.transport is None or self.transport.is_closing()
 
     def mismatch(self, welcome: Welcome) -> str | None:  # noqa: ARG002 (for subclasses)
-        """Returns why the peer is not the expected one; None if it is."""
+        """Return why the peer is not acceptable; None if it is the expected peer."""
         return None
 
     def payload_received(self, payload: bytes) -> None:  # noqa: ARG002 (for subclasses)
-        """Handles a frame after the handshake.
+        """Handle a frame after the handshake.
 
         Raises:
             ProtocolError: The frame is not expected.
-            ValueError: It can't be decoded.
+            ValueError: The frame can't be decoded.
         """
         raise ProtocolError("it speaks out of turn")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the greeting."""
+        """Send the greeting."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.write(self.encoder.frame(protocol.pack(self.hello)))
 
     def data_received(self, data: bytes) -> None:
-        """Handles each complete frame; closes the connection on an invalid one."""
+        """Handle each complete frame; close the connection on an invalid one."""
         self.decoder.feed(data)
         try:
             for payload in self.decoder.payloads():
@@ -80,19 +80,19 @@
         self.welcomed.set_result(greeting)
 
     def close(self, reason: str) -> None:
-        """Closes the connection for a reason."""
+        """Close the connection and record the reason."""
         self.close_reason = reason
         self.abort()
 
     def abort(self) -> None:
-        """Closes the connection without sending what is buffered."""
+        """Close the connection and discard buffered data."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 (asyncio's)
-        """Resolves `welcomed` and `ended`."""
+        """Resolve `welcomed` and `ended`."""
         if not self.welcomed.done():
             self.welcomed.set_exception(ConnectionError(self.close_reason))
-            self.welcomed.exception()  # marks it as retrieved: nobody may be waiting
+            self.welcomed.exception()  # marks it as retrieved: there may be no waiter
         if not self.ended.done():
             self.ended.set_result(None)
--- a/loadbalancer/store/housekeeping.py
+++ b/loadbalancer/store/housekeeping.py
@@ -1,6 +1,6 @@
-"""What a leader proposes by itself: the next format of the state, and claims that expired.
+"""Commands that a leader proposes on its own: state format upgrades and expired lease claims.
 
-Pure: it is handed the clock and what was applied.
+The module does no I/O: the caller passes the time and the applied claims.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 def nodes_below_format(formats: Mapping[int, int], required_format: int) -> list[int]:
-    """Returns the members whose programs are not known to support a format."""
+    """Return the members that do not support a format, or whose support is unknown."""
     return [node for node, known in formats.items() if known < required_format]
 
 
 @dataclass(frozen=True, slots=True)
 class ProposedUpgrade:
-    """The last format that was proposed, and when it may be proposed again."""
+    """The last proposed format, and the time after which it may be proposed again."""
 
     format: int
     retry_ns: int
 
 
 class Housekeeper:
-    """Proposes commands for the term in which this node leads.
+    """Generates the commands that are due while this node leads.
 
     Attributes:
         term: The term; None while this node does not lead.
@@ -42,7 +42,7 @@
         self._proposed: ProposedUpgrade | None = None
 
     def leadership_gained(self, term: int, state: State, now_ns: int) -> None:
-        """Starts over for a term: a new leader lets every claim run its full TTL again."""
+        """Reset the state for a new term, in which every claim gets its full TTL again."""
         if term != self.term:
             state.take_changed_claims()
             self.term = term
@@ -50,12 +50,12 @@
             self._proposed = None
 
     def leadership_lost(self) -> None:
-        """Proposes nothing until this node leads again."""
+        """Stop generating commands until this node leads again."""
         self.term = None
         self._expiry = None
 
     def claims_applied(self, claims: Iterable[ActiveClaim], now_ns: int) -> None:
-        """Restarts the TTL of claims that were made or renewed."""
+        """Restart the TTL of claims that were created or renewed."""
         if self._expiry is not None:
             for claim in claims:
                 self._expiry.record(claim, now_ns)
@@ -63,18 +63,19 @@
     def proposals(
         self, state_format: int, formats: Mapping[int, int], now_ns: int
     ) -> list[AnyCommand]:
-        """Returns the commands that are due.
+        """Return the commands that are due.
 
         Args:
             state_format: The format of the state.
-            formats: The newest format that each member's program knows, this node's included; 0 for
-                a member that was not connected yet.
-            now_ns: The clock.
+            formats: The newest format that each member supports, including this node; 0 for a
+                member that has not been connected yet.
+            now_ns: The current time.
         """
         if self._expiry is None:
             return []
         commands: list[AnyCommand] = []
-        next_format = state_format + 1  # one at a time: each migrates what the one before left
+        # One step at a time: each upgrade migrates from the previous format.
+        next_format = state_format + 1
         if self._is_upgrade_due(next_format, formats, now_ns):
             self._proposed = ProposedUpgrade(next_format, now_ns + UPGRADE_RETRY_NS)
             commands.append(Upgrade(next_format))
@@ -90,5 +91,5 @@
 
     @property
     def wake_ns(self) -> int | None:
-        """When to call `proposals` next; None for only after an event."""
+        """The time to call `proposals` next; None if no call is needed before the next event."""
         return self._expiry.wake_ns if self._expiry is not None else None
--- a/loadbalancer/store/lease_client.py
+++ b/loadbalancer/store/lease_client.py
@@ -1,7 +1,8 @@
-"""A lease as a process holds it: the pure holder of `leases`, with a store client and a clock.
+"""A process's claim to a lease: runs the I/O-free `LeaseHolder` with a store client and a clock.
 
-Work that needs the lease begins when `acquired` is called and must end when `lost` is. Before each
-effect it checks `token`; writes to the store go through `write`, which adds the fencing token.
+Work that needs the lease starts when `acquired` is called and must end when `lost` is called.
+Before each side effect, the work checks `token`. Writes to the store use `write`, which adds the
+fencing token.
 """
 
 from __future__ import annotations
@@ -33,33 +34,33 @@
 RELEASE_TIMEOUT_S: Final = 0.5
 CLOSE_POLL_S: Final = 0.005
 MIN_WAIT_S: Final = 0.001
-MAX_WAIT_S: Final = 5.0  # between two checks of the lease
-VACANCY_GRACE_S: Final = 5.0  # beyond the TTL: then a lease without a holder is reported
+MAX_WAIT_S: Final = 5.0  # longest time between two checks of the lease
+VACANCY_GRACE_S: Final = 5.0  # added to the TTL; a lease without a holder for longer is logged
 CLAIM_BITS: Final = 60
 CLAIM_SUFFIX_MASK: Final = 0xFFFFFF
 MAX_HOST_NAME_LENGTH: Final = 60  # characters
 
 
 def boot_clock_ns() -> int:
-    """Returns a clock that counts on while the machine is suspended.
+    """Return the time of a monotonic clock that includes the time the machine is suspended.
 
-    A holder must not assume that no time passed meanwhile.
+    Otherwise a holder would still trust its lease after a suspension longer than the TTL.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 def new_claim() -> int:
-    """Returns the number of a claim, unique to one incarnation of a process."""
+    """Return a random claim number, unique to one run of a process."""
     return random.SystemRandom().getrandbits(CLAIM_BITS) | 1
 
 
 def process_description() -> str:
-    """Returns process and host, for the lease's note."""
+    """Return the process id and host name, for the lease's note."""
     return f"process {os.getpid()} on {socket.gethostname()[:MAX_HOST_NAME_LENGTH]}"
 
 
 class VacancyLog:
-    """Logs once that a lease has no holder, and once that it has one again."""
+    """Logs once when a lease has no holder, and once when it is held again."""
 
     def __init__(self, lease: str, ttl_s: float) -> None:
         self._lease = lease
@@ -68,14 +69,14 @@
         self._is_reported = False
 
     def note_held(self) -> None:
-        """Somebody holds the lease."""
+        """Record that the lease is held."""
         if self._is_reported:
             log.info("lease is held again: lease=%s", self._lease)
         self._vacant_since_s = None
         self._is_reported = False
 
     def note_vacant(self, reason: str) -> None:
-        """Nobody is known to hold the lease."""
+        """Record that the lease has no known holder."""
         now_s = time.monotonic()
         if self._vacant_since_s is None:
             self._vacant_since_s = now_s
@@ -91,18 +92,18 @@
 
 
 class LeaseClient:
-    """Keeps a claim to a lease renewed.
+    """Claims a lease and keeps the claim renewed.
 
     Args:
         client: The store's client.
         lease: The lease's name.
         name: This process's name among the candidates.
         ttl_s: How long the lease is held without a renewal.
-        rank: Its order among the candidates.
+        rank: This process's rank among the candidates.
 
     Attributes:
         active_token: The token that `acquired` was called with; 0 while the lease is not held.
-        fenced_writes: Writes that the store rejected because their token was not current.
+        fenced_writes: The number of writes rejected because their token was not current.
         last_lease: The lease as last read from the store.
     """
 
@@ -127,21 +128,21 @@
         self._vacancy = VacancyLog(lease, ttl_s)
 
     def on_tenure(self, acquired: Callable[[int], None], lost: Callable[[], None]) -> None:
-        """Registers the work that needs the lease; before `start`.
+        """Register the callbacks for gaining and losing the lease; must be called before `start`.
 
         Args:
             acquired: Called with the token when this process becomes the holder.
-            lost: Called when it no longer is.
+            lost: Called when this process is no longer the holder.
         """
         self._acquired = acquired
         self._lost = lost
 
     def on_change(self, changed: Callable[[Lease], None]) -> None:
-        """Registers a callback for each change of the lease that a node reports."""
+        """Register a callback for each change of the lease that a node reports."""
         self._changed = changed
 
     def start(self) -> None:
-        """Begins to claim the lease; within a running loop."""
+        """Start claiming the lease; must be called within a running event loop."""
         for work in (self._renew(), self._watch()):
             self._start_task(work)
 
@@ -150,17 +151,17 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    # ---- effects under the lease -----------------------------------------------------------------
+    # ---- fenced operations -----------------------------------------------------------------------
 
     def token(self) -> int:
-        """Returns the fencing token for an effect right now; 0 if none is permitted."""
+        """Return the fencing token for a side effect now; 0 if the lease is not held."""
         token = self.holder.token(boot_clock_ns())
         if self.active_token and token != self.active_token:
             self._end_tenure("the TTL passed, or the store granted another token")
         return token
 
     async def write(self, ops: Sequence[Op], options: WriteOptions = DEFAULT_OPTIONS) -> Result:
-        """Applies all operations under the lease.
+        """Apply all operations, fenced by the lease's token.
 
         Raises:
             NotLeaseHolderError: The lease is not held.
@@ -174,7 +175,10 @@
         refs: Sequence[tuple[str, ...]],
         options: WriteOptions = DEFAULT_OPTIONS,
     ) -> Result:
-        """As `write`, for rows of the change feed; see `Client.write_rows`."""
+        """Apply operations on rows of the change feed, fenced as in `write`.
+
+        See `Client.write_rows`.
+        """
         return await self._write_fenced(
             lambda fenced: self.client.write_rows(ops, refs, fenced), options
         )
@@ -240,7 +244,7 @@
                 await self._release(request)
             else:
                 await self._claim(request)
-        except Exception as error:  # the holder waits for an outcome, whatever it is
+        except Exception as error:  # the holder needs an outcome for every request
             self.holder.request_failed(request.number, str(error), boot_clock_ns())
             if not isinstance(error, StoreError):
                 log.exception("lease request failed: lease=%s", self.lease)
@@ -266,7 +270,11 @@
         self.holder.response_received(request.number, token, position, result.text, boot_clock_ns())
 
     async def _watch(self) -> None:
-        """Follows the lease at any node: a stale value tells when to claim, not who holds it."""
+        """Watch the lease at any node.
+
+        The observed value may be stale. It only determines when to claim the lease; the store
+        decides which claim holds it.
+        """
         key = LEASE_PREFIX + self.lease
         while True:
             try:
@@ -292,7 +300,7 @@
         self._wake.set()
 
     async def close(self) -> None:
-        """Releases the lease, so that the next holder need not wait for the TTL."""
+        """Release the lease, so that the next holder does not have to wait for the TTL."""
         if self.active_token:
             self._end_tenure("shutdown")
         self.holder.leave(boot_clock_ns())
--- a/loadbalancer/store/link.py
+++ b/loadbalancer/store/link.py
@@ -1,6 +1,6 @@
-"""A node's connections to the other members, each made again whenever it ends.
+"""A node's outgoing connections to the other members, with automatic reconnects.
 
-Messages that can't be sent are dropped: consensus sends again what matters.
+Messages that can't be sent are dropped, because the consensus protocol retransmits them if needed.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 log = logging.getLogger(__name__)
 
-MAX_UNREAD_BYTES: Final = 16 << 20  # of a slow member: beyond it messages are dropped
+MAX_UNREAD_BYTES: Final = 16 << 20  # size of the send buffer above which messages are dropped
 CONNECT_TIMEOUT_S: Final = 2.0
 MIN_BACKOFF_S: Final = 0.05
 MAX_BACKOFF_S: Final = 2.0
-STALL_TIMEOUT_S: Final = 5.0  # the member read nothing though there was something to read
+STALL_TIMEOUT_S: Final = 5.0  # without progress of a non-empty send buffer
 MAX_REPORTED_ADDRESSES: Final = 64
 
 
 @dataclass(frozen=True, slots=True)
 class LinkOptions:
-    """What all links of a node have in common.
+    """Options that all links of a node share.
 
     Attributes:
         hello: This node's greeting.
         tls: Returns the TLS context for a new connection.
-        state_format: Returns the format of the state, which the member's program must know.
-        address_map: For advertised addresses, where they are reached from here.
+        state_format: Returns the format of the state, which the member must support.
+        address_map: The address to connect to for an advertised address, where they differ.
     """
 
     hello: Hello
@@ -48,7 +48,7 @@
 
 
 class MemberConnection(DialedConnection):
-    """A connection to a member, which sends nothing after its greeting."""
+    """An outgoing connection to a member; the member sends nothing after its greeting."""
 
     def __init__(self, hello: Hello, expected_node: int, required_format: int) -> None:
         super().__init__(hello)
@@ -57,16 +57,16 @@
         self.format = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the greeting."""
+        """Send the greeting."""
         cast(asyncio.Transport, transport).set_write_buffer_limits(MAX_UNREAD_BYTES)
         super().connection_made(transport)
 
     def mismatch(self, welcome: Welcome) -> str | None:
-        """Returns why the peer is not the expected member; None if it is."""
+        """Return why the peer is the wrong member or incompatible; None if it is accepted."""
         if welcome.node != self.expected_node or welcome.cluster != self.hello.cluster:
             return f"node {welcome.node:x} of cluster {welcome.cluster} answers there"
         if welcome.format < self.required_format:
-            # It would skip entries that it can't decode, and its state would diverge.
+            # The member would skip entries that it can't decode, and its state would diverge.
             return (
                 f"its program knows format {welcome.format}, "
                 f"and the state is at {self.required_format}"
@@ -76,13 +76,13 @@
 
 
 class MemberLink:
-    """Messages to one member.
+    """Sends messages to one member and keeps the connection to it open.
 
     Attributes:
         connection: The open connection.
-        format: The newest format of the state that the member's program knows, as last seen.
-        dropped: Messages that were not sent.
-        close_reason: Why there is no connection, or was none before.
+        format: The newest state format that the member supports, as of its last greeting.
+        dropped: The number of messages that were not sent.
+        close_reason: Why the last connection was closed or the last attempt failed.
     """
 
     def __init__(self, node: int, address: str, options: LinkOptions) -> None:
@@ -93,12 +93,12 @@
         self.connection: MemberConnection | None = None
         self.dropped = 0
         self.close_reason = "not tried yet"
-        self._unread_bytes = 0  # at the last check
-        self._progress_s = 0.0  # when it last decreased
+        self._unread_bytes = 0  # size of the send buffer after the last write
+        self._progress_s = 0.0  # time of the last decrease of the send buffer
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, messages: Sequence[AnyMessage]) -> None:
-        """Sends messages or drops them."""
+        """Send messages, or drop them if the member is not connected or reads too slowly."""
         connection = self.connection
         if connection is None or connection.transport is None or connection.closed:
             self.dropped += len(messages)
@@ -140,7 +140,7 @@
             await asyncio.sleep(backoff.next_delay_s())
 
     async def _run_connection(self) -> str:
-        """Keeps one connection until it ends; returns why it did."""
+        """Open a connection and wait until it closes; return the reason."""
         options = self.options
         connection = MemberConnection(options.hello, self.node, options.state_format())
         loop = asyncio.get_running_loop()
@@ -160,19 +160,19 @@
         return "the connection was closed"
 
     def close(self) -> None:
-        """Closes the connection for good."""
+        """Close the connection and stop reconnecting."""
         self._task.cancel()
         if self.connection is not None:
             self.connection.abort()
 
 
 class MemberLinks:
-    """Links to all members of the cluster but this node.
+    """Links to all members of the cluster except this node.
 
     Args:
         node: This node's number.
         members: Returns the cluster's members.
-        options: What all links have in common.
+        options: Options that all links share.
     """
 
     def __init__(self, node: int, members: Callable[[], Members], options: LinkOptions) -> None:
@@ -183,11 +183,11 @@
         self._reported_addresses: dict[int, str] = {}
 
     def address_of(self, node: int) -> str:
-        """Returns a member's address; empty if it is not known."""
+        """Return a member's address; empty if it is not known."""
         return self._members().addresses.get(node, "") or self._reported_addresses.get(node, "")
 
     def address_reported(self, node: int, address: str) -> None:
-        """A member reported its own address; the cluster's configuration takes precedence."""
+        """Record a member's reported address; the cluster configuration takes precedence."""
         if address and self._reported_addresses.get(node) != address:
             if len(self._reported_addresses) > MAX_REPORTED_ADDRESSES:
                 self._reported_addresses.clear()
@@ -195,7 +195,7 @@
             self.update()
 
     def update(self) -> None:
-        """Opens and closes links after a change of members or addresses."""
+        """Open and close links to match the current members and addresses."""
         members = self._members()
         desired = {
             node: self.address_of(node)
@@ -211,7 +211,7 @@
                 self.links[node] = MemberLink(node, address, self.options)
 
     def send(self, messages: Sequence[tuple[int, AnyMessage]]) -> None:
-        """Sends messages, each to its member."""
+        """Send each message to its destination member."""
         by_member: dict[int, list[AnyMessage]] = {}
         for node, message in messages:
             by_member.setdefault(node, []).append(message)
@@ -223,7 +223,7 @@
                 link.send(some)
 
     def formats(self) -> dict[int, int]:
-        """Returns the newest format that each member's program knows; 0 if not connected yet."""
+        """Return the newest state format that each member supports; 0 if not connected yet."""
         return {node: self._format_of(node) for node in self._members().all}
 
     def _format_of(self, node: int) -> int:
@@ -233,6 +233,6 @@
         return link.format if link is not None else 0
 
     def close(self) -> None:
-        """Closes all links."""
+        """Close all links."""
         for link in self.links.values():
             link.close()
--- a/loadbalancer/store/log_writer.py
+++ b/loadbalancer/store/log_writer.py
@@ -1,4 +1,4 @@
-"""Makes batches of the consensus core durable in the log."""
+"""Writes batches of the consensus core durably to the log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LogWriter:
-    """Writes one batch after the other.
+    """Writes batches one at a time.
 
     Args:
         runtime: The node's threads and tasks.
@@ -31,7 +31,7 @@
         self._snapshot_installed = snapshot_installed
 
     def start(self, batch: Batch) -> None:
-        """Begins to write a batch."""
+        """Start writing a batch."""
         self._runtime.start_task(self._write(batch))
 
     async def _write(self, batch: Batch) -> None:
@@ -54,7 +54,11 @@
         self._runtime.core.batch_persisted(batch, is_installed)
 
     async def _persist(self, batch: Batch) -> bool:
-        """Writes until there is room; returns whether the batch's snapshot is complete."""
+        """Write a batch, with retries while the disk is full.
+
+        Returns:
+            Whether the batch's snapshot is complete.
+        """
         statistics = self._runtime.statistics
         while True:
             try:
--- a/loadbalancer/store/metrics.py
+++ b/loadbalancer/store/metrics.py
@@ -1,4 +1,4 @@
-"""A node's metrics: OpenMetrics text over plain HTTP, on an address of its own."""
+"""A node's metrics: OpenMetrics text over plain HTTP on a separate address."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
         self.node = node
 
     def collect(self) -> Iterable[Metric]:
-        """Yields all metric families."""
+        """Yield all metric families."""
         status = self.node.status()
         fields = cast(Mapping[str, Any], status)
         yield from _families(GaugeMetricFamily, "lanelift_store", GAUGES, fields)
@@ -128,7 +128,7 @@
 
 
 class MetricsConnection(asyncio.Protocol):
-    """Answers one request with the metrics, whatever its path."""
+    """Replies to one request with the metrics, regardless of its path."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._registry = registry
@@ -136,11 +136,11 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Waits for the request."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Replies once the head of the request is complete, or too long."""
+        """Reply once the request's head is complete or exceeds the size limit."""
         self._head += data
         is_complete = b"\r\n\r\n" in self._head or len(self._head) >= MAX_HEAD_BYTES
         if self._transport is None or not is_complete:
@@ -154,7 +154,7 @@
 
 
 async def serve(node: Node, address: tuple[str, int]) -> asyncio.Server:
-    """Serves a node's metrics.
+    """Serve a node's metrics.
 
     Raises:
         OSError: The address can't be used.
--- a/loadbalancer/store/node.py
+++ b/loadbalancer/store/node.py
@@ -1,6 +1,6 @@
 """A running member of the cluster: drives the replica with threads, timers and connections.
 
-Everything that happens in one iteration of the event loop is carried out together at its end.
+Events of one event-loop iteration are batched: a single callback processes them together.
 """
 
 from __future__ import annotations
@@ -49,12 +49,12 @@
 
 
 class Node:
-    """A member; `open` makes it from its folder.
+    """A member of the cluster; `open` creates it from its folder.
 
     Attributes:
-        settings: The settings of its file.
-        identity: Its number, name and cluster.
-        runtime: Its threads and tasks, and why it failed.
+        settings: The node's settings.
+        identity: The node's number, name and cluster.
+        runtime: The node's threads and tasks, and the reason if it failed.
         core: The consensus core.
         links: Connections to the other members.
         pending: Writes and reads in flight.
@@ -102,10 +102,10 @@
 
     @classmethod
     def open(cls, settings: StoreSettings) -> Node:
-        """Opens the node of a folder.
+        """Open the node that is stored in a folder.
 
         Raises:
-            Damaged: The folder's content is not valid.
+            DamagedError: The folder's content is not valid.
             MalformedError: The folder can't be used.
         """
         lock = lock_directory(settings.folder)
@@ -132,23 +132,24 @@
 
     @property
     def failed(self) -> asyncio.Future[str]:
-        """Why the node can't go on; empty after an orderly shutdown."""
+        """Complete with the reason when the node fails, or empty after a graceful shutdown."""
         return self.runtime.failed
 
     def start(self) -> None:
-        """Begins to take part in the cluster."""
+        """Start to participate in the cluster."""
         self.changefeed.start()
         self.runtime.wake()
 
     # ---- one iteration ---------------------------------------------------------------------------
 
     def message_received(self, sender: int, message: AnyMessage) -> None:
-        """Handles a member's message."""
+        """Handle a member's message."""
         self.core.step(sender, message)
         self.runtime.wake()
 
     def _run(self) -> None:
-        # Time passes first, so that a late loop does not blame the leader.
+        # Advance the core's clock first. If this event loop was late, the core limits the jump, so
+        # that the delay does not count as missed heartbeats of the leader.
         self.core.tick(time.monotonic_ns())
         self._send_and_persist()
         self._state_worker.apply_committed()
@@ -219,7 +220,7 @@
         now_ns = time.monotonic_ns()
         if self._housekeeper.term != core.term:
             if self.runtime.state_lock.locked():
-                return  # who holds the lock wakes this node
+                return  # the task that holds the lock wakes this node when it ends
             self._housekeeper.leadership_gained(core.term, state, now_ns)
         commands = self._housekeeper.proposals(state.format, self.links.formats(), now_ns)
         if not commands:
@@ -227,17 +228,17 @@
         try:
             core.propose([pack(command) for command in commands])
         except (BusyError, NotLeaderError):
-            return  # they are proposed again
+            return  # the commands are proposed again later
         self.runtime.wake()
 
     def leaderless_ms(self) -> int:
-        """Returns how long ago this node last knew a leader; 0 if it knows one."""
+        """Return the time since a leader was last known; 0 if a leader is known."""
         if self.core.leader_id:
             return 0
         return max(1, int((time.monotonic() - self._leader_known_s) * 1000))
 
     def format_pending_reason(self, required_format: int) -> str:
-        """Returns why no command can be applied yet that needs this format of the state."""
+        """Return why commands that need this state format can't be applied yet."""
         nodes = nodes_below_format(self.links.formats(), required_format)
         if not nodes:
             return "the state is being upgraded"
@@ -262,19 +263,19 @@
     # ---- requests of clients ---------------------------------------------------------------------
 
     async def query(self, read: Callable[[State], T]) -> T:
-        """Reads from the state as applied here.
+        """Read from the state that this node has applied.
 
         Raises:
-            DeadlineExceededError: The node stops.
+            DeadlineExceededError: The node is shutting down.
         """
         return await self.runtime.query(read)
 
     def propose(self, command: bytes) -> asyncio.Future[Result]:
-        """Proposes an encoded command; the future raises OutcomeUnknownError.
+        """Propose an encoded command; the future may raise OutcomeUnknownError.
 
         Raises:
-            BusyError: Too much is in flight.
-            NotLeaderError: This node does not lead.
+            BusyError: Too many requests are in flight.
+            NotLeaderError: This node is not the leader.
         """
         self._require_running()
         future = self.pending.propose(command)
@@ -282,12 +283,13 @@
         return future
 
     def confirm_read(self) -> asyncio.Future[None]:
-        """Waits until the state as applied here includes all that was answered to anyone before.
+        """Request a linearizable read.
 
-        The future raises DeadlineExceededError.
+        The future completes when the state of this node includes every write that was acknowledged
+        before the call. It may raise DeadlineExceededError.
 
         Raises:
-            BusyError: Too much is in flight.
+            BusyError: Too many requests are in flight.
             NotLeaderError: No leader is known.
         """
         self._require_running()
@@ -300,15 +302,15 @@
             raise NotLeaderError(0)
 
     async def administer(self, request: Administer) -> str:
-        """Carries out an administrative request; see `Administration.execute`."""
+        """Execute an administrative request; see `Administration.execute`."""
         return await self._administration.execute(request)
 
     def status(self) -> NodeStatus:
-        """Returns the node's status."""
+        """Return the node's status."""
         return self._status.node_status(self.leaderless_ms(), self.changefeed.status())
 
     async def close(self) -> None:
-        """Stops the node; what was acknowledged is on disk."""
+        """Stop the node; acknowledged writes are already on disk."""
         self._timer.cancel()
         self.changefeed.close()
         if not self.failed.done():
--- a/loadbalancer/store/node_runtime.py
+++ b/loadbalancer/store/node_runtime.py
@@ -1,4 +1,4 @@
-"""Event loop, threads and tasks of a node, and its failure."""
+"""The event loop, threads and tasks of a node, and its failure handling."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 class NodeRuntime:
-    """What the parts of a node share.
+    """The runtime that the components of a node share.
 
-    The loop's thread owns the consensus core. One thread writes to the log, one uses the state, one
-    exports snapshots; while a snapshot is installed the state is locked.
+    The event loop's thread owns the consensus core. One thread writes to the log, one accesses the
+    state, and one exports snapshots. The state is locked while a snapshot is installed.
 
     Args:
         replica: The replica that the node drives.
-        run: Called once at the end of each iteration of the loop in which `wake` was.
-        failed: Called once when the node can't go on or is closed.
+        run: Called once after each event-loop iteration in which `wake` was called.
+        failed: Called once when the node fails.
 
     Attributes:
-        failed: Why the node can't go on; empty after an orderly shutdown.
+        failed: Completes with the reason when the node fails, or empty after a graceful shutdown.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         return self.failed.done()
 
     def wake(self) -> None:
-        """Runs the node at the end of this iteration of the event loop."""
+        """Schedule a run of the node for the next iteration of the event loop."""
         if not self._is_woken:
             self._is_woken = True
             self.loop.call_soon(self._run_once)
@@ -70,11 +70,11 @@
             return
         try:
             self._run()
-        except Exception as error:  # noqa: BLE001 (an unknown fault stops the node)
+        except Exception as error:  # noqa: BLE001 (an unexpected error stops the node)
             self._fail_unexpectedly(error)
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        """Starts a task; an error that it does not handle fails the node."""
+        """Start a task; an unhandled error in it stops the node."""
         task = self.loop.create_task(self._guarded(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -84,7 +84,7 @@
             await work
         except (SyncFailedError, DamagedError) as error:
             self.fail(str(error))
-        except Exception as error:  # noqa: BLE001 (an unknown fault stops the node)
+        except Exception as error:  # noqa: BLE001 (an unexpected error stops the node)
             self._fail_unexpectedly(error)
         self.wake()
 
@@ -93,29 +93,29 @@
         self.fail(f"{type(error).__name__}: {error}")
 
     def fail(self, reason: str) -> None:
-        """Stops the node for a reason; only the first one counts."""
+        """Stop the node and record the reason; later calls have no effect."""
         if not self.has_failed:
             log.error("store node stops: reason=%s", reason)
             self.failed.set_result(reason)
             self._on_failed()
 
     async def on_log_thread(self, function: Callable[..., T], *args: object) -> T:
-        """Calls a function in the thread of the log."""
+        """Call a function in the log thread."""
         return await self.loop.run_in_executor(self.log_thread, function, *args)
 
     async def on_state_thread(self, function: Callable[..., T], *args: object) -> T:
-        """Calls a function in the thread of the state."""
+        """Call a function in the state thread."""
         return await self.loop.run_in_executor(self.state_thread, function, *args)
 
     async def on_export_thread(self, function: Callable[..., T], *args: object) -> T:
-        """Calls a function in the thread of snapshots that are exported."""
+        """Call a function in the snapshot export thread."""
         return await self.loop.run_in_executor(self.export_thread, function, *args)
 
     async def query(self, read: Callable[[State], T]) -> T:
-        """Reads from the state as applied here.
+        """Read from the state that this node has applied.
 
         Raises:
-            DeadlineExceededError: The node stops.
+            DeadlineExceededError: The node is shutting down.
         """
         async with self.state_lock:
             if self.has_failed:
@@ -123,7 +123,7 @@
             return await self.on_state_thread(read, self.replica.state)
 
     async def close(self) -> None:
-        """Waits for tasks and threads."""
+        """Wait until tasks and threads have finished."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT_S)
         for thread in (self.log_thread, self.state_thread, self.export_thread):
--- a/loadbalancer/store/node_status.py
+++ b/loadbalancer/store/node_status.py
@@ -1,4 +1,4 @@
-"""Composes the status of a node."""
+"""Builds the status report of a node."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusSource:
-    """The parts of a node that its status describes."""
+    """The components of a node that its status covers."""
 
     identity: Identity
     runtime: NodeRuntime
@@ -25,11 +25,11 @@
     pending: PendingRequests
 
     def node_status(self, leaderless_ms: int, changefeed: dict[str, Any] | None) -> NodeStatus:
-        """Returns the node's status.
+        """Return the node's status.
 
         Args:
-            leaderless_ms: How long ago a leader was last known.
-            changefeed: Status of the change feed, if it is used.
+            leaderless_ms: The time since a leader was last known.
+            changefeed: Status of the change feed; None if it is not in use.
         """
         core = self.runtime.core
         statistics = self.runtime.statistics
@@ -84,7 +84,7 @@
         }
 
     def _match_index(self, node: int) -> int | None:
-        """Returns the last index that is known to be on a member's disk; None if none is."""
+        """Return the last index known to be durable on a member; None if this node can't tell."""
         core = self.runtime.core
         progress = core.progress.get(node) if core.role is Role.LEADER else None
         if progress is None:
--- a/loadbalancer/store/pending_requests.py
+++ b/loadbalancer/store/pending_requests.py
@@ -1,4 +1,4 @@
-"""Writes and linearizable reads of a node's clients that are in flight."""
+"""In-flight writes and linearizable reads of a node's clients."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from loadbalancer.store.raft.state import Role
 
 READ_TIMEOUT_S: Final = 3.0
-LAST_TERM: Final = 1 << 62  # later than any
+LAST_TERM: Final = 1 << 62  # greater than any real term
 
 
 @dataclass(slots=True, eq=False)
 class PendingWrite:
-    """A proposed command, until its entry is applied."""
+    """A proposed command whose entry has not been applied yet."""
 
     term: int
     future: asyncio.Future[Result]
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRead:
-    """A read, until a majority confirmed the leader."""
+    """A read that waits for a majority to confirm the leader."""
 
     term: int
     deadline_s: float
@@ -36,7 +36,7 @@
 
 
 class PendingRequests:
-    """Resolves the futures of writes and reads."""
+    """Tracks in-flight writes and reads and completes their futures."""
 
     def __init__(self, core: RaftNode) -> None:
         self._core = core
@@ -45,11 +45,11 @@
         self._last_ticket = 0
 
     def propose(self, command: bytes) -> asyncio.Future[Result]:
-        """Proposes an encoded command; the future raises OutcomeUnknownError.
+        """Propose an encoded command; the future may raise OutcomeUnknownError.
 
         Raises:
-            NotLeaderError: This node does not lead.
-            BusyError: Too much is in flight.
+            NotLeaderError: This node is not the leader.
+            BusyError: Too many requests are in flight.
         """
         index = self._core.propose([command])[0]
         future: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
@@ -57,11 +57,11 @@
         return future
 
     def read(self) -> asyncio.Future[None]:
-        """Requests a read; the future raises DeadlineExceededError.
+        """Request a linearizable read; the future may raise DeadlineExceededError.
 
         Raises:
             NotLeaderError: No leader is known.
-            BusyError: Too much is in flight.
+            BusyError: Too many requests are in flight.
         """
         self._last_ticket += 1
         ticket = self._last_ticket
@@ -72,7 +72,7 @@
         return future
 
     def entries_applied(self, entries: Sequence[Entry], results: Sequence[Result]) -> None:
-        """Resolves the writes whose entries were applied."""
+        """Complete the writes whose entries were applied."""
         for entry, result in zip(entries, results, strict=True):
             write = self.writes.pop(entry.index, None)
             if write is None or write.future.done():
@@ -83,14 +83,14 @@
                 write.future.set_exception(OutcomeUnknownError("another entry took its place"))
 
     def reads_confirmed(self, tickets: Iterable[int]) -> None:
-        """Resolves the reads that a majority confirmed."""
+        """Complete the reads that a majority confirmed."""
         for ticket in tickets:
             read = self.reads.pop(ticket, None)
             if read is not None and not read.future.done():
                 read.future.set_result(None)
 
     def expire_reads(self) -> None:
-        """Fails the reads that were not confirmed in time."""
+        """Fail the reads whose deadline passed before they were confirmed."""
         now_s = time.monotonic()
         while self.reads:
             ticket, read = next(iter(self.reads.items()))
@@ -103,11 +103,11 @@
                 )
 
     def fail_all(self) -> None:
-        """Fails everything: the node stops."""
+        """Fail all requests, because the node stops."""
         self.leadership_ended(LAST_TERM)
 
     def leadership_ended(self, term: int) -> None:
-        """Fails the writes and reads of leaderships up to this term."""
+        """Fail requests of terms whose leadership has ended, up to the given term."""
         is_leader = self._core.role is Role.LEADER
         for index, write in list(self.writes.items()):
             if write.term < term or (write.term == term and not is_leader):
--- a/loadbalancer/store/read_requests.py
+++ b/loadbalancer/store/read_requests.py
@@ -1,4 +1,4 @@
-"""Rows and pages of rows that a client reads from the state."""
+"""Reads of rows and pages of rows from the state."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class Page(NamedTuple):
-    """Rows of one reply; `more` if the page is full."""
+    """The rows of one reply; `more` is set if further rows may follow."""
 
     rows: tuple[Row, ...]
     more: bool = False
 
 
 def row_of(item: Item) -> Row:
-    """Returns an item of the state in its wire form."""
+    """Convert an item of the state to its wire form."""
     return Row(
         item.key, item.value, item.version, item.revision, item.time_ms, item.author, item.note
     )
 
 
 def get(state: State, keys: tuple[str, ...]) -> Page:
-    """Returns a row for each key; its value is None if the key does not exist."""
+    """Return a row for each key; its value is None if the key does not exist."""
     items = [state.get(key) for key in keys]
     return Page(
         tuple(
@@ -38,12 +38,12 @@
 
 
 def history(state: State, key: str, limit: int) -> Page:
-    """Returns the retained versions of a key, newest first."""
+    """Return the retained versions of a key, newest first."""
     return Page(tuple(row_of(item) for item in state.history(key, limit)))
 
 
 def scan(state: State, prefix: str, after: str, limit: int) -> Page:
-    """Returns a page of the keys with a prefix, limited in rows and bytes."""
+    """Return a page of keys with a prefix, limited by row count and size in bytes."""
     limit = max(1, min(limit, MAX_SCAN_ROWS))
     rows: list[Row] = []
     size_bytes = 0
--- a/loadbalancer/store/replica.py
+++ b/loadbalancer/store/replica.py
@@ -1,8 +1,8 @@
-"""One member's consensus core, log and state, without sockets, threads or a clock of its own.
+"""One member's consensus core, log and state, without sockets, threads or a clock.
 
-Its driver, a node or a simulator, may call `write` in one thread and `apply` and `flush` in
-another: they share nothing but the state, which `write` uses only to install a snapshot while
-nothing is being applied.
+The driver, a node or a simulator, may call `write` in one thread and `apply` and `flush` in another
+thread. The two threads share only the state. `write` accesses the state only to install a snapshot;
+the driver must not apply entries at that time.
 """
 
 from __future__ import annotations
@@ -33,11 +33,12 @@
 RETAINED_ENTRIES: Final = 2_000
 MAX_LOG_BYTES: Final = 16 << 20
 MAX_LOG_ENTRIES: Final = 10_000
-FOLLOWER_LOG_FACTOR: Final = 4  # of the limit, while a follower will need the entries
+# The log may exceed its limit by this factor while a follower needs entries.
+FOLLOWER_LOG_FACTOR: Final = 4
 
 
 class Identity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Whose folder this is; written once."""
+    """The node and cluster that a folder belongs to; written once."""
 
     format: int
     cluster: str
@@ -47,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLimits:
-    """When the log is compacted, and what of it is retained.
+    """The limits at which the log is compacted, and the entries that compaction retains.
 
     Attributes:
-        retained_entries: Entries that stay, for followers that are a little behind.
-        max_entries: It is compacted when it holds more.
-        max_bytes: It is compacted when it holds more.
+        retained_entries: Applied entries that are retained for followers that are slightly behind.
+        max_entries: The number of entries above which the log is compacted.
+        max_bytes: The size above which the log is compacted.
     """
 
     retained_entries: int = RETAINED_ENTRIES
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Storage:
-    """Where a replica stores its log and state."""
+    """The storage of a replica's log and state."""
 
     journal: Journal
     state_directory: StateDirectory
@@ -73,13 +74,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreOptions:
-    """How a replica's consensus core is made.
+    """Options for creating a replica's consensus core.
 
     Attributes:
         config: Timing and limits.
-        now_ns: The clock.
-        rng: For election timeouts.
-        core_type: The core's class.
+        now_ns: The current time.
+        rng: Random numbers for election timeouts.
+        core_type: The class of the core.
     """
 
     config: RaftConfig
@@ -89,15 +90,15 @@
 
 
 def write_identity(files: Files, identity: Identity) -> None:
-    """Writes the identity of a folder."""
+    """Write the identity file of a folder."""
     replace_file(files, IDENTITY_FILE, msgspec.json.encode(identity))
 
 
 def read_identity(files: Files) -> Identity:
-    """Reads the identity of a folder.
+    """Read the identity file of a folder.
 
     Raises:
-        DamagedError: There is none, or it is not valid.
+        DamagedError: The file does not exist or is not valid.
     """
     try:
         raw = files.read(IDENTITY_FILE)
@@ -118,7 +119,7 @@
 
 
 class Replica:
-    """Consensus core, log and state of one member; `open` makes it from what is on disk.
+    """The consensus core, log and state of one member; `open` loads them from disk.
 
     Attributes:
         flushed: The index up to which the state is durable.
@@ -148,15 +149,16 @@
         options: CoreOptions,
         log_limits: LogLimits = DEFAULT_LOG_LIMITS,
     ) -> Replica:
-        """Makes a replica from what is on disk.
+        """Load a replica from disk.
 
         Raises:
-            DamagedError: Log and state are not valid, or don't belong together.
+            DamagedError: The log or state is not valid, or they do not match.
         """
         found = storage.journal.open()
         state = storage.state_directory.open()
         if found.install is not None and found.install.index > state.applied:
-            # The process ended between the record in the log and the installation.
+            # The process ended after the snapshot was recorded in the log and before it was
+            # installed.
             state = storage.state_directory.install_incoming(state, found.install)
         log = Log(found.base_index, found.base_term, found.entries)
         _check(identity, found, state, log)
@@ -166,14 +168,14 @@
         return cls(identity, storage, state, core, log_limits)
 
     def write(self, batch: Batch) -> bool:
-        """Makes a batch durable; may be called again with the same one after `Full`.
+        """Write a batch durably; may be retried with the same batch after a `DiskFullError`.
 
         Returns:
             False if the batch's snapshot is incomplete.
 
         Raises:
-            Broken: The log can't be written any more.
-            Full: The disk is full.
+            SyncFailedError: The log can no longer be written.
+            DiskFullError: The disk is full.
         """
         for chunk in batch.chunks:
             self.state_directory.write_chunk(chunk.offset, chunk.data)
@@ -188,7 +190,7 @@
         return True
 
     def apply(self, entries: Sequence[Entry]) -> list[Result]:
-        """Applies committed entries to the state."""
+        """Apply committed entries to the state."""
         return self.state.apply(entries)
 
     @property
@@ -202,33 +204,33 @@
         )
 
     def flush(self) -> int:
-        """Syncs the state; returns the index up to which it is durable.
+        """Sync the state to disk and return the index up to which the state is durable.
 
         Raises:
-            Full: The disk is full.
+            DiskFullError: The disk is full.
         """
         self.flushed = self.state_directory.flush(self.state)
         return self.flushed
 
     def compaction_index(self) -> int:
-        """Returns the index up to which the log may be dropped."""
+        """Return the index up to which entries of the log may be dropped."""
         log = self.core.log
         limits = self.log_limits
         index = min(self.flushed, self.core.applied_index - limits.retained_entries)
         if log.size_bytes > limits.max_bytes:
-            index = self.flushed  # what is retained must not outgrow memory
+            index = self.flushed  # retained entries must not exceed the memory limit
         if log.size_bytes < FOLLOWER_LOG_FACTOR * limits.max_bytes:
             index = min(index, self.core.first_needed_index)
         return max(index, log.base_index)
 
     def compact(self) -> None:
-        """Drops the entries of the log that are not needed."""
+        """Drop entries of the log that are no longer needed."""
         index = self.compaction_index()
         self.core.compact(index)
         self.journal.compact(index)
 
     def close(self) -> None:
-        """Closes log and state."""
+        """Close the log and the state."""
         self.journal.close()
         self.state.close()
         self.state_directory.close()
@@ -248,5 +250,5 @@
 
 
 def single_member(node: int, address: str) -> Members:
-    """Returns the members of a cluster of one."""
+    """Return the membership of a cluster with a single node."""
     return Members((node,), (), {node: address})
--- a/loadbalancer/store/request_channel.py
+++ b/loadbalancer/store/request_channel.py
@@ -1,4 +1,4 @@
-"""Requests of a client: one connection at a time, with retries at other nodes and a deadline."""
+"""A client's requests over one connection at a time, with deadlines and retries at other nodes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     RequestFailed,
 )
 
-ATTEMPT_TIMEOUT_S: Final = 1.5  # then the request is retried at another node
+ATTEMPT_TIMEOUT_S: Final = 1.5  # after which the request is retried at another node
 CONNECT_TIMEOUT_S: Final = 1.0
 MIN_CONNECT_TIMEOUT_S: Final = 0.01
 MIN_BACKOFF_S: Final = 0.02
@@ -34,22 +34,22 @@
 
 
 class RequestFactory(Protocol):
-    """Makes a request for each attempt."""
+    """Creates the request for each attempt."""
 
     def __call__(self, request_id: int, timeout_ms: int, /) -> AnyRequest:
-        """Returns the request."""
+        """Return the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelOptions:
-    """Where a channel connects, and as whom.
+    """The nodes that a channel connects to, and the client's identity.
 
     Attributes:
-        addresses: Members, HOST:PORT.
+        addresses: Addresses of members, HOST:PORT.
         tls: Returns the TLS context for a new connection.
         hello: The greeting.
-        address_map: For advertised addresses, where they are reached from here.
-        rng: For the jitter of the backoff.
+        address_map: The address to connect to for an advertised address, where they differ.
+        rng: Random numbers for the jitter of the backoff.
     """
 
     addresses: Sequence[str]
@@ -61,50 +61,51 @@
 
 @dataclass(slots=True)
 class _Call:
-    """Progress of one request over its attempts."""
+    """The state of one request across its attempts."""
 
     needs_leader: bool
     deadline_s: float
     failure_reason: str = "no node answers"
-    may_have_executed: bool = False  # an attempt was sent, and no reply says that it had no effect
-    is_redirected: bool = False  # the next attempt goes to the leader at once
+    # An attempt was sent, and no reply rules out that it took effect.
+    may_have_executed: bool = False
+    is_redirected: bool = False  # retry at the leader without a delay
 
 
 class RequestChannel:
-    """Sends requests until there is a reply or their deadline passes."""
+    """Sends requests and retries them until a reply arrives or the deadline passes."""
 
     def __init__(self, options: ChannelOptions) -> None:
         self.options = options
         self.connection: ClientConnection | None = None
         self._connected_address = ""
-        self._leader_address = ""  # as the last failure reported it, until it was tried
+        self._leader_address = ""  # reported by the last failure; empty once it was tried
         self._next_address = 0
         self._last_request_id = 0
         self._connecting = asyncio.Lock()
 
     def next_request_id(self) -> int:
-        """Returns a new request id."""
+        """Return a new request id."""
         self._last_request_id += 1
         return self._last_request_id
 
     def new_backoff(self) -> Backoff:
-        """Returns the backoff for a series of attempts."""
+        """Return a new backoff for a series of attempts."""
         return Backoff(MIN_BACKOFF_S, MAX_BACKOFF_S, self.options.rng.uniform)
 
     async def call(
         self, make: RequestFactory, deadline_s: float, *, needs_leader: bool
     ) -> AnyReply:
-        """Sends a request until there is a reply.
+        """Send a request, with retries, until a reply arrives.
 
         Args:
-            make: Makes the request for an attempt.
-            deadline_s: On the monotonic clock.
-            needs_leader: Go to the leader where a reply names it.
+            make: Creates the request for an attempt.
+            deadline_s: The deadline on the monotonic clock.
+            needs_leader: Whether to retry at the leader if a failure reports its address.
 
         Raises:
             RejectedError: The store rejects the request.
-            UndecidedError: The deadline passed; the change may have been made.
-            UnavailableError: The deadline passed; no change was made.
+            UndecidedError: The deadline passed; the change may have been applied.
+            UnavailableError: The deadline passed; no change was applied.
         """
         call = _Call(needs_leader, deadline_s)
         backoff = self.new_backoff()
@@ -168,20 +169,20 @@
             self.abandon(connection)
 
     def abandon(self, connection: ClientConnection) -> None:
-        """Sends nothing more over a connection; the next request connects elsewhere."""
+        """Stop using a connection; the next request connects to another node."""
         if self.connection is connection:
             self.connection = None
         if not connection.watches and not connection.pending:
             connection.abort()
         elif connection.pending:
-            # Other requests are in flight on it too: they have their own timeouts.
+            # Other requests are still in flight on the connection, with separate timeouts.
             asyncio.get_running_loop().call_later(ATTEMPT_TIMEOUT_S, connection.abort)
 
     async def connect(self, deadline_s: float) -> ClientConnection:
-        """Returns the open connection, or a new one.
+        """Return the open connection, or open a new one.
 
         Raises:
-            OSError: No connection could be made.
+            OSError: No connection could be established.
         """
         async with self._connecting:
             if self.connection is not None and not self.connection.closed:
@@ -217,7 +218,7 @@
         return connection
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection."""
         if self.connection is not None:
             self.connection.abort()
             self.connection = None
@@ -228,5 +229,5 @@
 
 
 def new_hello(cluster: str, name: str) -> Hello:
-    """Returns a client's greeting."""
+    """Return the greeting of a client."""
     return Hello(protocol.PROTOCOL_VERSION, cluster, 0, "", name)
--- a/loadbalancer/store/request_handler.py
+++ b/loadbalancer/store/request_handler.py
@@ -1,4 +1,4 @@
-"""Executes the requests of a client's connection."""
+"""Executes the requests that arrive on a client's connection."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
 
 T = TypeVar("T")
 
-MAX_OPEN_REQUESTS: Final = 512  # of one connection
-MAX_WATCHES: Final = 64  # of one connection
+MAX_OPEN_REQUESTS: Final = 512  # per connection
+MAX_WATCHES: Final = 64  # per connection
 BACKUP_CHUNK_BYTES: Final = 512 << 10
 REQUIRED_ROLES: Final[dict[type, CertificateRole]] = {
     Propose: CertificateRole.WRITE,
@@ -69,17 +69,17 @@
 
 
 class ReplySender(Protocol):
-    """What a handler needs of its connection."""
+    """The interface of the connection that a handler uses."""
 
     @property
     def peer(self) -> str:
         """The client's address, for logs."""
 
     def send(self, reply: Reply) -> None:
-        """Sends a reply."""
+        """Send a reply."""
 
     def changefeed_message_received(self, request: SendToChangefeed) -> None:
-        """Handles a message to the change feed."""
+        """Handle a message to the change feed."""
 
 
 class RequestHandler:
@@ -102,12 +102,12 @@
     def fail(
         self, request_id: int, code: FailureCode, reason: str, leader: int | None = None
     ) -> None:
-        """Sends that a request failed, with the leader's address if that is known."""
+        """Send a failure reply, with the leader's address if a leader is given and known."""
         address = self._node.links.address_of(leader) if leader else ""
         self._connection.send(RequestFailed(request_id, code, reason, address))
 
     def request_received(self, request: AnyRequest) -> None:
-        """Begins to execute a request."""
+        """Check the permission and capacity for a request and start executing it."""
         if not is_permitted(self._role, REQUIRED_ROLES[type(request)]):
             reason = f"the role {self._role} may not do that"
             self.fail(request.id, FailureCode.FORBIDDEN, reason)
@@ -228,21 +228,21 @@
             watch.stop()
 
     def send(self, reply: Reply) -> None:
-        """Sends a watch's reply."""
+        """Send a watch's reply."""
         self._connection.send(reply)
 
     def watch_compacted(self, watch_id: int, code: FailureCode, reason: str) -> None:
-        """Ends a watch whose next changes are no longer retained."""
+        """End a watch whose next changes are no longer retained."""
         self.fail(watch_id, code, reason)
         self._watches.pop(watch_id, None)
 
     def pause(self) -> None:
-        """The client does not read: watches send nothing."""
+        """Pause all watches, because the client does not read."""
         for watch in self._watches.values():
             watch.pause()
 
     def resume(self) -> None:
-        """The client reads again."""
+        """Resume all watches, because the client reads again."""
         for watch in self._watches.values():
             watch.resume()
 
@@ -255,7 +255,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _guarded(self, request_id: int, work: Coroutine[Any, Any, None]) -> None:
-        """Sends a reply for every error that a request may end with."""
+        """Run a request and send a failure reply for each expected error."""
         try:
             await work
         except NotLeaderError as error:
@@ -275,13 +275,13 @@
             self._open_count -= 1
 
     def close_watches(self) -> None:
-        """Ends all watches: the connection ended."""
+        """Stop all watches, because the connection was closed."""
         for watch in self._watches.values():
             watch.stop()
         self._watches.clear()
 
     def cancel_tasks(self) -> None:
-        """Cancels all requests: the connection ended."""
+        """Cancel all requests, because the connection was closed."""
         for task in list(self._tasks):
             task.cancel()
 
@@ -297,10 +297,10 @@
 
 
 def _decode_command(packed: bytes) -> AnyCommand:
-    """Decodes a client's command.
+    """Decode a client's command.
 
     Raises:
-        RejectedError: No state would apply it; the log need not hold it.
+        RejectedError: The command is not valid, so that it must not be written to the log.
     """
     if len(packed) > protocol.MAX_REQUEST_BYTES:
         raise RejectedError("the write is too large")
--- a/loadbalancer/store/run.py
+++ b/loadbalancer/store/run.py
@@ -1,4 +1,4 @@
-"""Store nodes as operators handle them: created, joined, restored, verified and run."""
+"""Operations on a store node: create, join, restore, verify and run."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
 
 
 def new_node_number() -> int:
-    """Draws the number of a node, so that none is used twice."""
+    """Return a random node number, large enough that numbers do not repeat."""
     return random.SystemRandom().getrandbits(NODE_NUMBER_BITS) | 1
 
 
 def new_cluster_name() -> str:
-    """Draws the name of a cluster."""
+    """Return a random cluster name."""
     return f"c{random.SystemRandom().getrandbits(CLUSTER_NAME_BITS):010x}"
 
 
 def make_folder(settings: StoreSettings) -> None:
-    """Makes a node's folder.
+    """Create a node's folder.
 
     Raises:
-        MalformedError: It is not empty, or can't be made.
+        MalformedError: The folder is not empty or can't be created.
     """
     try:
         settings.folder.mkdir(parents=True, exist_ok=True)
@@ -65,7 +65,7 @@
 
 
 def init(settings: StoreSettings, cluster: str = "", name: str = "") -> Identity:
-    """Creates a new cluster of this one node.
+    """Create a new cluster with this node as its only member.
 
     Raises:
         MalformedError: The folder is not empty, or can't be used.
@@ -78,7 +78,7 @@
 
 
 def prepare(settings: StoreSettings, cluster: str, name: str = "") -> Identity:
-    """Creates the folder of a node that will join a cluster.
+    """Create the folder of a node that will join a cluster.
 
     Raises:
         MalformedError: The folder is not empty, or can't be used.
@@ -90,9 +90,9 @@
 
 
 def restore(settings: StoreSettings, copy: Path, cluster: str = "", name: str = "") -> Identity:
-    """Creates a new cluster of this one node from a backup or another node's state.
+    """Create a new single-node cluster from a backup or another node's state.
 
-    It has a name of its own, so that members of the old cluster can't talk to it.
+    The new cluster has a different name, so that members of the old cluster can't connect to it.
 
     Raises:
         DamagedError: The backup is not valid.
@@ -106,7 +106,7 @@
 
     def make_state(path: Path) -> State:
         shutil.copyfile(copy, path)
-        wal = Path(f"{copy}-wal")  # of a node that was killed: its last entries
+        wal = Path(f"{copy}-wal")  # left by a node that was killed; holds its last entries
         if wal.exists():
             shutil.copyfile(wal, f"{path}-wal")
         return state_files.adopt_copy(path, identity.cluster, members, int(unix_s()))
@@ -121,7 +121,7 @@
 def _fill(
     settings: StoreSettings, identity: Identity, make_state: Callable[[Path], State]
 ) -> Identity:
-    """Creates state, and a log that begins where it ends."""
+    """Create the state, a log that continues from it, and the identity file."""
     make_folder(settings)
     lock = lock_directory(settings.folder)
     try:
@@ -132,7 +132,7 @@
         journal.create(state.applied, state.term)
         journal.close()
         files.sync_folder()
-        write_identity(files, identity)  # last: without it the folder belongs to no cluster
+        write_identity(files, identity)  # last, because it marks the folder as complete
     except OSError as error:
         raise MalformedError(f"{settings.folder}: {error.strerror}") from None
     finally:
@@ -141,7 +141,7 @@
 
 
 def verify(settings: StoreSettings) -> list[str]:
-    """Returns what is wrong with the folder of a node that does not run.
+    """Return the errors found in the folder of a stopped node.
 
     Raises:
         MalformedError: The folder can't be used.
@@ -171,7 +171,7 @@
 
 
 class StoreServer:
-    """A node with its listeners.
+    """A node with its store and metrics listeners.
 
     Raises:
         DamagedError: The folder's content is not valid.
@@ -185,7 +185,7 @@
         self._metrics: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens, then begins to take part in the cluster.
+        """Open the listeners and start the node.
 
         Raises:
             MalformedError: An address or certificate can't be used.
@@ -197,7 +197,7 @@
         self.node.start()
 
     async def close(self) -> None:
-        """Closes listeners and node."""
+        """Close the listeners and the node."""
         if self._metrics is not None:
             self._metrics.close()
         await self.server.close()
@@ -205,15 +205,15 @@
 
 
 def _ignore(server: StoreServer) -> None:
-    """Does nothing."""
+    """Do nothing."""
 
 
 async def serve(settings: StoreSettings, started: Callable[[StoreServer], None] = _ignore) -> str:
-    """Runs a node until SIGTERM or SIGINT; returns why it failed, empty after a signal.
+    """Run a node until SIGTERM or SIGINT; return why it failed, empty after a signal.
 
     Raises:
         DamagedError: The folder's content is not valid.
-        MalformedError: Folder, address or certificates can't be used.
+        MalformedError: The folder, an address or the certificates can't be used.
     """
     loop = asyncio.get_running_loop()
     stopped: asyncio.Future[str] = loop.create_future()
--- a/loadbalancer/store/security.py
+++ b/loadbalancer/store/security.py
@@ -1,7 +1,7 @@
-"""Mutual TLS, and the role that a certificate gives its holder.
+"""Mutual TLS, and the role that a peer's certificate grants.
 
 A certificate names its role in a URI of its subject alternative names (RFC 5280, 4.2.1.6):
-`lanelift://CLUSTER/ROLE`, where ROLE is `node`, `admin`, `write` or `read`, and CLUSTER the
+`lanelift://CLUSTER/ROLE`, where ROLE is `node`, `admin`, `write` or `read`, and CLUSTER is the
 cluster's name or `*`.
 """
 
@@ -20,7 +20,11 @@
 
 
 class CertificateRole(StrEnum):
-    """Roles, each permitted what those before it are; but a node can only be a node."""
+    """Roles of peers.
+
+    Each client role includes the permissions of the roles before it. A node certificate can't be
+    used as a client.
+    """
 
     READ = "read"
     WRITE = "write"
@@ -34,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """PEM files of one process."""
+    """The PEM files of one process: certificate, private key and certificate authority."""
 
     certificate: Path
     key: Path
     authority: Path
 
     def stamp(self) -> tuple[tuple[int, int], ...]:
-        """Returns modification times and inodes, which change when a file is replaced."""
+        """Return the modification times and inodes, to detect replaced files."""
         stamps = []
         for path in (self.certificate, self.key, self.authority):
             try:
@@ -52,7 +56,7 @@
         return tuple(stamps)
 
     def context(self, is_server: bool) -> ssl.SSLContext:
-        """Returns the context of one side, which always verifies the other's certificate.
+        """Return the TLS context of a server or client, which always verifies the peer.
 
         Raises:
             MalformedError: A file can't be used.
@@ -60,7 +64,7 @@
         protocol = ssl.PROTOCOL_TLS_SERVER if is_server else ssl.PROTOCOL_TLS_CLIENT
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_3
-        # Members are identified by authority and role; their addresses change.
+        # Peers are identified by certificate authority and role, because their addresses change.
         context.check_hostname = False
         context.verify_mode = ssl.CERT_REQUIRED
         try:
@@ -75,7 +79,7 @@
 
 
 def role_of(certificate: dict[str, Any] | None, cluster: str) -> CertificateRole | None:
-    """Returns the highest role that a certificate has in a cluster; None if it has none.
+    """Return the highest role that a certificate grants in a cluster; None if it grants none.
 
     Args:
         certificate: As `SSLSocket.getpeercert` returns it.
@@ -92,5 +96,5 @@
 
 
 def is_permitted(role: CertificateRole, required: CertificateRole) -> bool:
-    """Returns whether a client with a role may do what requires another."""
+    """Return whether a client's role includes the required role."""
     return role in CLIENT_ROLES and ROLES.index(role) >= ROLES.index(required)
--- a/loadbalancer/store/server.py
+++ b/loadbalancer/store/server.py
@@ -16,23 +16,23 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG: Final = 1024  # all connections of another node may arrive at once
-# Between two accepted connections: a TLS handshake takes 1 ms and more, and must not delay
-# heartbeats.
+BACKLOG: Final = 1024  # when another node stops, all its clients may connect at once
+# Pause between two accepted connections: a TLS handshake takes 1 ms or more, and a series of them
+# must not delay heartbeats.
 ACCEPT_INTERVAL_S: Final = 0.0025
-ACCEPT_RETRY_S: Final = 1.0  # after the process ran out of resources
-RESERVED_FILES: Final = 128  # of the files that this process may open: for disk and other members
+ACCEPT_RETRY_S: Final = 1.0  # after the process ran out of file descriptors or memory
+RESERVED_FILES: Final = 128  # file descriptors reserved for disk and other members
 CERTIFICATE_CHECK_INTERVAL_S: Final = 1.0
 
 
 class Server:
-    """All connections to one node.
+    """Accepts and tracks the connections to one node.
 
     Attributes:
         node: The node.
         connections: The open connections.
-        max_connections: Their limit.
-        stamp: Of the certificate files that are in use.
+        max_connections: The maximum number of open connections.
+        stamp: The stamp of the certificate files as last loaded; see `TlsFiles.stamp`.
     """
 
     def __init__(self, node: Node) -> None:
@@ -49,21 +49,21 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The port that the server listens on."""
         assert self._listener is not None
         return int(self._listener.getsockname()[1])
 
     @property
     def uses_tls(self) -> bool:
-        """Whether peers have certificates."""
+        """Whether peers authenticate with certificates."""
         return self._context is not None
 
     async def start(self) -> None:
-        """Begins to accept connections.
+        """Start accepting connections.
 
         Raises:
-            MalformedError: Address or certificates can't be used.
-            OSError: The system has no socket.
+            MalformedError: The address or the certificates can't be used.
+            OSError: No socket could be created.
         """
         self._limit_connections()
         self._listener = self._bind()
@@ -99,7 +99,7 @@
         return listener
 
     async def _accept(self, listener: socket.socket) -> None:
-        """Accepts one connection at a time, at a rate that leaves time for all else."""
+        """Accept connections at a limited rate, to keep the event loop responsive."""
         loop = asyncio.get_running_loop()
         is_exhausted = False
         while True:
@@ -130,26 +130,26 @@
             accepted.close()
 
     def connection_opened(self, connection: Connection) -> bool:
-        """Registers a connection; returns whether there is capacity for it."""
+        """Register a connection; return whether there is capacity for it."""
         self.connections.add(connection)
         return len(self.connections) <= self.max_connections
 
     def connection_closed(self, connection: Connection) -> None:
-        """Removes a connection."""
+        """Remove a connection."""
         self.connections.discard(connection)
 
     # ---- certificates ----------------------------------------------------------------------------
 
     async def _watch_certificates(self) -> None:
-        """Certificates may be replaced while the node runs; new connections use the new ones."""
+        """Periodically reloads replaced certificate files; new connections use the new ones."""
         while True:
             await asyncio.sleep(CERTIFICATE_CHECK_INTERVAL_S)
             await self.reload_certificates()
 
     async def reload_certificates(self) -> bool:
-        """Loads the certificates if their files changed; returns whether new ones are in use.
+        """Reload the certificates if their files changed; return whether this succeeded.
 
-        Those in use stay if the new ones are not valid.
+        If the new certificates are not valid, the old ones stay in use.
         """
         tls = self.settings.tls
         assert tls is not None
@@ -170,7 +170,7 @@
         return True
 
     async def close(self) -> None:
-        """Closes the listener and all connections."""
+        """Close the listener and all connections."""
         if self._certificate_task is not None:
             self._certificate_task.cancel()
         for task in (self._accept_task, *self._handshakes):
--- a/loadbalancer/store/settings.py
+++ b/loadbalancer/store/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a store node, from a TOML file."""
+"""Settings of a store node, read from a TOML file."""
 
 from __future__ import annotations
 
@@ -21,33 +21,34 @@
 MIN_CHANGEFEED_BYTES: Final = 64 << 10
 MIN_BOOKMARK_NS: Final = 100 * MS
 MAX_BOOKMARK_NS: Final = 20_000 * MS
-LOG_LENGTH_FACTOR: Final = 5  # of the retained entries: then the log is compacted
-LOG_LENGTH_MARGIN: Final = 1000  # entries more
+# The log is compacted above LOG_LENGTH_FACTOR * retained_entries + LOG_LENGTH_MARGIN entries.
+LOG_LENGTH_FACTOR: Final = 5
+LOG_LENGTH_MARGIN: Final = 1000
 
 
 class SettingsTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file."""
+    """A table of the settings file, which rejects unknown keys."""
 
 
 class TlsTable(SettingsTable, frozen=True):
-    """PEM files; a certificate names its role (see `loadbalancer/store/security.py`)."""
+    """Paths of PEM files; the certificate names its role (see `loadbalancer/store/security.py`)."""
 
     certificate: str
     key: str
     authority: str
 
     def beside(self, folder: Path) -> TlsFiles:
-        """Returns the files; relative paths count from this folder."""
+        """Return the files, with relative paths resolved against a folder."""
         return TlsFiles(folder / self.certificate, folder / self.key, folder / self.authority)
 
 
 class TimingTable(SettingsTable, frozen=True):
-    """Heartbeats and elections.
+    """Timing of heartbeats and elections.
 
     Attributes:
-        heartbeat: Between two heartbeats of a leader.
-        election: An election timeout lies between this and twice this.
-        slow_disk: A leader whose disk takes longer for one batch transfers its leadership.
+        heartbeat: The interval between two heartbeats of a leader.
+        election: The minimum election timeout; each timeout is random, up to twice this value.
+        slow_disk: A leader that takes longer to write one batch transfers its leadership.
     """
 
     heartbeat: Duration = Duration(100 * MS)
@@ -56,13 +57,13 @@
 
 
 class LimitsTable(SettingsTable, frozen=True):
-    """Sizes of log and connections.
+    """Limits of the log and of connections.
 
     Attributes:
-        log: The log is compacted when it holds more bytes.
-        retained_entries: Entries that stay in it, for followers that are a little behind.
-        uncommitted: Bytes of writes in flight.
-        connections: Open connections.
+        log: The log size in bytes above which the log is compacted.
+        retained_entries: Entries that are retained for followers that are slightly behind.
+        uncommitted: The maximum size of in-flight writes, in bytes.
+        connections: The maximum number of open connections.
     """
 
     log: Size = Size(16 << 20)
@@ -72,14 +73,15 @@
 
 
 class ChangefeedTable(SettingsTable, frozen=True):
-    """What a node spends on subscribers of the change feed.
+    """Limits of a node for subscribers of the change feed.
 
     Attributes:
-        snapshots: Bytes per second of all snapshots together.
-        max_queued: Subscribers that wait for a snapshot; others are sent away for a while.
-        window: Bytes that a subscriber has not acknowledged.
-        log: Bytes of changes in memory, for subscribers that come back.
-        bookmark: A subscriber without changes receives a bookmark so often.
+        snapshots: The rate of all snapshots together, in bytes per second.
+        max_queued: The maximum number of subscribers that wait for a snapshot; further subscribers
+            are told to retry later.
+        window: The maximum number of bytes sent to a subscriber and not yet acknowledged.
+        log: Bytes of changes retained in memory for subscribers that reconnect.
+        bookmark: The interval between bookmarks for a subscriber without changes.
     """
 
     snapshots: Size = Size(8 << 20)
@@ -89,7 +91,7 @@
     bookmark: Duration = Duration(5_000 * MS)
 
     def limits(self, max_subscribers: int) -> FanoutLimits:
-        """Returns the limits of the fan-out.
+        """Return the limits of the fan-out.
 
         Raises:
             MalformedError: A limit is too low or too high.
@@ -112,17 +114,17 @@
 
 
 class StoreFile(SettingsTable, frozen=True):
-    """The complete file.
+    """The complete settings file.
 
     Attributes:
-        folder: The node's data.
-        listen: HOST:PORT.
-        advertise: What others connect to, if it is not `listen`.
-        address_map: For advertised addresses, where they are reached from here.
-        metrics: Address of the metrics, plain HTTP.
-        tls: Certificates.
-        timing: Heartbeats and elections.
-        limits: Sizes.
+        folder: The folder of the node's data.
+        listen: The address to listen on, HOST:PORT.
+        advertise: The address that other nodes and clients connect to, if not `listen`.
+        address_map: The address to connect to for an advertised address, where they differ.
+        metrics: The address that serves metrics over plain HTTP; empty for none.
+        tls: The certificates.
+        timing: Timing of heartbeats and elections.
+        limits: Limits of the log and of connections.
         changefeed: Limits of the change feed.
     """
 
@@ -138,7 +140,7 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """Checked settings of a node."""
+    """Validated settings of a node."""
 
     folder: Path
     listen: tuple[str, int]
@@ -153,7 +155,7 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Returns whether a host is a loopback address."""
+    """Return whether a host is a loopback address."""
     try:
         return ipaddress.ip_address(host).is_loopback
     except ValueError:
@@ -161,10 +163,10 @@
 
 
 def read_store(path: Path) -> StoreSettings:
-    """Reads a settings file.
+    """Read and validate a settings file.
 
     Raises:
-        MalformedError: It is not valid, in one line.
+        MalformedError: The file is not valid; the message has one line.
     """
     try:
         return checked_settings(convert(read_toml(path), StoreFile), path.parent)
@@ -173,10 +175,10 @@
 
 
 def checked_settings(file: StoreFile, folder: Path) -> StoreSettings:
-    """Returns the settings of a file; relative paths count from this folder.
+    """Validate a settings file, with relative paths resolved against a folder.
 
     Raises:
-        MalformedError: They contradict each other or a limit.
+        MalformedError: A setting is out of range or conflicts with another setting.
     """
     listen = split_address(file.listen)
     if file.tls is None and not is_loopback(listen[0]):
--- a/loadbalancer/store/state_worker.py
+++ b/loadbalancer/store/state_worker.py
@@ -1,4 +1,4 @@
-"""Applies committed entries to the state, exports snapshots of it and syncs it."""
+"""Applies committed entries to the state, exports snapshots and syncs the state to disk."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 log = logging.getLogger(__name__)
 
 MAX_ENTRIES_PER_TRANSACTION: Final = 1000
-MAX_INLINE_ENTRIES: Final = 16  # so few are applied faster in the loop's thread than in another
-FLUSH_INTERVAL_S: Final = 5.0  # the state is synced so often if entries were applied
-FLUSH_ENTRIES: Final = 2_000  # and after so many entries
+# Up to this number, applying entries in the event loop's thread is faster than in another thread.
+MAX_INLINE_ENTRIES: Final = 16
+FLUSH_INTERVAL_S: Final = 5.0  # between two syncs of the state if entries were applied
+FLUSH_ENTRIES: Final = 2_000  # number of unsynced entries above which the state is synced
 
 EntriesApplied = Callable[[Sequence[Entry], Sequence[Result]], None]
 
 
 class StateWorker:
-    """Runs at most one apply, one export and one flush at a time.
+    """Runs at most one apply task, one export and one flush at a time.
 
     Args:
         runtime: The node's threads and tasks.
-        entries_applied: Called in the loop after entries were applied.
+        entries_applied: Called in the event loop after entries were applied.
     """
 
     def __init__(self, runtime: NodeRuntime, entries_applied: EntriesApplied) -> None:
@@ -45,7 +46,7 @@
     # ---- committed entries -----------------------------------------------------------------------
 
     def apply_committed(self) -> None:
-        """Begins to apply what is committed, unless that is under way."""
+        """Start applying committed entries, unless an apply task is running."""
         core = self._runtime.core
         if self._is_applying or core.commit_index <= core.delivered_index:
             return
@@ -60,7 +61,7 @@
     def _apply_inline(self, entries: list[Entry]) -> None:
         try:
             results = self._runtime.replica.apply(entries)
-        except sqlite3.Error:  # the thread retries it, and can wait for room
+        except sqlite3.Error:  # the apply task retries, and can wait until the disk has room
             self._start_apply(entries)
         else:
             self._entries_applied(entries, results)
@@ -70,12 +71,13 @@
         self._runtime.start_task(self._apply(entries))
 
     async def _apply(self, entries: list[Entry]) -> None:
-        """Applies entries; waits for room on the disk, as committed entries have to be applied."""
+        """Apply entries; retry while the disk is full, as committed entries must be applied."""
         try:
             while True:
-                async with self._runtime.state_lock:  # not while it waits: reads go on
+                # Released between retries, so that reads continue.
+                async with self._runtime.state_lock:
                     if self._runtime.replica.state.applied >= entries[-1].index:
-                        return  # a snapshot was installed meanwhile
+                        return  # a snapshot that includes these entries was installed
                     results = await self._try_apply(entries)
                 if results is not None:
                     break
@@ -86,7 +88,7 @@
             self._is_applying = False
 
     async def _try_apply(self, entries: list[Entry]) -> list[Result] | None:
-        """Applies entries; None if the disk is full, which leaves no trace in the state."""
+        """Apply entries; return None, with the state unchanged, if the disk is full."""
         try:
             return await self._runtime.on_state_thread(self._runtime.replica.apply, entries)
         except sqlite3.Error as error:
@@ -98,7 +100,7 @@
     # ---- snapshots and syncs ---------------------------------------------------------------------
 
     def export_if_needed(self) -> None:
-        """Begins to export a snapshot if a follower needs one."""
+        """Start exporting a snapshot if a follower needs one."""
         if self._runtime.core.needs_snapshot and not self._is_exporting:
             self._is_exporting = True
             self._runtime.start_task(self._export())
@@ -117,7 +119,7 @@
             self._is_exporting = False
 
     def flush_if_due(self) -> None:
-        """Begins to sync the state if it is due or the log is long."""
+        """Start syncing the state if a sync is due or the log needs compaction."""
         if self._is_flushing or not self._is_flush_due():
             return
         self._is_flushing = True
@@ -139,7 +141,7 @@
         try:
             await self.flush()
             if replica.needs_compaction:
-                # The journal belongs to the log's thread; the core, to this one.
+                # Only the log thread may access the journal; only this thread may access the core.
                 index = replica.compaction_index()
                 self._runtime.core.compact(index)
                 await self._runtime.on_log_thread(replica.journal.compact, index)
@@ -152,7 +154,7 @@
             self._is_flushing = False
 
     async def flush(self) -> None:
-        """Syncs the state.
+        """Sync the state to disk.
 
         Raises:
             DiskFullError: The disk is full.
--- a/loadbalancer/store/statistics.py
+++ b/loadbalancer/store/statistics.py
@@ -1,4 +1,4 @@
-"""Counters of a node for its metrics and status."""
+"""Counters of a node, for its metrics and status."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Storage(StrEnum):
-    """What a node writes to its disk."""
+    """The kinds of data that a node writes to disk."""
 
     LOG = "log"
     STATE = "state"
@@ -24,12 +24,12 @@
     """Counters and sync times since the process started.
 
     Attributes:
-        batches: Batches that were synced to the log.
-        entries: Entries in them.
-        sync_s: Duration of the last batches.
-        full_since_s: Since when the disk has no room for each kind of storage.
-        late_timers: Timers that fired late because the event loop was busy.
-        exports: Snapshots that were exported.
+        batches: The number of batches written to the log.
+        entries: The number of entries in these batches.
+        sync_s: Write and sync durations of the last batches.
+        full_since_s: The time since which the disk has been full, by kind of storage.
+        late_timers: The number of timers that fired late because the event loop was busy.
+        exports: The number of exported snapshots.
     """
 
     def __init__(self) -> None:
@@ -41,27 +41,27 @@
         self.exports = 0
 
     def sync_quantile_s(self, quantile: float) -> float:
-        """Returns a quantile of the sync times."""
+        """Return a quantile of the sync durations; 0 if there are none."""
         times_s = sorted(self.sync_s)
         if not times_s:
             return 0.0
         return times_s[min(len(times_s) - 1, int(quantile * len(times_s)))]
 
     def note_full(self, storage: Storage, error: Exception) -> None:
-        """The disk has no room for this storage."""
+        """Record that a write failed because the disk is full."""
         if storage not in self.full_since_s:
             self.full_since_s[storage] = time.monotonic()
             log.error("disk full, writes wait and reads go on: storage=%s error=%s", storage, error)
 
     def note_room(self, storage: Storage) -> None:
-        """The disk has room for this storage."""
+        """Record that a write succeeded, so that the disk is not full."""
         since_s = self.full_since_s.pop(storage, None)
         if since_s is not None:
             full_s = time.monotonic() - since_s
             log.info("disk has room again: storage=%s full_s=%.1f", storage, full_s)
 
     def disk_full_s(self) -> float:
-        """Returns for how long the disk has been full; 0 if it is not."""
+        """Return how long the disk has been full; 0 if it is not full."""
         if not self.full_since_s:
             return 0
         return round(time.monotonic() - min(self.full_since_s.values()), 1)
--- a/loadbalancer/store/status.py
+++ b/loadbalancer/store/status.py
@@ -1,6 +1,6 @@
-"""Status of a store node, as `Status` requests return it in JSON.
+"""The status of a store node, returned as JSON in reply to a `Status` request.
 
-The keys are part of the wire form.
+The keys are part of the wire format.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 
 
 class MemberStatus(TypedDict):
-    """A member as the reporting node sees it.
+    """The status of a member, reported by one node.
 
-    `match`, `lag` and `way` (the state of its replication) are known by the leader only; `trouble`
-    is why it is not connected.
+    Only the leader reports `match`, `lag` and `way` (the replication state). `trouble` is the
+    reason why the member is not connected.
     """
 
     node: str
@@ -58,4 +58,4 @@
     removed: bool
     failed: bool
     format: int
-    feed: Any  # `changefeed.status.FeedStatus` with `failures`; None before the feed is used
+    feed: Any  # `changefeed.status.FeedStatus` plus `failures`; None until the feed is in use
--- a/loadbalancer/store/timer.py
+++ b/loadbalancer/store/timer.py
@@ -1,4 +1,4 @@
-"""One timer for a component that names its next wake-up time."""
+"""A timer for a component that computes its next wake-up time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WakeTimer:
-    """Calls back at the earliest time that was scheduled since it last did."""
+    """Calls a callback at the earliest time scheduled since the last call."""
 
     def __init__(self, callback: Callable[[], None]) -> None:
         self._callback = callback
@@ -19,7 +19,10 @@
         self._due_ns = 0
 
     def schedule(self, due_ns: int, now_ns: int) -> None:
-        """Brings the callback forward to a time of the monotonic clock."""
+        """Schedule the callback, unless it is already scheduled for the same or an earlier time.
+
+        Both times are on the monotonic clock.
+        """
         if self._handle is not None and due_ns >= self._due_ns:
             return
         if self._handle is not None:
@@ -33,10 +36,10 @@
         self._callback()
 
     def lateness_s(self) -> float:
-        """Returns how long ago the last scheduled time was."""
+        """Return the time since the last scheduled time."""
         return (time.monotonic_ns() - self._due_ns) / NS_PER_S
 
     def cancel(self) -> None:
-        """Cancels the callback."""
+        """Cancel the callback."""
         if self._handle is not None:
             self._handle.cancel()
--- a/loadbalancer/store/watch_session.py
+++ b/loadbalancer/store/watch_session.py
@@ -1,4 +1,4 @@
-"""A client's watch on the side of the node."""
+"""The server side of a client's watch."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
 T = TypeVar("T")
 
-PROGRESS_INTERVAL_S: Final = 5.0  # a watch without changes reports its progress so often
+PROGRESS_INTERVAL_S: Final = 5.0  # for a watch without changes
 
 
 class WatchedNode(Protocol):
-    """What a watch needs of its node."""
+    """The interface of the node that a watch uses."""
 
     @property
     def notifier(self) -> ChangeNotifier:
-        """Notifies of changed keys."""
+        """Notify of changed keys."""
 
     async def query(self, read: Callable[[State], T]) -> T:
-        """Reads from the state as applied here."""
+        """Read from the state that this node has applied."""
 
 
 class WatchOwner(Protocol):
-    """What a watch needs of its connection."""
+    """The interface of the connection that a watch uses."""
 
     def send(self, reply: Reply) -> None:
-        """Sends a reply."""
+        """Send a reply."""
 
     def watch_compacted(self, watch_id: int, code: FailureCode, reason: str) -> None:
-        """Ends the watch: its next changes are no longer retained."""
+        """End the watch, because its next changes are no longer retained."""
 
 
 class WatchSession:
     """Sends every change after a revision, as fast as the client reads.
 
-    A client that falls behind what is retained is notified and has to read again.
+    If the next changes are no longer retained, the watch fails and the client has to read again.
     """
 
     def __init__(self, node: WatchedNode, owner: WatchOwner, request: Watch) -> None:
@@ -63,7 +63,7 @@
         self.check()
 
     def check(self) -> None:
-        """Sends changes if there are any."""
+        """Start sending pending changes."""
         if self._is_stopped or self._is_paused:
             return
         if self._task is not None and not self._task.done():
@@ -72,11 +72,11 @@
         self._task = self._loop.create_task(self._send_changes())
 
     def pause(self) -> None:
-        """Sends nothing until `resume`: the client does not read."""
+        """Stop sending until `resume` is called, because the client does not read."""
         self._is_paused = True
 
     def resume(self) -> None:
-        """Goes on after `pause`."""
+        """Resume sending after `pause`."""
         self._is_paused = False
         self.check()
 
@@ -101,7 +101,7 @@
                 self.stop()
                 return
             if events:
-                # A page may end before what is applied; then the next one follows.
+                # A page may not reach the last applied revision; the loop then reads the next page.
                 changes = tuple(
                     Change(event.revision, event.key, event.version, event.value)
                     for event in events
@@ -122,7 +122,7 @@
             self._owner.send(changes)
 
     def stop(self) -> None:
-        """Ends the watch."""
+        """End the watch."""
         self._is_stopped = True
         self._timer.cancel()
         self._node.notifier.remove(self)
--- a/loadbalancer/store/write_session.py
+++ b/loadbalancer/store/write_session.py
@@ -1,4 +1,4 @@
-"""A client's session: numbers writes, so that a retried one is applied once (Raft thesis, 6.3)."""
+"""A client's session: numbers writes so that a retried write is applied once (Raft thesis, 6.3)."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from loadbalancer.store.wire.protocol import AnyReply, Committed, Propose
 from loadbalancer.wallclock import unix_ms
 
-MAX_WRITES_IN_FLIGHT: Final = 128  # of one session
+MAX_WRITES_IN_FLIGHT: Final = 128  # per session
 SESSION_ID_BITS: Final = 62
 MAX_SESSION_NAME_LENGTH: Final = 200  # characters
 CLOSE_TIMEOUT_S: Final = 0.5
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WriteOptions:
-    """What goes with a write.
+    """Options of a write.
 
     Attributes:
-        checks: Keys that are not written, with the versions that they must be at.
-        note: Why the change is made, for the key's history.
-        author: Who makes it, for the key's history.
-        timeout_s: The time limit; None for the client's.
-        fences: Leases, with the fencing tokens that the write depends on.
+        checks: Keys that are not written, each with the version that it must have.
+        note: The reason for the change, for the key's history.
+        author: The author of the change, for the key's history.
+        timeout_s: The timeout; None for the client's default.
+        fences: Lease names, each with the fencing token that must be current.
     """
 
     checks: Sequence[tuple[str, int]] = ()
@@ -51,13 +51,13 @@
 
 
 def result_of(reply: AnyReply) -> Result:
-    """Decodes the result of a proposed command."""
+    """Decode the result of a proposed command."""
     assert isinstance(reply, Committed)
     return commands.unpack_result(reply.result)
 
 
 class WriteSession:
-    """Opens a session with the first write, and again after the store expired it."""
+    """Applies writes in a session, which is opened on demand and reopened after it expired."""
 
     def __init__(self, channel: RequestChannel, name: str, rng: random.Random) -> None:
         self._channel = channel
@@ -65,8 +65,8 @@
         self._rng = rng
         self._session_id: int | None = None
         self._last_number = 0
-        self._all_answered_to = 0  # all writes up to this number were answered
-        self._answered: set[int] = set()  # numbers after it
+        self._all_answered_to = 0  # the highest number up to which all writes were answered
+        self._answered: set[int] = set()  # numbers of later answered writes
         self._opening = asyncio.Lock()
         self._in_flight = asyncio.Semaphore(MAX_WRITES_IN_FLIGHT)
 
@@ -77,21 +77,21 @@
         options: WriteOptions,
         deadline_s: float,
     ) -> Result:
-        """Applies all operations, once.
+        """Apply all operations or none, exactly once.
 
         Args:
             ops: The operations.
-            refs: For each operation, the rows that its row refers to; None for a write of plain
-                keys.
-            options: What goes with it.
-            deadline_s: On the monotonic clock.
+            refs: For each operation, the rows that its row refers to; None if the keys are not rows
+                of the change feed.
+            options: Options of the write.
+            deadline_s: The deadline on the monotonic clock.
 
         Raises:
             ConflictError: A key is at another version.
             FencedError: A fencing token is not current.
-            RejectedError: The write breaks a limit.
-            UnavailableError: The write was not made.
-            UndecidedError: The write may have been made.
+            RejectedError: The write exceeds a limit.
+            UnavailableError: The write was not applied.
+            UndecidedError: The write may have been applied.
         """
         async with self._in_flight:
             session_id = await self._open(deadline_s)
@@ -170,7 +170,7 @@
             return session_id
 
     async def close(self) -> None:
-        """Closes the session if a node replies at once; otherwise the store expires it.
+        """Close the session, with a short timeout; otherwise the store expires it.
 
         Raises:
             OSError: The connection failed.
@@ -186,5 +186,5 @@
 
 
 def deadline_after(timeout_s: float) -> float:
-    """Returns the deadline, on the monotonic clock, of a request that begins now."""
+    """Return the monotonic time of the deadline for a request that starts now."""
     return time.monotonic() + timeout_s
