--- a/loadbalancer/cli/feed.py
+++ b/loadbalancer/cli/feed.py
@@ -82,7 +82,7 @@
     found = asking(at, certificate, key, authority, MemberStatusReader.statuses)
     if all("trouble" in s for s in found):
         raise NotInForceError("; ".join(f"{s['address']}: {s['trouble']}" for s in found))
-    total = feed_progress.add_up(found, revision or None)
+    total = feed_progress.aggregate_reports(found, revision or None)
     if as_json:
         print(
             msgspec.json.format(
--- a/loadbalancer/daemon/state_sync.py
+++ b/loadbalancer/daemon/state_sync.py
@@ -140,7 +140,7 @@
                 options.lease_s,
                 options.rank,
             )
-            lease.on_tenure(on_acquired, on_lost)
+            lease.on_ownership_change(on_acquired, on_lost)
             return lease
 
         return create
--- a/loadbalancer/store/changefeed_client.py
+++ b/loadbalancer/store/changefeed_client.py
@@ -173,12 +173,12 @@
         now_ns = time.monotonic_ns()
         if self.subscription.wake_ns <= now_ns:
             self.subscription.tick(now_ns)
-        messages = self._carry_out()
+        messages = self._execute_actions()
         if messages and self.connection is not None:
             self._send(self.connection, messages)
         self._timer.schedule(self.subscription.wake_ns, now_ns)
 
-    def _carry_out(self) -> list[bytes]:
+    def _execute_actions(self) -> list[bytes]:
         """Execute the pending actions and return the messages to send."""
         messages: list[bytes] = []
         for action in self.subscription.take_actions():
--- a/loadbalancer/store/changefeed_server.py
+++ b/loadbalancer/store/changefeed_server.py
@@ -125,7 +125,7 @@
             if revision > fanout.revision:
                 fanout.apply(revision, changes, now_ns)
 
-        self._do(apply)
+        self._execute(apply)
 
     def snapshot_installed(self) -> None:
         """Reload the rows, because a snapshot replaced the state."""
@@ -176,7 +176,7 @@
             # Changes that are applied before the state is read are both in the rows and in the
             # queue; later changes are only in the queue.
             loaded = await self._host.query(State.rows)
-            await asyncio.get_running_loop().run_in_executor(None, _fill, fanout, loaded)
+            await asyncio.get_running_loop().run_in_executor(None, _load_fanout, fanout, loaded)
             if not self._must_reload:
                 break
         queued = self._queued or []
@@ -189,7 +189,7 @@
             (time.monotonic() - start_s) * 1000,
         )
         for operation in queued:
-            self._do(operation)
+            self._execute(operation)
         self._wake()
 
     # ---- subscribers -----------------------------------------------------------------------------
@@ -212,20 +212,20 @@
             except FeedProtocolError as error:
                 self.subscribers[number].end_subscription(str(error))
 
-        self._do(receive)
+        self._execute(receive)
 
     def set_writable(self, number: int, is_writable: bool) -> None:
         """Record whether a subscriber's connection accepts more data."""
-        self._do(lambda fanout, now_ns: fanout.set_writable(number, is_writable, now_ns))
+        self._execute(lambda fanout, now_ns: fanout.set_writable(number, is_writable, now_ns))
 
     def remove_subscriber(self, number: int) -> None:
         """Remove a subscriber whose connection was closed."""
         if self.subscribers.pop(number, None) is not None:
-            self._do(lambda fanout, now_ns: fanout.remove(number, now_ns))
+            self._execute(lambda fanout, now_ns: fanout.remove(number, now_ns))
 
     # ---- one iteration ---------------------------------------------------------------------------
 
-    def _do(self, operation: Operation) -> None:
+    def _execute(self, operation: Operation) -> None:
         """Execute an operation immediately, or queue it until the rows are loaded."""
         if self._queued is not None:
             self._queued.append(operation)
@@ -254,12 +254,12 @@
         now_ns = time.monotonic_ns()
         if fanout.wake_ns is not None and fanout.wake_ns <= now_ns:
             fanout.tick(now_ns)
-        by_subscriber: dict[int, list[Send]] = {}
+        sends_by_subscriber: dict[int, list[Send]] = {}
         for send in fanout.take_sends():
             if self._is_isolated and isinstance(unpack_server_message(send.payload), Bookmark):
                 continue
-            by_subscriber.setdefault(send.subscriber, []).append(send)
-        for number, sends in by_subscriber.items():
+            sends_by_subscriber.setdefault(send.subscriber, []).append(send)
+        for number, sends in sends_by_subscriber.items():
             subscriber = self.subscribers.get(number)
             if subscriber is not None:
                 subscriber.send_messages(sends)
@@ -304,7 +304,7 @@
     return [FeedChange(event.revision, event.key, event.version, event.value) for event in events]
 
 
-def _fill(fanout: Fanout, loaded: LoadedRows) -> None:
+def _load_fanout(fanout: Fanout, loaded: LoadedRows) -> None:
     changes = _feed_changes(loaded.events)
     snapshot = StoreSnapshot(loaded.revision, loaded.rows, loaded.base, changes)
     fanout.load(snapshot, time.monotonic_ns())
--- a/loadbalancer/store/client.py
+++ b/loadbalancer/store/client.py
@@ -118,10 +118,10 @@
         return deadline_after(self.deadline_s if timeout_s is None else timeout_s)
 
     async def _call(
-        self, make: RequestFactory, timeout_s: float | None, *, needs_leader: bool
+        self, make_request: RequestFactory, timeout_s: float | None, *, needs_leader: bool
     ) -> AnyReply:
         deadline_s = self._deadline(timeout_s)
-        return await self._channel.call(make, deadline_s, needs_leader=needs_leader)
+        return await self._channel.call(make_request, deadline_s, needs_leader=needs_leader)
 
     # ---- reads -----------------------------------------------------------------------------------
 
@@ -325,12 +325,12 @@
         return str(_decode_json(reply)["done"])
 
     async def read_backup(
-        self, take: Callable[[bytes], object], timeout_s: float = BACKUP_TIMEOUT_S
+        self, on_chunk: Callable[[bytes], object], timeout_s: float = BACKUP_TIMEOUT_S
     ) -> BackupMeta:
         """Read a backup of the state chunk by chunk.
 
         Args:
-            take: Called with each chunk.
+            on_chunk: Called with each chunk.
             timeout_s: Timeout of the complete backup.
 
         Returns:
@@ -346,7 +346,7 @@
         while True:
             chunk = await self._read_chunk(offset, meta_id, deadline_s)
             meta_id = chunk.meta_id
-            take(chunk.data)
+            on_chunk(chunk.data)
             offset += len(chunk.data)
             meta = BackupMeta(*meta_id)
             if offset >= meta.size:
--- a/loadbalancer/store/client_watch.py
+++ b/loadbalancer/store/client_watch.py
@@ -71,7 +71,7 @@
             self._channel.abandon(connection)
             return None
         if isinstance(reply, RequestFailed):
-            _raise_permanent(reply)
+            _raise_if_permanent(reply)
             return None
         if reply is not None:
             backoff.reset()
@@ -79,7 +79,7 @@
         return reply
 
 
-def _raise_permanent(failure: RequestFailed) -> None:
+def _raise_if_permanent(failure: RequestFailed) -> None:
     if failure.code == FailureCode.COMPACTED:
         raise WatchCompactedError(failure.text)
     if failure.code in (FailureCode.FORBIDDEN, FailureCode.REJECTED):
--- a/loadbalancer/store/connection.py
+++ b/loadbalancer/store/connection.py
@@ -86,7 +86,7 @@
         return self.transport is not None and not self.transport.is_closing()
 
     @property
-    def _is_greeted(self) -> bool:
+    def _is_handshake_complete(self) -> bool:
         return self._member is not None or self._handler is not None
 
     # ---- transport -------------------------------------------------------------------------------
@@ -104,7 +104,7 @@
         self._greeting_timer = loop.call_later(GREETING_TIMEOUT_S, self._greeting_timed_out)
 
     def _greeting_timed_out(self) -> None:
-        if not self._is_greeted:
+        if not self._is_handshake_complete:
             self._decline("no greeting came in time")
 
     def data_received(self, data: bytes) -> None:
@@ -213,7 +213,7 @@
     def _decline(self, reason: str) -> None:
         log.warning("store connection declined: peer=%s reason=%s", self.peer, reason)
         if self.transport is not None and self._is_open:
-            if not self._is_greeted:
+            if not self._is_handshake_complete:
                 self._send(Declined(reason))
             self.transport.close()
 
--- a/loadbalancer/store/feed_progress.py
+++ b/loadbalancer/store/feed_progress.py
@@ -37,10 +37,10 @@
 
     async def statuses(self, timeout_s: float = STATUS_TIMEOUT_S) -> list[MemberReport]:
         """Return the report of every member."""
-        given = list(self.clients)
-        reports = await self._read_all(given, timeout_s)
-        known = {address for report in reports for address in member_addresses(report)}
-        return [*reports, *await self._read_all(sorted(known - set(given)), timeout_s)]
+        configured = list(self.clients)
+        reports = await self._read_all(configured, timeout_s)
+        listed = {address for report in reports for address in member_addresses(report)}
+        return [*reports, *await self._read_all(sorted(listed - set(configured)), timeout_s)]
 
     async def _read_all(self, addresses: Sequence[str], timeout_s: float) -> list[MemberReport]:
         reads = (self.status(address, timeout_s) for address in addresses)
@@ -133,18 +133,19 @@
             self._count_reason(required_balancers),
             None if ignore_rejected else self._rejected_reason(),
         ]
-        found = [reason for reason in reasons if reason]
-        if not found:
+        present_reasons = [reason for reason in reasons if reason]
+        if not present_reasons:
             return None
-        return f"revision {self.revision} is not in force " + "; ".join(found)
+        return f"revision {self.revision} is not in force " + "; ".join(present_reasons)
 
     def _lagging_reason(self) -> str | None:
         missing = self.balancers - self.in_force
         if missing <= 0:
             return None
         names = [
-            f"{one.name} at {one.node} is at {one.revision}, {one.since_ms / 1000:.1f} s behind"
-            for one in self.lagging[:MAX_NAMED]
+            f"{laggard.name} at {laggard.node} is at {laggard.revision},"
+            f" {laggard.since_ms / 1000:.1f} s behind"
+            for laggard in self.lagging[:MAX_NAMED]
         ]
         names += self.lagging_nodes[:MAX_NAMED]
         suffix = ": " + ", ".join(names) if names else ""
@@ -183,11 +184,11 @@
     def add(self, number: str, address: str, feed: FeedStatus) -> None:
         """Add the feed of one node."""
         self.balancers += feed.subscribers
-        self.in_force += feed.subscribers - _count_behind(feed, self.revision)
+        self.in_force += feed.subscribers - _count_lagging(feed, self.revision)
         self.lagging += [
-            LaggingBalancer(one.name, address, one.revision, one.since_ms)
-            for one in feed.laggards
-            if one.revision < self.revision
+            LaggingBalancer(laggard.name, address, laggard.revision, laggard.since_ms)
+            for laggard in feed.laggards
+            if laggard.revision < self.revision
         ]
         self.rejected_count += feed.refusals
         self.rejected += feed.refused
@@ -195,7 +196,7 @@
             self.lagging_nodes.append(f"node {number} at {address} is itself at {feed.revision}")
 
 
-def add_up(reports: Sequence[MemberReport], revision: int | None = None) -> Rollout:
+def aggregate_reports(reports: Sequence[MemberReport], revision: int | None = None) -> Rollout:
     """Return the progress of a revision; `None` selects the newest that a member has applied."""
     # A node with several addresses has several reports.
     by_node = {report["node"]: report for report in reports if "trouble" not in report}
@@ -205,14 +206,14 @@
     for number, report in by_node.items():
         if report.get("feed") is None:
             continue
-        own = (member["address"] for member in report["members"] if member["here"])
-        address = next(own, "") or f"node {number}"
+        own_addresses = (member["address"] for member in report["members"] if member["here"])
+        address = next(own_addresses, "") or f"node {number}"
         totals.add(number, address, msgspec.convert(report["feed"], FeedStatus))
     return Rollout(
         revision,
         totals.balancers,
         totals.in_force,
-        tuple(sorted(totals.lagging, key=lambda one: one.revision)),
+        tuple(sorted(totals.lagging, key=lambda laggard: laggard.revision)),
         totals.rejected_count,
         tuple(totals.rejected),
         tuple(totals.lagging_nodes),
@@ -236,7 +237,7 @@
     ]
 
 
-def _count_behind(feed: FeedStatus, revision: int) -> int:
+def _count_lagging(feed: FeedStatus, revision: int) -> int:
     """Return how many subscribers have not reached a revision.
 
     A status lists the lowest acknowledged revisions, up to a limit. Subscribers that are not listed
@@ -345,7 +346,7 @@
             await poller.wait(remaining_s if remaining_s > 0 else None)
             if not poller.is_complete:
                 continue
-            rollout = add_up(poller.reports, goal.revision or None)
+            rollout = aggregate_reports(poller.reports, goal.revision or None)
             reason = rollout.incomplete_reason(goal.required_balancers, goal.ignore_rejected)
             if reason is None:
                 return CompletedRollout(rollout, time.monotonic() - start_s)
--- a/loadbalancer/store/lease_client.py
+++ b/loadbalancer/store/lease_client.py
@@ -68,14 +68,14 @@
         self._vacant_since_s: float | None = time.monotonic()
         self._is_reported = False
 
-    def note_held(self) -> None:
+    def record_held(self) -> None:
         """Record that the lease is held."""
         if self._is_reported:
             log.info("lease is held again: lease=%s", self._lease)
         self._vacant_since_s = None
         self._is_reported = False
 
-    def note_vacant(self, reason: str) -> None:
+    def record_vacant(self, reason: str) -> None:
         """Record that the lease has no known holder."""
         now_s = time.monotonic()
         if self._vacant_since_s is None:
@@ -127,7 +127,9 @@
         self._wake = asyncio.Event()
         self._vacancy = VacancyLog(lease, ttl_s)
 
-    def on_tenure(self, acquired: Callable[[int], None], lost: Callable[[], None]) -> None:
+    def on_ownership_change(
+        self, acquired: Callable[[int], None], lost: Callable[[], None]
+    ) -> None:
         """Register the callbacks for gaining and losing the lease; must be called before `start`.
 
         Args:
@@ -157,7 +159,7 @@
         """Return the fencing token for a side effect now; 0 if the lease is not held."""
         token = self.holder.token(boot_clock_ns())
         if self.active_token and token != self.active_token:
-            self._end_tenure("the TTL passed, or the store granted another token")
+            self._end_ownership("the TTL passed, or the store granted another token")
         return token
 
     async def write(self, ops: Sequence[Op], options: WriteOptions = DEFAULT_OPTIONS) -> Result:
@@ -197,13 +199,13 @@
             log.warning("fenced write rejected: lease=%s reason=%s", self.lease, error)
             raise NotLeaseHolderError(str(error)) from None
 
-    def _begin_tenure(self, token: int) -> None:
+    def _begin_ownership(self, token: int) -> None:
         log.info("lease acquired: lease=%s token=%s", self.lease, table.format_token(token))
         self.active_token = token
         if self._acquired is not None:
             self._acquired(token)
 
-    def _end_tenure(self, reason: str) -> None:
+    def _end_ownership(self, reason: str) -> None:
         token = table.format_token(self.active_token)
         log.info("lease lost: lease=%s token=%s reason=%s", self.lease, token, reason)
         self.active_token = 0
@@ -219,8 +221,8 @@
                 self._start_task(self._execute(request))
             token = self.token()
             if token and not self.active_token:
-                self._begin_tenure(token)
-            self._note_vacancy()
+                self._begin_ownership(token)
+            self._record_vacancy()
             self._wake.clear()
             with suppress(TimeoutError):
                 async with asyncio.timeout(self._wait_s()):
@@ -232,11 +234,11 @@
             return MAX_WAIT_S
         return min(max(MIN_WAIT_S, (wake_ns - boot_clock_ns()) / NS_PER_S), MAX_WAIT_S)
 
-    def _note_vacancy(self) -> None:
+    def _record_vacancy(self) -> None:
         if self.active_token or (self.last_lease is not None and self.last_lease.is_held):
-            self._vacancy.note_held()
+            self._vacancy.record_held()
         else:
-            self._vacancy.note_vacant(self.holder.reason or "no reply of the store")
+            self._vacancy.record_vacant(self.holder.reason or "no reply of the store")
 
     async def _execute(self, request: LeaseRequest) -> None:
         try:
@@ -278,9 +280,9 @@
         key = LEASE_PREFIX + self.lease
         while True:
             try:
-                found = await self.client.get(key, stale=True)
-                self._lease_read(found.rows[0].value)
-                async for changes in self.client.watch(key, found.revision):
+                read_result = await self.client.get(key, stale=True)
+                self._lease_read(read_result.rows[0].value)
+                async for changes in self.client.watch(key, read_result.revision):
                     for change in changes.changes:
                         if change.key == key:
                             self._lease_read(change.value)
@@ -302,7 +304,7 @@
     async def close(self) -> None:
         """Release the lease, so that the next holder does not have to wait for the TTL."""
         if self.active_token:
-            self._end_tenure("shutdown")
+            self._end_ownership("shutdown")
         self.holder.leave(boot_clock_ns())
         self._wake.set()
         with suppress(TimeoutError):
--- a/loadbalancer/store/link.py
+++ b/loadbalancer/store/link.py
@@ -217,10 +217,10 @@
             by_member.setdefault(node, []).append(message)
         if any(node not in self.links for node in by_member):
             self.update()
-        for node, some in by_member.items():
+        for node, member_messages in by_member.items():
             link = self.links.get(node)
             if link is not None:
-                link.send(some)
+                link.send(member_messages)
 
     def formats(self) -> dict[int, int]:
         """Return the newest state format that each member supports; 0 if not connected yet."""
--- a/loadbalancer/store/log_writer.py
+++ b/loadbalancer/store/log_writer.py
@@ -64,10 +64,10 @@
             try:
                 is_installed, sync_s = await self._runtime.on_log_thread(self._timed_write, batch)
             except DiskFullError as error:
-                statistics.note_full(Storage.LOG, error)
+                statistics.record_disk_full(Storage.LOG, error)
                 await asyncio.sleep(FULL_RETRY_S)
                 continue
-            statistics.note_room(Storage.LOG)
+            statistics.record_disk_available(Storage.LOG)
             statistics.sync_s.append(sync_s)
             return is_installed
 
--- a/loadbalancer/store/node_status.py
+++ b/loadbalancer/store/node_status.py
@@ -67,7 +67,7 @@
 
     def _member_status(self, node: int) -> MemberStatus:
         core = self.runtime.core
-        is_here = node == self.identity.node
+        is_this_node = node == self.identity.node
         link = self.links.links.get(node)
         match = self._match_index(node)
         return {
@@ -75,12 +75,12 @@
             "address": self.links.address_of(node),
             "voter": node in core.members.voters,
             "leads": node == core.leader_id,
-            "here": is_here,
+            "here": is_this_node,
             "match": match,
             "lag": None if match is None else core.log.last_index - match,
-            "way": "" if match is None or is_here else core.progress[node].state.value,
-            "connected": is_here or bool(link and link.connection),
-            "trouble": "" if is_here or not link or link.connection else link.close_reason,
+            "way": "" if match is None or is_this_node else core.progress[node].state.value,
+            "connected": is_this_node or bool(link and link.connection),
+            "trouble": "" if is_this_node or not link or link.connection else link.close_reason,
         }
 
     def _match_index(self, node: int) -> int | None:
--- a/loadbalancer/store/replica.py
+++ b/loadbalancer/store/replica.py
@@ -154,15 +154,15 @@
         Raises:
             DamagedError: The log or state is not valid, or they do not match.
         """
-        found = storage.journal.open()
+        journal_contents = storage.journal.open()
         state = storage.state_directory.open()
-        if found.install is not None and found.install.index > state.applied:
+        if journal_contents.install is not None and journal_contents.install.index > state.applied:
             # The process ended after the snapshot was recorded in the log and before it was
             # installed.
-            state = storage.state_directory.install_incoming(state, found.install)
-        log = Log(found.base_index, found.base_term, found.entries)
-        _check(identity, found, state, log)
-        stored = StoredState(found.hard_state, log, state.members, state.applied)
+            state = storage.state_directory.install_incoming(state, journal_contents.install)
+        log = Log(journal_contents.base_index, journal_contents.base_term, journal_contents.entries)
+        _check_consistency(identity, journal_contents, state, log)
+        stored = StoredState(journal_contents.hard_state, log, state.members, state.applied)
         core = options.core_type(identity.node, options.config, stored, options.now_ns, options.rng)
         core.compact(state.applied - log_limits.retained_entries)
         return cls(identity, storage, state, core, log_limits)
@@ -236,12 +236,15 @@
         self.state_directory.close()
 
 
-def _check(identity: Identity, found: JournalContents, state: State, log: Log) -> None:
+def _check_consistency(
+    identity: Identity, journal_contents: JournalContents, state: State, log: Log
+) -> None:
     if state.cluster != identity.cluster:
         raise DamagedError(f"the state belongs to cluster {state.cluster}")
-    if state.applied < found.base_index:
+    if state.applied < journal_contents.base_index:
         raise DamagedError(
-            f"the state ends at entry {state.applied}, the log begins after {found.base_index}"
+            f"the state ends at entry {state.applied},"
+            f" the log begins after {journal_contents.base_index}"
         )
     if state.applied > log.last_index:
         raise DamagedError(
--- a/loadbalancer/store/request_channel.py
+++ b/loadbalancer/store/request_channel.py
@@ -93,12 +93,12 @@
         return Backoff(MIN_BACKOFF_S, MAX_BACKOFF_S, self.options.rng.uniform)
 
     async def call(
-        self, make: RequestFactory, deadline_s: float, *, needs_leader: bool
+        self, make_request: RequestFactory, deadline_s: float, *, needs_leader: bool
     ) -> AnyReply:
         """Send a request, with retries, until a reply arrives.
 
         Args:
-            make: Creates the request for an attempt.
+            make_request: Creates the request for an attempt.
             deadline_s: The deadline on the monotonic clock.
             needs_leader: Whether to retry at the leader if a failure reports its address.
 
@@ -110,7 +110,7 @@
         call = _Call(needs_leader, deadline_s)
         backoff = self.new_backoff()
         while (remaining_s := deadline_s - time.monotonic()) > 0:
-            reply = await self._attempt(call, make, remaining_s)
+            reply = await self._attempt(call, make_request, remaining_s)
             if reply is not None:
                 return reply
             if call.is_redirected:
@@ -124,14 +124,14 @@
         raise UnavailableError(call.failure_reason)
 
     async def _attempt(
-        self, call: _Call, make: RequestFactory, remaining_s: float
+        self, call: _Call, make_request: RequestFactory, remaining_s: float
     ) -> AnyReply | None:
         try:
             connection = await self.connect(call.deadline_s)
         except (OSError, TimeoutError) as error:
             call.failure_reason = str(error) or "no connection in time"
             return None
-        request = make(self.next_request_id(), int(remaining_s * 1000))
+        request = make_request(self.next_request_id(), int(remaining_s * 1000))
         try:
             async with asyncio.timeout(min(ATTEMPT_TIMEOUT_S, remaining_s)):
                 reply = await connection.request(request)
--- a/loadbalancer/store/request_handler.py
+++ b/loadbalancer/store/request_handler.py
@@ -158,7 +158,7 @@
             self.fail(request.id, FailureCode.BUSY, str(error))
         else:
             self._open_count += 1
-            future.add_done_callback(lambda done: self._proposal_done(request.id, done))
+            future.add_done_callback(lambda outcome: self._proposal_done(request.id, outcome))
 
     def _fail_format(self, request_id: int, required_format: int) -> None:
         core = self._node.core
@@ -169,13 +169,13 @@
             reason = str(NotLeaderError(core.leader_id))
             self.fail(request_id, FailureCode.NOT_LEADER, reason, core.leader_id)
 
-    def _proposal_done(self, request_id: int, done: asyncio.Future[Result]) -> None:
+    def _proposal_done(self, request_id: int, outcome: asyncio.Future[Result]) -> None:
         self._open_count -= 1
-        if done.cancelled():
+        if outcome.cancelled():
             return
-        error = done.exception()
+        error = outcome.exception()
         if error is None:
-            self._connection.send(Committed(request_id, commands.pack(done.result())))
+            self._connection.send(Committed(request_id, commands.pack(outcome.result())))
         else:
             leader = self._node.core.leader_id
             self.fail(request_id, FailureCode.OUTCOME_UNKNOWN, str(error), leader)
@@ -209,9 +209,9 @@
             self._connection.send(BackupChunk(request.id, meta.id, request.offset, data))
 
     async def _administer(self, request: Administer) -> None:
-        done = await self._node.administer(request)
-        log.info("administrative request done: peer=%s result=%s", self._connection.peer, done)
-        self._send_json(request.id, {"done": done})
+        outcome = await self._node.administer(request)
+        log.info("administrative request done: peer=%s result=%s", self._connection.peer, outcome)
+        self._send_json(request.id, {"done": outcome})
 
     # ---- watches ---------------------------------------------------------------------------------
 
--- a/loadbalancer/store/run.py
+++ b/loadbalancer/store/run.py
@@ -47,7 +47,7 @@
     return f"c{random.SystemRandom().getrandbits(CLUSTER_NAME_BITS):010x}"
 
 
-def make_folder(settings: StoreSettings) -> None:
+def create_folder(settings: StoreSettings) -> None:
     """Create a node's folder.
 
     Raises:
@@ -72,7 +72,7 @@
     """
     identity = _new_identity(cluster or new_cluster_name(), name)
     members = single_member(identity.node, settings.advertise)
-    return _fill(
+    return _create_folder_contents(
         settings, identity, lambda path: state_files.create_state(path, identity.cluster, members)
     )
 
@@ -84,12 +84,12 @@
         MalformedError: The folder is not empty, or can't be used.
     """
     identity = _new_identity(cluster, name)
-    return _fill(
+    return _create_folder_contents(
         settings, identity, lambda path: state_files.create_state(path, cluster, Members())
     )
 
 
-def restore(settings: StoreSettings, copy: Path, cluster: str = "", name: str = "") -> Identity:
+def restore(settings: StoreSettings, backup: Path, cluster: str = "", name: str = "") -> Identity:
     """Create a new single-node cluster from a backup or another node's state.
 
     The new cluster has a different name, so that members of the old cluster can't connect to it.
@@ -98,31 +98,31 @@
         DamagedError: The backup is not valid.
         MalformedError: The folder is not empty, or can't be used.
     """
-    reason = state_files.verify(copy)
+    reason = state_files.verify(backup)
     if reason:
-        raise DamagedError(f"{copy}: {reason}")
+        raise DamagedError(f"{backup}: {reason}")
     identity = _new_identity(cluster or new_cluster_name(), name)
     members = single_member(identity.node, settings.advertise)
 
     def make_state(path: Path) -> State:
-        shutil.copyfile(copy, path)
-        wal = Path(f"{copy}-wal")  # left by a node that was killed; holds its last entries
+        shutil.copyfile(backup, path)
+        wal = Path(f"{backup}-wal")  # left by a node that was killed; holds its last entries
         if wal.exists():
             shutil.copyfile(wal, f"{path}-wal")
         return state_files.adopt_copy(path, identity.cluster, members, int(unix_s()))
 
-    return _fill(settings, identity, make_state)
+    return _create_folder_contents(settings, identity, make_state)
 
 
 def _new_identity(cluster: str, name: str) -> Identity:
     return Identity(IDENTITY_FORMAT, cluster, new_node_number(), name)
 
 
-def _fill(
+def _create_folder_contents(
     settings: StoreSettings, identity: Identity, make_state: Callable[[Path], State]
 ) -> Identity:
     """Create the state, a log that continues from it, and the identity file."""
-    make_folder(settings)
+    create_folder(settings)
     lock = lock_directory(settings.folder)
     try:
         files = Folder(settings.folder)
@@ -157,12 +157,15 @@
     files = Folder(folder)
     try:
         identity = read_identity(files)
-        found = Journal(files, identity.cluster, identity.node).open(repair=False)
+        journal_contents = Journal(files, identity.cluster, identity.node).open(repair=False)
     except DamagedError as error:
         return [str(error)]
-    if not found.torn_bytes:
+    if not journal_contents.torn_bytes:
         return []
-    return [f"the log ends in a torn tail of {found.torn_bytes} bytes; the next start cuts it off"]
+    return [
+        f"the log ends in a torn tail of {journal_contents.torn_bytes} bytes;"
+        " the next start cuts it off"
+    ]
 
 
 def _state_faults(folder: Path) -> list[str]:
@@ -222,8 +225,8 @@
         if not stopped.done():
             stopped.set_result("")
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop)
     server = StoreServer(settings)
     try:
         try:
--- a/loadbalancer/store/security.py
+++ b/loadbalancer/store/security.py
@@ -85,14 +85,14 @@
         certificate: As `SSLSocket.getpeercert` returns it.
         cluster: The cluster's name.
     """
-    found: list[CertificateRole] = []
+    granted_roles: list[CertificateRole] = []
     for kind, value in (certificate or {}).get("subjectAltName", ()):
         if kind != "URI" or not value.startswith(URI_SCHEME):
             continue
         named_cluster, _, role = value[len(URI_SCHEME) :].partition("/")
         if named_cluster in (ANY_CLUSTER, cluster) and role in ROLES:
-            found.append(CertificateRole(role))
-    return max(found, key=ROLES.index, default=None)
+            granted_roles.append(CertificateRole(role))
+    return max(granted_roles, key=ROLES.index, default=None)
 
 
 def is_permitted(role: CertificateRole, required: CertificateRole) -> bool:
--- a/loadbalancer/store/settings.py
+++ b/loadbalancer/store/settings.py
@@ -15,12 +15,12 @@
 from loadbalancer.store.security import TlsFiles
 from loadbalancer.units import Duration, Size, convert, read_toml
 
-MS: Final = 1_000_000
+NS_PER_MS: Final = 1_000_000
 MIN_CONNECTIONS: Final = 8
 MIN_UNCOMMITTED_BYTES: Final = 2 << 20
 MIN_CHANGEFEED_BYTES: Final = 64 << 10
-MIN_BOOKMARK_NS: Final = 100 * MS
-MAX_BOOKMARK_NS: Final = 20_000 * MS
+MIN_BOOKMARK_NS: Final = 100 * NS_PER_MS
+MAX_BOOKMARK_NS: Final = 20_000 * NS_PER_MS
 # The log is compacted above LOG_LENGTH_FACTOR * retained_entries + LOG_LENGTH_MARGIN entries.
 LOG_LENGTH_FACTOR: Final = 5
 LOG_LENGTH_MARGIN: Final = 1000
@@ -51,9 +51,9 @@
         slow_disk: A leader that takes longer to write one batch transfers its leadership.
     """
 
-    heartbeat: Duration = Duration(100 * MS)
-    election: Duration = Duration(500 * MS)
-    slow_disk: Duration = Duration(1500 * MS)
+    heartbeat: Duration = Duration(100 * NS_PER_MS)
+    election: Duration = Duration(500 * NS_PER_MS)
+    slow_disk: Duration = Duration(1500 * NS_PER_MS)
 
 
 class LimitsTable(SettingsTable, frozen=True):
@@ -88,7 +88,7 @@
     max_queued: int = msgspec.field(default=64, name="waiting")
     window: Size = Size(1 << 20)
     log: Size = Size(32 << 20)
-    bookmark: Duration = Duration(5_000 * MS)
+    bookmark: Duration = Duration(5_000 * NS_PER_MS)
 
     def limits(self, max_subscribers: int) -> FanoutLimits:
         """Return the limits of the fan-out.
@@ -200,7 +200,7 @@
         file.address_map,
         split_address(file.metrics) if file.metrics else None,
         file.tls.beside(folder) if file.tls else None,
-        _config(file),
+        _raft_config(file),
         log_limits,
         limits.connections,
         file.changefeed.limits(limits.connections),
@@ -218,7 +218,7 @@
         raise MalformedError("limits.uncommitted: must be 2MiB at least")
 
 
-def _config(file: StoreFile) -> RaftConfig:
+def _raft_config(file: StoreFile) -> RaftConfig:
     return RaftConfig(
         heartbeat_interval_ns=int(file.timing.heartbeat),
         election_timeout_ns=int(file.timing.election),
--- a/loadbalancer/store/state_worker.py
+++ b/loadbalancer/store/state_worker.py
@@ -82,7 +82,7 @@
                 if results is not None:
                     break
                 await asyncio.sleep(FULL_RETRY_S)
-            self._runtime.statistics.note_room(Storage.STATE)
+            self._runtime.statistics.record_disk_available(Storage.STATE)
             self._entries_applied(entries, results)
         finally:
             self._is_applying = False
@@ -94,7 +94,7 @@
         except sqlite3.Error as error:
             if "full" not in str(error):
                 raise
-            self._runtime.statistics.note_full(Storage.STATE, error)
+            self._runtime.statistics.record_disk_full(Storage.STATE, error)
             return None
 
     # ---- snapshots and syncs ---------------------------------------------------------------------
--- a/loadbalancer/store/statistics.py
+++ b/loadbalancer/store/statistics.py
@@ -47,13 +47,13 @@
             return 0.0
         return times_s[min(len(times_s) - 1, int(quantile * len(times_s)))]
 
-    def note_full(self, storage: Storage, error: Exception) -> None:
+    def record_disk_full(self, storage: Storage, error: Exception) -> None:
         """Record that a write failed because the disk is full."""
         if storage not in self.full_since_s:
             self.full_since_s[storage] = time.monotonic()
             log.error("disk full, writes wait and reads go on: storage=%s error=%s", storage, error)
 
-    def note_room(self, storage: Storage) -> None:
+    def record_disk_available(self, storage: Storage) -> None:
         """Record that a write succeeded, so that the disk is not full."""
         since_s = self.full_since_s.pop(storage, None)
         if since_s is not None:
--- a/loadbalancer/store/write_session.py
+++ b/loadbalancer/store/write_session.py
@@ -65,7 +65,7 @@
         self._rng = rng
         self._session_id: int | None = None
         self._last_number = 0
-        self._all_answered_to = 0  # the highest number up to which all writes were answered
+        self._answered_up_to = 0  # the highest number up to which all writes were answered
         self._answered: set[int] = set()  # numbers of later answered writes
         self._opening = asyncio.Lock()
         self._in_flight = asyncio.Semaphore(MAX_WRITES_IN_FLIGHT)
@@ -100,8 +100,8 @@
             command = self._command(session_id, number, ops, refs, options)
             result = await self._propose(commands.pack(command), deadline_s)
             if session_id == self._session_id:
-                self._note_answered(number)
-        self._raise_failure(result, session_id)
+                self._record_answered(number)
+        self._raise_on_failure(result, session_id)
         return result
 
     def _command(
@@ -115,7 +115,7 @@
         plain = Write(
             session_id,
             number,
-            self._all_answered_to,
+            self._answered_up_to,
             tuple(ops),
             tuple(options.checks),
             options.author,
@@ -137,13 +137,13 @@
         )
         return result_of(reply)
 
-    def _note_answered(self, number: int) -> None:
+    def _record_answered(self, number: int) -> None:
         self._answered.add(number)
-        while self._all_answered_to + 1 in self._answered:
-            self._all_answered_to += 1
-            self._answered.remove(self._all_answered_to)
+        while self._answered_up_to + 1 in self._answered:
+            self._answered_up_to += 1
+            self._answered.remove(self._answered_up_to)
 
-    def _raise_failure(self, result: Result, session_id: int) -> None:
+    def _raise_on_failure(self, result: Result, session_id: int) -> None:
         match result.code:
             case ResultCode.CONFLICT:
                 raise ConflictError(result.text, result.versions[0])
@@ -165,7 +165,7 @@
             await self._propose(commands.pack(command), deadline_s)
             self._session_id = session_id
             self._last_number = 0
-            self._all_answered_to = 0
+            self._answered_up_to = 0
             self._answered.clear()
             return session_id
 
--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -250,7 +250,7 @@
         assert self.state_sync.publisher is not None
         self.publisher = self.state_sync.publisher
         list_lease = self.state_sync.list_lease
-        list_lease.on_tenure(self.began, self.ended)
+        list_lease.on_ownership_change(self.began, self.ended)
         if discovery is None:  # it does not ask for the list's lease
             list_lease.start = lambda: None  # type: ignore[method-assign]
         self.state_sync.start()
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -17,9 +17,16 @@
 from loadbalancer.changefeed.status import FeedStatus, Laggard, RefusedRow
 from loadbalancer.cli.main import application
 from loadbalancer.store.commands import Op
-from loadbalancer.store.feed_progress import add_up
+from loadbalancer.store.feed_progress import aggregate_reports
 from loadbalancer.store.metrics import Collector
-from tests.store.test_changefeed_server import ORDERS, Balancer, feed_of, key, leave, put
+from tests.store.test_changefeed_server import (
+    ORDERS,
+    Balancer,
+    close_balancers,
+    feed_status,
+    key,
+    put,
+)
 from tests.store.test_node import Cluster, cluster, run
 
 
@@ -69,7 +76,7 @@
             early = await feed(c, "wait", str(revision + 1000), "--within", "200ms")
             assert early.exit_code == 1 and f"is itself at {revision}" in str(early.exception)
             assert "on 6 of 6 balancers" in str(early.exception)
-            await leave(*some)
+            await close_balancers(*some)
 
     run(test)
 
@@ -100,7 +107,7 @@
             waiting = asyncio.create_task(feed(c, "wait", str(revision), "--within", "20s"))
             slow.client.connection.transport.resume_reading()
             assert (await waiting).exit_code == 0 and slow.value(ORDERS, "upstream/a") == b"2"
-            await leave(quick, slow)
+            await close_balancers(quick, slow)
 
     run(test)
 
@@ -118,7 +125,7 @@
             )
             revision = (await client.write_rows([Op(key(ORDERS, "a"), b"new")])).revision
             async with asyncio.timeout(20):
-                while not feed_of(c, c.leader())["refusals"]:
+                while not feed_status(c, c.leader())["refusals"]:
                     await asyncio.sleep(0.005)
             failed = await feed(c, "wait", str(revision), "--within", "300ms")
             assert failed.exit_code == 1 and str(failed.exception).startswith(
@@ -153,7 +160,7 @@
                 "2",
             )
             assert "on 1, and 2 are wanted" in str(few.exception)
-            await leave(one)
+            await close_balancers(one)
 
     run(test)
 
@@ -192,32 +199,32 @@
         "a", 90, subscribers=10, reached=((50, 2), (90, 8)), laggards=(Laggard("x", 50, 1500),)
     )
     b = status("b", 100, subscribers=400, reached=tuple((n, 1) for n in range(0, 100)))
-    found = add_up([a, b, a], 90)
+    found = aggregate_reports([a, b, a], 90)
     assert (found.balancers, found.in_force) == (410, 8 + 310), (
         "a member asked at two addresses counts once"
     )
-    assert add_up([a, b], 100).in_force == 0, (
+    assert aggregate_reports([a, b], 100).in_force == 0, (
         "300 of b are past 99, and nobody says that they are at 100"
     )
     assert (
-        add_up([a, b]).revision == 100
-        and "node a at ha:1 is itself at 90" in add_up([a, b]).lagging_nodes
+        aggregate_reports([a, b]).revision == 100
+        and "node a at ha:1 is itself at 90" in aggregate_reports([a, b]).lagging_nodes
     )
     assert [one.name for one in found.lagging] == ["x"] and found.unreachable == ()
-    assert add_up([a], 50).incomplete_reason() == (
+    assert aggregate_reports([a], 50).incomplete_reason() == (
         "revision 50 is not in force as far as can be told: node b at hb:1"
         " does not answer: it was not asked"
     )
-    assert add_up([a], 50).incomplete_reason(10) is None
+    assert aggregate_reports([a], 50).incomplete_reason(10) is None
     refused = status(
         "b", 100, refusals=1, refused=(RefusedRow("x", Refusal(ORDERS, "u/a", 3, "why")),)
     )
     assert (
-        add_up([a, refused], 50).incomplete_reason(ignore_rejected=True)
+        aggregate_reports([a, refused], 50).incomplete_reason(ignore_rejected=True)
         is None
-        is not add_up([a, refused], 50).incomplete_reason()
+        is not aggregate_reports([a, refused], 50).incomplete_reason()
     )
-    nobody = add_up([{"address": "h:1", "trouble": "no answer"}], 5)
+    nobody = aggregate_reports([{"address": "h:1", "trouble": "no answer"}], 5)
     assert (nobody.balancers, nobody.unreachable) == (
         0,
         ("h:1 does not answer: no answer",),
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -32,10 +32,10 @@
 from loadbalancer.testbed.cluster.real import RealCluster
 from tests.certificates import Authority
 from tests.fakes import Observable
-from tests.store.test_node import Cluster, cluster, greeted, run
+from tests.store.test_node import Cluster, cluster, connect_and_greet, run
 
 ORDERS, CARTS = "service:orders", "service:carts"
-QUICK = SubscriptionLimits(
+FAST_LIMITS = SubscriptionLimits(
     backoff_ns=20_000_000, backoff_most_ns=200_000_000, ack_ns=5_000_000, silent_ns=60_000_000_000
 )
 
@@ -67,7 +67,7 @@
             scopes,
             check,
             self.apply,
-            limits=QUICK,
+            limits=FAST_LIMITS,
         )
         self.client.start()
 
@@ -90,10 +90,10 @@
         async with asyncio.timeout(20):
             await self.until(lambda: scope in self.rows and self.value(scope, key) == value)
 
-    def wholes(self, scope: str) -> int:
+    def snapshot_count(self, scope: str) -> int:
         return sum(what.is_snapshot for what in self.applied if what.scope == scope)
 
-    def goes_forward(self) -> bool:
+    def revisions_never_decrease(self) -> bool:
         by: dict[str, list[int]] = {}
         for what in self.applied:
             by.setdefault(what.scope, []).append(what.revision)
@@ -116,29 +116,32 @@
                 pass
 
 
-async def leave(*balancers: Balancer) -> None:
+async def close_balancers(*balancers: Balancer) -> None:
     for balancer in balancers:
         await balancer.client.close()
 
 
-def feed_of(c: Cluster, node_index: int) -> dict[str, Any]:
-    found: dict[str, Any] | None = c.nodes[node_index].node.status()["feed"]
+def feed_status(local_cluster: Cluster, node_index: int) -> dict[str, Any]:
+    found: dict[str, Any] | None = local_cluster.nodes[node_index].node.status()["feed"]
     assert found is not None
     return found
 
 
 def test_balancer_receives_its_scopes_from_any_member_including_a_learner(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            client = c.client()
-            made = running.prepare(c.read(3), "c")
-            await c.insist(client, "learn", made.node, c.settings[3].advertise)
-            await c.begin(3)
+        async with cluster(tmp_path) as local_cluster:
+            client = local_cluster.client()
+            made = running.prepare(local_cluster.read(3), "c")
+            await local_cluster.insist(
+                client, "learn", made.node, local_cluster.settings[3].advertise
+            )
+            await local_cluster.begin(3)
             await put(client, ORDERS, b"1", "a", "b")
             some = [
-                Balancer([c.settings[p].advertise], [ORDERS, "global"], f"b{p}") for p in c.settings
+                Balancer([local_cluster.settings[p].advertise], [ORDERS, "global"], f"b{p}")
+                for p in local_cluster.settings
             ]
-            other = Balancer([c.settings[0].advertise], [CARTS], "other")
+            other = Balancer([local_cluster.settings[0].advertise], [CARTS], "other")
             for one in some:
                 await one.has(ORDERS, "upstream/b", b"1")
             result = await client.write_rows(
@@ -153,7 +156,7 @@
             for one in some:
                 await one.has(ORDERS, "upstream/a", b"2")
                 await one.has("global", "tenant/acme", b"t")
-                assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.wholes(ORDERS) == 1
+                assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.snapshot_count(ORDERS) == 1
                 assert sorted(w.scope for w in one.applied if w.revision == result.revision) == [
                     "global",
                     ORDERS,
@@ -168,19 +171,22 @@
                 )
             with pytest.raises(RejectedError, match="changed by writes of rows alone"):
                 await client.put(key(ORDERS, "c"), b"1")
-            assert all(feed_of(c, p)["subscribers"] == 1 + (p == 0) for p in c.nodes)
-            await leave(*some, other)
+            assert all(
+                feed_status(local_cluster, p)["subscribers"] == 1 + (p == 0)
+                for p in local_cluster.nodes
+            )
+            await close_balancers(*some, other)
 
     run(test)
 
 
 def test_node_without_rows_and_subscribers_has_no_feed(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            await c.client().put("config/a", b"1")
+        async with cluster(tmp_path, 1) as local_cluster:
+            await local_cluster.client().put("config/a", b"1")
             assert (
-                c.nodes[0].node.changefeed.fanout is None
-                and c.nodes[0].node.status()["feed"] is None
+                local_cluster.nodes[0].node.changefeed.fanout is None
+                and local_cluster.nodes[0].node.status()["feed"] is None
             )
 
     run(test)
@@ -188,22 +194,22 @@
 
 def test_restarted_node_resumes_subscriptions_from_its_log(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"1", "a")
-            one = Balancer([c.settings[0].advertise], [ORDERS])
+            one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
             await one.has(ORDERS, "upstream/a", b"1")
             for number in range(2, 6):
                 await put(client, ORDERS, b"%d" % number, "a")
             await one.has(ORDERS, "upstream/a", b"5")
-            await c.stop(0)
-            await c.begin(0)
+            await local_cluster.stop(0)
+            await local_cluster.begin(0)
             await put(client, ORDERS, b"6", "a")
             await one.has(ORDERS, "upstream/a", b"6")
-            assert one.wholes(ORDERS) == 1 and one.goes_forward()
-            found = feed_of(c, 0)
+            assert one.snapshot_count(ORDERS) == 1 and one.revisions_never_decrease()
+            found = feed_status(local_cluster, 0)
             assert (found["snapshots"], found["resumes"]) == (0, 1)
-            await leave(one)
+            await close_balancers(one)
 
     run(test)
 
@@ -215,10 +221,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, again: bool
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client, node = c.client(), c.nodes[0].node
+        async with cluster(tmp_path, 1) as local_cluster:
+            client, node = local_cluster.client(), local_cluster.nodes[0].node
             await put(client, ORDERS, b"0", "a")
-            one = Balancer([c.settings[0].advertise], [ORDERS])
+            one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
             await one.has(ORDERS, "upstream/a", b"0")
             may_query, has_queried, may_continue = asyncio.Event(), asyncio.Event(), asyncio.Event()
             query = node.runtime.query
@@ -241,13 +247,15 @@
                 after = await put(client, ORDERS, b"2", "a", "after")
             if again:
                 node.changefeed.snapshot_installed()
-            assert node.changefeed.is_loading and list(feed_of(c, 0)["reached"][0]) == [0, 1]
+            assert node.changefeed.is_loading and list(
+                feed_status(local_cluster, 0)["reached"][0]
+            ) == [0, 1]
             may_continue.set()
             await one.has(ORDERS, "upstream/a", b"2")
             assert set(one.rows[ORDERS]) == {"upstream/a", "upstream/before", "upstream/after"}
-            assert one.applied[-1].revision == after > before and one.goes_forward()
-            assert feed_of(c, 0)["failures"] == 0
-            await leave(one)
+            assert one.applied[-1].revision == after > before and one.revisions_never_decrease()
+            assert feed_status(local_cluster, 0)["failures"] == 0
+            await close_balancers(one)
 
     run(test)
 
@@ -256,23 +264,24 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"1", "a", "b")
-            one = Balancer([c.settings[0].advertise], [ORDERS, CARTS])
+            one = Balancer([local_cluster.settings[0].advertise], [ORDERS, CARTS])
             await one.has(ORDERS, "upstream/a", b"1")
-            await c.stop(0)
+            await local_cluster.stop(0)
             monkeypatch.setattr(watch_events, "MAX_EVENTS", 2)
-            await c.begin(0)
+            await local_cluster.begin(0)
             for number in range(2, 9):
                 await put(client, ORDERS, b"%d" % number, "a")
-            await c.stop(0)
-            await c.begin(0)
+            await local_cluster.stop(0)
+            await local_cluster.begin(0)
             await one.has(ORDERS, "upstream/a", b"8")
             assert (
-                one.rows[ORDERS] == {"upstream/a": b"8", "upstream/b": b"1"} and one.goes_forward()
+                one.rows[ORDERS] == {"upstream/a": b"8", "upstream/b": b"1"}
+                and one.revisions_never_decrease()
             )
-            await leave(one)
+            await close_balancers(one)
 
     run(test)
 
@@ -280,30 +289,30 @@
 def test_store_snapshot_is_installed_under_a_live_subscriber(tmp_path: Path) -> None:
     async def test() -> None:
         small = '[limits]\nkeep = 5\nlog = "64KiB"'
-        async with cluster(tmp_path, 3, extra=small) as c:
-            client = c.client()
+        async with cluster(tmp_path, 3, extra=small) as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"1", "a", "gone")
-            last = next(p for p in c.nodes if p != c.leader())
-            one = Balancer([c.settings[last].advertise], [ORDERS, CARTS])
+            last = next(p for p in local_cluster.nodes if p != local_cluster.leader())
+            one = Balancer([local_cluster.settings[last].advertise], [ORDERS, CARTS])
             await one.has(ORDERS, "upstream/a", b"1")
-            node = c.nodes[last].node
+            node = local_cluster.nodes[last].node
             message_received = node.message_received
             node.message_received = lambda sender, message: None  # type: ignore[method-assign]  # its subscriber stays
             await put(client, ORDERS, None, "gone")
             for number in range(60):
                 await client.put(f"k/{number}", bytes(3000))
             await put(client, ORDERS, b"2", "a")
-            leader = c.nodes[c.leader()].node
+            leader = local_cluster.nodes[local_cluster.leader()].node
             async with asyncio.timeout(20):
                 while leader.core.log.base_index <= node.core.log.last_index:
                     await asyncio.sleep(0.01)
             node.message_received = message_received  # type: ignore[method-assign]
             await one.has(ORDERS, "upstream/a", b"2")
-            assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.goes_forward()
+            assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.revisions_never_decrease()
             assert node.changefeed.fanout is not None and len(node.changefeed.subscribers) == 1
             await put(client, CARTS, b"3", "x")
             await one.has(CARTS, "upstream/x", b"3")
-            await leave(one)
+            await close_balancers(one)
 
     run(test)
 
@@ -317,11 +326,11 @@
     """What it is not sent are 10 MB."""
 
     async def test() -> None:
-        async with cluster(tmp_path, 1, extra=f'[feed]\nwindow = "{window}"') as c:
-            client = c.client()
+        async with cluster(tmp_path, 1, extra=f'[feed]\nwindow = "{window}"') as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"0", "a")
-            slow = Balancer([c.settings[0].advertise], [ORDERS], "slow")
-            quick = Balancer([c.settings[0].advertise], [ORDERS], "quick", 2)
+            slow = Balancer([local_cluster.settings[0].advertise], [ORDERS], "slow")
+            quick = Balancer([local_cluster.settings[0].advertise], [ORDERS], "quick", 2)
             for one in (slow, quick):
                 await one.has(ORDERS, "upstream/a", b"0")
             assert (
@@ -331,7 +340,7 @@
                 slow.client.connection.transport,
                 *(
                     one.transport
-                    for one in c.nodes[0].server.connections
+                    for one in local_cluster.nodes[0].server.connections
                     if one.transport is not None
                 ),
             ):
@@ -345,16 +354,19 @@
                 await quick.has(ORDERS, "upstream/a", b"%d" % number)
             unread = [
                 one.transport.get_write_buffer_size()
-                for one in c.nodes[0].server.connections
+                for one in local_cluster.nodes[0].server.connections
                 if one.transport is not None
             ]
-            assert max(unread) < 512 << 10 and feed_of(c, 0)["laggards"][0]["name"] == "slow"
+            assert (
+                max(unread) < 512 << 10
+                and feed_status(local_cluster, 0)["laggards"][0]["name"] == "slow"
+            )
             applied_before = len(slow.applied)
             slow.client.connection.transport.resume_reading()
             await slow.has(ORDERS, "upstream/a", b"50")
             assert len(slow.applied) - applied_before < 10 and slow.applied[-1].revision == revision
-            assert slow.goes_forward() and slow.rows == quick.rows
-            await leave(slow, quick)
+            assert slow.revisions_never_decrease() and slow.rows == quick.rows
+            await close_balancers(slow, quick)
 
     run(test)
 
@@ -366,32 +378,32 @@
     monkeypatch.setattr(connection, "ACK_TIMEOUT_MS", 300)
 
     async def test() -> None:
-        async with cluster(tmp_path, 1, extra='[feed]\nwindow = "64MiB"') as c:
-            client = c.client()
+        async with cluster(tmp_path, 1, extra='[feed]\nwindow = "64MiB"') as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"0", "a")
-            one = Balancer([c.settings[0].advertise], [ORDERS])
+            one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
             await one.has(ORDERS, "upstream/a", b"0")
             wire = one.client.connection
             assert wire is not None and wire.transport is not None
             wire.transport.pause_reading()
             async with asyncio.timeout(20):
-                while feed_of(c, 0)["subscribers"]:
+                while feed_status(local_cluster, 0)["subscribers"]:
                     await put(client, ORDERS, bytes(4000), *(f"n{i}" for i in range(50)))
             wire.transport.resume_reading()  # it was asleep only
             revision = await put(client, ORDERS, b"1", "a")
             await one.has(ORDERS, "upstream/a", b"1")
-            assert one.applied[-1].revision == revision and one.goes_forward()
-            await leave(one)
+            assert one.applied[-1].revision == revision and one.revisions_never_decrease()
+            await close_balancers(one)
 
     run(test)
 
 
 def test_balancers_of_a_killed_node_never_go_back_in_revision(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            client = c.client()
+        async with cluster(tmp_path) as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"0", "a")
-            addresses = [c.settings[p].advertise for p in c.settings]
+            addresses = [local_cluster.settings[p].advertise for p in local_cluster.settings]
             some = [Balancer(addresses, [ORDERS], f"b{i}", i) for i in range(12)]
             for one in some:
                 await one.has(ORDERS, "upstream/a", b"0")
@@ -399,16 +411,20 @@
             for number in range(1, 21):
                 if number in (5, 12):  # no majority is needed to hear, but it is to write
                     node_index = (
-                        c.leader() if number == 5 else next(p for p in c.nodes if p != c.leader())
+                        local_cluster.leader()
+                        if number == 5
+                        else next(p for p in local_cluster.nodes if p != local_cluster.leader())
                     )
-                    await c.stop(node_index)
+                    await local_cluster.stop(node_index)
                 if number == 10:
-                    await c.begin(next(p for p in c.settings if p not in c.nodes))
+                    await local_cluster.begin(
+                        next(p for p in local_cluster.settings if p not in local_cluster.nodes)
+                    )
                 await put(client, ORDERS, b"%d" % number, "a")
             for one in some:
                 await one.has(ORDERS, "upstream/a", b"20")
-                assert one.goes_forward() and one.wholes(ORDERS) == 1
-            await leave(*some)
+                assert one.revisions_never_decrease() and one.snapshot_count(ORDERS) == 1
+            await close_balancers(*some)
 
     run(test)
 
@@ -419,24 +435,24 @@
     monkeypatch.setattr(changefeed_server, "MAX_LEADERLESS_MS", 300)
 
     async def test() -> None:
-        async with cluster(tmp_path, extra='[feed]\nbookmark = "100ms"') as c:
-            client = c.client()
+        async with cluster(tmp_path, extra='[feed]\nbookmark = "100ms"') as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"1", "a")
-            last = next(p for p in c.nodes if p != c.leader())
+            last = next(p for p in local_cluster.nodes if p != local_cluster.leader())
             here, others = (
-                c.settings[last].advertise,
-                [c.settings[p].advertise for p in c.nodes if p != last],
+                local_cluster.settings[last].advertise,
+                [local_cluster.settings[p].advertise for p in local_cluster.nodes if p != last],
             )
             free = Balancer([here, *others], [ORDERS], "free", near=1)
             bound = Balancer([here], [ORDERS], "bound")  # it reaches nobody else
             for one in (free, bound):
                 await one.has(ORDERS, "upstream/a", b"1")
-            node = c.nodes[last].node
+            node = local_cluster.nodes[last].node
             message_received = node.message_received
             node.message_received = lambda sender, message: None  # type: ignore[method-assign]
             await put(client, ORDERS, b"2", "a")
             await free.has(ORDERS, "upstream/a", b"2")
-            assert free.client.address != here and free.goes_forward()
+            assert free.client.address != here and free.revisions_never_decrease()
             assert (
                 free.client.subscription.disconnect_reason
                 == f"{here}: this node knows of no leader"
@@ -465,8 +481,8 @@
             )
             node.message_received = message_received  # type: ignore[method-assign]
             await bound.has(ORDERS, "upstream/a", b"2")
-            assert bound.wholes(ORDERS) == 1
-            await leave(free, bound)
+            assert bound.snapshot_count(ORDERS) == 1
+            await close_balancers(free, bound)
 
     run(test)
 
@@ -477,25 +493,29 @@
     """
 
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"old", "a")
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
                 await client.read_backup(file.write)
             for number in range(30):
                 await put(client, ORDERS, b"%d" % number, "a", "b")
-            running.restore(c.read(1), copy, "d")
-            one = Balancer([c.settings[0].advertise, c.settings[1].advertise], [ORDERS], seed=4)
+            running.restore(local_cluster.read(1), copy, "d")
+            one = Balancer(
+                [local_cluster.settings[0].advertise, local_cluster.settings[1].advertise],
+                [ORDERS],
+                seed=4,
+            )
             await one.has(ORDERS, "upstream/a", b"29")
-            await c.begin(1)
-            await c.stop(0)
+            await local_cluster.begin(1)
+            await local_cluster.stop(0)
             await one.has(ORDERS, "upstream/a", b"old")
-            assert one.rows[ORDERS] == {"upstream/a": b"old"} and one.wholes(ORDERS) == 2
+            assert one.rows[ORDERS] == {"upstream/a": b"old"} and one.snapshot_count(ORDERS) == 2
             assert one.client.subscription.epoch == "d"
-            await put(c.client(only=1), ORDERS, b"new", "a")
+            await put(local_cluster.client(only=1), ORDERS, b"new", "a")
             await one.has(ORDERS, "upstream/a", b"new")
-            await leave(one)
+            await close_balancers(one)
 
     run(test)
 
@@ -524,7 +544,7 @@
             await put(old.client(deadline_s=20.0), ORDERS, b"1", "a")
             await one.has(ORDERS, "upstream/a", b"1")
         finally:
-            await leave(one)
+            await close_balancers(one)
             await client.close()
             await old.stop()
 
@@ -535,10 +555,10 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             one = Balancer(
-                [c.settings[0].advertise],
+                [local_cluster.settings[0].advertise],
                 [ORDERS],
                 "picky",
                 check=lambda scope, row: "it is too new" if row.value == b"new" else "",
@@ -549,11 +569,11 @@
             await one.has(ORDERS, "upstream/b", b"2")
             assert one.value(ORDERS, "upstream/a") == b"1"
             async with asyncio.timeout(20):
-                while not feed_of(c, 0)["refusals"]:
+                while not feed_status(local_cluster, 0)["refusals"]:
                     await asyncio.sleep(0.005)
-            (refused,) = feed_of(c, 0)["refused"]
+            (refused,) = feed_status(local_cluster, 0)["refused"]
             assert refused["name"] == "picky" and refused["refusal"][3] == "it is too new"
-            await leave(one)
+            await close_balancers(one)
 
     run(test)
 
@@ -565,30 +585,30 @@
     foreign = Authority(tmp_path, "foreign").issue("read", name="stranger")
 
     async def test() -> None:
-        async with cluster(tmp_path, 1, node) as c:
-            await put(c.client(), ORDERS, b"1", "a")
-            one = Balancer([c.settings[0].advertise], [ORDERS], tls=read)
-            other = Balancer([c.settings[0].advertise], [ORDERS], tls=foreign)
+        async with cluster(tmp_path, 1, node) as local_cluster:
+            await put(local_cluster.client(), ORDERS, b"1", "a")
+            one = Balancer([local_cluster.settings[0].advertise], [ORDERS], tls=read)
+            other = Balancer([local_cluster.settings[0].advertise], [ORDERS], tls=foreign)
             await one.has(ORDERS, "upstream/a", b"1")
             async with asyncio.timeout(20):
                 while not other.client.subscription.disconnect_reason:
                     await asyncio.sleep(0.005)
             assert not other.applied
-            await leave(one, other)
+            await close_balancers(one, other)
 
     run(test)
 
 
 def test_invalid_message_ends_its_connection_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            wire, why = await greeted(c, Hello(1, "", 0))
+        async with cluster(tmp_path, 1) as local_cluster:
+            wire, why = await connect_and_greet(local_cluster, Hello(1, "", 0))
             assert not why
             failed = await asyncio.wait_for(wire.request(SendToChangefeed(3, 0, b"\xc1")), 5)
             assert isinstance(failed, protocol.RequestFailed) and "invalid message" in failed.text
             await asyncio.wait_for(wire.ended, 5)
-            assert c.nodes[0].node.changefeed.subscribers == {}
-            await put(c.client(), ORDERS, b"1", "a")
+            assert local_cluster.nodes[0].node.changefeed.subscribers == {}
+            await put(local_cluster.client(), ORDERS, b"1", "a")
 
     run(test)
     with pytest.raises(MalformedError):
@@ -604,18 +624,18 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             await put(client, ORDERS, b"1", "a")
-            one = Balancer([c.settings[0].advertise], [ORDERS])
+            one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
             await one.has(ORDERS, "upstream/a", b"1")
-            fanout = c.nodes[0].node.changefeed.fanout
+            fanout = local_cluster.nodes[0].node.changefeed.fanout
             assert fanout is not None
             monkeypatch.setattr(fanout, "apply", lambda *what: 1 / 0)
             await put(client, ORDERS, b"2", "a")
             await one.has(ORDERS, "upstream/a", b"2")
-            assert feed_of(c, 0)["failures"] == 1 and one.goes_forward()
-            await leave(one)
+            assert feed_status(local_cluster, 0)["failures"] == 1 and one.revisions_never_decrease()
+            await close_balancers(one)
 
     run(test)
 
@@ -633,12 +653,12 @@
 
     async def test() -> None:
         nonlocal iterations
-        async with cluster(tmp_path, 1) as c:
+        async with cluster(tmp_path, 1) as local_cluster:
             monkeypatch.setattr(Connection, "connection_made", noted)
             some = [socket.socket() for _ in range(320)]
             for one in some:  # the loop stands still meanwhile, as one that serves others
                 one.settimeout(0.5)
-                one.connect(c.settings[0].listen)
+                one.connect(local_cluster.settings[0].listen)
             while len(made) < 320:
                 await asyncio.sleep(0)
                 iterations += 1
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -98,7 +98,7 @@
     def client(
         self, tls: TlsFiles | None = None, deadline_s: float = 5.0, only: int = -1
     ) -> Client:
-        keys = tls or self.tls_of_client()
+        keys = tls or self.admin_tls_files()
         context = keys.context(False) if keys else None
         node_indexes = [only] if only >= 0 else sorted(self.settings)
         self.clients.append(
@@ -110,7 +110,7 @@
         )
         return self.clients[-1]
 
-    def tls_of_client(self) -> TlsFiles | None:
+    def admin_tls_files(self) -> TlsFiles | None:
         if self.tls is None:
             return None
         folder = self.tls.certificate.parent
@@ -147,27 +147,27 @@
 
 def test_acknowledged_write_is_read_from_any_node_and_after_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            client = c.client()
+        async with cluster(tmp_path) as local_cluster:
+            client = local_cluster.client()
             assert await client.put("config/a", b"1", 0) == 1
             with pytest.raises(ConflictError, match="config/a is at version 1"):
                 await client.put("config/a", b"2", 0)
-            for node_index in c.nodes:
-                row = (await c.client(only=node_index).get("config/a")).rows[0]
+            for node_index in local_cluster.nodes:
+                row = (await local_cluster.client(only=node_index).get("config/a")).rows[0]
                 assert (row.value, row.version) == (b"1", 1)
             result = await client.write(
                 [Op("b", b"x", 0), Op("config/a", b"2", 1)], WriteOptions(note="both")
             )
             assert result.versions == (1, 2)
-            for node_index in list(c.nodes):
-                await c.stop(node_index)
-            for node_index in list(c.settings):
-                await c.begin(node_index)
-            again = await c.client().scan("")
+            for node_index in list(local_cluster.nodes):
+                await local_cluster.stop(node_index)
+            for node_index in list(local_cluster.settings):
+                await local_cluster.begin(node_index)
+            again = await local_cluster.client().scan("")
             assert [(r.key, r.version) for r in again.rows] == [("b", 1), ("config/a", 2)]
-            past = await c.client().history("config/a")
+            past = await local_cluster.client().history("config/a")
             assert [(r.version, r.note) for r in past.rows] == [(2, "both"), (1, "")]
-            metrics = await c.client().status()
+            metrics = await local_cluster.client().status()
             assert metrics["applied"] == metrics["commit"] > 5
 
     run(test)
@@ -175,19 +175,21 @@
 
 def test_cluster_survives_loss_of_leader_and_lone_node_reports_since_when(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            client = c.client()
+        async with cluster(tmp_path) as local_cluster:
+            client = local_cluster.client()
             await client.put("a", b"1")
-            await c.stop(c.leader())
+            await local_cluster.stop(local_cluster.leader())
             assert await client.put("a", b"2", 1) == 2
             async with asyncio.timeout(10):
-                while not any(r.node.core.role.value == "leader" for r in c.nodes.values()):
+                while not any(
+                    r.node.core.role.value == "leader" for r in local_cluster.nodes.values()
+                ):
                     await asyncio.sleep(0.005)
-            await c.stop(c.leader())
-            lone = next(iter(c.nodes))
-            one = c.client(only=lone, deadline_s=1.5)
+            await local_cluster.stop(local_cluster.leader())
+            lone = next(iter(local_cluster.nodes))
+            one = local_cluster.client(only=lone, deadline_s=1.5)
             async with asyncio.timeout(10):
-                while not c.nodes[lone].node.leaderless_ms():
+                while not local_cluster.nodes[lone].node.leaderless_ms():
                     await asyncio.sleep(0.01)
             stale = await one.get("a", stale=True)
             # It holds the last write, and may not have been notified yet that it was committed.
@@ -202,8 +204,8 @@
 
 def test_retried_write_is_applied_once(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             await client.put("n", b"0")
             connection = client.connection
             assert connection is not None
@@ -222,8 +224,8 @@
 
 def test_watch_receives_every_change_over_a_change_of_leader(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            client, watcher = c.client(), c.client()
+        async with cluster(tmp_path) as local_cluster:
+            client, watcher = local_cluster.client(), local_cluster.client()
             start = (await client.get("w/x")).revision
             versions: list[int] = []
 
@@ -236,7 +238,7 @@
             task = asyncio.create_task(watch())
             for i in range(60):
                 if i == 30:
-                    await c.stop(c.leader())
+                    await local_cluster.stop(local_cluster.leader())
                 await client.put("w/x", b"%d" % i)
                 await client.put("other", b"")
             await task
@@ -249,8 +251,8 @@
     monkeypatch.setattr(watch_events, "MAX_EVENTS", 3)
 
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             for i in range(9):
                 await client.put("w", b"%d" % i)
             with pytest.raises(WatchCompactedError, match="read anew"):
@@ -262,21 +264,23 @@
 
 def test_new_member_far_behind_installs_a_snapshot(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1, extra='[limits]\nkeep = 5\nlog = "64KiB"') as c:
-            client = c.client()
+        async with cluster(tmp_path, 1, extra='[limits]\nkeep = 5\nlog = "64KiB"') as local_cluster:
+            client = local_cluster.client()
             for i in range(120):
                 await client.put(f"k/{i}", bytes(3000))
-            first = c.nodes[0].node
+            first = local_cluster.nodes[0].node
             async with asyncio.timeout(10):
                 while first.core.log.base_index < 60:
                     await asyncio.sleep(0.01)
-            made = running.prepare(c.read(1), "c")
-            await c.insist(client, "learn", made.node, c.settings[1].advertise)
-            await c.begin(1)
-            await c.insist(client, "promote", made.node)
+            made = running.prepare(local_cluster.read(1), "c")
+            await local_cluster.insist(
+                client, "learn", made.node, local_cluster.settings[1].advertise
+            )
+            await local_cluster.begin(1)
+            await local_cluster.insist(client, "promote", made.node)
             assert first.runtime.statistics.exports >= 1
-            rows = (await c.client(only=1).scan("k/")).rows
-            assert len(rows) == 120 and c.nodes[1].node.core.log.base_index > 60
+            rows = (await local_cluster.client(only=1).scan("k/")).rows
+            assert len(rows) == 120 and local_cluster.nodes[1].node.core.log.base_index > 60
             assert len(list((tmp_path / "n0").glob("log-*"))) < 8
 
     run(test)
@@ -286,17 +290,17 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path) as c:
-            client = c.client()
-            gone = next(p for p in c.nodes if p != c.leader())
-            number = c.nodes[gone].node.identity.node
+        async with cluster(tmp_path) as local_cluster:
+            client = local_cluster.client()
+            gone = next(p for p in local_cluster.nodes if p != local_cluster.leader())
+            number = local_cluster.nodes[gone].node.identity.node
             await client.administer("remove", number)
-            term = c.nodes[c.leader()].node.core.term
+            term = local_cluster.nodes[local_cluster.leader()].node.core.term
             async with asyncio.timeout(10):
                 while f"node {number:x} was removed" not in caplog.text:
                     await asyncio.sleep(0.01)
             await client.put("a", b"1")
-            assert c.nodes[c.leader()].node.core.term == term
+            assert local_cluster.nodes[local_cluster.leader()].node.core.term == term
             with pytest.raises(RejectedError, match="comes back only with a new data folder"):
                 await client.administer("learn", number, "127.0.0.1:1")
 
@@ -304,12 +308,12 @@
         run(test)
 
 
-async def greeted(
-    c: Cluster, hello: Hello, tls: TlsFiles | None = None
+async def connect_and_greet(
+    local_cluster: Cluster, hello: Hello, tls: TlsFiles | None = None
 ) -> tuple[ClientConnection, str]:
     """A connection that says this, and what came of it: empty where it was welcomed."""
     connection = ClientConnection(hello)
-    host, port = c.settings[0].listen
+    host, port = local_cluster.settings[0].listen
     await asyncio.get_running_loop().create_connection(
         lambda: connection, host, port, ssl=tls.context(False) if tls else None
     )
@@ -329,38 +333,50 @@
                 await asyncio.sleep(0.005)
 
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            term = c.nodes[0].node.core.term
-            assert "this is cluster c, not d" in (await greeted(c, Hello(1, "d", 5)))[1]
-            assert "protocol 9 is newer" in (await greeted(c, Hello(9, "c", 0)))[1]
+        async with cluster(tmp_path, 1) as local_cluster:
+            term = local_cluster.nodes[0].node.core.term
+            assert (
+                "this is cluster c, not d"
+                in (await connect_and_greet(local_cluster, Hello(1, "d", 5)))[1]
+            )
             assert (
-                "own number" in (await greeted(c, Hello(1, "c", c.nodes[0].node.identity.node)))[1]
+                "protocol 9 is newer"
+                in (await connect_and_greet(local_cluster, Hello(9, "c", 0)))[1]
+            )
+            assert (
+                "own number"
+                in (
+                    await connect_and_greet(
+                        local_cluster, Hello(1, "c", local_cluster.nodes[0].node.identity.node)
+                    )
+                )[1]
             )
             # A frame that was recorded on one connection, played on another.
             vote = pack_message(RequestVote(term + 50, 10**9, 10**9, False, True))
-            recorded, why = await greeted(c, Hello(1, "c", 77))
+            recorded, why = await connect_and_greet(local_cluster, Hello(1, "c", 77))
             assert not why
             replayed = recorded.encoder.frame(vote)
-            other, _ = await greeted(c, Hello(1, "c", 78))
+            other, _ = await connect_and_greet(local_cluster, Hello(1, "c", 78))
             assert other.transport is not None
             other.transport.write(replayed)
             await closed(other)
             assert (
-                "belongs to another connection" in caplog.text and c.nodes[0].node.core.term == term
+                "belongs to another connection" in caplog.text
+                and local_cluster.nodes[0].node.core.term == term
             )
             # And twice on its own.
-            again, _ = await greeted(c, Hello(1, "c", 79))
+            again, _ = await connect_and_greet(local_cluster, Hello(1, "c", 79))
             assert again.transport is not None
             frame = again.encoder.frame(pack_message(RequestVote(term, 0, 0, True)))
             again.transport.write(frame + frame)
             await closed(again)
             assert "frame 1 where 2 was due" in caplog.text
-            large, _ = await greeted(c, Hello(1, "c", 80))
+            large, _ = await connect_and_greet(local_cluster, Hello(1, "c", 80))
             assert large.transport is not None
             large.transport.write(frames.FRAME_HEADER.pack(1 << 30, 1, 0))
             await closed(large)
             assert "a frame of 1073741824 bytes" in caplog.text
-            assert await c.client().put("a", b"1") == 1
+            assert await local_cluster.client().put("a", b"1") == 1
 
     with caplog.at_level(logging.WARNING):
         run(test)
@@ -374,49 +390,52 @@
     foreign = Authority(tmp_path, "foreign").issue("admin", name="stranger")
 
     async def test() -> None:
-        async with cluster(tmp_path, 2, node) as c:
-            assert await c.client(write).put("a", b"1") == 1
-            assert (await c.client(read).get("a")).rows[0].value == b"1"
+        async with cluster(tmp_path, 2, node) as local_cluster:
+            assert await local_cluster.client(write).put("a", b"1") == 1
+            assert (await local_cluster.client(read).get("a")).rows[0].value == b"1"
             with pytest.raises(RejectedError, match="the role read may not"):
-                await c.client(read).put("a", b"2")
+                await local_cluster.client(read).put("a", b"2")
             with pytest.raises(RejectedError, match="the role write may not"):
-                await c.client(write).administer("transfer", 5)
+                await local_cluster.client(write).administer("transfer", 5)
             for stranger in (elsewhere, foreign, node):
                 with pytest.raises(UnavailableError):
-                    await c.client(stranger, deadline_s=0.7).get("a")
-            assert "role is admin" in (await greeted(c, Hello(1, "c", 99), admin))[1]
+                    await local_cluster.client(stranger, deadline_s=0.7).get("a")
+            assert (
+                "role is admin"
+                in (await connect_and_greet(local_cluster, Hello(1, "c", 99), admin))[1]
+            )
             # All get new ones, of another authority; nodes take them without a restart.
             fresh = Authority(tmp_path, "fresh")
             for role in ("node", "admin"):
                 fresh.issue(role)
             authority.path.write_bytes(fresh.path.read_bytes())
-            for running_ in c.nodes.values():
+            for running_ in local_cluster.nodes.values():
                 await running_.server.reload_certificates()
-                assert running_.server.stamp == c.settings[0].tls.stamp()  # type: ignore[union-attr]
-            assert await c.client(admin).put("a", b"3") == 2
+                assert running_.server.stamp == local_cluster.settings[0].tls.stamp()  # type: ignore[union-attr]
+            assert await local_cluster.client(admin).put("a", b"3") == 2
             with pytest.raises(UnavailableError):
-                await c.client(write, deadline_s=0.7).put("a", b"4")
+                await local_cluster.client(write, deadline_s=0.7).put("a", b"4")
             # Bad ones leave the good in use.
             node.certificate.write_text("nonsense")
-            for running_ in c.nodes.values():
+            for running_ in local_cluster.nodes.values():
                 assert not await running_.server.reload_certificates()
-            assert await c.client(admin).put("a", b"5") == 3
+            assert await local_cluster.client(admin).put("a", b"5") == 3
 
     run(test)
 
 
 def test_backup_becomes_a_new_cluster_that_the_old_one_does_not_accept(tmp_path: Path) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             await client.put("config/a", b"kept")
             copy = tmp_path / "copy.db"
             with open(copy, "wb") as file:
                 index, _, size, checksum = await client.read_backup(file.write)
             assert copy.stat().st_size == size and state_files.file_checksum(copy) == checksum
-            made = running.restore(c.read(1), copy, "d")
-            await c.begin(1)
-            other = c.client(only=1)
+            made = running.restore(local_cluster.read(1), copy, "d")
+            await local_cluster.begin(1)
+            other = local_cluster.client(only=1)
             assert (await other.get("config/a")).rows[0].value == b"kept"
             assert await other.put("config/a", b"on", 1) == 2 and made.cluster == "d"
             assert (await other.status())["last"] > index
@@ -439,12 +458,12 @@
             old.end()
         left = old.members[0].settings.folder / "state.db"
         assert Path(f"{left}-wal").stat().st_size > 0  # what was applied last is nowhere else
-        c = Cluster(tmp_path)
-        running.restore(c.read(1), left, "d")
-        await c.begin(1)
-        row = (await c.client(only=1).get("a")).rows[0]
+        local_cluster = Cluster(tmp_path)
+        running.restore(local_cluster.read(1), left, "d")
+        await local_cluster.begin(1)
+        row = (await local_cluster.client(only=1).get("a")).rows[0]
         assert (row.value, row.version) == (b"30", 30)
-        await c.close()
+        await local_cluster.close()
 
     run(test)
 
@@ -469,8 +488,8 @@
     monkeypatch.setattr(State, "apply", apply_or_not)
 
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client = c.client()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client = local_cluster.client()
             await client.put("a", b"1")
             for what in full:
                 full[what] = True
@@ -478,11 +497,11 @@
                     client.put("b", b"1", options=WriteOptions(timeout_s=20.0))
                 )
                 async with asyncio.timeout(10):
-                    while what not in c.nodes[0].node.runtime.statistics.full_since_s:
+                    while what not in local_cluster.nodes[0].node.runtime.statistics.full_since_s:
                         await asyncio.sleep(0.005)
                 if what == "log":
-                    assert (await c.client().get("a")).rows[0].value == b"1"
-                assert (await c.client().get("a", stale=True)).rows[0].value == b"1"
+                    assert (await local_cluster.client().get("a")).rows[0].value == b"1"
+                assert (await local_cluster.client().get("a", stale=True)).rows[0].value == b"1"
                 full[what] = False
                 await waiting
             assert (await client.get("b")).rows[0].version == 2
@@ -494,8 +513,8 @@
 
 
 def test_unusable_folder_is_reported_in_one_line(tmp_path: Path) -> None:
-    c = Cluster(tmp_path)
-    settings = c.read(0)
+    local_cluster = Cluster(tmp_path)
+    settings = local_cluster.read(0)
     running.init(settings, "c")
     assert running.verify(settings) == []
     with pytest.raises(Exception, match="begins in an empty folder"):
@@ -535,8 +554,8 @@
     """Else a process that leaves, and closes its connections first, never ends."""
 
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            client, received = c.client(), asyncio.Event()
+        async with cluster(tmp_path, 1) as local_cluster:
+            client, received = local_cluster.client(), asyncio.Event()
             await client.put("k", b"1")
 
             async def watch() -> None:
@@ -561,9 +580,9 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with cluster(tmp_path, 1) as c:
-            node = c.nodes[0].node
-            await c.stop(0)
+        async with cluster(tmp_path, 1) as local_cluster:
+            node = local_cluster.nodes[0].node
+            await local_cluster.stop(0)
             with pytest.raises(DeadlineExceededError):
                 await node.query(lambda state: state.applied)
 
