--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -95,7 +95,7 @@
             )
             slow.client.connection.transport.pause_reading()
             revision = await put(client, ORDERS, b"2", "a")
-            await quick.has(ORDERS, "upstream/a", b"2")
+            await quick.wait_for_value(ORDERS, "upstream/a", b"2")
             late = await feed(c, "wait", str(revision), "--within", "0.5")
             output = str(late.exception)
             assert late.exit_code == 1 and "\n" not in output
--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -51,7 +51,7 @@
         seed: int = 1,
         tls: TlsFiles | None = None,
         check: Callable[[str, Row], str] = lambda scope, row: "",
-        near: int = 0,
+        nearby_count: int = 0,
     ) -> None:
         super().__init__()
         self.rows: dict[str, dict[str, bytes]] = {}
@@ -61,7 +61,7 @@
                 addresses,
                 lambda: tls.context(False) if tls else None,
                 name,
-                near,
+                nearby_count,
                 rng=random.Random(seed),
             ),
             scopes,
@@ -86,7 +86,7 @@
     def value(self, scope: str, key: str) -> bytes | None:
         return self.rows.get(scope, {}).get(key)
 
-    async def has(self, scope: str, key: str, value: bytes | None) -> None:
+    async def wait_for_value(self, scope: str, key: str, value: bytes | None) -> None:
         async with asyncio.timeout(20):
             await self.until(lambda: scope in self.rows and self.value(scope, key) == value)
 
@@ -143,7 +143,7 @@
             ]
             other = Balancer([local_cluster.settings[0].advertise], [CARTS], "other")
             for one in some:
-                await one.has(ORDERS, "upstream/b", b"1")
+                await one.wait_for_value(ORDERS, "upstream/b", b"1")
             result = await client.write_rows(
                 [
                     Op(key(ORDERS, "a"), b"2"),
@@ -154,17 +154,17 @@
                 [("feed/global/tenant/acme",), (), (), ()],
             )
             for one in some:
-                await one.has(ORDERS, "upstream/a", b"2")
-                await one.has("global", "tenant/acme", b"t")
+                await one.wait_for_value(ORDERS, "upstream/a", b"2")
+                await one.wait_for_value("global", "tenant/acme", b"t")
                 assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.snapshot_count(ORDERS) == 1
                 assert sorted(w.scope for w in one.applied if w.revision == result.revision) == [
                     "global",
                     ORDERS,
                 ]
-            await other.has(CARTS, "upstream/x", b"9")
+            await other.wait_for_value(CARTS, "upstream/x", b"9")
             assert set(other.rows) == {CARTS}, "nothing of what it did not ask for"
             other.client.change_scopes([ORDERS], [CARTS])
-            await other.has(ORDERS, "upstream/a", b"2")
+            await other.wait_for_value(ORDERS, "upstream/a", b"2")
             with pytest.raises(RejectedError, match="which is not there"):
                 await client.write_rows(
                     [Op(key(ORDERS, "c"), b"1")], [("feed/global/tenant/none",)]
@@ -198,14 +198,14 @@
             client = local_cluster.client()
             await put(client, ORDERS, b"1", "a")
             one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
-            await one.has(ORDERS, "upstream/a", b"1")
+            await one.wait_for_value(ORDERS, "upstream/a", b"1")
             for number in range(2, 6):
                 await put(client, ORDERS, b"%d" % number, "a")
-            await one.has(ORDERS, "upstream/a", b"5")
+            await one.wait_for_value(ORDERS, "upstream/a", b"5")
             await local_cluster.stop(0)
             await local_cluster.begin(0)
             await put(client, ORDERS, b"6", "a")
-            await one.has(ORDERS, "upstream/a", b"6")
+            await one.wait_for_value(ORDERS, "upstream/a", b"6")
             assert one.snapshot_count(ORDERS) == 1 and one.revisions_never_decrease()
             found = feed_status(local_cluster, 0)
             assert (found["snapshots"], found["resumes"]) == (0, 1)
@@ -225,7 +225,7 @@
             client, node = local_cluster.client(), local_cluster.nodes[0].node
             await put(client, ORDERS, b"0", "a")
             one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
-            await one.has(ORDERS, "upstream/a", b"0")
+            await one.wait_for_value(ORDERS, "upstream/a", b"0")
             may_query, has_queried, may_continue = asyncio.Event(), asyncio.Event(), asyncio.Event()
             query = node.runtime.query
 
@@ -251,7 +251,7 @@
                 feed_status(local_cluster, 0)["reached"][0]
             ) == [0, 1]
             may_continue.set()
-            await one.has(ORDERS, "upstream/a", b"2")
+            await one.wait_for_value(ORDERS, "upstream/a", b"2")
             assert set(one.rows[ORDERS]) == {"upstream/a", "upstream/before", "upstream/after"}
             assert one.applied[-1].revision == after > before and one.revisions_never_decrease()
             assert feed_status(local_cluster, 0)["failures"] == 0
@@ -268,7 +268,7 @@
             client = local_cluster.client()
             await put(client, ORDERS, b"1", "a", "b")
             one = Balancer([local_cluster.settings[0].advertise], [ORDERS, CARTS])
-            await one.has(ORDERS, "upstream/a", b"1")
+            await one.wait_for_value(ORDERS, "upstream/a", b"1")
             await local_cluster.stop(0)
             monkeypatch.setattr(watch_events, "MAX_EVENTS", 2)
             await local_cluster.begin(0)
@@ -276,7 +276,7 @@
                 await put(client, ORDERS, b"%d" % number, "a")
             await local_cluster.stop(0)
             await local_cluster.begin(0)
-            await one.has(ORDERS, "upstream/a", b"8")
+            await one.wait_for_value(ORDERS, "upstream/a", b"8")
             assert (
                 one.rows[ORDERS] == {"upstream/a": b"8", "upstream/b": b"1"}
                 and one.revisions_never_decrease()
@@ -294,7 +294,7 @@
             await put(client, ORDERS, b"1", "a", "gone")
             last = next(p for p in local_cluster.nodes if p != local_cluster.leader())
             one = Balancer([local_cluster.settings[last].advertise], [ORDERS, CARTS])
-            await one.has(ORDERS, "upstream/a", b"1")
+            await one.wait_for_value(ORDERS, "upstream/a", b"1")
             node = local_cluster.nodes[last].node
             message_received = node.message_received
             node.message_received = lambda sender, message: None  # type: ignore[method-assign]  # its subscriber stays
@@ -307,11 +307,11 @@
                 while leader.core.log.base_index <= node.core.log.last_index:
                     await asyncio.sleep(0.01)
             node.message_received = message_received  # type: ignore[method-assign]
-            await one.has(ORDERS, "upstream/a", b"2")
+            await one.wait_for_value(ORDERS, "upstream/a", b"2")
             assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.revisions_never_decrease()
             assert node.changefeed.fanout is not None and len(node.changefeed.subscribers) == 1
             await put(client, CARTS, b"3", "x")
-            await one.has(CARTS, "upstream/x", b"3")
+            await one.wait_for_value(CARTS, "upstream/x", b"3")
             await close_balancers(one)
 
     run(test)
@@ -332,7 +332,7 @@
             slow = Balancer([local_cluster.settings[0].advertise], [ORDERS], "slow")
             quick = Balancer([local_cluster.settings[0].advertise], [ORDERS], "quick", 2)
             for one in (slow, quick):
-                await one.has(ORDERS, "upstream/a", b"0")
+                await one.wait_for_value(ORDERS, "upstream/a", b"0")
             assert (
                 slow.client.connection is not None and slow.client.connection.transport is not None
             )
@@ -351,7 +351,7 @@
             for number in range(1, 51):
                 await put(client, ORDERS, big, *names)
                 revision = await put(client, ORDERS, b"%d" % number, "a")
-                await quick.has(ORDERS, "upstream/a", b"%d" % number)
+                await quick.wait_for_value(ORDERS, "upstream/a", b"%d" % number)
             unread = [
                 one.transport.get_write_buffer_size()
                 for one in local_cluster.nodes[0].server.connections
@@ -363,7 +363,7 @@
             )
             applied_before = len(slow.applied)
             slow.client.connection.transport.resume_reading()
-            await slow.has(ORDERS, "upstream/a", b"50")
+            await slow.wait_for_value(ORDERS, "upstream/a", b"50")
             assert len(slow.applied) - applied_before < 10 and slow.applied[-1].revision == revision
             assert slow.revisions_never_decrease() and slow.rows == quick.rows
             await close_balancers(slow, quick)
@@ -382,7 +382,7 @@
             client = local_cluster.client()
             await put(client, ORDERS, b"0", "a")
             one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
-            await one.has(ORDERS, "upstream/a", b"0")
+            await one.wait_for_value(ORDERS, "upstream/a", b"0")
             wire = one.client.connection
             assert wire is not None and wire.transport is not None
             wire.transport.pause_reading()
@@ -391,7 +391,7 @@
                     await put(client, ORDERS, bytes(4000), *(f"n{i}" for i in range(50)))
             wire.transport.resume_reading()  # it was asleep only
             revision = await put(client, ORDERS, b"1", "a")
-            await one.has(ORDERS, "upstream/a", b"1")
+            await one.wait_for_value(ORDERS, "upstream/a", b"1")
             assert one.applied[-1].revision == revision and one.revisions_never_decrease()
             await close_balancers(one)
 
@@ -406,7 +406,7 @@
             addresses = [local_cluster.settings[p].advertise for p in local_cluster.settings]
             some = [Balancer(addresses, [ORDERS], f"b{i}", i) for i in range(12)]
             for one in some:
-                await one.has(ORDERS, "upstream/a", b"0")
+                await one.wait_for_value(ORDERS, "upstream/a", b"0")
             assert len({one.client.address for one in some}) == 3, "they are spread"
             for number in range(1, 21):
                 if number in (5, 12):  # no majority is needed to hear, but it is to write
@@ -422,7 +422,7 @@
                     )
                 await put(client, ORDERS, b"%d" % number, "a")
             for one in some:
-                await one.has(ORDERS, "upstream/a", b"20")
+                await one.wait_for_value(ORDERS, "upstream/a", b"20")
                 assert one.revisions_never_decrease() and one.snapshot_count(ORDERS) == 1
             await close_balancers(*some)
 
@@ -443,15 +443,15 @@
                 local_cluster.settings[last].advertise,
                 [local_cluster.settings[p].advertise for p in local_cluster.nodes if p != last],
             )
-            free = Balancer([here, *others], [ORDERS], "free", near=1)
+            free = Balancer([here, *others], [ORDERS], "free", nearby_count=1)
             bound = Balancer([here], [ORDERS], "bound")  # it reaches nobody else
             for one in (free, bound):
-                await one.has(ORDERS, "upstream/a", b"1")
+                await one.wait_for_value(ORDERS, "upstream/a", b"1")
             node = local_cluster.nodes[last].node
             message_received = node.message_received
             node.message_received = lambda sender, message: None  # type: ignore[method-assign]
             await put(client, ORDERS, b"2", "a")
-            await free.has(ORDERS, "upstream/a", b"2")
+            await free.wait_for_value(ORDERS, "upstream/a", b"2")
             assert free.client.address != here and free.revisions_never_decrease()
             assert (
                 free.client.subscription.disconnect_reason
@@ -480,7 +480,7 @@
                 and bound.value(ORDERS, "upstream/a") == b"1"
             )
             node.message_received = message_received  # type: ignore[method-assign]
-            await bound.has(ORDERS, "upstream/a", b"2")
+            await bound.wait_for_value(ORDERS, "upstream/a", b"2")
             assert bound.snapshot_count(ORDERS) == 1
             await close_balancers(free, bound)
 
@@ -507,14 +507,14 @@
                 [ORDERS],
                 seed=4,
             )
-            await one.has(ORDERS, "upstream/a", b"29")
+            await one.wait_for_value(ORDERS, "upstream/a", b"29")
             await local_cluster.begin(1)
             await local_cluster.stop(0)
-            await one.has(ORDERS, "upstream/a", b"old")
+            await one.wait_for_value(ORDERS, "upstream/a", b"old")
             assert one.rows[ORDERS] == {"upstream/a": b"old"} and one.snapshot_count(ORDERS) == 2
             assert one.client.subscription.epoch == "d"
-            await put(local_cluster.client(only=1), ORDERS, b"new", "a")
-            await one.has(ORDERS, "upstream/a", b"new")
+            await put(local_cluster.client(only_node=1), ORDERS, b"new", "a")
+            await one.wait_for_value(ORDERS, "upstream/a", b"new")
             await close_balancers(one)
 
     run(test)
@@ -542,7 +542,7 @@
             await old.kill(old.members[1])
             await old.begin(old.members[1])
             await put(old.client(deadline_s=20.0), ORDERS, b"1", "a")
-            await one.has(ORDERS, "upstream/a", b"1")
+            await one.wait_for_value(ORDERS, "upstream/a", b"1")
         finally:
             await close_balancers(one)
             await client.close()
@@ -564,9 +564,9 @@
                 check=lambda scope, row: "it is too new" if row.value == b"new" else "",
             )
             await put(client, ORDERS, b"1", "a")
-            await one.has(ORDERS, "upstream/a", b"1")
+            await one.wait_for_value(ORDERS, "upstream/a", b"1")
             await client.write_rows([Op(key(ORDERS, "a"), b"new"), Op(key(ORDERS, "b"), b"2")])
-            await one.has(ORDERS, "upstream/b", b"2")
+            await one.wait_for_value(ORDERS, "upstream/b", b"2")
             assert one.value(ORDERS, "upstream/a") == b"1"
             async with asyncio.timeout(20):
                 while not feed_status(local_cluster, 0)["refusals"]:
@@ -589,7 +589,7 @@
             await put(local_cluster.client(), ORDERS, b"1", "a")
             one = Balancer([local_cluster.settings[0].advertise], [ORDERS], tls=read)
             other = Balancer([local_cluster.settings[0].advertise], [ORDERS], tls=foreign)
-            await one.has(ORDERS, "upstream/a", b"1")
+            await one.wait_for_value(ORDERS, "upstream/a", b"1")
             async with asyncio.timeout(20):
                 while not other.client.subscription.disconnect_reason:
                     await asyncio.sleep(0.005)
@@ -628,12 +628,12 @@
             client = local_cluster.client()
             await put(client, ORDERS, b"1", "a")
             one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
-            await one.has(ORDERS, "upstream/a", b"1")
+            await one.wait_for_value(ORDERS, "upstream/a", b"1")
             fanout = local_cluster.nodes[0].node.changefeed.fanout
             assert fanout is not None
             monkeypatch.setattr(fanout, "apply", lambda *what: 1 / 0)
             await put(client, ORDERS, b"2", "a")
-            await one.has(ORDERS, "upstream/a", b"2")
+            await one.wait_for_value(ORDERS, "upstream/a", b"2")
             assert feed_status(local_cluster, 0)["failures"] == 1 and one.revisions_never_decrease()
             await close_balancers(one)
 
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -96,11 +96,11 @@
                     await asyncio.sleep(0.01)
 
     def client(
-        self, tls: TlsFiles | None = None, deadline_s: float = 5.0, only: int = -1
+        self, tls: TlsFiles | None = None, deadline_s: float = 5.0, only_node: int = -1
     ) -> Client:
         keys = tls or self.admin_tls_files()
         context = keys.context(False) if keys else None
-        node_indexes = [only] if only >= 0 else sorted(self.settings)
+        node_indexes = [only_node] if only_node >= 0 else sorted(self.settings)
         self.clients.append(
             Client(
                 [self.settings[p].advertise for p in node_indexes],
@@ -153,7 +153,7 @@
             with pytest.raises(ConflictError, match="config/a is at version 1"):
                 await client.put("config/a", b"2", 0)
             for node_index in local_cluster.nodes:
-                row = (await local_cluster.client(only=node_index).get("config/a")).rows[0]
+                row = (await local_cluster.client(only_node=node_index).get("config/a")).rows[0]
                 assert (row.value, row.version) == (b"1", 1)
             result = await client.write(
                 [Op("b", b"x", 0), Op("config/a", b"2", 1)], WriteOptions(note="both")
@@ -187,7 +187,7 @@
                     await asyncio.sleep(0.005)
             await local_cluster.stop(local_cluster.leader())
             lone = next(iter(local_cluster.nodes))
-            one = local_cluster.client(only=lone, deadline_s=1.5)
+            one = local_cluster.client(only_node=lone, deadline_s=1.5)
             async with asyncio.timeout(10):
                 while not local_cluster.nodes[lone].node.leaderless_ms():
                     await asyncio.sleep(0.01)
@@ -279,7 +279,7 @@
             await local_cluster.begin(1)
             await local_cluster.insist(client, "promote", made.node)
             assert first.runtime.statistics.exports >= 1
-            rows = (await local_cluster.client(only=1).scan("k/")).rows
+            rows = (await local_cluster.client(only_node=1).scan("k/")).rows
             assert len(rows) == 120 and local_cluster.nodes[1].node.core.log.base_index > 60
             assert len(list((tmp_path / "n0").glob("log-*"))) < 8
 
@@ -435,7 +435,7 @@
             assert copy.stat().st_size == size and state_files.file_checksum(copy) == checksum
             made = running.restore(local_cluster.read(1), copy, "d")
             await local_cluster.begin(1)
-            other = local_cluster.client(only=1)
+            other = local_cluster.client(only_node=1)
             assert (await other.get("config/a")).rows[0].value == b"kept"
             assert await other.put("config/a", b"on", 1) == 2 and made.cluster == "d"
             assert (await other.status())["last"] > index
@@ -461,7 +461,7 @@
         local_cluster = Cluster(tmp_path)
         running.restore(local_cluster.read(1), left, "d")
         await local_cluster.begin(1)
-        row = (await local_cluster.client(only=1).get("a")).rows[0]
+        row = (await local_cluster.client(only_node=1).get("a")).rows[0]
         assert (row.value, row.version) == (b"30", 30)
         await local_cluster.close()
 
