--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -71,16 +71,16 @@
         )
         self.client.start()
 
-    def apply(self, what: Apply) -> None:
-        rows = self.rows.setdefault(what.scope, {})
-        if what.is_snapshot:
+    def apply(self, action: Apply) -> None:
+        rows = self.rows.setdefault(action.scope, {})
+        if action.is_snapshot:
             rows.clear()
-        for row in what.rows:
+        for row in action.rows:
             if row.value is None:
                 rows.pop(row.key, None)
             else:
                 rows[row.key] = row.value
-        self.applied.append(what)
+        self.applied.append(action)
         self.notify()
 
     def value(self, scope: str, key: str) -> bytes | None:
@@ -91,13 +91,13 @@
             await self.until(lambda: scope in self.rows and self.value(scope, key) == value)
 
     def snapshot_count(self, scope: str) -> int:
-        return sum(what.is_snapshot for what in self.applied if what.scope == scope)
+        return sum(action.is_snapshot for action in self.applied if action.scope == scope)
 
     def revisions_never_decrease(self) -> bool:
-        by: dict[str, list[int]] = {}
-        for what in self.applied:
-            by.setdefault(what.scope, []).append(what.revision)
-        return all(revisions == sorted(revisions) for revisions in by.values())
+        revisions_by_scope: dict[str, list[int]] = {}
+        for action in self.applied:
+            revisions_by_scope.setdefault(action.scope, []).append(action.revision)
+        return all(revisions == sorted(revisions) for revisions in revisions_by_scope.values())
 
 
 def key(scope: str, name: str) -> str:
@@ -122,28 +122,28 @@
 
 
 def feed_status(local_cluster: Cluster, node_index: int) -> dict[str, Any]:
-    found: dict[str, Any] | None = local_cluster.nodes[node_index].node.status()["feed"]
-    assert found is not None
-    return found
+    status: dict[str, Any] | None = local_cluster.nodes[node_index].node.status()["feed"]
+    assert status is not None
+    return status
 
 
 def test_balancer_receives_its_scopes_from_any_member_including_a_learner(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path) as local_cluster:
             client = local_cluster.client()
-            made = running.prepare(local_cluster.read(3), "c")
+            identity = running.prepare(local_cluster.read(3), "c")
             await local_cluster.insist(
-                client, "learn", made.node, local_cluster.settings[3].advertise
+                client, "learn", identity.node, local_cluster.settings[3].advertise
             )
             await local_cluster.begin(3)
             await put(client, ORDERS, b"1", "a", "b")
-            some = [
+            balancers = [
                 Balancer([local_cluster.settings[p].advertise], [ORDERS, "global"], f"b{p}")
                 for p in local_cluster.settings
             ]
             other = Balancer([local_cluster.settings[0].advertise], [CARTS], "other")
-            for one in some:
-                await one.wait_for_value(ORDERS, "upstream/b", b"1")
+            for balancer in balancers:
+                await balancer.wait_for_value(ORDERS, "upstream/b", b"1")
             result = await client.write_rows(
                 [
                     Op(key(ORDERS, "a"), b"2"),
@@ -153,11 +153,16 @@
                 ],
                 [("feed/global/tenant/acme",), (), (), ()],
             )
-            for one in some:
-                await one.wait_for_value(ORDERS, "upstream/a", b"2")
-                await one.wait_for_value("global", "tenant/acme", b"t")
-                assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.snapshot_count(ORDERS) == 1
-                assert sorted(w.scope for w in one.applied if w.revision == result.revision) == [
+            for balancer in balancers:
+                await balancer.wait_for_value(ORDERS, "upstream/a", b"2")
+                await balancer.wait_for_value("global", "tenant/acme", b"t")
+                assert (
+                    balancer.rows[ORDERS] == {"upstream/a": b"2"}
+                    and balancer.snapshot_count(ORDERS) == 1
+                )
+                assert sorted(
+                    w.scope for w in balancer.applied if w.revision == result.revision
+                ) == [
                     "global",
                     ORDERS,
                 ]
@@ -175,7 +180,7 @@
                 feed_status(local_cluster, p)["subscribers"] == 1 + (p == 0)
                 for p in local_cluster.nodes
             )
-            await close_balancers(*some, other)
+            await close_balancers(*balancers, other)
 
     run(test)
 
@@ -197,65 +202,68 @@
         async with cluster(tmp_path, 1) as local_cluster:
             client = local_cluster.client()
             await put(client, ORDERS, b"1", "a")
-            one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
-            await one.wait_for_value(ORDERS, "upstream/a", b"1")
+            balancer = Balancer([local_cluster.settings[0].advertise], [ORDERS])
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
             for number in range(2, 6):
                 await put(client, ORDERS, b"%d" % number, "a")
-            await one.wait_for_value(ORDERS, "upstream/a", b"5")
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"5")
             await local_cluster.stop(0)
             await local_cluster.begin(0)
             await put(client, ORDERS, b"6", "a")
-            await one.wait_for_value(ORDERS, "upstream/a", b"6")
-            assert one.snapshot_count(ORDERS) == 1 and one.revisions_never_decrease()
-            found = feed_status(local_cluster, 0)
-            assert (found["snapshots"], found["resumes"]) == (0, 1)
-            await close_balancers(one)
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"6")
+            assert balancer.snapshot_count(ORDERS) == 1 and balancer.revisions_never_decrease()
+            status = feed_status(local_cluster, 0)
+            assert (status["snapshots"], status["resumes"]) == (0, 1)
+            await close_balancers(balancer)
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    "again", [False, True]
+    "installs_snapshot", [False, True]
 )  # a snapshot of the store comes meanwhile, with the change
 def test_changes_while_rows_are_loaded_are_sent_once(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, again: bool
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, installs_snapshot: bool
 ) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as local_cluster:
             client, node = local_cluster.client(), local_cluster.nodes[0].node
             await put(client, ORDERS, b"0", "a")
-            one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
-            await one.wait_for_value(ORDERS, "upstream/a", b"0")
+            balancer = Balancer([local_cluster.settings[0].advertise], [ORDERS])
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"0")
             may_query, has_queried, may_continue = asyncio.Event(), asyncio.Event(), asyncio.Event()
             query = node.runtime.query
 
-            async def late(read: Any) -> Any:
+            async def delayed_query(read: Any) -> Any:
                 await may_query.wait()
-                found = await query(read)
+                result = await query(read)
                 has_queried.set()
                 await may_continue.wait()
-                return found
+                return result
 
-            monkeypatch.setattr(node.runtime, "query", late)
+            monkeypatch.setattr(node.runtime, "query", delayed_query)
             node.changefeed.snapshot_installed()
             before = await put(client, ORDERS, b"1", "a", "before")
             may_query.set()
             await has_queried.wait()
             with monkeypatch.context() as patch:
-                if again:
-                    patch.setattr(node.changefeed, "entries_applied", lambda *what: None)
+                if installs_snapshot:
+                    patch.setattr(node.changefeed, "entries_applied", lambda *args: None)
                 after = await put(client, ORDERS, b"2", "a", "after")
-            if again:
+            if installs_snapshot:
                 node.changefeed.snapshot_installed()
             assert node.changefeed.is_loading and list(
                 feed_status(local_cluster, 0)["reached"][0]
             ) == [0, 1]
             may_continue.set()
-            await one.wait_for_value(ORDERS, "upstream/a", b"2")
-            assert set(one.rows[ORDERS]) == {"upstream/a", "upstream/before", "upstream/after"}
-            assert one.applied[-1].revision == after > before and one.revisions_never_decrease()
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"2")
+            assert set(balancer.rows[ORDERS]) == {"upstream/a", "upstream/before", "upstream/after"}
+            assert (
+                balancer.applied[-1].revision == after > before
+                and balancer.revisions_never_decrease()
+            )
             assert feed_status(local_cluster, 0)["failures"] == 0
-            await close_balancers(one)
+            await close_balancers(balancer)
 
     run(test)
 
@@ -267,8 +275,8 @@
         async with cluster(tmp_path, 1) as local_cluster:
             client = local_cluster.client()
             await put(client, ORDERS, b"1", "a", "b")
-            one = Balancer([local_cluster.settings[0].advertise], [ORDERS, CARTS])
-            await one.wait_for_value(ORDERS, "upstream/a", b"1")
+            balancer = Balancer([local_cluster.settings[0].advertise], [ORDERS, CARTS])
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
             await local_cluster.stop(0)
             monkeypatch.setattr(watch_events, "MAX_EVENTS", 2)
             await local_cluster.begin(0)
@@ -276,26 +284,26 @@
                 await put(client, ORDERS, b"%d" % number, "a")
             await local_cluster.stop(0)
             await local_cluster.begin(0)
-            await one.wait_for_value(ORDERS, "upstream/a", b"8")
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"8")
             assert (
-                one.rows[ORDERS] == {"upstream/a": b"8", "upstream/b": b"1"}
-                and one.revisions_never_decrease()
+                balancer.rows[ORDERS] == {"upstream/a": b"8", "upstream/b": b"1"}
+                and balancer.revisions_never_decrease()
             )
-            await close_balancers(one)
+            await close_balancers(balancer)
 
     run(test)
 
 
 def test_store_snapshot_is_installed_under_a_live_subscriber(tmp_path: Path) -> None:
     async def test() -> None:
-        small = '[limits]\nkeep = 5\nlog = "64KiB"'
-        async with cluster(tmp_path, 3, extra=small) as local_cluster:
+        small_log = '[limits]\nkeep = 5\nlog = "64KiB"'
+        async with cluster(tmp_path, 3, extra=small_log) as local_cluster:
             client = local_cluster.client()
             await put(client, ORDERS, b"1", "a", "gone")
-            last = next(p for p in local_cluster.nodes if p != local_cluster.leader())
-            one = Balancer([local_cluster.settings[last].advertise], [ORDERS, CARTS])
-            await one.wait_for_value(ORDERS, "upstream/a", b"1")
-            node = local_cluster.nodes[last].node
+            follower = next(p for p in local_cluster.nodes if p != local_cluster.leader())
+            balancer = Balancer([local_cluster.settings[follower].advertise], [ORDERS, CARTS])
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
+            node = local_cluster.nodes[follower].node
             message_received = node.message_received
             node.message_received = lambda sender, message: None  # type: ignore[method-assign]  # its subscriber stays
             await put(client, ORDERS, None, "gone")
@@ -307,12 +315,15 @@
                 while leader.core.log.base_index <= node.core.log.last_index:
                     await asyncio.sleep(0.01)
             node.message_received = message_received  # type: ignore[method-assign]
-            await one.wait_for_value(ORDERS, "upstream/a", b"2")
-            assert one.rows[ORDERS] == {"upstream/a": b"2"} and one.revisions_never_decrease()
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"2")
+            assert (
+                balancer.rows[ORDERS] == {"upstream/a": b"2"}
+                and balancer.revisions_never_decrease()
+            )
             assert node.changefeed.fanout is not None and len(node.changefeed.subscribers) == 1
             await put(client, CARTS, b"3", "x")
-            await one.wait_for_value(CARTS, "upstream/x", b"3")
-            await close_balancers(one)
+            await balancer.wait_for_value(CARTS, "upstream/x", b"3")
+            await close_balancers(balancer)
 
     run(test)
 
@@ -381,19 +392,19 @@
         async with cluster(tmp_path, 1, extra='[feed]\nwindow = "64MiB"') as local_cluster:
             client = local_cluster.client()
             await put(client, ORDERS, b"0", "a")
-            one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
-            await one.wait_for_value(ORDERS, "upstream/a", b"0")
-            wire = one.client.connection
-            assert wire is not None and wire.transport is not None
-            wire.transport.pause_reading()
+            balancer = Balancer([local_cluster.settings[0].advertise], [ORDERS])
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"0")
+            feed_connection = balancer.client.connection
+            assert feed_connection is not None and feed_connection.transport is not None
+            feed_connection.transport.pause_reading()
             async with asyncio.timeout(20):
                 while feed_status(local_cluster, 0)["subscribers"]:
                     await put(client, ORDERS, bytes(4000), *(f"n{i}" for i in range(50)))
-            wire.transport.resume_reading()  # it was asleep only
+            feed_connection.transport.resume_reading()  # it was asleep only
             revision = await put(client, ORDERS, b"1", "a")
-            await one.wait_for_value(ORDERS, "upstream/a", b"1")
-            assert one.applied[-1].revision == revision and one.revisions_never_decrease()
-            await close_balancers(one)
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
+            assert balancer.applied[-1].revision == revision and balancer.revisions_never_decrease()
+            await close_balancers(balancer)
 
     run(test)
 
@@ -404,10 +415,10 @@
             client = local_cluster.client()
             await put(client, ORDERS, b"0", "a")
             addresses = [local_cluster.settings[p].advertise for p in local_cluster.settings]
-            some = [Balancer(addresses, [ORDERS], f"b{i}", i) for i in range(12)]
-            for one in some:
-                await one.wait_for_value(ORDERS, "upstream/a", b"0")
-            assert len({one.client.address for one in some}) == 3, "they are spread"
+            balancers = [Balancer(addresses, [ORDERS], f"b{i}", i) for i in range(12)]
+            for balancer in balancers:
+                await balancer.wait_for_value(ORDERS, "upstream/a", b"0")
+            assert len({balancer.client.address for balancer in balancers}) == 3, "they are spread"
             for number in range(1, 21):
                 if number in (5, 12):  # no majority is needed to hear, but it is to write
                     node_index = (
@@ -421,10 +432,10 @@
                         next(p for p in local_cluster.settings if p not in local_cluster.nodes)
                     )
                 await put(client, ORDERS, b"%d" % number, "a")
-            for one in some:
-                await one.wait_for_value(ORDERS, "upstream/a", b"20")
-                assert one.revisions_never_decrease() and one.snapshot_count(ORDERS) == 1
-            await close_balancers(*some)
+            for balancer in balancers:
+                await balancer.wait_for_value(ORDERS, "upstream/a", b"20")
+                assert balancer.revisions_never_decrease() and balancer.snapshot_count(ORDERS) == 1
+            await close_balancers(*balancers)
 
     run(test)
 
@@ -438,45 +449,47 @@
         async with cluster(tmp_path, extra='[feed]\nbookmark = "100ms"') as local_cluster:
             client = local_cluster.client()
             await put(client, ORDERS, b"1", "a")
-            last = next(p for p in local_cluster.nodes if p != local_cluster.leader())
-            here, others = (
-                local_cluster.settings[last].advertise,
-                [local_cluster.settings[p].advertise for p in local_cluster.nodes if p != last],
+            follower = next(p for p in local_cluster.nodes if p != local_cluster.leader())
+            isolated_address, other_addresses = (
+                local_cluster.settings[follower].advertise,
+                [local_cluster.settings[p].advertise for p in local_cluster.nodes if p != follower],
             )
-            free = Balancer([here, *others], [ORDERS], "free", nearby_count=1)
-            bound = Balancer([here], [ORDERS], "bound")  # it reaches nobody else
+            free = Balancer([isolated_address, *other_addresses], [ORDERS], "free", nearby_count=1)
+            bound = Balancer([isolated_address], [ORDERS], "bound")  # it reaches nobody else
             for one in (free, bound):
                 await one.wait_for_value(ORDERS, "upstream/a", b"1")
-            node = local_cluster.nodes[last].node
+            node = local_cluster.nodes[follower].node
             message_received = node.message_received
             node.message_received = lambda sender, message: None  # type: ignore[method-assign]
             await put(client, ORDERS, b"2", "a")
             await free.wait_for_value(ORDERS, "upstream/a", b"2")
-            assert free.client.address != here and free.revisions_never_decrease()
+            assert free.client.address != isolated_address and free.revisions_never_decrease()
             assert (
                 free.client.subscription.disconnect_reason
-                == f"{here}: this node knows of no leader"
+                == f"{isolated_address}: this node knows of no leader"
             )
             sequences, send_messages = list[int](), Connection.send_messages
 
-            def noted(self: Connection, sends: Sequence[Send]) -> None:
+            def record_sends(self: Connection, sends: Sequence[Send]) -> None:
                 if self.node is node:
                     sequences.extend(one.sequence for one in sends)
                 send_messages(self, sends)
 
-            monkeypatch.setattr(Connection, "send_messages", noted)
+            monkeypatch.setattr(Connection, "send_messages", record_sends)
             fanout = node.changefeed.fanout
             assert fanout is not None
             async with asyncio.timeout(20):
                 while not fanout.subscribers:
                     await asyncio.sleep(0.005)
-                (back,) = fanout.subscribers.values()
-                came = fanout.status().sent_messages
-                while fanout.status().sent_messages < came + 3:  # bookmarks, as the fan-out thinks
+                (resubscribed,) = fanout.subscribers.values()
+                sent_before = fanout.status().sent_messages
+                while (
+                    fanout.status().sent_messages < sent_before + 3
+                ):  # bookmarks, as the fan-out thinks
                     await asyncio.sleep(0.02)
             assert (
                 sequences == []
-                and back.name == "bound"
+                and resubscribed.name == "bound"
                 and bound.value(ORDERS, "upstream/a") == b"1"
             )
             node.message_received = message_received  # type: ignore[method-assign]
@@ -502,51 +515,57 @@
             for number in range(30):
                 await put(client, ORDERS, b"%d" % number, "a", "b")
             running.restore(local_cluster.read(1), copy, "d")
-            one = Balancer(
+            balancer = Balancer(
                 [local_cluster.settings[0].advertise, local_cluster.settings[1].advertise],
                 [ORDERS],
                 seed=4,
             )
-            await one.wait_for_value(ORDERS, "upstream/a", b"29")
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"29")
             await local_cluster.begin(1)
             await local_cluster.stop(0)
-            await one.wait_for_value(ORDERS, "upstream/a", b"old")
-            assert one.rows[ORDERS] == {"upstream/a": b"old"} and one.snapshot_count(ORDERS) == 2
-            assert one.client.subscription.epoch == "d"
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"old")
+            assert (
+                balancer.rows[ORDERS] == {"upstream/a": b"old"}
+                and balancer.snapshot_count(ORDERS) == 2
+            )
+            assert balancer.client.subscription.epoch == "d"
             await put(local_cluster.client(only_node=1), ORDERS, b"new", "a")
-            await one.wait_for_value(ORDERS, "upstream/a", b"new")
-            await close_balancers(one)
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"new")
+            await close_balancers(balancer)
 
     run(test)
 
 
 def test_member_of_an_older_program_prevents_rows(tmp_path: Path) -> None:
     async def test() -> None:
-        old = RealCluster(tmp_path, 2, '[timing]\nheartbeat = "40ms"\nelection = "200ms"\n')
-        client = old.client(deadline_s=1.0)
-        one = Balancer([old.members[1].address, old.members[0].address], [ORDERS], seed=3)
+        old_cluster = RealCluster(tmp_path, 2, '[timing]\nheartbeat = "40ms"\nelection = "200ms"\n')
+        client = old_cluster.client(deadline_s=1.0)
+        balancer = Balancer(
+            [old_cluster.members[1].address, old_cluster.members[0].address], [ORDERS], seed=3
+        )
         try:
-            first = old.members[0]
+            first = old_cluster.members[0]
             first.number = running.init(first.settings, name="0").node
-            await old.begin(first, 2)
-            await old.join(old.members[1], old=2)
-            await old.kill(first)
-            await old.begin(first)  # one of them is replaced
-            await old.insist(client, "transfer", first.number, "", 20.0)
+            await old_cluster.begin(first, 2)
+            await old_cluster.join(old_cluster.members[1], old=2)
+            await old_cluster.kill(first)
+            await old_cluster.begin(first)  # one of them is replaced
+            await old_cluster.insist(client, "transfer", first.number, "", 20.0)
             await client.put("config/a", b"1", options=WriteOptions(timeout_s=20.0))
             with pytest.raises(
-                UnavailableError, match=f"not all nodes know rows yet: {old.members[1].number:x}"
+                UnavailableError,
+                match=f"not all nodes know rows yet: {old_cluster.members[1].number:x}",
             ):
                 await client.write_rows([Op(key(ORDERS, "a"), b"1")])
             assert (await client.status())["format"] == 2
-            await old.kill(old.members[1])
-            await old.begin(old.members[1])
-            await put(old.client(deadline_s=20.0), ORDERS, b"1", "a")
-            await one.wait_for_value(ORDERS, "upstream/a", b"1")
+            await old_cluster.kill(old_cluster.members[1])
+            await old_cluster.begin(old_cluster.members[1])
+            await put(old_cluster.client(deadline_s=20.0), ORDERS, b"1", "a")
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
         finally:
-            await close_balancers(one)
+            await close_balancers(balancer)
             await client.close()
-            await old.stop()
+            await old_cluster.stop()
 
     run(test)
 
@@ -557,23 +576,23 @@
     async def test() -> None:
         async with cluster(tmp_path, 1) as local_cluster:
             client = local_cluster.client()
-            one = Balancer(
+            balancer = Balancer(
                 [local_cluster.settings[0].advertise],
                 [ORDERS],
                 "picky",
                 check=lambda scope, row: "it is too new" if row.value == b"new" else "",
             )
             await put(client, ORDERS, b"1", "a")
-            await one.wait_for_value(ORDERS, "upstream/a", b"1")
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
             await client.write_rows([Op(key(ORDERS, "a"), b"new"), Op(key(ORDERS, "b"), b"2")])
-            await one.wait_for_value(ORDERS, "upstream/b", b"2")
-            assert one.value(ORDERS, "upstream/a") == b"1"
+            await balancer.wait_for_value(ORDERS, "upstream/b", b"2")
+            assert balancer.value(ORDERS, "upstream/a") == b"1"
             async with asyncio.timeout(20):
                 while not feed_status(local_cluster, 0)["refusals"]:
                     await asyncio.sleep(0.005)
             (refused,) = feed_status(local_cluster, 0)["refused"]
             assert refused["name"] == "picky" and refused["refusal"][3] == "it is too new"
-            await close_balancers(one)
+            await close_balancers(balancer)
 
     run(test)
 
@@ -587,14 +606,14 @@
     async def test() -> None:
         async with cluster(tmp_path, 1, node) as local_cluster:
             await put(local_cluster.client(), ORDERS, b"1", "a")
-            one = Balancer([local_cluster.settings[0].advertise], [ORDERS], tls=read)
+            balancer = Balancer([local_cluster.settings[0].advertise], [ORDERS], tls=read)
             other = Balancer([local_cluster.settings[0].advertise], [ORDERS], tls=foreign)
-            await one.wait_for_value(ORDERS, "upstream/a", b"1")
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
             async with asyncio.timeout(20):
                 while not other.client.subscription.disconnect_reason:
                     await asyncio.sleep(0.005)
             assert not other.applied
-            await close_balancers(one, other)
+            await close_balancers(balancer, other)
 
     run(test)
 
@@ -602,11 +621,15 @@
 def test_invalid_message_ends_its_connection_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         async with cluster(tmp_path, 1) as local_cluster:
-            wire, why = await connect_and_greet(local_cluster, Hello(1, "", 0))
-            assert not why
-            failed = await asyncio.wait_for(wire.request(SendToChangefeed(3, 0, b"\xc1")), 5)
-            assert isinstance(failed, protocol.RequestFailed) and "invalid message" in failed.text
-            await asyncio.wait_for(wire.ended, 5)
+            client_connection, decline_reason = await connect_and_greet(
+                local_cluster, Hello(1, "", 0)
+            )
+            assert not decline_reason
+            reply = await asyncio.wait_for(
+                client_connection.request(SendToChangefeed(3, 0, b"\xc1")), 5
+            )
+            assert isinstance(reply, protocol.RequestFailed) and "invalid message" in reply.text
+            await asyncio.wait_for(client_connection.ended, 5)
             assert local_cluster.nodes[0].node.changefeed.subscribers == {}
             await put(local_cluster.client(), ORDERS, b"1", "a")
 
@@ -627,15 +650,18 @@
         async with cluster(tmp_path, 1) as local_cluster:
             client = local_cluster.client()
             await put(client, ORDERS, b"1", "a")
-            one = Balancer([local_cluster.settings[0].advertise], [ORDERS])
-            await one.wait_for_value(ORDERS, "upstream/a", b"1")
+            balancer = Balancer([local_cluster.settings[0].advertise], [ORDERS])
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
             fanout = local_cluster.nodes[0].node.changefeed.fanout
             assert fanout is not None
-            monkeypatch.setattr(fanout, "apply", lambda *what: 1 / 0)
+            monkeypatch.setattr(fanout, "apply", lambda *args: 1 / 0)
             await put(client, ORDERS, b"2", "a")
-            await one.wait_for_value(ORDERS, "upstream/a", b"2")
-            assert feed_status(local_cluster, 0)["failures"] == 1 and one.revisions_never_decrease()
-            await close_balancers(one)
+            await balancer.wait_for_value(ORDERS, "upstream/a", b"2")
+            assert (
+                feed_status(local_cluster, 0)["failures"] == 1
+                and balancer.revisions_never_decrease()
+            )
+            await close_balancers(balancer)
 
     run(test)
 
@@ -644,26 +670,26 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They wait to be accepted, and between any two of them the loop does what else there is."""
-    iterations, made = 0, list[int]()
+    iterations, accepted_in = 0, list[int]()
     connection_made = Connection.connection_made
 
-    def noted(self: Connection, transport: asyncio.BaseTransport) -> None:
-        made.append(iterations)
+    def record_iteration(self: Connection, transport: asyncio.BaseTransport) -> None:
+        accepted_in.append(iterations)
         connection_made(self, transport)
 
     async def test() -> None:
         nonlocal iterations
         async with cluster(tmp_path, 1) as local_cluster:
-            monkeypatch.setattr(Connection, "connection_made", noted)
-            some = [socket.socket() for _ in range(320)]
-            for one in some:  # the loop stands still meanwhile, as one that serves others
-                one.settimeout(0.5)
-                one.connect(local_cluster.settings[0].listen)
-            while len(made) < 320:
+            monkeypatch.setattr(Connection, "connection_made", record_iteration)
+            clients = [socket.socket() for _ in range(320)]
+            for client in clients:  # the loop stands still meanwhile, as one that serves others
+                client.settimeout(0.5)
+                client.connect(local_cluster.settings[0].listen)
+            while len(accepted_in) < 320:
                 await asyncio.sleep(0)
                 iterations += 1
-            assert len(set(made)) == 320
-            for one in some:
-                one.close()
+            assert len(set(accepted_in)) == 320
+            for client in clients:
+                client.close()
 
     run(test)
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -55,7 +55,7 @@
 
     def read(self, node_index: int, extra: str = "") -> StoreSettings:
         path = self.folder / f"{node_index}.toml"
-        keys = (
+        tls_table = (
             (
                 f'[tls]\ncertificate = "{self.tls.certificate}"\nkey = "{self.tls.key}"\n'
                 f'authority = "{self.tls.authority}"\n'
@@ -64,7 +64,7 @@
             else ""
         )
         path.write_text(
-            f'folder = "n{node_index}"\nlisten = "127.0.0.1:{free_port()}"\n{extra}\n{keys}'
+            f'folder = "n{node_index}"\nlisten = "127.0.0.1:{free_port()}"\n{extra}\n{tls_table}'
             '[timing]\nheartbeat = "40ms"\nelection = "200ms"\n'
         )
         self.settings[node_index] = read_store(path)
@@ -80,17 +80,17 @@
         await self.begin(0)
         client = self.client()
         for node_index in range(1, size):
-            made = running.prepare(self.read(node_index, extra), "c")
-            await self.insist(client, "learn", made.node, self.settings[node_index].advertise)
+            identity = running.prepare(self.read(node_index, extra), "c")
+            await self.insist(client, "learn", identity.node, self.settings[node_index].advertise)
             await self.begin(node_index)
-            await self.insist(client, "promote", made.node)
+            await self.insist(client, "promote", identity.node)
 
     @staticmethod
-    async def insist(client: Client, what: str, node: int, address: str = "") -> None:
+    async def insist(client: Client, action: str, node: int, address: str = "") -> None:
         async with asyncio.timeout(20):
             while True:
                 try:
-                    await client.administer(what, node, address)
+                    await client.administer(action, node, address)
                     return
                 except StoreError:
                     await asyncio.sleep(0.01)
@@ -98,8 +98,8 @@
     def client(
         self, tls: TlsFiles | None = None, deadline_s: float = 5.0, only_node: int = -1
     ) -> Client:
-        keys = tls or self.admin_tls_files()
-        context = keys.context(False) if keys else None
+        tls_files = tls or self.admin_tls_files()
+        context = tls_files.context(False) if tls_files else None
         node_indexes = [only_node] if only_node >= 0 else sorted(self.settings)
         self.clients.append(
             Client(
@@ -133,12 +133,12 @@
 async def cluster(
     folder: Path, size: int = 3, tls: TlsFiles | None = None, extra: str = ""
 ) -> AsyncIterator[Cluster]:
-    made = Cluster(folder, tls)
+    new_cluster = Cluster(folder, tls)
     try:
-        await made.start(size, extra)
-        yield made
+        await new_cluster.start(size, extra)
+        yield new_cluster
     finally:
-        await made.close()
+        await new_cluster.close()
 
 
 def run(work: Callable[[], Awaitable[None]]) -> None:
@@ -163,12 +163,12 @@
                 await local_cluster.stop(node_index)
             for node_index in list(local_cluster.settings):
                 await local_cluster.begin(node_index)
-            again = await local_cluster.client().scan("")
-            assert [(r.key, r.version) for r in again.rows] == [("b", 1), ("config/a", 2)]
-            past = await local_cluster.client().history("config/a")
-            assert [(r.version, r.note) for r in past.rows] == [(2, "both"), (1, "")]
-            metrics = await local_cluster.client().status()
-            assert metrics["applied"] == metrics["commit"] > 5
+            page = await local_cluster.client().scan("")
+            assert [(r.key, r.version) for r in page.rows] == [("b", 1), ("config/a", 2)]
+            history = await local_cluster.client().history("config/a")
+            assert [(r.version, r.note) for r in history.rows] == [(2, "both"), (1, "")]
+            status = await local_cluster.client().status()
+            assert status["applied"] == status["commit"] > 5
 
     run(test)
 
@@ -186,18 +186,18 @@
                 ):
                     await asyncio.sleep(0.005)
             await local_cluster.stop(local_cluster.leader())
-            lone = next(iter(local_cluster.nodes))
-            one = local_cluster.client(only_node=lone, deadline_s=1.5)
+            lone_node = next(iter(local_cluster.nodes))
+            lone_client = local_cluster.client(only_node=lone_node, deadline_s=1.5)
             async with asyncio.timeout(10):
-                while not local_cluster.nodes[lone].node.leaderless_ms():
+                while not local_cluster.nodes[lone_node].node.leaderless_ms():
                     await asyncio.sleep(0.01)
-            stale = await one.get("a", stale=True)
+            stale = await lone_client.get("a", stale=True)
             # It holds the last write, and may not have been notified yet that it was committed.
             assert stale.rows[0].value in (b"1", b"2") and stale.behind_ms > 0
             with pytest.raises(UnavailableError):
-                await one.get("a")
+                await lone_client.get("a")
             with pytest.raises(UnavailableError):
-                await one.put("a", b"3")
+                await lone_client.put("a", b"3")
 
     run(test)
 
@@ -268,17 +268,17 @@
             client = local_cluster.client()
             for i in range(120):
                 await client.put(f"k/{i}", bytes(3000))
-            first = local_cluster.nodes[0].node
+            first_node = local_cluster.nodes[0].node
             async with asyncio.timeout(10):
-                while first.core.log.base_index < 60:
+                while first_node.core.log.base_index < 60:
                     await asyncio.sleep(0.01)
-            made = running.prepare(local_cluster.read(1), "c")
+            identity = running.prepare(local_cluster.read(1), "c")
             await local_cluster.insist(
-                client, "learn", made.node, local_cluster.settings[1].advertise
+                client, "learn", identity.node, local_cluster.settings[1].advertise
             )
             await local_cluster.begin(1)
-            await local_cluster.insist(client, "promote", made.node)
-            assert first.runtime.statistics.exports >= 1
+            await local_cluster.insist(client, "promote", identity.node)
+            assert first_node.runtime.statistics.exports >= 1
             rows = (await local_cluster.client(only_node=1).scan("k/")).rows
             assert len(rows) == 120 and local_cluster.nodes[1].node.core.log.base_index > 60
             assert len(list((tmp_path / "n0").glob("log-*"))) < 8
@@ -292,17 +292,17 @@
     async def test() -> None:
         async with cluster(tmp_path) as local_cluster:
             client = local_cluster.client()
-            gone = next(p for p in local_cluster.nodes if p != local_cluster.leader())
-            number = local_cluster.nodes[gone].node.identity.node
-            await client.administer("remove", number)
+            removed_index = next(p for p in local_cluster.nodes if p != local_cluster.leader())
+            removed_node = local_cluster.nodes[removed_index].node.identity.node
+            await client.administer("remove", removed_node)
             term = local_cluster.nodes[local_cluster.leader()].node.core.term
             async with asyncio.timeout(10):
-                while f"node {number:x} was removed" not in caplog.text:
+                while f"node {removed_node:x} was removed" not in caplog.text:
                     await asyncio.sleep(0.01)
             await client.put("a", b"1")
             assert local_cluster.nodes[local_cluster.leader()].node.core.term == term
             with pytest.raises(RejectedError, match="comes back only with a new data folder"):
-                await client.administer("learn", number, "127.0.0.1:1")
+                await client.administer("learn", removed_node, "127.0.0.1:1")
 
     with caplog.at_level(logging.WARNING):
         run(test)
@@ -353,8 +353,8 @@
             )
             # A frame that was recorded on one connection, played on another.
             vote = pack_message(RequestVote(term + 50, 10**9, 10**9, False, True))
-            recorded, why = await connect_and_greet(local_cluster, Hello(1, "c", 77))
-            assert not why
+            recorded, decline_reason = await connect_and_greet(local_cluster, Hello(1, "c", 77))
+            assert not decline_reason
             replayed = recorded.encoder.frame(vote)
             other, _ = await connect_and_greet(local_cluster, Hello(1, "c", 78))
             assert other.transport is not None
@@ -365,16 +365,16 @@
                 and local_cluster.nodes[0].node.core.term == term
             )
             # And twice on its own.
-            again, _ = await connect_and_greet(local_cluster, Hello(1, "c", 79))
-            assert again.transport is not None
-            frame = again.encoder.frame(pack_message(RequestVote(term, 0, 0, True)))
-            again.transport.write(frame + frame)
-            await closed(again)
+            repeating, _ = await connect_and_greet(local_cluster, Hello(1, "c", 79))
+            assert repeating.transport is not None
+            frame = repeating.encoder.frame(pack_message(RequestVote(term, 0, 0, True)))
+            repeating.transport.write(frame + frame)
+            await closed(repeating)
             assert "frame 1 where 2 was due" in caplog.text
-            large, _ = await connect_and_greet(local_cluster, Hello(1, "c", 80))
-            assert large.transport is not None
-            large.transport.write(frames.FRAME_HEADER.pack(1 << 30, 1, 0))
-            await closed(large)
+            oversized, _ = await connect_and_greet(local_cluster, Hello(1, "c", 80))
+            assert oversized.transport is not None
+            oversized.transport.write(frames.FRAME_HEADER.pack(1 << 30, 1, 0))
+            await closed(oversized)
             assert "a frame of 1073741824 bytes" in caplog.text
             assert await local_cluster.client().put("a", b"1") == 1
 
@@ -386,7 +386,7 @@
     authority = Authority(tmp_path)
     node = authority.issue("node")
     admin, write, read = (authority.issue(role) for role in ("admin", "write", "read"))
-    elsewhere = authority.issue("admin", "another", "elsewhere")
+    other_cluster = authority.issue("admin", "another", "elsewhere")
     foreign = Authority(tmp_path, "foreign").issue("admin", name="stranger")
 
     async def test() -> None:
@@ -397,28 +397,28 @@
                 await local_cluster.client(read).put("a", b"2")
             with pytest.raises(RejectedError, match="the role write may not"):
                 await local_cluster.client(write).administer("transfer", 5)
-            for stranger in (elsewhere, foreign, node):
+            for tls_files in (other_cluster, foreign, node):
                 with pytest.raises(UnavailableError):
-                    await local_cluster.client(stranger, deadline_s=0.7).get("a")
+                    await local_cluster.client(tls_files, deadline_s=0.7).get("a")
             assert (
                 "role is admin"
                 in (await connect_and_greet(local_cluster, Hello(1, "c", 99), admin))[1]
             )
             # All get new ones, of another authority; nodes take them without a restart.
-            fresh = Authority(tmp_path, "fresh")
+            new_authority = Authority(tmp_path, "fresh")
             for role in ("node", "admin"):
-                fresh.issue(role)
-            authority.path.write_bytes(fresh.path.read_bytes())
-            for running_ in local_cluster.nodes.values():
-                await running_.server.reload_certificates()
-                assert running_.server.stamp == local_cluster.settings[0].tls.stamp()  # type: ignore[union-attr]
+                new_authority.issue(role)
+            authority.path.write_bytes(new_authority.path.read_bytes())
+            for server in local_cluster.nodes.values():
+                await server.server.reload_certificates()
+                assert server.server.stamp == local_cluster.settings[0].tls.stamp()  # type: ignore[union-attr]
             assert await local_cluster.client(admin).put("a", b"3") == 2
             with pytest.raises(UnavailableError):
                 await local_cluster.client(write, deadline_s=0.7).put("a", b"4")
             # Bad ones leave the good in use.
             node.certificate.write_text("nonsense")
-            for running_ in local_cluster.nodes.values():
-                assert not await running_.server.reload_certificates()
+            for server in local_cluster.nodes.values():
+                assert not await server.server.reload_certificates()
             assert await local_cluster.client(admin).put("a", b"5") == 3
 
     run(test)
@@ -433,12 +433,12 @@
             with open(copy, "wb") as file:
                 index, _, size, checksum = await client.read_backup(file.write)
             assert copy.stat().st_size == size and state_files.file_checksum(copy) == checksum
-            made = running.restore(local_cluster.read(1), copy, "d")
+            identity = running.restore(local_cluster.read(1), copy, "d")
             await local_cluster.begin(1)
-            other = local_cluster.client(only_node=1)
-            assert (await other.get("config/a")).rows[0].value == b"kept"
-            assert await other.put("config/a", b"on", 1) == 2 and made.cluster == "d"
-            assert (await other.status())["last"] > index
+            new_client = local_cluster.client(only_node=1)
+            assert (await new_client.get("config/a")).rows[0].value == b"kept"
+            assert await new_client.put("config/a", b"on", 1) == 2 and identity.cluster == "d"
+            assert (await new_client.status())["last"] > index
             assert (await client.get("config/a")).rows[0].version == 1
 
     run(test)
@@ -456,10 +456,10 @@
             await old.kill(old.members[0])
         finally:
             old.end()
-        left = old.members[0].settings.folder / "state.db"
-        assert Path(f"{left}-wal").stat().st_size > 0  # what was applied last is nowhere else
+        state_file = old.members[0].settings.folder / "state.db"
+        assert Path(f"{state_file}-wal").stat().st_size > 0  # what was applied last is nowhere else
         local_cluster = Cluster(tmp_path)
-        running.restore(local_cluster.read(1), left, "d")
+        running.restore(local_cluster.read(1), state_file, "d")
         await local_cluster.begin(1)
         row = (await local_cluster.client(only_node=1).get("a")).rows[0]
         assert (row.value, row.version) == (b"30", 30)
@@ -474,36 +474,38 @@
     full = {"log": False, "state": False}
     write, apply = DiskFile.write, State.apply
 
-    def write_or_not(self: DiskFile, data: bytes, at: int) -> None:
+    def write_unless_full(self: DiskFile, data: bytes, at: int) -> None:
         if full["log"]:
             raise OSError(28, "No space left on device")
         write(self, data, at)
 
-    def apply_or_not(self: State, entries: Sequence[Entry]) -> list[Result]:
+    def apply_unless_full(self: State, entries: Sequence[Entry]) -> list[Result]:
         if full["state"]:
             raise sqlite3.OperationalError("database or disk is full")
         return apply(self, entries)
 
-    monkeypatch.setattr(DiskFile, "write", write_or_not)
-    monkeypatch.setattr(State, "apply", apply_or_not)
+    monkeypatch.setattr(DiskFile, "write", write_unless_full)
+    monkeypatch.setattr(State, "apply", apply_unless_full)
 
     async def test() -> None:
         async with cluster(tmp_path, 1) as local_cluster:
             client = local_cluster.client()
             await client.put("a", b"1")
-            for what in full:
-                full[what] = True
-                waiting = asyncio.create_task(
+            for storage in full:
+                full[storage] = True
+                pending_write = asyncio.create_task(
                     client.put("b", b"1", options=WriteOptions(timeout_s=20.0))
                 )
                 async with asyncio.timeout(10):
-                    while what not in local_cluster.nodes[0].node.runtime.statistics.full_since_s:
+                    while (
+                        storage not in local_cluster.nodes[0].node.runtime.statistics.full_since_s
+                    ):
                         await asyncio.sleep(0.005)
-                if what == "log":
+                if storage == "log":
                     assert (await local_cluster.client().get("a")).rows[0].value == b"1"
                 assert (await local_cluster.client().get("a", stale=True)).rows[0].value == b"1"
-                full[what] = False
-                await waiting
+                full[storage] = False
+                await pending_write
             assert (await client.get("b")).rows[0].version == 2
             assert caplog.text.count("disk full, writes wait and reads go on") == 2
             assert caplog.text.count("disk has room again") == 2
@@ -543,8 +545,14 @@
         result.wrong,
         result.events,
     )
-    struck = Counter(what.split()[0] for _, what in result.events if not what.endswith("over"))
-    assert struck["kill"] >= 3 and struck["lose"] >= 1 and result.figures["writes"] > 300
+    fault_counts = Counter(
+        description.split()[0]
+        for _, description in result.events
+        if not description.endswith("over")
+    )
+    assert (
+        fault_counts["kill"] >= 3 and fault_counts["lose"] >= 1 and result.figures["writes"] > 300
+    )
     assert result.figures["pairs read whole"] > 50
     assert result.figures["store changes"] >= result.figures["writes"]
 
