--- a/tests/store/test_changefeed_server.py
+++ b/tests/store/test_changefeed_server.py
@@ -1,5 +1,6 @@
-"""The feed between running nodes and balancers' clients: what each hears, over restarts, slow
-readers, nodes that go and stores that are restored.
+"""Tests of the change feed between running nodes and the clients of balancers.
+
+They cover restarts, slow readers, node failures and restored stores.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 
 class Balancer(Observable):
-    """Hears the feed, and writes down what came into force."""
+    """A change feed client that records the applied rows."""
 
     def __init__(
         self,
@@ -105,14 +106,14 @@
 
 
 async def put(client: Client, scope: str, value: bytes | None, *names: str) -> int:
-    """The revision that made it."""
-    async with asyncio.timeout(20):  # a fresh cluster comes to its format by itself
+    """Write rows, with retries; return the revision of the write."""
+    async with asyncio.timeout(20):  # a new cluster first upgrades its state format
         while True:
             try:
                 return (
                     await client.write_rows([Op(key(scope, name), value) for name in names])
                 ).revision
-            except UndecidedError:  # over a change of leaders; said again it does no harm
+            except UndecidedError:  # on a leader change; a repeated write is harmless
                 pass
 
 
@@ -167,7 +168,7 @@
                     ORDERS,
                 ]
             await other.wait_for_value(CARTS, "upstream/x", b"9")
-            assert set(other.rows) == {CARTS}, "nothing of what it did not ask for"
+            assert set(other.rows) == {CARTS}, "only subscribed scopes are received"
             other.client.change_scopes([ORDERS], [CARTS])
             await other.wait_for_value(ORDERS, "upstream/a", b"2")
             with pytest.raises(RejectedError, match="which is not there"):
@@ -219,9 +220,8 @@
     run(test)
 
 
-@pytest.mark.parametrize(
-    "installs_snapshot", [False, True]
-)  # a snapshot of the store comes meanwhile, with the change
+# `installs_snapshot`: the last change arrives in a store snapshot during the load.
+@pytest.mark.parametrize("installs_snapshot", [False, True])
 def test_changes_while_rows_are_loaded_are_sent_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, installs_snapshot: bool
 ) -> None:
@@ -305,7 +305,7 @@
             await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
             node = local_cluster.nodes[follower].node
             message_received = node.message_received
-            node.message_received = lambda sender, message: None  # type: ignore[method-assign]  # its subscriber stays
+            node.message_received = lambda sender, message: None  # type: ignore[method-assign]  # isolates the node and keeps its subscriber
             await put(client, ORDERS, None, "gone")
             for number in range(60):
                 await client.put(f"k/{number}", bytes(3000))
@@ -328,13 +328,12 @@
     run(test)
 
 
-@pytest.mark.parametrize(
-    "window", ["64KiB", "64MiB"]
-)  # within it, and beyond what its connection takes
+# The feed's window limits the unread bytes with 64KiB, the connection's send buffer with 64MiB.
+@pytest.mark.parametrize("window", ["64KiB", "64MiB"])
 def test_subscriber_that_stops_reading_delays_no_other_and_receives_the_last_value(
     tmp_path: Path, window: str
 ) -> None:
-    """What it is not sent are 10 MB."""
+    """The feed skips intermediate values instead of buffering 10 MB for the slow subscriber."""
 
     async def test() -> None:
         async with cluster(tmp_path, 1, extra=f'[feed]\nwindow = "{window}"') as local_cluster:
@@ -385,7 +384,7 @@
 def test_vanished_host_is_removed_from_the_subscribers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its connection was never closed: here nobody reads it, and it takes nothing more."""
+    """The subscriber's connection is not closed; the subscriber only stops reading."""
     monkeypatch.setattr(connection, "ACK_TIMEOUT_MS", 300)
 
     async def test() -> None:
@@ -400,7 +399,7 @@
             async with asyncio.timeout(20):
                 while feed_status(local_cluster, 0)["subscribers"]:
                     await put(client, ORDERS, bytes(4000), *(f"n{i}" for i in range(50)))
-            feed_connection.transport.resume_reading()  # it was asleep only
+            feed_connection.transport.resume_reading()  # the host was only suspended
             revision = await put(client, ORDERS, b"1", "a")
             await balancer.wait_for_value(ORDERS, "upstream/a", b"1")
             assert balancer.applied[-1].revision == revision and balancer.revisions_never_decrease()
@@ -418,9 +417,11 @@
             balancers = [Balancer(addresses, [ORDERS], f"b{i}", i) for i in range(12)]
             for balancer in balancers:
                 await balancer.wait_for_value(ORDERS, "upstream/a", b"0")
-            assert len({balancer.client.address for balancer in balancers}) == 3, "they are spread"
+            assert len({balancer.client.address for balancer in balancers}) == 3, (
+                "the balancers are spread over all nodes"
+            )
             for number in range(1, 21):
-                if number in (5, 12):  # no majority is needed to hear, but it is to write
+                if number in (5, 12):  # reading needs no majority, writing does
                     node_index = (
                         local_cluster.leader()
                         if number == 5
@@ -455,7 +456,7 @@
                 [local_cluster.settings[p].advertise for p in local_cluster.nodes if p != follower],
             )
             free = Balancer([isolated_address, *other_addresses], [ORDERS], "free", nearby_count=1)
-            bound = Balancer([isolated_address], [ORDERS], "bound")  # it reaches nobody else
+            bound = Balancer([isolated_address], [ORDERS], "bound")  # connects to no other node
             for one in (free, bound):
                 await one.wait_for_value(ORDERS, "upstream/a", b"1")
             node = local_cluster.nodes[follower].node
@@ -485,7 +486,7 @@
                 sent_before = fanout.status().sent_messages
                 while (
                     fanout.status().sent_messages < sent_before + 3
-                ):  # bookmarks, as the fan-out thinks
+                ):  # bookmarks, which the server suppresses
                     await asyncio.sleep(0.02)
             assert (
                 sequences == []
@@ -501,8 +502,9 @@
 
 
 def test_restored_store_is_read_from_the_start(tmp_path: Path) -> None:
-    """It is at an earlier revision, under a new name: rows as it has them, and cursors of the old
-    mean nothing.
+    """A restored store has an earlier revision and a new cluster name.
+
+    A balancer must discard its cursor of the old cluster and read all rows again.
     """
 
     async def test() -> None:
@@ -549,7 +551,7 @@
             await old_cluster.begin(first, 2)
             await old_cluster.join(old_cluster.members[1], old=2)
             await old_cluster.kill(first)
-            await old_cluster.begin(first)  # one of them is replaced
+            await old_cluster.begin(first)  # with the current program
             await old_cluster.insist(client, "transfer", first.number, "", 20.0)
             await client.put("config/a", b"1", options=WriteOptions(timeout_s=20.0))
             with pytest.raises(
@@ -669,7 +671,7 @@
 def test_simultaneous_connections_of_another_node_delay_nothing_else(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They wait to be accepted, and between any two of them the loop does what else there is."""
+    """The node accepts at most one connection per event-loop iteration."""
     iterations, accepted_in = 0, list[int]()
     connection_made = Connection.connection_made
 
@@ -682,7 +684,7 @@
         async with cluster(tmp_path, 1) as local_cluster:
             monkeypatch.setattr(Connection, "connection_made", record_iteration)
             clients = [socket.socket() for _ in range(320)]
-            for client in clients:  # the loop stands still meanwhile, as one that serves others
+            for client in clients:  # blocks the event loop, as other work would
                 client.settimeout(0.5)
                 client.connect(local_cluster.settings[0].listen)
             while len(accepted_in) < 320:
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -1,4 +1,4 @@
-"""Running nodes on loopback: members, clients, watches, certificates, and what is refused."""
+"""Tests of running nodes on loopback: members, clients, watches, certificates and rejections."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Cluster:
-    """Nodes in this process."""
+    """A cluster of nodes in this process."""
 
     def __init__(self, folder: Path, tls: TlsFiles | None = None) -> None:
         self.folder = folder
@@ -192,7 +192,7 @@
                 while not local_cluster.nodes[lone_node].node.leaderless_ms():
                     await asyncio.sleep(0.01)
             stale = await lone_client.get("a", stale=True)
-            # It holds the last write, and may not have been notified yet that it was committed.
+            # The node has the last write, but it may not have learned yet that it was committed.
             assert stale.rows[0].value in (b"1", b"2") and stale.behind_ms > 0
             with pytest.raises(UnavailableError):
                 await lone_client.get("a")
@@ -311,7 +311,7 @@
 async def connect_and_greet(
     local_cluster: Cluster, hello: Hello, tls: TlsFiles | None = None
 ) -> tuple[ClientConnection, str]:
-    """A connection that says this, and what came of it: empty where it was welcomed."""
+    """Open a connection with a greeting; return it and why it was declined, empty if accepted."""
     connection = ClientConnection(hello)
     host, port = local_cluster.settings[0].listen
     await asyncio.get_running_loop().create_connection(
@@ -351,7 +351,7 @@
                     )
                 )[1]
             )
-            # A frame that was recorded on one connection, played on another.
+            # A frame recorded on one connection is replayed on another connection.
             vote = pack_message(RequestVote(term + 50, 10**9, 10**9, False, True))
             recorded, decline_reason = await connect_and_greet(local_cluster, Hello(1, "c", 77))
             assert not decline_reason
@@ -364,7 +364,7 @@
                 "belongs to another connection" in caplog.text
                 and local_cluster.nodes[0].node.core.term == term
             )
-            # And twice on its own.
+            # A frame is sent twice on its own connection.
             repeating, _ = await connect_and_greet(local_cluster, Hello(1, "c", 79))
             assert repeating.transport is not None
             frame = repeating.encoder.frame(pack_message(RequestVote(term, 0, 0, True)))
@@ -404,7 +404,7 @@
                 "role is admin"
                 in (await connect_and_greet(local_cluster, Hello(1, "c", 99), admin))[1]
             )
-            # All get new ones, of another authority; nodes take them without a restart.
+            # All certificates are replaced by those of another authority, without a restart.
             new_authority = Authority(tmp_path, "fresh")
             for role in ("node", "admin"):
                 new_authority.issue(role)
@@ -415,7 +415,7 @@
             assert await local_cluster.client(admin).put("a", b"3") == 2
             with pytest.raises(UnavailableError):
                 await local_cluster.client(write, deadline_s=0.7).put("a", b"4")
-            # Bad ones leave the good in use.
+            # Invalid certificates leave the current ones in use.
             node.certificate.write_text("nonsense")
             for server in local_cluster.nodes.values():
                 assert not await server.server.reload_certificates()
@@ -457,7 +457,7 @@
         finally:
             old.end()
         state_file = old.members[0].settings.folder / "state.db"
-        assert Path(f"{state_file}-wal").stat().st_size > 0  # what was applied last is nowhere else
+        assert Path(f"{state_file}-wal").stat().st_size > 0  # holds the last applied entries
         local_cluster = Cluster(tmp_path)
         running.restore(local_cluster.read(1), state_file, "d")
         await local_cluster.begin(1)
@@ -559,7 +559,7 @@
 
 @pytest.mark.parametrize("iterations", [0, 1, 2])
 def test_watch_is_cancelled_as_its_connection_closes(tmp_path: Path, iterations: int) -> None:
-    """Else a process that leaves, and closes its connections first, never ends."""
+    """A swallowed cancellation would keep a process that closes its connections from exiting."""
 
     async def test() -> None:
         async with cluster(tmp_path, 1) as local_cluster:
