--- a/loadbalancer/store/documents.py
+++ b/loadbalancer/store/documents.py
@@ -46,7 +46,8 @@
     """
     if not KEY_PATTERN.match(PREFIX + name):
         raise RejectedError(
-            f"{name!r} is no name: small letters, digits, dots and dashes, with slashes between"
+            f"{name!r} is not a valid document name: use lower-case letters, digits, dots and"
+            " dashes, with slashes as separators"
         )
     return PREFIX + name
 
@@ -62,7 +63,7 @@
         return await _get_version(client, name, version)
     row = (await client.get(key(name))).rows[0]
     if row.value is None:
-        raise RejectedError(f"{name}: there is no such document")
+        raise RejectedError(f"{name}: the document does not exist")
     return row
 
 
@@ -70,7 +71,7 @@
     for row in (await client.history(key(name))).rows:
         if row.version == version and row.value is not None:
             return row
-    raise RejectedError(f"{name}: there is no version {version}, or it is too long ago")
+    raise RejectedError(f"{name}: version {version} does not exist or is no longer retained")
 
 
 async def put(
@@ -86,7 +87,7 @@
     """
     value = text.encode()
     if len(value) > MAX_VALUE_BYTES:
-        raise RejectedError(f"{name}: a document has {MAX_VALUE_BYTES} bytes at most")
+        raise RejectedError(f"{name}: the document exceeds {MAX_VALUE_BYTES} bytes")
     fault = check(name, text)
     if fault:
         raise RejectedError(f"{name}: {fault}")
--- a/loadbalancer/store/errors.py
+++ b/loadbalancer/store/errors.py
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, key: str, version: int) -> None:
-        super().__init__(f"{key} is at version {version}" if version else f"{key} is not there")
+        super().__init__(f"{key} is at version {version}" if version else f"{key} does not exist")
         self.key = key
         self.version = version
 
--- a/loadbalancer/store/settings.py
+++ b/loadbalancer/store/settings.py
@@ -99,10 +99,10 @@
         smallest = min(self.snapshots, self.window, self.log)
         if smallest < MIN_CHANGEFEED_BYTES or self.max_queued < 1:
             raise MalformedError(
-                "feed: snapshots, window and log must be 64KiB at least, and waiting 1"
+                "feed: snapshots, window and log must be at least 64KiB, and waiting at least 1"
             )
         if not MIN_BOOKMARK_NS <= self.bookmark <= MAX_BOOKMARK_NS:
-            raise MalformedError("feed.bookmark: must be 100ms to 20s")
+            raise MalformedError("feed.bookmark: must be between 100ms and 20s")
         return FanoutLimits(
             snapshot_bytes_s=int(self.snapshots),
             waiting_most=self.max_queued,
@@ -182,7 +182,7 @@
     """
     listen = split_address(file.listen)
     if file.tls is None and not is_loopback(listen[0]):
-        raise MalformedError("tls: without it the store listens on loopback only")
+        raise MalformedError("tls: required unless listen is a loopback address")
     advertised = [file.advertise] if file.advertise else []
     for address in (*advertised, *file.address_map, *file.address_map.values()):
         split_address(address)
@@ -209,13 +209,13 @@
 
 def _check_numbers(file: StoreFile) -> None:
     if not 0 < 2 * file.timing.heartbeat <= file.timing.election:
-        raise MalformedError("timing: an election time-out is at least two heartbeats")
+        raise MalformedError("timing: election must be at least twice heartbeat")
     if file.limits.retained_entries < 0 or file.limits.connections < MIN_CONNECTIONS:
         raise MalformedError(
-            "limits: keep must not be negative, and connections must be 8 at least"
+            "limits: keep must not be negative, and connections must be at least 8"
         )
     if file.limits.uncommitted < MIN_UNCOMMITTED_BYTES:
-        raise MalformedError("limits.uncommitted: must be 2MiB at least")
+        raise MalformedError("limits.uncommitted: must be at least 2MiB")
 
 
 def _raft_config(file: StoreFile) -> RaftConfig:
