--- a/tests/daemon/test_endpoint_rows.py
+++ b/tests/daemon/test_endpoint_rows.py
@@ -253,7 +253,7 @@
         assert self.state_sync.publisher is not None
         self.publisher = self.state_sync.publisher
         list_lease = self.state_sync.list_lease
-        list_lease.on_tenure(self.on_term_began, self.on_term_ended)
+        list_lease.on_ownership_change(self.on_term_began, self.on_term_ended)
         if discovery is None:  # this balancer must not acquire the list's lease
             list_lease.start = lambda: None  # type: ignore[method-assign]
         self.state_sync.start()
--- a/tests/daemon/test_feed_progress.py
+++ b/tests/daemon/test_feed_progress.py
@@ -18,9 +18,16 @@
 from loadbalancer.changefeed.status import FeedStatus, Laggard, RefusedRow
 from loadbalancer.cli.main import application
 from loadbalancer.store.commands import Op
-from loadbalancer.store.feed_progress import add_up
+from loadbalancer.store.feed_progress import aggregate_reports
 from loadbalancer.store.metrics import Collector
-from tests.store.test_changefeed_server import ORDERS, Balancer, feed_of, key, leave, put
+from tests.store.test_changefeed_server import (
+    ORDERS,
+    Balancer,
+    close_balancers,
+    feed_status,
+    key,
+    put,
+)
 from tests.store.test_node import Cluster, cluster, run
 
 
@@ -73,7 +80,7 @@
                 too_early.exception
             )
             assert "on 6 of 6 balancers" in str(too_early.exception)
-            await leave(*feed_balancers)
+            await close_balancers(*feed_balancers)
 
     run(test)
 
@@ -93,7 +100,7 @@
             )
             slow.client.connection.transport.pause_reading()
             revision = await put(client, ORDERS, b"2", "a")
-            await quick.has(ORDERS, "upstream/a", b"2")
+            await quick.wait_for_value(ORDERS, "upstream/a", b"2")
             timed_out = await feed(store_cluster, "wait", str(revision), "--within", "0.5")
             output = str(timed_out.exception)
             assert timed_out.exit_code == 1 and "\n" not in output
@@ -107,7 +114,7 @@
             )
             slow.client.connection.transport.resume_reading()
             assert (await waiting).exit_code == 0 and slow.value(ORDERS, "upstream/a") == b"2"
-            await leave(quick, slow)
+            await close_balancers(quick, slow)
 
     run(test)
 
@@ -125,7 +132,7 @@
             )
             revision = (await client.write_rows([Op(key(ORDERS, "a"), b"new")])).revision
             async with asyncio.timeout(20):
-                while not feed_of(store_cluster, store_cluster.leader())["refusals"]:
+                while not feed_status(store_cluster, store_cluster.leader())["refusals"]:
                     await asyncio.sleep(0.005)
             failed = await feed(store_cluster, "wait", str(revision), "--within", "300ms")
             assert failed.exit_code == 1 and str(failed.exception).startswith(
@@ -164,7 +171,7 @@
                 "2",
             )
             assert "on 1, and 2 are wanted" in str(too_few.exception)
-            await leave(balancer)
+            await close_balancers(balancer)
 
     run(test)
 
@@ -204,32 +211,33 @@
         "a", 90, subscribers=10, reached=((50, 2), (90, 8)), laggards=(Laggard("x", 50, 1500),)
     )
     status_b = status("b", 100, subscribers=400, reached=tuple((n, 1) for n in range(0, 100)))
-    progress = add_up([status_a, status_b, status_a], 90)
+    progress = aggregate_reports([status_a, status_b, status_a], 90)
     assert (progress.balancers, progress.in_force) == (410, 8 + 310), (
         "a member queried at two addresses counts once"
     )
-    assert add_up([status_a, status_b], 100).in_force == 0, (
+    assert aggregate_reports([status_a, status_b], 100).in_force == 0, (
         "300 balancers of b are past 99, but no report says that they have reached 100"
     )
     assert (
-        add_up([status_a, status_b]).revision == 100
-        and "node a at ha:1 is itself at 90" in add_up([status_a, status_b]).lagging_nodes
+        aggregate_reports([status_a, status_b]).revision == 100
+        and "node a at ha:1 is itself at 90"
+        in aggregate_reports([status_a, status_b]).lagging_nodes
     )
     assert [balancer.name for balancer in progress.lagging] == ["x"] and progress.unreachable == ()
-    assert add_up([status_a], 50).incomplete_reason() == (
+    assert aggregate_reports([status_a], 50).incomplete_reason() == (
         "revision 50 is not in force as far as can be told: node b at hb:1"
         " does not answer: it was not asked"
     )
-    assert add_up([status_a], 50).incomplete_reason(10) is None
+    assert aggregate_reports([status_a], 50).incomplete_reason(10) is None
     refused = status(
         "b", 100, refusals=1, refused=(RefusedRow("x", Refusal(ORDERS, "u/a", 3, "why")),)
     )
     assert (
-        add_up([status_a, refused], 50).incomplete_reason(ignore_rejected=True)
+        aggregate_reports([status_a, refused], 50).incomplete_reason(ignore_rejected=True)
         is None
-        is not add_up([status_a, refused], 50).incomplete_reason()
+        is not aggregate_reports([status_a, refused], 50).incomplete_reason()
     )
-    unreachable_only = add_up([{"address": "h:1", "trouble": "no answer"}], 5)
+    unreachable_only = aggregate_reports([{"address": "h:1", "trouble": "no answer"}], 5)
     assert (unreachable_only.balancers, unreachable_only.unreachable) == (
         0,
         ("h:1 does not answer: no answer",),
