--- a/loadbalancer/changefeed/delivery.py
+++ b/loadbalancer/changefeed/delivery.py
@@ -110,7 +110,7 @@
             if not subscriber.pending or not subscriber.is_writable:
                 self.queue.leave(subscriber)
                 continue
-            if not self.queue.is_ready(now):
+            if not self.queue.rate_admits(now):
                 return
             self._send_snapshot_chunk(subscriber, now)
 
@@ -205,7 +205,7 @@
 
     def send_retry_later(self, number: int, needed_bytes: int, now: int) -> None:
         """Reject the subscription of a connection with a time after which to retry."""
-        message = RetryLater(self.queue.retry_after_ms(needed_bytes, now))
+        message = RetryLater(self.queue.reserve_retry_slot(needed_bytes, now))
         self._outbox.append(Send(number, 1, 0, pack(message)))
 
     def _has_window(self, subscriber: Subscriber, size: int) -> bool:
--- a/loadbalancer/changefeed/fanout.py
+++ b/loadbalancer/changefeed/fanout.py
@@ -350,8 +350,8 @@
         due_ns = next(iter(self._bookmark_due_ns.values()), None)
         if not self._delivery.queue:
             return due_ns
-        ready_at = self._delivery.queue.ready_at(self._now)
-        return ready_at if due_ns is None else min(due_ns, ready_at)
+        rate_admits_at = self._delivery.queue.rate_admits_at(self._now)
+        return rate_admits_at if due_ns is None else min(due_ns, rate_admits_at)
 
     def take_sends(self) -> list[Send]:
         """Return the messages to send, in order, and clear the outbox.
--- a/loadbalancer/changefeed/snapshot_queue.py
+++ b/loadbalancer/changefeed/snapshot_queue.py
@@ -64,11 +64,11 @@
             self._queued_bytes -= subscriber.pending_bytes
             self._queue.remove(subscriber)
 
-    def is_ready(self, now: int) -> bool:
+    def rate_admits(self, now: int) -> bool:
         """Return whether the rate limit admits a message now."""
         return self._bucket.is_ready(now)
 
-    def ready_at(self, now: int) -> int:
+    def rate_admits_at(self, now: int) -> int:
         """Return when the rate limit admits the next message."""
         return self._bucket.ready_at(now)
 
@@ -76,6 +76,6 @@
         """Charge the bytes of a sent message to the rate limit."""
         self._bucket.take(size, now)
 
-    def retry_after_ms(self, needed_bytes: int, now: int) -> int:
+    def reserve_retry_slot(self, needed_bytes: int, now: int) -> int:
         """Return the delay after which a subscriber that needs `needed_bytes` should retry."""
         return self._retry_slots.reserve(self._queued_bytes, needed_bytes, now)
--- a/loadbalancer/cli/site.py
+++ b/loadbalancer/cli/site.py
@@ -27,7 +27,7 @@
 )
 from loadbalancer.failover.shedding import Shedding
 from loadbalancer.failover.site_reports import collect_opinions, judge_site
-from loadbalancer.failover.site_state import DesiredState, request_state
+from loadbalancer.failover.site_state import DesiredState, apply_operator_request
 from loadbalancer.leases import table as leases
 from loadbalancer.settings import MalformedError
 from loadbalancer.store.client import Client
@@ -289,7 +289,7 @@
             row = (await c.get(SiteKeys(service).plan)).rows[0]
             doc = decode_row(row, SitePlanDocument) or SitePlanDocument()
             try:
-                course = request_state(doc.state_of(name), aim, by, drain_s, hold_s)
+                course = apply_operator_request(doc.state_of(name), aim, by, drain_s, hold_s)
             except ValueError as error:
                 raise MalformedError(str(error)) from None
             with suppress(ConflictError):
--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -102,7 +102,7 @@
     is_capacity_short: bool = False
 
 
-def request_state(
+def apply_operator_request(
     state: SiteState,
     desired: DesiredState,
     operator: str,
@@ -181,10 +181,10 @@
         return _end_partition(state)
     if is_lost:
         return _mark_lost(state, verdict)
-    return state if is_partitioned else _next_reachable(state, view, max_rise)
+    return state if is_partitioned else _next_state_of_reachable(state, view, max_rise)
 
 
-def _next_reachable(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
+def _next_state_of_reachable(state: SiteState, view: FleetView, max_rise: float) -> SiteState:
     if state.desired is not DesiredState.ACTIVE:
         return _drain(state, view)
     if state.stage is Stage.NORMAL:
--- a/loadbalancer/policy/rules.py
+++ b/loadbalancer/policy/rules.py
@@ -65,7 +65,7 @@
 
     now_ns: int
     deadline_ns: int
-    number: int  # earlier attempts of the request
+    earlier_attempts: int  # earlier attempts of the request
     in_flight: int  # earlier attempts without an outcome
     request_finished: bool = False
     client_gone: bool = False
@@ -89,7 +89,7 @@
 
 def _may_attempt_again(attempt: Attempt, limits: api.Limits, max_in_flight: int) -> Verdict:
     """Return whether an unfinished request may have an additional attempt."""
-    if attempt.number >= limits.max_attempts:
+    if attempt.earlier_attempts >= limits.max_attempts:
         return DENIED[Reason.ATTEMPTS_EXHAUSTED]
     if attempt.in_flight >= max_in_flight:
         return DENIED[Reason.TOO_MANY_IN_FLIGHT]
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -74,9 +74,9 @@
     def __init__(self, driver: Driver, address: tuple[str, int], seed: int) -> None:
         settings = driver.settings
         self.driver = driver
-        self.listener: ListListener = self._learn
+        self.listener: ListListener = self._pass_to_driver
         self.address = address
-        self.is_pushed = settings.discovery_push
+        self.is_always_watching = settings.discovery_push
         self.watch = DiscoveryWatch(
             settings.instance_count, settings.instance_index, random.Random(seed)
         )
@@ -87,28 +87,28 @@
         self.is_watching = False
         self.task: asyncio.Task[None] | None = None  # runs the polls
 
-    def start(self, known: Json | None) -> None:
+    def start(self, cached_list: Json | None) -> None:
         """Apply a cached list, if any, and start the watch if lists are pushed."""
-        if known is not None:
-            cached = read_list(known)
+        if cached_list is not None:
+            cached = read_list(cached_list)
             self.version = cached.version
             self.watch.on_list_known()
             self.listener(api.EndpointListKind.CACHED, cached.endpoints)
-        if self.is_pushed:
+        if self.is_always_watching:
             self.subscribe(True)
 
-    def _learn(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
+    def _pass_to_driver(self, kind: api.EndpointListKind, endpoints: list[Endpoint]) -> None:
         self.driver.learn(kind, endpoints)
 
     def subscribe(self, on: bool) -> None:
         """Start or stop the watch."""
         self.is_watching = on
-        self._run(self._watch() if on else None)
+        self._replace_task(self._watch() if on else None)
 
     def fetch(self) -> None:
         """Poll for the full list; a running watch restarts with it."""
         self.watch.forget_list()
-        self._run(self._watch() if self.is_watching else self._fetch())
+        self._replace_task(self._watch() if self.is_watching else self._fetch())
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Use discovery at another address from now on.
@@ -127,11 +127,11 @@
 
     def close(self) -> None:
         """Stop polling."""
-        self._run(None)
+        self._replace_task(None)
         if self.connection is not None:
             self.connection.abort()
 
-    def _run(self, coroutine: Coroutine[Any, Any, None] | None) -> None:
+    def _replace_task(self, coroutine: Coroutine[Any, Any, None] | None) -> None:
         """Replace the running task; the answer of its poll is discarded."""
         if self.task is not None:
             self.task.cancel()
@@ -152,7 +152,7 @@
                 _log_failure(error)
                 if self.watch.deadline_s is not None:
                     self.staleness.on_watch_silent(self.watch.deadline_s)
-            if pause_s is None and not self.is_pushed:
+            if pause_s is None and not self.is_always_watching:
                 self.is_watching = False
                 self.listener(api.EndpointListKind.FAILED, [])  # the policy polls again
                 return
@@ -178,7 +178,7 @@
             is_full = False
         self.version = max(self.version, answer.version)
         self.staleness.on_answer()
-        if endpoints or is_full or not self.is_pushed:
+        if endpoints or is_full or not self.is_always_watching:
             kind = api.EndpointListKind.FULL if is_full else api.EndpointListKind.DELTA
             self.listener(kind, endpoints)
         self.driver.start_times.list_received(time.monotonic_ns())
--- a/loadbalancer/store/durable/lease_records.py
+++ b/loadbalancer/store/durable/lease_records.py
@@ -21,7 +21,9 @@
 from loadbalancer.store.durable.schema import LEASES_FORMAT, prefix_end
 
 MAX_LEASES = 5_000
-CANDIDATE_TTLS: Final = 2  # a candidate's claim expires after this number of TTLs without renewal
+CANDIDATE_EXPIRY_TTLS: Final = (
+    2  # a candidate's claim expires after this number of TTLs without renewal
+)
 LeaseCommand = Claim | Release | ExpireClaim
 # These texts are part of the replicated state: changing one is a change of format.
 LEASES_NOT_SUPPORTED: Final = "not all nodes of the store know leases yet"
@@ -30,7 +32,7 @@
 
 def _claim_ttls(lease: Lease) -> dict[int, int]:
     """Return the time in ms after which each claim of a lease expires without renewal."""
-    ttls_ms = {c.claim: CANDIDATE_TTLS * c.ttl_ms for c in lease.candidates}
+    ttls_ms = {c.claim: CANDIDATE_EXPIRY_TTLS * c.ttl_ms for c in lease.candidates}
     if lease.holder:
         ttl_ms = lease.ttl_ms
         ttls_ms[lease.claim] = int(ttl_ms * table.OFFER_FRACTION) if lease.is_offered else ttl_ms
--- a/tests/changefeed/test_simulation.py
+++ b/tests/changefeed/test_simulation.py
@@ -21,15 +21,15 @@
 MAX_SEEDS_PER_BUG = 12  # each planted bug must break an invariant within this many seeds
 
 
-@pytest.mark.parametrize("spoil", [False, True])
-def test_no_invariant_breaks_under_random_faults(spoil: bool) -> None:
+@pytest.mark.parametrize("corrupt_rows", [False, True])
+def test_no_invariant_breaks_under_random_faults(corrupt_rows: bool) -> None:
     """Each fault must occur in some run, or the test would show nothing about it.
 
-    With `spoil`, table rows are corrupted and the digests must repair them.
+    With `corrupt_rows`, table rows are corrupted and the digests must repair them.
     """
     counts: Counter[str] = Counter()
     for seed in range(1, SEED_COUNT + 1):
-        outcome = play(seed, Options(spoil=spoil))
+        outcome = play(seed, Options(spoil=corrupt_rows))
         assert not outcome.broken, f"seed {seed}, {outcome.broken}"
         counts += outcome.counts
     # Each kind of fault and recovery occurred.
@@ -50,8 +50,8 @@
         "hung up: the",
     ):
         assert counts[counter] > 3, counter
-    assert counts["spoilt"] > 50 if spoil else not counts["mended"]
-    assert counts["mended"] > 50 if spoil else not counts["spoilt"]
+    assert counts["spoilt"] > 50 if corrupt_rows else not counts["mended"]
+    assert counts["mended"] > 50 if corrupt_rows else not counts["spoilt"]
     assert counts["encoded"] < counts["Patch"] / 5
 
 
@@ -71,7 +71,7 @@
     )
 
 
-def test_the_command_runs_seeds_and_planted_bugs() -> None:
+def test_feed_sim_command_runs_seeds_and_seeded_bugs() -> None:
     """The exit code and the output of `lab feed-sim`, with and without planted bugs."""
 
     def run_command(*arguments: str) -> tuple[int, str]:
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -49,7 +49,7 @@
     FleetView,
     SiteState,
     advance,
-    request_state,
+    apply_operator_request,
 )
 from loadbalancer.failover.traffic_shares import (
     BalancerInputs,
@@ -690,7 +690,7 @@
 def test_drain_proceeds_in_steps_and_pauses_when_the_served_fraction_falls() -> None:
     """An operator drains a site over 40 s; the drain pauses when fewer requests are served."""
     states = tuple(SiteState(name) for name in "ab")
-    states = (request_state(states[0], DesiredState.DRAINED, "kofi", 40.0), states[1])
+    states = (apply_operator_request(states[0], DesiredState.DRAINED, "kofi", 40.0), states[1])
     fractions = []
     for _ in range(10):
         states = advance(states, make_view(states, age_s=2.0))
@@ -703,17 +703,17 @@
     for _ in range(20):
         paused = advance(paused, make_view(paused, age_s=9.0))
     assert paused[0].fraction == 0.0 and advance(paused, make_view(paused, age_s=9e5)) == paused
-    returned = (request_state(paused[0], DesiredState.ACTIVE, "kofi"), paused[1])
+    returned = (apply_operator_request(paused[0], DesiredState.ACTIVE, "kofi"), paused[1])
     assert returned[0].stage is Stage.HEALTH_CHECKS
     with pytest.raises(ValueError, match="not held"):
-        request_state(returned[0], DesiredState.ACTIVE, "kofi")
+        apply_operator_request(returned[0], DesiredState.ACTIVE, "kofi")
 
 
 def test_drill_ends_after_its_hold_time_or_when_the_served_fraction_falls() -> None:
     """A drill empties a site for 30 s and returns it to service without an operator."""
-    drill = request_state(SiteState("a"), DesiredState.DRILL, "kofi", 0.0, 30.0)
+    drill = apply_operator_request(SiteState("a"), DesiredState.DRILL, "kofi", 0.0, 30.0)
     with pytest.raises(ValueError, match="no drill can start"):
-        request_state(drill, DesiredState.DRILL, "kofi")
+        apply_operator_request(drill, DesiredState.DRILL, "kofi")
     states: tuple[SiteState, ...] = (drill, SiteState("b"))
     for _ in range(2):
         states = advance(states, make_view(states, age_s=1.0))
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -238,7 +238,7 @@
     return holder
 
 
-def test_ttl_counts_from_when_the_claim_was_sent_less_the_clock_drift() -> None:
+def test_holder_counts_the_ttl_from_sending_the_claim_and_subtracts_clock_drift() -> None:
     """A slow response must not extend the lease beyond its expiry in the store."""
     holder = holder_with_granted_lease()
     expires_ns = 1000 * MS + int(TTL * (1 - MAX_CLOCK_DRIFT))
@@ -325,7 +325,7 @@
     assert paused_expiry.take_expired(60_000 * MS + MAX_CLOCK_STEP_NS) != []
 
 
-def test_receiver_rejects_older_positions_and_any_order_before_initialization() -> None:
+def test_receiver_rejects_older_positions_and_all_commands_before_initialization() -> None:
     """After a restart, a receiver must not accept replayed orders of superseded leaders."""
     receiver = FencedReceiver(FencingPosition())
     assert not receiver.accept(FencingPosition(9, 1))
--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -18,7 +18,18 @@
 from loadbalancer.policy.rate_controller import RateController
 from tests.bench import MS, SECOND, START, upstreams
 
-GAPS = (0, 1, 3 * MS, 11 * MS, 11 * MS, 60 * MS, 499_999_999, 500 * MS, 2 * SECOND, 7 * SECOND)
+STEP_DURATIONS_NS = (
+    0,
+    1,
+    3 * MS,
+    11 * MS,
+    11 * MS,
+    60 * MS,
+    499_999_999,
+    500 * MS,
+    2 * SECOND,
+    7 * SECOND,
+)
 RESULTS = [api.AttemptResult.OK] * 12 + [
     api.AttemptResult.TIMEOUT,
     api.AttemptResult.REJECTED,
@@ -31,7 +42,10 @@
     """Computes its own capacities instead of copying them from a bucket of the same rate."""
 
     def set_rate(
-        self, rate: float, now: int, like: policy.TokenBucket[policy.Request] | None = None
+        self,
+        rate: float,
+        now: int,
+        same_rate_bucket: policy.TokenBucket[policy.Request] | None = None,
     ) -> None:
         self.accrue(now)
         balance = self.counter - self.buffer_capacity
@@ -66,12 +80,15 @@
 
     def _divide_rate(self, now: int) -> None:
         total_weight = sum(t.weight for t in self.buckets)
-        shares_of_rate, shares_of_served = self._fill(self.rate), self._fill(self.served_per_s)
+        shares_of_rate, shares_of_served = (
+            self._shares_of(self.rate),
+            self._shares_of(self.served_per_s),
+        )
         for i, t in enumerate(self.buckets):
             t.set_rate(max(0.05, self.rate * t.weight / total_weight, shares_of_rate[i]), now)
             t.is_over_share = t.demand > 1.1 * shares_of_served[i]
 
-    def _fill(self, remaining: float) -> list[float]:
+    def _shares_of(self, remaining: float) -> list[float]:
         shares, weights = [0.0] * len(self.buckets), sum(t.weight for t in self.buckets)
         for i, t in sorted(
             enumerate(self.buckets), key=lambda it: (it[1].demand / it[1].weight, it[0])
@@ -203,7 +220,7 @@
 
     def step(self, tenant_count: int, load: int) -> None:
         """Advance the clock and deliver timers, attempt results and up to `load` arrivals."""
-        self.now += self.rng.choice(GAPS)
+        self.now += self.rng.choice(STEP_DURATIONS_NS)
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
         events: list[api.Event] = [api.TimerFired(name) for _, name in due] + self.attempt_results(
@@ -292,11 +309,13 @@
     compared = ComparedBalancers([1.0, 1.0, 1.0], 1)
     compared.deliver(api.LearnedState(SECOND, 100.0))
     compared.now += 495 * MS
-    first, second = (compared.arrivals_of(name, 100) for name in compared.names[:2])
-    compared.deliver(*first, *second)
-    one, other, _ = compared.tested_and_reference[0].buckets.values()
-    assert one.buffered and other.buffered
-    compared.deliver(*(api.ClientDisconnected(e.request) for e in second))
+    fuller_arrivals, other_arrivals = (
+        compared.arrivals_of(name, 100) for name in compared.names[:2]
+    )
+    compared.deliver(*fuller_arrivals, *other_arrivals)
+    fuller, other, _ = compared.tested_and_reference[0].buckets.values()
+    assert fuller.buffered and other.buffered
+    compared.deliver(*(api.ClientDisconnected(e.request) for e in other_arrivals))
     compared.now += 5 * MS
     compared.deliver(
         *(
@@ -305,5 +324,6 @@
         )
     )
     assert (
-        one.rate == other.rate and one.buffer_capacity == len(one.buffered) > other.buffer_capacity
+        fuller.rate == other.rate
+        and fuller.buffer_capacity == len(fuller.buffered) > other.buffer_capacity
     )
