--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -121,7 +121,7 @@
     if desired is DesiredState.ACTIVE:
         if state.desired is DesiredState.ACTIVE:
             raise ValueError(f"{state.site} is not held, drained or in a drill")
-        return _begin_recovery(state, f"{operator} returns it to service")
+        return _begin_recovery(state, f"{operator} lets it return")
     return _changed(
         state,
         desired=desired,
