--- a/loadbalancer/changefeed/audit.py
+++ b/loadbalancer/changefeed/audit.py
@@ -1,4 +1,8 @@
-"""Audit of large scopes: hashes their rows in steps and compares the sum with the digest."""
+"""Audit of scope tables.
+
+The audit hashes the rows of a table in steps, and compares the sum of the hashes with the digest of
+the table.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,9 @@
 
 
 class Auditor:
-    """Audits tables one after another, `audit_rows` rows every `audit_ns`.
+    """Audits tables one after another.
+
+    Each step hashes `limits.audit_rows` rows; there is one step every `limits.audit_ns`.
 
     Args:
         limits: The rows per step and the interval of the steps.
@@ -49,9 +55,13 @@
             self._next_step_ns = max(self._next_step_ns, now)
 
     def step(self, now: int) -> ScopeTable | None:
-        """Run one step; return the table if the step completes its audit and finds it corrupt.
+        """Run one step.
+
+        Return the audited table if this step completes its audit and the hashes do not match the
+        digest.
 
-        An audit is abandoned if its table changes; the next bookmark restarts it.
+        An audit is abandoned if its table has changed, is not synced or is no longer subscribed. A
+        later bookmark may start a new audit.
         """
         self._next_step_ns = now + self._limits.audit_ns
         audit = self._audits[0]
--- a/loadbalancer/changefeed/snapshot_queue.py
+++ b/loadbalancer/changefeed/snapshot_queue.py
@@ -1,4 +1,4 @@
-"""Rate-limited queue of subscribers that wait for snapshots; bounded for new subscribers."""
+"""Rate-limited queue of subscribers that wait for snapshots; a full queue rejects new ones."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 class SnapshotQueue:
     """Queue of subscribers that wait for snapshots.
 
-    A subscriber that is blocked by its own connection or window leaves the queue and joins it again
-    when it can receive more. New subscriptions that need a snapshot are rejected once
-    `waiting_most` subscribers wait; existing subscribers may always join, so the queue is bounded
-    by their number.
+    A subscriber whose connection is not writable, or whose limit of unacknowledged bytes is
+    reached, leaves the queue and joins it again when it can receive more. A new subscription that
+    needs a snapshot is rejected while at least `waiting_most` subscribers wait. Existing
+    subscribers may always join, so the queue can exceed `waiting_most` up to the number of
+    subscribers.
     """
 
     def __init__(self, limits: FanoutLimits, now: int) -> None:
@@ -77,5 +78,8 @@
         self._bucket.take(size, now)
 
     def reserve_retry_slot(self, needed_bytes: int, now: int) -> int:
-        """Return the delay after which a subscriber that needs `needed_bytes` should retry."""
+        """Reserve a retry slot for a rejected subscriber; return the delay until it in ms.
+
+        `needed_bytes` is the size of the snapshots that the subscriber needs.
+        """
         return self._retry_slots.reserve(self._queued_bytes, needed_bytes, now)
--- a/loadbalancer/failover/site_state.py
+++ b/loadbalancer/failover/site_state.py
@@ -1,12 +1,14 @@
 """Stored state of each site and its transitions.
 
-A site's state says which fraction of its usual load the site gets, and why. Three things change it:
+A site's state contains the fraction of its usual load that the site gets, and the reason. Three
+things change it:
 the verdict on the site (lost, partitioned, reachable again), an operator (drain, hold, return,
 drill), and the stages of the recovery ramp (`recovery`). The next states are computed from the
 current ones and from observations, and are written to the store in one write if any changed.
 
-The lease holder may fail at any point. Its successor continues from the stored states and restarts
-the time of the current stage, so a change of the holder neither shortens nor repeats a stage.
+The process that computes the states holds a lease and may fail at any point. Its successor
+continues from the stored states and restarts the timer of the current stage. So a change of the
+holder can lengthen a stage, but can neither shorten it nor repeat a completed one.
 """
 
 from __future__ import annotations
@@ -24,12 +26,13 @@
 from loadbalancer.failover.recovery import MAX_FAILURES, Observation, Recovery, Stage
 
 DRAIN_STEPS: Final = 20
-MAX_DRAIN_STEP: Final = 0.5  # of the usual load, even if the step is late
-# Served fraction relative to the start of the drain, below which a drain pauses and a drill ends.
+MAX_DRAIN_STEP: Final = 0.5  # largest step of a drain with a duration, of the usual load
+# A drain pauses, and a drill ends, if the fraction of requests served falls below this ratio of its
+# value at the start.
 MIN_SERVED_RATIO: Final = 0.95
 DEFAULT_DRILL_S: Final = 60.0  # how long a drill leaves a site without load
 MAX_DURATION_S: Final = 86_400.0
-NOT_KNOWN: Final = -1.0  # stored value: the fraction is not known yet
+NOT_KNOWN: Final = -1.0  # stored value of `served_before` until it is measured
 PAUSED_PREFIX: Final = "rests"  # start of the stored reason of a paused drain
 NO_OBSERVATION: Final = Observation(is_lost=False, attempts=0, good_fraction=1.0)
 
@@ -49,12 +52,12 @@
         fraction: Fraction of its usual load that the site gets.
         is_partitioned: The other sites do not reach the site, so it serves only the requests that
             arrive there.
-        failures: Number of failed stages of its recovery.
-        has_failed: The last change of its recovery was a failed stage.
+        failures: Failed stages and losses of its recovery, at most `MAX_FAILURES`.
+        has_failed: The last step of its recovery was the failure of a stage.
         drain_s: Duration of the drain.
         hold_s: How long a drill leaves the site without load.
         served_before: Fraction of requests served when a drain started; NOT_KNOWN if not measured.
-        operator: The operator who asked for the desired state.
+        operator: The operator who asked for the drain or drill; empty otherwise.
         version: Version number, which grows with each change.
     """
 
@@ -89,7 +92,7 @@
     Attributes:
         ages_s: By site, the time since its state last changed, by this lease holder's clock.
         served: Fraction of the fleet's requests served in time; None if there were too few.
-        blocked_reason: Why no step may be taken on these observations; empty if one may.
+        blocked_reason: Why these observations must not change any state; empty if they may.
         is_capacity_short: The fleet is short of capacity, so recoveries are urgent.
     """
 
@@ -169,8 +172,8 @@
         return state
     is_lost = verdict.health is SiteHealth.LOST
     is_partitioned = verdict.health is SiteHealth.PARTITIONED
-    # A site that gets no load and responds only to its own balancers is about to come back, so it
-    # is not yet treated as partitioned.
+    # A site without load that only its own balancers reach is coming back. It is marked as
+    # partitioned only once it has load.
     if (
         is_partitioned is not state.is_partitioned
         and not is_lost
--- a/loadbalancer/leases/expiry.py
+++ b/loadbalancer/leases/expiry.py
@@ -23,7 +23,7 @@
 
     lease: str
     claim: int
-    round: int  # how often the claim was renewed
+    round: int  # how often its TTL restarted
     ttl_ms: int
 
 
--- a/loadbalancer/policy/api.py
+++ b/loadbalancer/policy/api.py
@@ -293,7 +293,7 @@
     retry_reject_fraction: float = 0.0  # of clients' retries
     hedging_allowed: bool = True  # False: no hedged requests, and late attempts are cancelled
     class_reject_fractions: Mapping[str, float] = {}  # class -> fraction, same for all tenants
-    # Earliest and latest retry delay of rejected requests; (0, 0): the default.
+    # Minimum and maximum retry delay of rejected requests; (0, 0): the default.
     retry_window_ns: tuple[int, int] = (0, 0)
     # Upstream in slow start -> attempts a second that this proxy may send to it.
     slow_start_rates_per_s: Mapping[int, float] = {}
--- a/loadbalancer/policy/availability.py
+++ b/loadbalancer/policy/availability.py
@@ -58,9 +58,9 @@
     def slow_start_gap_ns(self, upstream: UpstreamStats, now: int) -> int:
         """Return the minimum time between attempts at an upstream in slow start.
 
-        Together, all proxies with the upstream in their subset stay below its capacity. The
-        capacity is estimated from the attempts that other upstreams serve or from the service time,
-        whichever gives more.
+        Together, all proxies with the upstream in their subset stay below its capacity. A planned
+        rate takes precedence. Otherwise the capacity is the larger of two estimates: this proxy's
+        finished attempts at each upstream, and the rate that follows from the service time.
         """
         rules = self.settings.rules
         planned = self.plan.slow_start_rates_per_s.get(upstream.id)
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -30,7 +30,7 @@
 BASELINE_FALL_GAIN: Final = 0.05
 LATENCY_MAX_GAIN: Final = 0.1
 MAX_LATENCY_RATIO: Final = 1.5  # higher ratios are clipped to this
-WINDOW_STEP: Final = 0.5  # gain of the window for each outcome
+WINDOW_STEP: Final = 0.5  # factor of the window's change for each outcome
 # Bounds of the gain of an upstream's relative service time. The gain is the time since its last
 # successful response divided by SERVICE_TIME_GAIN_NS. In a large subset each upstream responds to a
 # proxy rarely, so a slow upstream must be detected within a few responses.
--- a/loadbalancer/policy/pool.py
+++ b/loadbalancer/policy/pool.py
@@ -90,8 +90,8 @@
         count = len(ring.ready)
         index = self.availability.settings.instance_index
         first = index * count // options.proxies
-        # With few proxies, a section has more upstreams than a proxy needs. It is bounded here, and
-        # the width grows with the load.
+        # With few proxies, a section has more upstreams than a proxy needs. So the section is
+        # limited to MAX_SCAN upstreams, and the pool's `width` grows with the load.
         section_limit = (index + 1) * count // options.proxies - first
         section = min(MAX_SCAN, section_limit)
         self.has_more_than_subset = section < section_limit
--- a/loadbalancer/policy/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -43,7 +43,7 @@
     bucket: TokenBucket[Request]
     queue: RequestQueue
     deadline_ns: int
-    latency_objective_ns: int  # a response by this time is in time
+    latency_objective_ns: int  # responses until this time meet the latency objective
     cost_hint_ns: int
     is_retry: bool = False  # the client's own retry
     body_complete: bool = True
--- a/loadbalancer/policy/rules.py
+++ b/loadbalancer/policy/rules.py
@@ -1,9 +1,10 @@
 """The rules for sending, retrying, completing and rejecting requests, as pure functions.
 
-The policy applies the rules when it decides. `loadbalancer/proxy/` applies them again immediately
-before it writes the first byte of an attempt, and before it writes the last byte of a streamed
-body. A denial there is counted and logged (`loadbalancer/proxy/policy_violations.py`).
-`docs/design/rules.md` lists each guarantee with its page and test.
+The policy applies the rules to each action that it chooses. `loadbalancer/proxy/` applies them
+again immediately before it writes the first byte of an attempt, and before it writes the last byte
+of a streamed body. A denial there is counted and logged
+(`loadbalancer/proxy/policy_violations.py`). `docs/design/rules.md` lists each guarantee with the
+specification page that requires it and the test that checks it.
 
 All times are nanoseconds of the monotonic clock.
 """
@@ -17,8 +18,8 @@
 
 MILLISECOND = 1_000_000
 # The timeout that an attempt announces to its upstream may exceed the client's remaining time by
-# this. The specification allows 150 ms; the difference covers a process that is delayed between
-# this check and the write.
+# at most this amount. The specification allows 150 ms; the remaining 50 ms cover a delay of the
+# process between `may_complete_body` and the write.
 TIMEOUT_SLACK_NS = 100 * MILLISECOND
 
 
@@ -65,17 +66,17 @@
 
     now_ns: int
     deadline_ns: int
-    earlier_attempts: int  # earlier attempts of the request
+    earlier_attempts: int  # of the request
     in_flight: int  # earlier attempts without an outcome
     request_finished: bool = False
     client_gone: bool = False
     response_started: bool = False
     body_available: bool = True
-    start_by_ns: int = 0  # latest start of a repeated execution; 0: unlimited
+    start_by_ns: int = 0  # latest start of an attempt that may repeat an execution; 0: no limit
 
 
 def may_attempt(attempt: Attempt, limits: api.Limits, max_in_flight: int) -> Verdict:
-    """Return whether an attempt of this request may start now, whatever the upstream."""
+    """Return whether an attempt of this request may start now, regardless of the upstream."""
     if attempt.request_finished:
         return DENIED[Reason.REQUEST_FINISHED]
     if attempt.client_gone:
@@ -135,8 +136,8 @@
     Args:
         request_class: The class of the request.
         since_first_ns: Time since the first attempt that may have been executed.
-        same_scope: The upstream is in one deduplication scope with all earlier upstreams that may
-            have executed the request.
+        same_scope: The upstream is in the same deduplication scope as all earlier upstreams that
+            may have executed the request.
     """
     if request_class.effect is api.Effect.IDEMPOTENT:
         return ALLOWED
@@ -148,7 +149,10 @@
 
 
 def may_reject(request_class: api.RequestClass, may_have_run: bool) -> Verdict:
-    """Return whether a request may be rejected, which guarantees that a retry is safe."""
+    """Return whether a request may be rejected.
+
+    A rejection tells the client that a retry is safe.
+    """
     is_deduplicated_everywhere = (
         request_class.effect is api.Effect.IDEMPOTENT_WITH_KEY
         and request_class.scope is api.DeduplicationScope.ALL
--- a/loadbalancer/proxy/discovery.py
+++ b/loadbalancer/proxy/discovery.py
@@ -1,4 +1,4 @@
-"""Client of the discovery service: first list, watch for changes and failed polls."""
+"""Client of the discovery service: fetches the list, watches for changes, handles failed polls."""
 
 from __future__ import annotations
 
@@ -38,7 +38,10 @@
 
 
 class PollError(Exception):
-    """A poll was rejected, its connection broke, or no connection was established."""
+    """A poll failed.
+
+    Raised itself if the poll was rejected, its connection broke, or none was established.
+    """
 
 
 class PollTimeoutError(PollError):
@@ -59,7 +62,7 @@
 
 
 def _ignore_connection(connection: UpstreamConnection) -> None:
-    """Ignore the event; connections to discovery belong to no pool."""
+    """Ignore a released or lost connection: connections to discovery belong to no pool."""
 
 
 class Discovery:
@@ -67,7 +70,7 @@
 
     Attributes:
         listener: Receives lists, changes and failed polls; initially the policy's driver.
-        version: The version of the current list.
+        version: The version of the current list; `NO_VERSION` if there is none.
         answered_s: When discovery last answered, with or without changes (monotonic).
     """
 
@@ -88,7 +91,10 @@
         self.task: asyncio.Task[None] | None = None  # runs the polls
 
     def start(self, cached_list: Json | None) -> None:
-        """Apply a cached list, if any, and start the watch if lists are pushed."""
+        """Apply a cached list, if any, and start the watch if it always runs.
+
+        With other settings the policy starts and stops the watch.
+        """
         if cached_list is not None:
             cached = read_list(cached_list)
             self.version = cached.version
@@ -101,28 +107,28 @@
         self.driver.learn(kind, endpoints)
 
     def subscribe(self, on: bool) -> None:
-        """Start or stop the watch."""
+        """Start the watch if `on`; otherwise stop it, or any other poll."""
         self.is_watching = on
         self._replace_task(self._watch() if on else None)
 
     def fetch(self) -> None:
-        """Poll for the full list; a running watch restarts with it."""
+        """Poll for the full list; a running watch is restarted and polls for that list first."""
         self.watch.forget_list()
         self._replace_task(self._watch() if self.is_watching else self._fetch())
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Use discovery at another address from now on.
 
-        A poll in flight at the old address, or the backoff after one, must not delay the new
-        address. The new service counts versions on its own, so its first full list is accepted
-        whatever its version.
+        A poll in flight at the old address, or the backoff after one, must not delay the first poll
+        at the new address. The service there numbers its versions independently, so its first full
+        list is accepted whatever its version.
         """
         self.address = address
         self.version = NO_VERSION
         self.watch.forget_list()
         if self.connection is not None:
             self.connection.abort()
-        if self.task is not None:  # includes a task in its backoff after a failed poll
+        if self.task is not None:  # the task may be waiting in its backoff
             self.fetch()
 
     def close(self) -> None:
@@ -132,7 +138,10 @@
             self.connection.abort()
 
     def _replace_task(self, coroutine: Coroutine[Any, Any, None] | None) -> None:
-        """Replace the running task; the answer of its poll is discarded."""
+        """Cancel the running task, and start `coroutine` unless it is None.
+
+        The answer to a poll of the cancelled task is discarded.
+        """
         if self.task is not None:
             self.task.cancel()
         if coroutine is None:
@@ -152,9 +161,11 @@
                 _log_failure(error)
                 if self.watch.deadline_s is not None:
                     self.staleness.on_watch_silent(self.watch.deadline_s)
+            # None: the poll failed, and there is no deadline or it has long passed. The watch ends,
+            # or polls again after a backoff.
             if pause_s is None and not self.is_always_watching:
                 self.is_watching = False
-                self.listener(api.EndpointListKind.FAILED, [])  # the policy polls again
+                self.listener(api.EndpointListKind.FAILED, [])  # the policy requests another poll
                 return
             await asyncio.sleep(self.watch.backoff_pause_s() if pause_s is None else pause_s)
 
@@ -162,7 +173,7 @@
         try:
             await self._poll()
             self.watch.on_list_known()
-        except Exception as error:  # noqa: BLE001 (the policy polls again after any error)
+        except Exception as error:  # noqa: BLE001 (the policy requests another poll)
             _log_failure(error)
             self.listener(api.EndpointListKind.FAILED, [])
 
@@ -172,7 +183,7 @@
         self.answered_s = time.monotonic()
         endpoints = answer.endpoints
         is_full = answer.is_full
-        # An older list, or a partial list that is not newer, contains no new information.
+        # An older answer, or changes whose version is not newer, contain no new information.
         if answer.version < self.version or (answer.version == self.version and not is_full):
             endpoints = []
             is_full = False
@@ -193,8 +204,8 @@
 
         Args:
             target: The request target.
-            timeout_s: The time for the answer once connected; None: the remainder of
-                `POLL_TIMEOUT_S`, which includes the connect.
+            timeout_s: The time for the answer once connected; None: what is left
+                of `POLL_TIMEOUT_S` after connecting.
         """
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + POLL_TIMEOUT_S
@@ -235,7 +246,7 @@
                     lambda: connection, *self.address
                 )
         except BaseException as error:
-            connection.abort()  # it may still be established
+            connection.abort()  # the connect may have completed although it was cancelled
             if isinstance(error, OSError):
                 raise PollError(f"no connection: {error or 'timed out'}") from None
             raise
--- a/loadbalancer/proxy/parse.py
+++ b/loadbalancer/proxy/parse.py
@@ -18,8 +18,8 @@
 MAX_BODY = 64 * 1024  # bytes; a longer body is streamed if possible
 MAX_HEAD = 16 * 1024  # bytes before the body; llhttp has no limit
 MAX_LENGTH_DIGITS = 15
-# The bytes read for a message may be at most this many times the body's bytes (at least those of
-# the longest buffered body): small chunks consist mostly of framing.
+# The bytes read for a message are limited to this factor times the larger of the body read so far
+# and the longest buffered body. The factor allows for small chunks, which are mostly framing.
 MAX_OVERHEAD = 8
 MAX_INTERIM = 8  # 1xx responses before the final response
 SUCCESS = 200
--- a/loadbalancer/store/durable/lease_records.py
+++ b/loadbalancer/store/durable/lease_records.py
@@ -1,4 +1,4 @@
-"""Leases in the state: their keys, and the number of renewals of each claim."""
+"""Leases stored as items, and the `rounds` table: how often the TTL of each claim restarted."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class LeaseRecords(Items):
-    """The leases and the table of their renewals."""
+    """Stored leases, and the `rounds` table with the renewal round of each claim."""
 
     def active_claims(self) -> list[ActiveClaim]:
         """Return all claims with their renewal rounds and TTLs."""
@@ -98,12 +98,13 @@
         if outcome.lease != lease and (lease.token or outcome.is_granted):
             self._put_lease(outcome.lease, index, command.time_ms)
         self._record_renewal_rounds(lease, outcome.lease, command)
+        # The result of a lease command carries the token and the queue position in `versions`.
         versions = (outcome.token, outcome.queue_position)
         return Result(ResultCode.DONE, index, versions, outcome.reason)
 
     @staticmethod
     def _lease_command_rejection(command: LeaseCommand) -> str:
-        """Return why the command is invalid in every state; empty if it is valid."""
+        """Return why the command is malformed, whatever the stored state; empty if it is not."""
         if isinstance(command, Claim):
             return table.claim_fault(
                 command.lease, command.holder, command.claim, command.ttl_ms, command.note
@@ -137,6 +138,7 @@
     # ---- renewals --------------------------------------------------------------------------------
 
     def _renewal_round(self, lease: str, claim: int) -> int:
+        """Return how often the TTL of a claim has restarted; 0 if the claim is unknown."""
         row = self.db.execute(
             "SELECT round FROM rounds WHERE lease = ? AND claim = ?", (lease, claim)
         ).fetchone()
@@ -145,13 +147,14 @@
     def _record_renewal_rounds(self, before: Lease, after: Lease, command: LeaseCommand) -> None:
         """Update the renewal rounds of a lease's claims.
 
-        Ended claims lose their round. The round advances for a claim that was made or renewed, or
-        whose TTL changed because the lease was granted or offered to it.
+        The round of an ended claim is deleted. The round of a claim advances when the claim is made
+        or renewed, and when its TTL changes because it is granted or offered the lease.
         """
         old_ttls_ms = _claim_ttls(before)
         new_ttls_ms = _claim_ttls(after)
         for claim in old_ttls_ms.keys() - new_ttls_ms.keys():
             self.db.execute("DELETE FROM rounds WHERE lease = ? AND claim = ?", (after.name, claim))
+            # A TTL of 0 marks an ended claim.
             self.changed_claims.append(ActiveClaim(after.name, claim, 0, 0))
         for claim, ttl_ms in new_ttls_ms.items():
             is_renewed = isinstance(command, Claim) and command.claim == claim
--- a/loadbalancer/store/durable/state_directory.py
+++ b/loadbalancer/store/durable/state_directory.py
@@ -1,4 +1,4 @@
-"""The directory of a node's state and its incoming and outgoing snapshot, as SQLite files."""
+"""Directory of a node's SQLite files: the state, the incoming and the outgoing snapshot."""
 
 from __future__ import annotations
 
@@ -35,34 +35,39 @@
         """Sync the state; return the index up to which it is durable.
 
         Raises:
-            DiskFullError: The state can't be synced now.
+            DiskFullError: SQLite can't sync the state now, for any reason.
         """
 
     def export_snapshot(self) -> SnapshotMeta:
         """Create the outgoing snapshot, which replaces the previous one.
 
         Raises:
-            DiskFullError: The snapshot can't be created now.
+            DiskFullError: SQLite or the file system can't create the snapshot, for any reason.
         """
 
     def read_chunk(self, snapshot: SnapshotMeta, offset: int, size: int) -> bytes | None:
-        """Read a chunk of the outgoing snapshot; None if this snapshot was replaced."""
+        """Read a chunk of the outgoing snapshot.
+
+        Return None if `snapshot` is not the current outgoing snapshot, or if the chunk can't be
+        read completely.
+        """
 
     def write_chunk(self, offset: int, data: bytes) -> None:
         """Write a chunk of the incoming snapshot; a chunk at offset 0 starts a new one.
 
         Raises:
-            DiskFullError: The chunk can't be written now.
+            DiskFullError: The file system can't write the chunk, for any reason.
         """
 
     def verify_incoming(self, snapshot: SnapshotMeta) -> bool:
         """Sync the incoming snapshot; return whether it is complete and matches `snapshot`."""
 
     def install_incoming(self, state: State | None, snapshot: SnapshotMeta) -> State:
-        """Replace the state by the incoming snapshot. Idempotent.
+        """Replace the state with the incoming snapshot. Idempotent.
 
         Raises:
-            DamagedError: The snapshot is missing.
+            DamagedError: The installed state is damaged, or it is older than the snapshot because
+                the incoming file is missing.
         """
 
     def close(self) -> None:
@@ -115,7 +120,11 @@
         return meta
 
     def read_chunk(self, snapshot: SnapshotMeta, offset: int, size: int) -> bytes | None:
-        """Read a chunk of the outgoing snapshot; None if this snapshot was replaced."""
+        """Read a chunk of the outgoing snapshot.
+
+        Return None if `snapshot` is not the current outgoing snapshot, or if the chunk can't be
+        read completely.
+        """
         if self.outgoing is None or self.outgoing.meta.id != snapshot.id:
             return None
         data = os.pread(self.outgoing.descriptor, size, offset)
@@ -157,7 +166,7 @@
             self.incoming = None
 
     def install_incoming(self, state: State | None, snapshot: SnapshotMeta) -> State:
-        """Replace the state by the incoming snapshot. Idempotent."""
+        """Replace the state with the incoming snapshot. Idempotent."""
         if state is not None:
             state.close()
         self._close_incoming()
--- a/tests/changefeed/test_simulation.py
+++ b/tests/changefeed/test_simulation.py
@@ -1,4 +1,4 @@
-"""Simulation of the changefeed in virtual time, with random faults and planted bugs."""
+"""Simulation of the changefeed in virtual time, with random faults and seeded bugs."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from loadbalancer.testbed.topology import Unusable
 
 SEED_COUNT = 40
-MAX_SEEDS_PER_BUG = 12  # each planted bug must break an invariant within this many seeds
+MAX_SEEDS_PER_BUG = 12  # each seeded bug must break an invariant within this many seeds
 
 
 @pytest.mark.parametrize("corrupt_rows", [False, True])
 def test_no_invariant_breaks_under_random_faults(corrupt_rows: bool) -> None:
-    """Each fault must occur in some run, or the test would show nothing about it.
+    """Each kind of fault must occur in some run; otherwise the test would not cover it.
 
     With `corrupt_rows`, table rows are corrupted and the digests must repair them.
     """
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
 def test_a_planted_bug_is_caught(name: str) -> None:
-    """Each planted bug breaks an invariant in one of the first seeds, reproducibly."""
+    """Each seeded bug breaks an invariant in one of the first seeds, reproducibly."""
     failing_outcome = catch(name, MAX_SEEDS_PER_BUG)
     assert failing_outcome is not None
     assert (
@@ -72,7 +72,7 @@
 
 
 def test_feed_sim_command_runs_seeds_and_seeded_bugs() -> None:
-    """The exit code and the output of `lab feed-sim`, with and without planted bugs."""
+    """`lab feed-sim` prints and returns what its seeds and seeded bugs did."""
 
     def run_command(*arguments: str) -> tuple[int, str]:
         result = CliRunner().invoke(
@@ -93,7 +93,11 @@
 
 
 def build_history() -> History:
-    """Return a history with two writes, a deletion and a refused row in revisions 2 to 5."""
+    """Return a history of revisions 2 to 5.
+
+    Revision 2 writes two rows, 4 deletes one of them and writes a row of another scope, and 5
+    writes a row that older programs refuse.
+    """
     store_history = History("e", 1, {}, {})
     store_history.write(2, [("global", "k/x", b"a"), ("global", "k/y", b"a")])
     store_history.write(4, [("global", "k/x", None), ("service:a", "k/x", b"a")])
@@ -102,7 +106,7 @@
 
 
 def test_history_returns_the_rows_and_last_change_of_each_revision() -> None:
-    """The history answers for every revision, including those without a change."""
+    """The history returns rows and the last change for revisions without a change too."""
     store_history = build_history()
     assert [sorted(store_history.rows("global", at)) for at in range(1, 6)] == [
         [],
@@ -117,7 +121,7 @@
 
 
 def test_the_checker_rejects_impossible_states() -> None:
-    """Each invalid update fails the check that names it; valid updates pass."""
+    """Each invalid update fails the check under whose name it is listed; valid updates pass."""
     store_history = build_history()
     book = Book("b", old=False)
     book.wanted(["global"], [])
@@ -145,7 +149,8 @@
         assert broken.value.name == name
     apply_snapshot(5)
     book.reached(store_history, "global", 99)
-    # An older program keeps the last row version that it accepts, or none, never a refused one.
+    # An older program refuses some row versions. Its table keeps the last accepted version of such
+    # a row, or no row, but never the refused version.
     old = Book("old", old=True)
     old.wanted(["global"], [])
     old.applied(store_history, "global", True, (y,), 5)
@@ -173,7 +178,8 @@
     )
     assert startup_stats["snapshots"] == 120 * 6 and startup_stats["s_90"] < 10
     assert startup_stats["encoded"] <= 3 * 51
-    # Startup takes at least as long as the rate limit requires.
+    # Startup takes at least 70 % of the time that the three nodes need at their rate limit; bursts
+    # may save the rest.
     assert startup_stats["s_100"] > startup_stats["sent_bytes"] / 3 / 200_000 * 0.7
     failover_stats = herd.node_dies()
     assert failover_stats["current"] == failover_stats["members"] > 20
--- a/tests/changefeed/test_subscriptions.py
+++ b/tests/changefeed/test_subscriptions.py
@@ -85,7 +85,7 @@
 
 
 def sent(node: Fanout, number: int | None = None) -> list[Any]:
-    """Take the messages that the node sends, decoded, to all or to one of its subscribers."""
+    """Take the node's messages to all subscribers, or to one, and return them decoded."""
     return [
         messages.unpack_server_message(send.payload)
         for send in node.take_sends()
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -177,7 +177,7 @@
     snapshot = tmp_path / "copy.db"
     state_files.export_snapshot(tmp_path / "state.db", snapshot)
     restored = CommandLog(state_files.adopt_copy(snapshot, "other", MEMBERS, 5_000))
-    assert restored.lease().token == token_before  # the holder may continue or expire
+    assert restored.lease().token == token_before  # the holder may renew the lease or let it expire
     restored.apply_command(ExpireClaim("work", 12, restored.state.active_claims()[0].round))
     token_after = restored.claim("c", 13)[0]
     assert token_after > token_before and table.format_token(token_after) == "5000.1"
@@ -209,7 +209,7 @@
 
 
 def test_failed_batch_of_entries_rolls_back_tokens_and_format(tmp_path: Path) -> None:
-    """The third entry cannot be decoded, so the first two must leave no trace in memory."""
+    """The third entry cannot be decoded, so the state in memory must be as before the batch."""
     state = state_files.create_state(tmp_path / "state.db", "c", MEMBERS)
     entries = [
         Entry(1, 1, EntryKind.COMMAND, commands.pack(Upgrade(2))),
@@ -271,7 +271,7 @@
 
 
 def test_leave_sends_one_release_request_and_withdraws_the_token() -> None:
-    """A leaving process must not act while its release is in flight."""
+    """A leaving process must not use its token while its release is in flight."""
     holder = holder_with_granted_lease()
     holder.leave(1400 * MS)
     assert holder.token(1400 * MS) == 0
@@ -326,7 +326,7 @@
 
 
 def test_receiver_rejects_older_positions_and_all_commands_before_initialization() -> None:
-    """After a restart, a receiver must not accept replayed orders of superseded leaders."""
+    """After a restart, a receiver must not accept replayed commands of superseded holders."""
     receiver = FencedReceiver(FencingPosition())
     assert not receiver.accept(FencingPosition(9, 1))
     receiver.learn(FencingPosition(7, 4))
@@ -340,11 +340,11 @@
     )
 
 
-# ---- many holders over a simulated cluster -------------------------------------------------------
+# ---- many holders on a simulated cluster ---------------------------------------------------------
 
 
-# The last two seeds failed in a run of 10,000: one had a vote that arrived long after its term, the
-# other a simulator bug that lost a tick.
+# The last two seeds failed in a run of 10,000 seeds. In one, a Raft vote arrived long after its
+# term had ended. In the other, the simulator skipped a tick.
 @pytest.mark.parametrize("seed", [*range(1, 41), 15185, 15676])
 def test_under_faults_no_superseded_holder_acts_and_the_lease_is_regranted_in_time(
     seed: int,
--- a/tests/policy/test_many_tenants.py
+++ b/tests/policy/test_many_tenants.py
@@ -60,7 +60,7 @@
 
 
 class ReferenceRateController(RateController):
-    """Visits every tenant in every loop."""
+    """Recomputes demand and share of every tenant, also of those that never had a request."""
 
     def _update_demands(self, elapsed: int) -> None:
         for t in self.buckets:
@@ -270,7 +270,10 @@
 
 
 def test_demands_near_the_smallest_float_equal_the_reference() -> None:
-    """Demands of idle tenants halve until rounding makes them equal and changes their order."""
+    """Demands of idle tenants halve down to the smallest floats.
+
+    Rounding can then make demands equal, or change the order of the tenants by demand and weight.
+    """
     smallest_float = 5e-324
     for seed in range(300):
         rng = random.Random(seed)
@@ -302,9 +305,10 @@
 
 
 def test_buffer_capacity_is_not_shared_with_a_fuller_bucket_of_the_same_rate() -> None:
-    """Two buckets have the same rate, and one buffers more requests than the rate's capacity.
+    """Two buckets have the same rate.
 
-    The buffer capacity of the fuller bucket must not be copied to the other one.
+    One buffers more requests than the buffer capacity that follows from this rate. The buffer
+    capacity of the fuller bucket must not be copied to the other one.
     """
     compared = ComparedBalancers([1.0, 1.0, 1.0], 1)
     compared.deliver(api.LearnedState(SECOND, 100.0))
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -990,7 +990,7 @@
     key_arrivals = [arrival(i, START, KEY_ORDERED, key="k") for i in (1, 2)]
     assert_violation(
         new_harness(*key_arrivals), api.StartAttempt("r2", 1)
-    )  # 5: before an earlier request of its key
+    )  # 5: sent before an earlier request with the same key
     blocked = new_harness(*key_arrivals)
     blocked._check_action(api.StartAttempt("r1", 1))
     blocked._record_event(blocked.result("r1", 0, api.AttemptResult.RESET))
@@ -1157,8 +1157,8 @@
 
 
 def test_admission_rate_recovers_quickly_without_overload() -> None:
-    # Guards against a slow recovery: after an overloaded first half second, the admission rate R
-    # admitted only half of the requests for five seconds.
+    # The admission rate starts low, as after half a second of overload. It must recover within the
+    # 3 s of this test, rather than admit only half of the requests for five seconds.
     harness = PolicyHarness(servers=6)
     harness.balancer.rate_controller.rate = 100.0
     for i in range(1500):
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -72,7 +72,10 @@
 
 
 def recursion(total: int, u: int, steps: list[int]) -> tuple[list[int], list[int]]:
-    """Evaluate (2.8) and (2.10): a token epoch, then the requests one by one."""
+    """Compute equations (2.8) and (2.10) of the paper.
+
+    Each step adds one token, then processes its requests one by one.
+    """
     counters, overflows, overflow = [], [], 0
     for arrivals in steps:
         u = min(total, u + 1)
--- a/tests/policy/test_upstream_set.py
+++ b/tests/policy/test_upstream_set.py
@@ -202,8 +202,8 @@
 def test_avoided_cold_upstreams_with_requests_count_in_the_window() -> None:
     """Guards against a fault observed when six in ten upstreams were replaced.
 
-    A cold upstream is avoided between two sends and added no capacity to the concurrency window,
-    while its request in flight still occupied the window.
+    A cold upstream is avoided until its next attempt is due. While it has a request in flight, it
+    must count towards the concurrency window, which that request occupies.
     """
     cold = {5, 6, 7, 8, 9}
     fleet = [api.Upstream(n, started_ns=SECOND // 2 if n in cold else 0) for n in range(1, 10)]
